--- /dev/null
+++ b/cmd/ternbeam/storedstate_test.go
@@ -0,0 +1,36 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+
+	"ternbeam/internal/lab/testkit"
+)
+
+// The folder in testdata was written by an earlier build with --state, and state-export.json is what that build printed of it.
+func TestStateFolderOfAnEarlierBuild(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata/state")); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile("testdata/state-export.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	program := filepath.Join(t.TempDir(), "ternbeam")
+	build := exec.CommandContext(t.Context(), "go", "build", "-o", program, "./cmd/ternbeam")
+	build.Dir = testkit.Root(t)
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	if out, err := exec.CommandContext(t.Context(), program, "state", "verify", dir).CombinedOutput(); err != nil {
+		t.Errorf("verify: %v\n%s", err, out)
+	}
+	got, err := exec.CommandContext(t.Context(), program, "state", "export", dir).Output()
+	if err != nil || !bytes.Equal(got, want) {
+		t.Errorf("export differs: %v\n%s", err, got)
+	}
+}
