--- a/internal/decide/asking/asking_test.go
+++ b/internal/decide/asking/asking_test.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// service is a model of one that serves calls in turn, each in the same time, and gives callers up that have waited for too
-// long; the work for them is done all the same.
+// service models a discovery service that serves calls in order, each in the same time, and drops callers that have
+// waited too long; the work for them is done all the same.
 type service struct {
-	each time.Duration
-	free time.Duration
-	down func(now time.Duration) bool
+	perCall time.Duration
+	freeAt  time.Duration
+	isDown  func(now time.Duration) bool
 }
 
-// call returns when the caller hears something, and whether that is the list.
+// call returns when the caller gets a response, and whether that is the list.
 func (s *service) call(now time.Duration) (time.Duration, bool) {
-	if s.down != nil && s.down(now) {
+	if s.isDown != nil && s.isDown(now) {
 		return now + time.Millisecond, false
 	}
-	s.free = max(s.free, now) + s.each
-	if s.free > now+patience {
+	s.freeAt = max(s.freeAt, now) + s.perCall
+	if s.freeAt > now+patience {
 		return now + patience, false
 	}
-	return s.free, true
+	return s.freeAt, true
 }
 
-// agent is one in the model.
+// agent is an agent of the model.
 type agent struct {
-	asker  *Asker
-	at     time.Duration // of what it does next
-	asks   bool          // or hears how its call ended
-	served bool
-	calls  int
-	called time.Duration // at its latest call
-	silent time.Duration // of its latest watch
+	scheduler *Asker
+	nextAt    time.Duration // time of its next event
+	calling   bool          // the next event is a call; otherwise the end of the call
+	served    bool
+	calls     int
+	calledAt  time.Duration // time of its latest call
+	silent    time.Duration // how long its latest watch was silent
 }
 
 type queue []*agent
 
 func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q queue) Less(i, j int) bool { return q[i].nextAt < q[j].nextAt }
 func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)        { *q = append(*q, x.(*agent)) }
 func (q *queue) Pop() any {
@@ -51,7 +51,8 @@
 	return last
 }
 
-// recover plays agents until all are served or a limit has passed, and returns when the last one was and how many calls came.
+// recover simulates agents until all are served or a limit has passed, and returns when the last one was served, how
+// many calls were made, and how many agents were not served.
 func (s *service) recover(agents []*agent, begin, limit time.Duration) (last time.Duration, calls, left int) {
 	var q queue
 	for _, a := range agents {
@@ -60,25 +61,25 @@
 		}
 	}
 	heap.Init(&q)
-	for len(q) > 0 && q[0].at <= begin+limit {
+	for len(q) > 0 && q[0].nextAt <= begin+limit {
 		a := q[0]
-		now := a.at
+		now := a.nextAt
 		switch {
-		case a.asks:
+		case a.calling:
 			calls++
 			a.calls++
-			a.called = now
-			a.asker.Asked(now)
-			a.at, a.served = s.call(now)
-			a.asks = false
+			a.calledAt = now
+			a.scheduler.Asked(now)
+			a.nextAt, a.served = s.call(now)
+			a.calling = false
 		case a.served:
-			a.asker.Answered(now)
-			a.asker.Delivered()
+			a.scheduler.Answered(now)
+			a.scheduler.Delivered()
 			last = now - begin
 			heap.Pop(&q)
 			continue
 		default:
-			a.at, a.asks = a.asker.Over(now, a.silent), true
+			a.nextAt, a.calling = a.scheduler.Over(now, a.silent), true
 			a.silent = 0
 		}
 		heap.Fix(&q, 0)
@@ -86,13 +87,14 @@
 	return last, calls, len(q)
 }
 
-// fleet returns agents that start at a time. Where they know their places is told by place.
-func fleet(n int, begin time.Duration, mustAsk time.Duration, seed uint64, place func(i int) (me, agents int)) []*agent {
+// newFleet returns agents that start at a given time; place returns the index of each agent and the number of agents
+// that it assumes.
+func newFleet(n int, begin time.Duration, mustAsk time.Duration, seed uint64, place func(i int) (me, agents int)) []*agent {
 	var all []*agent
 	for i := range n {
 		me, agents := place(i)
-		a := &agent{asker: New(Settings{Shared: true, Agents: agents, Me: me, MustAsk: mustAsk}, seed<<32+uint64(i)), asks: true}
-		a.at = a.asker.Start(begin)
+		a := &agent{scheduler: New(Settings{Shared: true, Agents: agents, Me: me, MustAsk: mustAsk}, seed<<32+uint64(i)), calling: true}
+		a.nextAt = a.scheduler.Start(begin)
 		all = append(all, a)
 	}
 	return all
@@ -100,34 +102,34 @@
 
 const mustAsk = 10 * time.Second
 
-// lose has agents lose their watches at a time.
-func lose(agents []*agent, at time.Duration, silent time.Duration) {
+// loseWatches ends the watches of agents at a given time.
+func loseWatches(agents []*agent, at time.Duration, silent time.Duration) {
 	for _, a := range agents {
 		if a.served {
-			a.served, a.asks, a.at, a.calls, a.silent = false, false, at, 0, silent
+			a.served, a.calling, a.nextAt, a.calls, a.silent = false, false, at, 0, silent
 		}
 	}
 }
 
-// Guards against a fleet that loses the list together and never has it again. For any time that the service needs for all,
-// all have it in 1.5 times that or what one period takes, with two calls an agent at most, none is left out, and none is
-// without a word for as long as the list must be asked for.
+// Guards against a fleet that loses the list at once and never recovers it. For any time that the service needs for all
+// agents, all have the list within 1.5 times that time or one period, with at most two calls per agent; none is left
+// out, and none goes without a call for as long as mustAsk.
 func TestFleetRecovers(t *testing.T) {
 	begin := 1000*time.Hour + 1234567*time.Microsecond
 	for _, n := range []int{10, 80, 300, 1000, 10_000} {
 		for _, all := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 6 * time.Second, 8 * time.Second} {
 			t.Run(fmt.Sprintf("%d agents, %v for all", n, all), func(t *testing.T) {
-				s := &service{each: all / time.Duration(n)}
-				agents := fleet(n, begin, mustAsk, 1, func(i int) (int, int) { return i, n })
+				s := &service{perCall: all / time.Duration(n)}
+				agents := newFleet(n, begin, mustAsk, 1, func(i int) (int, int) { return i, n })
 				check := func(what string, from time.Duration) {
 					last, calls, left := s.recover(agents, from, time.Minute)
 					t.Logf("%s: all have it after %v and %d calls", what, last, calls)
 					most := max(period+all/time.Duration(n)+patience/10, all*3/2)
 					if n == 10 && all == 8*time.Second {
-						most = 5 * all // where two calls are the queue that a caller bears, chance decides
+						most = 5 * all // two calls already are the queue that a caller tolerates, so chance decides
 					}
 					if left > 0 || last > most {
-						t.Errorf("%s: %d are left out, the last has it after %v, over %v", what, left, last, most)
+						t.Errorf("%s: %d agents have no list, the last got it after %v, over %v", what, left, last, most)
 					}
 					if calls > 2*n {
 						t.Errorf("%s: %d calls", what, calls)
@@ -135,23 +137,23 @@
 				}
 				check("cold start", begin)
 				down := begin + time.Minute
-				lose(agents, down, 0)
-				s.down = func(now time.Duration) bool { return now < down+5*time.Second }
+				loseWatches(agents, down, 0)
+				s.isDown = func(now time.Duration) bool { return now < down+5*time.Second }
 				_, calls, _ := s.recover(agents, down, 5*time.Second-1)
-				if calls > 5*n { // two soon, where the service was fast, then one in 3 s
+				if calls > 5*n { // two quick ones, as the service was fast, then one every 3 s
 					t.Errorf("%d calls to a service that was down for 5 s", calls)
 				}
 				for _, a := range agents {
-					if a.called > down && a.called-down > mustAsk {
-						t.Errorf("asked %v after it lost the list", a.called-down)
+					if a.calledAt > down && a.calledAt-down > mustAsk {
+						t.Errorf("called %v after it lost the list", a.calledAt-down)
 					}
 				}
 				check("after an outage", down+5*time.Second)
 				again := down + time.Minute
-				lose(agents[:n*7/10], again, 0)
+				loseWatches(agents[:n*7/10], again, 0)
 				for _, a := range agents[:n*7/10] {
-					a.asker = New(a.asker.set, 1<<40+uint64(a.calls))
-					a.at, a.asks = a.asker.Start(again), true
+					a.scheduler = New(a.scheduler.settings, 1<<40+uint64(a.calls))
+					a.nextAt, a.calling = a.scheduler.Start(again), true
 				}
 				check("seven in ten started anew", again)
 			})
@@ -159,10 +161,10 @@
 	}
 }
 
-// In the old way, a time drawn from 3 s and none from a turn, the fleet never has the list again: the model sees it.
+// With random delays of up to 3 s instead of slots the fleet never recovers the list: the model must reproduce that.
 func TestModelSeesCollapse(t *testing.T) {
 	const n = 300
-	s := &service{each: 8 * time.Second / n}
+	s := &service{perCall: 8 * time.Second / n}
 	rng := rand.New(rand.NewPCG(1, 1))
 	next := make([]time.Duration, n)
 	served := 0
@@ -184,8 +186,8 @@
 	}
 }
 
-// Places that are not told, are told wrongly, and numbers of agents that are ten times too high or too low cost no more than
-// chance, and clocks that are off as much.
+// Unknown or wrong indexes, numbers of agents that are ten times too high or too low, and clocks that are off cost no
+// more than random slots.
 func TestWrongPlaces(t *testing.T) {
 	const n = 300
 	begin := 1000 * time.Hour
@@ -197,57 +199,58 @@
 	} {
 		for _, all := range []time.Duration{time.Second, 4 * time.Second, 6 * time.Second, 8 * time.Second} {
 			t.Run(fmt.Sprintf("%s, %v for all", name, all), func(t *testing.T) {
-				s := &service{each: all / n}
-				agents := fleet(n, begin, mustAsk, 1, place)
+				s := &service{perCall: all / n}
+				agents := newFleet(n, begin, mustAsk, 1, place)
 				for _, what := range []string{"cold start", "lost"} {
 					last, calls, left := s.recover(agents, begin, time.Minute)
 					t.Logf("%s: all have it after %v and %d calls", what, last, calls)
 					if left > 0 || last > 3*max(period, all) || calls > 3*n {
-						t.Errorf("%s: %d left out, the last after %v, %d calls", what, left, last, calls)
+						t.Errorf("%s: %d agents have no list, the last got it after %v, %d calls", what, left, last, calls)
 					}
 					begin += time.Hour
-					lose(agents, begin, 0)
+					loseWatches(agents, begin, 0)
 				}
 			})
 		}
 	}
 }
 
-// A service that needs far longer than any is made for still has all served in the end: the pace falls.
+// A service that needs far longer than the period is designed for still serves all agents in the end, as the call rate
+// falls.
 func TestVerySlowService(t *testing.T) {
 	const n = 300
 	begin := 1000 * time.Hour
 	for _, all := range []time.Duration{10 * time.Second, 12 * time.Second, 16 * time.Second, 20 * time.Second} {
-		s := &service{each: all / n}
-		last, calls, left := s.recover(fleet(n, begin, mustAsk, 1, func(i int) (int, int) { return i, n }), begin, 3*time.Minute)
-		t.Logf("%v for all: after %v and %d calls, %d left out", all, last, calls, left)
+		s := &service{perCall: all / n}
+		last, calls, left := s.recover(newFleet(n, begin, mustAsk, 1, func(i int) (int, int) { return i, n }), begin, 3*time.Minute)
+		t.Logf("%v for all: after %v and %d calls, %d agents have no list", all, last, calls, left)
 		if left > 0 || last > 8*all || calls > 8*n {
-			t.Errorf("%v for all: %d left out, the last after %v, %d calls", all, left, last, calls)
+			t.Errorf("%v for all: %d agents have no list, the last got it after %v, %d calls", all, left, last, calls)
 		}
 	}
 }
 
-// One that is down costs a call in each period, and less than one in 3 s.
+// A service that is down receives less than one call per agent in 3 s.
 func TestDownIsCheap(t *testing.T) {
 	const n, long = 100, 2 * time.Minute
 	begin := 1000 * time.Hour
-	s := &service{each: time.Millisecond}
-	agents := fleet(n, begin, mustAsk, 1, func(i int) (int, int) { return i, n })
+	s := &service{perCall: time.Millisecond}
+	agents := newFleet(n, begin, mustAsk, 1, func(i int) (int, int) { return i, n })
 	s.recover(agents, begin, time.Minute)
 	begin += time.Hour
-	lose(agents, begin, 0)
-	s.down = func(time.Duration) bool { return true }
+	loseWatches(agents, begin, 0)
+	s.isDown = func(time.Duration) bool { return true }
 	if _, calls, _ := s.recover(agents, begin, long); calls > int(long/(3*time.Second)+3)*n {
 		t.Errorf("%d calls of %d agents in %v", calls, n, long)
 	}
-	s.down = nil
+	s.isDown = nil
 	last, _, left := s.recover(agents, begin+long, time.Minute)
 	if left > 0 || last > period+patience {
-		t.Errorf("%d left out, all have it %v after the service is back", left, last)
+		t.Errorf("%d agents have no list, the last got it %v after the service is back", left, last)
 	}
 }
 
-// After a silence the call goes out in time to be answered before the list counts as told.
+// After a silence the call is made early enough to be answered before changes of the list count as known.
 func TestAskedInTime(t *testing.T) {
 	for _, must := range []time.Duration{2 * time.Second, 8 * time.Second, mustAsk, time.Minute} {
 		for seed := range uint64(50) {
@@ -263,43 +266,44 @@
 					limit = min(limit, told+usualGrace-silent)
 				}
 				if wait <= 0 || wait > limit {
-					t.Errorf("asked after %v, %v of silence and what the call takes aside, where %v are left of %v", wait, silent, limit, must)
+					t.Errorf("called after %v, apart from %v of silence and the duration of the call, where %v are left of %v", wait, silent, limit, must)
 				}
 			}
 		}
 	}
 }
 
-// All watches on a service that answers in turn fall silent at once, and servers begin to drain right after. All agents have the list by
-// what counts as told, and the least grace, where the service needs up to 3 s for all; up to 4.5 s each is served at its first call still, as fast as the service can.
+// All watches on a shared service fall silent at once, and servers begin to drain right after. Where the service needs
+// up to 3 s for all agents, all have the list before the drains count as known, plus the shortest grace; up to 4.5 s
+// each is still served at its first call, as fast as the service can.
 func TestAllWatchesFallSilent(t *testing.T) {
 	begin := 1000 * time.Hour
 	for _, n := range []int{10, 80, 300, 1000} {
 		for _, all := range []time.Duration{100 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, 4500 * time.Millisecond} {
 			for seed := range uint64(5) {
-				s := &service{each: all / time.Duration(n)}
-				agents := fleet(n, begin, mustAsk, seed, func(i int) (int, int) { return i, n })
+				s := &service{perCall: all / time.Duration(n)}
+				agents := newFleet(n, begin, mustAsk, seed, func(i int) (int, int) { return i, n })
 				s.recover(agents, begin, time.Minute)
 				fell := begin + time.Minute + time.Duration(seed)*1234*time.Millisecond
-				lose(agents, fell+Silence, Silence)
+				loseWatches(agents, fell+Silence, Silence)
 				last, calls, left := s.recover(agents, fell, time.Minute)
 				most := told + usualGrace
 				if all > 3*time.Second {
 					most = Silence + all + answer
 				}
 				if left > 0 || last > most || calls != n {
-					t.Errorf("%d agents, %v for all: %d left out, the last has it %v after the silence began, over %v, with %d calls", n, all, left, last, most, calls)
+					t.Errorf("%d agents, %v for all: %d have no list, the last got it %v after the silence began, over %v, with %d calls", n, all, left, last, most, calls)
 				}
 			}
 		}
 	}
 }
 
-// One call of which nothing is heard is no queue; two are, and so is one that was given up after it.
+// One call without a response is no sign of a queue; two are, and so is a dropped call after one.
 func TestHung(t *testing.T) {
 	const n = 300
 	for name, c := range map[string]struct {
-		waits []time.Duration // of calls in vain, CallWait being silence
+		waits []time.Duration // of failed calls; CallTimeout stands for no response
 		slow  bool
 	}{
 		"down": {[]time.Duration{time.Millisecond, time.Millisecond, time.Millisecond}, false}, "once silent": {[]time.Duration{CallWait, time.Millisecond}, false},
@@ -317,14 +321,15 @@
 			next = a.Over(now+w, silent)
 			now, next = next, next-now-w
 		}
-		if slow := next > 2*period; slow && !c.slow || !slow && c.slow && a.crowded < 2 {
-			t.Errorf("%s: asked again after %v, given up %d times", name, next, a.crowded)
+		if slow := next > 2*period; slow && !c.slow || !slow && c.slow && a.rejections < 2 {
+			t.Errorf("%s: called again after %v, dropped %d times", name, next, a.rejections)
 		}
 	}
 }
 
-// A watch falls silent, and the call behind it fails some time later: answered and broken off, stopped short, or refused. The next one is made in
-// time for what the watch missed, if any time is left, and the service that stays down is not asked faster for good.
+// A watch falls silent, and the call after it fails some time later: answered and broken off, cut short, or refused. The
+// next call is made in time for the changes that the watch missed, if any time is left, and a service that stays down is
+// not called faster for good.
 func TestCallBehindASilentWatchFails(t *testing.T) {
 	const agents = 80
 	for name, silent := range map[string]time.Duration{"broken off": 0, "stopped short": time.Second} {
@@ -341,7 +346,7 @@
 			by := max(fell+told+usualGrace-answer, now+leastPeriod)
 			next := a.Over(now, silent)
 			if left := fell + told + usualGrace - answer - now; left > 0 && next > by {
-				t.Errorf("%s: asked again %v after the silence began", name, next-fell)
+				t.Errorf("%s: called again %v after the silence began", name, next-fell)
 			}
 			calls := 0
 			for now = next; now < fell+time.Minute; now = a.Over(now+time.Millisecond, 0) {
@@ -355,8 +360,9 @@
 	}
 }
 
-// A call to a service that all agents ask hangs while the service is down, also across its return. The next is made in time for what the
-// list says to be heard by when it counts as told, 6 s after the return, and the grace of a drain.
+// A call to a shared service gets no response while the service is down, and still none after its return. The next call
+// is made in time for the list to arrive before its changes count as known, 6 s after the return, plus the grace of a
+// drain.
 func TestCallThatHangsAcrossTheReturn(t *testing.T) {
 	for _, agents := range []int{2, 12, 300, 900} {
 		for seed := range uint64(50) {
@@ -365,7 +371,7 @@
 			a.Asked(returned - time.Millisecond)
 			now := returned - time.Millisecond + CallWait
 			if next := a.Over(now, CallWait); next+answer > returned+told+usualGrace {
-				t.Errorf("%d agents: asked again %v after the return", agents, next-returned)
+				t.Errorf("%d agents: called again %v after the return", agents, next-returned)
 			}
 		}
 	}
--- a/internal/decide/company/company.go
+++ b/internal/decide/company/company.go
@@ -1,10 +1,11 @@
-// Package company keeps what an agent knows of the others that front the same servers: who is there, in which life, since when,
-// and how long ago that was so. It is what lists, limits and verdicts among agents build on. Each agent tells a little of what
-// it knows with whatever it sends, so that what one says of itself reaches all without a leader. It does no I/O and reads no
-// clock; its memory follows the number of places, not what comes.
+// Package peerstate keeps what an agent knows of the other agents that front the same servers: which ones are alive,
+// with which epoch, since when, and how old that knowledge is. Lists, limits and verdicts shared among agents build on
+// it. Each agent passes on a little of what it knows with every datagram, so that the heartbeats of an agent reach all
+// others without a leader. The package does no I/O and reads no clock; its memory grows with the number of agents, not
+// with what is received.
 //
-// An agent's word about itself carries the epoch of its life and a beat that grows while it lives. Greater ones win, whatever
-// way and in whatever order they come, as often as they come: an old datagram brings nobody back.
+// A heartbeat carries the epoch of the agent's process and a sequence number that grows while it runs. Greater ones win,
+// in whatever order and however often they arrive: an old datagram never brings an agent back.
 package company
 
 import (
@@ -14,98 +15,98 @@
 	"time"
 )
 
-// Flags are what an agent says of itself beside that it lives.
+// Flags are what an agent announces with its heartbeat.
 type Flags uint8
 
 // The flags.
 const (
 	Watching Flags = 1 << iota // it holds a watch on the list of servers
-	Leaving                    // it ends; nothing is to be expected of it
+	Leaving                    // it is shutting down; nothing more is to be expected of it
 )
 
-// Word is what is said of an agent.
+// Heartbeat is what an agent announces of itself, as sent by it or passed on by others.
 type Word struct {
 	Place int
-	Epoch uint64 // of its life: later lives have greater ones
-	Beat  uint32 // grows while it lives
+	Epoch uint64 // of its process: later ones have greater epochs
+	Beat  uint32 // grows while the process runs
 	Flags Flags
-	Age   time.Duration // since it said so itself
+	Age   time.Duration // since the agent sent it
 }
 
-// newer reports whether a word was said after another one of the same agent.
+// newer reports whether a heartbeat was sent after another one of the same agent.
 func (w Word) newer(o Word) bool {
 	return cmp.Or(cmp.Compare(w.Epoch, o.Epoch), cmp.Compare(w.Beat, o.Beat)) > 0
 }
 
-// Member is an agent as another one knows it.
+// Peer is an agent as another one knows it.
 type Member struct {
 	Word
-	Said  time.Duration // when it said that
-	Since time.Duration // when this life was first heard of
+	Said  time.Duration // when it sent the heartbeat
+	Since time.Duration // when a heartbeat of this epoch was first received
 	known bool
 }
 
-// Settings are what a Company is made of.
+// Settings configure a Table.
 type Settings struct {
-	Agents int // the places are 0 to Agents-1
+	Agents int // number of agents; their indexes are 0 to Agents-1
 	Me     int
-	Epoch  uint64 // of this life
+	Epoch  uint64 // of this process
 }
 
-// Company is what one agent knows.
+// Table is what one agent knows of the others. It is not safe for concurrent use.
 type Company struct {
-	set     Settings
-	own     Word
-	members []Member // by place
-	order   []int    // places in the order in which they are passed on
-	next    int      // among them
-	rivals  int      // how often another claimed this place in a later life
+	settings  Settings
+	own       Word
+	peers     []Member // by index
+	order     []int    // indexes in the order in which they are passed on
+	nextIndex int      // position in order
+	conflicts int      // how often another process claimed this index with a later epoch
 }
 
-// New returns a Company that knows nobody.
+// New returns a Table that knows no other agent.
 func New(set Settings, seed uint64) *Company {
 	set.Agents = max(set.Agents, set.Me+1, 1)
-	return &Company{set: set, own: Word{Place: set.Me, Epoch: set.Epoch}, members: make([]Member, set.Agents),
+	return &Company{settings: set, own: Word{Place: set.Me, Epoch: set.Epoch}, peers: make([]Member, set.Agents),
 		order: rand.New(rand.NewPCG(seed, 7)).Perm(set.Agents)}
 }
 
-// Agents is how many places there are.
-func (c *Company) Agents() int { return c.set.Agents }
+// Agents returns the number of agents.
+func (t *Company) Agents() int { return t.settings.Agents }
 
-// Me is this agent's place.
-func (c *Company) Me() int { return c.set.Me }
+// Me returns this agent's index.
+func (t *Company) Me() int { return t.settings.Me }
 
-// Set sets flags of this agent, or takes them back.
-func (c *Company) Set(f Flags, on bool) {
-	if c.own.Flags &^= f; on {
-		c.own.Flags |= f
+// SetFlags sets or clears flags of this agent.
+func (t *Company) Set(f Flags, on bool) {
+	if t.own.Flags &^= f; on {
+		t.own.Flags |= f
 	}
 }
 
-// Own returns what this agent says of itself next.
-func (c *Company) Own() Word {
-	c.own.Beat++
-	return c.own
+// NextHeartbeat returns this agent's next heartbeat.
+func (t *Company) Own() Word {
+	t.own.Beat++
+	return t.own
 }
 
-// Rivals is how often another one claimed this agent's place. One claim may be a memory of an earlier life, where clocks went
-// back; when it grows there are two.
-func (c *Company) Rivals() int { return c.rivals }
+// Conflicts returns how often another process claimed this agent's index. A single claim may stem from an earlier run of
+// this agent, where the clock went back; when the count grows, two agents share the index.
+func (t *Company) Rivals() int { return t.conflicts }
 
-// Hear takes a word, from whomever it comes. It reports whether it was news.
-func (c *Company) Hear(now time.Duration, w Word) bool {
-	if w.Place < 0 || w.Place >= len(c.members) {
+// Receive takes a heartbeat, from whichever agent it came. It reports whether it was newer than what was known.
+func (t *Company) Hear(now time.Duration, w Word) bool {
+	if w.Place < 0 || w.Place >= len(t.peers) {
 		return false
 	}
-	if w.Place == c.set.Me {
-		// This life goes on after all that is said of the place, or nobody would hear of it.
-		if w.Epoch > c.own.Epoch {
-			c.own.Epoch, c.own.Beat = w.Epoch+1, 0
-			c.rivals++
+	if w.Place == t.settings.Me {
+		// This process continues after the greatest epoch known for its index, or others would ignore its heartbeats.
+		if w.Epoch > t.own.Epoch {
+			t.own.Epoch, t.own.Beat = w.Epoch+1, 0
+			t.conflicts++
 		}
 		return false
 	}
-	m := &c.members[w.Place]
+	m := &t.peers[w.Place]
 	if m.known && !w.newer(m.Word) {
 		return false
 	}
@@ -117,35 +118,36 @@
 	return true
 }
 
-// Of returns what is known of a place, and whether anything is.
-func (c *Company) Of(place int) (Member, bool) {
-	if place < 0 || place >= len(c.members) {
+// Get returns what is known of the agent of an index, and whether anything is.
+func (t *Company) Of(place int) (Member, bool) {
+	if place < 0 || place >= len(t.peers) {
 		return Member{}, false
 	}
-	return c.members[place], c.members[place].known
+	return t.peers[place], t.peers[place].known
 }
 
-// There reports whether an agent said so late that it lives, and did not say that it ends.
-func (c *Company) There(now time.Duration, place int, within time.Duration) bool {
-	m, known := c.Of(place)
+// Alive reports whether an agent sent a heartbeat no longer ago than within, and has not announced that it leaves.
+func (t *Company) There(now time.Duration, place int, within time.Duration) bool {
+	m, known := t.Of(place)
 	return known && m.Flags&Leaving == 0 && now-m.Said <= within
 }
 
-// Those returns the places of agents that have said so late that they have all of these flags, in the order of places.
-func (c *Company) Those(now time.Duration, flags Flags, within time.Duration) (places []int) {
-	for p := range c.members {
-		if c.There(now, p, within) && c.members[p].Flags&flags == flags {
+// WithFlags returns the indexes, in order, of agents that sent a heartbeat no longer ago than within, are not leaving,
+// and announced all of these flags.
+func (t *Company) Those(now time.Duration, flags Flags, within time.Duration) (places []int) {
+	for p := range t.peers {
+		if t.There(now, p, within) && t.peers[p].Flags&flags == flags {
 			places = append(places, p)
 		}
 	}
 	return places
 }
 
-// Sample returns words to pass on: those of the places that are named first, then of others that were passed on longest ago.
-// What is too old to be worth a word is left out.
-func (c *Company) Sample(now time.Duration, most int, first []int, within time.Duration) (out []Word) {
+// Sample returns up to most heartbeats to pass on: those of the indexes in first, then those that were passed on longest
+// ago. Heartbeats older than within are left out.
+func (t *Company) Sample(now time.Duration, most int, first []int, within time.Duration) (out []Word) {
 	add := func(p int) {
-		if m := &c.members[p]; m.known && now-m.Said <= within && len(out) < most {
+		if m := &t.peers[p]; m.known && now-m.Said <= within && len(out) < most {
 			w := m.Word
 			w.Age = now - m.Said
 			out = append(out, w)
@@ -154,12 +156,12 @@
 	for _, p := range first {
 		add(p)
 	}
-	for range len(c.order) {
+	for range len(t.order) {
 		if len(out) == most {
 			break
 		}
-		p := c.order[c.next]
-		c.next = (c.next + 1) % len(c.order)
+		p := t.order[t.nextIndex]
+		t.nextIndex = (t.nextIndex + 1) % len(t.order)
 		if !slices.Contains(first, p) {
 			add(p)
 		}
--- a/internal/decide/company/company_test.go
+++ b/internal/decide/company/company_test.go
@@ -10,8 +10,8 @@
 
 const second = time.Second
 
-// Words of later lives and later beats win, in whatever order and however often they come, so that all who hear the same know
-// the same.
+// Later epochs and later sequence numbers win, in whatever order and however often heartbeats arrive, so that all who
+// receive the same ones know the same.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Word {
@@ -29,44 +29,46 @@
 			x, _ := a.Of(p)
 			y, _ := b.Of(p)
 			if x.Word != y.Word {
-				t.Fatalf("place %d: %+v and %+v", p, x.Word, y.Word)
+				t.Fatalf("index %d: %+v and %+v", p, x.Word, y.Word)
 			}
 		}
 	})
 }
 
-// One that says nothing more is not there after a while, an old word does not bring it back, and a new life does.
+// An agent that sends nothing more is not alive after a while, an old heartbeat does not bring it back, and a new epoch
+// does.
 func TestThere(t *testing.T) {
 	c := New(Settings{Agents: 3, Me: 0, Epoch: 1}, 1)
 	if c.There(0, 1, second) || c.Hear(0, Word{Place: 3}) || c.Hear(0, Word{Place: -1}) {
-		t.Error("somebody is there of whom nothing was said, or at no place")
+		t.Error("an agent is alive of which nothing was received, or an index out of range was accepted")
 	}
 	c.Hear(10*second, Word{Place: 1, Epoch: 5, Beat: 7, Age: 2 * second})
 	if !c.There(11*second, 1, 3*second) || c.There(12*second, 1, 3*second) {
-		t.Error("the age of a word does not count")
+		t.Error("the age of a heartbeat does not count")
 	}
 	if c.Hear(20*second, Word{Place: 1, Epoch: 5, Beat: 7}) || c.Hear(20*second, Word{Place: 1, Epoch: 4, Beat: 99}) || c.There(20*second, 1, 3*second) {
-		t.Error("an old word has brought it back")
+		t.Error("an old heartbeat has brought it back")
 	}
 	if !c.Hear(21*second, Word{Place: 1, Epoch: 6}) || !c.There(21*second, 1, 3*second) {
-		t.Error("a new life is not heard of")
+		t.Error("a new epoch is not accepted")
 	}
 	if m, _ := c.Of(1); m.Since != 21*second {
-		t.Errorf("in this life since %v", m.Since)
+		t.Errorf("first seen with this epoch at %v", m.Since)
 	}
 	c.Hear(22*second, Word{Place: 1, Epoch: 6, Beat: 1, Flags: Leaving})
 	if c.There(22*second, 1, 3*second) {
-		t.Error("one that ends is there")
+		t.Error("an agent that leaves counts as alive")
 	}
 }
 
-// A life goes on after what others remember of an earlier one, though the clock went back; of two at one place both see it.
+// A process continues after the epoch that others remember of an earlier one, though the clock went back; two processes
+// of one index both notice the conflict.
 func TestRivals(t *testing.T) {
 	a, other := New(Settings{Agents: 2, Me: 0, Epoch: 10}, 1), New(Settings{Agents: 2, Me: 1, Epoch: 1}, 1)
 	other.Hear(0, Word{Place: 0, Epoch: 99, Beat: 50})
 	a.Hear(0, Word{Place: 0, Epoch: 99, Beat: 50})
 	if !other.Hear(second, a.Own()) || a.Rivals() != 1 {
-		t.Error("a life after an earlier one with a later clock is not heard of")
+		t.Error("a process that follows one with a later clock is not accepted")
 	}
 	b := New(Settings{Agents: 2, Me: 0, Epoch: 11}, 1)
 	for range 5 {
@@ -74,11 +76,11 @@
 		a.Hear(0, b.Own())
 	}
 	if a.Rivals() < 3 || b.Rivals() < 3 {
-		t.Errorf("two at one place: %d and %d", a.Rivals(), b.Rivals())
+		t.Errorf("two processes of one index: %d and %d conflicts", a.Rivals(), b.Rivals())
 	}
 }
 
-// Everybody is passed on in turn, the places that are named first each time, and nobody of whom word is old.
+// All heartbeats are passed on in turn, those of the indexes named first each time, and none that is too old.
 func TestSample(t *testing.T) {
 	const n = 50
 	c := New(Settings{Agents: n, Me: 0, Epoch: 1}, 1)
@@ -104,6 +106,6 @@
 		t.Errorf("%+v", got)
 	}
 	if got := c.Those(n*second, 0, 10*second); len(got) != 10 || got[0] != 40 {
-		t.Errorf("there: %v", got)
+		t.Errorf("alive: %v", got)
 	}
 }
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// drawn tells which servers each agent has a place below a share at.
-func drawn(agents, servers int, share float64, place func(agent int) Settings) [][]int {
+// drawnServers returns the servers at which each agent ranks below a share.
+func drawnServers(agents, servers int, share float64, place func(agent int) Settings) [][]int {
 	all := make([][]int, agents)
 	for a := range all {
 		s := New(place(a))
@@ -22,14 +22,14 @@
 	return all
 }
 
-// truth is what agents know where all is in order.
-func truth(agents int) func(int) Settings {
+// correctSettings returns the settings of agents that all know the true number of agents and their own index.
+func correctSettings(agents int) func(int) Settings {
 	return func(a int) Settings { return Settings{Agents: agents, Me: a, Seed: uint64(a)} }
 }
 
-// uneven is the variation, as a part of the mean, of how many agents draw from a server, and of the calls that it gets if each has
-// as many and draws evenly.
-func uneven(servers int, all [][]int) (drawing, calls float64) {
+// unevenness returns the coefficients of variation of the number of agents that use a server, and of the calls that it
+// gets if each agent makes equally many and spreads them evenly.
+func unevenness(servers int, all [][]int) (drawing, calls float64) {
 	n, load := make([]float64, servers), make([]float64, servers)
 	for _, mine := range all {
 		for _, i := range mine {
@@ -45,12 +45,12 @@
 	return deviation / mean
 }
 
-// Every server has as many agents that draw from it as any other, to one, whatever share they draw from and how many they are; and
-// what it gets is far evener than by chance.
+// Every server is used by the same number of agents as any other, give or take one, for any share and any number of
+// agents; and its calls are spread far more evenly than with random ranks.
 func TestEvenByConstruction(t *testing.T) {
 	for _, agents := range []int{20, 50, 300, 1000} {
 		for _, share := range []float64{0.08, 0.16, 0.5, 1} {
-			all := drawn(agents, 100, share, truth(agents))
+			all := drawnServers(agents, 100, share, correctSettings(agents))
 			n := make([]int, 100)
 			for _, mine := range all {
 				for _, i := range mine {
@@ -59,23 +59,23 @@
 			}
 			for i, drawing := range n {
 				if math.Abs(float64(drawing)-share*float64(agents)) >= 1 {
-					t.Fatalf("%d agents, share %v: %d draw from server %d", agents, share, drawing, i)
+					t.Fatalf("%d agents, share %v: %d use server %d", agents, share, drawing, i)
 				}
 			}
 		}
 	}
-	drawing, calls := uneven(100, drawn(300, 100, 0.16, truth(300)))
-	_, chance := uneven(100, drawn(300, 100, 0.16, func(a int) Settings { return Settings{Agents: 300, Me: -1, Seed: uint64(a)} }))
-	t.Logf("drawing %.3f, calls %.3f, by chance %.3f", drawing, calls, chance)
+	drawing, calls := unevenness(100, drawnServers(300, 100, 0.16, correctSettings(300)))
+	_, chance := unevenness(100, drawnServers(300, 100, 0.16, func(a int) Settings { return Settings{Agents: 300, Me: -1, Seed: uint64(a)} }))
+	t.Logf("agents %.3f, calls %.3f, with random ranks %.3f", drawing, calls, chance)
 	if calls > 0.05 || chance < 2*calls {
-		t.Errorf("calls vary by %.3f, by chance %.3f", calls, chance)
+		t.Errorf("calls vary by %.3f, with random ranks by %.3f", calls, chance)
 	}
 }
 
-// A place or a number that is wrong costs no more than chance.
+// A wrong index or number of agents is no worse than random ranks.
 func TestWrongPlaces(t *testing.T) {
 	const agents = 300
-	_, chance := uneven(100, drawn(agents, 100, 0.16, func(a int) Settings { return Settings{Agents: agents, Me: -1, Seed: uint64(a)} }))
+	_, chance := unevenness(100, drawnServers(agents, 100, 0.16, func(a int) Settings { return Settings{Agents: agents, Me: -1, Seed: uint64(a)} }))
 	for name, place := range map[string]func(a int) Settings{
 		"a tenth of the number":     func(a int) Settings { return Settings{Agents: agents / 10, Me: a, Seed: uint64(a)} },
 		"ten times the number":      func(a int) Settings { return Settings{Agents: agents * 10, Me: a, Seed: uint64(a)} },
@@ -83,15 +83,16 @@
 		"two have one place":        func(a int) Settings { return Settings{Agents: agents, Me: max(a, 1), Seed: uint64(a)} },
 		"two sides that think each": func(a int) Settings { return Settings{Agents: agents / 2, Me: a % (agents / 2), Seed: uint64(a)} },
 	} {
-		_, calls := uneven(100, drawn(agents, 100, 0.16, place))
-		t.Logf("%s: %.3f, by chance %.3f", name, calls, chance)
+		_, calls := unevenness(100, drawnServers(agents, 100, 0.16, place))
+		t.Logf("%s: %.3f, with random ranks %.3f", name, calls, chance)
 		if calls > chance*1.25 {
-			t.Errorf("%s: calls vary by %.3f, by chance by %.3f", name, calls, chance)
+			t.Errorf("%s: calls vary by %.3f, with random ranks by %.3f", name, calls, chance)
 		}
 	}
 }
 
-// moves counts the pairs of an agent and a server, of those before, that are not drawn any more, and of those after that were not.
+// moves counts the pairs of an agent and a server that are used before but not after, and those that are used after but
+// not before.
 func moves(before, after [][]int) (n int) {
 	had := map[[2]int]bool{}
 	for a, mine := range before {
@@ -112,24 +113,24 @@
 	return n
 }
 
-// One agent more moves little besides its own draws, and a server more moves nothing but what it gets itself, as the places at others
-// do not depend on it.
+// One more agent moves little besides its own pairs, and one more server moves nothing but its own pairs, as the ranks
+// at other servers do not depend on it.
 func TestFewMoves(t *testing.T) {
-	before := drawn(300, 100, 0.16, truth(300))
-	more := moves(before, drawn(301, 100, 0.16, truth(301)))
+	before := drawnServers(300, 100, 0.16, correctSettings(300))
+	more := moves(before, drawnServers(301, 100, 0.16, correctSettings(301)))
 	own := 16
-	t.Logf("an agent more: %d moves", more)
+	t.Logf("one more agent: %d moves", more)
 	if more > 3*own {
-		t.Errorf("an agent more moves %d pairs, its own are %d", more, own)
+		t.Errorf("one more agent moves %d pairs, its own are %d", more, own)
 	}
-	if n := moves(before, drawn(300, 101, 0.16, truth(300))); n != 48 {
-		t.Errorf("a server more moves %d pairs, 48 are its own", n)
+	if n := moves(before, drawnServers(300, 101, 0.16, correctSettings(300))); n != 48 {
+		t.Errorf("one more server moves %d pairs, 48 are its own", n)
 	}
 }
 
-// Which servers an agent draws from says nothing of which another one does.
+// The servers that one agent uses are independent of those that another one uses.
 func TestPlacesAreIndependent(t *testing.T) {
-	all := drawn(200, 400, 0.1, truth(200))
+	all := drawnServers(200, 400, 0.1, correctSettings(200))
 	for a := range 20 {
 		for b := range a {
 			had, both := map[int]bool{}, 0
@@ -141,14 +142,14 @@
 					both++
 				}
 			}
-			if both > 16 { // 4 by chance
+			if both > 16 { // 4 expected at random
 				t.Errorf("agents %d and %d share %d of %d servers", a, b, both, len(all[a]))
 			}
 		}
 	}
 }
 
-// Places lie from 0 to below 1 and do not hang on anything but the settings and the name.
+// Ranks lie from 0 to below 1 and depend on nothing but the settings and the name.
 func TestPlacesAreBounded(t *testing.T) {
 	for _, set := range []Settings{{}, {Agents: 1}, {Agents: 1, Me: 1, Seed: 3}, {Agents: -5, Me: -5}, {Agents: 1 << 40, Me: 1 << 39}, {Agents: 1 << 40, Me: 7}} {
 		for i := range 4 {
