--- a/internal/decide/sharing/datagram.go
+++ b/internal/decide/sharing/datagram.go
@@ -10,77 +10,77 @@
 	"ternbeam/internal/decide/company"
 )
 
-// Datagram is what agents send one another.
+// Datagram is a message from one agent to another.
 type Datagram struct {
 	From   company.Word
-	Gen    uint64 // what list the sender has
-	At     Cursor // and up to where
-	Sort   uint16 // in whose order, if that is within a version
+	Gen    uint64 // generation of the sender's list
+	At     Cursor // up to which the sender's list is complete
+	Sort   uint16 // order of rows to which At refers, where it lies within a version
 	Age    time.Duration
-	Want   bool           // it asks for what it lacks
-	Busy   bool           // it has that on its way from another agent
-	Others []company.Word // what it knows of others
+	Want   bool           // the sender requests what it lacks
+	Busy   bool           // the sender is receiving that from another agent
+	Others []company.Word // heartbeats of other agents
 	Chunk  *Chunk
 }
 
 // Chunk is a part of a list.
 type Chunk struct {
 	Gen   uint64
-	Sort  uint16 // in whose order the cursors are
-	After Cursor // who is complete up to there
-	Upto  Cursor // is complete up to here with these rows
-	Head  int64  // the version that the sender has in whole
+	Sort  uint16 // order of rows to which the cursors refer
+	After Cursor // an agent that is complete up to After
+	Upto  Cursor // is complete up to Upto with these rows
+	Head  int64  // version of the complete list of the sender
 	Rows  []Row
 }
 
-// Bounds of what a datagram may hold.
+// Bounds of a datagram's contents.
 const (
-	LeastSize = 256 // bytes that it must be allowed to have
-	MostSize  = 8192
-	maxRows   = 256
-	maxOthers = 256
-	maxText   = 512
-	maxAge    = time.Hour
-	ageUnit   = 10 * time.Millisecond
+	LeastSize  = 256 // the least that may be configured
+	MostSize   = 8192
+	maxRows    = 256
+	maxOthers  = 256
+	maxIDBytes = 512
+	maxAge     = time.Hour
+	ageUnit    = 10 * time.Millisecond
 )
 
-// What is sent. A datagram of another format is passed over.
+// Wire format, encoded as CBOR arrays. Datagrams of another format version are dropped.
 type (
-	datagramText struct {
+	wireDatagram struct {
 		_      struct{} `cbor:",toarray"`
 		Format uint8
-		From   wordText
+		From   wireHeartbeat
 		Gen    uint64
-		At     cursorText
+		At     wireCursor
 		Sort   uint16
 		Age    uint32
 		Want   bool
 		Busy   bool
-		Others []wordText
-		Chunk  *chunkText
+		Others []wireHeartbeat
+		Chunk  *wireChunk
 	}
-	wordText struct {
+	wireHeartbeat struct {
 		_     struct{} `cbor:",toarray"`
 		Place uint32
 		Epoch uint64
 		Beat  uint32
 		Flags uint8
-		Age   uint32 // in units
+		Age   uint32 // in ageUnit
 	}
-	cursorText struct {
+	wireCursor struct {
 		_       struct{} `cbor:",toarray"`
 		Version int64
 		ID      string
 	}
-	chunkText struct {
+	wireChunk struct {
 		_           struct{} `cbor:",toarray"`
 		Gen         uint64
 		Sort        uint16
-		After, Upto cursorText
+		After, Upto wireCursor
 		Head        int64
-		Rows        []rowText
+		Rows        []wireRow
 	}
-	rowText struct {
+	wireRow struct {
 		_     struct{} `cbor:",toarray"`
 		ID    string
 		Stamp int64
@@ -93,82 +93,85 @@
 const format = 1
 
 var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1024, MaxMapPairs: 16, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
+	mode, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1024, MaxMapPairs: 16,
+		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // constant options are valid
 	}
 	return mode
 }()
 
-func units(d time.Duration) uint32 { return uint32(min(max(d, 0), maxAge) / ageUnit) }
+func toAgeUnits(d time.Duration) uint32 { return uint32(min(max(d, 0), maxAge) / ageUnit) }
 
-func wordOf(w company.Word) wordText {
-	return wordText{Place: uint32(w.Place), Epoch: w.Epoch, Beat: w.Beat, Flags: uint8(w.Flags), Age: units(w.Age)}
+func encodeHeartbeat(w company.Word) wireHeartbeat {
+	return wireHeartbeat{Place: uint32(w.Place), Epoch: w.Epoch, Beat: w.Beat, Flags: uint8(w.Flags), Age: toAgeUnits(w.Age)}
 }
 
-func cursorOf(c Cursor) cursorText { return cursorText{Version: c.Version, ID: c.ID} }
+func encodeCursor(c Cursor) wireCursor { return wireCursor{Version: c.Version, ID: c.ID} }
 
-// Encode words a datagram.
+// Encode returns the wire format of a datagram.
 func (d *Datagram) Encode() []byte {
-	text := datagramText{Format: format, From: wordOf(d.From), Gen: d.Gen, At: cursorOf(d.At), Sort: d.Sort, Age: units(d.Age), Want: d.Want, Busy: d.Busy}
+	wire := wireDatagram{Format: format, From: encodeHeartbeat(d.From), Gen: d.Gen, At: encodeCursor(d.At), Sort: d.Sort,
+		Age: toAgeUnits(d.Age), Want: d.Want, Busy: d.Busy}
 	for _, w := range d.Others {
-		text.Others = append(text.Others, wordOf(w))
+		wire.Others = append(wire.Others, encodeHeartbeat(w))
 	}
 	if c := d.Chunk; c != nil {
-		text.Chunk = &chunkText{Gen: c.Gen, Sort: c.Sort, After: cursorOf(c.After), Upto: cursorOf(c.Upto), Head: c.Head}
+		wire.Chunk = &wireChunk{Gen: c.Gen, Sort: c.Sort, After: encodeCursor(c.After), Upto: encodeCursor(c.Upto), Head: c.Head}
 		for _, r := range c.Rows {
-			text.Chunk.Rows = append(text.Chunk.Rows, rowText{ID: r.ID, Stamp: r.Stamp, Gone: r.Gone, Less: r.Less, Body: r.Body})
+			wire.Chunk.Rows = append(wire.Chunk.Rows, wireRow{ID: r.ID, Stamp: r.Stamp, Gone: r.Gone, Less: r.Less, Body: r.Body})
 		}
 	}
-	out, err := cbor.Marshal(text)
+	out, err := cbor.Marshal(wire)
 	if err != nil {
-		panic(err) // of plain values
+		panic(err) // plain values always encode
 	}
 	return out
 }
 
-// Decode reads a datagram; what it can't hold is an error.
+// Decode parses a datagram. It returns an error for contents that no agent sends.
 func Decode(data []byte) (*Datagram, error) {
 	if len(data) > MostSize {
-		return nil, fmt.Errorf("a datagram of %d bytes, %d at most are taken", len(data), MostSize)
+		return nil, fmt.Errorf("datagram has %d bytes, at most %d are accepted", len(data), MostSize)
 	}
-	var text datagramText
-	if err := decoding.Unmarshal(data, &text); err != nil {
+	var wire wireDatagram
+	if err := decoding.Unmarshal(data, &wire); err != nil {
 		return nil, err
 	}
 	switch {
-	case text.Format != format:
-		return nil, fmt.Errorf("format %d is not known", text.Format)
-	case len(text.Others) > maxOthers:
-		return nil, fmt.Errorf("%d words of others, %d at most are taken", len(text.Others), maxOthers)
+	case wire.Format != format:
+		return nil, fmt.Errorf("unknown datagram format %d", wire.Format)
+	case len(wire.Others) > maxOthers:
+		return nil, fmt.Errorf("datagram has %d heartbeats of others, at most %d are accepted", len(wire.Others), maxOthers)
 	}
-	d := &Datagram{Gen: text.Gen, Sort: text.Sort, Want: text.Want, Busy: text.Busy}
+	d := &Datagram{Gen: wire.Gen, Sort: wire.Sort, Want: wire.Want, Busy: wire.Busy}
 	var err error
-	word := func(w wordText) company.Word {
+	heartbeat := func(w wireHeartbeat) company.Word {
 		if w.Place > 1<<24 {
-			err = errors.Join(err, fmt.Errorf("place %d", w.Place))
+			err = errors.Join(err, fmt.Errorf("agent index %d is out of range", w.Place))
 		}
-		return company.Word{Place: int(w.Place), Epoch: w.Epoch, Beat: w.Beat, Flags: company.Flags(w.Flags), Age: age(w.Age)}
+		return company.Word{Place: int(w.Place), Epoch: w.Epoch, Beat: w.Beat, Flags: company.Flags(w.Flags), Age: fromAgeUnits(w.Age)}
 	}
-	cursor := func(c cursorText) Cursor {
-		if c.Version < 0 || len(c.ID) > maxText {
-			err = errors.Join(err, fmt.Errorf("version %d, an id of %d bytes", c.Version, len(c.ID)))
+	cursor := func(c wireCursor) Cursor {
+		if c.Version < 0 || len(c.ID) > maxIDBytes {
+			err = errors.Join(err, fmt.Errorf("invalid cursor: version %d, id of %d bytes", c.Version, len(c.ID)))
 		}
 		return Cursor{c.Version, c.ID}
 	}
-	d.From, d.At, d.Age = word(text.From), cursor(text.At), age(text.Age)
-	for _, w := range text.Others {
-		d.Others = append(d.Others, word(w))
+	d.From, d.At, d.Age = heartbeat(wire.From), cursor(wire.At), fromAgeUnits(wire.Age)
+	for _, w := range wire.Others {
+		d.Others = append(d.Others, heartbeat(w))
 	}
-	if c := text.Chunk; c != nil {
+	if c := wire.Chunk; c != nil {
 		d.Chunk = &Chunk{Gen: c.Gen, Sort: c.Sort, After: cursor(c.After), Upto: cursor(c.Upto), Head: c.Head}
-		if len(c.Rows) > maxRows || c.Head < 0 || c.Gen == 0 || d.Chunk.After.compare(d.Chunk.Upto) >= 0 || d.Chunk.Upto.compare(Cursor{c.Head, lastID}) > 0 {
-			err = errors.Join(err, errors.New("a chunk from nowhere to nowhere"))
+		if len(c.Rows) > maxRows || c.Head < 0 || c.Gen == 0 || d.Chunk.After.compare(d.Chunk.Upto) >= 0 ||
+			d.Chunk.Upto.compare(Cursor{c.Head, lastID}) > 0 {
+			err = errors.Join(err, errors.New("invalid bounds of chunk"))
 		}
 		for i, r := range c.Rows {
 			row := Row{r.ID, r.Stamp, r.Gone, r.Less, r.Body}
-			if r.ID == "" || len(r.ID) > maxText || row.at().compare(d.Chunk.After) <= 0 || row.at().compare(d.Chunk.Upto) > 0 {
-				err = errors.Join(err, fmt.Errorf("row %d is not in its chunk", i))
+			if r.ID == "" || len(r.ID) > maxIDBytes || row.cursor().compare(d.Chunk.After) <= 0 || row.cursor().compare(d.Chunk.Upto) > 0 {
+				err = errors.Join(err, fmt.Errorf("row %d is outside of its chunk", i))
 			}
 			d.Chunk.Rows = append(d.Chunk.Rows, row)
 		}
@@ -179,19 +182,19 @@
 	return d, nil
 }
 
-func age(units uint32) time.Duration { return min(time.Duration(units)*ageUnit, maxAge) }
+func fromAgeUnits(units uint32) time.Duration { return min(time.Duration(units)*ageUnit, maxAge) }
 
-// chunk is as many of the rows behind a cursor as go into so many bytes, with the cursors; nil where the next one does not.
-func (s *sheet) chunk(after Cursor, size int) *Chunk {
-	c := &Chunk{Gen: s.gen, Sort: s.sort, After: after, Upto: s.end(), Head: s.head}
-	size -= chunkCost + after.cost() + s.end().cost()
-	for _, r := range s.order[s.place(after):] {
-		// The last cursor is that of the last row, or the end.
-		if size -= r.cost(); size < max(0, r.at().cost()-s.end().cost()) || len(c.Rows) == maxRows {
+// chunk returns the rows after a cursor that fit into size bytes, with the cursors; nil if not even the next row fits.
+func (s *versionedList) chunk(after Cursor, room int) *Chunk {
+	c := &Chunk{Gen: s.gen, Sort: s.order, After: after, Upto: s.end(), Head: s.head}
+	room -= chunkHeaderBytes + after.encodedBytes() + s.end().encodedBytes()
+	for _, r := range s.byCursor[s.index(after):] {
+		// The chunk's end is the cursor of its last row, or the end of the list.
+		if room -= r.encodedBytes(); room < max(0, r.cursor().encodedBytes()-s.end().encodedBytes()) || len(c.Rows) == maxRows {
 			if len(c.Rows) == 0 {
 				return nil
 			}
-			c.Upto = c.Rows[len(c.Rows)-1].at()
+			c.Upto = c.Rows[len(c.Rows)-1].cursor()
 			break
 		}
 		c.Rows = append(c.Rows, *r)
@@ -199,31 +202,31 @@
 	return c
 }
 
-// What things cost in bytes.
+// Encoded sizes in bytes.
 const (
-	wordCost  = 1 + 5 + 9 + 5 + 2 + 5 // a word, at the most
-	chunkCost = 1 + 9 + 3 + 9 + 3     // a chunk beside its cursors and rows
+	maxHeartbeatBytes = 1 + 5 + 9 + 5 + 2 + 5 // most bytes of a heartbeat
+	chunkHeaderBytes  = 1 + 9 + 3 + 9 + 3     // a chunk without its cursors and rows
 )
 
-// intCost is what a whole number or a length costs.
-func intCost(n uint64) int {
+// intBytes returns the encoded size of a non-negative integer or a length.
+func intBytes(x uint64) int {
 	switch {
-	case n < 24:
+	case x < 24:
 		return 1
-	case n < 1<<8:
+	case x < 1<<8:
 		return 2
-	case n < 1<<16:
+	case x < 1<<16:
 		return 3
-	case n < 1<<32:
+	case x < 1<<32:
 		return 5
 	}
 	return 9
 }
 
-func textCost(n int) int { return intCost(uint64(n)) + n }
+func textBytes(n int) int { return intBytes(uint64(n)) + n }
 
-func (c Cursor) cost() int { return 1 + intCost(uint64(c.Version)) + textCost(len(c.ID)) }
+func (c Cursor) encodedBytes() int { return 1 + intBytes(uint64(c.Version)) + textBytes(len(c.ID)) }
 
-func (r *Row) cost() int {
-	return 1 + textCost(len(r.ID)) + intCost(uint64(r.Stamp)) + 2 + textCost(len(r.Body))
+func (r *Row) encodedBytes() int {
+	return 1 + textBytes(len(r.ID)) + intBytes(uint64(r.Stamp)) + 2 + textBytes(len(r.Body))
 }
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -1,7 +1,8 @@
-// Package sharing decides how lists of servers pass from agent to agent. A few agents watch the list service, chosen without a
-// leader; the others have the list from them and from one another, by digests to agents drawn at random and by what they say
-// of changes at once. Who hears of nobody that knows better asks the service itself. It does no I/O and reads no clock.
-// docs/design/cold-start.md derives the figures.
+// Package gossip decides how the list of servers spreads among agents. A few agents, chosen without a leader, hold
+// watches on the discovery service; the others receive the list from them and from one another, by periodic digests to
+// random agents and by chunks that are sent as soon as something changes. An agent that knows of no other agent with a
+// fresher list calls the service itself. The package does no I/O and reads no clock. docs/design/cold-start.md derives
+// the figures.
 package sharing
 
 import (
@@ -15,58 +16,63 @@
 	"ternbeam/internal/decide/company"
 )
 
-// Settings are what a Node is made of, beside its place.
+// Settings configure a Node, apart from its index.
 type Settings struct {
-	Size     int           // bytes of a datagram
-	Round    time.Duration // between two digests
-	Fanout   int           // agents that are told of a change at once
-	Watchers int           // that watch the service
-	Batch    time.Duration // until more of them try, twice as many each time
-	Stale    time.Duration // an agent that does not know its list to be so fresh asks itself
-	Calm     time.Duration // for which there must have been too many watchers before one ends
+	Size     int           // most bytes of a datagram
+	Round    time.Duration // mean time between two digests
+	Fanout   int           // agents that are notified of a change at once
+	Watchers int           // agents that are to watch the service
+	Batch    time.Duration // until further agents try to become watchers; each such delay doubles their number
+	Stale    time.Duration // an agent whose list was not confirmed for this long calls the service itself
+	Calm     time.Duration // how long there must be too many watchers before one ends its watch
 }
 
-// Defaults are the settings of an installation that says nothing else.
+// Defaults are the settings where an installation configures none.
 var Defaults = Settings{Size: LeastSize, Round: 400 * time.Millisecond, Fanout: 3, Watchers: 3, Batch: 1500 * time.Millisecond,
 	Stale: 5 * time.Second, Calm: 5 * time.Second}
 
 const (
-	// heardOf is how late word of a watcher may be. Every datagram has words of watchers first.
+	// watcherTimeout is the age at which the heartbeat of a watcher expires. Every datagram carries heartbeats of
+	// watchers first.
 	heardOf = 4 * time.Second
-	// gone is how late word of anybody may be: in large fleets it takes long to come round.
+	// agentTimeout is the age at which the heartbeat of any agent expires: in large fleets a heartbeat takes long to
+	// reach all.
 	gone = 30 * time.Second
-	// askRate is how many calls a second all together make to a service that answers nobody, once all have tried.
-	askRate = 10
-	// burst is how many chunks go out at a time, and stashed how many that come too early are kept.
-	burst   = 32
-	stashed = 64
-	// mostSent is how many chunks an agent sends in a second.
-	mostSent = 600
-	// firstList is how long after the answer the first list of a watch comes, if anything has changed.
+	// callsPerSecond bounds the calls that all agents together make to a service that does not answer, once all have
+	// tried.
+	callsPerSecond = 10
+	// burstChunks is how many chunks are sent at a time, and maxStash how many chunks that arrive out of order are kept.
+	burstChunks = 32
+	maxStash    = 64
+	// chunksPerSecond bounds the chunks that an agent sends.
+	chunksPerSecond = 600
+	// firstListTimeout is how long after the response the first list of a watch arrives, if anything has changed.
 	firstList = 100 * time.Millisecond
-	// gap is how often a part is asked for again that was lost, idle how long a transfer may stand still before it is, and stuck
-	// before another agent may begin one.
+	// resendGap is the time between two requests for a chunk that was lost, stallTimeout how long a transfer may make no
+	// progress before its rest is requested again, and transferTimeout how long before a transfer from another agent may
+	// replace it.
 	gap   = 200 * time.Millisecond
 	idle  = 400 * time.Millisecond
 	stuck = time.Second
-	// wantEvery is how often an agent that is behind asks.
+	// requestInterval is the time between two requests of an agent that is behind.
 	wantEvery = 100 * time.Millisecond
-	// doubt is how long a list from others that takes away more than half of the servers waits for the service's own word.
+	// confirmTimeout is how long a list from other agents that removes more than half of the servers waits for
+	// confirmation by the service.
 	doubt = 30 * time.Second
 )
 
-// ActionKind names what an Action does.
+// ActionKind is what an Action does.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send    ActionKind = iota // Datagram to the agent at To
-	Watch                     // a watch on the service is to begin, from version Version
-	Unwatch                   // it is to end
-	Deliver                   // Rows are news; all that there is where Full
+	Send    ActionKind = iota // send Datagram to the agent To
+	Watch                     // open a watch on the service, from version Version
+	Unwatch                   // close the watch
+	Deliver                   // deliver Rows, which have changed; if Full they are the whole list
 )
 
-// Action is something that a Node wants done. Actions take effect in order.
+// Action is something that the host has to do for a Node. Actions are carried out in order.
 type Action struct {
 	Kind     ActionKind
 	To       int
@@ -76,334 +82,337 @@
 	Rows     []Row
 }
 
-// Node decides for one agent.
+// Node decides for one agent. It is not safe for concurrent use.
 type Node struct {
-	set     Settings
-	company *company.Company
-	asker   *asking.Asker
-	rng     *rand.Rand
-	ranks   []int // by place: who watches before whom
-	now     time.Duration
-	actions []Action
-
-	best     []int // the watchers of best rank, of those that are known
-	sheet    *sheet
-	restored []Row // the list that was there at the start, until the service has said that it holds
-	version  int64 // its version
-	fresh    time.Duration
-	transfer *transfer
-	heeded   map[string]bool // servers of which the module was told before the list was complete that they want nothing new
-	wanted   time.Duration   // when it was last asked for
-	tokens   float64         // chunks that may be sent
-	refilled time.Duration
-
-	watch     watch
-	answered  time.Duration // when it was
-	confirmed bool          // the service has said how the list is
-	seen      int64         // the version of the latest list of the watch
-	lack      time.Duration // since when there are too few watchers; 0 for not
-	surplus   time.Duration // since when there are too many
-	askAt     time.Duration // when the service is to be asked; 0 for not
-	vain      bool          // the latest call is over
-	after     time.Duration // when it may be asked again then
-	again     time.Duration // when it is; 0 where that is not settled
-	turn      time.Duration // the turn of this agent since it was stale; 0 where it is not
-
-	round    time.Duration // when the next digest is due
-	doubtful time.Duration // since when a list waits for the service's word; 0 for none does
-}
-
-// watch is what becomes of the watch of this agent.
-type watch int
+	settings  Settings
+	peers     *company.Company
+	scheduler *asking.Asker
+	rng       *rand.Rand
+	ranks     []int // by index: agents of lower rank watch first
+	now       time.Duration
+	actions   []Action
+
+	bestWatchers   []int // the known watchers of lowest rank
+	list           *versionedList
+	restored       []Row // the list known at the start, until the service has confirmed it
+	version        int64 // version of restored
+	freshAt        time.Duration
+	transfer       *transfer
+	deliveredEarly map[string]bool // servers whose drain or removal was delivered before the list was complete
+	requestedAt    time.Duration   // when the list was last requested
+	tokens         float64         // chunks that may be sent now
+	refilledAt     time.Duration
+
+	watch         watchState
+	answeredAt    time.Duration // when the service answered
+	confirmed     bool          // the service has confirmed the list
+	seenVersion   int64         // version of the latest list of the watch
+	shortageSince time.Duration // since when there are too few watchers; 0 if there are enough
+	surplusSince  time.Duration // since when there are too many watchers; 0 if there are not
+	callAt        time.Duration // when to call the service; 0 for never
+	callEnded     bool          // the latest call has ended
+	retryAfter    time.Duration // earliest time of the call after that
+	retryAt       time.Duration // time of that call; 0 if not determined yet
+	slotAt        time.Duration // slot of this agent since its list became stale; 0 while it is not
+
+	nextDigest   time.Duration // when the next digest is due
+	suspectSince time.Duration // since when a list waits for confirmation by the service; 0 if none does
+}
+
+// watchState is the state of this agent's watch on the service.
+type watchState int
 
 const (
-	none   watch = iota
-	called       // the service is asked
-	holds        // it has answered
+	watchNone    watchState = iota
+	watchPending            // the service was called
+	watchOpen               // the service has answered
 )
 
-// transfer is a list, or what has changed in one, on its way from another agent.
+// transfer is a list, or the changes of one, that is being received from another agent.
 type transfer struct {
-	from   int
-	gen    uint64
-	sort   uint16
-	whole  bool
-	cursor Cursor
-	head   int64
-	rows   []Row
-	stash  []*Chunk
-	moved  time.Duration // when a chunk came
-	asked  time.Duration
-}
-
-// New returns a Node. The list that was there at the start is not passed on before the service has said that it holds.
-func New(set Settings, c *company.Company, asker *asking.Asker, version int64, restored []Row, seed uint64) *Node {
-	n := &Node{set: set, company: c, asker: asker, rng: rand.New(rand.NewPCG(seed, 11)), sheet: newSheet(0, 0), version: max(0, version), restored: restored, heeded: map[string]bool{}}
+	from        int
+	gen         uint64
+	order       uint16
+	full        bool
+	cursor      Cursor
+	head        int64
+	rows        []Row
+	stash       []*Chunk
+	lastChunkAt time.Duration // when a chunk arrived
+	requestedAt time.Duration
+}
+
+// New returns a Node. The restored list of the given version is not passed on before the service has confirmed it.
+func New(settings Settings, c *company.Company, scheduler *asking.Asker, version int64, restored []Row, seed uint64) *Node {
+	n := &Node{settings: settings, peers: c, scheduler: scheduler, rng: rand.New(rand.NewPCG(seed, 11)),
+		list: newVersionedList(0, 0), version: max(0, version), restored: restored, deliveredEarly: map[string]bool{}}
 	n.ranks = make([]int, c.Agents())
-	places := make([]int, c.Agents())
-	for p := range places {
-		places[p] = p
+	byRank := make([]int, c.Agents())
+	for p := range byRank {
+		byRank[p] = p
 	}
-	slices.SortFunc(places, func(a, b int) int { return cmp.Or(cmp.Compare(scatter(a), scatter(b)), a-b) })
-	for rank, p := range places {
+	slices.SortFunc(byRank, func(a, b int) int { return cmp.Or(cmp.Compare(rankHash(a), rankHash(b)), a-b) })
+	for rank, p := range byRank {
 		n.ranks[p] = rank
 	}
 	return n
 }
 
-// scatter is a number that is the same at every agent, so that neighbours by place, which may share a machine or a zone, are
-// none by rank.
-func scatter(place int) uint64 {
-	x := uint64(place+1) * 0x9e3779b97f4a7c15
+// rankHash returns a number that is the same at every agent, so that agents of neighboring indexes, which may share a
+// machine or a zone, are not neighbors by rank.
+func rankHash(index int) uint64 {
+	x := uint64(index+1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return x ^ x>>31
 }
 
-func (n *Node) begin(now time.Duration) {
+func (n *Node) advance(now time.Duration) {
 	n.now, n.actions = max(now, n.now), nil
-	n.tokens = min(mostSent/2, n.tokens+mostSent*(n.now-n.refilled).Seconds())
-	n.refilled = n.now
+	n.tokens = min(chunksPerSecond/2, n.tokens+chunksPerSecond*(n.now-n.refilledAt).Seconds())
+	n.refilledAt = n.now
 }
 
-func (n *Node) act(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// Start begins.
+// Start returns the first actions.
 func (n *Node) Start(now time.Duration) []Action {
-	n.begin(now)
-	n.fresh = n.now // by courtesy: so long others are waited for
-	n.round = n.now + time.Duration(n.rng.Float64()*float64(n.set.Round))/4
-	n.duty()
+	n.advance(now)
+	n.freshAt = n.now // counts as fresh, to wait for other agents before calling the service
+	n.nextDigest = n.now + time.Duration(n.rng.Float64()*float64(n.settings.Round))/4
+	n.updateWatch()
 	return n.actions
 }
 
-// Leave tells some others that this agent ends.
+// Leave notifies some other agents that this one shuts down.
 func (n *Node) Leave(now time.Duration) []Action {
-	n.begin(now)
-	n.company.Set(company.Leaving, true)
-	n.company.Set(company.Watching, false)
+	n.advance(now)
+	n.peers.Set(company.Leaving, true)
+	n.peers.Set(company.Watching, false)
 	n.gossip()
 	return n.actions
 }
 
-// Next is when time must pass at the latest.
+// NextTick returns when Tick has to be called at the latest.
 func (n *Node) Next() time.Duration {
-	next := n.round
-	if n.askAt > 0 && n.watch == none {
-		next = min(next, n.askAt)
+	next := n.nextDigest
+	if n.callAt > 0 && n.watch == watchNone {
+		next = min(next, n.callAt)
 	}
 	if n.transfer != nil {
-		next = min(next, n.transfer.again())
+		next = min(next, n.transfer.retryAt())
 	}
 	return next
 }
 
-// Tick lets time pass.
+// Tick advances the time.
 func (n *Node) Tick(now time.Duration) []Action {
-	n.begin(now)
-	if n.now >= n.round {
-		n.round = n.now + time.Duration((0.75+n.rng.Float64()/2)*float64(n.set.Round))
-		if to, any := n.other(); any {
-			n.digest(to, false)
+	n.advance(now)
+	if n.now >= n.nextDigest {
+		n.nextDigest = n.now + time.Duration((0.75+n.rng.Float64()/2)*float64(n.settings.Round))
+		if to, ok := n.pickPeer(); ok {
+			n.sendDigest(to, false)
 		}
 	}
-	if t := n.transfer; t != nil && n.now >= t.again() {
-		t.asked = n.now
-		n.digest(t.from, true)
+	if t := n.transfer; t != nil && n.now >= t.retryAt() {
+		t.requestedAt = n.now
+		n.sendDigest(t.from, true)
 	}
-	n.duty()
+	n.updateWatch()
 	return n.actions
 }
 
-// Staleness is how long ago the list is known to have been as the service had it.
-func (n *Node) Staleness(now time.Duration) time.Duration { return now - n.fresh }
+// Staleness returns how long ago the list is known to have been that of the service.
+func (n *Node) Staleness(now time.Duration) time.Duration { return now - n.freshAt }
 
 // Watching reports whether this agent holds a watch.
-func (n *Node) Watching() bool { return n.watch == holds }
+func (n *Node) Watching() bool { return n.watch == watchOpen }
 
-// Version is that of the list, in its count of versions.
-func (n *Node) Version() (gen uint64, version int64) { return n.sheet.gen, n.sheet.head }
+// Version returns the generation of the list, which grows when the service restarts its count of versions, and the
+// version in it.
+func (n *Node) Version() (gen uint64, version int64) { return n.list.gen, n.list.head }
 
-// Rows are those of the list.
-func (n *Node) Rows() []Row { return n.sheet.live() }
+// Rows returns the servers of the list.
+func (n *Node) Rows() []Row { return n.list.live() }
 
-// other draws an agent to talk to: one that is known to be there, or now and then any, so that those who lost sight of one
-// another meet again.
-func (n *Node) other() (place int, any bool) {
-	if n.company.Agents() < 2 {
+// pickPeer draws a random agent to send to: one that is known to be alive, or occasionally any, so that agents that lost
+// contact find one another again.
+func (n *Node) pickPeer() (index int, ok bool) {
+	if n.peers.Agents() < 2 {
 		return 0, false
 	}
 	for try := range 8 {
-		p := n.rng.IntN(n.company.Agents())
-		if p != n.company.Me() && (try == 7 || n.rng.IntN(8) == 0 || n.company.There(n.now, p, gone)) {
+		p := n.rng.IntN(n.peers.Agents())
+		if p != n.peers.Me() && (try == 7 || n.rng.IntN(8) == 0 || n.peers.There(n.now, p, gone)) {
 			return p, true
 		}
 	}
-	return (n.company.Me() + 1) % n.company.Agents(), true
+	return (n.peers.Me() + 1) % n.peers.Agents(), true
 }
 
-// gossip tells some others at once how this agent is.
+// gossip sends the state of this agent to some others at once.
 func (n *Node) gossip() {
-	for range n.set.Fanout {
-		if to, any := n.other(); any {
-			n.digest(to, false)
+	for range n.settings.Fanout {
+		if to, ok := n.pickPeer(); ok {
+			n.sendDigest(to, false)
 		}
 	}
 }
 
-// datagram is one without a chunk. Its cursor is that up to which the agent is complete; one that sends it a list is told how
-// far that has come.
-func (n *Node) datagram(to int, want bool) *Datagram {
-	d := &Datagram{From: n.company.Own(), Gen: n.sheet.gen, At: n.sheet.end(), Age: n.now - n.fresh, Want: want}
-	if n.sheet.gen == 0 {
+// newDatagram returns a datagram without a chunk. Its cursor is the one up to which this agent is complete; the sender
+// of a transfer gets the cursor of that transfer instead.
+func (n *Node) newDatagram(to int, request bool) *Datagram {
+	d := &Datagram{From: n.peers.Own(), Gen: n.list.gen, At: n.list.end(), Age: n.now - n.freshAt, Want: request}
+	if n.list.gen == 0 {
 		d.At = Cursor{}
 	}
 	if t := n.transfer; t != nil {
 		if d.Busy = t.from != to; !d.Busy {
-			d.Gen, d.At, d.Sort = t.gen, t.cursor, t.sort
+			d.Gen, d.At, d.Sort = t.gen, t.cursor, t.order
 		}
 	}
 	return d
 }
 
-// digest sends a datagram with as many words of others as go into it.
-func (n *Node) digest(to int, want bool) {
-	d := n.datagram(to, want)
-	room := n.set.Size - len(d.Encode()) - 2 // which a longer array's head costs
-	d.Others = n.company.Sample(n.now, max(0, min(room/wordCost, maxOthers)), n.best, gone)
-	n.act(Action{Kind: Send, To: to, Datagram: d})
+// sendDigest sends a datagram with as many heartbeats of others as fit.
+func (n *Node) sendDigest(to int, request bool) {
+	d := n.newDatagram(to, request)
+	room := n.settings.Size - len(d.Encode()) - 2 // for the longer head of the array of heartbeats
+	d.Others = n.peers.Sample(n.now, max(0, min(room/maxHeartbeatBytes, maxOthers)), n.bestWatchers, gone)
+	n.emit(Action{Kind: Send, To: to, Datagram: d})
 }
 
-// tell sends chunks from a cursor on, as many as go out at a time.
-func (n *Node) tell(to int, after Cursor, most int) {
-	for range most {
-		if after.compare(n.sheet.end()) >= 0 || n.tokens < 1 {
+// sendChunks sends at most the given number of chunks from a cursor on.
+func (n *Node) sendChunks(to int, after Cursor, limit int) {
+	for range limit {
+		if after.compare(n.list.end()) >= 0 || n.tokens < 1 {
 			return
 		}
-		d := n.datagram(to, false)
-		if d.Chunk = n.sheet.chunk(after, n.set.Size-len(d.Encode())); d.Chunk == nil {
-			return // a row that no datagram can hold: who wants it asks the service
+		d := n.newDatagram(to, false)
+		if d.Chunk = n.list.chunk(after, n.settings.Size-len(d.Encode())); d.Chunk == nil {
+			return // a row too large for any datagram: an agent that lacks it calls the service
 		}
 		n.tokens--
-		n.act(Action{Kind: Send, To: to, Datagram: d})
+		n.emit(Action{Kind: Send, To: to, Datagram: d})
 		after = d.Chunk.Upto
 	}
 }
 
-// Heard takes a datagram. That it comes from the address of the agent that it names is for the host to see to.
+// Receive processes a datagram. The host checks that it comes from the address of the agent that it names.
 func (n *Node) Heard(now time.Duration, d *Datagram) []Action {
-	n.begin(now)
-	if d.From.Place == n.company.Me() {
+	n.advance(now)
+	if d.From.Place == n.peers.Me() {
 		return nil
 	}
-	n.company.Hear(n.now, d.From)
+	n.peers.Hear(n.now, d.From)
 	for _, w := range d.Others {
-		n.company.Hear(n.now, w)
+		n.peers.Hear(n.now, w)
 	}
 	if d.Chunk != nil {
-		n.chunk(d.From.Place, d.Chunk)
+		n.receiveChunk(d.From.Place, d.Chunk)
 	}
-	n.compare(d)
-	n.duty()
+	n.reconcile(d)
+	n.updateWatch()
 	return n.actions
 }
 
-// compare looks who of the two is behind.
-func (n *Node) compare(d *Datagram) {
-	if d.Gen == 0 && n.sheet.gen == 0 {
+// reconcile determines which of the two agents is behind.
+func (n *Node) reconcile(d *Datagram) {
+	if d.Gen == 0 && n.list.gen == 0 {
 		return
 	}
-	whole := d.At.ID == lastID
+	complete := d.At.ID == lastID
 	switch {
-	case d.Gen == n.sheet.gen && whole && d.At.Version == n.sheet.head:
-		if n.fresh = max(n.fresh, n.now-d.Age); d.Age > n.now-n.fresh+2*n.set.Round {
-			n.digest(d.From.Place, false) // which lacks nothing but the news that nothing has changed
+	case d.Gen == n.list.gen && complete && d.At.Version == n.list.head:
+		if n.freshAt = max(n.freshAt, n.now-d.Age); d.Age > n.now-n.freshAt+2*n.settings.Round {
+			n.sendDigest(d.From.Place, false) // that agent only lacks the information that nothing has changed
 		}
-	case d.Gen > n.sheet.gen || d.Gen == n.sheet.gen && whole && d.At.Version > n.sheet.head:
-		if whole && n.transfer == nil && n.now-n.wanted >= wantEvery {
-			n.wanted = n.now
-			n.digest(d.From.Place, true)
+	case d.Gen > n.list.gen || d.Gen == n.list.gen && complete && d.At.Version > n.list.head:
+		if complete && n.transfer == nil && n.now-n.requestedAt >= wantEvery {
+			n.requestedAt = n.now
+			n.sendDigest(d.From.Place, true)
 		}
-	case d.Busy || d.Chunk != nil && !d.Want: // it has what it lacks from another, or sends something itself
+	case d.Busy || d.Chunk != nil && !d.Want: // it receives its list from another agent, or is sending one itself
 	default:
 		after := Cursor{}
-		if d.Gen == n.sheet.gen && n.sheet.serves(d.At) && (whole || d.Sort == n.sheet.sort) {
+		if d.Gen == n.list.gen && n.list.covers(d.At) && (complete || d.Sort == n.list.order) {
 			after = d.At
 		}
-		n.tell(d.From.Place, after, burst)
+		n.sendChunks(d.From.Place, after, burstChunks)
 	}
 }
 
-// chunk takes a part of a list.
-func (n *Node) chunk(from int, c *Chunk) {
-	if c.Gen < n.sheet.gen || c.Gen == n.sheet.gen && c.Head <= n.sheet.head {
+// receiveChunk processes a part of a list.
+func (n *Node) receiveChunk(from int, c *Chunk) {
+	if c.Gen < n.list.gen || c.Gen == n.list.gen && c.Head <= n.list.head {
 		return
 	}
 	t := n.transfer
-	if c.Gen == n.sheet.gen && c.After.ID == lastID && c.After.compare(n.sheet.end()) <= 0 && c.Upto == (Cursor{c.Head, lastID}) {
-		// It is all that is lacking, whatever else is on its way.
-		all := &transfer{gen: c.Gen, cursor: c.After}
-		all.take(c)
+	if c.Gen == n.list.gen && c.After.ID == lastID && c.After.compare(n.list.end()) <= 0 && c.Upto == (Cursor{c.Head, lastID}) {
+		// The chunk alone completes the list, whatever transfer is in progress.
+		single := &transfer{gen: c.Gen, cursor: c.After}
+		single.add(c)
 		if t != nil && t.gen == c.Gen && t.head <= c.Head {
 			n.transfer = nil
 		}
-		n.arrived(all)
+		n.applyTransfer(single)
 		return
 	}
-	if t == nil || t.gen < c.Gen || t.from == from && t.sort != c.Sort || t.from != from && n.now-t.moved > stuck {
-		whole := c.After == Cursor{}
-		if !whole && (c.Gen != n.sheet.gen || c.After.ID != lastID || c.After.compare(n.sheet.end()) > 0) {
+	if t == nil || t.gen < c.Gen || t.from == from && t.order != c.Sort || t.from != from && n.now-t.lastChunkAt > stuck {
+		full := c.After == Cursor{}
+		if !full && (c.Gen != n.list.gen || c.After.ID != lastID || c.After.compare(n.list.end()) > 0) {
 			if t != nil && t.from == from {
-				n.transfer = nil // it has another order now
+				n.transfer = nil // the sender has another order of rows now
 			}
 			return
 		}
-		t = &transfer{from: from, gen: c.Gen, sort: c.Sort, whole: whole, cursor: c.After, asked: n.now}
+		t = &transfer{from: from, gen: c.Gen, order: c.Sort, full: full, cursor: c.After, requestedAt: n.now}
 		n.transfer = t
 	}
 	if t.from != from || t.gen != c.Gen {
 		return
 	}
-	if t.moved = n.now; !t.take(c) {
+	if t.lastChunkAt = n.now; !t.add(c) {
 		return
 	}
-	for moved := true; moved; {
-		moved = false
+	for progressed := true; progressed; {
+		progressed = false
 		t.stash = slices.DeleteFunc(t.stash, func(c *Chunk) bool {
 			if c.After.compare(t.cursor) > 0 {
 				return false
 			}
-			moved = t.take(c) || moved
+			progressed = t.add(c) || progressed
 			return true
 		})
 	}
-	n.heed(t)
+	n.deliverEarly(t)
 	if t.cursor == (Cursor{t.head, lastID}) {
 		n.transfer = nil
-		n.arrived(t)
+		n.applyTransfer(t)
 	}
 }
 
-// again is when what is lacking is to be asked for again: soon where later parts show that one was lost.
-func (t *transfer) again() time.Duration {
+// retryAt returns when to request the rest again: soon where a later chunk shows that one was lost.
+func (t *transfer) retryAt() time.Duration {
 	if len(t.stash) > 0 {
-		return t.asked + gap
+		return t.requestedAt + gap
 	}
-	return max(t.moved, t.asked) + idle
+	return max(t.lastChunkAt, t.requestedAt) + idle
 }
 
-// take takes a chunk that follows on, and keeps one that comes too early. It reports whether the transfer has come further.
-func (t *transfer) take(c *Chunk) bool {
+// add takes a chunk that continues the transfer, and keeps one that is out of order. It reports whether the transfer has
+// made progress.
+func (t *transfer) add(c *Chunk) bool {
 	switch {
 	case c.Upto.compare(t.cursor) <= 0:
 		return false
 	case c.After.compare(t.cursor) > 0:
-		if len(t.stash) < stashed {
+		if len(t.stash) < maxStash {
 			t.stash = append(t.stash, c)
 		}
 		return false
 	}
 	for _, r := range c.Rows {
-		if r.at().compare(t.cursor) > 0 && len(t.rows) < mostRows {
+		if r.cursor().compare(t.cursor) > 0 && len(t.rows) < maxListRows {
 			t.rows = append(t.rows, r)
 		}
 	}
@@ -411,166 +420,168 @@
 	return true
 }
 
-// mostRows is how many servers a list may name, and those that are gone beside.
-const mostRows = 50_000 + mostStones
+// maxListRows bounds the servers in a list, including tombstones.
+const maxListRows = 50_000 + maxTombstones
 
-// heed has what drains or is gone count before the list is complete: it takes nothing that is needed, and waits for nothing.
-func (n *Node) heed(t *transfer) {
-	if t.gen != n.sheet.gen {
+// deliverEarly delivers drains and removals before the list is complete: they take away no server that is needed, and
+// need not wait for the rest.
+func (n *Node) deliverEarly(t *transfer) {
+	if t.gen != n.list.gen {
 		return
 	}
 	var rows []Row
 	for _, r := range t.rows {
-		if old := n.sheet.rows[r.ID]; (r.Less || r.Gone) && old != nil && !old.Gone && !old.Less && old.Stamp < r.Stamp && !n.heeded[r.ID] {
-			n.heeded[r.ID] = true // which is one of the sheet's, so that there are no more of them
+		if old := n.list.rows[r.ID]; (r.Less || r.Gone) && old != nil && !old.Gone && !old.Less && old.Stamp < r.Stamp && !n.deliveredEarly[r.ID] {
+			n.deliveredEarly[r.ID] = true // always a server of the list, which bounds the map
 			rows = append(rows, r)
 		}
 	}
 	if len(rows) > 0 {
-		n.act(Action{Kind: Deliver, Rows: rows})
+		n.emit(Action{Kind: Deliver, Rows: rows})
 	}
 }
 
-// arrived takes a list that is complete.
-func (n *Node) arrived(t *transfer) {
-	before := n.sheet.head
-	if !t.whole {
+// applyTransfer applies a transfer that is complete.
+func (n *Node) applyTransfer(t *transfer) {
+	previous := n.list.head
+	if !t.full {
 		var news []Row
 		for _, r := range t.rows {
 			if n.put(r) {
 				news = append(news, r)
 			}
 		}
-		n.sheet.head = max(n.sheet.head, t.head)
-		n.changed(before, news, false)
+		n.list.head = max(n.list.head, t.head)
+		n.announce(previous, news, false)
 		return
 	}
-	fresh := newSheet(t.gen, uint16(n.rng.Uint32()))
+	list := newVersionedList(t.gen, uint16(n.rng.Uint32()))
 	for _, r := range t.rows {
-		fresh.put(r)
+		list.put(r)
 	}
-	fresh.head, fresh.floor = t.head, t.head // what was gone before is not in it
-	if n.dubious(fresh) {
+	list.head, list.floor = t.head, t.head // earlier removals are not contained
+	if n.suspicious(list) {
 		return
 	}
-	n.doubtful = 0
-	n.sheet, n.heeded = fresh, map[string]bool{}
-	n.changed(0, fresh.live(), true)
+	n.suspectSince = 0
+	n.list, n.deliveredEarly = list, map[string]bool{}
+	n.announce(0, list.live(), true)
 }
 
-// put puts a row into the sheet. It reports whether the module has to be told: also where the sheet says the same as before, if the
-// module was told of a list that never became complete.
+// put stores a row in the list. It reports whether it has to be delivered: also where it equals the row before, if
+// another one was delivered early from a transfer that never completed.
 func (n *Node) put(r Row) bool {
-	news := n.sheet.put(r) || n.heeded[r.ID]
-	delete(n.heeded, r.ID)
-	return news
+	changed := n.list.put(r) || n.deliveredEarly[r.ID]
+	delete(n.deliveredEarly, r.ID)
+	return changed
 }
 
-// dubious reports whether a list takes away so much that others' word is not enough for it, yet.
-func (n *Node) dubious(fresh *sheet) bool {
+// suspicious reports whether a list removes so many servers that other agents' data is not enough for it yet.
+func (n *Node) suspicious(next *versionedList) bool {
 	had, lost := 0, 0
-	for id, r := range n.sheet.rows {
+	for id, r := range n.list.rows {
 		if r.Gone || r.Less {
 			continue
 		}
 		had++
-		if f := fresh.rows[id]; f == nil || f.Gone {
+		if f := next.rows[id]; f == nil || f.Gone {
 			lost++
 		}
 	}
 	if 2*lost <= had {
 		return false
 	}
-	if n.doubtful == 0 {
-		n.doubtful = n.now
+	if n.suspectSince == 0 {
+		n.suspectSince = n.now
 	}
-	return n.now-n.doubtful < doubt
+	return n.now-n.suspectSince < doubt
 }
 
-// changed tells the module and some others.
-func (n *Node) changed(before int64, news []Row, full bool) {
+// announce delivers changes to the module and sends them to some other agents.
+func (n *Node) announce(previous int64, news []Row, full bool) {
 	if full || len(news) > 0 {
-		n.act(Action{Kind: Deliver, Full: full, Rows: news})
+		n.emit(Action{Kind: Deliver, Full: full, Rows: news})
 	}
-	for range n.set.Fanout {
-		to, any := n.other()
-		if !any {
+	for range n.settings.Fanout {
+		to, ok := n.pickPeer()
+		if !ok {
 			return
 		}
-		if before > 0 && n.sheet.serves(Cursor{before, lastID}) {
-			n.tell(to, Cursor{before, lastID}, 2)
+		if previous > 0 && n.list.covers(Cursor{previous, lastID}) {
+			n.sendChunks(to, Cursor{previous, lastID}, 2)
 		} else {
-			n.digest(to, false)
+			n.sendDigest(to, false)
 		}
 	}
 }
 
-// Answered says that the service has taken the call: what it sends goes on from the version that the watch began with.
+// WatchAnswered notes that the service has accepted the call: the watch continues from the version with which it was
+// opened.
 func (n *Node) Answered(now time.Duration) []Action {
-	n.begin(now)
-	n.asker.Answered(n.now)
-	n.watch, n.answered, n.confirmed = holds, n.now, false
-	n.company.Set(company.Watching, true)
+	n.advance(now)
+	n.scheduler.Answered(n.now)
+	n.watch, n.answeredAt, n.confirmed = watchOpen, n.now, false
+	n.peers.Set(company.Watching, true)
 	n.gossip()
-	n.duty()
+	n.updateWatch()
 	return n.actions
 }
 
-// Alive says that something has come on the watch. The first list of a watch comes with the answer, if there is one: who hears
-// something later without it knows that nothing has changed.
+// WatchAlive notes that something was received on the watch. If anything has changed, the first list of a watch comes
+// with the response: if something is received later and there was no list, nothing has changed.
 func (n *Node) Alive(now time.Duration) []Action {
-	n.begin(now)
-	if n.watch == holds && !n.confirmed && n.now-n.answered > firstList {
-		if n.sheet.gen == 0 && n.seen == n.version && n.version > 0 {
-			n.found(1, n.restored)
-			n.changed(0, nil, false)
+	n.advance(now)
+	if n.watch == watchOpen && !n.confirmed && n.now-n.answeredAt > firstList {
+		if n.list.gen == 0 && n.seenVersion == n.version && n.version > 0 {
+			n.resetList(1, n.restored)
+			n.announce(0, nil, false)
 		}
 		n.confirm()
 	}
 	if n.confirmed {
-		n.fresh = n.now
+		n.freshAt = n.now
 	}
 	return n.actions
 }
 
-// confirm takes note that the service has said how the list is.
+// confirm notes that the service has confirmed the list.
 func (n *Node) confirm() {
-	n.confirmed, n.doubtful, n.fresh = true, 0, n.now
-	n.asker.Delivered()
+	n.confirmed, n.suspectSince, n.freshAt = true, 0, n.now
+	n.scheduler.Delivered()
 }
 
-// found begins a sheet with the list that was there at the start.
-func (n *Node) found(gen uint64, rows []Row) {
-	n.sheet, n.transfer, n.restored = newSheet(gen, uint16(n.rng.Uint32())), nil, nil
+// resetList starts a new generation of the list from rows.
+func (n *Node) resetList(gen uint64, rows []Row) {
+	n.list, n.transfer, n.restored = newVersionedList(gen, uint16(n.rng.Uint32())), nil, nil
 	for _, r := range rows {
 		r.Stamp = n.version
-		n.sheet.put(r)
+		n.list.put(r)
 	}
-	n.sheet.head, n.sheet.floor = n.version, n.version
+	n.list.head, n.list.floor = n.version, n.version
 }
 
-// List takes a list of the watch, one that is believed, or changes of it.
+// ListReceived processes a list of the watch that was accepted, or changes of it.
 func (n *Node) List(now time.Duration, version int64, full bool, rows []Row) []Action {
-	n.begin(now)
-	again := version < n.seen // and believed all the same: the service counts anew
-	n.seen = version
-	if n.sheet.gen == 0 || again {
+	n.advance(now)
+	restarted := version < n.seenVersion // accepted all the same: the service has restarted its count of versions
+	n.seenVersion = version
+	if n.list.gen == 0 || restarted {
 		var base []Row
-		if !again && !full {
+		if !restarted && !full {
 			base = n.restored
 		}
-		n.found(n.sheet.gen+1, base)
-		n.sheet.head = 0 // nothing of it was told yet
+		n.resetList(n.list.gen+1, base)
+		n.list.head = 0 // nothing of it was announced yet
 	}
-	before, named, news := n.sheet.head, map[string]bool{}, []Row(nil)
+	previous, listed, news := n.list.head, map[string]bool{}, []Row(nil)
 	for _, r := range rows {
-		named[r.ID] = true
-		old := n.sheet.rows[r.ID]
+		listed[r.ID] = true
+		old := n.list.rows[r.ID]
 		r.Stamp = version
 		if full && old != nil && old.Stamp > version {
-			continue // another agent has told of a later version already
+			continue // another agent has sent a later version already
 		}
-		if full && old != nil && !old.Gone && !r.Gone && string(old.Body) == string(r.Body) && !n.heeded[r.ID] {
+		if full && old != nil && !old.Gone && !r.Gone && string(old.Body) == string(r.Body) && !n.deliveredEarly[r.ID] {
 			continue
 		}
 		if n.put(r) {
@@ -578,111 +589,113 @@
 		}
 	}
 	if full {
-		for _, r := range n.sheet.live() {
-			if !named[r.ID] && r.Stamp <= version {
-				gone := Row{ID: r.ID, Stamp: version, Gone: true}
-				n.put(gone)
-				news = append(news, gone)
+		for _, r := range n.list.live() {
+			if !listed[r.ID] && r.Stamp <= version {
+				removed := Row{ID: r.ID, Stamp: version, Gone: true}
+				n.put(removed)
+				news = append(news, removed)
 			}
 		}
 	}
-	n.sheet.head = max(n.sheet.head, version)
+	n.list.head = max(n.list.head, version)
 	n.confirm()
-	if before == 0 {
-		n.sheet.floor = version
-		news = n.sheet.live()
+	if previous == 0 {
+		n.list.floor = version
+		news = n.list.live()
 	}
-	n.changed(before, news, before == 0)
+	n.announce(previous, news, previous == 0)
 	return n.actions
 }
 
-// Over says that the watch, or the call for one, has ended. Nothing had come for so long.
+// WatchEnded notes that the watch, or the call for one, has ended, and that nothing was received for the time silent
+// before that.
 func (n *Node) Over(now, silent time.Duration) []Action {
-	n.begin(now)
-	held := n.watch == holds
-	n.watch = none
-	n.after, n.again, n.vain = n.asker.Over(n.now, silent), 0, true
-	n.company.Set(company.Watching, false)
+	n.advance(now)
+	held := n.watch == watchOpen
+	n.watch = watchNone
+	n.retryAfter, n.retryAt, n.callEnded = n.scheduler.Over(n.now, silent), 0, true
+	n.peers.Set(company.Watching, false)
 	if held {
 		n.gossip()
 	}
-	n.duty()
+	n.updateWatch()
 	return n.actions
 }
 
-// duty decides whether this agent is to watch.
-func (n *Node) duty() {
-	watchers := n.company.Those(n.now, company.Watching, heardOf)
+// updateWatch decides whether this agent should open or close a watch.
+func (n *Node) updateWatch() {
+	watchers := n.peers.Those(n.now, company.Watching, heardOf)
 	slices.SortFunc(watchers, func(a, b int) int { return n.ranks[a] - n.ranks[b] })
-	n.best = watchers[:min(n.set.Watchers, len(watchers))]
-	mine, better := n.ranks[n.company.Me()], 0
-	for better < len(watchers) && n.ranks[watchers[better]] < mine {
+	n.bestWatchers = watchers[:min(n.settings.Watchers, len(watchers))]
+	ownRank, better := n.ranks[n.peers.Me()], 0
+	for better < len(watchers) && n.ranks[watchers[better]] < ownRank {
 		better++
 	}
-	if n.watch == holds {
-		n.lack = 0
-		if better < n.set.Watchers {
-			n.surplus = 0
-		} else if n.surplus == 0 {
-			n.surplus = n.now
-		} else if n.now-n.surplus > n.set.Calm {
-			n.surplus, n.watch = 0, none
-			n.company.Set(company.Watching, false)
-			n.act(Action{Kind: Unwatch})
+	if n.watch == watchOpen {
+		n.shortageSince = 0
+		if better < n.settings.Watchers {
+			n.surplusSince = 0
+		} else if n.surplusSince == 0 {
+			n.surplusSince = n.now
+		} else if n.now-n.surplusSince > n.settings.Calm {
+			n.surplusSince, n.watch = 0, watchNone
+			n.peers.Set(company.Watching, false)
+			n.emit(Action{Kind: Unwatch})
 			n.gossip()
 		}
 		return
 	}
-	n.surplus = 0
-	// A list that is on its way is waited for, but not for ever.
-	comes := n.transfer != nil && n.now-n.transfer.moved < stuck && n.now-n.fresh < 3*n.set.Stale
-	stale := n.now-n.fresh > n.set.Stale && !comes || n.doubtful > 0
-	if !stale && len(watchers) >= n.set.Watchers {
-		n.lack, n.askAt, n.again, n.turn, n.vain = 0, 0, 0, 0, false
+	n.surplusSince = 0
+	// A list that is being received is waited for, but not forever.
+	receiving := n.transfer != nil && n.now-n.transfer.lastChunkAt < stuck && n.now-n.freshAt < 3*n.settings.Stale
+	stale := n.now-n.freshAt > n.settings.Stale && !receiving || n.suspectSince > 0
+	if !stale && len(watchers) >= n.settings.Watchers {
+		n.shortageSince, n.callAt, n.retryAt, n.slotAt, n.callEnded = 0, 0, 0, 0, false
 		return
 	}
-	if n.lack == 0 {
-		n.lack = n.now
+	if n.shortageSince == 0 {
+		n.shortageSince = n.now
 	}
-	// Those of better rank go first, then twice as many in each such time. Who is stale has a turn of its own beside.
-	before, there := 0, 0
+	// Agents of lower rank go first, then twice as many in each further WatcherDelay. An agent whose list is stale also
+	// has a slot of its own.
+	before, alive := 0, 0
 	for p, rank := range n.ranks {
-		m, known := n.company.Of(p)
-		late := n.now - m.Said
-		if rank < mine && (!known || m.Flags&company.Leaving == 0 && late <= 2*heardOf) {
+		m, known := n.peers.Of(p)
+		age := n.now - m.Said
+		if rank < ownRank && (!known || m.Flags&company.Leaving == 0 && age <= 2*heardOf) {
 			before++
 		}
-		if known && late <= gone {
-			there++
+		if known && age <= gone {
+			alive++
 		}
 	}
-	if n.askAt = n.lack; before >= n.set.Watchers {
-		n.askAt += time.Duration(float64(n.set.Batch) * math.Log2(float64(before)/float64(n.set.Watchers)+1))
+	if n.callAt = n.shortageSince; before >= n.settings.Watchers {
+		n.callAt += time.Duration(float64(n.settings.Batch) * math.Log2(float64(before)/float64(n.settings.Watchers)+1))
 	}
-	// Those who hear of one another need not all ask: one answer reaches them all.
-	every := time.Duration(there) * time.Second / askRate
+	// Agents that are in contact with each other need not all call: one response reaches them all.
+	period := time.Duration(alive) * time.Second / callsPerSecond
 	if !stale {
-		n.turn = 0
+		n.slotAt = 0
 	} else {
-		if n.turn == 0 {
-			n.turn = n.asker.Turn(n.now, every)
+		if n.slotAt == 0 {
+			n.slotAt = n.scheduler.Turn(n.now, period)
 		}
-		n.askAt = min(n.askAt, n.turn)
+		n.callAt = min(n.callAt, n.slotAt)
 	}
-	if n.vain { // it has asked
-		if n.again == 0 {
-			n.again = max(n.after, n.asker.Turn(n.now, every))
+	if n.callEnded { // this agent has called before
+		if n.retryAt == 0 {
+			n.retryAt = max(n.retryAfter, n.scheduler.Turn(n.now, period))
 		}
-		n.askAt = n.again
+		n.callAt = n.retryAt
 	}
-	if n.watch != none || n.now < n.askAt {
+	if n.watch != watchNone || n.now < n.callAt {
 		return
 	}
-	n.askAt, n.again, n.turn, n.vain, n.watch = 0, 0, 0, false, called
-	n.asker.Asked(n.now)
-	n.seen = n.version
-	if n.sheet.gen > 0 {
-		n.seen = n.sheet.head
+	n.callAt, n.retryAt, n.slotAt, n.callEnded, n.watch = 0, 0, 0, false, watchPending
+	n.scheduler.Asked(n.now)
+	n.seenVersion = n.version
+	if n.list.gen > 0 {
+		n.seenVersion = n.list.head
 	}
-	n.act(Action{Kind: Watch, Version: n.seen})
+	n.emit(Action{Kind: Watch, Version: n.seenVersion})
 }
--- a/internal/decide/sharing/sharing_test.go
+++ b/internal/decide/sharing/sharing_test.go
@@ -12,7 +12,7 @@
 	"ternbeam/internal/decide/company"
 )
 
-// world is many nodes, the links between them and a list service, in virtual time.
+// world simulates nodes, the links between them and a discovery service, in virtual time.
 type world struct {
 	t      *testing.T
 	rng    *rand.Rand
@@ -20,25 +20,25 @@
 	order  uint64
 	events events
 
-	set    Settings
-	nodes  []*host
-	delay  time.Duration
-	loss   float64
-	dup    float64
-	cut    func(from, to int) bool // nil for none
-	replay bool                    // datagrams come again, much later
-
-	version int64
-	rows    map[string]Row
-	log     []Row // the one at i made version i+1
-	told    []time.Duration
-	each    time.Duration
-	free    time.Duration
-	down    bool
-	reach   func(place int) bool // who reaches the service; nil for all
-	calls   int
-	sent    int
-	bytes   int
+	set         Settings
+	nodes       []*host
+	delay       time.Duration
+	loss        float64
+	dup         float64
+	partitioned func(from, to int) bool // whether datagrams between two nodes are dropped; nil for none
+	replay      bool                    // some datagrams arrive a second time, much later
+
+	version   int64
+	rows      map[string]Row
+	log       []Row // the change at i made version i+1
+	changedAt []time.Duration
+	callTime  time.Duration
+	freeAt    time.Duration
+	down      bool
+	reachable func(place int) bool // whether a node reaches the service; nil for all
+	calls     int
+	sent      int
+	bytes     int
 }
 
 type event struct {
@@ -61,36 +61,36 @@
 	return last
 }
 
-// host is one life of a node.
+// host runs the processes of one agent, one after the other.
 type host struct {
-	w     *world
-	place int
-	node  *Node
-	life  int
-	alive bool
-	timer time.Duration // of the latest that was set
-	watch int           // counts watches; a late word of an earlier one means nothing
-	known map[string]Row
-	began time.Duration
+	w         *world
+	index     int
+	node      *Node
+	life      int
+	alive     bool
+	timerAt   time.Duration // when the latest timer expires
+	watch     int           // counts watches; events of earlier ones are ignored
+	known     map[string]Row
+	startedAt time.Duration
 }
 
 func newWorld(t *testing.T, agents, servers int, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: 1000 * time.Hour, set: Defaults, rows: map[string]Row{}, each: time.Millisecond, delay: time.Millisecond}
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: 1000 * time.Hour, set: Defaults, rows: map[string]Row{}, callTime: time.Millisecond, delay: time.Millisecond}
 	for i := range servers {
-		w.tell(Row{ID: fmt.Sprint("forms-", i), Body: fmt.Appendf(nil, "127.0.0.1:%d in service", i)})
+		w.publish(Row{ID: fmt.Sprint("forms-", i), Body: fmt.Appendf(nil, "127.0.0.1:%d in service", i)})
 	}
 	for p := range agents {
-		w.nodes = append(w.nodes, &host{w: w, place: p})
+		w.nodes = append(w.nodes, &host{w: w, index: p})
 	}
 	return w
 }
 
-// tell has the service know of a change.
-func (w *world) tell(r Row) {
+// publish changes the list of the service.
+func (w *world) publish(r Row) {
 	w.version++
 	r.Stamp = w.version
 	w.log = append(w.log, r)
-	w.told = append(w.told, w.now)
+	w.changedAt = append(w.changedAt, w.now)
 	if r.Gone {
 		delete(w.rows, r.ID)
 	} else {
@@ -98,7 +98,7 @@
 	}
 	for _, h := range w.nodes {
 		if h.alive && h.node.Watching() {
-			h.hear(h.watch, w.version, false, []Row{r})
+			h.receiveList(h.watch, w.version, false, []Row{r})
 		}
 	}
 }
@@ -120,15 +120,15 @@
 	w.now = end
 }
 
-// start begins a new life.
+// start starts a new process.
 func (h *host) start(version int64, known []Row) {
 	h.life++
 	w := h.w
-	h.alive, h.known, h.began = true, map[string]Row{}, w.now
+	h.alive, h.known, h.startedAt = true, map[string]Row{}, w.now
 	seed := w.rng.Uint64()
-	c := company.New(company.Settings{Agents: len(w.nodes), Me: h.place, Epoch: uint64(w.now / time.Millisecond)}, seed)
-	asker := asking.New(asking.Settings{Shared: true, Agents: len(w.nodes), Me: h.place, MustAsk: 10 * time.Second}, seed)
-	h.node = New(w.set, c, asker, version, known, seed)
+	peers := company.New(company.Settings{Agents: len(w.nodes), Me: h.index, Epoch: uint64(w.now / time.Millisecond)}, seed)
+	scheduler := asking.New(asking.Settings{Shared: true, Agents: len(w.nodes), Me: h.index, MustAsk: 10 * time.Second}, seed)
+	h.node = New(w.set, peers, scheduler, version, known, seed)
 	for _, r := range known {
 		h.known[r.ID] = r
 	}
@@ -148,11 +148,11 @@
 		case Send:
 			data := a.Datagram.Encode()
 			if len(data) > w.set.Size {
-				w.t.Fatalf("a datagram of %d bytes", len(data))
+				w.t.Fatalf("datagram has %d bytes", len(data))
 			}
 			w.sent++
 			w.bytes += len(data)
-			w.carry(h.place, a.To, data)
+			w.carry(h.index, a.To, data)
 		case Watch:
 			h.call(a.Version)
 		case Unwatch:
@@ -170,21 +170,21 @@
 			}
 		}
 	}
-	if next := h.node.Next(); next != h.timer {
-		h.timer = next
+	if next := h.node.Next(); next != h.timerAt {
+		h.timerAt = next
 		life := h.life
 		w.at(max(next, w.now), func() {
-			if h.alive && h.life == life && h.timer == next {
-				h.timer = 0
+			if h.alive && h.life == life && h.timerAt == next {
+				h.timerAt = 0
 				h.do(h.node.Tick(w.now))
 			}
 		})
 	}
 }
 
-// carry brings a datagram to another node, or does not.
+// carry transmits a datagram to another node, or drops it.
 func (w *world) carry(from, to int, data []byte) {
-	if w.cut != nil && w.cut(from, to) {
+	if w.partitioned != nil && w.partitioned(from, to) {
 		return
 	}
 	times := 1
@@ -213,38 +213,38 @@
 	}
 }
 
-// call asks the service for a watch.
+// call opens a watch on the service.
 func (h *host) call(version int64) {
 	w := h.w
 	w.calls++
 	h.watch++
 	watch, life := h.watch, h.life
-	mine := func() bool { return h.alive && h.life == life && h.watch == watch }
-	over := func(silent time.Duration) {
-		if mine() {
+	current := func() bool { return h.alive && h.life == life && h.watch == watch }
+	end := func(silent time.Duration) {
+		if current() {
 			h.watch++
 			h.do(h.node.Over(w.now, silent))
 		}
 	}
-	if w.reach != nil && !w.reach(h.place) {
-		w.after(asking.Silence, func() { over(asking.Silence) })
+	if w.reachable != nil && !w.reachable(h.index) {
+		w.after(asking.Silence, func() { end(asking.Silence) })
 		return
 	}
 	if w.down {
-		w.after(time.Millisecond, func() { over(0) })
+		w.after(time.Millisecond, func() { end(0) })
 		return
 	}
-	w.free = max(w.free, w.now) + w.each
-	if wait := w.free - w.now; wait > 2*time.Second {
-		w.after(2*time.Second, func() { over(0) })
+	w.freeAt = max(w.freeAt, w.now) + w.callTime
+	if wait := w.freeAt - w.now; wait > 2*time.Second {
+		w.after(2*time.Second, func() { end(0) })
 		return
 	}
-	w.at(w.free, func() {
-		if !mine() {
+	w.at(w.freeAt, func() {
+		if !current() {
 			return
 		}
 		if w.down {
-			over(0)
+			end(0)
 			return
 		}
 		h.do(h.node.Answered(w.now))
@@ -253,65 +253,65 @@
 			for _, r := range w.rows {
 				all = append(all, r)
 			}
-			h.hear(watch, w.version, true, all)
+			h.receiveList(watch, w.version, true, all)
 		} else if version < w.version {
-			h.hear(watch, w.version, false, w.log[version:])
+			h.receiveList(watch, w.version, false, w.log[version:])
 		}
-		var beat func()
-		beat = func() {
+		var ping func()
+		ping = func() {
 			switch {
-			case !mine():
+			case !current():
 			case w.down:
-				over(0)
-			case w.reach != nil && !w.reach(h.place):
-				w.after(asking.Silence, func() { over(asking.Silence) })
+				end(0)
+			case w.reachable != nil && !w.reachable(h.index):
+				w.after(asking.Silence, func() { end(asking.Silence) })
 			default:
 				h.do(h.node.Alive(w.now))
-				w.after(100*time.Millisecond, beat)
+				w.after(100*time.Millisecond, ping)
 			}
 		}
-		w.after(150*time.Millisecond, beat)
+		w.after(150*time.Millisecond, ping)
 	})
 }
 
-func (h *host) hear(watch int, version int64, full bool, rows []Row) {
-	if h.watch == watch && (h.w.reach == nil || h.w.reach(h.place)) {
+func (h *host) receiveList(watch int, version int64, full bool, rows []Row) {
+	if h.watch == watch && (h.w.reachable == nil || h.w.reachable(h.index)) {
 		h.do(h.node.List(h.w.now, version, full, append([]Row(nil), rows...)))
 	}
 }
 
-// behind counts living nodes whose list is not that of the service.
-func (w *world) behind() (n int) {
+// countBehind returns the number of running nodes whose list is not that of the service.
+func (w *world) countBehind() (n int) {
 	for _, h := range w.nodes {
-		if h.alive && !h.right() {
+		if h.alive && !h.upToDate() {
 			n++
 		}
 	}
 	return n
 }
 
-// state says how a node stands, for those who look into a failure.
-func (h *host) state() string {
+// describe returns the state of a node, for failure messages.
+func (h *host) describe() string {
 	gen, version := h.node.Version()
-	out := fmt.Sprintf("version %d of %d, count %d, watch %d, stale for %v", version, h.w.version, gen, h.node.watch, h.node.Staleness(h.w.now))
+	out := fmt.Sprintf("version %d of %d, generation %d, watch %d, stale for %v", version, h.w.version, gen, h.node.watch, h.node.Staleness(h.w.now))
 	for id, r := range h.w.rows {
 		if k := h.known[id]; string(k.Body) != string(r.Body) {
-			out += fmt.Sprintf("; %s %q of %d, not %q of %d", id, k.Body, k.Stamp, r.Body, r.Stamp)
+			out += fmt.Sprintf("; %s is %q of version %d, not %q of version %d", id, k.Body, k.Stamp, r.Body, r.Stamp)
 		}
 	}
 	for id, k := range h.known {
 		if _, ok := h.w.rows[id]; !ok {
-			out += fmt.Sprintf("; %s %q of %d is no more", id, k.Body, k.Stamp)
+			out += fmt.Sprintf("; %s, %q of version %d, was removed", id, k.Body, k.Stamp)
 		}
 	}
 	if t := h.node.transfer; t != nil {
-		out += fmt.Sprintf("; from %d to %v, head %d, %d rows, %d early, moved %v ago", t.from, t.cursor, t.head, len(t.rows), len(t.stash), h.w.now-t.moved)
+		out += fmt.Sprintf("; transfer from %d, complete to %v, head %d, %d rows, %d out of order, latest chunk %v ago", t.from, t.cursor, t.head, len(t.rows), len(t.stash), h.w.now-t.lastChunkAt)
 	}
 	return out
 }
 
-// oldest is when the oldest change was told that the node has not heard of.
-func (h *host) oldest() time.Duration {
+// oldestMissing returns when the oldest change was published that the node has not received.
+func (h *host) oldestMissing() time.Duration {
 	last := map[string]Row{}
 	for _, r := range h.w.log {
 		last[r.ID] = r
@@ -319,14 +319,14 @@
 	oldest := h.w.now
 	for id, r := range last {
 		if k, ok := h.known[id]; ok == r.Gone || ok && string(k.Body) != string(r.Body) {
-			oldest = min(oldest, h.w.told[r.Stamp-1])
+			oldest = min(oldest, h.w.changedAt[r.Stamp-1])
 		}
 	}
 	return oldest
 }
 
-// right reports whether what the module was told is what the service says.
-func (h *host) right() bool {
+// upToDate reports whether what was delivered to the module is the list of the service.
+func (h *host) upToDate() bool {
 	if len(h.known) != len(h.w.rows) {
 		return false
 	}
@@ -338,11 +338,11 @@
 	return true
 }
 
-// settle runs until all have the list, and returns how long that took.
+// settle runs until all nodes have the list, and returns how long that took.
 func (w *world) settle(limit time.Duration) (took time.Duration, ok bool) {
 	begin := w.now
 	for w.now-begin < limit {
-		if w.behind() == 0 {
+		if w.countBehind() == 0 {
 			return w.now - begin, true
 		}
 		w.run(20 * time.Millisecond)
@@ -366,25 +366,25 @@
 	w.run(101 * time.Millisecond)
 }
 
-// Calls to the service for a recovery do not grow with the fleet, and all have the list soon.
+// The number of calls to the service after a failure does not grow with the fleet, and all agents have the list soon.
 func TestFewCalls(t *testing.T) {
 	for _, agents := range []int{5, 50, 200} {
 		t.Run(fmt.Sprint(agents, " agents"), func(t *testing.T) {
 			w := newWorld(t, agents, 60, 1)
 			w.loss, w.delay = 0.05, 20*time.Millisecond
-			w.each = min(100*time.Millisecond, 8*time.Second/time.Duration(agents))
+			w.callTime = min(100*time.Millisecond, 8*time.Second/time.Duration(agents))
 			check := func(what string) {
 				calls, sent, bytes := w.calls, w.sent, w.bytes
 				took, ok := w.settle(30 * time.Second)
 				w.run(5 * time.Second)
-				each := float64(agents) * (took + 5*time.Second).Seconds()
-				t.Logf("%s: all have it after %v, %d calls; %.1f datagrams, %.0f bytes an agent a second; %d watch", what, took, w.calls-calls,
-					float64(w.sent-sent)/each, float64(w.bytes-bytes)/each, w.watchers())
+				agentSeconds := float64(agents) * (took + 5*time.Second).Seconds()
+				t.Logf("%s: all have the list after %v, %d calls; %.1f datagrams, %.0f bytes per agent and second; %d watchers", what, took, w.calls-calls,
+					float64(w.sent-sent)/agentSeconds, float64(w.bytes-bytes)/agentSeconds, w.watchers())
 				if !ok || took > 6*time.Second {
-					t.Errorf("%s: %d are behind after %v", what, w.behind(), took)
+					t.Errorf("%s: %d agents are behind after %v", what, w.countBehind(), took)
 				}
 				if w.calls-calls > 40 || w.watchers() < min(agents, w.set.Watchers) {
-					t.Errorf("%s: %d calls, %d watch", what, w.calls-calls, w.watchers())
+					t.Errorf("%s: %d calls, %d watchers", what, w.calls-calls, w.watchers())
 				}
 			}
 			w.startAll()
@@ -396,40 +396,41 @@
 			check("seven in ten killed")
 			w.down = true
 			w.run(5 * time.Second)
-			w.tell(Row{ID: "forms-0", Less: true, Body: []byte("drains")})
+			w.publish(Row{ID: "forms-0", Less: true, Body: []byte("drains")})
 			w.down = false
 			check("after an outage")
 			w.run(20 * time.Second)
 			if n := w.watchers(); n > 3*w.set.Watchers {
-				t.Errorf("%d go on watching", n)
+				t.Errorf("%d watchers remain", n)
 			}
 		})
 	}
 }
 
-// Every agent hears of every change within the bound, whatever is lost, late, doubled or replayed, while watchers are killed.
+// Every agent receives every change within the bound, whatever datagrams are lost, late, duplicated or replayed, while
+// watchers are killed.
 func TestStalenessBound(t *testing.T) {
 	const bound = 10 * time.Second
 	const seeds = 20
 	worst := time.Duration(0)
 	for seed := range uint64(seeds) {
 		w := newWorld(t, 30, 40, seed)
-		w.loss, w.dup, w.delay, w.replay, w.each = 0.2, 0.05, 200*time.Millisecond, true, 20*time.Millisecond
+		w.loss, w.dup, w.delay, w.replay, w.callTime = 0.2, 0.05, 200*time.Millisecond, true, 20*time.Millisecond
 		w.startAll()
 		if _, ok := w.settle(20 * time.Second); !ok {
-			t.Fatalf("seed %d: %d have no list", seed, w.behind())
+			t.Fatalf("seed %d: %d agents have no list", seed, w.countBehind())
 		}
 		for range 20 {
 			id := fmt.Sprint("forms-", w.rng.IntN(60))
 			switch w.rng.IntN(3) {
 			case 0:
-				w.tell(Row{ID: id, Gone: true})
+				w.publish(Row{ID: id, Gone: true})
 			case 1:
-				w.tell(Row{ID: id, Less: true, Body: []byte("drains")})
+				w.publish(Row{ID: id, Less: true, Body: []byte("drains")})
 			default:
-				w.tell(Row{ID: id, Body: fmt.Appendf(nil, "again %d", w.version)})
+				w.publish(Row{ID: id, Body: fmt.Appendf(nil, "again %d", w.version)})
 			}
-			if w.rng.IntN(3) == 0 { // whoever watches first dies, and comes back
+			if w.rng.IntN(3) == 0 { // the first watcher is killed and restarted
 				for _, h := range w.nodes {
 					if h.alive && h.node.Watching() {
 						h.kill()
@@ -446,120 +447,121 @@
 			for w.now-begin < time.Duration(w.rng.IntN(3000))*time.Millisecond {
 				w.run(50 * time.Millisecond)
 				for _, h := range w.nodes {
-					if !h.alive || h.right() {
+					if !h.alive || h.upToDate() {
 						continue
 					}
-					stale := w.now - max(h.began, h.oldest())
+					stale := w.now - max(h.startedAt, h.oldestMissing())
 					if worst = max(worst, stale); stale > bound {
-						t.Fatalf("seed %d: agent %d is %v behind; %s", seed, h.place, stale, h.state())
+						t.Fatalf("seed %d: agent %d is %v behind; %s", seed, h.index, stale, h.describe())
 					}
 				}
 			}
 		}
 		if _, ok := w.settle(bound); !ok {
-			t.Errorf("seed %d: %d are behind in the end", seed, w.behind())
+			t.Errorf("seed %d: %d agents are behind at the end", seed, w.countBehind())
 		}
 	}
-	t.Logf("behind for %v at the most", worst)
+	t.Logf("behind for at most %v", worst)
 }
 
-// settled returns a world in which all have the list.
-func settled(t *testing.T, agents, servers int, seed uint64) *world {
+// newSettledWorld returns a world in which all nodes have the list.
+func newSettledWorld(t *testing.T, agents, servers int, seed uint64) *world {
 	t.Helper()
 	w := newWorld(t, agents, servers, seed)
 	w.startAll()
 	if _, ok := w.settle(20 * time.Second); !ok {
-		t.Fatalf("%d have no list", w.behind())
+		t.Fatalf("%d agents have no list", w.countBehind())
 	}
 	w.run(2 * time.Second)
 	return w
 }
 
-// A partition leaves a few with the service: the others keep what they have, and hear of all that they missed when it ends.
+// A partition leaves only a few agents in contact with the service: the others keep their list, and receive all that
+// they missed when it ends.
 func TestPartition(t *testing.T) {
-	w := settled(t, 40, 30, 1)
-	w.cut = func(from, to int) bool { return from < 4 != (to < 4) }
-	w.reach = func(place int) bool { return place < 4 }
+	w := newSettledWorld(t, 40, 30, 1)
+	w.partitioned = func(from, to int) bool { return from < 4 != (to < 4) }
+	w.reachable = func(place int) bool { return place < 4 }
 	w.run(10 * time.Second)
-	w.tell(Row{ID: "forms-3", Less: true, Body: []byte("drains")})
-	w.tell(Row{ID: "forms-4", Gone: true})
+	w.publish(Row{ID: "forms-3", Less: true, Body: []byte("drains")})
+	w.publish(Row{ID: "forms-4", Gone: true})
 	w.run(5 * time.Second)
-	if n := w.behind(); n != 36 {
-		t.Errorf("%d are behind of the 36 that are cut off", n)
+	if n := w.countBehind(); n != 36 {
+		t.Errorf("%d agents are behind, not the 36 that are cut off", n)
 	}
-	w.cut = nil // and the service is still out of their reach
+	w.partitioned = nil // the service is still out of reach for them
 	took, ok := w.settle(20 * time.Second)
-	t.Logf("all have it %v after the partition", took)
+	t.Logf("all have the list %v after the partition", took)
 	if !ok || took > 6*time.Second {
-		t.Errorf("%d are behind %v after the partition", w.behind(), took)
+		t.Errorf("%d agents are behind %v after the partition", w.countBehind(), took)
 	}
 	w.run(15 * time.Second)
 	if n := w.watchers(); n < w.set.Watchers {
-		t.Errorf("%d of the 4 that can watch do", n)
+		t.Errorf("%d of the 4 agents that reach the service watch it", n)
 	}
 }
 
-// One that reaches nobody, or is the only one, asks the service itself.
+// An agent that reaches no other agent, or is the only one, calls the service itself.
 func TestAlone(t *testing.T) {
-	w := settled(t, 20, 10, 1)
-	w.cut = func(from, to int) bool { return from == 7 || to == 7 }
+	w := newSettledWorld(t, 20, 10, 1)
+	w.partitioned = func(from, to int) bool { return from == 7 || to == 7 }
 	w.run(3 * time.Second)
-	w.tell(Row{ID: "forms-3", Gone: true})
+	w.publish(Row{ID: "forms-3", Gone: true})
 	w.run(12 * time.Second)
-	if !w.nodes[7].right() || !w.nodes[7].node.Watching() {
-		t.Errorf("cut off from all others: %s", w.nodes[7].state())
+	if !w.nodes[7].upToDate() || !w.nodes[7].node.Watching() {
+		t.Errorf("cut off from all other agents: %s", w.nodes[7].describe())
 	}
-	if one := settled(t, 1, 10, 1); !one.nodes[0].node.Watching() {
-		t.Error("one that has no others does not watch")
+	if one := newSettledWorld(t, 1, 10, 1); !one.nodes[0].node.Watching() {
+		t.Error("the only agent does not watch")
 	}
 }
 
-// A watcher that stands still for long is replaced, and knows after it how the list is.
+// A watcher that is stopped for long is replaced, and has the current list soon after it continues.
 func TestStopped(t *testing.T) {
-	w := settled(t, 20, 10, 1)
+	w := newSettledWorld(t, 20, 10, 1)
 	var first *host
 	for _, h := range w.nodes {
 		if h.node.Watching() {
 			first = h
 		}
 	}
-	first.alive = false // its timers and what comes to it are lost, which is worse than late
-	w.tell(Row{ID: "forms-3", Less: true, Body: []byte("drains")})
+	first.alive = false // its timers and events are lost, which is worse than late
+	w.publish(Row{ID: "forms-3", Less: true, Body: []byte("drains")})
 	w.run(20 * time.Second)
-	if n := w.behind(); n > 0 {
-		t.Errorf("%d are behind", n)
+	if n := w.countBehind(); n > 0 {
+		t.Errorf("%d agents are behind", n)
 	}
-	w.tell(Row{ID: "forms-4", Gone: true})
+	w.publish(Row{ID: "forms-4", Gone: true})
 	first.alive = true
 	first.do(first.node.Tick(w.now))
 	if took, ok := w.settle(3 * time.Second); !ok {
-		t.Errorf("it is behind after %v: %s", took, first.state())
+		t.Errorf("the stopped agent is behind after %v: %s", took, first.describe())
 	}
 }
 
-// The service counts versions anew: what was told before the restart does not win against what is told after it.
+// The service restarts its count of versions: lists from before the restart do not win against those after it.
 func TestServiceBeginsAnew(t *testing.T) {
-	w := settled(t, 20, 10, 1)
+	w := newSettledWorld(t, 20, 10, 1)
 	w.down = true
 	w.run(time.Second)
-	w.version, w.log, w.told, w.rows = 0, nil, nil, map[string]Row{}
+	w.version, w.log, w.changedAt, w.rows = 0, nil, nil, map[string]Row{}
 	for i := range 5 {
-		w.tell(Row{ID: fmt.Sprint("new-", i), Body: []byte("in service")})
+		w.publish(Row{ID: fmt.Sprint("new-", i), Body: []byte("in service")})
 	}
 	w.down = false
 	took, ok := w.settle(30 * time.Second)
 	t.Logf("all have the new list after %v", took)
 	if !ok {
-		t.Errorf("%d are behind: %s", w.behind(), w.nodes[0].state())
+		t.Errorf("%d agents are behind: %s", w.countBehind(), w.nodes[0].describe())
 	}
 	if gen, _ := w.nodes[3].node.Version(); gen < 2 {
-		t.Errorf("count %d", gen)
+		t.Errorf("generation %d", gen)
 	}
 }
 
-// A list that takes away more than half of the servers is not believed on others' word alone; the service's own word is.
+// A list from another agent that removes more than half of the servers is not accepted until the service confirms it.
 func TestDoubt(t *testing.T) {
-	w := settled(t, 3, 10, 1)
+	w := newSettledWorld(t, 3, 10, 1)
 	victim := w.nodes[0]
 	gen, version := victim.node.Version()
 	forged := Datagram{From: company.Word{Place: 1, Epoch: 1 << 50}, Gen: gen + 1, At: Cursor{version + 1, lastID},
@@ -569,24 +571,24 @@
 		t.Errorf("%d servers are left", len(victim.known))
 	}
 	w.run(8 * time.Second)
-	if !victim.right() || !victim.node.Watching() && victim.node.Staleness(w.now) > w.set.Stale {
-		t.Errorf("it has not asked the service: %s", victim.state())
+	if !victim.upToDate() || !victim.node.Watching() && victim.node.Staleness(w.now) > w.set.Stale {
+		t.Errorf("the agent has not called the service: %s", victim.describe())
 	}
-	// An older word, and one of the same version, bring nothing back.
-	w.tell(Row{ID: "forms-1", Less: true, Body: []byte("drains")})
+	// An older list, and one of the same version, bring nothing back.
+	w.publish(Row{ID: "forms-1", Less: true, Body: []byte("drains")})
 	w.settle(5 * time.Second)
 	old := Datagram{From: company.Word{Place: 2}, Gen: gen, At: Cursor{version, lastID},
 		Chunk: &Chunk{Gen: gen, After: Cursor{version - 1, lastID}, Upto: Cursor{version, lastID}, Head: version,
 			Rows: []Row{{ID: "forms-1", Stamp: version, Body: []byte("127.0.0.1:1 in service")}}}}
 	victim.do(victim.node.Heard(w.now, &old))
 	if !victim.known["forms-1"].Less {
-		t.Error("an older word has revived a server")
+		t.Error("an older list has revived a server")
 	}
 }
 
-// A drain counts before the list that it comes with is complete.
+// A drain is delivered before the list that contains it is complete.
 func TestDrainIsHeededAtOnce(t *testing.T) {
-	w := settled(t, 2, 10, 1)
+	w := newSettledWorld(t, 2, 10, 1)
 	h := w.nodes[0]
 	gen, version := h.node.Version()
 	actions := h.node.Heard(w.now, &Datagram{From: company.Word{Place: 1, Epoch: 1 << 50}, Gen: gen, At: Cursor{version + 9, lastID},
@@ -599,17 +601,17 @@
 	if _, v := h.node.Version(); v != version {
 		t.Errorf("version %d, as if the list were complete", v)
 	}
-	// The rest never comes, and the service has put the server back: the module hears of that though the list is as it was.
+	// The rest never arrives, and the service has put the server back: that is delivered though the list is as it was.
 	body := h.w.rows["forms-5"].Body
 	h.do(h.node.Heard(w.now, &Datagram{From: company.Word{Place: 1, Epoch: 1<<50 + 1}, Gen: gen, At: Cursor{version + 20, lastID},
 		Chunk: &Chunk{Gen: gen, Sort: 7, After: Cursor{version, lastID}, Upto: Cursor{version + 20, lastID}, Head: version + 20,
 			Rows: []Row{{ID: "forms-5", Stamp: version + 20, Body: body}}}}))
 	if h.known["forms-5"].Less {
-		t.Error("it drains for ever")
+		t.Error("the server remains draining")
 	}
 }
 
-// What is sent is read again as it was; what no agent sends is an error.
+// A datagram is decoded as it was encoded; contents that no agent sends are an error.
 func TestDatagram(t *testing.T) {
 	d := Datagram{From: company.Word{Place: 3, Epoch: 1 << 41, Beat: 7, Flags: company.Watching}, Gen: 1, At: Cursor{41, lastID}, Age: 1230 * time.Millisecond, Want: true,
 		Others: []company.Word{{Place: 4, Epoch: 5, Age: 20 * time.Millisecond}},
@@ -623,25 +625,25 @@
 		"a row before its chunk": func(d *Datagram) { d.Chunk.Rows[0].Stamp = 40 },
 		"backwards":              func(d *Datagram) { d.Chunk.After.Version = 50 },
 		"beyond its head":        func(d *Datagram) { d.Chunk.Head = 7 },
-		"below nothing":          func(d *Datagram) { d.At.Version = -1 },
-		"a far place":            func(d *Datagram) { d.From.Place = 1 << 30 },
+		"a negative version":     func(d *Datagram) { d.At.Version = -1 },
+		"a high index":           func(d *Datagram) { d.From.Place = 1 << 30 },
 		"too many others":        func(d *Datagram) { d.Others = make([]company.Word, maxOthers+1) },
 		"too large":              func(d *Datagram) { d.Chunk.Rows[0].Body = make([]byte, MostSize) },
 	} {
 		bad, _ := Decode(d.Encode())
 		spoil(bad)
 		if _, err := Decode(bad.Encode()); err == nil {
-			t.Errorf("%s is no error", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 	for n := range d.Encode() {
 		if _, err := Decode(d.Encode()[:n]); err == nil {
-			t.Errorf("the first %d bytes are no error", n)
+			t.Errorf("the first %d bytes: no error", n)
 		}
 	}
 }
 
-// Whatever comes, no more than the bounds is kept, and what is read can be worded again.
+// For any input no more than the bounds is kept, and what is decoded can be encoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add((&Datagram{Gen: 1, At: Cursor{2, "x"}, Chunk: &Chunk{Gen: 1, Upto: Cursor{2, "x"}, Head: 2, Rows: []Row{{ID: "a", Stamp: 1}}}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -650,7 +652,7 @@
 			return
 		}
 		if _, err := Decode(d.Encode()); err != nil && len(d.Encode()) <= MostSize {
-			t.Errorf("worded again: %v", err)
+			t.Errorf("decoding the encoded datagram: %v", err)
 		}
 		c := company.New(company.Settings{Agents: 4, Me: 0, Epoch: 1}, 1)
 		n := New(Defaults, c, asking.New(asking.Settings{Shared: true, Agents: 4}, 1), 0, nil, 1)
--- a/internal/decide/sharing/sheet.go
+++ b/internal/decide/sharing/sheet.go
@@ -7,80 +7,81 @@
 	"sort"
 )
 
-// Row is what a list says of one server.
+// Row is the entry of one server in a list.
 type Row struct {
 	ID    string
-	Stamp int64 // the version in which it came to be so
-	Gone  bool  // it is no more; kept for a while so that others hear of it
-	Less  bool  // it wants nothing new
+	Stamp int64 // in which the entry changed last
+	Gone  bool  // a tombstone: the server was removed; kept for a while so that other agents learn of it
+	Less  bool  // the server accepts no new requests
 	Body  []byte
 }
 
-// Cursor is a place in the order of rows, by stamp and then by id.
+// Cursor is a position in the order of rows, by version and then by id.
 type Cursor struct {
 	Version int64
 	ID      string
 }
 
-// lastID comes after every id.
+// lastID sorts after every id.
 const lastID = "\U0010ffff"
 
 func (c Cursor) compare(o Cursor) int {
 	return cmp.Or(cmp.Compare(c.Version, o.Version), cmp.Compare(c.ID, o.ID))
 }
 
-func (r *Row) at() Cursor { return Cursor{r.Stamp, r.ID} }
+func (r *Row) cursor() Cursor { return Cursor{r.Stamp, r.ID} }
 
-// sheet is a list as it was at a version at the least. A row's stamp is a version at which it was so: agents that heard of
-// several versions at once may stamp it later than others, never earlier than it came to be so.
-type sheet struct {
-	gen    uint64 // which count of versions this is; 0 for none
-	sort   uint16 // tells its order from those of other sheets, which may have other stamps
-	head   int64
-	floor  int64 // rows that were gone before this version are forgotten
-	rows   map[string]*Row
-	order  []*Row
-	stones int // rows that are gone
+// versionedList is a list that is at least at a given version. The version of a row is one at which the row was as it
+// is: an agent that received several versions at once may assign a later version than others, but never one earlier than
+// the change.
+type versionedList struct {
+	gen        uint64 // generation: number of the service's count of versions; 0 for none
+	order      uint16 // random id of the order of rows: in another agent's list rows may have other versions
+	head       int64
+	floor      int64 // tombstones of earlier versions were discarded
+	rows       map[string]*Row
+	byCursor   []*Row
+	tombstones int // number of tombstones
 }
 
-// mostStones is how many rows that are gone are remembered.
-const mostStones = 2048
+// maxTombstones is how many tombstones are kept.
+const maxTombstones = 2048
 
-func newSheet(gen uint64, sort uint16) *sheet {
-	return &sheet{gen: gen, sort: sort, rows: map[string]*Row{}}
+func newVersionedList(gen uint64, order uint16) *versionedList {
+	return &versionedList{gen: gen, order: order, rows: map[string]*Row{}}
 }
 
-// place is where a cursor stands in the order: how many rows come up to it.
-func (s *sheet) place(c Cursor) int {
-	return sort.Search(len(s.order), func(i int) bool { return s.order[i].at().compare(c) > 0 })
+// index returns the number of rows up to and including a cursor.
+func (s *versionedList) index(c Cursor) int {
+	return sort.Search(len(s.byCursor), func(i int) bool { return s.byCursor[i].cursor().compare(c) > 0 })
 }
 
-// put takes a row. It reports whether that changes what the list says.
-func (s *sheet) put(r Row) bool {
+// put stores a row. It reports whether that changes the list.
+func (s *versionedList) put(r Row) bool {
 	old := s.rows[r.ID]
 	if old != nil {
 		if old.Stamp > r.Stamp {
 			return false
 		}
-		i := s.place(old.at()) - 1
-		s.order = slices.Delete(s.order, i, i+1)
+		i := s.index(old.cursor()) - 1
+		s.byCursor = slices.Delete(s.byCursor, i, i+1)
 		if old.Gone {
-			s.stones--
+			s.tombstones--
 		}
 	}
 	row := &r
 	s.rows[r.ID] = row
-	s.order = slices.Insert(s.order, s.place(r.at()), row)
+	s.byCursor = slices.Insert(s.byCursor, s.index(r.cursor()), row)
 	if r.Gone {
-		s.stones++
+		s.tombstones++
 	}
-	for s.stones > mostStones {
-		i := slices.IndexFunc(s.order, func(r *Row) bool { return r.Gone })
-		first := s.order[i]
+	for s.tombstones > maxTombstones {
+		i := slices.IndexFunc(s.byCursor, func(r *Row) bool { return r.Gone })
+		first := s.byCursor[i]
 		s.floor = max(s.floor, first.Stamp)
-		s.order = slices.Delete(s.order, i, i+1)
+		s.byCursor = slices.Delete(s.byCursor, i, i+1)
 		delete(s.rows, first.ID)
-		s.stones--
+		s.tombstones--
 	}
 	if old == nil {
 		return !r.Gone
@@ -88,16 +89,16 @@
 	return old.Gone != r.Gone || !r.Gone && !bytes.Equal(old.Body, r.Body)
 }
 
-// end is the cursor behind all of it.
-func (s *sheet) end() Cursor { return Cursor{s.head, lastID} }
+// end returns the cursor after all rows.
+func (s *versionedList) end() Cursor { return Cursor{s.head, lastID} }
 
-// serves reports whether who is complete up to a cursor can be told the rest.
-func (s *sheet) serves(c Cursor) bool { return c.Version >= s.floor }
+// covers reports whether an agent that is complete up to a cursor can be sent just the rest.
+func (s *versionedList) covers(c Cursor) bool { return c.Version >= s.floor }
 
-// live lists the rows of servers that there are.
-func (s *sheet) live() []Row {
-	out := make([]Row, 0, len(s.order))
-	for _, r := range s.order {
+// live returns the rows without tombstones.
+func (s *versionedList) live() []Row {
+	out := make([]Row, 0, len(s.byCursor))
+	for _, r := range s.byCursor {
 		if !r.Gone {
 			out = append(out, *r)
 		}
