--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -1,5 +1,6 @@
-// Package aging decides what a remembered fact is still worth: less the older it is and the more the fleet changed since,
-// nothing for a server that is another one by now, and never more than a bound. It does no I/O and reads no clock.
+// Package aging decides how much weight a remembered fact still has: less the older it is and the more the fleet has
+// changed since, none for a server that is another one by now, and never more than a bound. It does no I/O and reads no
+// clock.
 package aging
 
 import (
@@ -11,40 +12,42 @@
 	"ternbeam/internal/decide/learned"
 )
 
-// Settings say how fast facts lose their worth: after each half-life it is half of what it was.
+// Settings are the half-lives of facts: after each of them a fact has half the weight that it had.
 type Settings struct {
-	Capacity time.Duration // of a server
-	Failing  time.Duration // of a server, and losses over all
+	Capacity time.Duration // capacity of a server
+	Failing  time.Duration // failure rate of a server, and losses over all
 	Ejection time.Duration
-	Times    time.Duration // usual and least times to an answer
-	Traffic  time.Duration // own answers a second
-	Cold     time.Duration // how cold starts went
+	Times    time.Duration // usual and shortest response times
+	Traffic  time.Duration // the agent's responses per second
+	Cold     time.Duration // outcomes of cold starts
 	Address  time.Duration // which of a server's addresses connected
-	Bend     float64       // remembered capacities count as at most so many times the median one, and as its part at least
-	Forget   time.Duration // what is older is worth nothing
+	Bend     float64       // remembered capacities are clamped to this many times the median one, and to its reciprocal
+	Forget   time.Duration // older facts have no weight
 }
 
-// Defaults are the settings where none are given. Failures and times go together: usual times that outlive what is known
-// of silent servers made quiet agents lose more than without a memory (docs/design/learning.md has the figures).
+// Defaults are the settings where none are configured. Failures and times have the same half-life: usual times that
+// outlived what is known about silent servers made quiet agents lose more requests than without a memory
+// (docs/design/learning.md has the figures).
 var Defaults = Settings{Capacity: 10 * time.Minute, Failing: 15 * time.Minute, Ejection: time.Minute, Times: 15 * time.Minute,
 	Traffic: 15 * time.Minute, Cold: 24 * time.Hour, Address: time.Hour, Bend: 4, Forget: 72 * time.Hour}
 
 const (
-	// leastWorth is what a fact must be worth to count at all.
-	leastWorth = 1.0 / 32
-	// leastEjection is what an ejection must be worth to come back: one in doubt is found again soon enough.
-	leastEjection = 1.0 / 4
-	// leastAddress is what an address that connected must be worth to be tried first.
-	leastAddress = 1.0 / 4
-	// sameLeast is the part of the fleet that must be the same for anything to count.
-	sameLeast = 0.1
-	// ahead is by how much a moment may lie in the future: clocks are read one after the other.
+	// minWeight is the weight below which a fact does not count.
+	minWeight = 1.0 / 32
+	// minEjectionWeight is the weight below which an ejection is not restored: a doubtful one is detected again soon
+	// enough.
+	minEjectionWeight = 1.0 / 4
+	// minAddressWeight is the weight below which an address that connected is not tried first.
+	minAddressWeight = 1.0 / 4
+	// minSimilarity is the part of the fleet that must be unchanged for anything to count.
+	minSimilarity = 0.1
+	// clockTolerance is by how much a moment may lie in the future: clocks are read one after the other.
 	ahead = time.Second
 )
 
-// Since is how long ago a moment was, and whether that can be told at all. The clock since the boot cannot be set and is
-// believed where both moments are of one boot. The wall clock may have been: a moment in its future has no age, and what
-// it was seen to step counts as more age.
+// Since returns how long ago a moment was, and whether that is known at all. The time since boot cannot be set, and is
+// used if both moments are of the same boot. The wall clock may have been set: a moment in its future has an unknown
+// age, and the steps observed count as additional age.
 func Since(then, now learned.Clock) (age time.Duration, known bool) {
 	if then.BootID != "" && then.BootID == now.BootID {
 		age = now.Boot - then.Boot
@@ -56,34 +59,35 @@
 	return max(0, age) + then.Unsure, true
 }
 
-// Worth is what is left of a fact of an age.
+// Weight returns the weight of a fact of an age, from 0 to 1.
 func (s Settings) Worth(halfLife, age time.Duration) float64 {
 	if age > s.Forget || halfLife <= 0 {
 		return 0
 	}
 	w := math.Exp2(-float64(max(0, age)) / float64(halfLife))
-	if w < leastWorth {
+	if w < minWeight {
 		return 0
 	}
 	return w
 }
 
-// Listed is a server that the list names now.
+// Listed is a server in the current list.
 type Listed struct {
 	ID       string
 	Started  time.Duration
 	Identity uint64
 }
 
-// Past is what an earlier agent knew. Each fact of it is given out once at most.
+// Restored is the state that an earlier process of the agent stored. Each fact of it is returned at most once. It is not
+// safe for concurrent use.
 type Past struct {
-	set    Settings
-	shared learned.Shared
-	sure   bool // the age of what is shared is known
-	facts  map[string]fact
-	met    map[uint64]bool // identities that were remembered and are named again
-	median float64         // of the remembered capacities
-	told   bool            // what is shared was given out
+	settings       Settings
+	shared         learned.Shared
+	ageKnown       bool // the age of the shared data is known
+	facts          map[string]fact
+	recognized     map[uint64]bool // remembered identities that are in the list again
+	medianRate     float64         // of the remembered capacities
+	sharedRecalled bool            // the shared data was returned
 }
 
 type fact struct {
@@ -91,82 +95,83 @@
 	at learned.Clock
 }
 
-// New returns the Past that a State is.
+// New returns the Restored of a State.
 func New(set Settings, state learned.State) *Past {
-	p := &Past{set: set, shared: state.Shared, facts: map[string]fact{}, met: map[uint64]bool{}}
+	r := &Past{settings: set, shared: state.Shared, facts: map[string]fact{}, recognized: map[uint64]bool{}}
 	var rates []float64
 	for _, b := range state.Buckets {
 		for _, s := range b.Servers {
-			p.facts[s.ID] = fact{s, b.At}
+			r.facts[s.ID] = fact{s, b.At}
 			if s.Rate > 0 {
 				rates = append(rates, s.Rate)
 			}
 		}
 	}
 	if slices.Sort(rates); len(rates) > 0 {
-		p.median = rates[len(rates)/2]
+		r.medianRate = rates[len(rates)/2]
 	}
-	return p
+	return r
 }
 
-// Left is how many servers are remembered that the list has not named yet.
-func (p *Past) Left() int { return len(p.facts) }
+// Remaining returns the number of remembered servers that were not in any list yet.
+func (r *Past) Left() int { return len(r.facts) }
 
-// Recall gives what is worth remembering of servers that the list names anew, of so many in all; and, the first time, what
-// is shared. Of servers with several addresses it gives those that connected, too. It costs in proportion to the servers
-// named.
-func (p *Past) Recall(now learned.Clock, named []Listed, fleet int) (m choice.Memory, worked []string) {
+// Recall returns the facts about servers that are new in the list, which has the given number of servers in all, and the
+// first time also the shared data. For servers with several addresses it also returns those that connected. It takes
+// time in proportion to the servers named.
+func (r *Past) Recall(now learned.Clock, named []Listed, fleet int) (m choice.Memory, connected []string) {
 	for _, l := range named {
-		if _, found := slices.BinarySearch(p.shared.Fleet, l.Identity); found {
-			p.met[l.Identity] = true
+		if _, found := slices.BinarySearch(r.shared.Fleet, l.Identity); found {
+			r.recognized[l.Identity] = true
 		}
 	}
-	same := p.Same(fleet)
-	if !p.told && len(named) > 0 {
-		p.told = true
-		m = p.sharedMemory(now, same)
+	similarity := r.Same(fleet)
+	if !r.sharedRecalled && len(named) > 0 {
+		r.sharedRecalled = true
+		m = r.agedShared(now, similarity)
 	}
 	for _, l := range named {
-		f, ok := p.facts[l.ID]
+		f, ok := r.facts[l.ID]
 		if !ok || f.Identity != l.Identity || f.Started != l.Started {
-			continue // it restarted, was replaced, moved or speaks otherwise; or this list is older than what is remembered
+			continue // it restarted, was replaced, moved or changed its protocol; or this list is older than the stored state
 		}
-		delete(p.facts, l.ID)
-		if s, any := p.aged(f, now, same); any {
+		delete(r.facts, l.ID)
+		if s, ok := r.agedServer(f, now, similarity); ok {
 			m.Servers = append(m.Servers, s)
 		}
-		if age, known := Since(f.at, now); known && f.Worked != "" && same*p.set.Worth(p.set.Address, age) >= leastAddress {
-			worked = append(worked, f.Worked)
+		if age, known := Since(f.at, now); known && f.Worked != "" && similarity*r.settings.Worth(r.settings.Address, age) >= minAddressWeight {
+			connected = append(connected, f.Worked)
 		}
 	}
-	return m, worked
+	return m, connected
 }
 
-// Same is the part of the fleet that is as it was, of all that it was and is, and nothing where that is next to nothing.
-func (p *Past) Same(fleet int) float64 {
-	met := len(p.met)
-	all := len(p.shared.Fleet) + fleet - met
+// Similarity returns the part of the fleet that is unchanged, of all servers then and now, and 0 where that is below
+// minSimilarity.
+func (r *Past) Same(fleet int) float64 {
+	recognized := len(r.recognized)
+	all := len(r.shared.Fleet) + fleet - recognized
 	if all <= 0 {
 		return 0
 	}
-	if same := float64(met) / float64(all); same >= sameLeast {
-		return min(1, same)
+	if similarity := float64(recognized) / float64(all); similarity >= minSimilarity {
+		return min(1, similarity)
 	}
 	return 0
 }
 
-func (p *Past) sharedMemory(now learned.Clock, same float64) (m choice.Memory) {
-	age, known := Since(p.shared.At, now)
+func (r *Past) agedShared(now learned.Clock, similarity float64) (m choice.Memory) {
+	age, known := Since(r.shared.At, now)
 	if !known {
 		return m
 	}
-	was := p.shared.Memory
-	age += was.Idle
-	worth := func(halfLife time.Duration) float64 { return same * p.set.Worth(halfLife, age) }
-	times := worth(p.set.Times)
-	m = choice.Memory{Served: was.Served * worth(p.set.Traffic), Lost: was.Lost * worth(p.set.Failing), ColdBad: was.ColdBad,
-		ColdSeen: was.ColdSeen * worth(p.set.Cold)}
-	for _, c := range was.Classes {
+	remembered := r.shared.Memory
+	age += remembered.Idle
+	weight := func(halfLife time.Duration) float64 { return similarity * r.settings.Worth(halfLife, age) }
+	times := weight(r.settings.Times)
+	m = choice.Memory{Served: remembered.Served * weight(r.settings.Traffic), Lost: remembered.Lost * weight(r.settings.Failing),
+		ColdBad: remembered.ColdBad, ColdSeen: remembered.ColdSeen * weight(r.settings.Cold)}
+	for _, c := range remembered.Classes {
 		if c.Trust = min(1, c.Trust) * times; c.Trust > 0 {
 			m.Classes = append(m.Classes, c)
 		}
@@ -174,39 +179,40 @@
 	return m
 }
 
-// aged is what is left of what was known of a server.
-func (p *Past) aged(f fact, now learned.Clock, same float64) (s choice.ServerMemory, any bool) {
+// agedServer returns what still counts of the facts about a server, and whether anything does.
+func (r *Past) agedServer(f fact, now learned.Clock, similarity float64) (s choice.ServerMemory, ok bool) {
 	age, known := Since(f.at, now)
-	if !known || same == 0 {
+	if !known || similarity == 0 {
 		return s, false
 	}
 	s = choice.ServerMemory{ID: f.ID, Started: f.Started}
-	if trust := f.Trust * same * p.set.Worth(p.set.Capacity, age+f.Reported); trust > 0 && f.Rate > 0 {
-		s.Rate = min(max(f.Rate, p.median/p.set.Bend), p.median*p.set.Bend)
+	if trust := f.Trust * similarity * r.settings.Worth(r.settings.Capacity, age+f.Reported); trust > 0 && f.Rate > 0 {
+		s.Rate = min(max(f.Rate, r.medianRate/r.settings.Bend), r.medianRate*r.settings.Bend)
 		s.Use, s.Trust, s.Reported = f.Use, trust, age+f.Reported
 	}
-	s.Failing = f.Failing * same * p.set.Worth(p.set.Failing, age+f.Judged)
+	s.Failing = f.Failing * similarity * r.settings.Worth(r.settings.Failing, age+f.Judged)
 	s.Judged = age + f.Judged
-	if worth := same * p.set.Worth(p.set.Ejection, age); f.Ejected && worth >= leastEjection {
-		s.Ejected, s.Trial = true, time.Duration(worth*float64(f.Trial))
+	if weight := similarity * r.settings.Worth(r.settings.Ejection, age); f.Ejected && weight >= minEjectionWeight {
+		s.Ejected, s.Trial = true, time.Duration(weight*float64(f.Trial))
 	}
 	return s, s.Trust > 0 || s.Failing > 0 || s.Ejected
 }
 
-// Fact is a remembered server with what it would be worth now, if the list named it as it was and nothing else changed.
+// Fact is what is remembered about a server, with what would count of it now if it were in the list unchanged and the
+// fleet had not changed.
 type Fact struct {
 	learned.Server
 	Age   time.Duration
-	Known bool // the age
+	Known bool // Age is known
 	Now   choice.ServerMemory
 }
 
-// Show lists what is remembered, by ids, with what it would be worth.
-func (p *Past) Show(now learned.Clock) []Fact {
+// Facts returns all remembered facts, ordered by server id.
+func (r *Past) Show(now learned.Clock) []Fact {
 	var all []Fact
-	for _, f := range p.facts {
+	for _, f := range r.facts {
 		age, known := Since(f.at, now)
-		s, _ := p.aged(f, now, 1)
+		s, _ := r.agedServer(f, now, 1)
 		all = append(all, Fact{Server: f.Server, Age: age, Known: known, Now: s})
 	}
 	slices.SortFunc(all, func(a, b Fact) int {
@@ -218,8 +224,8 @@
 	return all
 }
 
-// ShowShared is what is shared with what it would be worth.
-func (p *Past) ShowShared(now learned.Clock) (age time.Duration, known bool, m choice.Memory) {
-	age, known = Since(p.shared.At, now)
-	return age, known, p.sharedMemory(now, 1)
+// SharedFacts returns the age of the shared data, whether that is known, and what would count of it now.
+func (r *Past) ShowShared(now learned.Clock) (age time.Duration, known bool, m choice.Memory) {
+	age, known = Since(r.shared.At, now)
+	return age, known, r.agedShared(now, 1)
 }
--- a/internal/decide/aging/aging_test.go
+++ b/internal/decide/aging/aging_test.go
@@ -13,15 +13,15 @@
 
 const day = 24 * time.Hour
 
-// set has another half-life for each kind of fact.
-var set = Settings{Capacity: 10 * time.Minute, Failing: 2 * time.Minute, Ejection: time.Minute, Times: time.Hour, Traffic: 5 * time.Minute,
+// settings has another half-life for each kind of fact.
+var settings = Settings{Capacity: 10 * time.Minute, Failing: 2 * time.Minute, Ejection: time.Minute, Times: time.Hour, Traffic: 5 * time.Minute,
 	Cold: day, Address: time.Hour, Bend: 4, Forget: 72 * time.Hour}
 
 func clock(wall, boot time.Duration, id string) learned.Clock {
 	return learned.Clock{Wall: wall, Boot: boot, BootID: id}
 }
 
-// A clock that stepped, and a file from the future, make nothing fresh.
+// A clock that stepped, and a file from the future, make no fact look fresh.
 func TestSince(t *testing.T) {
 	const now = 1000 * day
 	unsure := clock(now-time.Hour, 0, "a")
@@ -49,8 +49,8 @@
 	}
 }
 
-// fleet is a remembered fleet: rates 100, one of 10, one that fails and is ejected.
-func fleet(at learned.Clock, n int) (learned.State, []Listed) {
+// newFleet returns a stored fleet with capacities of 100, one server of 10, and one that fails and is ejected.
+func newFleet(at learned.Clock, n int) (learned.State, []Listed) {
 	var servers []learned.Server
 	var ids []uint64
 	var named []Listed
@@ -71,16 +71,16 @@
 		{Name: "check", Usual: 50 * time.Millisecond, Least: 10 * time.Millisecond, Trust: 1}}}, servers, ids, nil), named
 }
 
-// at gives the memory of the fleet after some time, as a new agent that knows so much of it would have it.
-func at(t *testing.T, age time.Duration, named func([]Listed) []Listed) choice.Memory {
+// recallAfter returns what a new agent recalls of the fleet after some time, if its list is that of named.
+func recallAfter(t *testing.T, age time.Duration, named func([]Listed) []Listed) choice.Memory {
 	t.Helper()
-	state, all := fleet(clock(1000*day, time.Hour, "a"), 8)
+	state, all := newFleet(clock(1000*day, time.Hour, "a"), 8)
 	listed := named(all)
-	m, _ := New(set, state).Recall(clock(1000*day+age, time.Hour+age, "a"), listed, len(listed))
+	m, _ := New(settings, state).Recall(clock(1000*day+age, time.Hour+age, "a"), listed, len(listed))
 	return m
 }
 
-func all(l []Listed) []Listed { return l }
+func unchanged(l []Listed) []Listed { return l }
 
 func server(m choice.Memory, id string) (s choice.ServerMemory) {
 	for _, s := range m.Servers {
@@ -91,16 +91,16 @@
 	return s
 }
 
-// Each kind of fact has its half-life; capacities are bent by so much at most; an ejection comes back as one trial, soon,
-// and not at all when it is old.
+// Each kind of fact has its half-life; capacities are clamped to a factor of the median; an ejection is restored with
+// one trial, soon, and not at all when it is old.
 func TestWorth(t *testing.T) {
-	m := at(t, 0, all)
-	slow, ill := server(m, "sb"), server(m, "sc")
-	if len(m.Servers) != 8 || server(m, "sa").Trust != 1 || slow.Rate != 100/set.Bend || !ill.Ejected || ill.Trial != time.Second ||
-		ill.Failing != 0.8 || m.Served != 100 || m.Lost != 0.02 || m.ColdSeen != 20 || m.Classes[0].Trust != 1 {
+	m := recallAfter(t, 0, unchanged)
+	slow, failing := server(m, "sb"), server(m, "sc")
+	if len(m.Servers) != 8 || server(m, "sa").Trust != 1 || slow.Rate != 100/settings.Bend || !failing.Ejected || failing.Trial != time.Second ||
+		failing.Failing != 0.8 || m.Served != 100 || m.Lost != 0.02 || m.ColdSeen != 20 || m.Classes[0].Trust != 1 {
 		t.Errorf("at once: %+v", m)
 	}
-	m = at(t, 2*time.Minute, all)
+	m = recallAfter(t, 2*time.Minute, unchanged)
 	if s := server(m, "sa"); math.Abs(s.Trust-math.Exp2(-0.2)) > 1e-9 || s.Reported != 2*time.Minute {
 		t.Errorf("capacity after 2 min: %+v", s)
 	}
@@ -110,20 +110,20 @@
 	if math.Abs(m.Lost-0.01) > 1e-9 {
 		t.Errorf("losses after 2 min: %v", m.Lost)
 	}
-	if m = at(t, time.Hour, all); math.Abs(m.Classes[0].Trust-0.5) > 1e-9 || m.Lost != 0 || server(m, "sc").Ejected || server(m, "sc").Failing != 0 {
+	if m = recallAfter(t, time.Hour, unchanged); math.Abs(m.Classes[0].Trust-0.5) > 1e-9 || m.Lost != 0 || server(m, "sc").Ejected || server(m, "sc").Failing != 0 {
 		t.Errorf("after 1 h: %+v", m)
 	}
-	if m = at(t, day, all); len(m.Servers) != 0 || math.Abs(m.ColdSeen-10) > 1e-9 || len(m.Classes) != 0 {
+	if m = recallAfter(t, day, unchanged); len(m.Servers) != 0 || math.Abs(m.ColdSeen-10) > 1e-9 || len(m.Classes) != 0 {
 		t.Errorf("after a day: %+v", m)
 	}
-	if m = at(t, 4*day, all); len(m.Servers) != 0 || m.ColdSeen != 0 || m.Served != 0 {
+	if m = recallAfter(t, 4*day, unchanged); len(m.Servers) != 0 || m.ColdSeen != 0 || m.Served != 0 {
 		t.Errorf("after 4 days: %+v", m)
 	}
 }
 
-// Servers that are others by now have no past, and the more of them are, the less everything counts.
+// Servers that are others by now have no remembered facts, and the more of them there are, the less everything counts.
 func TestFleetThatChanged(t *testing.T) {
-	other := func(from int, change func(*Listed)) func([]Listed) []Listed {
+	changeFrom := func(from int, change func(*Listed)) func([]Listed) []Listed {
 		return func(l []Listed) []Listed {
 			for i := from; i < len(l); i++ {
 				change(&l[i])
@@ -139,83 +139,83 @@
 		servers int
 		trust   float64
 	}{
-		"the same":               {all, 8, 1},
-		"all restarted":          {other(0, restarted), 0, 0},
-		"all moved":              {other(0, moved), 0, 0},
-		"all under other ids":    {other(0, renamed), 0, 0},
-		"half restarted":         {other(4, restarted), 4, 4. / 12},
-		"half under other ids":   {other(4, renamed), 4, 4. / 12},
+		"the same":               {unchanged, 8, 1},
+		"all restarted":          {changeFrom(0, restarted), 0, 0},
+		"all moved":              {changeFrom(0, moved), 0, 0},
+		"all under other ids":    {changeFrom(0, renamed), 0, 0},
+		"half restarted":         {changeFrom(4, restarted), 4, 4. / 12},
+		"half under other ids":   {changeFrom(4, renamed), 4, 4. / 12},
 		"half gone":              {func(l []Listed) []Listed { return l[:4] }, 4, 0.5},
-		"one restarted":          {other(7, restarted), 7, 7. / 9},
+		"one restarted":          {changeFrom(7, restarted), 7, 7. / 9},
 		"twice as many":          {func(l []Listed) []Listed { return append(l, make([]Listed, 8)...) }, 8, 0.5},
-		"all but one are others": {other(1, renamed), 0, 0},
+		"all but one are others": {changeFrom(1, renamed), 0, 0},
 	} {
-		m := at(t, 0, c.named)
+		m := recallAfter(t, 0, c.named)
 		if len(m.Servers) != c.servers || c.servers > 0 && math.Abs(server(m, "sa").Trust-c.trust) > 1e-9 {
 			t.Errorf("%s: %d servers, trust %v", name, len(m.Servers), server(m, "sa").Trust)
 		}
 	}
 }
 
-// A list that is older than what is remembered costs nothing: the one after it finds the facts; and none is given twice.
+// A list that is older than the stored state loses no facts: the list after it finds them; and none is returned twice.
 func TestListsInTurn(t *testing.T) {
 	at := clock(1000*day, time.Hour, "a")
-	state, now := fleet(at, 8)
-	p := New(set, state)
-	old := append([]Listed{}, now...)
+	state, current := newFleet(at, 8)
+	p := New(settings, state)
+	old := append([]Listed{}, current...)
 	for i := range old {
 		old[i].Identity++
 	}
 	if m, _ := p.Recall(at, old, 8); len(m.Servers) != 0 {
 		t.Errorf("%+v", m)
 	}
-	if m, _ := p.Recall(at, now, 8); len(m.Servers) != 8 || p.Left() != 0 {
-		t.Errorf("%d servers, %d left", len(m.Servers), p.Left())
+	if m, _ := p.Recall(at, current, 8); len(m.Servers) != 8 || p.Left() != 0 {
+		t.Errorf("%d servers, %d remaining", len(m.Servers), p.Left())
 	}
-	if m, _ := p.Recall(at, now, 8); len(m.Servers) != 0 || len(m.Classes) != 0 {
-		t.Errorf("given twice: %+v", m)
+	if m, _ := p.Recall(at, current, 8); len(m.Servers) != 0 || len(m.Classes) != 0 {
+		t.Errorf("returned twice: %+v", m)
 	}
 }
 
-// Older is never worth more, whatever the state: not for a server, not for what is shared.
+// For any state, older facts never have more weight, neither about servers nor shared.
 func TestOlderIsNeverWorthMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := func(name string) time.Duration { return time.Duration(rapid.Int64Range(0, int64(5*day)).Draw(t, name)) }
 		first := age("first")
 		second := first + age("more")
-		state, named := fleet(clock(1000*day, time.Hour, "a"), 8)
+		state, named := newFleet(clock(1000*day, time.Hour, "a"), 8)
 		idle := age("reported")
 		for i := range state.Buckets[0].Servers {
 			state.Buckets[0].Servers[i].Reported = idle
 		}
-		when := func(age time.Duration) choice.Memory {
-			m, _ := New(set, state).Recall(clock(0, time.Hour+age, "a"), named, 8)
+		recall := func(age time.Duration) choice.Memory {
+			m, _ := New(settings, state).Recall(clock(0, time.Hour+age, "a"), named, 8)
 			return m
 		}
-		young, old := when(first), when(second)
+		younger, older := recall(first), recall(second)
 		for _, l := range named {
-			y, o := server(young, l.ID), server(old, l.ID)
+			y, o := server(younger, l.ID), server(older, l.ID)
 			if o.Trust > y.Trust || o.Failing > y.Failing || o.Ejected && !y.Ejected || o.Trial > y.Trial {
 				t.Fatalf("%v: %+v, %v: %+v", first, y, second, o)
 			}
 		}
-		if old.Served > young.Served || old.Lost > young.Lost || old.ColdSeen > young.ColdSeen || len(old.Classes) > len(young.Classes) {
-			t.Fatalf("%v: %+v, %v: %+v", first, young, second, old)
+		if older.Served > younger.Served || older.Lost > younger.Lost || older.ColdSeen > younger.ColdSeen || len(older.Classes) > len(younger.Classes) {
+			t.Fatalf("%v: %+v, %v: %+v", first, younger, second, older)
 		}
 	})
 }
 
-// The address that connected is remembered for two half-lives, of the same server.
+// The address that connected is remembered for two half-lives, for the same server only.
 func TestAddressThatWorked(t *testing.T) {
-	for age, want := range map[time.Duration]int{0: 1, 2 * set.Address: 1, 2*set.Address + time.Second: 0} {
-		state, named := fleet(clock(1000*day, time.Hour, "a"), 8)
+	for age, want := range map[time.Duration]int{0: 1, 2 * settings.Address: 1, 2*settings.Address + time.Second: 0} {
+		state, named := newFleet(clock(1000*day, time.Hour, "a"), 8)
 		state.Buckets[0].Servers[3].Worked = "[::1]:80"
-		if _, worked := New(set, state).Recall(clock(0, time.Hour+age, "a"), named, 8); len(worked) != want {
-			t.Errorf("after %v: %q", age, worked)
+		if _, connected := New(settings, state).Recall(clock(0, time.Hour+age, "a"), named, 8); len(connected) != want {
+			t.Errorf("after %v: %q", age, connected)
 		}
 		named[3].Identity++
-		if _, worked := New(set, state).Recall(clock(0, time.Hour, "a"), named, 8); len(worked) != 0 {
-			t.Errorf("of another server: %q", worked)
+		if _, connected := New(settings, state).Recall(clock(0, time.Hour, "a"), named, 8); len(connected) != 0 {
+			t.Errorf("for another server: %q", connected)
 		}
 	}
 }
--- a/internal/decide/keeping/keeping.go
+++ b/internal/decide/keeping/keeping.go
@@ -1,6 +1,6 @@
-// Package keeping decides when an agent writes down what it has learned: when enough of it is new, not too often, not
-// while it is busy, not when its neighbours on the same disk do, less and less where writing fails, and once more at the
-// end. It does no I/O and reads no clock.
+// Package writepolicy decides when an agent writes its learned state to disk: when enough of it has changed, not too
+// often, not while the agent is busy, not at the same time as other agents on the same disk, with growing delays after
+// failures, and once more at shutdown. It does no I/O and reads no clock.
 package keeping
 
 import (
@@ -10,167 +10,168 @@
 	"ternbeam/internal/decide/learned"
 )
 
-// Settings bound the writing.
+// Settings bound the writes.
 type Settings struct {
-	Look      time.Duration // between two looks at what is new
-	Least     time.Duration // between two writes
-	Most      time.Duration // after which anything new is written
-	Enough    float64       // news, as a share of the servers known, from which it is written before that
-	Busy      float64       // calls in hand, as a share of the most, from which a write waits, till twice Most
-	MostBytes float64       // a minute, on average
-	Change    float64       // worth in servers of a change in a bucket that makes it be written
-	Stale     time.Duration // a bucket with any change is written after it
-	Retry     time.Duration // after the first failure; it doubles with each further one
+	Look      time.Duration // between two checks for updates
+	Least     time.Duration // between two writes at the least
+	Most      time.Duration // after which any update is written
+	Enough    float64       // updates, relative to the number of known servers, from which on they are written earlier
+	Busy      float64       // calls in progress, as a share of the maximum, from which on a write is deferred, up to twice MaxInterval
+	MostBytes float64       // written per minute, on average
+	Change    float64       // distance, in units of one server, from which on a changed bucket is written
+	Stale     time.Duration // after which a bucket that holds any server is written, even if nothing in it changed
+	Retry     time.Duration // after the first failure; doubles with each further one
 	MostRetry time.Duration
 }
 
-// Defaults are the settings where none are given.
+// Defaults are the settings where none are configured.
 var Defaults = Settings{Look: time.Second, Least: 5 * time.Second, Most: time.Minute, Enough: 1, Busy: 0.5, MostBytes: 4 << 20,
 	Change: 0.25, Stale: 2 * time.Minute, Retry: 5 * time.Second, MostRetry: 10 * time.Minute}
 
-// View is what a look at the agent shows.
+// View is the state of the agent at a check.
 type View struct {
 	News    uint64 // the module's count of what it learned
 	Servers int    // in the list
 	Load    float64
 }
 
-// Keeper is one agent's. It is not safe for concurrent use.
+// Policy decides for one agent. It is not safe for concurrent use.
 type Keeper struct {
-	set     Settings
-	rng     *rand.Rand
-	next    time.Duration // the next look
-	written time.Duration // the latest write that succeeded, or the start
-	news    uint64        // as of it
-	taken   uint64        // as of the write under way
-	failed  int           // writes in a row
-	least   time.Duration // with this write's own jitter
-	most    time.Duration
-	bytes   float64 // written of late: a bucket that leaks MostBytes a minute
-	leaked  time.Duration
-	ended   bool
+	settings       Settings
+	rng            *rand.Rand
+	nextCheck      time.Duration // time of the next check
+	writtenAt      time.Duration // when the latest write succeeded, or the start
+	writtenUpdates uint64        // View.Updates at that write
+	pendingUpdates uint64        // View.Updates at the write in progress
+	failures       int           // number of failed writes in a row
+	minInterval    time.Duration // for the next write, with jitter
+	maxInterval    time.Duration
+	recentBytes    float64 // leaky bucket of bytes written, which drains by BytesPerMinute
+	leakedAt       time.Duration
+	ended          bool
 }
 
-// New returns a Keeper that begins now. The first write comes at a time of its own, as agents of one disk may have been
-// started together.
+// New returns a Policy that starts now. The first check is at a random time, as agents on one disk may have been started
+// together.
 func New(set Settings, now time.Duration, seed uint64) *Keeper {
-	k := &Keeper{set: set, rng: rand.New(rand.NewPCG(seed, 1)), written: now, leaked: now}
-	k.next = now + time.Duration(k.rng.Float64()*float64(set.Look))
-	k.draw()
-	return k
+	p := &Keeper{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), writtenAt: now, leakedAt: now}
+	p.nextCheck = now + time.Duration(p.rng.Float64()*float64(set.Look))
+	p.drawIntervals()
+	return p
 }
 
-// draw draws the bounds for the next write: from three quarters to five quarters of what is set.
-func (k *Keeper) draw() {
-	k.least = k.jitter(k.set.Least)
-	k.most = k.jitter(k.set.Most)
+// drawIntervals draws the bounds for the next write: from 3/4 to 5/4 of those configured.
+func (p *Keeper) drawIntervals() {
+	p.minInterval = p.jitter(p.settings.Least)
+	p.maxInterval = p.jitter(p.settings.Most)
 }
 
-func (k *Keeper) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + k.rng.Float64()/2))
+func (p *Keeper) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.75 + p.rng.Float64()/2))
 }
 
-// Next is when the next look is due.
-func (k *Keeper) Next() time.Duration { return k.next }
+// NextCheck returns when the next check is due.
+func (p *Keeper) Next() time.Duration { return p.nextCheck }
 
-// Failed is how many writes failed in a row.
-func (k *Keeper) Failed() int { return k.failed }
+// Failures returns the number of failed writes in a row.
+func (p *Keeper) Failed() int { return p.failures }
 
-// Looked takes a look at the agent and says whether to write now. After a write, Wrote must come before the next look.
-func (k *Keeper) Looked(now time.Duration, v View) (write bool) {
-	k.next = now + k.set.Look
-	k.leak(now)
-	since := now - k.written
-	fresh := v.News - k.news // a count that wraps still differs
+// Check decides whether to write now. After a write, WriteDone must be called before the next Check.
+func (p *Keeper) Looked(now time.Duration, v View) (write bool) {
+	p.nextCheck = now + p.settings.Look
+	p.leak(now)
+	since := now - p.writtenAt
+	updates := v.News - p.writtenUpdates // a count that wraps around still differs
 	switch {
-	case k.ended || fresh == 0:
+	case p.ended || updates == 0:
 		return false
-	case since < k.least || k.bytes >= k.set.MostBytes:
+	case since < p.minInterval || p.recentBytes >= p.settings.MostBytes:
 		return false
-	case since < k.most && float64(fresh) < k.set.Enough*float64(max(1, v.Servers)):
+	case since < p.maxInterval && float64(updates) < p.settings.Enough*float64(max(1, v.Servers)):
 		return false
-	case v.Load >= k.set.Busy && since < 2*k.most:
+	case v.Load >= p.settings.Busy && since < 2*p.maxInterval:
 		return false
 	}
-	k.taken = v.News
+	p.pendingUpdates = v.News
 	return true
 }
 
-// leak lets time pass for the bytes that were written.
-func (k *Keeper) leak(now time.Duration) {
-	k.bytes = max(0, k.bytes-k.set.MostBytes*(now-k.leaked).Minutes())
-	k.leaked = now
+// leak drains the bucket of bytes written for the time passed.
+func (p *Keeper) leak(now time.Duration) {
+	p.recentBytes = max(0, p.recentBytes-p.settings.MostBytes*(now-p.leakedAt).Minutes())
+	p.leakedAt = now
 }
 
-// Wrote takes the end of a write.
-func (k *Keeper) Wrote(now time.Duration, bytes int64, err error) {
-	k.leak(now)
-	k.bytes += float64(bytes)
+// WriteDone notes the end of a write.
+func (p *Keeper) Wrote(now time.Duration, bytes int64, err error) {
+	p.leak(now)
+	p.recentBytes += float64(bytes)
 	if err != nil {
-		k.failed++
-		wait := k.set.Retry << min(k.failed-1, 20)
-		if wait > k.set.MostRetry || wait <= 0 {
-			wait = k.set.MostRetry
+		p.failures++
+		wait := p.settings.Retry << min(p.failures-1, 20)
+		if wait > p.settings.MostRetry || wait <= 0 {
+			wait = p.settings.MostRetry
 		}
-		k.next = now + k.jitter(wait)
+		p.nextCheck = now + p.jitter(wait)
 		return
 	}
-	k.failed, k.written, k.news = 0, now, k.taken
-	k.next = now + k.set.Look
-	k.draw()
+	p.failures, p.writtenAt, p.writtenUpdates = 0, now, p.pendingUpdates
+	p.nextCheck = now + p.settings.Look
+	p.drawIntervals()
 }
 
-// End says that the agent ends, and whether there is something to write for the last time. Nothing is after it.
-func (k *Keeper) End(v View) (write bool) {
-	if k.ended {
+// End notes that the agent shuts down, and reports whether there is something to write for the last time. There is no
+// further write after it.
+func (p *Keeper) End(v View) (write bool) {
+	if p.ended {
 		return false
 	}
-	k.ended = true
-	k.taken = v.News
-	return v.News != k.news
+	p.ended = true
+	p.pendingUpdates = v.News
+	return v.News != p.writtenUpdates
 }
 
-// Pick says which parts of a State are worth writing, given what was written last: what is shared, and which buckets.
-// Without anything written before it is all. It gives way after each bucket.
-func Pick(set Settings, last, now learned.State, giveWay func()) (shared bool, buckets []int) {
-	if giveWay == nil {
-		giveWay = func() {}
+// SelectChanged returns which parts of a State to write, given what was written last: whether the shared data, and which
+// buckets. If nothing was written before, that is all. It calls yield after each bucket; yield may be nil.
+func Pick(set Settings, last, now learned.State, yield func()) (shared bool, buckets []int) {
+	if yield == nil {
+		yield = func() {}
 	}
-	all := last.Shared.Buckets != now.Shared.Buckets || last.Shared.Agent != now.Shared.Agent
-	shared = all || learned.DifferShared(last.Shared, now.Shared) >= set.Change || stale(set, last.Shared.At, now.Shared.At)
+	everything := last.Shared.Buckets != now.Shared.Buckets || last.Shared.Agent != now.Shared.Agent
+	shared = everything || learned.DifferShared(last.Shared, now.Shared) >= set.Change || tooOld(set, last.Shared.At, now.Shared.At)
 	for i := range now.Buckets {
-		giveWay()
-		if all {
+		yield()
+		if everything {
 			buckets = append(buckets, i)
 			continue
 		}
-		differs := learned.DifferBucket(last.Buckets[i], now.Buckets[i])
-		known := len(last.Buckets[i].Servers)+len(now.Buckets[i].Servers) > 0
-		if differs >= set.Change || known && stale(set, last.Buckets[i].At, now.Buckets[i].At) {
+		distance := learned.DifferBucket(last.Buckets[i], now.Buckets[i])
+		nonEmpty := len(last.Buckets[i].Servers)+len(now.Buckets[i].Servers) > 0
+		if distance >= set.Change || nonEmpty && tooOld(set, last.Buckets[i].At, now.Buckets[i].At) {
 			buckets = append(buckets, i)
 		}
 	}
 	return shared, buckets
 }
 
-// stale reports whether what was written then has lost too much of its worth by its age alone.
-func stale(set Settings, then, now learned.Clock) bool {
+// tooOld reports whether what was written then has lost too much weight by its age alone.
+func tooOld(set Settings, then, now learned.Clock) bool {
 	if then.BootID == "" {
 		return now.Wall-then.Wall >= set.Stale
 	}
 	return now.Boot-then.Boot >= set.Stale || then.BootID != now.BootID
 }
 
-// Steps follows the clocks of a machine: it sums up by how much the wall clock stepped against the one that cannot be set.
+// ClockSteps follows the clocks of a machine: it sums up by how much the wall clock stepped against the time since boot.
 type Steps struct {
 	last   learned.Clock
 	Unsure time.Duration
 }
 
-// step is what counts as one: clocks are slewed by less between two looks.
+// minClockStep is the least drift that counts as a step: between two checks clocks are slewed by less.
 const step = 500 * time.Millisecond
 
-// Saw takes a reading of the clocks and returns it with all steps seen so far.
+// Observe takes a reading of the clocks and returns it with the sum of all steps observed so far.
 func (s *Steps) Saw(now learned.Clock) learned.Clock {
 	if s.last.BootID != "" && s.last.BootID == now.BootID {
 		if drift := ((now.Wall - s.last.Wall) - (now.Boot - s.last.Boot)).Abs(); drift >= step {
--- a/internal/decide/keeping/keeping_test.go
+++ b/internal/decide/keeping/keeping_test.go
@@ -13,12 +13,12 @@
 	"ternbeam/internal/decide/learned"
 )
 
-// run lets a Keeper look till some time, with what it sees, and returns when it wrote. Writes take no time.
-func run(k *Keeper, till time.Duration, view func(now time.Duration) View, wrote func(now time.Duration) (int64, error)) (writes []time.Duration) {
-	for k.Next() < till {
+// runChecks runs the checks of a Policy until some time, and returns when it wrote. Writes take no time.
+func runChecks(k *Keeper, until time.Duration, view func(now time.Duration) View, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
+	for k.Next() < until {
 		now := k.Next()
 		if k.Looked(now, view(now)) {
-			bytes, err := wrote(now)
+			bytes, err := write(now)
 			k.Wrote(now, bytes, err)
 			writes = append(writes, now)
 		}
@@ -26,61 +26,61 @@
 	return writes
 }
 
-func well(time.Duration) (int64, error) { return 1000, nil }
+func succeed(time.Duration) (int64, error) { return 1000, nil }
 
-// rate is a view in which so much news comes a second, to 10 servers, under a load.
-func rate(a float64, load float64) func(time.Duration) View {
+// updateRate returns a view with the given number of updates per second, for 10 servers, under a load.
+func updateRate(a float64, load float64) func(time.Duration) View {
 	return func(now time.Duration) View { return View{News: uint64(a * now.Seconds()), Servers: 10, Load: load} }
 }
 
-func gaps(writes []time.Duration) (least, most time.Duration) {
+func intervals(writes []time.Duration) (shortest, longest time.Duration) {
 	for i := 1; i < len(writes); i++ {
 		gap := writes[i] - writes[i-1]
-		if least == 0 || gap < least {
-			least = gap
+		if shortest == 0 || gap < shortest {
+			shortest = gap
 		}
-		most = max(most, gap)
+		longest = max(longest, gap)
 	}
-	return least, most
+	return shortest, longest
 }
 
 func TestWhenItWrites(t *testing.T) {
 	set := Defaults
-	slack := set.Look
+	tolerance := set.Look
 	for name, c := range map[string]struct {
-		view        func(time.Duration) View
-		wrote       func(time.Duration) (int64, error)
-		least, most time.Duration // between writes; 0, 0 for none at all
+		view              func(time.Duration) View
+		wrote             func(time.Duration) (int64, error)
+		shortest, longest time.Duration // between writes; 0, 0 for none at all
 	}{
-		"much is new":      {rate(100, 0), well, set.Least * 3 / 4, set.Least*5/4 + slack},
-		"little is new":    {rate(0.1, 0), well, set.Most * 3 / 4, set.Most*5/4 + slack},
-		"nothing is new":   {rate(0, 0), well, 0, 0},
-		"busy":             {rate(100, 0.9), well, set.Most * 3 / 2, set.Most*5/2 + slack},
-		"the disk is full": {rate(100, 0), func(time.Duration) (int64, error) { return 0, errors.New("full") }, set.Retry * 3 / 4, set.MostRetry * 5 / 4},
-		"large writes":     {rate(100, 0), func(time.Duration) (int64, error) { return int64(set.MostBytes), nil }, set.Least, time.Minute + slack},
+		"much is new":      {updateRate(100, 0), succeed, set.Least * 3 / 4, set.Least*5/4 + tolerance},
+		"little is new":    {updateRate(0.1, 0), succeed, set.Most * 3 / 4, set.Most*5/4 + tolerance},
+		"nothing is new":   {updateRate(0, 0), succeed, 0, 0},
+		"busy":             {updateRate(100, 0.9), succeed, set.Most * 3 / 2, set.Most*5/2 + tolerance},
+		"the disk is full": {updateRate(100, 0), func(time.Duration) (int64, error) { return 0, errors.New("full") }, set.Retry * 3 / 4, set.MostRetry * 5 / 4},
+		"large writes":     {updateRate(100, 0), func(time.Duration) (int64, error) { return int64(set.MostBytes), nil }, set.Least, time.Minute + tolerance},
 	} {
 		t.Run(name, func(t *testing.T) {
-			writes := run(New(set, 0, 1), 10*time.Hour, c.view, c.wrote)
-			least, most := gaps(writes)
-			if c.most == 0 {
+			writes := runChecks(New(set, 0, 1), 10*time.Hour, c.view, c.wrote)
+			shortest, longest := intervals(writes)
+			if c.longest == 0 {
 				if len(writes) > 0 {
 					t.Errorf("%d writes", len(writes))
 				}
 				return
 			}
-			if len(writes) < 10 || least < c.least || most > c.most {
-				t.Errorf("%d writes, %v to %v apart; want %v to %v", len(writes), least, most, c.least, c.most)
+			if len(writes) < 10 || shortest < c.shortest || longest > c.longest {
+				t.Errorf("%d writes, %v to %v apart; want %v to %v", len(writes), shortest, longest, c.shortest, c.longest)
 			}
 		})
 	}
 }
 
-// Agents that start together on one disk do not write together.
+// Agents that start together on one disk do not write at the same time.
 func TestNeighbours(t *testing.T) {
 	at := map[time.Duration]int{}
 	const agents = 100
 	for seed := range uint64(agents) {
-		for _, w := range run(New(Defaults, 0, seed), 5*time.Minute, rate(100, 0), well) {
+		for _, w := range runChecks(New(Defaults, 0, seed), 5*time.Minute, updateRate(100, 0), succeed) {
 			at[w.Truncate(100*time.Millisecond)]++
 		}
 	}
@@ -92,17 +92,17 @@
 	if most > 12 {
 		t.Errorf("%d of %d agents write within the same 100 ms", most, agents)
 	}
-	t.Logf("%d writes, %d within 100 ms at most", all, most)
+	t.Logf("%d writes, at most %d within 100 ms", all, most)
 }
 
-// What was not written because of a failure is written once that goes, and no later than it says.
+// What was not written because of a failure is written once the failure ends, within the longest retry delay.
 func TestRecovers(t *testing.T) {
 	k := New(Defaults, 0, 1)
-	broken := true
+	failing := true
 	fails := 0
-	writes := run(k, time.Hour, func(now time.Duration) View { broken = now < 30*time.Minute; return View{News: 5, Servers: 1} },
+	writes := runChecks(k, time.Hour, func(now time.Duration) View { failing = now < 30*time.Minute; return View{News: 5, Servers: 1} },
 		func(time.Duration) (int64, error) {
-			if broken {
+			if failing {
 				fails++
 				return 0, errors.New("no")
 			}
@@ -114,23 +114,23 @@
 	}
 }
 
-// At the end there is one more write, if anything is new.
+// At shutdown there is one more write, if anything has changed.
 func TestEnd(t *testing.T) {
 	k := New(Defaults, 0, 1)
-	run(k, time.Minute, rate(100, 0), well)
+	runChecks(k, time.Minute, updateRate(100, 0), succeed)
 	v := View{News: 1 << 20, Servers: 1}
 	if !k.End(v) || k.End(v) || k.Looked(time.Hour, v) {
-		t.Error("not one last write")
+		t.Error("not exactly one last write")
 	}
 	k = New(Defaults, 0, 1)
-	run(k, time.Minute, func(time.Duration) View { return View{News: 3, Servers: 1} }, well)
+	runChecks(k, time.Minute, func(time.Duration) View { return View{News: 3, Servers: 1} }, succeed)
 	if k.End(View{News: 3, Servers: 1}) {
-		t.Error("a last write of nothing new")
+		t.Error("a last write without updates")
 	}
 }
 
-// Whatever comes: never two writes closer than three quarters of the least time, never more bytes than the bound and one
-// write, and each look is later than the one before.
+// For any input no two writes are closer than 3/4 of the least interval, no more bytes are written than the bound plus
+// one write, and each check is later than the one before.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := New(Defaults, 0, rapid.Uint64().Draw(t, "seed"))
@@ -139,7 +139,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "looks") {
 			if k.Next() < now {
-				t.Fatalf("a look at %v after one at %v", k.Next(), now)
+				t.Fatalf("a check at %v after one at %v", k.Next(), now)
 			}
 			now = k.Next() + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
 			v := View{News: rapid.Uint64().Draw(t, "news"), Servers: rapid.IntRange(0, 100).Draw(t, "servers"), Load: rapid.Float64Range(0, 1).Draw(t, "load")}
@@ -165,8 +165,8 @@
 	})
 }
 
-// state is one of n servers of a rate each.
-func state(at time.Duration, n int, rates func(i int) float64) learned.State {
+// newState returns a state with n servers and the given rates.
+func newState(at time.Duration, n int, rates func(i int) float64) learned.State {
 	var servers []learned.Server
 	var fleet []uint64
 	for i := range n {
@@ -180,14 +180,14 @@
 func TestPick(t *testing.T) {
 	const n = 1000
 	same := func(int) float64 { return 100 }
-	base := state(0, n, same)
+	base := newState(0, n, same)
 	if shared, buckets := Pick(Defaults, learned.State{}, base, nil); !shared || len(buckets) != 16 {
 		t.Errorf("at first: %t, %d", shared, len(buckets))
 	}
-	if shared, buckets := Pick(Defaults, base, state(time.Second, n, same), nil); shared || len(buckets) != 0 {
+	if shared, buckets := Pick(Defaults, base, newState(time.Second, n, same), nil); shared || len(buckets) != 0 {
 		t.Errorf("nothing changed: %t, %v", shared, buckets)
 	}
-	place := learned.Place("7", 16)
+	bucket := learned.Place("7", 16)
 	one := func(x float64) func(int) float64 {
 		return func(i int) float64 {
 			if i == 7 {
@@ -196,40 +196,40 @@
 			return 100
 		}
 	}
-	if shared, buckets := Pick(Defaults, base, state(time.Second, n, one(50)), nil); shared || !slices.Equal(buckets, []int{place}) {
+	if shared, buckets := Pick(Defaults, base, newState(time.Second, n, one(50)), nil); shared || !slices.Equal(buckets, []int{bucket}) {
 		t.Errorf("one server halved: %t, %v", shared, buckets)
 	}
-	if shared, buckets := Pick(Defaults, base, state(time.Second, n, one(95)), nil); shared || len(buckets) != 0 {
+	if shared, buckets := Pick(Defaults, base, newState(time.Second, n, one(95)), nil); shared || len(buckets) != 0 {
 		t.Errorf("one server changed a little: %t, %v", shared, buckets)
 	}
-	if shared, buckets := Pick(Defaults, base, state(time.Second, n-1, same), nil); !shared || !slices.Equal(buckets, []int{learned.Place("999", 16)}) {
-		t.Errorf("one server left: %t, %v", shared, buckets)
+	if shared, buckets := Pick(Defaults, base, newState(time.Second, n-1, same), nil); !shared || !slices.Equal(buckets, []int{learned.Place("999", 16)}) {
+		t.Errorf("one server removed: %t, %v", shared, buckets)
 	}
-	if shared, buckets := Pick(Defaults, base, state(Defaults.Stale, n, same), nil); !shared || len(buckets) != 16 {
+	if shared, buckets := Pick(Defaults, base, newState(Defaults.Stale, n, same), nil); !shared || len(buckets) != 16 {
 		t.Errorf("old: %t, %d", shared, len(buckets))
 	}
-	if shared, buckets := Pick(Defaults, base, state(time.Second, 100, same), nil); !shared || len(buckets) != 2 {
-		t.Errorf("spread otherwise: %t, %d", shared, len(buckets))
+	if shared, buckets := Pick(Defaults, base, newState(time.Second, 100, same), nil); !shared || len(buckets) != 2 {
+		t.Errorf("another number of buckets: %t, %d", shared, len(buckets))
 	}
 }
 
-// Steps of the wall clock are seen, either way, and slewing is not.
+// Steps of the wall clock are detected in both directions, and slewing is not.
 func TestSteps(t *testing.T) {
 	var s Steps
-	at := func(wall, boot time.Duration) time.Duration {
+	observe := func(wall, boot time.Duration) time.Duration {
 		return s.Saw(learned.Clock{Wall: wall, Boot: boot, BootID: "a"}).Unsure
 	}
 	for i := range 10 {
 		slewed := time.Duration(i) * 10 * time.Millisecond
-		if got := at(time.Hour+time.Duration(i)*time.Second+slewed, time.Duration(i)*time.Second); got != 0 {
-			t.Fatalf("slewed by %v: unsure %v", slewed, got)
+		if got := observe(time.Hour+time.Duration(i)*time.Second+slewed, time.Duration(i)*time.Second); got != 0 {
+			t.Fatalf("slewed by %v: uncertainty %v", slewed, got)
 		}
 	}
-	ahead := at(2*time.Hour, 10*time.Second)
+	ahead := observe(2*time.Hour, 10*time.Second)
 	if ahead < time.Hour-11*time.Second || ahead > time.Hour {
-		t.Errorf("an hour ahead: unsure %v", ahead)
+		t.Errorf("an hour ahead: uncertainty %v", ahead)
 	}
-	if back := at(time.Hour, 11*time.Second); back < ahead+time.Hour || back > ahead+time.Hour+time.Second {
-		t.Errorf("and an hour back: unsure %v", back)
+	if back := observe(time.Hour, 11*time.Second); back < ahead+time.Hour || back > ahead+time.Hour+time.Second {
+		t.Errorf("and an hour back: uncertainty %v", back)
 	}
 }
--- a/internal/decide/learned/learned.go
+++ b/internal/decide/learned/learned.go
@@ -1,5 +1,6 @@
-// Package learned is what an agent has learned as a value that outlives it: what of it is kept in which record, how these
-// are worded, and how much one such value differs from another. It does no I/O and reads no clock.
+// Package learned holds the state that an agent has learned, in a form that outlives the process: which part of it is
+// stored in which record, how records are encoded, and how much one state differs from another. It does no I/O and reads
+// no clock.
 package learned
 
 import (
@@ -14,25 +15,25 @@
 	"ternbeam/choice"
 )
 
-// Clock is a moment on the clocks of a machine. The wall clock may be set; the time since the machine's boot cannot, and
-// says nothing to another boot.
+// Clock is a moment on the clocks of a machine. The wall clock may be set; the time since boot cannot, and has no
+// meaning for another boot.
 type Clock struct {
 	Wall   time.Duration // Unix time
-	Boot   time.Duration // since the boot
-	BootID string        // which boot; empty where it is not known
-	Unsure time.Duration // by how much the wall clock was seen to step while the agent ran
+	Boot   time.Duration // since boot
+	BootID string        // identifies the boot; empty where unknown
+	Unsure time.Duration // sum of the steps of the wall clock that were observed while the agent ran
 }
 
-// Server is what was learned of a server.
+// Server is what was learned about a server.
 type Server struct {
 	choice.ServerMemory
-	Addr     string // for those who read it
-	Worked   string // of several addresses, the one that connected last; empty where none did
-	Identity uint64 // of all that the list says which makes it this server, in this life
+	Addr     string // informational
+	Worked   string // of several addresses, the one that connected last; empty if none did
+	Identity uint64 // hash of the server's properties, see the function Identity
 }
 
-// Identity sums up what makes an entry of the list this server in this life: another start, address, protocol, place or
-// size makes it another one, of which nothing is known.
+// Identity returns a hash of the properties that identify a server and its process in the list: with another start time,
+// address, protocol, zone, cell or weight it counts as another server, about which nothing is known.
 func Identity(s choice.Server, addr string, multiplexed bool) uint64 {
 	b := make([]byte, 0, 128)
 	text := func(t string) { b = append(append(b, byte(len(t)), byte(len(t)>>8)), t...) }
@@ -57,52 +58,52 @@
 	return xxhash.Sum64(b)
 }
 
-// Shared is what was learned of no single server.
+// Shared is what was learned that belongs to no single server.
 type Shared struct {
 	At      Clock
-	Agent   string        // whose it is
+	Agent   string        // name of the agent that learned it
 	Memory  choice.Memory // without servers
-	Fleet   []uint64      // identities of all servers that the list named, in order
-	Buckets int           // over which the servers are spread, a power of two
+	Fleet   []uint64      // identities of all servers in the list, sorted
+	Buckets int           // number of buckets over which the servers are spread, a power of two
 }
 
-// Bucket is a part of the servers, in the order of their ids.
+// Bucket holds a part of the servers, ordered by id.
 type Bucket struct {
 	At      Clock
 	Servers []Server
 }
 
-// State is all that was learned.
+// State is all that an agent has learned.
 type State struct {
 	Shared  Shared
 	Buckets []Bucket
 }
 
-// perBucket is about how many servers a bucket holds: as a whole it is what is written of them at the least.
-const perBucket = 64
+// serversPerBucket is about how many servers a bucket holds. Servers are written by whole buckets.
+const serversPerBucket = 64
 
-// MaxBuckets bounds them.
+// MaxBuckets bounds the number of buckets.
 const MaxBuckets = 1 << 12
 
-// bucketsFor is how many buckets so many servers are spread over.
-func bucketsFor(servers int) int {
-	n := max(1, (servers+perBucket-1)/perBucket)
+// bucketCount returns the number of buckets for a number of servers.
+func bucketCount(servers int) int {
+	n := max(1, (servers+serversPerBucket-1)/serversPerBucket)
 	return min(MaxBuckets, 1<<bits.Len(uint(n-1)))
 }
 
-// Place is the bucket of a server.
+// BucketOf returns the bucket of a server.
 func Place(id string, buckets int) int { return int(xxhash.Sum64String(id) & uint64(buckets-1)) }
 
-// New puts a State together. Servers are those of which anything is known, the fleet is all. It gives way after each some
-// servers, as others may wait for the core that it runs on; nil for never.
-func New(at Clock, agent string, memory choice.Memory, servers []Server, fleet []uint64, giveWay func()) State {
-	if giveWay == nil {
-		giveWay = func() {}
+// New builds a State. Servers are those about which anything is known, fleet has the identities of all. It calls yield
+// every few servers, as other goroutines may be waiting for the CPU that it runs on; yield may be nil.
+func New(at Clock, agent string, memory choice.Memory, servers []Server, fleet []uint64, yield func()) State {
+	if yield == nil {
+		yield = func() {}
 	}
 	memory.Servers = nil
 	memory.Classes = slices.Clone(memory.Classes)
 	s := State{Shared: Shared{At: at, Agent: agent, Memory: memory, Fleet: slices.Sorted(slices.Values(fleet)),
-		Buckets: bucketsFor(len(fleet))}}
+		Buckets: bucketCount(len(fleet))}}
 	s.Buckets = make([]Bucket, s.Shared.Buckets)
 	for i := range s.Buckets {
 		s.Buckets[i].At = at
@@ -110,18 +111,18 @@
 	for i := range servers {
 		b := &s.Buckets[Place(servers[i].ID, s.Shared.Buckets)]
 		b.Servers = append(b.Servers, servers[i])
-		if i%perBucket == 0 {
-			giveWay()
+		if i%serversPerBucket == 0 {
+			yield()
 		}
 	}
 	for _, b := range s.Buckets {
 		slices.SortFunc(b.Servers, func(x, y Server) int { return cmp.Compare(x.ID, y.ID) })
-		giveWay()
+		yield()
 	}
 	return s
 }
 
-// Count returns how many servers a State knows of.
+// Count returns the number of servers about which a State has data.
 func (s State) Count() (n int) {
 	for _, b := range s.Buckets {
 		n += len(b.Servers)
@@ -129,18 +130,18 @@
 	return n
 }
 
-// Weights of what may differ: one server's worth is 1.
+// Weights of differences between two states; 1 stands for one server that is new or unknown.
 const (
-	weighCapacity = 1.0  // for a capacity that doubled, halved, came or went
-	weighFailing  = 1.0  // for a share of failures of 1 more or less
-	weighEjected  = 1.0  // for one that is ejected, or no longer is
-	weighTimes    = 1.0  // for a class whose usual time doubled or halved
-	weighAddress  = 0.25 // for a server that connects by another address
-	weighFleet    = 0.5  // for a server that the list names, or no longer does
+	weightCapacity = 1.0  // a capacity that doubled, halved, appeared or disappeared
+	weightFailing  = 1.0  // a failure rate that changed by 1
+	weightEjected  = 1.0  // a server that was ejected, or is no longer
+	weightTimes    = 1.0  // a class whose usual time doubled or halved
+	weightAddress  = 0.25 // a server that connects by another address
+	weightFleet    = 0.5  // a server that was added to the list or removed from it
 )
 
-// doublings is how far two figures are apart, as a multiple of a doubling, 1 at most.
-func doublings(a, b float64) float64 {
+// ratioDistance returns the distance between two figures in doublings, 1 at most.
+func ratioDistance(a, b float64) float64 {
 	switch {
 	case a == b:
 		return 0
@@ -150,49 +151,49 @@
 	return min(1, math.Abs(math.Log2(a/b)))
 }
 
-// DifferBucket is how much a bucket differs from a later one, in servers' worths.
-func DifferBucket(old, now Bucket) (worth float64) {
+// BucketDistance returns how much a bucket differs from a later one, in units of one server.
+func DifferBucket(old, now Bucket) (distance float64) {
 	known := make(map[string]*Server, len(old.Servers))
 	for i := range old.Servers {
 		known[old.Servers[i].ID] = &old.Servers[i]
 	}
 	for i := range now.Servers {
 		s := &now.Servers[i]
-		was := known[s.ID]
-		if was == nil || was.Identity != s.Identity {
-			worth += weighCapacity
+		before := known[s.ID]
+		if before == nil || before.Identity != s.Identity {
+			distance += weightCapacity
 			continue
 		}
 		delete(known, s.ID)
-		if was.Worked != s.Worked {
-			worth += weighAddress
+		if before.Worked != s.Worked {
+			distance += weightAddress
 		}
-		worth += weighCapacity*doublings(was.Rate, s.Rate) + weighFailing*math.Abs(was.Failing-s.Failing)
-		if was.Ejected != s.Ejected {
-			worth += weighEjected
+		distance += weightCapacity*ratioDistance(before.Rate, s.Rate) + weightFailing*math.Abs(before.Failing-s.Failing)
+		if before.Ejected != s.Ejected {
+			distance += weightEjected
 		}
 	}
-	return worth + weighCapacity*float64(len(known))
+	return distance + weightCapacity*float64(len(known))
 }
 
-// DifferShared is how much what is shared differs from what is later.
-func DifferShared(old, now Shared) (worth float64) {
+// SharedDistance returns how much the shared data differs from later data, in units of one server.
+func DifferShared(old, now Shared) (distance float64) {
 	if old.Buckets != now.Buckets || old.Agent != now.Agent {
 		return float64(len(now.Fleet)) + 1
 	}
 	for i, c := range now.Memory.Classes {
 		if i >= len(old.Memory.Classes) || old.Memory.Classes[i].Name != c.Name {
-			worth += weighTimes
+			distance += weightTimes
 			continue
 		}
-		worth += weighTimes * max(doublings(float64(old.Memory.Classes[i].Usual), float64(c.Usual)),
-			doublings(float64(old.Memory.Classes[i].Least), float64(c.Least)))
+		distance += weightTimes * max(ratioDistance(float64(old.Memory.Classes[i].Usual), float64(c.Usual)),
+			ratioDistance(float64(old.Memory.Classes[i].Least), float64(c.Least)))
 	}
-	worth += math.Abs(old.Memory.Lost-now.Memory.Lost) + math.Abs(old.Memory.ColdBad-now.Memory.ColdBad)
-	return worth + weighFleet*float64(len(old.Fleet)+len(now.Fleet)-2*Common(old.Fleet, now.Fleet))
+	distance += math.Abs(old.Memory.Lost-now.Memory.Lost) + math.Abs(old.Memory.ColdBad-now.Memory.ColdBad)
+	return distance + weightFleet*float64(len(old.Fleet)+len(now.Fleet)-2*Common(old.Fleet, now.Fleet))
 }
 
-// Common counts what two lists in order have in common.
+// CountCommon returns the number of elements that two sorted lists have in common.
 func Common(a, b []uint64) (n int) {
 	for len(a) > 0 && len(b) > 0 {
 		switch {
--- a/internal/decide/learned/learned_test.go
+++ b/internal/decide/learned/learned_test.go
@@ -26,7 +26,7 @@
 		Served: 9, Lost: 0.01, ColdBad: 0.5, ColdSeen: 3, Classes: []choice.ClassMemory{{Name: "check", Usual: 5, Least: 3, Trust: 1}}}, servers, fleet, nil)
 }
 
-// records words a State.
+// records encodes a State.
 func records(t testing.TB, s State) map[string]Record {
 	t.Helper()
 	all := map[string]Record{}
@@ -44,7 +44,7 @@
 	return all
 }
 
-// What is worded is read back.
+// Records are decoded as they were encoded.
 func TestReadsWhatItWords(t *testing.T) {
 	for _, n := range []int{0, 1, 12, 1000} {
 		want := sample(n)
@@ -63,15 +63,16 @@
 	}
 }
 
-// What makes a server another one changes its identity; what the list may change of the same one does not.
+// Properties that make a server another one change its identity; those that the list may change for the same server do
+// not.
 func TestIdentity(t *testing.T) {
 	base := choice.Server{ID: "s", Zone: 1, Cell: 2, Weight: 1, Started: time.Second, Speaks: 1}
 	id := Identity(base, "a:1", false)
 	for name, c := range map[string]struct {
-		edit func(*choice.Server)
-		addr string
-		many bool
-		same bool
+		edit        func(*choice.Server)
+		addr        string
+		multiplexed bool
+		same        bool
 	}{
 		"nothing":     {func(*choice.Server) {}, "a:1", false, true},
 		"drains":      {func(s *choice.Server) { s.State = choice.Draining }, "a:1", false, true},
@@ -87,15 +88,15 @@
 	} {
 		s := base
 		c.edit(&s)
-		if got := Identity(s, c.addr, c.many); (got == id) != c.same {
+		if got := Identity(s, c.addr, c.multiplexed); (got == id) != c.same {
 			t.Errorf("%s: the same: %t", name, got == id)
 		}
 	}
 }
 
-// Figures that cannot be are named by their fields; a bucket that cannot be read costs itself only.
+// Values out of range are reported by field; a bucket that cannot be read is dropped alone.
 func TestBadFigures(t *testing.T) {
-	for want, spoil := range map[string]func(*State){
+	for want, corrupt := range map[string]func(*State){
 		"shared: at.wall":      func(s *State) { s.Shared.At.Wall = -1 },
 		"shared: lost":         func(s *State) { s.Shared.Memory.Lost = math.NaN() },
 		"shared: served":       func(s *State) { s.Shared.Memory.Served = math.Inf(1) },
@@ -105,19 +106,19 @@
 		"shared: agent":        func(s *State) { s.Shared.Agent = strings.Repeat("n", 1000) },
 	} {
 		s := sample(3)
-		spoil(&s)
+		corrupt(&s)
 		if _, _, err := Read(records(t, s)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	for want, spoil := range map[string]func(*Server){
+	for want, corrupt := range map[string]func(*Server){
 		"servers[2].rate":     func(s *Server) { s.Rate = -1 },
 		"servers[2].failing":  func(s *Server) { s.Failing = 2 },
 		"servers[2].reported": func(s *Server) { s.Reported = math.MaxInt64 },
 		"servers[2].id":       func(s *Server) { s.ID = strings.Repeat("s", 1000) },
 	} {
 		s := sample(3)
-		spoil(&s.Buckets[0].Servers[2])
+		corrupt(&s.Buckets[0].Servers[2])
 		got, dropped, err := Read(records(t, s))
 		if err != nil || len(dropped) != 1 || !strings.Contains(dropped[0].Why.Error(), want) || got.Shared.Agent != "n1" {
 			t.Errorf("%s: %v, %v", want, err, dropped)
@@ -128,14 +129,14 @@
 	r.Format++
 	newer[SharedName()] = r
 	if _, _, err := Read(newer); !errors.Is(err, ErrFormat) {
-		t.Errorf("of a newer format: %v", err)
+		t.Errorf("newer format: %v", err)
 	}
 	if _, _, err := Read(nil); !errors.Is(err, ErrNone) {
-		t.Errorf("nothing: %v", err)
+		t.Errorf("no records: %v", err)
 	}
 }
 
-// Whatever bytes come, reading ends, and what is taken has figures that can be.
+// For any bytes decoding ends, and what is accepted has values in range.
 func FuzzDecode(f *testing.F) {
 	for _, r := range records(f, sample(5)) {
 		f.Add(r.Body)
@@ -143,7 +144,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if b, err := DecodeBucket(body); err == nil {
 			for _, s := range b.Servers {
-				if !(s.Rate >= 0 && s.Rate < math.Inf(1) && s.Failing >= 0 && s.Failing <= 1 && s.Reported >= 0 && len(s.ID) <= maxText) {
+				if !(s.Rate >= 0 && s.Rate < math.Inf(1) && s.Failing >= 0 && s.Failing <= 1 && s.Reported >= 0 && len(s.ID) <= maxTextBytes) {
 					t.Fatalf("%+v", s)
 				}
 			}
--- a/internal/decide/learned/records.go
+++ b/internal/decide/learned/records.go
@@ -11,8 +11,8 @@
 	"ternbeam/choice"
 )
 
-// Kind is that of the records that hold a State; Format is the newest form of their bodies. A new form gets the next number
-// and an upgrade from the one before, which the store applies.
+// Kind is the kind of the records that hold a State; Format is the newest format of their bodies. A new format gets the
+// next number and an upgrade from the one before, which the store applies.
 //
 //	1: the first
 //	2: with the address of a server that connected last
@@ -21,9 +21,9 @@
 	Format = 2
 )
 
-// Upgrades turn a body of each older format into one of the next.
+// Upgrades convert a body of each older format into the next one.
 var Upgrades = []func(body []byte) ([]byte, error){
-	func(body []byte) ([]byte, error) { // what format 2 adds may be missing; what is no body of format 1 is told
+	func(body []byte) ([]byte, error) { // what format 2 adds is optional; a body that is not of format 1 is an error
 		_, err := DecodeShared(body)
 		if err == nil {
 			return body, nil
@@ -31,18 +31,18 @@
 		b, err := DecodeBucket(body)
 		for _, s := range b.Servers {
 			if s.Worked != "" {
-				err = errors.New("it holds what came with format 2")
+				err = errors.New("body has a field of format 2")
 			}
 		}
 		return body, err
 	},
 }
 
-// Bounds of what a body may hold.
+// Bounds of a body's contents.
 const (
-	maxElements = 1 << 17
-	maxText     = 512
-	maxAge      = 100 * 365 * 24 * time.Hour
+	maxElements  = 1 << 17
+	maxTextBytes = 512
+	maxAge       = 100 * 365 * 24 * time.Hour
 )
 
 const (
@@ -50,38 +50,38 @@
 	bucketPrefix = "learned/servers/"
 )
 
-// SharedName is the record that holds what is shared.
+// SharedName returns the name of the record that holds the shared data.
 func SharedName() string { return sharedName }
 
-// BucketName is the record that holds a bucket.
+// BucketName returns the name of the record that holds bucket i.
 func BucketName(i int) string { return fmt.Sprintf("%s%03x", bucketPrefix, i) }
 
-// What is written. Numbers of fields are never used again for something else.
+// Stored format, encoded as CBOR maps. Field numbers are never reused.
 type (
-	clockText struct {
+	storedClock struct {
 		Wall   int64  `cbor:"1,keyasint"`
 		Boot   int64  `cbor:"2,keyasint,omitempty"`
 		BootID string `cbor:"3,keyasint,omitempty"`
 		Unsure int64  `cbor:"4,keyasint,omitempty"`
 	}
-	classText struct {
+	storedClass struct {
 		Name  string `cbor:"1,keyasint"`
 		Usual int64  `cbor:"2,keyasint"`
 		Least int64  `cbor:"3,keyasint"`
 	}
-	sharedText struct {
-		At       clockText   `cbor:"1,keyasint"`
-		Agent    string      `cbor:"2,keyasint"`
-		Idle     int64       `cbor:"3,keyasint"`
-		Served   float64     `cbor:"4,keyasint"`
-		Lost     float64     `cbor:"5,keyasint"`
-		ColdBad  float64     `cbor:"6,keyasint"`
-		ColdSeen float64     `cbor:"7,keyasint"`
-		Classes  []classText `cbor:"8,keyasint"`
-		Fleet    []uint64    `cbor:"9,keyasint"`
-		Buckets  int         `cbor:"10,keyasint"`
+	storedShared struct {
+		At       storedClock   `cbor:"1,keyasint"`
+		Agent    string        `cbor:"2,keyasint"`
+		Idle     int64         `cbor:"3,keyasint"`
+		Served   float64       `cbor:"4,keyasint"`
+		Lost     float64       `cbor:"5,keyasint"`
+		ColdBad  float64       `cbor:"6,keyasint"`
+		ColdSeen float64       `cbor:"7,keyasint"`
+		Classes  []storedClass `cbor:"8,keyasint"`
+		Fleet    []uint64      `cbor:"9,keyasint"`
+		Buckets  int           `cbor:"10,keyasint"`
 	}
-	serverText struct {
+	storedServer struct {
 		ID       string  `cbor:"1,keyasint"`
 		Addr     string  `cbor:"2,keyasint"`
 		Identity uint64  `cbor:"3,keyasint"`
@@ -95,53 +95,53 @@
 		Trial    int64   `cbor:"11,keyasint"`
 		Worked   string  `cbor:"12,keyasint,omitempty"` // since format 2
 	}
-	bucketText struct {
-		At      clockText    `cbor:"1,keyasint"`
-		Servers []serverText `cbor:"2,keyasint"`
+	storedBucket struct {
+		At      storedClock    `cbor:"1,keyasint"`
+		Servers []storedServer `cbor:"2,keyasint"`
 	}
 )
 
 var (
-	encoding = mode(cbor.CoreDetEncOptions().EncMode())
-	decoding = mode(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: maxElements,
+	encoding = mustMode(cbor.CoreDetEncOptions().EncMode())
+	decoding = mustMode(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: maxElements,
 		MaxMapPairs: 32, IndefLength: cbor.IndefLengthForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		UTF8: cbor.UTF8RejectInvalid}.DecMode())
 )
 
-func mode[T any](m T, err error) T {
+func mustMode[T any](m T, err error) T {
 	if err != nil {
-		panic(err) // of constant options
+		panic(err) // constant options are valid
 	}
 	return m
 }
 
-func wordClock(c Clock) clockText {
-	return clockText{Wall: int64(c.Wall), Boot: int64(c.Boot), BootID: c.BootID, Unsure: int64(c.Unsure)}
+func encodeClock(c Clock) storedClock {
+	return storedClock{Wall: int64(c.Wall), Boot: int64(c.Boot), BootID: c.BootID, Unsure: int64(c.Unsure)}
 }
 
-// EncodeShared words what is shared.
+// EncodeShared encodes the shared data.
 func EncodeShared(s Shared) ([]byte, error) {
 	m := s.Memory
-	t := sharedText{At: wordClock(s.At), Agent: s.Agent, Idle: int64(m.Idle), Served: m.Served, Lost: m.Lost, ColdBad: m.ColdBad,
+	t := storedShared{At: encodeClock(s.At), Agent: s.Agent, Idle: int64(m.Idle), Served: m.Served, Lost: m.Lost, ColdBad: m.ColdBad,
 		ColdSeen: m.ColdSeen, Fleet: s.Fleet, Buckets: s.Buckets}
 	for _, c := range m.Classes {
-		t.Classes = append(t.Classes, classText{c.Name, int64(c.Usual), int64(c.Least)})
+		t.Classes = append(t.Classes, storedClass{c.Name, int64(c.Usual), int64(c.Least)})
 	}
 	return encoding.Marshal(t)
 }
 
-// EncodeBucket words a bucket.
+// EncodeBucket encodes a bucket.
 func EncodeBucket(b Bucket) ([]byte, error) {
-	t := bucketText{At: wordClock(b.At), Servers: make([]serverText, 0, len(b.Servers))}
+	t := storedBucket{At: encodeClock(b.At), Servers: make([]storedServer, 0, len(b.Servers))}
 	for _, s := range b.Servers {
-		t.Servers = append(t.Servers, serverText{ID: s.ID, Addr: s.Addr, Identity: s.Identity, Started: int64(s.Started), Rate: s.Rate,
+		t.Servers = append(t.Servers, storedServer{ID: s.ID, Addr: s.Addr, Identity: s.Identity, Started: int64(s.Started), Rate: s.Rate,
 			Use: s.Use, Reported: int64(s.Reported), Failing: s.Failing, Judged: int64(s.Judged), Ejected: s.Ejected, Trial: int64(s.Trial),
 			Worked: s.Worked})
 	}
 	return encoding.Marshal(t)
 }
 
-// checker notes the first field that holds what it may not.
+// checker records the first field with an invalid value.
 type checker struct{ err error }
 
 func (c *checker) fail(field, format string, args ...any) {
@@ -165,20 +165,20 @@
 }
 
 func (c *checker) text(field, t string) string {
-	if len(t) > maxText {
-		c.fail(field, "%d bytes, %d at most are allowed", len(t), maxText)
+	if len(t) > maxTextBytes {
+		c.fail(field, "%d bytes, at most %d are allowed", len(t), maxTextBytes)
 	}
 	return t
 }
 
-func (c *checker) clock(field string, t clockText) Clock {
+func (c *checker) clock(field string, t storedClock) Clock {
 	return Clock{Wall: c.age(field+".wall", t.Wall), Boot: c.age(field+".boot", t.Boot), BootID: c.text(field+".boot_id", t.BootID),
 		Unsure: c.age(field+".unsure", t.Unsure)}
 }
 
-// DecodeShared reads what is shared. It takes nothing whose figures cannot be.
+// DecodeShared decodes the shared data. It returns an error for values out of range.
 func DecodeShared(body []byte) (Shared, error) {
-	var t sharedText
+	var t storedShared
 	if err := decoding.Unmarshal(body, &t); err != nil {
 		return Shared{}, err
 	}
@@ -203,9 +203,9 @@
 	return s, c.err
 }
 
-// DecodeBucket reads a bucket.
+// DecodeBucket decodes a bucket. It returns an error for values out of range.
 func DecodeBucket(body []byte) (Bucket, error) {
-	var t bucketText
+	var t storedBucket
 	if err := decoding.Unmarshal(body, &t); err != nil {
 		return Bucket{}, err
 	}
@@ -226,27 +226,27 @@
 	return b, c.err
 }
 
-// ErrNone says that there is nothing to read.
-var ErrNone = errors.New("nothing was kept")
+// ErrNoState reports that there is no state to read.
+var ErrNone = errors.New("no learned state is stored")
 
-// Drop is a record that could not be read.
+// Drop is a record that could not be read, with the reason.
 type Drop struct {
 	Name string
 	Why  error
 }
 
-// Record is a record, as a store keeps it.
+// Record is a stored record.
 type Record struct {
 	Name   string
 	Format uint32
 	Body   []byte
 }
 
-// ErrFormat says that records are of a format that this program does not read: a newer one wrote them.
-var ErrFormat = errors.New("of a format that is not known")
+// ErrFormat reports that records have a format that this program does not read: a newer one wrote them.
+var ErrFormat = errors.New("unknown record format")
 
-// Read puts a State together from records. Without what is shared there is none; a bucket that cannot be read costs only
-// itself.
+// Read builds a State from records. Without the shared data there is none; a bucket that cannot be read is dropped
+// alone.
 func Read(records map[string]Record) (s State, dropped []Drop, err error) {
 	body := func(r Record) ([]byte, error) {
 		if r.Format != Format {
@@ -258,11 +258,11 @@
 	if !ok {
 		return s, nil, ErrNone
 	}
-	text, err := body(shared)
+	encoded, err := body(shared)
 	if err != nil {
 		return s, nil, fmt.Errorf("%s: %w", sharedName, err)
 	}
-	if s.Shared, err = DecodeShared(text); err != nil {
+	if s.Shared, err = DecodeShared(encoded); err != nil {
 		return State{}, nil, fmt.Errorf("%s: %w", sharedName, err)
 	}
 	s.Buckets = make([]Bucket, s.Shared.Buckets)
@@ -272,10 +272,10 @@
 		if !ok {
 			continue
 		}
-		text, err := body(r)
+		encoded, err := body(r)
 		if err == nil {
 			var b Bucket
-			if b, err = DecodeBucket(text); err == nil {
+			if b, err = DecodeBucket(encoded); err == nil {
 				s.Buckets[i] = b
 			}
 		}
