--- a/internal/host/keeper/bench_test.go
+++ b/internal/host/keeper/bench_test.go
@@ -18,8 +18,8 @@
 	"ternbeam/internal/store"
 )
 
-// What a write costs the goroutine that writes, and how many bytes it is, where every tenth server changed by more than
-// is passed over. The folder is a real one: a sync is the disk's.
+// Time of a write for the goroutine that writes, and its size in bytes, where every tenth server changed by more than
+// the minimum. The folder is on the real disk, and so are syncs.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{12, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -33,16 +33,16 @@
 				fleet[i] = uint64(i)
 			}
 			var last learned.State
-			bytes, turn := int64(0), 0
+			bytes, round := int64(0), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				for i := turn % 10; i < n; i += 10 {
+				for i := round % 10; i < n; i += 10 {
 					servers[i].Rate = 300 - servers[i].Rate
 				}
-				turn++
-				state := learned.New(learned.Clock{Wall: time.Hour, Boot: time.Duration(turn) * time.Second, BootID: "b"}, "n1", choice.Memory{}, servers, fleet, nil)
+				round++
+				state := learned.New(learned.Clock{Wall: time.Hour, Boot: time.Duration(round) * time.Second, BootID: "b"}, "n1", choice.Memory{}, servers, fleet, nil)
 				shared, buckets := keeping.Pick(keeping.Defaults, last, state, nil)
-				batch, size, err := words(state, shared, buckets, len(last.Buckets))
+				batch, size, err := encodeBatch(state, shared, buckets, len(last.Buckets))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -51,12 +51,12 @@
 				}
 				last, bytes = state, bytes+size
 			}
-			b.ReportMetric(float64(bytes)/float64(turn), "bytes/write")
+			b.ReportMetric(float64(bytes)/float64(round), "bytes/write")
 		})
 	}
 }
 
-// loop answers a Keeper from a loop of its own, as the core does; all servers change between two exports.
+// loop answers a Runner from a goroutine of its own, as the core does; all servers change between two exports.
 type loop struct {
 	events  chan func()
 	news    uint64
@@ -82,12 +82,12 @@
 	return <-answer, nil
 }
 
-// How long an event waits for the loop, on one core, with a Keeper that writes everything 10 times a second and without:
-// an event a millisecond.
+// Time that an event waits for the loop, on one CPU, without a Runner and with one that writes everything 10 times a
+// second, at one event per millisecond.
 func BenchmarkPause(b *testing.B) {
 	for _, n := range []int{12, 1000, 10000} {
-		for _, keeps := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d/keeps=%t", n, keeps), func(b *testing.B) {
+		for _, writing := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d/keeps=%t", n, writing), func(b *testing.B) {
 				defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 				l := &loop{events: make(chan func(), 1024)}
 				for i := range n {
@@ -100,7 +100,7 @@
 						event()
 					}
 				})
-				if keeps {
+				if writing {
 					set := stateconf.Default(b.TempDir())
 					set.Keeping.Look, set.Keeping.Least, set.Keeping.Most, set.Keeping.MostBytes = 100*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond, 1<<40
 					set.End = time.Minute
@@ -112,12 +112,12 @@
 					defer func() { close(l.events); looping.Wait() }()
 				}
 				var waits []time.Duration
-				due := time.Now()
+				dueAt := time.Now()
 				for b.Loop() {
-					due = due.Add(time.Millisecond) // counted from when it should come: who waits to post it waits as well
-					time.Sleep(time.Until(due))
+					dueAt = dueAt.Add(time.Millisecond) // counted from when it should arrive, so that a delay in posting it counts too
+					time.Sleep(time.Until(dueAt))
 					done := make(chan time.Duration, 1)
-					l.events <- func() { done <- time.Since(due) }
+					l.events <- func() { done <- time.Since(dueAt) }
 					waits = append(waits, <-done)
 				}
 				slices.Sort(waits)
--- a/internal/host/keeper/clock.go
+++ b/internal/host/keeper/clock.go
@@ -10,8 +10,8 @@
 	"ternbeam/internal/decide/learned"
 )
 
-// Clock reads the wall clock and the time since the boot, which goes on while the machine sleeps and cannot be set. Where
-// the system does not tell either of boot and time, the wall clock is alone.
+// Clock reads the wall clock and the time since boot, which advances while the machine sleeps and cannot be set. Where
+// the system provides no boot id or no time since boot, only the wall clock is returned.
 func Clock() learned.Clock {
 	now := learned.Clock{Wall: time.Duration(time.Now().UnixNano())}
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
--- a/internal/host/keeper/keeper.go
+++ b/internal/host/keeper/keeper.go
@@ -1,5 +1,5 @@
-// Package keeper keeps what an agent has learned in a folder: it is the host of the deciders on when to write and of the
-// store. One goroutine of its own owns them; the loop hands over values and never waits.
+// Package statestore stores what an agent has learned in a folder: it runs the write policy and the store. A goroutine
+// of its own owns both; the event loop hands over values and never waits.
 package keeper
 
 import (
@@ -18,40 +18,40 @@
 	"ternbeam/internal/store"
 )
 
-// Agent is what a Keeper asks; the answers come from the loop.
+// Agent is what a Runner queries; the event loop of the agent answers.
 type Agent interface {
 	View(ctx context.Context) (keeping.View, error)
 	Export(ctx context.Context, into *ledger.Learned) (keeping.View, error)
 }
 
-// Settings are what a Keeper is made of.
+// Settings configure a Runner.
 type Settings struct {
 	stateconf.Config
-	Name  string // the agent's
+	Name  string // of the agent
 	Seed  uint64
 	Log   *slog.Logger
-	FS    store.FS             // nil for the folder
-	Clock func() learned.Clock // nil for the machine's
+	FS    store.FS             // the folder if nil
+	Clock func() learned.Clock // the machine's clocks if nil
 }
 
-// Keeper keeps what one agent learns.
+// Runner loads and stores the learned state of one agent. Restored, Clock and Close may be called while Run is running.
 type Keeper struct {
-	set   Settings
-	past  chan *aging.Past // one value, once the folder was read; nil for nothing
-	end   chan struct{}    // closed when the agent ends
-	ended chan struct{}    // closed after the last write
+	settings Settings
+	restored chan *aging.Past // receives one value once the folder is read; nil if there is no state
+	stop     chan struct{}    // closed when the agent shuts down
+	stopped  chan struct{}    // closed after the last write
 
-	// What follows belongs to the goroutine.
-	store   *store.Store
-	machine *keeping.Keeper
-	steps   keeping.Steps
-	began   time.Time
-	last    learned.State // as it was written last
-	barred  error         // why nothing may be written, ever
-	silent  bool          // that writing fails was said
+	// The following fields belong to the goroutine of Run.
+	store          *store.Store
+	policy         *keeping.Keeper
+	steps          keeping.Steps
+	startedAt      time.Time
+	lastWritten    learned.State // as written last
+	readOnlyReason error         // why nothing may ever be written
+	failureLogged  bool          // a failure to write was logged
 }
 
-// New returns a Keeper that is ready to Run.
+// New returns a Runner; Run starts it.
 func New(set Settings) *Keeper {
 	if set.FS == nil {
 		set.FS = store.Dir(set.Folder)
@@ -59,229 +59,231 @@
 	if set.Clock == nil {
 		set.Clock = Clock
 	}
-	return &Keeper{set: set, past: make(chan *aging.Past, 1), end: make(chan struct{}), ended: make(chan struct{})}
+	return &Keeper{settings: set, restored: make(chan *aging.Past, 1), stop: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// Clock reads the machine's clocks, as learned.Clock has them.
-func (k *Keeper) Clock() learned.Clock { return k.set.Clock() }
+// Clock reads the machine's clocks.
+func (r *Keeper) Clock() learned.Clock { return r.settings.Clock() }
 
-// Past waits for what was kept, for as long as the configuration allows; nil is nothing, or nothing in time.
-func (k *Keeper) Past() *aging.Past {
-	timeout := time.NewTimer(k.set.Load)
+// Restored waits for the stored state, at most for the time configured; it returns nil if there is none or it was not
+// read in time.
+func (r *Keeper) Past() *aging.Past {
+	timeout := time.NewTimer(r.settings.Load)
 	defer timeout.Stop()
 	select {
-	case past := <-k.past:
-		return past
+	case restored := <-r.restored:
+		return restored
 	case <-timeout.C:
-		k.set.Log.Warn("learned: the folder was not read in time, nothing is remembered", "folder", k.set.Folder, "load", k.set.Load)
+		r.settings.Log.Warn("learned: the folder was not read in time, nothing is remembered",
+			"folder", r.settings.Folder, "load", r.settings.Load)
 		return nil
 	}
 }
 
-// Run reads the folder, and writes to it until the agent ends.
-func (k *Keeper) Run(agent Agent) {
-	defer close(k.ended)
-	k.began = time.Now()
-	k.machine = keeping.New(k.set.Keeping, 0, k.set.Seed)
-	k.past <- k.load()
+// Run reads the folder, and writes to it until Close is called.
+func (r *Keeper) Run(agent Agent) {
+	defer close(r.stopped)
+	r.startedAt = time.Now()
+	r.policy = keeping.New(r.settings.Keeping, 0, r.settings.Seed)
+	r.restored <- r.load()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	export := new(ledger.Learned)
 	for {
-		wait := time.NewTimer(k.machine.Next() - k.now())
+		wait := time.NewTimer(r.policy.Next() - r.now())
 		select {
 		case <-wait.C:
-		case <-k.end:
+		case <-r.stop:
 			wait.Stop()
-			k.finish(agent, export)
+			r.writeFinal(agent, export)
 			return
 		}
-		k.steps.Saw(k.set.Clock())
+		r.steps.Saw(r.settings.Clock())
 		view, err := agent.View(ctx)
-		if err != nil || !k.machine.Looked(k.now(), view) {
+		if err != nil || !r.policy.Looked(r.now(), view) {
 			continue
 		}
 		if _, err := agent.Export(ctx, export); err != nil {
 			continue
 		}
-		k.write(export)
+		r.write(export)
 	}
 }
 
-func (k *Keeper) now() time.Duration { return time.Since(k.began) }
+func (r *Keeper) now() time.Duration { return time.Since(r.startedAt) }
 
-// End has what is new written for the last time, and returns when that is done or has taken as long as it may.
-func (k *Keeper) End() {
-	close(k.end)
-	timeout := time.NewTimer(k.set.End)
+// Close writes updates for the last time, and returns when that is done or has taken as long as configured.
+func (r *Keeper) End() {
+	close(r.stop)
+	timeout := time.NewTimer(r.settings.End)
 	defer timeout.Stop()
 	select {
-	case <-k.ended:
+	case <-r.stopped:
 	case <-timeout.C:
-		k.set.Log.Warn("learned: the last write was not done in time", "folder", k.set.Folder, "end", k.set.End)
+		r.settings.Log.Warn("learned: the last write was not done in time", "folder", r.settings.Folder, "end", r.settings.End)
 	}
 }
 
-// finish makes the last write and gives the folder back.
-func (k *Keeper) finish(agent Agent, export *ledger.Learned) {
-	ctx, cancel := context.WithTimeout(context.Background(), k.set.End)
+// writeFinal makes the last write and releases the folder.
+func (r *Keeper) writeFinal(agent Agent, export *ledger.Learned) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.settings.End)
 	defer cancel()
-	if view, err := agent.Export(ctx, export); err == nil && k.machine.End(view) {
-		k.write(export)
+	if view, err := agent.Export(ctx, export); err == nil && r.policy.End(view) {
+		r.write(export)
 	}
-	if k.store != nil {
-		if err := k.store.Close(); err != nil {
-			k.set.Log.Warn("learned: giving the folder back", "folder", k.set.Folder, "error", err)
+	if r.store != nil {
+		if err := r.store.Close(); err != nil {
+			r.settings.Log.Warn("learned: giving the folder back", "folder", r.settings.Folder, "error", err)
 		}
 	}
 }
 
-// mostDrops is how many dropped parts are logged one by one.
-const mostDrops = 16
+// maxLoggedDrops is how many dropped parts are logged one by one.
+const maxLoggedDrops = 16
 
-// load opens the folder and returns what is remembered. Where the folder cannot be owned it is read all the same.
-func (k *Keeper) load() *aging.Past {
+// load opens the folder and returns the stored state. If another process owns the folder, it is still read.
+func (r *Keeper) load() *aging.Past {
 	begin := time.Now()
 	var records map[string]store.Record
-	report, err := k.open()
+	report, err := r.openStore()
 	if err == nil {
-		records = k.store.All()
+		records = r.store.All()
 	} else {
-		k.complain("learned: the folder cannot be used, the agent serves without it", err)
-		var peeked error
-		if records, report, peeked = store.Peek(k.set.FS, k.bounds()); peeked != nil {
+		r.logFailureOnce("learned: the folder cannot be used, the agent serves without it", err)
+		var peekErr error
+		if records, report, peekErr = store.Peek(r.settings.FS, r.storeSettings()); peekErr != nil {
 			return nil
 		}
 	}
-	state, dropped, err := read(records)
+	state, dropped, err := readState(records)
 	for i, d := range report.Dropped {
-		if i == mostDrops {
-			k.set.Log.Warn("learned: dropped, and more", "parts", len(report.Dropped))
+		if i == maxLoggedDrops {
+			r.settings.Log.Warn("learned: dropped, and more", "parts", len(report.Dropped))
 			break
 		}
-		k.set.Log.Warn("learned: dropped", "file", d.File, "bytes", d.Bytes, "why", d.Why)
+		r.settings.Log.Warn("learned: dropped", "file", d.File, "bytes", d.Bytes, "why", d.Why)
 	}
 	for _, d := range dropped {
-		k.set.Log.Warn("learned: dropped", "record", d.Name, "why", d.Why)
+		r.settings.Log.Warn("learned: dropped", "record", d.Name, "why", d.Why)
 	}
-	if err == nil && state.Shared.Agent != k.set.Name {
-		err = fmt.Errorf("it is of the agent %q", state.Shared.Agent)
-		k.barred = err // it is not ours to write over
+	if err == nil && state.Shared.Agent != r.settings.Name {
+		err = fmt.Errorf("state belongs to agent %q", state.Shared.Agent)
+		r.readOnlyReason = err // another agent's state must not be overwritten
 	}
 	if errors.Is(err, learned.ErrFormat) {
-		k.barred = err
+		r.readOnlyReason = err
 	}
 	switch {
 	case errors.Is(err, learned.ErrNone):
-		k.set.Log.Info("learned: nothing is kept yet", "folder", k.set.Folder, "left", report.Left)
+		r.settings.Log.Info("learned: nothing is kept yet", "folder", r.settings.Folder, "left", report.Left)
 		return nil
 	case err != nil:
-		k.set.Log.Warn("learned: what is kept is not read", "folder", k.set.Folder, "why", err, "written", k.barred == nil)
+		r.settings.Log.Warn("learned: what is kept is not read", "folder", r.settings.Folder, "why", err, "written", r.readOnlyReason == nil)
 		return nil
 	}
-	age, known := aging.Since(state.Shared.At, k.set.Clock())
-	k.set.Log.Info("learned: loaded", "folder", k.set.Folder, "servers", state.Count(), "age", age, "age_known", known,
+	age, known := aging.Since(state.Shared.At, r.settings.Clock())
+	r.settings.Log.Info("learned: loaded", "folder", r.settings.Folder, "servers", state.Count(), "age", age, "age_known", known,
 		"generation", report.From, "batches", report.Batches, "dropped", len(report.Dropped)+len(dropped), "left", report.Left,
 		"took", time.Since(begin))
-	return aging.New(k.set.Aging, state)
+	return aging.New(r.settings.Aging, state)
 }
 
-func (k *Keeper) bounds() store.Settings { return Bounds(k.set.MostBytes) }
+func (r *Keeper) storeSettings() store.Settings { return Bounds(r.settings.MostBytes) }
 
-// Bounds are the settings of a store that holds what was learned, with what brings older formats up to date.
-func Bounds(most int64) store.Settings {
+// StoreSettings returns the settings of a store for learned state, with the upgrades of older formats.
+func Bounds(maxBytes int64) store.Settings {
 	var upgrades []store.Upgrade
-	for _, up := range learned.Upgrades {
-		upgrades = append(upgrades, up)
+	for _, upgrade := range learned.Upgrades {
+		upgrades = append(upgrades, upgrade)
 	}
-	return store.Settings{MostBytes: most, Upgrades: map[string][]store.Upgrade{learned.Kind: upgrades}}
+	return store.Settings{MostBytes: maxBytes, Upgrades: map[string][]store.Upgrade{learned.Kind: upgrades}}
 }
 
-func (k *Keeper) open() (report store.Report, err error) {
-	k.store, report, err = store.Open(k.set.FS, k.bounds())
+func (r *Keeper) openStore() (report store.Report, err error) {
+	r.store, report, err = store.Open(r.settings.FS, r.storeSettings())
 	return report, err
 }
 
-// read puts together what a store holds of this kind.
-func read(records map[string]store.Record) (learned.State, []learned.Drop, error) {
+// readState decodes the state that a store holds.
+func readState(records map[string]store.Record) (learned.State, []learned.Drop, error) {
 	return learned.Read(Records(records))
 }
 
-// Records are those of a store that hold what was learned.
+// LearnedRecords returns the records of a store that hold learned state.
 func Records(records map[string]store.Record) map[string]learned.Record {
-	own := map[string]learned.Record{}
+	learnedRecords := map[string]learned.Record{}
 	for name, r := range records {
 		if r.Kind == learned.Kind {
-			own[name] = learned.Record{Name: name, Format: r.Format, Body: r.Body}
+			learnedRecords[name] = learned.Record{Name: name, Format: r.Format, Body: r.Body}
 		}
 	}
-	return own
+	return learnedRecords
 }
 
-// complain says once that something does not work.
-func (k *Keeper) complain(text string, err error) {
-	if !k.silent {
-		k.silent = true
-		k.set.Log.Warn(text, "folder", k.set.Folder, "error", err)
+// logFailureOnce logs a failure if none was logged since the last success.
+func (r *Keeper) logFailureOnce(text string, err error) {
+	if !r.failureLogged {
+		r.failureLogged = true
+		r.settings.Log.Warn(text, "folder", r.settings.Folder, "error", err)
 	}
 }
 
-// write writes what is worth it of what was learned.
-func (k *Keeper) write(export *ledger.Learned) {
-	if k.barred != nil {
-		k.complain("learned: not written", k.barred)
-		k.machine.Wrote(k.now(), 0, k.barred)
+// write writes the parts of the learned state that have changed enough.
+func (r *Keeper) write(export *ledger.Learned) {
+	if r.readOnlyReason != nil {
+		r.logFailureOnce("learned: not written", r.readOnlyReason)
+		r.policy.Wrote(r.now(), 0, r.readOnlyReason)
 		return
 	}
 	begin := time.Now()
-	state := learned.New(k.steps.Saw(k.set.Clock()), k.set.Name, export.Memory, export.Servers, export.Fleet, runtime.Gosched)
-	shared, buckets := keeping.Pick(k.set.Keeping, k.last, state, runtime.Gosched)
-	batch, size, err := words(state, shared, buckets, len(k.last.Buckets))
+	state := learned.New(r.steps.Saw(r.settings.Clock()), r.settings.Name, export.Memory, export.Servers, export.Fleet, runtime.Gosched)
+	shared, buckets := keeping.Pick(r.settings.Keeping, r.lastWritten, state, runtime.Gosched)
+	batch, size, err := encodeBatch(state, shared, buckets, len(r.lastWritten.Buckets))
 	if err == nil && len(batch) > 0 {
-		err = k.put(batch)
+		err = r.put(batch)
 	}
-	k.machine.Wrote(k.now(), size, err)
+	r.policy.Wrote(r.now(), size, err)
 	if err != nil {
-		k.complain("learned: not written, the agent serves on", err)
+		r.logFailureOnce("learned: not written, the agent serves on", err)
 		return
 	}
-	if k.silent {
-		k.silent = false
-		k.set.Log.Info("learned: written again", "folder", k.set.Folder)
+	if r.failureLogged {
+		r.failureLogged = false
+		r.settings.Log.Info("learned: written again", "folder", r.settings.Folder)
 	}
 	if len(batch) == 0 {
 		return
 	}
-	k.keep(state, shared, buckets)
-	k.set.Log.Info("learned: written", "records", len(batch), "bytes", size, "servers", state.Count(), "took", time.Since(begin))
+	r.recordWritten(state, shared, buckets)
+	r.settings.Log.Info("learned: written", "records", len(batch), "bytes", size, "servers", state.Count(), "took", time.Since(begin))
 }
 
-// keep notes what was written: parts that were not are as they were before.
-func (k *Keeper) keep(state learned.State, shared bool, buckets []int) {
-	if len(k.last.Buckets) != len(state.Buckets) {
-		k.last = state
+// recordWritten records what was written: parts that were not written remain as before.
+func (r *Keeper) recordWritten(state learned.State, shared bool, buckets []int) {
+	if len(r.lastWritten.Buckets) != len(state.Buckets) {
+		r.lastWritten = state
 		return
 	}
 	if shared {
-		k.last.Shared = state.Shared
+		r.lastWritten.Shared = state.Shared
 	}
 	for _, i := range buckets {
-		k.last.Buckets[i] = state.Buckets[i]
+		r.lastWritten.Buckets[i] = state.Buckets[i]
 	}
 }
 
-// put puts records into the store, which is opened if it could not be before.
-func (k *Keeper) put(batch []store.Record) error {
-	if k.store == nil {
-		if _, err := k.open(); err != nil {
+// put writes records to the store, and opens it first if that failed before.
+func (r *Keeper) put(batch []store.Record) error {
+	if r.store == nil {
+		if _, err := r.openStore(); err != nil {
 			return err
 		}
 	}
-	return k.store.Put(batch...)
+	return r.store.Put(batch...)
 }
 
-// words words the parts of a State that are to be written, and the end of buckets that there were before.
-func words(state learned.State, shared bool, buckets []int, before int) (batch []store.Record, size int64, err error) {
+// encodeBatch encodes the parts of a State to be written, and deletions of buckets that no longer exist.
+func encodeBatch(state learned.State, shared bool, buckets []int, previousBuckets int) (batch []store.Record, size int64, err error) {
 	add := func(name string, body []byte, e error) {
 		err = errors.Join(err, e)
 		size += int64(len(body))
@@ -294,9 +296,9 @@
 	for _, i := range buckets {
 		body, e := learned.EncodeBucket(state.Buckets[i])
 		add(learned.BucketName(i), body, e)
-		runtime.Gosched() // on one core the loop goes first
+		runtime.Gosched() // on a single CPU the event loop goes first
 	}
-	for i := len(state.Buckets); i < before; i++ {
+	for i := len(state.Buckets); i < previousBuckets; i++ {
 		batch = append(batch, store.Record{Name: learned.BucketName(i), Kind: learned.Kind, Format: learned.Format, Gone: true})
 	}
 	return batch, size, err
--- a/internal/host/keeper/keeper_test.go
+++ b/internal/host/keeper/keeper_test.go
@@ -21,7 +21,7 @@
 	"ternbeam/internal/store"
 )
 
-// agent answers a Keeper as a loop does, with a few servers of which one's rate changes each time.
+// agent answers a Runner as an event loop does, with a few servers of which one's rate changes each time.
 type agent struct {
 	mu   sync.Mutex
 	news uint64
@@ -42,7 +42,7 @@
 	return v, nil
 }
 
-func quick() stateconf.Config {
+func quickConfig() stateconf.Config {
 	c := stateconf.Default("/kept")
 	c.Load, c.End = testkit.Patience, testkit.Patience
 	c.Keeping.Look, c.Keeping.Least, c.Keeping.Most = time.Millisecond, time.Millisecond, time.Millisecond
@@ -50,37 +50,38 @@
 	return c
 }
 
-// life runs a Keeper of a name until something is logged, and returns what it remembered and logged.
-func life(t *testing.T, fs store.FS, name, until string) (*aging.Past, string) {
+// runOnce runs a Runner of an agent name until a text is logged, and returns the restored state and the log.
+func runOnce(t *testing.T, fs store.FS, name, logged string) (*aging.Past, string) {
 	t.Helper()
 	var l testkit.Log
-	k := New(Settings{Config: quick(), Name: name, Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
+	k := New(Settings{Config: quickConfig(), Name: name, Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 	go k.Run(new(agent))
-	past := k.Past()
-	testkit.Eventually(t, "it logs "+until, func() bool { return l.Has(until) })
+	restored := k.Past()
+	testkit.Eventually(t, "it logs "+logged, func() bool { return l.Has(logged) })
 	k.End()
-	return past, l.String()
+	return restored, l.String()
 }
 
-// What one agent wrote the next one remembers; another agent's is neither taken nor written over.
+// The state that an agent wrote is restored by its next process; another agent's state is neither restored nor
+// overwritten.
 func TestNextAgentRemembers(t *testing.T) {
 	fs := crashfs.New()
-	if past, said := life(t, fs, "n1", "learned: written"); past != nil || !strings.Contains(said, "nothing is kept yet") {
-		t.Errorf("remembers %v\n%s", past, said)
+	if restored, log := runOnce(t, fs, "n1", "learned: written"); restored != nil || !strings.Contains(log, "nothing is kept yet") {
+		t.Errorf("restored %v\n%s", restored, log)
 	}
-	if past, said := life(t, fs, "n1", "learned: written"); past == nil || past.Left() != 1 || !strings.Contains(said, "learned: loaded") {
-		t.Errorf("remembers %v\n%s", past, said)
+	if restored, log := runOnce(t, fs, "n1", "learned: written"); restored == nil || restored.Left() != 1 || !strings.Contains(log, "learned: loaded") {
+		t.Errorf("restored %v\n%s", restored, log)
 	}
 	before := fs.Files()
-	if past, said := life(t, fs, "n2", "learned: not written"); past != nil || !strings.Contains(said, `agent \"n1\"`) {
-		t.Errorf("remembers %v\n%s", past, said)
+	if restored, log := runOnce(t, fs, "n2", "learned: not written"); restored != nil || !strings.Contains(log, `agent \"n1\"`) {
+		t.Errorf("restored %v\n%s", restored, log)
 	}
-	if past, _ := life(t, fs, "n1", "learned: loaded"); past == nil {
+	if restored, _ := runOnce(t, fs, "n1", "learned: loaded"); restored == nil {
 		t.Errorf("the other agent wrote: %d files before", len(before))
 	}
 }
 
-// A record of a newer format is left as it is, for the newer agent that may come back.
+// A record of a newer format is left as it is, for a newer version of the agent that may be started again.
 func TestNewerFormat(t *testing.T) {
 	fs := crashfs.New()
 	st, _, err := store.Open(fs, store.Settings{})
@@ -91,8 +92,8 @@
 	if err := errors.Join(st.Put(newer), st.Close()); err != nil {
 		t.Fatal(err)
 	}
-	if past, said := life(t, fs, "n1", "learned: not written"); past != nil || strings.Count(said, "learned: not written") != 1 {
-		t.Errorf("remembers %v\n%s", past, said)
+	if restored, log := runOnce(t, fs, "n1", "learned: not written"); restored != nil || strings.Count(log, "learned: not written") != 1 {
+		t.Errorf("restored %v\n%s", restored, log)
 	}
 	records, _, err := store.Peek(fs, store.Settings{})
 	if err != nil || string(records[learned.SharedName()].Body) != "of tomorrow" {
@@ -100,63 +101,63 @@
 	}
 }
 
-// What an agent of the first format kept is taken by one of this format, and written in it.
+// The state that an agent of format 1 wrote is restored by this version, and written in the current format.
 func TestFirstFormat(t *testing.T) {
 	fs := crashfs.New()
-	life(t, fs, "n1", `"learned: written"`)
+	runOnce(t, fs, "n1", `"learned: written"`)
 	st, _, err := store.Open(fs, store.Settings{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var first []store.Record
-	for _, r := range st.All() { // what the second adds is absent in bodies that do not need it
+	for _, r := range st.All() { // what format 2 adds is absent in bodies that do not need it
 		r.Format = 1
 		first = append(first, r)
 	}
 	if err := errors.Join(st.Put(first...), st.Close()); err != nil {
 		t.Fatal(err)
 	}
-	past, said := life(t, fs, "n1", `"learned: written"`)
-	if past == nil || past.Left() != 1 {
-		t.Errorf("remembers %v\n%s", past, said)
+	restored, log := runOnce(t, fs, "n1", `"learned: written"`)
+	if restored == nil || restored.Left() != 1 {
+		t.Errorf("restored %v\n%s", restored, log)
 	}
 	records, _, err := store.Peek(fs, store.Settings{})
 	if err != nil || records[learned.SharedName()].Format != learned.Format {
 		t.Errorf("%v, format %d", err, records[learned.SharedName()].Format)
 	}
 	if _, err := learned.Upgrades[0]([]byte("neither")); err == nil {
-		t.Error("what is no body of the first format is taken for one")
+		t.Error("a body that is not of format 1 is accepted as one")
 	}
 }
 
-// failing is a folder that fails at some operations.
-type failing struct {
+// failingFS is a folder of which some operations fail.
+type failingFS struct {
 	mu sync.Mutex
 	*crashfs.FS
-	ops []string // those that fail
+	ops []string // operations that fail
 }
 
-func newFailing(ops ...string) *failing {
-	f := &failing{FS: crashfs.New(), ops: ops}
+func newFailingFS(ops ...string) *failingFS {
+	f := &failingFS{FS: crashfs.New(), ops: ops}
 	f.Fail = func(op, _ string) error {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if slices.Contains(f.ops, op) {
-			return errors.New("the folder is bad: " + op)
+			return errors.New("injected failure: " + op)
 		}
 		return nil
 	}
 	return f
 }
 
-func (f *failing) heal() {
+func (f *failingFS) heal() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ops = nil
 }
 
-// A folder that is missing, read-only, full, or turns bad later: the agent says so once and goes on; when the folder is
-// well again, it writes.
+// With a folder that is missing, read-only, full, or fails later, the agent logs that once and keeps running; when the
+// folder works again, it writes.
 func TestBadFolders(t *testing.T) {
 	for name, ops := range map[string][]string{
 		"missing":   {"lock", "list", "read", "create", "write", "sync", "rename", "remove"},
@@ -166,31 +167,31 @@
 		"no rename": {"rename"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fs := newFailing(ops...)
+			fs := newFailingFS(ops...)
 			var l testkit.Log
-			k := New(Settings{Config: quick(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
+			k := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 			a := new(agent)
 			go k.Run(a)
-			if past := k.Past(); past != nil {
-				t.Error("remembers something")
+			if restored := k.Past(); restored != nil {
+				t.Error("a state was restored")
 			}
-			looks := func() uint64 { a.mu.Lock(); defer a.mu.Unlock(); return a.news }
-			testkit.Eventually(t, "it tried several times", func() bool { return looks() > 2000 })
-			if said := l.String(); strings.Count(said, "level=WARN") != 1 {
-				t.Errorf("said\n%s", said)
+			updates := func() uint64 { a.mu.Lock(); defer a.mu.Unlock(); return a.news }
+			testkit.Eventually(t, "it tried several times", func() bool { return updates() > 2000 })
+			if log := l.String(); strings.Count(log, "level=WARN") != 1 {
+				t.Errorf("logged\n%s", log)
 			}
 			fs.heal()
 			testkit.Eventually(t, "it writes again", func() bool { return l.Has("learned: written again") })
 			k.End()
 			records, _, err := store.Peek(fs, store.Settings{})
-			if s, _, e := read(records); err != nil || e != nil || s.Count() != 1 {
+			if s, _, e := readState(records); err != nil || e != nil || s.Count() != 1 {
 				t.Errorf("%v, %v", err, e)
 			}
 		})
 	}
 }
 
-// Two agents on one folder: the second one serves without writing, and takes the folder once the first has gone.
+// Two agents share one folder: the second one runs without writing, and takes over the folder once the first has exited.
 func TestTwoAgents(t *testing.T) {
 	dir := store.Dir(t.TempDir())
 	first, _, err := store.Open(dir, store.Settings{})
@@ -198,12 +199,12 @@
 		t.Fatal(err)
 	}
 	var l testkit.Log
-	k := New(Settings{Config: quick(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: dir})
+	k := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: dir})
 	go k.Run(new(agent))
-	if past := k.Past(); past != nil {
-		t.Error("remembers something")
+	if restored := k.Past(); restored != nil {
+		t.Error("a state was restored")
 	}
-	testkit.Eventually(t, "it says so", func() bool { return l.Has("another process owns the folder") })
+	testkit.Eventually(t, "it logs that", func() bool { return l.Has("another process owns the folder") })
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -211,32 +212,32 @@
 	k.End()
 }
 
-// hung is a folder whose operations never end.
-type hung struct {
+// hungFS is a folder whose operations do not return.
+type hungFS struct {
 	store.FS
 	until chan struct{}
 }
 
-func (h hung) Lock() (func() error, string, error) {
+func (h hungFS) Lock() (func() error, string, error) {
 	<-h.until
 	return nil, "", errors.New("ended")
 }
 
-// A folder that hangs delays a start and an end by no more than is allowed.
+// A folder that hangs delays startup and shutdown by no more than configured.
 func TestHungFolder(t *testing.T) {
-	set := quick()
+	set := quickConfig()
 	set.Load, set.End = 20*time.Millisecond, 20*time.Millisecond
 	var l testkit.Log
-	fs := hung{crashfs.New(), make(chan struct{})}
+	fs := hungFS{crashfs.New(), make(chan struct{})}
 	k := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 	go k.Run(new(agent))
-	if past := k.Past(); past != nil {
-		t.Error("remembers something")
+	if restored := k.Past(); restored != nil {
+		t.Error("a state was restored")
 	}
 	k.End()
-	if said := l.String(); !strings.Contains(said, "not read in time") || !strings.Contains(said, "not done in time") {
-		t.Errorf("said\n%s", said)
+	if log := l.String(); !strings.Contains(log, "not read in time") || !strings.Contains(log, "not done in time") {
+		t.Errorf("logged\n%s", log)
 	}
 	close(fs.until)
-	<-k.ended
+	<-k.stopped
 }
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -20,8 +20,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// group is some hosts that reach one another, and what each has told its module.
-type group struct {
+// testGroup is a group of hosts that reach one another, with what each has delivered to its module.
+type testGroup struct {
 	hosts []*Host
 	addrs []string
 
@@ -29,16 +29,16 @@
 	known []map[string]choice.State
 }
 
-func (g *group) of(i int, id string) (choice.State, bool) {
+func (g *testGroup) of(i int, id string) (choice.State, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s, ok := g.known[i][id]
 	return s, ok
 }
 
-func start(t *testing.T, n int, list string, known discovery.List) *group {
+func startGroup(t *testing.T, n int, list string, known discovery.List) *testGroup {
 	t.Helper()
-	g := &group{}
+	g := &testGroup{}
 	for range n {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
@@ -48,7 +48,7 @@
 		c.Close()
 	}
 	set := sharing.Defaults
-	set.Round, set.Stale, set.Batch = 50*time.Millisecond, time.Hour, time.Hour // who is of low rank never asks here
+	set.Round, set.Stale, set.Batch = 50*time.Millisecond, time.Hour, time.Hour // agents of high rank number never call the service here
 	set.Watchers = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -75,7 +75,8 @@
 	return g
 }
 
-// One watches, and all have its list, its changes, and no more than that; what strangers send is counted and changes nothing.
+// One agent watches, and all receive its list and its changes, and nothing else; datagrams from strangers are counted
+// and change nothing.
 func TestListsPassOn(t *testing.T) {
 	var entries []discovery.Entry
 	for i := range 30 {
@@ -86,12 +87,12 @@
 		t.Fatal(err)
 	}
 	defer list.Close()
-	g := start(t, 4, list.Addr(), discovery.List{Servers: []discovery.Entry{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}, Full: true})
-	everywhere := func(what string, holds func(i int) bool) {
+	g := startGroup(t, 4, list.Addr(), discovery.List{Servers: []discovery.Entry{{ID: "old", Addr: "127.0.0.1:1", State: "in_service"}}, Full: true})
+	everywhere := func(what string, check func(i int) bool) {
 		t.Helper()
 		testkit.Eventually(t, what, func() bool {
 			for i := range g.hosts {
-				if !holds(i) {
+				if !check(i) {
 					return false
 				}
 			}
@@ -113,14 +114,14 @@
 	}
 	testkit.Eventually(t, "they are counted", func() bool { return g.hosts[0].Odd.Load() == 3 })
 	list.Tell(discovery.Entry{ID: "s3", Addr: "127.0.0.1:1003", State: "terminating", Weight: 1}, discovery.Entry{ID: "s4", State: "terminated"})
-	everywhere("all hear of the change", func(i int) bool {
+	everywhere("all receive the change", func(i int) bool {
 		drains, _ := g.of(i, "s3")
 		_, there := g.of(i, "s4")
 		return drains == choice.Draining && !there
 	})
 }
 
-// An entry is read as it was worded, and in few bytes.
+// An entry is decoded as it was encoded, and takes few bytes.
 func TestRows(t *testing.T) {
 	for _, e := range []discovery.Entry{
 		{ID: "s-5be2a07c", Addr: "10.1.0.18:8000", Zone: "a", Cell: 3, State: "in_service", Weight: 1},
@@ -128,8 +129,8 @@
 			Shapes: []string{"refund-record/2"}},
 		{ID: "b", Addr: "127.0.0.1:1", State: "in_service", Weight: 0},
 	} {
-		r := row(e)
-		got, err := entry(r)
+		r := encodeRow(e)
+		got, err := decodeRow(r)
 		if err != nil || !reflect.DeepEqual(got, e) {
 			t.Errorf("%+v, %v, not %+v", got, err, e)
 		}
@@ -137,29 +138,29 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	if got, err := entry(row(discovery.Entry{ID: "c", State: "terminated"})); err != nil || got.State != "terminated" {
+	if got, err := decodeRow(encodeRow(discovery.Entry{ID: "c", State: "terminated"})); err != nil || got.State != "terminated" {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, err := entry(sharing.Row{ID: "d", Body: []byte{0xff}}); err == nil {
-		t.Error("noise is an entry")
+	if _, err := decodeRow(sharing.Row{ID: "d", Body: []byte{0xff}}); err == nil {
+		t.Error("random bytes are decoded as an entry")
 	}
-	if n := len(row(discovery.Entry{ID: "s", Addr: "10.1.0.18:8000", Zone: "a", State: "in_service", Weight: 1}).Body); n > 24 {
-		t.Errorf("%d bytes of a plain entry", n)
+	if n := len(encodeRow(discovery.Entry{ID: "s", Addr: "10.1.0.18:8000", Zone: "a", State: "in_service", Weight: 1}).Body); n > 24 {
+		t.Errorf("%d bytes for a plain entry", n)
 	}
 }
 
-// What is wrong in the configuration is told before anything is sent.
+// Errors in the configuration are reported before anything is sent.
 func TestProblems(t *testing.T) {
-	good := Settings{Settings: sharing.Defaults, Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Log: slog.New(slog.DiscardHandler)}
-	for name, spoil := range map[string]func(*Settings){
+	valid := Settings{Settings: sharing.Defaults, Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Log: slog.New(slog.DiscardHandler)}
+	for name, corrupt := range map[string]func(*Settings){
 		"no listener":  func(s *Settings) { s.Listen = "" },
 		"no peers":     func(s *Settings) { s.Peers = nil },
 		"no address":   func(s *Settings) { s.Peers = []string{"x", "y"} },
 		"far place":    func(s *Settings) { s.Asking.Me = 2 },
 		"bad listener": func(s *Settings) { s.Listen = "somewhere" },
 	} {
-		s := good
-		spoil(&s)
+		s := valid
+		corrupt(&s)
 		if _, err := New(s); err == nil {
 			t.Errorf("%s: no error", name)
 		}
