--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -75,7 +75,7 @@
 type Listed struct {
 	ID       string
 	Started  time.Duration
-	Identity uint64
+	Identity uint64 // see learned.Identity
 }
 
 // Restored is the state that an earlier process of the agent stored. Each fact of it is returned at most once. It is not
--- a/internal/decide/aging/aging_test.go
+++ b/internal/decide/aging/aging_test.go
@@ -139,16 +139,16 @@
 		servers int
 		trust   float64
 	}{
-		"the same":               {unchanged, 8, 1},
-		"all restarted":          {changeFrom(0, restarted), 0, 0},
-		"all moved":              {changeFrom(0, moved), 0, 0},
-		"all under other ids":    {changeFrom(0, renamed), 0, 0},
-		"half restarted":         {changeFrom(4, restarted), 4, 4. / 12},
-		"half under other ids":   {changeFrom(4, renamed), 4, 4. / 12},
-		"half gone":              {func(l []Listed) []Listed { return l[:4] }, 4, 0.5},
-		"one restarted":          {changeFrom(7, restarted), 7, 7. / 9},
-		"twice as many":          {func(l []Listed) []Listed { return append(l, make([]Listed, 8)...) }, 8, 0.5},
-		"all but one are others": {changeFrom(1, renamed), 0, 0},
+		"the same":             {unchanged, 8, 1},
+		"all restarted":        {changeFrom(0, restarted), 0, 0},
+		"all moved":            {changeFrom(0, moved), 0, 0},
+		"all under other ids":  {changeFrom(0, renamed), 0, 0},
+		"half restarted":       {changeFrom(4, restarted), 4, 4. / 12},
+		"half under other ids": {changeFrom(4, renamed), 4, 4. / 12},
+		"half removed":         {func(l []Listed) []Listed { return l[:4] }, 4, 0.5},
+		"one restarted":        {changeFrom(7, restarted), 7, 7. / 9},
+		"twice as many":        {func(l []Listed) []Listed { return append(l, make([]Listed, 8)...) }, 8, 0.5},
+		"all but one replaced": {changeFrom(1, renamed), 0, 0},
 	} {
 		m := recallAfter(t, 0, c.named)
 		if len(m.Servers) != c.servers || c.servers > 0 && math.Abs(server(m, "sa").Trust-c.trust) > 1e-9 {
--- a/internal/decide/asking/asking.go
+++ b/internal/decide/asking/asking.go
@@ -26,9 +26,8 @@
 
 const (
 	// WatchSilenceTimeout is how long a watch may stay silent: it carries a line at least every 2 s, and one whose line
-	// is half of that late is dead. In the worst case none of the changes that it missed is known yet when they count as
-	// known (knownAfterSilence), and within that time all agents that watched may have to call one service, each in its
-	// slot.
+	// is half of that late is dead. The changes that it misses may remain unknown for knownAfterSilence at most, and
+	// within that time all agents that watched may have to call one service, each in its slot.
 	Silence = 3 * time.Second
 	// knownAfterSilence is how long after a watch fell silent the changes that it missed count as known to the agent,
 	// whether or not they arrived.
@@ -51,7 +50,7 @@
 	leastPeriod = 500 * time.Millisecond
 	vainPeriod  = 3 * time.Second
 	// maxPeriod is the period of agents that the service has dropped again and again. After a failed call list changes
-	// count as known only four times as late as otherwise, and the next call has to come before that.
+	// count as known only after four times the usual time, and the next call has to come before that.
 	mostPeriod = 24 * time.Second
 	// backoffFactor is by how much the period grows with each dropped call, from the second on.
 	backoffFactor = 3
@@ -69,7 +68,7 @@
 	offset   float64 // of this agent's slot in the period, from 0 to below 1
 
 	calledAt    time.Duration   // when the latest call began
-	answered    bool            // the latest call got a response, whatever came of it
+	answered    bool            // a response to the latest call has begun, whatever its content
 	delivered   bool            // the latest call brought a list that was accepted
 	failures    int             // calls in a row that brought no list though they were not dropped
 	rejections  int             // calls in a row that the service dropped
--- a/internal/decide/asking/asking_test.go
+++ b/internal/decide/asking/asking_test.go
@@ -155,7 +155,7 @@
 					a.scheduler = New(a.scheduler.settings, 1<<40+uint64(a.calls))
 					a.nextAt, a.calling = a.scheduler.Start(again), true
 				}
-				check("seven in ten started anew", again)
+				check("seven in ten restarted", again)
 			})
 		}
 	}
@@ -195,7 +195,7 @@
 		"unknown":            func(int) (int, int) { return -1, n },
 		"ten times too many": func(i int) (int, int) { return -1, 10 * n },
 		"ten times too few":  func(i int) (int, int) { return -1, n / 10 },
-		"two at each place":  func(i int) (int, int) { return i / 2 * 2, n },
+		"two at each index":  func(i int) (int, int) { return i / 2 * 2, n },
 	} {
 		for _, all := range []time.Duration{time.Second, 4 * time.Second, 6 * time.Second, 8 * time.Second} {
 			t.Run(fmt.Sprintf("%s, %v for all", name, all), func(t *testing.T) {
@@ -307,8 +307,8 @@
 		slow  bool
 	}{
 		"down": {[]time.Duration{time.Millisecond, time.Millisecond, time.Millisecond}, false}, "once silent": {[]time.Duration{CallWait, time.Millisecond}, false},
-		"given up once": {[]time.Duration{patience}, false}, "given up twice": {[]time.Duration{patience, patience}, true},
-		"silent, then given up twice": {[]time.Duration{CallWait, patience, patience}, true}, "silent three times": {[]time.Duration{CallWait, CallWait, CallWait}, true},
+		"dropped once": {[]time.Duration{patience}, false}, "dropped twice": {[]time.Duration{patience, patience}, true},
+		"silent, then dropped twice": {[]time.Duration{CallWait, patience, patience}, true}, "silent three times": {[]time.Duration{CallWait, CallWait, CallWait}, true},
 	} {
 		a := New(Settings{Shared: true, Agents: n, Me: 0, MustAsk: mustAsk}, 1)
 		now, next := 1000*time.Hour+time.Second, time.Duration(0)
--- a/internal/decide/company/company_test.go
+++ b/internal/decide/company/company_test.go
@@ -14,15 +14,15 @@
 // receive the same ones know the same.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Word {
+		heartbeats := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Word {
 			return Word{Place: rapid.IntRange(0, 4).Draw(t, "place"), Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "epoch")), Beat: uint32(rapid.IntRange(0, 5).Draw(t, "beat"))}
 		}), 1, 20).Draw(t, "words")
 		a, b := New(Settings{Agents: 5, Me: 0, Epoch: 9}, 1), New(Settings{Agents: 5, Me: 0, Epoch: 9}, 2)
-		for _, w := range words {
+		for _, w := range heartbeats {
 			a.Hear(second, w)
 		}
-		rand.New(rand.NewPCG(uint64(len(words)), 1)).Shuffle(len(words), func(i, j int) { words[i], words[j] = words[j], words[i] })
-		for _, w := range append(words, words...) {
+		rand.New(rand.NewPCG(uint64(len(heartbeats)), 1)).Shuffle(len(heartbeats), func(i, j int) { heartbeats[i], heartbeats[j] = heartbeats[j], heartbeats[i] })
+		for _, w := range append(heartbeats, heartbeats...) {
 			b.Hear(second, w)
 		}
 		for p := 1; p < 5; p++ {
@@ -89,11 +89,11 @@
 	}
 	seen := map[int]int{}
 	for range 20 {
-		words := c.Sample(n*second, 5, []int{7, 3}, 30*second)
-		if len(words) != 3 && len(words) != 5 || words[0].Place == 3 {
-			t.Fatalf("%+v", words)
+		heartbeats := c.Sample(n*second, 5, []int{7, 3}, 30*second)
+		if len(heartbeats) != 3 && len(heartbeats) != 5 || heartbeats[0].Place == 3 {
+			t.Fatalf("%+v", heartbeats)
 		}
-		for _, w := range words {
+		for _, w := range heartbeats {
 			if seen[w.Place]++; w.Age != n*second-time.Duration(w.Place)*second {
 				t.Errorf("age %v of %d", w.Age, w.Place)
 			}
--- a/internal/decide/keeping/keeping.go
+++ b/internal/decide/keeping/keeping.go
@@ -13,14 +13,14 @@
 // Settings bound the writes.
 type Settings struct {
 	Look      time.Duration // between two checks for updates
-	Least     time.Duration // between two writes at the least
-	Most      time.Duration // after which any update is written
+	Least     time.Duration // shortest time between two writes
+	Most      time.Duration // time after which any update is written
 	Enough    float64       // updates, relative to the number of known servers, from which on they are written earlier
 	Busy      float64       // calls in progress, as a share of the maximum, from which on a write is deferred, up to twice MaxInterval
-	MostBytes float64       // written per minute, on average
+	MostBytes float64       // bytes written per minute, on average
 	Change    float64       // distance, in units of one server, from which on a changed bucket is written
-	Stale     time.Duration // after which a bucket that holds any server is written, even if nothing in it changed
-	Retry     time.Duration // after the first failure; doubles with each further one
+	Stale     time.Duration // time after which a bucket that holds any server is written, even if nothing in it changed
+	Retry     time.Duration // delay after the first failure; doubles with each further one
 	MostRetry time.Duration
 }
 
@@ -30,9 +30,9 @@
 
 // View is the state of the agent at a check.
 type View struct {
-	News    uint64 // the module's count of what it learned
-	Servers int    // in the list
-	Load    float64
+	News    uint64  // the module's count of what it learned
+	Servers int     // in the list
+	Load    float64 // calls in progress, as a share of the maximum
 }
 
 // Policy decides for one agent. It is not safe for concurrent use.
--- a/internal/decide/sharing/datagram.go
+++ b/internal/decide/sharing/datagram.go
@@ -13,10 +13,10 @@
 // Datagram is a message from one agent to another.
 type Datagram struct {
 	From   company.Word
-	Gen    uint64 // generation of the sender's list
-	At     Cursor // up to which the sender's list is complete
-	Sort   uint16 // order of rows to which At refers, where it lies within a version
-	Age    time.Duration
+	Gen    uint64         // generation of the sender's list
+	At     Cursor         // up to which the sender's list is complete
+	Sort   uint16         // order of rows to which At refers, where it lies within a version
+	Age    time.Duration  // how long ago the sender's list was that of the service
 	Want   bool           // the sender requests what it lacks
 	Busy   bool           // the sender is receiving that from another agent
 	Others []company.Word // heartbeats of other agents
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -75,7 +75,7 @@
 // Action is something that the host has to do for a Node. Actions are carried out in order.
 type Action struct {
 	Kind     ActionKind
-	To       int
+	To       int // index of the agent
 	Datagram *Datagram
 	Version  int64
 	Full     bool
@@ -431,7 +431,8 @@
 	}
 	var rows []Row
 	for _, r := range t.rows {
-		if old := n.list.rows[r.ID]; (r.Less || r.Gone) && old != nil && !old.Gone && !old.Less && old.Stamp < r.Stamp && !n.deliveredEarly[r.ID] {
+		if old := n.list.rows[r.ID]; (r.Less || r.Gone) && old != nil && !old.Gone && !old.Less &&
+			old.Stamp < r.Stamp && !n.deliveredEarly[r.ID] {
 			n.deliveredEarly[r.ID] = true // always a server of the list, which bounds the map
 			rows = append(rows, r)
 		}
--- a/internal/decide/sharing/sharing_test.go
+++ b/internal/decide/sharing/sharing_test.go
@@ -621,13 +621,13 @@
 		t.Errorf("%+v %+v, %v", got, got.Chunk, err)
 	}
 	for name, spoil := range map[string]func(*Datagram){
-		"a row behind its chunk": func(d *Datagram) { d.Chunk.Rows[0].Stamp = 42 },
+		"a row after its chunk":  func(d *Datagram) { d.Chunk.Rows[0].Stamp = 42 },
 		"a row before its chunk": func(d *Datagram) { d.Chunk.Rows[0].Stamp = 40 },
 		"backwards":              func(d *Datagram) { d.Chunk.After.Version = 50 },
 		"beyond its head":        func(d *Datagram) { d.Chunk.Head = 7 },
 		"a negative version":     func(d *Datagram) { d.At.Version = -1 },
 		"a high index":           func(d *Datagram) { d.From.Place = 1 << 30 },
-		"too many others":        func(d *Datagram) { d.Others = make([]company.Word, maxOthers+1) },
+		"too many heartbeats":    func(d *Datagram) { d.Others = make([]company.Word, maxOthers+1) },
 		"too large":              func(d *Datagram) { d.Chunk.Rows[0].Body = make([]byte, MostSize) },
 	} {
 		bad, _ := Decode(d.Encode())
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -77,11 +77,11 @@
 	const agents = 300
 	_, chance := unevenness(100, drawnServers(agents, 100, 0.16, func(a int) Settings { return Settings{Agents: agents, Me: -1, Seed: uint64(a)} }))
 	for name, place := range map[string]func(a int) Settings{
-		"a tenth of the number":     func(a int) Settings { return Settings{Agents: agents / 10, Me: a, Seed: uint64(a)} },
-		"ten times the number":      func(a int) Settings { return Settings{Agents: agents * 10, Me: a, Seed: uint64(a)} },
-		"half know an old number":   func(a int) Settings { return Settings{Agents: []int{agents, agents / 2}[a%2], Me: a, Seed: uint64(a)} },
-		"two have one place":        func(a int) Settings { return Settings{Agents: agents, Me: max(a, 1), Seed: uint64(a)} },
-		"two sides that think each": func(a int) Settings { return Settings{Agents: agents / 2, Me: a % (agents / 2), Seed: uint64(a)} },
+		"a tenth of the number":                 func(a int) Settings { return Settings{Agents: agents / 10, Me: a, Seed: uint64(a)} },
+		"ten times the number":                  func(a int) Settings { return Settings{Agents: agents * 10, Me: a, Seed: uint64(a)} },
+		"half know an old number":               func(a int) Settings { return Settings{Agents: []int{agents, agents / 2}[a%2], Me: a, Seed: uint64(a)} },
+		"two have the same index":               func(a int) Settings { return Settings{Agents: agents, Me: max(a, 1), Seed: uint64(a)} },
+		"two halves that count only themselves": func(a int) Settings { return Settings{Agents: agents / 2, Me: a % (agents / 2), Seed: uint64(a)} },
 	} {
 		_, calls := unevenness(100, drawnServers(agents, 100, 0.16, place))
 		t.Logf("%s: %.3f, with random ranks %.3f", name, calls, chance)
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -156,7 +156,7 @@
 		"no listener":  func(s *Settings) { s.Listen = "" },
 		"no peers":     func(s *Settings) { s.Peers = nil },
 		"no address":   func(s *Settings) { s.Peers = []string{"x", "y"} },
-		"far place":    func(s *Settings) { s.Asking.Me = 2 },
+		"high index":   func(s *Settings) { s.Asking.Me = 2 },
 		"bad listener": func(s *Settings) { s.Listen = "somewhere" },
 	} {
 		s := valid
