--- a/internal/decide/ledger/bench_test.go
+++ b/internal/decide/ledger/bench_test.go
@@ -8,7 +8,7 @@
 	"ternbeam/choice"
 )
 
-// What an export costs the loop, by the size of the fleet; everything of it is known.
+// Measures the time that an export takes on the event loop, by the number of servers, if facts about all of them are known.
 func BenchmarkExport(b *testing.B) {
 	for _, n := range []int{12, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decide/ledger/copy.go
+++ b/internal/decide/ledger/copy.go
@@ -6,46 +6,46 @@
 	"ternbeam/internal/decide/life"
 )
 
-// Twins are copies of what a Ledger speaks of.
+// Copies holds the copies of the objects that a Tracker refers to, for the state explorer.
 type Twins struct {
 	Calls    life.Twins[Call]
 	Attempts life.Twins[Attempt]
 	Servers  life.Twins[life.Server]
 }
 
-// NewTwins returns none yet. Payloads, hosts' fields and the ways to answer stay those of the originals.
+// NewCopies returns an empty Copies. A copy shares the payload, the host's fields and the Answer function with its original.
 func NewTwins() *Twins {
-	t := &Twins{}
-	t.Servers.Fill = (*life.Server).CopyTo
-	t.Attempts.Fill = func(at, twin *Attempt) {
-		*twin = *at
-		twin.Call, twin.Server = t.Calls.Of(at.Call), t.Servers.Of(at.Server)
+	copies := &Twins{}
+	copies.Servers.Fill = (*life.Server).CopyTo
+	copies.Attempts.Fill = func(at, dst *Attempt) {
+		*dst = *at
+		dst.Call, dst.Server = copies.Calls.Of(at.Call), copies.Servers.Of(at.Server)
 	}
-	t.Calls.Fill = func(c, twin *Call) {
-		twin.Request, twin.Payload, twin.Tag, twin.Answer, twin.out = c.Request, c.Payload, c.Tag, c.Answer, c.out
-		twin.over.Store(c.over.Load())
-		twin.gone.Store(c.gone.Load())
+	copies.Calls.Fill = func(c, dst *Call) {
+		dst.Request, dst.Payload, dst.Tag, dst.Answer, dst.inFlight = c.Request, c.Payload, c.Tag, c.Answer, c.inFlight
+		dst.finished.Store(c.finished.Load())
+		dst.disconnected.Store(c.disconnected.Load())
 		for _, at := range c.attempts {
-			twin.attempts = append(twin.attempts, t.Attempts.Of(at))
+			dst.attempts = append(dst.attempts, copies.Attempts.Of(at))
 		}
-		twin.passing = t.Attempts.Of(c.passing)
+		dst.relaying = copies.Attempts.Of(c.relaying)
 	}
-	return t
+	return copies
 }
 
-// Copy returns an equal Ledger over an equal module. It must not be under way with anything.
-func (l *Ledger) Copy(set Settings, balancer Module, t *Twins) *Ledger {
-	twin := New(set, balancer)
-	twin.now, twin.open, twin.passing, twin.stats = l.now, l.open, l.passing, l.Stats()
-	twin.listed, twin.word = maps.Clone(l.listed), l.word.Copy()
-	for id, c := range l.calls {
-		twin.calls[id] = t.Calls.Of(c)
+// Copy returns an equal Tracker that uses balancer, a copy of the module. It must not be called while an event is handled.
+func (t *Ledger) Copy(set Settings, balancer Module, copies *Twins) *Ledger {
+	dst := New(set, balancer)
+	dst.now, dst.unanswered, dst.relaying, dst.stats = t.now, t.unanswered, t.relaying, t.Stats()
+	dst.listed, dst.overrides = maps.Clone(t.listed), t.overrides.Copy()
+	for id, c := range t.calls {
+		dst.calls[id] = copies.Calls.Of(c)
 	}
-	for id, s := range l.servers {
-		twin.servers[id] = t.Servers.Of(s)
+	for id, s := range t.servers {
+		dst.servers[id] = copies.Servers.Of(s)
 	}
-	return twin
+	return dst
 }
 
-// Knows reports whether the Ledger still holds a call.
-func (l *Ledger) Knows(c *Call) bool { return l.calls[c.ID] == c }
+// Holds reports whether the Tracker still holds a call.
+func (t *Ledger) Knows(c *Call) bool { return t.calls[c.ID] == c }
--- a/internal/decide/ledger/crossing_test.go
+++ b/internal/decide/ledger/crossing_test.go
@@ -7,14 +7,14 @@
 	"ternbeam/choice"
 )
 
-// A client leaves while its call is on its way to the ledger, so that the news of one may come before the other: the call is over at
-// once in either order, nothing is sent for it, and nothing of it stays.
+// A client disconnects while its call is on its way to the tracker, so the two events may arrive in either order. In both, the call
+// ends at once, nothing is sent for it, and the tracker keeps nothing of it.
 func TestClientLeavesAsItsCallArrives(t *testing.T) {
 	for name, cross := range map[string]func(l *Ledger, call *Call) []Order{
-		"the leaving first": func(l *Ledger, call *Call) []Order {
+		"disconnect first": func(l *Ledger, call *Call) []Order {
 			return append(l.Left(time.Hour, call), l.Arrived(time.Hour, call)...)
 		},
-		"the call first": func(l *Ledger, call *Call) []Order {
+		"call first": func(l *Ledger, call *Call) []Order {
 			return append(l.Arrived(time.Hour, call), l.Left(time.Hour, call)...)
 		},
 	} {
@@ -31,11 +31,11 @@
 			call.Leave()
 			for _, o := range cross(l, call) {
 				if o.Kind == Begin || o.Kind == Reply {
-					t.Errorf("order %d for nobody", o.Kind)
+					t.Errorf("command of kind %d for a disconnected client", o.Kind)
 				}
 			}
 			if open, held := l.Count(); open != 0 || held != 0 || l.Stats().Gone != 1 {
-				t.Errorf("%d open, %d held, %d gone", open, held, l.Stats().Gone)
+				t.Errorf("%d unanswered, %d held, %d disconnected", open, held, l.Stats().Gone)
 			}
 		})
 	}
--- a/internal/decide/ledger/ending.go
+++ b/internal/decide/ledger/ending.go
@@ -6,15 +6,16 @@
 	"ternbeam/choice"
 )
 
-// End says that the process ends: every request, also those that come from now on, gets its final answer by some time, also
-// where its own deadline or that of a body still to come is later. Of several times the first counts.
-func (l *Ledger) End(now, by time.Duration) []Order {
-	l.begin(now)
-	if l.endBy > 0 && l.endBy <= by {
-		return l.orders
+// Shutdown limits the time to answer calls, as the process shuts down: each call, including those still to come, gets its final
+// answer by the given time, even if its own deadline, or one set later by RequestComplete, is later. If Shutdown is called
+// several times, the earliest time applies.
+func (t *Ledger) End(now, by time.Duration) []Order {
+	t.startStep(now)
+	if t.shutdownBy > 0 && t.shutdownBy <= by {
+		return t.commands
 	}
-	l.endBy = by
-	for _, call := range l.calls {
+	t.shutdownBy = by
+	for _, call := range t.calls {
 		if call.Over() || call.Deadline <= by {
 			continue
 		}
@@ -22,18 +23,18 @@
 		for _, at := range call.attempts {
 			if at != nil && at.End > by {
 				at.End = by
-				l.order(Order{Kind: Bound, Attempt: at, At: by})
+				t.emit(Order{Kind: Bound, Attempt: at, At: by})
 			}
 		}
 	}
-	l.handle(choice.Ending{By: by})
-	return l.orders
+	t.handle(choice.Ending{By: by})
+	return t.commands
 }
 
-// inTime is a deadline, or an earlier one where the process ends.
-func (l *Ledger) inTime(deadline time.Duration) time.Duration {
-	if l.endBy > 0 {
-		return min(deadline, l.endBy)
+// clampDeadline returns deadline, or the time set by Shutdown if that is earlier.
+func (t *Ledger) clampDeadline(deadline time.Duration) time.Duration {
+	if t.shutdownBy > 0 {
+		return min(deadline, t.shutdownBy)
 	}
 	return deadline
 }
--- a/internal/decide/ledger/ending_test.go
+++ b/internal/decide/ledger/ending_test.go
@@ -7,7 +7,7 @@
 	"ternbeam/choice"
 )
 
-// The end of the process binds open calls, their attempts, those that come later and those whose body ends later.
+// A shutdown shortens the deadlines of unanswered calls, of their attempts, of later calls and of calls whose body ends later.
 func TestEndBindsCallsAndAttempts(t *testing.T) {
 	const by = 2 * time.Second
 	l, _ := observed(scripted{"request": {{Kind: choice.Send, Request: "open", Server: "s-1"}}})
@@ -20,17 +20,17 @@
 		}
 	}
 	if open.Deadline != by || bound != by {
-		t.Errorf("deadline %v, its attempt is bound by %v", open.Deadline, bound)
+		t.Errorf("deadline %v, its attempt ends at %v", open.Deadline, bound)
 	}
 	l.Whole(time.Second, open, time.Minute)
 	if open.Deadline != by {
-		t.Errorf("deadline %v once its body is whole", open.Deadline)
+		t.Errorf("deadline %v after its body was complete", open.Deadline)
 	}
 	later := &Call{Request: choice.Request{ID: "later", Deadline: time.Minute}}
 	if l.Arrived(time.Second, later); later.Deadline != by {
-		t.Errorf("deadline %v of a later one", later.Deadline)
+		t.Errorf("deadline %v of a later call", later.Deadline)
 	}
-	if l.End(time.Second, by+time.Second); l.inTime(time.Minute) != by {
-		t.Errorf("a later end moved it to %v", l.inTime(time.Minute))
+	if l.End(time.Second, by+time.Second); l.clampDeadline(time.Minute) != by {
+		t.Errorf("a later shutdown time moved the deadline to %v", l.clampDeadline(time.Minute))
 	}
 }
--- a/internal/decide/ledger/learned.go
+++ b/internal/decide/ledger/learned.go
@@ -10,19 +10,19 @@
 	"ternbeam/internal/decide/life"
 )
 
-// Learned is what the module has learned, with what makes each server the one that it is. Its parts are used again by the
-// next export.
+// Learned holds what the module has learned, with the identity of each server. Export reuses its slices.
 type Learned struct {
-	Memory  choice.Memory
-	Servers []learned.Server // those of the memory that can be sent to
-	Fleet   []uint64         // identities of all that can be sent to
+	Memory  choice.Memory    // the module's own export
+	Servers []learned.Server // the servers in Memory that calls can be sent to
+	Fleet   []uint64         // identities of all servers that calls can be sent to
 }
 
-// Export writes what was learned into a value. Worked says which of several addresses connected last, if any; it may be nil.
-func (l *Ledger) Export(now time.Duration, into *Learned, worked func(addrs []string) string) {
-	l.balancer.Export(now, &into.Memory)
+// Export writes what was learned to into. worked returns which of a server's addresses connected last, or "" if none did; it
+// may be nil.
+func (t *Ledger) Export(now time.Duration, into *Learned, worked func(addrs []string) string) {
+	t.balancer.Export(now, &into.Memory)
 	into.Servers, into.Fleet = into.Servers[:0], into.Fleet[:0]
-	by := func(s *life.Server) string {
+	lastAddr := func(s *life.Server) string {
 		if worked == nil || len(s.Addrs) < 2 {
 			return ""
 		}
@@ -30,11 +30,11 @@
 	}
 	several := 0
 	for _, m := range into.Memory.Servers {
-		if s := l.servers[m.ID]; s != nil {
-			into.Servers = append(into.Servers, learned.Server{ServerMemory: m, Addr: s.Addr, Identity: s.Identity, Worked: by(s)})
+		if s := t.servers[m.ID]; s != nil {
+			into.Servers = append(into.Servers, learned.Server{ServerMemory: m, Addr: s.Addr, Identity: s.Identity, Worked: lastAddr(s)})
 		}
 	}
-	for _, s := range l.servers {
+	for _, s := range t.servers {
 		into.Fleet = append(into.Fleet, s.Identity)
 		if len(s.Addrs) > 1 {
 			several++
@@ -47,47 +47,47 @@
 	for _, s := range into.Servers {
 		known[s.ID] = true
 	}
-	for _, s := range l.servers { // of which nothing else is known
-		if addr := by(s); addr != "" && !known[s.ID] {
+	for _, s := range t.servers { // servers of which only the address that connected is known
+		if addr := lastAddr(s); addr != "" && !known[s.ID] {
 			into.Servers = append(into.Servers, learned.Server{Addr: s.Addr, Identity: s.Identity, Worked: addr,
 				ServerMemory: choice.ServerMemory{ID: s.ID, Started: time.Duration(s.Started) * time.Millisecond}})
 		}
 	}
 }
 
-// News counts what the module learned.
-func (l *Ledger) News() uint64 { return l.balancer.News() }
+// News returns a count that grows whenever the module learns something.
+func (t *Ledger) News() uint64 { return t.balancer.News() }
 
-// Remember takes what an earlier agent knew. Recall tells the module.
-func (l *Ledger) Remember(past *aging.Past) {
-	l.past, l.named = past, nil
-	for _, s := range l.servers {
-		l.named = append(l.named, listed(s))
+// LoadPast takes the facts that an earlier process had learned. Recall gives them to the module.
+func (t *Ledger) Remember(past *aging.Past) {
+	t.past, t.newlyListed = past, nil
+	for _, s := range t.servers {
+		t.newlyListed = append(t.newlyListed, listedServer(s))
 	}
 }
 
-func listed(s *life.Server) aging.Listed {
+func listedServer(s *life.Server) aging.Listed {
 	return aging.Listed{ID: s.ID, Started: time.Duration(s.Started) * time.Millisecond, Identity: s.Identity}
 }
 
-// Recall tells the module what is still worth remembering of the servers that the list named since the last time, and
-// returns of how many that is anything, and which of their addresses connected. What is never asked for in the past is
-// forgotten with it.
-func (l *Ledger) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
-	if l.past == nil || len(l.named) == 0 {
+// Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
+// the number of servers with such facts and the addresses of them that had connected. Facts about servers that are never
+// listed are dropped together with the past.
+func (t *Ledger) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
+	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
 	}
-	l.named = slices.DeleteFunc(l.named, func(n aging.Listed) bool { // one list may name several lives of a server
-		s := l.servers[n.ID]
+	t.newlyListed = slices.DeleteFunc(t.newlyListed, func(n aging.Listed) bool { // a server may have restarted within one list
+		s := t.servers[n.ID]
 		return s == nil || s.Identity != n.Identity
 	})
-	m, worked := l.past.Recall(clock, l.named, len(l.servers))
-	if l.named = l.named[:0]; l.past.Left() == 0 {
-		l.past = nil
+	m, worked := t.past.Recall(clock, t.newlyListed, len(t.servers))
+	if t.newlyListed = t.newlyListed[:0]; t.past.Left() == 0 {
+		t.past = nil
 	}
-	l.balancer.Recall(now, m)
+	t.balancer.Recall(now, m)
 	return len(m.Servers), worked
 }
 
-// Forget ends the remembering.
-func (l *Ledger) Forget() { l.past, l.named = nil, nil }
+// DropPast drops the facts of the earlier process that were not recalled yet.
+func (t *Ledger) Forget() { t.past, t.newlyListed = nil, nil }
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger holds the lives of calls: it owns the decision module, keeps account of calls, their attempts and the
-// servers, and says what is to be done. It does no I/O and reads no clock. The core is its host; the explorer is
-// another.
+// Package calltrack tracks calls from acceptance to the final answer. It owns the decision module, holds the state of calls,
+// attempts and servers, and returns the commands that its host is to carry out. It does no I/O and reads no clock. It has
+// two hosts: internal/host/core in production, and the state explorer in internal/lab/explore.
 package ledger
 
 import (
@@ -18,39 +18,39 @@
 	"ternbeam/internal/decide/subset"
 )
 
-// Call is one call of a client. Its Needs name the protocol that a server must speak to be sent it.
+// Call is one call of a client. Request.Needs names the protocol that a server must speak to receive it.
 type Call struct {
 	choice.Request
-	Payload any          // for the transports of that protocol
-	Tag     routes.Tag   // in which shape it came; the zero one where it has none
-	Answer  func(Answer) // takes the one final answer, on the loop: it must not block
+	Payload any          // the message, as the transports of that protocol expect it
+	Tag     routes.Tag   // the shape in which the call was received; zero if it has none
+	Answer  func(Answer) // receives the one final answer; called on the event loop, so it must not block
 
-	Connection Connection // on which it came, for its Record
+	Connection Connection // the client connection that the call was received on, for its Record
 
-	// Disconnected asks the system whether the client has closed its connection. Transports call it right before an attempt is
-	// written, from any goroutine; it must not wait. Nil where nobody can tell.
+	// Disconnected asks the operating system whether the client has closed its connection. Transports call it right before
+	// an attempt is written, from any goroutine; it must not block. It is nil if that cannot be determined.
 	Disconnected func() bool
 
-	over     atomic.Bool // the final answer is given, or the client is gone
-	gone     atomic.Bool // the client is gone; the news of it may still be on its way
-	attempts []*Attempt  // by number; nil for one that has ended
-	out      int         // attempts in flight
-	unfit    error       // why it can't be put in another shape
-	passing  *Attempt    // whose answer has begun to be passed on, until its end
+	finished       atomic.Bool // the final answer has been given, or the client has disconnected
+	disconnected   atomic.Bool // the client has disconnected; the Tracker may not have been notified yet
+	attempts       []*Attempt  // by attempt number; nil once an attempt has ended
+	inFlight       int         // attempts in flight
+	untranslatable error       // why the call can't be translated into another shape
+	relaying       *Attempt    // the attempt whose answer is being relayed to the client; nil before and after
 
-	taken   time.Duration   // when the Ledger took it
-	history []AttemptRecord // attempts that have ended, for its Record
+	accepted time.Duration   // when the Tracker received the call, on the module's clock
+	history  []AttemptRecord // ended attempts, for the Record
 }
 
-// Over reports whether the call has its final answer or its client is gone: nothing may be sent for it any more.
-func (c *Call) Over() bool { return c.over.Load() || c.gone.Load() }
+// Finished reports whether the call has its final answer or its client has disconnected. Nothing may be sent for it any more.
+func (c *Call) Over() bool { return c.finished.Load() || c.disconnected.Load() }
 
-// Leave says that the client is gone, before the Ledger takes the news: from now on nothing more is sent for it, however
-// long the news has to wait.
-func (c *Call) Leave() { c.gone.Store(true) }
+// MarkDisconnected records that the client has disconnected. It takes effect at once, from any goroutine: nothing more is
+// sent for the call, even if Tracker.ClientDisconnected is called only later.
+func (c *Call) Leave() { c.disconnected.Store(true) }
 
-// Abandoned reports whether nothing may be sent for the call any more, as of this moment: the client's connection is looked at,
-// so that its end counts before anybody has told the Ledger.
+// Abandoned reports whether nothing may be sent for the call any more. Unlike Finished it also polls the client's connection,
+// so a disconnect is detected before the Tracker is notified of it.
 func (c *Call) Abandoned() bool {
 	if !c.Over() && c.Disconnected != nil && c.Disconnected() {
 		c.Leave()
@@ -58,108 +58,109 @@
 	return c.Over()
 }
 
-// Gone reports whether the client is gone.
-func (c *Call) Gone() bool { return c.gone.Load() }
+// ClientDisconnected reports whether the client is known to have disconnected.
+func (c *Call) Gone() bool { return c.disconnected.Load() }
 
-// End gives the call up from outside a Ledger; transports under test use it.
-func (c *Call) End() { c.over.Store(true) }
+// Abort marks the call as finished without a Tracker. Only tests of transports use it.
+func (c *Call) End() { c.finished.Store(true) }
 
-// Kind is what a final answer says.
+// AnswerKind is the kind of a final answer.
 type Kind int
 
 // The kinds of final answers.
 const (
 	Served    Kind = iota
-	Refused        // trying again does no harm
-	Failed         // no promise about its effect
-	Duplicate      // a call with this id is under way
-	Unfit          // a refusal: no server takes it in its shape, and it can't be put in another; trying again is of no use
+	Refused        // the call had no effect, so a retry is safe
+	Failed         // the call may or may not have taken effect
+	Duplicate      // another call with the same id is in progress
+	Unfit          // a refusal: no server accepts the call's shape and it can't be translated, so a retry is pointless
 )
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Kind  Kind
-	After time.Duration // of a refusal: when to come back, 0 where that is not said
-	Reply any           // of a served call: what the transport brought
-	Cause error         // of an unfit one
+	After time.Duration // of a refusal: the delay before a retry; 0 if unspecified
+	Reply any           // of a served call: the reply, as the transport returned it
+	Cause error         // of an untranslatable call: why it can't be translated
 }
 
 // Attempt is one attempt of a call at a server.
 type Attempt struct {
 	Call   *Call
 	Number int
-	Reason choice.Reason // why it is made
+	Reason choice.Reason // why the attempt is made
 	Server *life.Server
-	Sent   time.Duration // on the module's clock
-	End    time.Duration // when it is given up, on the same
-	SendBy time.Duration // its last byte must be written before, on the same; 0 for any time
-	Life   life.Attempt  // its transport's
+	Sent   time.Duration // when the attempt was started, or when the request body was complete; on the module's clock
+	End    time.Duration // when the attempt times out, on the module's clock
+	SendBy time.Duration // the last byte must be written before this time on the module's clock; 0 for no limit
+	Life   life.Attempt  // the state machine, driven by the transport
 
-	Way     routes.Way       // in which shape it is sent, where the call has one
-	Speaks  choice.Protocols // what is spoken with the server
-	Payload any              // what is sent: the call's, or its translation
+	Way     routes.Way       // the shape in which the call is sent, if it has one
+	Speaks  choice.Protocols // the protocol spoken with the server
+	Payload any              // the message to send: the call's own, or its translation
 
-	// Illegal takes a step that must not come: a fault of this program. None is taken where it is nil.
+	// Illegal is called with an illegal state transition, which is a bug in this program. It may be nil.
 	Illegal  func(error)
-	Begun    func(*Attempt, Ending)  // the host's: says that the answer begins to be passed on, which then ends apart
-	Forwards *atomic.Int64           // the host's: counts the attempts that are written whole, where not nil
-	Withdraw context.CancelCauseFunc // the host's: ends the attempt's context
-	WriteBy  time.Time               // the host's: SendBy on the system's clock
+	Begun    func(*Attempt, Ending)  // set by the host: reports that the answer starts to be relayed; its end is reported separately
+	Forwards *atomic.Int64           // set by the host: counts the attempts that were written completely; may be nil
+	Withdraw context.CancelCauseFunc // set by the host: cancels the attempt's context
+	WriteBy  time.Time               // set by the host: SendBy on the system clock
 }
 
-// Heed passes on an illegal step, if it is one.
+// ReportIllegalStep passes err to OnIllegalStep, unless one of them is nil.
 func (at *Attempt) Heed(err error) {
 	if err != nil && at.Illegal != nil {
 		at.Illegal(err)
 	}
 }
 
-// Forwarded says that the last byte of the message is written. Transports say it once.
+// MarkForwarded counts the attempt as forwarded. Transports call it once, when the last byte of the message is written.
 func (at *Attempt) Forwarded() {
 	if at.Forwards != nil {
 		at.Forwards.Add(1)
 	}
 }
 
-// Ending is how an attempt ended.
+// AttemptOutcome describes how an attempt ended.
 type Ending struct {
 	Result choice.Result
 	Report choice.Report
-	Reply  any // where it was served
+	Reply  any // the reply, if the attempt was served
 
-	Cause        error // why it was not served, for the log; nil where nobody told
-	Unfit        error // nothing was sent: the call can't be put in the shape that the server takes
-	ShapeUnknown bool  // the server does not know the shape, and so said; it never ran
-	Untold       error // it was served, and the answer can't be put in the client's shape
+	Cause        error // why the attempt was not served, for the log; nil if unknown
+	Unfit        error // nothing was sent, because the call can't be translated into the shape that the server accepts
+	ShapeUnknown bool  // the server answered that it does not know the shape; the call never ran
+	Untold       error // the call was served, but its reply can't be translated into the client's shape
 }
 
-// Ended is an Ending that brought nothing.
+// ResultOnly returns an AttemptOutcome with a result and neither a reply nor a load report.
 func Ended(r choice.Result) Ending { return Ending{Result: r, Report: choice.NoReport} }
 
-// Entry is an entry of the list of servers.
+// Entry is an entry of the server list.
 type Entry struct {
 	choice.Server
 	Addr        string
-	Addrs       []string // all under which it can be reached, in the order to be tried; Addr alone where there are none
-	Multiplexed bool
-	Shapes      []string // class/version of those that it takes; none where it looks at no shape
+	Addrs       []string // all addresses of the server, in the order to try them; empty if Addr is the only one
+	Multiplexed bool     // the server accepts several concurrent calls on a connection
+	Shapes      []string // the shapes that the server accepts, as class/version; empty if it does not check shapes
 }
 
-// OrderKind names what an Order asks for.
+// CommandKind tells what a Command asks for.
 type OrderKind int
 
-// The kinds of orders.
+// The kinds of commands.
 const (
-	Begin    OrderKind = iota // Attempt
-	Withdraw                  // Attempt
-	Reply                     // Answer to Call
-	SetTimer                  // Fired with Token is owed at At
-	Retire                    // Server: its idle connections are closed
-	Bound                     // Attempt is given up at At, earlier than was said when it began
-	Discard                   // Reply: nobody takes it
+	Begin    OrderKind = iota // start Attempt
+	Withdraw                  // cancel Attempt
+	Reply                     // give Answer to Call
+	SetTimer                  // call TimerFired with Token at At
+	Retire                    // close the idle connections to Server
+	Bound                     // time Attempt out at At, which is earlier than the time set when it started
+	Discard                   // drop Reply, as its client is gone or already has an answer
 )
 
-// Order is something that the host is to do. Orders are carried out in their order.
+// Command is something that the host has to do. The host carries out the commands of a slice one after the other. Kind determines
+// which of the other fields are set.
 type Order struct {
 	Kind    OrderKind
 	Attempt *Attempt
@@ -167,24 +168,25 @@
 	Answer  Answer
 	Reply   any
 	Token   uint64
-	At      time.Duration
+	At      time.Duration // on the module's clock
 	Server  *life.Server
 }
 
-// Stats are counts since the start.
+// Stats holds counts since the start.
 type Stats struct {
-	Requests, Gone                     int
-	ClassStats                         // over all classes
-	Attempts, Reports                  int
-	Results                            [choice.NotSent + 1]int
-	Translated, Unfit, Unknown, Untold int // attempts; Unfit are calls
-	Classes                            []ClassStats
+	Requests, Gone    int                     // calls received; calls whose client disconnected before the final answer
+	ClassStats                                // sum over all classes
+	Attempts, Reports int                     // attempts that the module ordered; load reports received
+	Results           [choice.NotSent + 1]int // attempts by their choice.Result
+	// Translated attempts, untranslatable calls, attempts of a shape unknown to the server, and untranslatable replies.
+	Translated, Unfit, Unknown, Untold int
+	Classes                            []ClassStats // by class
 }
 
-// ClassStats are the final answers to the calls of one class. Each call that has one counts under one of them.
+// ClassStats counts the final answers to the calls of one class. Each answered call counts in exactly one field.
 type ClassStats struct{ Served, Refused, Failed int }
 
-// add counts a call under its end.
+// add counts a call by its final answer.
 func (s *ClassStats) add(k Kind) {
 	switch k {
 	case Served:
@@ -196,388 +198,390 @@
 	}
 }
 
-// Module is the decision module, as a Ledger uses it: a choice.Balancer, or one that an explorer watches.
+// Module is the decision module as a Tracker uses it: a choice.Balancer, or a wrapper with which the explorer observes one.
 type Module interface {
 	Start(now time.Duration) []choice.Action
 	Handle(now time.Duration, ev choice.Event) []choice.Action
 	Export(now time.Duration, into *choice.Memory)
 	Recall(now time.Duration, m choice.Memory)
-	News() uint64
-	Ejected() int
+	News() uint64 // a count that grows whenever the module learns something
+	Ejected() int // the number of servers that the module has ejected
 }
 
-// Settings are what a Ledger is made of.
+// Settings configures a Tracker.
 type Settings struct {
-	Classes     int // of calls
-	MaxAttempts int
-	MostHeld    int                               // calls not answered yet; 0 for no bound
-	Carries     func(needs choice.Protocols) bool // whether there is a transport for them
-	Illegal     func(error)
-	Routes      *routes.Routes // by shapes; nil where calls have none
-	Observe     func(Record)   // takes the Record of each request that ends, on the loop; none are kept where nil
-	Places      *subset.Subset // the places of this agent at servers; nil for the first at each
+	Classes     int                               // number of call classes
+	MaxAttempts int                               // per call
+	MostHeld    int                               // maximum number of unanswered calls; 0 for no limit
+	Carries     func(needs choice.Protocols) bool // reports whether there is a transport for these protocols
+	Illegal     func(error)                       // called with illegal state transitions, which are bugs in this program; may be nil
+	Routes      *routes.Routes                    // routing by shape; nil if calls have no shapes
+	Observe     func(Record)                      // receives the Record of each ended request, on the event loop; nil to keep no records
+	Places      *subset.Subset                    // this agent's places at servers; nil for the first place at each
 }
 
-// Ledger keeps the calls. It is not safe for concurrent use.
+// Tracker tracks the calls of an agent. It is not safe for concurrent use.
 type Ledger struct {
-	set      Settings
-	balancer Module
-	now      time.Duration
-	queue    []choice.Event // to be handled; actions of one event may cause the next
-	handling bool
-	orders   []Order
-	calls    map[string]*Call // not answered yet, or with attempts in flight
-	servers  map[string]*life.Server
-	listed   map[string]Entry // as the list has them, also those that drain
-	word     operators.Word
-	open     int // calls not answered yet
-	passing  int // calls whose answer is being passed on
-	stats    Stats
-	past     *aging.Past    // what an earlier agent knew; nil for nothing
-	named    []aging.Listed // by the list, and not asked for in the past yet
-	due      time.Duration  // when a timer for the routes is set; 0 where none is
-	endBy    time.Duration  // by when all is answered, as the process ends; 0 before
-	reasons  map[Reason]int // how many requests ended for each, where they are observed
-}
-
-// New returns a Ledger over a module.
+	set          Settings
+	balancer     Module
+	now          time.Duration
+	pending      []choice.Event // events that the module has not handled yet; actions on one event may add further ones
+	handling     bool
+	commands     []Order
+	calls        map[string]*Call // by id: calls that are unanswered or have attempts in flight
+	servers      map[string]*life.Server
+	listed       map[string]Entry // by id: the entries as the server list has them, including draining servers
+	overrides    operators.Word
+	unanswered   int // number of unanswered calls
+	relaying     int // number of calls whose answer is being relayed
+	stats        Stats
+	past         *aging.Past    // facts learned by an earlier process; nil if there are none
+	newlyListed  []aging.Listed // listed servers that Recall has not looked up in past yet
+	routesTimer  time.Duration  // the time for which the routes' timer is set; 0 if it is not set
+	shutdownBy   time.Duration  // the time by which all calls must be answered, as the process shuts down; 0 before that
+	reasonCounts map[Reason]int // number of ended requests by reason, if Settings.Observe is set
+}
+
+// New returns a Tracker that uses balancer as its decision module.
 func New(set Settings, balancer Module) *Ledger {
 	return &Ledger{set: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*life.Server{},
-		listed: map[string]Entry{}, stats: Stats{Classes: make([]ClassStats, set.Classes)}, reasons: map[Reason]int{}}
+		listed: map[string]Entry{}, stats: Stats{Classes: make([]ClassStats, set.Classes)}, reasonCounts: map[Reason]int{}}
 }
 
-// begin opens the handling of something that has happened. The orders that it returns hold until the next.
-func (l *Ledger) begin(now time.Duration) { l.now, l.orders = now, l.orders[:0] }
+// startStep starts the handling of an external event. The commands returned for it are valid until the next one.
+func (t *Ledger) startStep(now time.Duration) { t.now, t.commands = now, t.commands[:0] }
 
-func (l *Ledger) order(o Order) { l.orders = append(l.orders, o) }
+func (t *Ledger) emit(o Order) { t.commands = append(t.commands, o) }
 
-// Start returns what is to be done before anything happens.
-func (l *Ledger) Start(now time.Duration) []Order {
-	l.begin(now)
-	l.perform(l.balancer.Start(now))
-	return l.orders
+// Start returns the commands to carry out before the first event.
+func (t *Ledger) Start(now time.Duration) []Order {
+	t.startStep(now)
+	t.perform(t.balancer.Start(now))
+	return t.commands
 }
 
-// Fired says that a timer is due.
-func (l *Ledger) Fired(now time.Duration, token uint64) []Order {
-	l.begin(now)
+// TimerFired handles the expiry of the timer that was set with token.
+func (t *Ledger) Fired(now time.Duration, token uint64) []Order {
+	t.startStep(now)
 	if token == routesToken {
-		if l.due == 0 || now < l.due { // one that an earlier one has made needless
-			return l.orders
+		if t.routesTimer == 0 || now < t.routesTimer { // superseded by a timer that was set for an earlier time
+			return t.commands
 		}
-		l.due = 0
-		l.tell(l.set.Routes.Expire(now))
-		return l.orders
+		t.routesTimer = 0
+		t.updateModule(t.set.Routes.Expire(now))
+		return t.commands
 	}
-	l.handle(choice.TimerFired{Token: token})
-	return l.orders
+	t.handle(choice.TimerFired{Token: token})
+	return t.commands
 }
 
-// Arrived takes a call from its front.
-func (l *Ledger) Arrived(now time.Duration, call *Call) []Order {
-	l.begin(now)
-	l.stats.Requests++
-	call.taken, call.Deadline = now, l.inTime(call.Deadline)
+// CallArrived accepts a call from a front.
+func (t *Ledger) Arrived(now time.Duration, call *Call) []Order {
+	t.startStep(now)
+	t.stats.Requests++
+	call.accepted, call.Deadline = now, t.clampDeadline(call.Deadline)
 	switch {
-	case call.Gone(): // already: the news of it may have come before, and nobody would end the call
-		call.over.Store(true)
-		l.stats.Gone++
-		l.observe(call, Failed, ReasonDisconnected)
-	case l.calls[call.ID] != nil: // an id is never repeated
-		l.reply(call, Answer{Kind: Duplicate}, ReasonDuplicateID)
-	case l.set.MostHeld > 0 && l.open >= l.set.MostHeld: // turned away before the module, as in the simulator
-		l.reply(call, Answer{Kind: Refused}, ReasonRequestLimit)
+	case call.Gone(): // ClientDisconnected may already have been called and would not be called again to end the call
+		call.finished.Store(true)
+		t.stats.Gone++
+		t.observe(call, Failed, ReasonDisconnected)
+	case t.calls[call.ID] != nil: // ids must be unique
+		t.reply(call, Answer{Kind: Duplicate}, ReasonDuplicateID)
+	case t.set.MostHeld > 0 && t.unanswered >= t.set.MostHeld: // refused without asking the module, as in the simulator
+		t.reply(call, Answer{Kind: Refused}, ReasonRequestLimit)
 	default:
-		l.calls[call.ID] = call
-		l.open++
-		l.classify(call)
-		l.handle(call.Request)
+		t.calls[call.ID] = call
+		t.unanswered++
+		t.classify(call)
+		t.handle(call.Request)
 	}
-	return l.orders
+	return t.commands
 }
 
-// Left takes the news that a call's client has gone away.
-func (l *Ledger) Left(now time.Duration, call *Call) []Order {
-	l.begin(now)
-	if l.calls[call.ID] == call && !call.over.Load() {
-		l.left(call)
-		l.forget(call)
+// ClientDisconnected ends a call whose client has disconnected.
+func (t *Ledger) Left(now time.Duration, call *Call) []Order {
+	t.startStep(now)
+	if t.calls[call.ID] == call && !call.finished.Load() {
+		t.clientLeft(call)
+		t.dropIfDone(call)
 	}
-	return l.orders
+	return t.commands
 }
 
-// left ends a call whose client is gone.
-func (l *Ledger) left(call *Call) {
-	l.stats.Gone++
-	l.end(call)
-	l.observe(call, Failed, ReasonDisconnected)
-	l.handle(choice.ClientGone{Request: call.ID})
+// clientLeft ends an unfinished call whose client has disconnected.
+func (t *Ledger) clientLeft(call *Call) {
+	t.stats.Gone++
+	t.markFinished(call)
+	t.observe(call, Failed, ReasonDisconnected)
+	t.handle(choice.ClientGone{Request: call.ID})
 }
 
-// Ended takes the end of an attempt. The first that is served answers the client.
-func (l *Ledger) Ended(now time.Duration, at *Attempt, e Ending) []Order {
-	l.begin(now)
+// AttemptEnded handles the end of an attempt. The first attempt of a call that is served answers the client.
+func (t *Ledger) Ended(now time.Duration, at *Attempt, e Ending) []Order {
+	t.startStep(now)
 	call := at.Call
 	call.attempts[at.Number] = nil
-	call.out--
-	l.attempted(at, e)
-	l.stats.Results[e.Result]++
-	if call.Gone() && !call.over.Load() { // who made the attempt noticed before the front's news came
-		l.left(call)
+	call.inFlight--
+	t.recordAttempt(at, e)
+	t.stats.Results[e.Result]++
+	if call.Gone() && !call.finished.Load() { // the transport noticed the disconnect before the front reported it
+		t.clientLeft(call)
 	}
-	if call.passing == at { // the module has its outcome, and the client the beginning of its answer
-		l.passed(call, e.Result == choice.OK)
-		l.forget(call)
-		return l.orders
+	if call.relaying == at { // RelayStarted has already given the module the outcome and the client the start of its answer
+		t.relayEnded(call, e.Result == choice.OK)
+		t.dropIfDone(call)
+		return t.commands
 	}
 	if e.Report != choice.NoReport {
-		l.stats.Reports++
+		t.stats.Reports++
 	}
-	l.routed(at, e)
+	t.learnShape(at, e)
 	switch {
-	case e.Result == choice.OK && e.Untold != nil: // it has run: no refusal, and nothing further is sent for it
-		l.finish(call.ID, Answer{Kind: Failed}, ReasonUnreadable)
-	case e.Result == choice.OK && l.finish(call.ID, Answer{Kind: Served, Reply: e.Reply}, ReasonAnswered):
-	case e.Unfit != nil && l.askAnew(at, e.Unfit):
-		return l.orders
+	case e.Result == choice.OK && e.Untold != nil: // the call has run, so it must neither be refused nor be sent again
+		t.finish(call.ID, Answer{Kind: Failed}, ReasonUnreadable)
+	case e.Result == choice.OK && t.finish(call.ID, Answer{Kind: Served, Reply: e.Reply}, ReasonAnswered):
+	case e.Unfit != nil && t.restartUntranslated(at, e.Unfit):
+		return t.commands
 	}
-	l.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: e.Result,
-		Took: now - at.Sent, Closed: call.over.Load(), Report: e.Report})
-	l.forget(call)
-	return l.orders
+	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: e.Result,
+		Took: now - at.Sent, Closed: call.finished.Load(), Report: e.Report})
+	t.dropIfDone(call)
+	return t.commands
 }
 
-// List applies the list of servers or a change of it, here and in the module.
-func (l *Ledger) List(now time.Duration, full bool, entries []Entry) []Order {
-	l.begin(now)
+// UpdateServers applies the server list (full) or changes to it, in the Tracker and in the module.
+func (t *Ledger) List(now time.Duration, full bool, entries []Entry) []Order {
+	t.startStep(now)
 	named := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		named[e.ID] = true
 		if e.State == choice.Gone {
-			delete(l.listed, e.ID)
-			l.word.Gone(e.ID)
+			delete(t.listed, e.ID)
+			t.overrides.Gone(e.ID)
 		} else {
-			e.Place = l.place(e.ID)
-			l.listed[e.ID] = e
+			e.Place = t.place(e.ID)
+			t.listed[e.ID] = e
 		}
 	}
 	if full {
-		for id := range l.listed {
+		for id := range t.listed {
 			if !named[id] {
-				delete(l.listed, id)
-				l.word.Gone(id)
+				delete(t.listed, id)
+				t.overrides.Gone(id)
 			}
 		}
 	}
-	l.apply(full, named, entries)
-	return l.orders
+	t.applyEntries(full, named, entries)
+	return t.commands
 }
 
-// place is this agent's place at a server, which takes time in proportion to the number of agents to find out.
-func (l *Ledger) place(id string) float64 {
-	if known, ok := l.listed[id]; ok {
+// place returns this agent's place at a server. It reuses the known one, as computing it takes time proportional to the
+// number of agents.
+func (t *Ledger) place(id string) float64 {
+	if known, ok := t.listed[id]; ok {
 		return known.Place
 	}
-	if l.set.Places == nil {
+	if t.set.Places == nil {
 		return 0
 	}
-	return l.set.Places.Place(id)
+	return t.set.Places.Place(id)
 }
 
-// apply applies entries, as they count by the operators' word.
-func (l *Ledger) apply(full bool, named map[string]bool, entries []Entry) {
+// applyEntries applies entries of the server list after the operators' overrides.
+func (t *Ledger) applyEntries(full bool, named map[string]bool, entries []Entry) {
 	ev := choice.ServerList{Full: full}
 	for _, e := range entries {
-		e.Server = l.word.Counts(e.Server)
-		e.Place = l.listed[e.ID].Place
-		ev.Servers = append(ev.Servers, l.listedAs(e))
-		l.entry(e)
+		e.Server = t.overrides.Counts(e.Server)
+		e.Place = t.listed[e.ID].Place
+		ev.Servers = append(ev.Servers, t.moduleEntry(e))
+		t.applyEntry(e)
 	}
-	for id := range l.servers {
+	for id := range t.servers {
 		if full && !named[id] {
-			l.retire(id)
-			if l.set.Routes != nil {
-				l.set.Routes.Gone(id)
+			t.retire(id)
+			if t.set.Routes != nil {
+				t.set.Routes.Gone(id)
 			}
 		}
 	}
-	l.handle(ev)
+	t.handle(ev)
 }
 
-// entry applies one entry of a list. A server that restarted, moved or speaks otherwise gets new connections.
-func (l *Ledger) entry(e Entry) {
+// applyEntry applies one entry of the server list. A server that restarted, or whose addresses or protocol changed, gets new
+// connections.
+func (t *Ledger) applyEntry(e Entry) {
 	started := e.Started.Milliseconds()
-	s := l.servers[e.ID]
+	s := t.servers[e.ID]
 	if s != nil && (s.Addr != e.Addr || !slices.Equal(s.Addrs, e.Addrs) || s.Started != started || s.Speaks != e.Speaks || s.Multiplexed != e.Multiplexed ||
 		e.State != choice.Ready) {
-		l.retire(e.ID)
+		t.retire(e.ID)
 		s = nil
 	}
 	if s == nil && e.State == choice.Ready {
 		s = &life.Server{ID: e.ID, Addr: e.Addr, Addrs: e.Addrs, Started: started, Speaks: e.Speaks, Multiplexed: e.Multiplexed}
-		l.servers[e.ID] = s
+		t.servers[e.ID] = s
 	}
 	if s == nil {
 		return
 	}
-	anew := s.Identity == 0
+	isNew := s.Identity == 0
 	s.Identity = learned.Identity(e.Server, e.Addr, e.Multiplexed)
-	if anew && l.past != nil {
-		l.named = append(l.named, listed(s))
+	if isNew && t.past != nil {
+		t.newlyListed = append(t.newlyListed, listedServer(s))
 	}
 }
 
-// retire ends the sending to a server: from this moment on, not only when the order is carried out.
-func (l *Ledger) retire(id string) {
-	l.servers[id].Retire()
-	l.order(Order{Kind: Retire, Server: l.servers[id]})
-	delete(l.servers, id)
+// retire stops sending to a server. It takes effect at once, not only when the host carries out the command.
+func (t *Ledger) retire(id string) {
+	t.servers[id].Retire()
+	t.emit(Order{Kind: Retire, Server: t.servers[id]})
+	delete(t.servers, id)
 }
 
-// handle gives the module an event and performs what it orders. Events that the actions cause wait until all
-// actions are performed, as these are valid only until the module's next call.
-func (l *Ledger) handle(ev choice.Event) {
-	l.queue = append(l.queue, ev)
-	if l.handling {
+// handle gives the module an event and performs the actions that it returns. Events caused by these actions are queued until
+// all of them are performed, as they are valid only until the module's next call.
+func (t *Ledger) handle(ev choice.Event) {
+	t.pending = append(t.pending, ev)
+	if t.handling {
 		return
 	}
-	l.handling = true
-	for i := 0; i < len(l.queue); i++ {
-		l.perform(l.balancer.Handle(l.now, l.queue[i]))
+	t.handling = true
+	for i := 0; i < len(t.pending); i++ {
+		t.perform(t.balancer.Handle(t.now, t.pending[i]))
 	}
-	clear(l.queue)
-	l.queue, l.handling = l.queue[:0], false
+	clear(t.pending)
+	t.pending, t.handling = t.pending[:0], false
 }
 
-// perform carries out the module's actions. It has no case for probes and messages to peers: the configuration
-// rules the ones out, and the module sends none of the others.
-func (l *Ledger) perform(actions []choice.Action) {
+// perform carries out the module's actions. It has no case for probes, which the configuration rules out, nor for messages to
+// peers, which the module does not send.
+func (t *Ledger) perform(actions []choice.Action) {
 	for _, act := range actions {
 		switch act.Kind {
 		case choice.SetTimer:
-			l.order(Order{Kind: SetTimer, Token: act.Token, At: l.now + act.After})
+			t.emit(Order{Kind: SetTimer, Token: act.Token, At: t.now + act.After})
 		case choice.Send:
-			if call := l.calls[act.Request]; call != nil {
-				l.send(call, act)
+			if call := t.calls[act.Request]; call != nil {
+				t.send(call, act)
 			}
 		case choice.Cancel:
-			call := l.calls[act.Request]
+			call := t.calls[act.Request]
 			if call != nil && act.Attempt < len(call.attempts) && call.attempts[act.Attempt] != nil {
-				l.order(Order{Kind: Withdraw, Attempt: call.attempts[act.Attempt]})
+				t.emit(Order{Kind: Withdraw, Attempt: call.attempts[act.Attempt]})
 			}
 		case choice.Refuse:
 			answer := Answer{Kind: Refused, After: act.After}
-			if call := l.calls[act.Request]; call != nil && call.unfit != nil && !l.set.Routes.AsItCame(call.Tag) {
-				answer = Answer{Kind: Unfit, Cause: call.unfit}
+			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.set.Routes.AsItCame(call.Tag) {
+				answer = Answer{Kind: Unfit, Cause: call.untranslatable}
 			}
-			l.finish(act.Request, answer, Reason(act.Reason.String()))
+			t.finish(act.Request, answer, Reason(act.Reason.String()))
 		case choice.Fail:
-			l.finish(act.Request, Answer{Kind: Failed}, Reason(act.Reason.String()))
+			t.finish(act.Request, Answer{Kind: Failed}, Reason(act.Reason.String()))
 		}
 	}
 }
 
-// send begins an attempt, or tells the module at once why there is none. Attempts are numbered in the order in
-// which the module orders them, those that are not sent included.
-func (l *Ledger) send(call *Call, act choice.Action) {
+// send starts an attempt, or reports at once to the module why it is not made. Attempts are numbered in the order in which the
+// module orders them, including those that are not sent.
+func (t *Ledger) send(call *Call, act choice.Action) {
 	n := len(call.attempts)
 	call.attempts = append(call.attempts, nil)
-	l.stats.Attempts++
+	t.stats.Attempts++
 	end := call.Deadline
 	if act.After != 0 {
-		end = min(end, l.now+act.After)
+		end = min(end, t.now+act.After)
 	}
-	s := l.servers[act.Server]
-	way, fits := l.way(call, act.Server)
+	s := t.servers[act.Server]
+	way, fits := t.wayTo(call, act.Server)
 	failed := choice.Outcome{Request: call.ID, Attempt: n, Server: act.Server, Closed: call.Over(), Report: choice.NoReport}
 	switch {
-	case failed.Closed || n >= l.set.MaxAttempts || end <= l.now || s != nil && (!fits || !l.set.Carries(way.Protocol)):
+	case failed.Closed || n >= t.set.MaxAttempts || end <= t.now || s != nil && (!fits || !t.set.Carries(way.Protocol)):
 		failed.Result = choice.NotSent
 	case s == nil:
 		failed.Result = choice.ConnectFailed
 	default:
-		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: l.now, End: end, Illegal: l.set.Illegal, Way: way,
+		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, End: end, Illegal: t.set.Illegal, Way: way,
 			Speaks: way.Protocol, Payload: call.Payload}
 		if act.Within != 0 {
-			at.SendBy = l.now + act.Within
+			at.SendBy = t.now + act.Within
 		}
 		if way.Plan != nil {
-			l.stats.Translated++
+			t.stats.Translated++
 		}
 		call.attempts[n] = at
-		call.out++
-		l.order(Order{Kind: Begin, Attempt: at})
+		call.inFlight++
+		t.emit(Order{Kind: Begin, Attempt: at})
 		return
 	}
-	l.stats.Results[failed.Result]++
-	l.unsent(call, act, failed.Result)
-	l.handle(failed)
+	t.stats.Results[failed.Result]++
+	t.recordUnsent(call, act, failed.Result)
+	t.handle(failed)
 }
 
-// finish gives a call its final answer, if it has none yet.
-func (l *Ledger) finish(id string, ans Answer, why Reason) bool {
-	call := l.calls[id]
-	if call == nil || call.over.Load() {
+// finish gives a call its final answer. It returns false if the call is unknown or already finished.
+func (t *Ledger) finish(id string, ans Answer, why Reason) bool {
+	call := t.calls[id]
+	if call == nil || call.finished.Load() {
 		return false
 	}
-	l.end(call)
-	l.reply(call, ans, why)
-	l.forget(call)
+	t.markFinished(call)
+	t.reply(call, ans, why)
+	t.dropIfDone(call)
 	return true
 }
 
-// reply orders the final answer and counts it.
-func (l *Ledger) reply(call *Call, ans Answer, why Reason) {
-	l.observe(call, ans.Kind, why)
-	l.order(Order{Kind: Reply, Call: call, Answer: ans})
-	if call.passing == nil { // or its end says what it was
-		l.count(call, ans.Kind)
+// reply emits the final answer and counts it.
+func (t *Ledger) reply(call *Call, ans Answer, why Reason) {
+	t.observe(call, ans.Kind, why)
+	t.emit(Order{Kind: Reply, Call: call, Answer: ans})
+	if call.relaying == nil { // a relayed answer is counted when it ends
+		t.countAnswer(call, ans.Kind)
 	}
 }
 
-// count counts a call under its end.
-func (l *Ledger) count(call *Call, k Kind) {
-	l.stats.add(k)
-	if call.Class >= 0 && call.Class < len(l.stats.Classes) {
-		l.stats.Classes[call.Class].add(k)
+// countAnswer counts a final answer, in all and for the call's class.
+func (t *Ledger) countAnswer(call *Call, k Kind) {
+	t.stats.add(k)
+	if call.Class >= 0 && call.Class < len(t.stats.Classes) {
+		t.stats.Classes[call.Class].add(k)
 	}
 }
 
-func (l *Ledger) end(call *Call) {
-	call.over.Store(true)
-	l.open--
+func (t *Ledger) markFinished(call *Call) {
+	call.finished.Store(true)
+	t.unanswered--
 }
 
-// forget drops a call that is answered and has no attempt in flight.
-func (l *Ledger) forget(call *Call) {
-	if call.over.Load() && call.out == 0 && l.calls[call.ID] == call {
-		delete(l.calls, call.ID)
+// dropIfDone drops a call that is finished and has no attempt in flight.
+func (t *Ledger) dropIfDone(call *Call) {
+	if call.finished.Load() && call.inFlight == 0 && t.calls[call.ID] == call {
+		delete(t.calls, call.ID)
 	}
 }
 
-// Passing returns how many calls there are whose answer is being passed on.
-func (l *Ledger) Passing() int { return l.passing }
+// RelayingCount returns the number of calls whose answer is being relayed.
+func (t *Ledger) Passing() int { return t.relaying }
 
-// Count returns how many calls are not answered yet, and how many these and those with attempts in flight are.
-func (l *Ledger) Count() (open, held int) { return l.open, len(l.calls) }
+// Count returns the number of unanswered calls, and the number of calls that are unanswered or have attempts in flight.
+func (t *Ledger) Count() (open, held int) { return t.unanswered, len(t.calls) }
 
 // Stats returns the counts since the start.
-func (l *Ledger) Stats() Stats {
-	s := l.stats
+func (t *Ledger) Stats() Stats {
+	s := t.stats
 	s.Classes = slices.Clone(s.Classes)
 	return s
 }
 
-// ServerCount returns how many servers can be sent to.
-func (l *Ledger) ServerCount() int { return len(l.servers) }
+// ServerCount returns the number of servers that calls can be sent to.
+func (t *Ledger) ServerCount() int { return len(t.servers) }
 
-// Servers returns the ids of those that can be sent to.
-func (l *Ledger) Servers() (ids []string) {
-	for id := range l.servers {
+// Servers returns the ids of the servers that calls can be sent to, in no particular order.
+func (t *Ledger) Servers() (ids []string) {
+	for id := range t.servers {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// Server returns one that can be sent to, or nil.
-func (l *Ledger) Server(id string) *life.Server { return l.servers[id] }
+// Server returns the server with this id if calls can be sent to it, else nil.
+func (t *Ledger) Server(id string) *life.Server { return t.servers[id] }
--- a/internal/decide/ledger/long.go
+++ b/internal/decide/ledger/long.go
@@ -6,58 +6,60 @@
 	"ternbeam/choice"
 )
 
-// Long calls: such as are sent on while they come, and answers that are passed on while they come.
+// This file handles streamed calls: requests that are forwarded while they are received, and answers that are relayed while
+// they are received.
 
-// Whole says that the last byte of a call has come that was Coming. Its time counts from now.
-func (l *Ledger) Whole(now time.Duration, call *Call, deadline time.Duration) []Order {
-	l.begin(now)
-	if l.calls[call.ID] != call || !call.Coming || call.Over() {
+// RequestComplete handles the last byte of a call that was received in parts (Request.Coming). The time of its attempts counts
+// from now, and its deadline becomes the given one.
+func (t *Ledger) Whole(now time.Duration, call *Call, deadline time.Duration) []Order {
+	t.startStep(now)
+	if t.calls[call.ID] != call || !call.Coming || call.Over() {
 		return nil
 	}
-	deadline = l.inTime(deadline)
+	deadline = t.clampDeadline(deadline)
 	call.Coming, call.Deadline = false, deadline
 	for _, at := range call.attempts {
 		if at != nil {
 			at.Sent, at.End = now, min(at.End, deadline)
-			l.order(Order{Kind: Bound, Attempt: at, At: at.End})
+			t.emit(Order{Kind: Bound, Attempt: at, At: at.End})
 		}
 	}
-	l.handle(choice.Whole{Request: call.ID, Deadline: deadline})
-	return l.orders
+	t.handle(choice.Whole{Request: call.ID, Deadline: deadline})
+	return t.commands
 }
 
-// Begun says that the answer of an attempt begins to be passed on: the client gets it as its final answer, whatever
-// becomes of the rest. Where it has one already, or is gone, the reply is discarded.
-func (l *Ledger) Begun(now time.Duration, at *Attempt, e Ending) []Order {
-	l.begin(now)
+// RelayStarted handles an answer that starts to be relayed while it is received. It becomes the call's final answer, even if
+// the rest of it never arrives. If the call already has an answer or its client has disconnected, the reply is discarded.
+func (t *Ledger) Begun(now time.Duration, at *Attempt, e Ending) []Order {
+	t.startStep(now)
 	call := at.Call
 	if call.Over() {
-		l.order(Order{Kind: Discard, Reply: e.Reply})
-		return l.orders
+		t.emit(Order{Kind: Discard, Reply: e.Reply})
+		return t.commands
 	}
 	if e.Report != choice.NoReport {
-		l.stats.Reports++
+		t.stats.Reports++
 	}
-	l.routed(at, e)
-	call.passing = at
-	l.passing++
-	l.finish(call.ID, Answer{Kind: Served, Reply: e.Reply}, ReasonAnswered)
-	l.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: choice.OK, Took: now - at.Sent,
+	t.learnShape(at, e)
+	call.relaying = at
+	t.relaying++
+	t.finish(call.ID, Answer{Kind: Served, Reply: e.Reply}, ReasonAnswered)
+	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: choice.OK, Took: now - at.Sent,
 		Closed: true, Report: e.Report})
-	return l.orders
+	return t.commands
 }
 
-// Passes reports whether a call's answer is being passed on, by an attempt.
-func (l *Ledger) Passes(call *Call, at *Attempt) bool { return call.passing == at }
+// IsRelaying reports whether the answer of this attempt is being relayed to the call's client.
+func (t *Ledger) Passes(call *Call, at *Attempt) bool { return call.relaying == at }
 
-// passed ends the passing on of an answer.
-func (l *Ledger) passed(call *Call, whole bool) {
+// relayEnded handles the end of a relayed answer; whole reports whether all of it was relayed.
+func (t *Ledger) relayEnded(call *Call, whole bool) {
 	kind := Served
 	if !whole {
 		kind = Failed
-		l.observe(call, kind, ReasonBrokenOff)
+		t.observe(call, kind, ReasonBrokenOff)
 	}
-	call.passing = nil
-	l.passing--
-	l.count(call, kind)
+	call.relaying = nil
+	t.relaying--
+	t.countAnswer(call, kind)
 }
--- a/internal/decide/ledger/operators.go
+++ b/internal/decide/ledger/operators.go
@@ -7,67 +7,69 @@
 	"ternbeam/internal/decide/operators"
 )
 
-// Offline takes a server out by the operators' word, until Online. It is false for one that nobody knows.
-func (l *Ledger) Offline(now time.Duration, id string) ([]Order, bool) {
-	l.begin(now)
-	e, listed := l.listed[id]
-	if !listed && !l.word.Out(id) || !l.word.Offline(now, id) {
+// Offline takes a server out of use by an operator's request, until Online. It returns false if the server is unknown, or if
+// the maximum number of servers is offline already.
+func (t *Ledger) Offline(now time.Duration, id string) ([]Order, bool) {
+	t.startStep(now)
+	e, listed := t.listed[id]
+	if !listed && !t.overrides.Out(id) || !t.overrides.Offline(now, id) {
 		return nil, false
 	}
 	if listed {
-		l.apply(false, nil, []Entry{e})
+		t.applyEntries(false, nil, []Entry{e})
 	}
-	return l.orders, true
+	return t.commands, true
 }
 
-// Online puts a server back. One that was not out goes on as it was.
-func (l *Ledger) Online(now time.Duration, id string) ([]Order, bool) {
-	l.begin(now)
-	e, listed := l.listed[id]
-	if !listed && !l.word.Out(id) {
+// Online puts a server back into use. It returns false if the server is unknown. A server that was not offline is unaffected.
+func (t *Ledger) Online(now time.Duration, id string) ([]Order, bool) {
+	t.startStep(now)
+	e, listed := t.listed[id]
+	if !listed && !t.overrides.Out(id) {
 		return nil, false
 	}
-	if l.word.Online(now, id) && listed {
-		l.apply(false, nil, []Entry{e})
+	if t.overrides.Online(now, id) && listed {
+		t.applyEntries(false, nil, []Entry{e})
 	}
-	return l.orders, true
+	return t.commands, true
 }
 
-// Saying is what the operators have said so far.
-func (l *Ledger) Saying() operators.Saying { return l.word.Saying() }
+// Overrides returns the operators' overrides, to hand over to another process.
+func (t *Ledger) Saying() operators.Saying { return t.overrides.Saying() }
 
-// Take takes over what the operators have said to an earlier process.
-func (l *Ledger) Take(now time.Duration, s operators.Saying) []Order {
-	l.begin(now)
-	l.word.Take(now, s)
+// RestoreOverrides applies the overrides that operators made in an earlier process.
+func (t *Ledger) Take(now time.Duration, s operators.Saying) []Order {
+	t.startStep(now)
+	t.overrides.Take(now, s)
 	var entries []Entry
-	for _, e := range l.listed {
-		if c := l.word.Counts(e.Server); c != e.Server {
+	for _, e := range t.listed {
+		if c := t.overrides.Counts(e.Server); c != e.Server {
 			entries = append(entries, e)
 		}
 	}
 	if len(entries) > 0 {
-		l.apply(false, nil, entries)
+		t.applyEntries(false, nil, entries)
 	}
-	return l.orders
+	return t.commands
 }
 
-// Inherit tells the module what an earlier process of this agent has just learned.
-func (l *Ledger) Inherit(now time.Duration, m choice.Memory) { l.balancer.Recall(now, m) }
+// RestoreLearned gives the module what an earlier process of this agent had learned up to now.
+func (t *Ledger) Inherit(now time.Duration, m choice.Memory) { t.balancer.Recall(now, m) }
 
-// Listed returns what the list says of a server.
-func (l *Ledger) Listed(id string) (s choice.Server, listed bool) {
-	e, listed := l.listed[id]
+// ListedServer returns the entry of a server in the server list, before the operators' overrides.
+func (t *Ledger) Listed(id string) (s choice.Server, listed bool) {
+	e, listed := t.listed[id]
 	return e.Server, listed
 }
 
-// Fleet is how many servers are listed, and how many of them are avoided: by hand, or by the module's choice.
-func (l *Ledger) Fleet() (listed, avoided int) {
-	avoided = l.balancer.Ejected()
-	for id := range l.listed {
-		if l.word.Out(id) {
+// FleetCounts returns the number of listed servers and the number of avoided ones: taken offline by operators, or ejected by
+// the module.
+func (t *Ledger) Fleet() (listed, avoided int) {
+	avoided = t.balancer.Ejected()
+	for id := range t.listed {
+		if t.overrides.Out(id) {
 			avoided++
 		}
 	}
-	return len(l.listed), avoided
+	return len(t.listed), avoided
 }
--- a/internal/decide/ledger/record.go
+++ b/internal/decide/ledger/record.go
@@ -6,10 +6,10 @@
 	"ternbeam/choice"
 )
 
-// Reason says why a request ended as it did. Those of the decision module have its names.
+// Reason is why a request ended as it did. Reasons that the decision module gives have the names of choice.Reason.
 type Reason string
 
-// The reasons that are not the decision module's.
+// The reasons that do not come from the decision module.
 const (
 	ReasonDuplicateID  Reason = "duplicate id"
 	ReasonRequestLimit Reason = "request limit"
@@ -21,74 +21,74 @@
 
 // Connection describes the client's connection on which a request came.
 type Connection struct {
-	Opened   time.Duration // when it was accepted, on the module's clock; 0 where that is not known
-	Requests int           // on it so far, this one included
+	Opened   time.Duration // when the connection was accepted, on the module's clock; 0 if unknown
+	Requests int           // requests on the connection so far, including this one
 }
 
-// AttemptRecord is one attempt of a request that has ended. Times count from when the request was taken.
+// AttemptRecord describes one attempt of an ended request. Times count from when the request was received.
 type AttemptRecord struct {
 	Server     string
-	Reason     choice.Reason // why it was made
-	Sent, Over time.Duration
-	Open       bool // it had not ended yet
+	Reason     choice.Reason // why the attempt was made
+	Sent, Over time.Duration // when it started and ended
+	Open       bool          // it had not ended when the request did; Ended and Result are not set
 	Result     choice.Result
-	Cause      error // of a Result that is not served; nil where nobody told
+	Cause      error // why it was not served; nil if unknown
 }
 
-// Record describes a request that has its final answer, or whose client is gone.
+// Record describes a request that has its final answer or whose client has disconnected.
 type Record struct {
 	ID         string
 	Class      int
-	Taken      time.Duration // on the module's clock
-	Took       time.Duration
-	Left       time.Duration // of its deadline
-	Kind       Kind          // of its final answer; means nothing where Reason is ReasonDisconnected
+	Taken      time.Duration // when the request was received, on the module's clock
+	Took       time.Duration // from then until its end
+	Left       time.Duration // time that remained until its deadline; negative if that has passed
+	Kind       Kind          // of its final answer; not meaningful if Reason is ReasonDisconnected
 	Reason     Reason
 	Connection Connection
 	Attempts   []AttemptRecord
 }
 
-// Plain reports whether a request was served by its first attempt, which is no news.
+// ServedFirst reports whether a request was served by its first attempt, which is the normal case and needs no log line.
 func (r *Record) Plain() bool { return r.Kind == Served && len(r.Attempts) == 0 }
 
-// attempted keeps an attempt that has ended for the request's Record. An only attempt that is served is not kept: that is
-// how nearly all requests end.
-func (l *Ledger) attempted(at *Attempt, e Ending) {
-	if l.set.Observe == nil || e.Result == choice.OK && at.Number == 0 {
+// recordAttempt keeps an ended attempt for the request's Record. A first attempt that is served is not kept, as nearly all
+// requests end that way.
+func (t *Ledger) recordAttempt(at *Attempt, e Ending) {
+	if t.set.Observe == nil || e.Result == choice.OK && at.Number == 0 {
 		return
 	}
 	call := at.Call
-	call.history = append(call.history, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.taken,
-		Over: l.now - call.taken, Result: e.Result, Cause: e.Cause})
+	call.history = append(call.history, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted,
+		Over: t.now - call.accepted, Result: e.Result, Cause: e.Cause})
 }
 
-// unsent keeps an attempt that was ordered and not begun.
-func (l *Ledger) unsent(call *Call, act choice.Action, result choice.Result) {
-	if l.set.Observe == nil {
+// recordUnsent keeps an attempt that the module ordered and that was not started.
+func (t *Ledger) recordUnsent(call *Call, act choice.Action, result choice.Result) {
+	if t.set.Observe == nil {
 		return
 	}
-	at := l.now - call.taken
+	at := t.now - call.accepted
 	call.history = append(call.history, AttemptRecord{Server: act.Server, Reason: act.Reason, Sent: at, Over: at, Result: result})
 }
 
-// observe counts the end of a request and hands its Record to the host. A request is observed once; one whose answer breaks off while it
-// is relayed, for which it had been observed as answered, a second time.
-func (l *Ledger) observe(call *Call, kind Kind, reason Reason) {
-	if l.set.Observe == nil {
+// observe counts the end of a request and passes its Record to the host. It is called once for each request, and a second time
+// if the answer breaks off while it is relayed: the request was observed as answered when the relaying started.
+func (t *Ledger) observe(call *Call, kind Kind, reason Reason) {
+	if t.set.Observe == nil {
 		return
 	}
 	if reason != ReasonAnswered {
-		l.reasons[reason]++
+		t.reasonCounts[reason]++
 	}
-	r := Record{ID: call.ID, Class: call.Class, Taken: call.taken, Took: l.now - call.taken, Left: call.Deadline - l.now, Kind: kind,
+	r := Record{ID: call.ID, Class: call.Class, Taken: call.accepted, Took: t.now - call.accepted, Left: call.Deadline - t.now, Kind: kind,
 		Reason: reason, Connection: call.Connection, Attempts: call.history}
 	for _, at := range call.attempts {
 		if at != nil && (at.Number > 0 || kind != Served || len(r.Attempts) > 0) {
-			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.taken, Open: true})
+			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted, Open: true})
 		}
 	}
-	l.set.Observe(r)
+	t.set.Observe(r)
 }
 
-// Reasons returns how many requests ended for each reason other than an answer. The caller must not change it.
-func (l *Ledger) Reasons() map[Reason]int { return l.reasons }
+// ReasonCounts returns the number of ended requests by reason, except ReasonAnswered. The caller must not modify it.
+func (t *Ledger) Reasons() map[Reason]int { return t.reasonCounts }
--- a/internal/decide/ledger/record_test.go
+++ b/internal/decide/ledger/record_test.go
@@ -7,7 +7,7 @@
 	"ternbeam/choice"
 )
 
-// observed is a Ledger over a module that follows a script, and the Records that it gave.
+// observed returns a Tracker whose module follows a script, and the Records that it produces.
 func observed(script map[string][]choice.Action) (*Ledger, *[]Record) {
 	var records []Record
 	l := New(Settings{Classes: 1, MaxAttempts: 3, Carries: func(choice.Protocols) bool { return true },
@@ -16,7 +16,7 @@
 	return l, &records
 }
 
-// scripted orders what is written for each event, which is named by its kind and, of outcomes, its attempt.
+// scripted is a module that returns the actions listed for an event: "request", or for outcomes "first ended" and "second ended".
 type scripted map[string][]choice.Action
 
 func (scripted) Start(time.Duration) []choice.Action  { return nil }
@@ -47,7 +47,7 @@
 				return l.Ended(now, o.Attempt, Ended(r))
 			}
 		}
-		t.Fatalf("no attempt in %+v", orders)
+		t.Fatalf("no attempt is started in %+v", orders)
 		return nil
 	}
 	orders := l.Arrived(time.Second, call)
@@ -67,7 +67,7 @@
 		t.Errorf("attempts %+v, want %+v", r.Attempts, want)
 	}
 	if n := l.Reasons()["retry budget empty"]; n != 1 {
-		t.Errorf("counted %d times", n)
+		t.Errorf("the reason was counted %d times", n)
 	}
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// Who makes an attempt may notice first that the client is gone: the call ends as one whose client left, whichever news comes first,
-// and counts once.
+// The transport may notice that the client has disconnected before the front reports it. The call then ends as one whose client
+// disconnected, whichever notification comes first, and is counted once.
 func TestAttemptNoticesThatTheClientLeft(t *testing.T) {
 	l, records := observed(scripted{
 		"request":     {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}},
@@ -92,7 +92,7 @@
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, Disconnected: func() bool { return true }}
 	orders := l.Arrived(0, call)
 	if !call.Abandoned() {
-		t.Fatal("its client is there")
+		t.Fatal("the disconnect was not detected")
 	}
 	for _, o := range l.Ended(time.Second, orders[0].Attempt, Ended(choice.NotSent)) {
 		if o.Kind == Reply {
@@ -100,7 +100,7 @@
 		}
 	}
 	l.Left(time.Second, call)
-	if s := l.Stats(); s.Gone != 1 || s.Refused != 0 || len(*records) != 1 || l.open != 0 || len(l.calls) != 0 {
-		t.Errorf("%+v, %d records, %d open, %d held", s, len(*records), l.open, len(l.calls))
+	if s := l.Stats(); s.Gone != 1 || s.Refused != 0 || len(*records) != 1 || l.unanswered != 0 || len(l.calls) != 0 {
+		t.Errorf("%+v, %d records, %d unanswered, %d held", s, len(*records), l.unanswered, len(l.calls))
 	}
 }
--- a/internal/decide/ledger/routed.go
+++ b/internal/decide/ledger/routed.go
@@ -8,91 +8,92 @@
 	"ternbeam/internal/decide/routes"
 )
 
-// routesToken is that of the timer at which something is due to be forgotten by the routes. The module counts its own up
-// from 0.
+// routesToken identifies the timer at which the routes forget something. It cannot collide with the module's tokens, which
+// count up from 0.
 const routesToken = math.MaxUint64
 
-// classify says what a server must be able to do to be sent a call. The shape that it came in tells that, where it has one.
-func (l *Ledger) classify(call *Call) {
-	if call.Tag.Set() && l.set.Routes != nil {
-		call.Needs = l.set.Routes.Needs(call.Tag, false)
+// classify sets which capabilities a server needs to receive a call. They depend on the call's shape, if it has one.
+func (t *Ledger) classify(call *Call) {
+	if call.Tag.Set() && t.set.Routes != nil {
+		call.Needs = t.set.Routes.Needs(call.Tag, false)
 	}
 }
 
-// listedAs is what the module is told of an entry of the list.
-func (l *Ledger) listedAs(e Entry) choice.Server {
-	if l.set.Routes == nil {
+// moduleEntry returns an entry of the server list as the module is given it, with the capabilities by shape.
+func (t *Ledger) moduleEntry(e Entry) choice.Server {
+	if t.set.Routes == nil {
 		return e.Server
 	}
-	return l.set.Routes.Listed(e.Server, e.Shapes)
+	return t.set.Routes.Listed(e.Server, e.Shapes)
 }
 
-// way is how a call reaches a server: as it is, where it has no shape.
-func (l *Ledger) way(call *Call, server string) (routes.Way, bool) {
-	if !call.Tag.Set() || l.set.Routes == nil {
+// wayTo returns how a call is sent to a server, or false if the server does not accept it. A call without a shape is sent
+// unchanged.
+func (t *Ledger) wayTo(call *Call, server string) (routes.Way, bool) {
+	if !call.Tag.Set() || t.set.Routes == nil {
 		return routes.Way{Protocol: call.Needs}, true
 	}
-	way, ok := l.set.Routes.Way(call.Tag, server)
-	// One that can't be translated waited for a server that takes it as it came, which this one was.
-	return way, ok && (way.Plan == nil || call.unfit == nil)
+	way, ok := t.set.Routes.Way(call.Tag, server)
+	// An untranslatable call can only be sent unchanged. The server accepted that when the module was asked, but no longer does.
+	return way, ok && (way.Plan == nil || call.untranslatable == nil)
 }
 
-// routed learns from the end of an attempt what its server takes.
-func (l *Ledger) routed(at *Attempt, e Ending) {
+// learnShape learns from the end of an attempt which shapes its server accepts.
+func (t *Ledger) learnShape(at *Attempt, e Ending) {
 	switch {
 	case e.Unfit != nil:
-		l.stats.Unfit++
+		t.stats.Unfit++
 	case e.Untold != nil:
-		l.stats.Untold++
+		t.stats.Untold++
 	}
-	if l.set.Routes == nil || at.Way.To == nil {
+	if t.set.Routes == nil || at.Way.To == nil {
 		return
 	}
 	switch {
 	case e.ShapeUnknown:
-		l.stats.Unknown++
-		l.tell(l.set.Routes.Unknown(l.now, at.Server.ID, time.Duration(at.Server.Started)*time.Millisecond, at.Way.To.Version))
+		t.stats.Unknown++
+		t.updateModule(t.set.Routes.Unknown(t.now, at.Server.ID, time.Duration(at.Server.Started)*time.Millisecond, at.Way.To.Version))
 	case e.Result == choice.OK:
-		l.set.Routes.Knew(at.Server.ID, at.Way.To.Version)
+		t.set.Routes.Knew(at.Server.ID, at.Way.To.Version)
 	}
 }
 
-// tell tells the module what servers can take from now on, and sees to it that what is learned is forgotten in time.
-func (l *Ledger) tell(changed []choice.Server) {
+// updateModule gives the module the changed servers, and sets the timer at which the routes next forget something.
+func (t *Ledger) updateModule(changed []choice.Server) {
 	if len(changed) > 0 {
-		l.handle(choice.ServerList{Servers: changed})
+		t.handle(choice.ServerList{Servers: changed})
 	}
-	if at, any := l.set.Routes.Next(); any && (l.due == 0 || at < l.due) {
-		l.due = at
-		l.order(Order{Kind: SetTimer, Token: routesToken, At: at})
+	if at, any := t.set.Routes.Next(); any && (t.routesTimer == 0 || at < t.routesTimer) {
+		t.routesTimer = at
+		t.emit(Order{Kind: SetTimer, Token: routesToken, At: at})
 	}
 }
 
-// askAnew asks the module for a server that takes a call as it came, after it could not be translated. That is only done
-// for one of which nothing was sent yet: to the module it is as if the call came now. It reports whether it did.
-func (l *Ledger) askAnew(at *Attempt, why error) bool {
+// restartUntranslated asks the module for a server that accepts a call in its own shape, after the call could not be
+// translated. To the module this is a new call, so it is done only if nothing was sent for it yet. It reports whether it did so.
+func (t *Ledger) restartUntranslated(at *Attempt, why error) bool {
 	call := at.Call
-	if call.unfit == nil {
-		call.unfit = why
+	if call.untranslatable == nil {
+		call.untranslatable = why
 	}
-	if call.Over() || at.Number > 0 || call.out > 0 || l.set.Routes == nil {
+	if call.Over() || at.Number > 0 || call.inFlight > 0 || t.set.Routes == nil {
 		return false
 	}
-	l.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: choice.NotSent,
+	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: choice.NotSent,
 		Closed: true, Report: choice.NoReport})
 	call.attempts = call.attempts[:0]
-	call.Needs = l.set.Routes.Needs(call.Tag, true)
-	l.handle(call.Request)
+	call.Needs = t.set.Routes.Needs(call.Tag, true)
+	t.handle(call.Request)
 	return true
 }
 
-// Reroute takes another table of shapes. Calls that are out keep theirs.
-func (l *Ledger) Reroute(now time.Duration, t *routes.Table) ([]Order, error) {
-	l.begin(now)
-	changed, err := l.set.Routes.Replace(t)
+// ReplaceRoutes switches to another table of shapes. Calls in progress keep the table that they started with.
+func (t *Ledger) Reroute(now time.Duration, table *routes.Table) ([]Order, error) {
+	t.startStep(now)
+	changed, err := t.set.Routes.Replace(table)
 	if err != nil {
 		return nil, err
 	}
-	l.tell(changed)
-	return l.orders, nil
+	t.updateModule(changed)
+	return t.commands, nil
 }
--- a/internal/decide/ledger/routed_test.go
+++ b/internal/decide/ledger/routed_test.go
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// However servers deny what they are sent, each time at which something is forgotten has one timer that counts: one that an
-// earlier one has made needless sets no further ones.
+// However often servers reject a shape, each time at which the routes forget something has one timer in effect, and a timer that
+// was superseded by an earlier one sets no further timers.
 func TestTimersOfRoutesDoNotGrow(t *testing.T) {
 	tab := routes.NewTable([]routes.Shape{{Name: "one", Version: "a/1", Speaks: 1}})
 	r, err := routes.New(routes.Settings{Forget: time.Second, MostForget: time.Minute}, tab)
@@ -47,27 +47,27 @@
 				return timers(l.Ended(now, o.Attempt, Ending{Result: choice.Rejected, Report: choice.NoReport, ShapeUnknown: true}))
 			}
 		}
-		t.Fatalf("at %v nothing was sent to %s", now, server)
+		t.Fatalf("at %v no attempt was started at %s", now, server)
 		return nil
 	}
 	fire := func(now time.Duration) []time.Duration { return timers(l.Fired(now, routesToken)) }
 	const ms = time.Millisecond
 	for i, c := range []struct {
 		got  func() []time.Duration
-		want time.Duration // of the one timer that is set; 0 for none
+		want time.Duration // the time of the one timer that is set; 0 for none
 	}{
 		{func() []time.Duration { return deny(0, "a") }, 1000 * ms},
 		{func() []time.Duration { return fire(1000 * ms) }, 0},
-		{func() []time.Duration { return deny(1000*ms, "a") }, 3000 * ms}, // it doubles
-		{func() []time.Duration { return deny(1500*ms, "b") }, 2500 * ms}, // earlier
-		{func() []time.Duration { return fire(2500 * ms) }, 3000 * ms},    // the second for that time
-		{func() []time.Duration { return deny(2900*ms, "c") }, 0},         // 3900, after the one that waits
+		{func() []time.Duration { return deny(1000*ms, "a") }, 3000 * ms}, // the time to forget doubles
+		{func() []time.Duration { return deny(1500*ms, "b") }, 2500 * ms}, // earlier than the one that is set
+		{func() []time.Duration { return fire(2500 * ms) }, 3000 * ms},    // set a second time for 3000
+		{func() []time.Duration { return deny(2900*ms, "c") }, 0},         // would be 3900, after the one that is set
 		{func() []time.Duration { return fire(3000 * ms) }, 3900 * ms},
-		{func() []time.Duration { return fire(3000 * ms) }, 0}, // the needless one
+		{func() []time.Duration { return fire(3000 * ms) }, 0}, // the superseded timer
 		{func() []time.Duration { return fire(3900 * ms) }, 0},
 	} {
 		if got := c.got(); (c.want == 0) != (len(got) == 0) || len(got) > 1 || len(got) == 1 && got[0] != c.want {
-			t.Errorf("step %d: timers at %v, not at %v", i, got, c.want)
+			t.Errorf("step %d: timers at %v, want %v", i, got, c.want)
 		}
 	}
 }
--- a/internal/decide/life/attempt.go
+++ b/internal/decide/life/attempt.go
@@ -1,6 +1,6 @@
-// Package life holds the lives of an attempt and of a connection as state machines. They do no I/O and read no clock:
-// what happens is told to them, and what it means is asked of them. Every transport uses them, and so does the
-// explorer, so that what is explored is the code that runs.
+// Package lifecycle holds the state machines of attempts, of connections to servers and of multiplexed connections. They do no
+// I/O and read no clock: the caller reports events and asks for the resulting state. All transports use them, and so does the
+// state explorer, so that it explores the code that runs in production.
 package life
 
 import (
@@ -9,68 +9,72 @@
 	"ternbeam/choice"
 )
 
-// Stage is how far an attempt has come.
+// Stage is how far an attempt has progressed.
 type Stage int
 
 // The stages of an attempt.
 const (
-	Placing  Stage = iota // waits for a place for a connection
-	Dialling              // waits for a connection to come up
-	Ready                 // has a connection; nothing is written
-	Writing               // some bytes may be written, not the last
-	Waiting               // the last byte is written
-	Reading               // the answer has begun
-	Ended
+	Placing  Stage = iota // waits for a place in the connection pool
+	Dialling              // waits for a connection to be established
+	Ready                 // has a connection; nothing is written yet
+	Writing               // some bytes may have been written, but not the last one
+	Waiting               // the last byte has been written; waits for the answer
+	Reading               // the first byte of the answer has been received
+	Ended                 // has a result
 )
 
 var stageNames = [...]string{"placing", "dialling", "ready", "writing", "waiting", "reading", "ended"}
 
+// String returns the name of the stage, for logs and errors.
 func (s Stage) String() string { return stageNames[s] }
 
-// Cause is why an attempt ends without an answer.
+// Cause is why an attempt ended without an answer.
 type Cause int
 
 // The causes.
 const (
-	Broken    Cause = iota // the connection broke, ended or never came up
-	Garbled                // nobody can tell what came
-	Late                   // its time is over
-	Withdrawn              // the module has withdrawn it
-	NoPlace                // no place for a connection was given up in time
+	Broken    Cause = iota // the connection failed, was closed or was never established
+	Garbled                // the received data can't be parsed
+	Late                   // the attempt timed out
+	Withdrawn              // the decision module canceled the attempt
+	NoPlace                // no place in the connection pool became free in time
 )
 
 var causeNames = [...]string{"broken", "garbled", "late", "withdrawn", "no place"}
 
+// String returns the name of the cause, for logs and errors.
 func (c Cause) String() string { return causeNames[c] }
 
-// Attempt is the life of one attempt. The zero value is one that waits for a place.
+// Attempt is the state machine of one attempt. The zero value waits for a place in the connection pool. A method that returns an
+// error, because the transition is illegal in the current stage, leaves the state unchanged.
 type Attempt struct {
-	stage  Stage
-	size   int  // of the message, from Begin on
-	sent   int  // bytes of it that are known to be written
-	unsure bool // nobody can tell how many more are
-	result choice.Result
-	word   bool // the server said outright that it never ran
+	stage     Stage
+	size      int  // of the message in bytes; set by Begin
+	sent      int  // bytes of the message that are known to be written
+	uncertain bool // more bytes than sent may have been written, up to all
+	result    choice.Result
+	rejected  bool // the server answered explicitly that the call never ran
 }
 
-// Stage returns how far the attempt has come.
+// Stage returns how far the attempt has progressed.
 func (a *Attempt) Stage() Stage { return a.stage }
 
-// Result returns how the attempt ended.
+// Result returns how the attempt ended. It is valid once the stage is Ended.
 func (a *Attempt) Result() choice.Result { return a.result }
 
-// CanHaveRun reports whether the server may have begun the call: from the last byte of the message on, or when it
-// answers as if it had all, unless it said that it did not. Nothing else tells.
+// CanHaveRun reports whether the server may have started to process the call. That is so once the last byte of the message may
+// have been written, or if the server answers as if it had received all of it, unless it answered that the call never ran.
+// Nothing else counts as evidence.
 func (a *Attempt) CanHaveRun() bool {
 	answered := a.stage == Ended && (a.result == choice.OK || a.result == choice.Failed)
-	return !a.word && (answered || a.unsure || a.size > 0 && a.sent >= a.size)
+	return !a.rejected && (answered || a.uncertain || a.size > 0 && a.sent >= a.size)
 }
 
 func (a *Attempt) illegal(event string) error {
-	return fmt.Errorf("life: an attempt that is %s can't be %s", a.stage, event)
+	return fmt.Errorf("lifecycle: illegal event for an attempt in stage %q: %s", a.stage, event)
 }
 
-// Dial says that the attempt has a place and dials.
+// Dial records that the attempt has a place in the connection pool and that dialling has started.
 func (a *Attempt) Dial() error {
 	if a.stage != Placing {
 		return a.illegal("dialling")
@@ -79,7 +83,7 @@
 	return nil
 }
 
-// Connect says that the attempt has a connection: an idle one, or the one that it dialled.
+// Connect records that the attempt has a connection: an idle one, or the one that it dialled.
 func (a *Attempt) Connect() error {
 	if a.stage != Placing && a.stage != Dialling {
 		return a.illegal("connected")
@@ -88,16 +92,16 @@
 	return nil
 }
 
-// Now is what holds at the moment at which an attempt would be sent.
+// Conditions are the circumstances at the moment at which an attempt is about to be sent.
 type Now struct {
-	Withdrawn bool // by the module
-	Late      bool // its time is over
-	Over      bool // the call has its final answer, or its client is gone
-	Retired   bool // the server drains, is gone or was replaced
+	Withdrawn bool // the decision module canceled the attempt
+	Late      bool // the attempt timed out
+	Over      bool // the call has its final answer, or its client has disconnected
+	Retired   bool // the server is draining, was removed or was replaced
 }
 
-// Begin is asked right before the first byte is written. It ends an attempt that must not be sent any more: the time
-// that it waited for a connection may have changed what was right.
+// Begin decides whether the attempt is sent. It is called right before the first byte of a message of size bytes is written. It
+// ends an attempt that must not be sent any more, as conditions may have changed while the attempt waited for a connection.
 func (a *Attempt) Begin(size int, now Now) (send bool, err error) {
 	if a.stage != Ready {
 		return false, a.illegal("begun")
@@ -117,37 +121,38 @@
 	return false, nil
 }
 
-// Wrote says how many bytes of the message are written in all.
+// Wrote records that the first n bytes of the message have been written in total.
 func (a *Attempt) Wrote(n int) error {
 	if a.stage != Writing && a.stage != Reading || n < a.sent || n > a.size {
-		return a.illegal(fmt.Sprintf("written as far as byte %d of %d", n, a.size))
+		return a.illegal(fmt.Sprintf("write of %d of %d bytes", n, a.size))
 	}
-	a.unsure = false
+	a.uncertain = false
 	if a.sent = n; n == a.size && a.stage == Writing {
 		a.stage = Waiting
 	}
 	return nil
 }
 
-// Sized says how long the message is, where that was not known when it was begun.
+// SetSize sets the length of the message in bytes, if it was not known at Begin. It can't exceed the size given to Begin.
 func (a *Attempt) Sized(n int) error {
 	if a.stage != Writing && a.stage != Reading || n < a.sent || n > a.size {
-		return a.illegal(fmt.Sprintf("sized as %d", n))
+		return a.illegal(fmt.Sprintf("set size to %d", n))
 	}
 	a.size = n
 	return nil
 }
 
-// Unsure says that the message is being written and nobody can tell how far that gets: it counts as written.
+// MarkUncertain records that a write of the message is in progress and that it is unknown how far it has got. Until the next
+// Wrote the message counts as written completely.
 func (a *Attempt) Unsure() error {
 	if a.stage != Writing {
-		return a.illegal("left to be written")
+		return a.illegal("write in progress")
 	}
-	a.unsure = true
+	a.uncertain = true
 	return nil
 }
 
-// Read says that the answer's first byte has come. It may come before the message is written whole.
+// Read records that the first byte of the answer was received. That may be before the message is written completely.
 func (a *Attempt) Read() error {
 	if a.stage != Writing && a.stage != Waiting {
 		return a.illegal("read")
@@ -156,19 +161,19 @@
 	return nil
 }
 
-// Answer ends the attempt with what the whole answer says: OK, Failed, or Rejected where the server says outright that
+// Answer ends the attempt with the result of the complete answer: OK, Failed, or Rejected if the server states explicitly that
 // the call never ran.
 func (a *Attempt) Answer(r choice.Result) error {
 	if a.stage != Reading && !(a.stage == Waiting && r == choice.OK) || r != choice.OK && r != choice.Failed && r != choice.Rejected {
-		return a.illegal(fmt.Sprintf("answered with result %d", r))
+		return a.illegal(fmt.Sprintf("answer with result %d", r))
 	}
-	a.word = r == choice.Rejected
+	a.rejected = r == choice.Rejected
 	a.end(r)
 	return nil
 }
 
-// Fail ends the attempt without an answer. The connection that it had, if any, is closed: what is not written by then
-// never will be.
+// Fail ends the attempt without an answer. Its connection, if it has one, is closed, so that bytes not written so far never will
+// be.
 func (a *Attempt) Fail(c Cause) error {
 	switch {
 	case a.stage == Ended:
--- a/internal/decide/life/conn.go
+++ b/internal/decide/life/conn.go
@@ -8,23 +8,23 @@
 	"ternbeam/choice"
 )
 
-// Server is one life of a server at one address. One with a new address or start is another one.
+// Server is one process of a server at one address. After a restart or a change of address a new Server takes its place.
 type Server struct {
 	ID          string
 	Addr        string
-	Addrs       []string // all, where there are several
-	Started     int64    // Unix milliseconds, as the list has it
+	Addrs       []string // all addresses, if there are several
+	Started     int64    // start time in Unix milliseconds, from the server list
 	Speaks      choice.Protocols
-	Multiplexed bool   // takes several calls at a time on a connection
-	Identity    uint64 // the ledger's: what makes it this server in this life
+	Multiplexed bool   // accepts several concurrent calls on a connection
+	Identity    uint64 // set by the tracker: identifies this process of the server
 
 	retired atomic.Bool
 }
 
-// Retired reports whether the server drains, is gone or was replaced: nothing new is sent.
+// Retired reports whether the server is draining, was removed or was replaced. Nothing new is sent to it.
 func (s *Server) Retired() bool { return s.retired.Load() }
 
-// Retire says that nothing new may be sent from now on.
+// Retire marks the server as retired: nothing new may be sent to it from now on. It is safe for concurrent use.
 func (s *Server) Retire() { s.retired.Store(true) }
 
 // ConnState is the state of a connection to a server.
@@ -33,26 +33,27 @@
 // The states of a connection.
 const (
 	Queued   ConnState = iota // waits for a place
-	Dialled                   // has a place, and is being dialled
-	InUse                     // carries an attempt, or several
-	Idle                      // may be lent
-	Spoilt                    // in use, and must not be used again: nobody can tell what is on it
-	Retiring                  // in use, and must not be used again: its server drains, is gone or was replaced
+	Dialled                   // has a place and is being dialled
+	InUse                     // carries one or several attempts
+	Idle                      // available for the next attempt
+	Spoilt                    // in use, but must not be reused, as unexpected data may be pending on it
+	Retiring                  // in use, but must not be reused, as its server is draining, was removed or was replaced
 	Closed
 )
 
 var connNames = [...]string{"queued", "dialled", "in use", "idle", "spoilt", "retiring", "closed"}
 
+// String returns the name of the state, for logs and errors.
 func (s ConnState) String() string { return connNames[s] }
 
-// Conn is the life of a connection, from the wait for a place on.
+// Conn is the state machine of a connection. It starts when the connection asks for a place in the pool.
 type Conn struct {
 	Server *Server
-	Speaks choice.Protocols // what is spoken on it
-	Host   any              // the connection itself, once it is up
+	Speaks choice.Protocols // the protocol spoken on it
+	Host   any              // the host's connection object, once it is established
 	state  ConnState
 
-	before, after *Conn // among all that are idle, by when they became so
+	prev, next *Conn // neighbours in PoolState.idleList
 }
 
 // State returns the connection's state.
@@ -63,179 +64,185 @@
 	return c.state
 }
 
-func (c *Conn) to(s ConnState, from ...ConnState) error {
+func (c *Conn) transition(s ConnState, from ...ConnState) error {
 	if !slices.Contains(from, c.state) {
-		return fmt.Errorf("life: a connection that is %s can't be %s", c.State(), s)
+		return fmt.Errorf("lifecycle: illegal transition of a connection from state %q to %q", c.State(), s)
 	}
 	c.state = s
 	return nil
 }
 
-// Spoil says that nobody can tell what is on a connection in use: it must not be used again.
-func (c *Conn) Spoil() error { return c.to(Spoilt, InUse, Spoilt) }
+// Spoil records that unexpected data may be pending on a connection in use, so that it must not be reused.
+func (c *Conn) Spoil() error { return c.transition(Spoilt, InUse, Spoilt) }
 
-// Book keeps account of the connections to all servers: a bound on their number, whose turn it is for the next place,
-// and which are idle. Each idle one is held by its Conn; whoever keeps the Book closes what it is told to close.
+// PoolState is the state of a pool of connections to all servers. It limits their number by places: each connection that is
+// dialled, in use or idle holds one. It queues connections that wait for a place and keeps the idle ones. It does no I/O: its
+// owner closes the connections that the methods return as closed or evicted. It is not safe for concurrent use.
 type Book struct {
-	most  int
-	open  int                 // places that are taken
-	queue []*Conn             // that wait for one, the longest first
-	idle  map[*Server][]*Conn // the latest last
-	ring  Conn                // all that are idle, the longest first, and back to it
-	count int                 // of them
-}
-
-// NewBook returns a Book for so many connections at the most.
-func NewBook(most int) *Book {
-	b := &Book{most: most, idle: map[*Server][]*Conn{}}
-	b.ring.before, b.ring.after = &b.ring, &b.ring
-	return b
-}
-
-// Bound sets another bound. Where more places are taken than it allows, idle connections are to be closed, those that have
-// been idle for longest first, and those in use when they are returned. Who waits gets the places that it adds.
-func (b *Book) Bound(most int) (closed, next []*Conn) {
-	b.most = most
-	for b.open > b.most && b.count > 0 {
-		c := b.ring.after
-		b.Drop(c) // its place goes to nobody, as there are too many
+	limit     int
+	taken     int                 // number of places in use
+	queue     []*Conn             // connections that wait for a place, the longest-waiting first
+	idle      map[*Server][]*Conn // by server, the most recently used last
+	idleList  Conn                // head of the ring of all idle connections, the longest idle first
+	idleCount int                 // number of idle connections
+}
+
+// NewPoolState returns a PoolState for at most the given number of connections.
+func NewBook(maxConns int) *Book {
+	p := &Book{limit: maxConns, idle: map[*Server][]*Conn{}}
+	p.idleList.prev, p.idleList.next = &p.idleList, &p.idleList
+	return p
+}
+
+// SetLimit changes the maximum number of connections. If more places are in use, the longest-idle connections are returned as
+// closed, and further connections are closed when they are released. If the new limit adds places, the connections that have
+// waited for longest get them and are returned as next.
+func (p *Book) Bound(maxConns int) (closed, next []*Conn) {
+	p.limit = maxConns
+	for p.taken > p.limit && p.idleCount > 0 {
+		c := p.idleList.next
+		p.Drop(c) // its place is not passed on, as too many are in use
 		closed = append(closed, c)
 	}
-	for b.open < b.most && len(b.queue) > 0 {
-		b.open++
-		next = append(next, b.free())
+	for p.taken < p.limit && len(p.queue) > 0 {
+		p.taken++
+		next = append(next, p.freePlace())
 	}
 	return closed, next
 }
 
-// Count returns how many places are taken, how many of them by idle connections, and how many wait for one.
-func (b *Book) Count() (open, idle, waiting int) { return b.open, b.count, len(b.queue) }
+// Count returns the number of places in use, how many of them idle connections hold, and how many connections wait for one.
+func (p *Book) Count() (open, idle, waiting int) { return p.taken, p.idleCount, len(p.queue) }
 
-// Lend lends an idle connection to a server on which the protocol is spoken, or nil: the latest that became idle of those that
-// have rested, as rested says, or else the first that will have; all have where it is nil. The caller looks whether it is still
-// silent, and gives it back to be closed if not.
-func (b *Book) Lend(s *Server, speaks choice.Protocols, rested func(*Conn) bool) (lent *Conn) {
-	all := b.idle[s]
+// AcquireIdle takes an idle connection to a server with the given protocol, or returns nil if there is none. Of the connections
+// that have been idle for long enough, as rested reports, it takes the one that became idle last; if there is none, the one that
+// has been idle for longest. A nil rested accepts all. The caller checks that no data has arrived on the connection meanwhile; if
+// some has, it spoils and releases the connection.
+func (p *Book) Lend(s *Server, speaks choice.Protocols, rested func(*Conn) bool) (acquired *Conn) {
+	all := p.idle[s]
 	for i := len(all) - 1; i >= 0; i-- {
 		if c := all[i]; c.Speaks == speaks {
-			if lent = c; rested == nil || rested(c) {
+			if acquired = c; rested == nil || rested(c) {
 				break
 			}
 		}
 	}
-	if lent != nil {
-		b.forget(lent)
-		lent.state = InUse
+	if acquired != nil {
+		p.removeIdle(acquired)
+		acquired.state = InUse
 	}
-	return lent
+	return acquired
 }
 
-// Claim asks for a place for a new connection: a free one, that of the connection that has been idle for longest, which
-// is then to be closed, or the next that is given up, for which it is queued. Servers that take calls and are silent
-// hold many places for as long as a call may take, so an end at once would cost those calls that a short wait would
-// serve.
-func (b *Book) Claim(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
+// ReservePlace reserves a place for a new connection: a free one, or that of the longest-idle connection, which is returned as
+// evicted for the caller to close. If there is neither, the connection is queued for the next place that is released. It is
+// queued rather than rejected because servers that accept calls and never answer occupy many places for as long as a call may
+// take, and rejecting would fail calls that a short wait could still serve.
+func (p *Book) Claim(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
 	c = &Conn{Server: s, Speaks: speaks, state: Dialled}
 	switch {
-	case b.open < b.most:
-		b.open++
-	case b.count > 0:
-		evicted = b.ring.after
-		b.forget(evicted)
-		evicted.state = Closed // its place goes on
+	case p.taken < p.limit:
+		p.taken++
+	case p.idleCount > 0:
+		evicted = p.idleList.next
+		p.removeIdle(evicted)
+		evicted.state = Closed // its place passes to c
 	default:
 		c.state = Queued
-		b.queue = append(b.queue, c)
+		p.queue = append(p.queue, c)
 	}
 	return c, evicted
 }
 
-// Open says that a connection has come up: it is in use.
-func (b *Book) Open(c *Conn, host any) error {
-	if err := c.to(InUse, Dialled); err != nil {
+// Open records that a dialled connection is established. It is now in use.
+func (p *Book) Open(c *Conn, host any) error {
+	if err := c.transition(InUse, Dialled); err != nil {
 		return err
 	}
 	c.Host = host
 	return nil
 }
 
-// GiveUp ends a connection that has not come up. The one that has waited for longest gets its place, if it had one.
-func (b *Book) GiveUp(c *Conn) (next *Conn, err error) {
+// Abort ends a connection that was not established. If it held a place, the longest-waiting connection gets the place and is
+// returned as next.
+func (p *Book) GiveUp(c *Conn) (next *Conn, err error) {
 	queued := c.state == Queued
-	if err := c.to(Closed, Queued, Dialled); err != nil {
+	if err := c.transition(Closed, Queued, Dialled); err != nil {
 		return nil, err
 	}
 	if queued {
-		b.queue = slices.DeleteFunc(b.queue, func(o *Conn) bool { return o == c })
+		p.queue = slices.DeleteFunc(p.queue, func(o *Conn) bool { return o == c })
 		return nil, nil
 	}
-	return b.free(), nil
+	return p.freePlace(), nil
 }
 
-// free gives up a place: the one that has waited for it for longest gets it, if there is one.
-func (b *Book) free() (next *Conn) {
-	if len(b.queue) == 0 || b.open > b.most {
-		b.open--
+// freePlace releases a place. The longest-waiting connection, if any, gets it and is returned.
+func (p *Book) freePlace() (next *Conn) {
+	if len(p.queue) == 0 || p.taken > p.limit {
+		p.taken--
 		return nil
 	}
-	next = b.queue[0]
-	b.queue = slices.Delete(b.queue, 0, 1)
+	next = p.queue[0]
+	p.queue = slices.Delete(p.queue, 0, 1)
 	next.state = Dialled
 	return next
 }
 
-// Return takes a connection back. It is kept if it may be used again, and nobody waits for its place; otherwise it is
-// to be closed, and the one that is returned has its place.
-func (b *Book) Return(c *Conn) (kept bool, next *Conn, err error) {
-	if c.State() == InUse && len(b.queue) == 0 && b.open <= b.most {
+// Release takes back a connection that was in use. The connection is kept as idle if it may be reused and no other waits for its
+// place. Otherwise the caller closes it, and its place passes to next, if that is not nil.
+func (p *Book) Return(c *Conn) (kept bool, next *Conn, err error) {
+	if c.State() == InUse && len(p.queue) == 0 && p.taken <= p.limit {
 		c.state = Idle
-		b.idle[c.Server] = append(b.idle[c.Server], c)
-		c.before, c.after = b.ring.before, &b.ring
-		c.before.after, b.ring.before = c, c
-		b.count++
+		p.idle[c.Server] = append(p.idle[c.Server], c)
+		c.prev, c.next = p.idleList.prev, &p.idleList
+		c.prev.next, p.idleList.prev = c, c
+		p.idleCount++
 		return true, nil, nil
 	}
-	if err := c.to(Closed, InUse, Spoilt); err != nil {
+	if err := c.transition(Closed, InUse, Spoilt); err != nil {
 		return false, nil, err
 	}
-	return false, b.free(), nil
+	return false, p.freePlace(), nil
 }
 
-// Drop closes an idle connection, whose time is over or whose server has closed it.
-func (b *Book) Drop(c *Conn) (next *Conn, err error) {
-	if err := c.to(Closed, Idle); err != nil {
+// CloseIdle closes an idle connection, because of its idle timeout or because the server closed it. Its place passes to next, if
+// that is not nil.
+func (p *Book) Drop(c *Conn) (next *Conn, err error) {
+	if err := c.transition(Closed, Idle); err != nil {
 		return nil, err
 	}
-	b.forget(c)
-	return b.free(), nil
+	p.removeIdle(c)
+	return p.freePlace(), nil
 }
 
-// Retire ends the sending to a server and returns its idle connections, which are closed. Those in use go on.
-func (b *Book) Retire(s *Server) (closed, next []*Conn) {
+// RetireServer retires a server and returns its idle connections as closed, and the waiting connections that get their places as
+// next. Connections in use continue.
+func (p *Book) Retire(s *Server) (closed, next []*Conn) {
 	s.Retire()
-	closed = slices.Clone(b.idle[s])
+	closed = slices.Clone(p.idle[s])
 	for _, c := range closed {
-		if granted, err := b.Drop(c); err == nil && granted != nil {
+		if granted, err := p.Drop(c); err == nil && granted != nil {
 			next = append(next, granted)
 		}
 	}
-	delete(b.idle, s)
+	delete(p.idle, s)
 	return closed, next
 }
 
-// Idle returns all idle connections, the longest first.
-func (b *Book) Idle() (all []*Conn) {
-	for c := b.ring.after; c != &b.ring; c = c.after {
+// Idle returns all idle connections, the longest idle first.
+func (p *Book) Idle() (all []*Conn) {
+	for c := p.idleList.next; c != &p.idleList; c = c.next {
 		all = append(all, c)
 	}
 	return all
 }
 
-// forget takes a connection out of the idle ones. The room for those of its server is kept until it retires.
-func (b *Book) forget(c *Conn) {
-	all := b.idle[c.Server]
-	b.idle[c.Server] = slices.DeleteFunc(all, func(o *Conn) bool { return o == c })
-	c.before.after, c.after.before = c.after, c.before
-	c.before, c.after = nil, nil
-	b.count--
+// removeIdle removes a connection from the idle ones. The slice for its server is kept for reuse until the server retires.
+func (p *Book) removeIdle(c *Conn) {
+	all := p.idle[c.Server]
+	p.idle[c.Server] = slices.DeleteFunc(all, func(o *Conn) bool { return o == c })
+	c.prev.next, c.next.prev = c.next, c.prev
+	c.prev, c.next = nil, nil
+	p.idleCount--
 }
--- a/internal/decide/life/copy.go
+++ b/internal/decide/life/copy.go
@@ -5,95 +5,96 @@
 	"slices"
 )
 
-// Copies are how an explorer tries what may come next from one state, several times: what it copies, it copies whole.
+// The copies in this file let the state explorer try several next steps from one state. They are deep copies.
 
-// Twins are copies of things by their originals, each made once.
+// Copies maps originals to their copies. Each copy is made once.
 type Twins[T any] struct {
-	Fill  func(original, twin *T) // makes the twin equal
+	Fill  func(original, dst *T) // makes the copy equal to the original
 	pairs [][2]*T
 }
 
-// Of returns the copy of an original; nil is its own.
-func (t *Twins[T]) Of(original *T) *T {
+// Of returns the copy of an original, making it on the first call. The copy of nil is nil.
+func (c *Twins[T]) Of(original *T) *T {
 	if original == nil {
 		return nil
 	}
-	for _, p := range t.pairs { // they are few
-		if p[0] == original {
-			return p[1]
+	for _, pair := range c.pairs { // a linear search, as there are few
+		if pair[0] == original {
+			return pair[1]
 		}
 	}
-	twin := new(T)
-	t.pairs = append(t.pairs, [2]*T{original, twin})
-	t.Fill(original, twin)
-	return twin
+	dst := new(T)
+	c.pairs = append(c.pairs, [2]*T{original, dst})
+	c.Fill(original, dst)
+	return dst
 }
 
-// CopyTo makes another Server equal.
-func (s *Server) CopyTo(twin *Server) {
-	twin.ID, twin.Addr, twin.Addrs, twin.Started, twin.Speaks, twin.Multiplexed, twin.Identity = s.ID, s.Addr, s.Addrs, s.Started, s.Speaks,
+// CopyTo copies the Server to another one.
+func (s *Server) CopyTo(dst *Server) {
+	dst.ID, dst.Addr, dst.Addrs, dst.Started, dst.Speaks, dst.Multiplexed, dst.Identity = s.ID, s.Addr, s.Addrs, s.Started, s.Speaks,
 		s.Multiplexed, s.Identity
-	twin.retired.Store(s.retired.Load())
+	dst.retired.Store(s.retired.Load())
 }
 
-// CopyTo makes another Conn equal, but for its place among those that are idle, which is its Book's to give.
-func (c *Conn) CopyTo(twin *Conn, servers *Twins[Server], host any) {
-	*twin = Conn{Server: servers.Of(c.Server), Speaks: c.Speaks, Host: host, state: c.state}
+// CopyTo copies the Conn to another one, except its position among the idle connections, which PoolState.Copy sets.
+func (c *Conn) CopyTo(dst *Conn, servers *Twins[Server], host any) {
+	*dst = Conn{Server: servers.Of(c.Server), Speaks: c.Speaks, Host: host, state: c.state}
 }
 
-// Copy returns an equal Book of copied connections.
-func (b *Book) Copy(conns *Twins[Conn], servers *Twins[Server]) *Book {
-	twin := NewBook(b.most)
-	twin.open, twin.count = b.open, b.count
-	for _, c := range b.queue {
-		twin.queue = append(twin.queue, conns.Of(c))
+// Copy returns an equal PoolState with the copies of its connections and servers.
+func (p *Book) Copy(conns *Twins[Conn], servers *Twins[Server]) *Book {
+	dst := NewBook(p.limit)
+	dst.taken, dst.idleCount = p.taken, p.idleCount
+	for _, c := range p.queue {
+		dst.queue = append(dst.queue, conns.Of(c))
 	}
-	for s, all := range b.idle {
+	for s, all := range p.idle {
 		if len(all) > 0 {
 			same := make([]*Conn, len(all))
 			for i, c := range all {
 				same[i] = conns.Of(c)
 			}
-			twin.idle[servers.Of(s)] = same
+			dst.idle[servers.Of(s)] = same
 		}
 	}
-	for c := b.ring.after; c != &b.ring; c = c.after {
+	for c := p.idleList.next; c != &p.idleList; c = c.next {
 		last := conns.Of(c)
-		last.before, last.after = twin.ring.before, &twin.ring
-		last.before.after, twin.ring.before = last, last
+		last.prev, last.next = dst.idleList.prev, &dst.idleList
+		last.prev.next, dst.idleList.prev = last, last
 	}
-	return twin
+	return dst
 }
 
-// Queue returns the connections that wait for a place, the longest first.
-func (b *Book) Queue() []*Conn { return slices.Clone(b.queue) }
+// Queue returns the connections that wait for a place, the longest-waiting first.
+func (p *Book) Queue() []*Conn { return slices.Clone(p.queue) }
 
-// CopyTo makes another Slot equal, for the copy of its attempt.
-func (s *Slot) CopyTo(twin *Slot, a *Attempt, host any) {
-	*twin = Slot{Seq: s.Seq, Life: a, Host: host, begun: s.begun}
+// CopyTo copies the Slot to another one that belongs to attempt a, a copy, and to host.
+func (s *Slot) CopyTo(dst *Slot, a *Attempt, host any) {
+	*dst = Slot{Seq: s.Seq, Life: a, Host: host, writeStarted: s.writeStarted}
 }
 
-// Copy returns an equal Line of copied places.
-func (l *Line) Copy(slots *Twins[Slot]) *Line {
-	twin := *l
-	twin.slots, twin.queue = make(map[int32]*Slot, len(l.slots)), nil
-	for seq, s := range l.slots {
-		twin.slots[seq] = slots.Of(s)
+// Copy returns an equal MultiplexedConn with the copies of its slots.
+func (m *Line) Copy(slots *Twins[Slot]) *Line {
+	dst := *m
+	dst.slots, dst.queue = make(map[int32]*Slot, len(m.slots)), nil
+	for seq, s := range m.slots {
+		dst.slots[seq] = slots.Of(s)
 	}
-	for _, s := range l.queue {
-		twin.queue = append(twin.queue, slots.Of(s))
+	for _, s := range m.queue {
+		dst.queue = append(dst.queue, slots.Of(s))
 	}
-	return &twin
+	return &dst
 }
 
-// Fingerprint appends all that a Line's next steps depend on, but for the attempts on it, which have a number.
-func (l *Line) Fingerprint(to []byte, number func(*Slot) int) []byte {
-	to = binary.AppendVarint(to, l.heard.UnixNano())
-	to = binary.AppendVarint(to, int64(l.seq))
-	to = append(to, byte(l.cause), b2i(l.broken), b2i(l.suspect), byte(len(l.slots)))
-	for _, s := range l.Slots() {
+// Fingerprint appends to to everything that the connection's future behaviour depends on. Its attempts are represented by the
+// numbers that number returns.
+func (m *Line) Fingerprint(to []byte, number func(*Slot) int) []byte {
+	to = binary.AppendVarint(to, m.lastReply.UnixNano())
+	to = binary.AppendVarint(to, int64(m.seq))
+	to = append(to, byte(m.cause), b2i(m.broken), b2i(m.suspect), byte(len(m.slots)))
+	for _, s := range m.Slots() {
 		to = binary.AppendVarint(to, int64(s.Seq))
-		to = binary.AppendVarint(to, s.begun.UnixNano())
+		to = binary.AppendVarint(to, s.writeStarted.UnixNano())
 		to = append(to, byte(number(s)), byte(s.Life.stage))
 	}
 	return to
--- a/internal/decide/life/life_test.go
+++ b/internal/decide/life/life_test.go
@@ -8,7 +8,7 @@
 	"ternbeam/choice"
 )
 
-// step is something told to an attempt.
+// step reports one event to an attempt.
 type step func(a *Attempt) error
 
 func begin(now Now) step {
@@ -30,40 +30,40 @@
 	sent      = then(begun, steps(wrote(100)))
 )
 
-// How an attempt ends, and whether it can have run, follows from its stage and the cause alone.
+// The result of an attempt, and whether it can have run, follow from its stage and the cause alone.
 func TestEndings(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps []step
 		want  choice.Result
 		ran   bool
 	}{
-		"no place":                     {steps(fail(NoPlace)), choice.NotSent, false},
-		"withdrawn while it waits":     {steps(fail(Withdrawn)), choice.Cancelled, false},
-		"dial fails":                   {steps(dial, fail(Broken)), choice.ConnectFailed, false},
-		"dial hangs":                   {steps(dial, fail(Late)), choice.ConnectFailed, false},
-		"withdrawn while it dials":     {steps(dial, fail(Withdrawn)), choice.Cancelled, false},
-		"idle connection":              {steps(connect, begin(Now{}), wrote(100), reading, ans(choice.OK)), choice.OK, true},
-		"over before it is sent":       {then(connected, steps(begin(Now{Over: true}))), choice.NotSent, false},
-		"late before it is sent":       {then(connected, steps(begin(Now{Late: true, Retired: true}))), choice.NotSent, false},
-		"drained before it is sent":    {then(connected, steps(begin(Now{Retired: true}))), choice.ConnectFailed, false},
-		"withdrawn before it is sent":  {then(connected, steps(begin(Now{Withdrawn: true, Late: true}))), choice.Cancelled, false},
-		"late in a queue":              {then(connected, steps(fail(Late))), choice.NotSent, false},
-		"breaks in a queue":            {then(connected, steps(fail(Broken))), choice.ConnectFailed, false},
-		"breaks before the last byte":  {then(begun, steps(wrote(99), fail(Broken))), choice.ConnectFailed, false},
-		"spoilt before the last byte":  {then(begun, steps(wrote(99), reading, fail(Garbled))), choice.ConnectFailed, false},
-		"late before the last byte":    {then(begun, steps(wrote(99), fail(Late))), choice.ConnectFailed, false},
-		"breaks after the last byte":   {then(sent, steps(fail(Broken))), choice.Reset, true},
-		"breaks, nobody knows where":   {then(begun, steps(unsure, fail(Broken))), choice.Reset, true},
-		"known after all":              {then(begun, steps(unsure, wrote(50), fail(Broken))), choice.ConnectFailed, false},
-		"late":                         {then(sent, steps(fail(Late))), choice.TimedOut, true},
-		"late in the answer":           {then(sent, steps(reading, fail(Late))), choice.TimedOut, true},
-		"withdrawn":                    {then(sent, steps(fail(Withdrawn))), choice.Cancelled, true},
-		"spoilt":                       {then(sent, steps(reading, fail(Garbled))), choice.Failed, true},
-		"error":                        {then(sent, steps(reading, ans(choice.Failed))), choice.Failed, true},
-		"turned away":                  {then(sent, steps(reading, ans(choice.Rejected))), choice.Rejected, false},
-		"turned away before all is in": {then(begun, steps(wrote(50), reading, ans(choice.Rejected))), choice.Rejected, false},
-		"answered before all is in":    {then(begun, steps(wrote(50), reading, ans(choice.OK))), choice.OK, true},
-		"oneway":                       {then(sent, steps(ans(choice.OK))), choice.OK, true},
+		"no place":                      {steps(fail(NoPlace)), choice.NotSent, false},
+		"withdrawn while it waits":      {steps(fail(Withdrawn)), choice.Cancelled, false},
+		"dial fails":                    {steps(dial, fail(Broken)), choice.ConnectFailed, false},
+		"dial hangs":                    {steps(dial, fail(Late)), choice.ConnectFailed, false},
+		"withdrawn while it dials":      {steps(dial, fail(Withdrawn)), choice.Cancelled, false},
+		"idle connection":               {steps(connect, begin(Now{}), wrote(100), reading, ans(choice.OK)), choice.OK, true},
+		"finished before it is sent":    {then(connected, steps(begin(Now{Over: true}))), choice.NotSent, false},
+		"late before it is sent":        {then(connected, steps(begin(Now{Late: true, Retired: true}))), choice.NotSent, false},
+		"drained before it is sent":     {then(connected, steps(begin(Now{Retired: true}))), choice.ConnectFailed, false},
+		"withdrawn before it is sent":   {then(connected, steps(begin(Now{Withdrawn: true, Late: true}))), choice.Cancelled, false},
+		"late in a queue":               {then(connected, steps(fail(Late))), choice.NotSent, false},
+		"breaks in a queue":             {then(connected, steps(fail(Broken))), choice.ConnectFailed, false},
+		"breaks before the last byte":   {then(begun, steps(wrote(99), fail(Broken))), choice.ConnectFailed, false},
+		"spoilt before the last byte":   {then(begun, steps(wrote(99), reading, fail(Garbled))), choice.ConnectFailed, false},
+		"late before the last byte":     {then(begun, steps(wrote(99), fail(Late))), choice.ConnectFailed, false},
+		"breaks after the last byte":    {then(sent, steps(fail(Broken))), choice.Reset, true},
+		"breaks at an unknown byte":     {then(begun, steps(unsure, fail(Broken))), choice.Reset, true},
+		"write size known later":        {then(begun, steps(unsure, wrote(50), fail(Broken))), choice.ConnectFailed, false},
+		"late":                          {then(sent, steps(fail(Late))), choice.TimedOut, true},
+		"late in the answer":            {then(sent, steps(reading, fail(Late))), choice.TimedOut, true},
+		"withdrawn":                     {then(sent, steps(fail(Withdrawn))), choice.Cancelled, true},
+		"spoilt":                        {then(sent, steps(reading, fail(Garbled))), choice.Failed, true},
+		"error":                         {then(sent, steps(reading, ans(choice.Failed))), choice.Failed, true},
+		"rejected by the server":        {then(sent, steps(reading, ans(choice.Rejected))), choice.Rejected, false},
+		"rejected before the last byte": {then(begun, steps(wrote(50), reading, ans(choice.Rejected))), choice.Rejected, false},
+		"answered before the last byte": {then(begun, steps(wrote(50), reading, ans(choice.OK))), choice.OK, true},
+		"oneway":                        {then(sent, steps(ans(choice.OK))), choice.OK, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a Attempt
@@ -79,7 +79,7 @@
 	}
 }
 
-// What must not come is an error and changes nothing.
+// An illegal transition returns an error and changes nothing.
 func TestIllegalSteps(t *testing.T) {
 	for name, c := range map[string]struct {
 		before []step
@@ -116,22 +116,22 @@
 	}
 }
 
-// A random walk over a Book: places are never more than the most and never lost, claims are granted in turn, nothing
-// idle is at a retired server, no connection is lent twice.
+// A random walk over a PoolState: places never exceed the limit and are never lost, queued connections get places in order, no idle
+// connection is to a retired server, and no connection is acquired twice.
 func TestBookWalks(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		most := 1 + r.IntN(4)
 		b := NewBook(most)
 		servers := []*Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-		var granted, waiting []*Conn // that have a place, or wait for one, in their order
+		var granted, waiting []*Conn // connections that have a place, or wait for one, in order
 		var used []*Conn
 		grant := func(c *Conn) {
 			if c == nil {
 				return
 			}
 			if len(waiting) == 0 || waiting[0] != c || c.State() != Dialled {
-				t.Fatalf("seed %d: a place was granted out of turn", seed)
+				t.Fatalf("seed %d: a place was granted out of order", seed)
 			}
 			waiting, granted = waiting[1:], append(granted, c)
 		}
@@ -141,7 +141,7 @@
 			case 0, 1:
 				if c := b.Lend(s, choice.Protocols(1), nil); c != nil {
 					if c.State() != InUse || c.Server != s || slices.Contains(used, c) || s.Retired() {
-						t.Fatalf("seed %d: lent %+v", seed, c)
+						t.Fatalf("seed %d: acquired %+v", seed, c)
 					}
 					used = append(used, c)
 					continue
@@ -164,7 +164,7 @@
 				if r.IntN(3) == 0 {
 					next, err := b.GiveUp(c)
 					if err != nil || c.State() != Closed {
-						t.Fatalf("seed %d: given up, it is %v, %v", seed, c.State(), err)
+						t.Fatalf("seed %d: after the abort: state %v, error %v", seed, c.State(), err)
 					}
 					grant(next)
 				} else {
@@ -185,7 +185,7 @@
 				waited, spoilt := len(waiting), r.IntN(4) == 0
 				if spoilt {
 					if err := c.Spoil(); err != nil || c.State() != Spoilt {
-						t.Fatalf("seed %d: spoilt, it is %v, %v", seed, c.State(), err)
+						t.Fatalf("seed %d: after Spoil: state %v, error %v", seed, c.State(), err)
 					}
 				}
 				kept, next, err := b.Return(c)
@@ -194,13 +194,13 @@
 				}
 				grant(next)
 				if _, _, err := b.Return(c); err == nil || c.Spoil() == nil {
-					t.Fatalf("seed %d: returned twice", seed)
+					t.Fatalf("seed %d: released twice", seed)
 				}
 			case 6:
 				if len(waiting) > 0 {
 					i := r.IntN(len(waiting))
 					if next, err := b.GiveUp(waiting[i]); next != nil || err != nil {
-						t.Fatalf("seed %d: one that waited had a place to give: %v", seed, err)
+						t.Fatalf("seed %d: a queued connection released a place when aborted: %v", seed, err)
 					}
 					waiting = slices.Delete(waiting, i, i+1)
 				}
@@ -209,7 +209,7 @@
 					closed, next := b.Retire(s)
 					for _, c := range closed {
 						if c.State() != Closed {
-							t.Fatalf("seed %d: %v after the retirement", seed, c.State())
+							t.Fatalf("seed %d: state %v after its server retired", seed, c.State())
 						}
 					}
 					for _, c := range next {
@@ -226,11 +226,11 @@
 			}
 			open, idle, queue := b.Count()
 			if open > most || open != idle+len(used)+len(granted) || queue != len(waiting) {
-				t.Fatalf("seed %d: %d places, %d idle, %d used, %d granted, %d of %d wait", seed, open, idle, len(used),
+				t.Fatalf("seed %d: %d places, %d idle, %d in use, %d granted, %d queued, want %d", seed, open, idle, len(used),
 					len(granted), queue, len(waiting))
 			}
 			if queue > 0 && idle > 0 {
-				t.Fatalf("seed %d: %d wait while %d are idle", seed, queue, idle)
+				t.Fatalf("seed %d: %d are queued while %d are idle", seed, queue, idle)
 			}
 		}
 	}
--- a/internal/decide/life/line.go
+++ b/internal/decide/life/line.go
@@ -10,87 +10,89 @@
 	"ternbeam/choice"
 )
 
-// ErrForeign says that a reply answers nothing that was asked, or something a second time: the sequence ids of its
-// server can't be trusted, and all that is on the line may be somebody else's.
-var ErrForeign = errors.New("life: a reply that answers nothing")
+// ErrUnexpectedReply reports a reply with a sequence id that no pending call has, such as a second reply to the same call. The
+// server's sequence ids can't be trusted then, and any reply on the connection may belong to another call.
+var ErrForeign = errors.New("lifecycle: reply with the sequence id of no pending call")
 
-// Line is the life of a connection that carries several attempts at a time, told apart by sequence ids.
+// MultiplexedConn is the state machine of a connection that carries several concurrent attempts, told apart by sequence ids. It
+// is not safe for concurrent use.
 type Line struct {
-	slots   map[int32]*Slot // by sequence id
-	queue   []*Slot         // not begun, in their turn
-	seq     int32
-	heard   time.Time // the latest reply, or when the line came up
-	broken  bool      // nothing more can be told from what comes
-	cause   Cause     // why
-	suspect bool      // gets nothing new
+	slots     map[int32]*Slot // by sequence id
+	queue     []*Slot         // slots that are not written yet, in order
+	seq       int32           // the last one that was assigned
+	lastReply time.Time       // time of the latest reply, or of the connection's start
+	broken    bool            // further received data can't be interpreted
+	cause     Cause           // why it is broken
+	suspect   bool            // accepts no new attempts
 }
 
-// Slot is an attempt's place on a Line. One whose attempt has ended while it is still there was given up, with its reply
-// still to come.
+// Slot holds an attempt on a MultiplexedConn. If the attempt has ended while the slot is still there, it was abandoned and its
+// reply is still outstanding.
 type Slot struct {
-	Seq   int32
-	Life  *Attempt
-	Host  any // what the host keeps with it
-	begun time.Time
+	Seq          int32 // sequence id of the call and its reply
+	Life         *Attempt
+	Host         any // the host's data for the slot
+	writeStarted time.Time
 }
 
-// NewLine returns the life of a connection that came up just now.
-func NewLine(now time.Time) *Line { return &Line{slots: map[int32]*Slot{}, heard: now} }
+// NewMultiplexedConn returns the state machine of a connection that was established at now.
+func NewLine(now time.Time) *Line { return &Line{slots: map[int32]*Slot{}, lastReply: now} }
 
-// Join gives an attempt a place, if there are fewer than so many and the line is good for something new; nil if not.
-func (l *Line) Join(a *Attempt, host any, most int) (*Slot, error) {
-	if l.broken || l.suspect || len(l.slots) >= most {
+// Join gives an attempt a slot and queues it to be written. It returns nil if it has maxSlots slots already, or if the connection
+// accepts no new attempts.
+func (m *Line) Join(a *Attempt, host any, maxSlots int) (*Slot, error) {
+	if m.broken || m.suspect || len(m.slots) >= maxSlots {
 		return nil, nil
 	}
 	for {
-		if l.seq == math.MaxInt32 {
-			l.seq = 0
+		if m.seq == math.MaxInt32 {
+			m.seq = 0
 		}
-		if l.seq++; l.slots[l.seq] == nil {
+		if m.seq++; m.slots[m.seq] == nil {
 			break
 		}
 	}
 	var err error
-	if a.stage == Placing { // the line is another's that is shared
+	if a.stage == Placing { // the connection was dialled for another attempt and is shared
 		err = a.Connect()
 	}
-	s := &Slot{Seq: l.seq, Life: a, Host: host}
-	l.slots[s.Seq] = s
-	l.queue = append(l.queue, s)
+	s := &Slot{Seq: m.seq, Life: a, Host: host}
+	m.slots[s.Seq] = s
+	m.queue = append(m.queue, s)
 	return s, err
 }
 
-// Next takes the next attempt from the queue that is to begin, or nil.
-func (l *Line) Next() *Slot {
-	if l.broken || len(l.queue) == 0 {
+// Next takes the next slot to write from the queue. It returns nil if there is none.
+func (m *Line) Next() *Slot {
+	if m.broken || len(m.queue) == 0 {
 		return nil
 	}
-	s := l.queue[0]
-	l.queue = l.queue[1:]
+	s := m.queue[0]
+	m.queue = m.queue[1:]
 	return s
 }
 
-// Drop takes an attempt off the line whose Begin said that it must not be sent.
-func (l *Line) Drop(s *Slot) { delete(l.slots, s.Seq) }
+// Remove frees the slot of an attempt that must not be sent, as its Begin returned.
+func (m *Line) Drop(s *Slot) { delete(m.slots, s.Seq) }
 
-// Begun says that an attempt which may be sent is being written: until the write has ended nobody can tell how far.
-func (l *Line) Begun(s *Slot, now time.Time) error {
-	s.begun = now
+// WriteStarted records that the message of an attempt is being written. Until WriteEnded it is unknown how much of it is written.
+func (m *Line) Begun(s *Slot, now time.Time) error {
+	s.writeStarted = now
 	return s.Life.Unsure()
 }
 
-// Wrote says how many bytes of a message were written when the write ended. Where no reply will come, as it is a oneway
-// or not written whole, that ends the attempt, if it has not ended before.
-func (l *Line) Wrote(s *Slot, n int, oneway bool) (ended bool, err error) {
+// WriteEnded records the end of a write, with the number of bytes of the message that were written. If no reply will follow,
+// because the call is oneway or was not written completely, this ends the attempt, unless it has ended before.
+func (m *Line) Wrote(s *Slot, n int, oneway bool) (ended bool, err error) {
 	if s.Life.stage != Ended {
 		err = s.Life.Wrote(n)
 	}
-	if l.slots[s.Seq] != s || !oneway && n == s.Life.size { // its reply has come already, or is to come
+	if m.slots[s.Seq] != s || !oneway && n == s.Life.size { // the reply was already received, or is still to come
 		return false, err
 	}
-	delete(l.slots, s.Seq)
+	delete(m.slots, s.Seq)
 	switch s.Life.stage {
-	case Ended: // nobody waits for it
+	case Ended: // it was abandoned
 		return false, err
 	case Waiting:
 		return true, errors.Join(err, s.Life.Answer(choice.OK))
@@ -98,77 +100,77 @@
 	return true, errors.Join(err, s.Life.Fail(Broken))
 }
 
-// Reply says that a reply has begun, and returns whose it is.
-func (l *Line) Reply(seq int32, now time.Time) (*Slot, error) {
-	s := l.slots[seq]
+// ReplyStarted records the start of a reply with a sequence id and returns the slot that it belongs to.
+func (m *Line) Reply(seq int32, now time.Time) (*Slot, error) {
+	s := m.slots[seq]
 	if s == nil || s.Life.stage == Ready {
 		return nil, ErrForeign
 	}
-	l.heard = now
+	m.lastReply = now
 	return s, nil
 }
 
-// Answered says what a reply was whole. It ends the attempt, but for one that was given up.
-func (l *Line) Answered(s *Slot, r choice.Result) (ended bool, err error) {
-	delete(l.slots, s.Seq)
+// ReplyEnded records the result of a complete reply. It ends the attempt, unless that was abandoned.
+func (m *Line) Answered(s *Slot, r choice.Result) (ended bool, err error) {
+	delete(m.slots, s.Seq)
 	if s.Life.stage == Ended {
 		return false, nil
 	}
 	return true, errors.Join(s.Life.Read(), s.Life.Answer(r))
 }
 
-// Abandon ends an attempt whose reply is waited for no longer. What the line was asked and has answered nothing since,
-// for as long as the attempt had, makes it suspect.
-func (l *Line) Abandon(s *Slot, c Cause) error {
+// Abandon ends an attempt whose reply is no longer waited for. If the attempt timed out and the connection received no reply at
+// all since the attempt was written, the connection becomes suspect and accepts no new attempts.
+func (m *Line) Abandon(s *Slot, c Cause) error {
 	switch s.Life.stage {
 	case Ready:
-		delete(l.slots, s.Seq)
-		l.queue = slices.DeleteFunc(l.queue, func(o *Slot) bool { return o == s })
+		delete(m.slots, s.Seq)
+		m.queue = slices.DeleteFunc(m.queue, func(o *Slot) bool { return o == s })
 	case Waiting:
-		if c == Late && l.heard.Before(s.begun) {
-			l.suspect = true
+		if c == Late && m.lastReply.Before(s.writeStarted) {
+			m.suspect = true
 		}
 	}
 	return s.Life.Fail(c)
 }
 
-// Break ends all that is on the line, by its first cause, and returns what it ended: what may have run, and the rest as
-// never sent. Attempts that are being written are left to Wrote.
-func (l *Line) Break(c Cause) (ended []*Slot, err error) {
-	if !l.broken {
-		l.broken, l.cause = true, c
+// Break marks the connection as broken and ends its attempts with the cause of the first Break: those that can't have run end as
+// never sent. It returns the slots of the attempts that it ended. Attempts that are being written are ended by WriteEnded.
+func (m *Line) Break(c Cause) (ended []*Slot, err error) {
+	if !m.broken {
+		m.broken, m.cause = true, c
 	}
-	for _, seq := range slices.Sorted(maps.Keys(l.slots)) {
-		s := l.slots[seq]
+	for _, seq := range slices.Sorted(maps.Keys(m.slots)) {
+		s := m.slots[seq]
 		if s.Life.stage == Writing {
 			continue
 		}
-		delete(l.slots, seq)
+		delete(m.slots, seq)
 		if s.Life.stage != Ended {
-			err = errors.Join(err, s.Life.Fail(l.cause))
+			err = errors.Join(err, s.Life.Fail(m.cause))
 			ended = append(ended, s)
 		}
 	}
-	l.queue = nil
+	m.queue = nil
 	return ended, err
 }
 
-// Slots returns what is on the line, by sequence ids.
-func (l *Line) Slots() (all []*Slot) {
-	for _, seq := range slices.Sorted(maps.Keys(l.slots)) {
-		all = append(all, l.slots[seq])
+// Slots returns all slots, ordered by sequence id.
+func (m *Line) Slots() (all []*Slot) {
+	for _, seq := range slices.Sorted(maps.Keys(m.slots)) {
+		all = append(all, m.slots[seq])
 	}
 	return all
 }
 
-// Broken reports whether nothing more can be told from what comes.
-func (l *Line) Broken() bool { return l.broken }
+// Broken reports whether Break was called: further received data can't be interpreted.
+func (m *Line) Broken() bool { return m.broken }
 
-// Rests reports whether the connection is to be given back, and whether it may be used again. One that carries only what
-// was given up, and gets nothing new, is closed.
-func (l *Line) Rests(retired bool) (rests, reuse bool) {
-	reuse = !l.broken && !l.suspect && !retired
-	for _, s := range l.slots {
+// CanRelease reports whether the connection should be released to the pool, and whether it may be reused. It is
+// released when it has no slots left, or, if it can't be reused, when only abandoned attempts are left; then it is closed.
+func (m *Line) Rests(retired bool) (release, reuse bool) {
+	reuse = !m.broken && !m.suspect && !retired
+	for _, s := range m.slots {
 		if reuse || s.Life.stage != Ended {
 			return false, reuse
 		}
--- a/internal/decide/life/line_test.go
+++ b/internal/decide/life/line_test.go
@@ -11,19 +11,19 @@
 	"ternbeam/choice"
 )
 
-// A random walk over a Line: a reply ends the attempt that it answers and no other, each attempt ends once, what is not
-// begun never ran, what breaks ends all, and the line rests only when nobody waits on it.
+// A random walk over a MultiplexedConn: a reply ends the attempt that it answers and no other, each attempt ends once, an attempt that
+// is not written never ran, a failure ends all attempts, and the connection is released only when no attempt waits on it.
 func TestLineWalks(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		now := time.Unix(0, 0)
 		l := NewLine(now)
-		l.seq = math.MaxInt32 - int32(r.IntN(4)) // ids begin anew, and pass over those in use
+		l.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
 		ended := map[*Attempt]bool{}
-		var joined, writing, asked []*Slot // in the queue; begun; written whole
+		var joined, writing, asked []*Slot // queued; being written; completely written
 		end := func(s *Slot) {
 			if ended[s.Life] || s.Life.Stage() != Ended {
-				t.Fatalf("seed %d: an attempt ends twice, or is %v", seed, s.Life.Stage())
+				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, s.Life.Stage())
 			}
 			ended[s.Life] = true
 		}
@@ -51,7 +51,7 @@
 			case k == 3:
 				s := l.Next()
 				if (s == nil) != (len(joined) == 0) || s != nil && s != joined[0] {
-					t.Fatalf("seed %d: not in its turn", seed)
+					t.Fatalf("seed %d: out of order", seed)
 				}
 				if s == nil {
 					continue
@@ -82,18 +82,18 @@
 				s := take(&asked)
 				got, err := l.Reply(s.Seq, now)
 				if l.slots[s.Seq] != s {
-					continue // answered before
+					continue // answered earlier
 				}
 				check(err)
 				if got != s {
-					t.Fatalf("seed %d: the reply to one is another's", seed)
+					t.Fatalf("seed %d: the reply was given to another attempt", seed)
 				}
 				over, err := l.Answered(got, choice.Failed)
 				check(err)
 				if over {
 					end(s)
 				} else if !ended[s.Life] {
-					t.Fatalf("seed %d: a reply ends nothing", seed)
+					t.Fatalf("seed %d: a reply ended no attempt", seed)
 				}
 				if _, err := l.Reply(s.Seq, now); !errors.Is(err, ErrForeign) {
 					t.Fatalf("seed %d: a second reply: %v", seed, err)
@@ -117,9 +117,9 @@
 					}
 				}
 			case k == 7 && r.IntN(10) == 0:
-				gone, err := l.Break([]Cause{Broken, Garbled}[r.IntN(2)])
+				failed, err := l.Break([]Cause{Broken, Garbled}[r.IntN(2)])
 				check(err)
-				for _, s := range gone {
+				for _, s := range failed {
 					end(s)
 				}
 				for _, s := range writing {
@@ -130,7 +130,7 @@
 					}
 				}
 				if s, err := l.Join(&Attempt{}, nil, 4); s != nil || err != nil || len(l.slots) > 0 || !l.Broken() {
-					t.Fatalf("seed %d: a broken line goes on", seed)
+					t.Fatalf("seed %d: a broken connection continues", seed)
 				}
 				joined, writing, asked = nil, nil, nil
 				now = now.Add(time.Second)
@@ -143,15 +143,15 @@
 				}
 			}
 			if rests, _ := l.Rests(r.IntN(2) == 0); rests && live > 0 {
-				t.Fatalf("seed %d: it rests with %d on it", seed, live)
+				t.Fatalf("seed %d: it can be released with %d attempts pending", seed, live)
 			}
 		}
 	}
 }
 
-// A line that answered nothing while an attempt ran out of its time gets nothing new; a reply makes the difference.
+// A connection on which no reply was received while an attempt timed out accepts no new attempts. One reply prevents that.
 func TestSuspectLine(t *testing.T) {
-	for _, heard := range []bool{true, false} {
+	for _, replied := range []bool{true, false} {
 		now := time.Unix(0, 0)
 		l := NewLine(now)
 		var slots []*Slot
@@ -167,15 +167,15 @@
 			slots = append(slots, s)
 		}
 		now = now.Add(time.Second)
-		if heard {
+		if replied {
 			l.Reply(slots[1].Seq, now)
 			l.Answered(slots[1], choice.OK)
 		}
 		if err := l.Abandon(slots[0], Late); err != nil {
 			t.Fatal(err)
 		}
-		if s, _ := l.Join(&Attempt{}, nil, 4); (s != nil) != heard {
-			t.Errorf("heard of: %t, takes something new: %t", heard, s != nil)
+		if s, _ := l.Join(&Attempt{}, nil, 4); (s != nil) != replied {
+			t.Errorf("reply received: %t, accepts a new attempt: %t", replied, s != nil)
 		}
 	}
 }
--- a/internal/decide/operators/operators.go
+++ b/internal/decide/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators decides what the operators' word does to the list of servers: who is out by hand, and what an entry
-// of the list counts as then. It does no I/O and reads no clock.
+// Package overrides holds the operators' manual overrides of servers: which servers are offline, and how that changes their
+// entries in the server list. It does no I/O and reads no clock.
 package operators
 
 import (
@@ -9,105 +9,109 @@
 	"ternbeam/choice"
 )
 
-// Most is how many servers may be out by hand at a time. A fleet that is replaced while some are out must not make the
-// words about servers that never return grow without end.
+// MaxOffline is the maximum number of servers that may be offline at a time. Without it the overrides of servers that never return
+// would accumulate, as when servers are replaced while they are offline.
 const Most = 10_000
 
-// Word is what the operators have said. The zero value is that they have said nothing.
+// Set is a set of overrides. The zero value has none. It is not safe for concurrent use.
 type Word struct {
-	out  map[string]time.Duration // when
-	back map[string]absence       // put back; of servers that are listed
+	offline  map[string]time.Duration // by server id: when it was taken offline
+	restored map[string]offlinePeriod // by server id: offline periods of servers that were put back online and are still listed
 }
 
-// absence is the time in which a server was out: within it, it was restarted.
-type absence struct{ from, to time.Duration }
+// offlinePeriod is the time in which a server was offline. The server is assumed to have been restarted within it.
+type offlinePeriod struct{ from, to time.Duration }
 
-// Out reports whether a server is out by hand.
-func (w *Word) Out(id string) bool {
-	_, out := w.out[id]
+// IsOffline reports whether an operator has taken a server offline.
+func (o *Word) Out(id string) bool {
+	_, out := o.offline[id]
 	return out
 }
 
-// Offline takes a server out. It is false where no more can be. One that is out already has been since the first time.
-func (w *Word) Offline(now time.Duration, id string) bool {
-	if w.out == nil {
-		w.out = map[string]time.Duration{}
+// Offline takes a server offline. It returns false if MaxOffline servers are offline already. For a server that is offline already
+// the first time remains in effect.
+func (o *Word) Offline(now time.Duration, id string) bool {
+	if o.offline == nil {
+		o.offline = map[string]time.Duration{}
 	}
-	if !w.Out(id) {
-		if len(w.out) >= Most {
+	if !o.Out(id) {
+		if len(o.offline) >= Most {
 			return false
 		}
-		w.out[id] = now.Truncate(time.Millisecond) // as exact as the list tells starts
+		o.offline[id] = now.Truncate(time.Millisecond) // the precision of start times in the server list
 	}
-	delete(w.back, id)
+	delete(o.restored, id)
 	return true
 }
 
-// Online puts a server back, however often it was taken out. It is false for one that was not out.
-func (w *Word) Online(now time.Duration, id string) bool {
-	from, out := w.out[id]
+// Online puts a server back online, however often it was taken offline. It returns false if it was not offline.
+func (o *Word) Online(now time.Duration, id string) bool {
+	from, out := o.offline[id]
 	if !out {
 		return false
 	}
-	delete(w.out, id)
-	if w.back == nil {
-		w.back = map[string]absence{}
+	delete(o.offline, id)
+	if o.restored == nil {
+		o.restored = map[string]offlinePeriod{}
 	}
-	w.back[id] = absence{from, now.Truncate(time.Millisecond)}
+	o.restored[id] = offlinePeriod{from, now.Truncate(time.Millisecond)}
 	return true
 }
 
-// Counts is what an entry of the list counts as. One that is out drains, whatever the list says but that it is gone. One
-// that was put back was restarted meanwhile. The list's word on when is good if it is of no start before; it may not have
-// heard of the new one yet, or never does, and then it counts as started when it was put back, so that it is not pushed over.
-func (w *Word) Counts(s choice.Server) choice.Server {
-	if w.Out(s.ID) && s.State == choice.Ready {
+// Apply returns an entry of the server list with the overrides applied. A server that is offline counts as draining, unless the list
+// says that it is gone. A server that was put back online is assumed to have been restarted meanwhile. The start time in the list
+// is used if it is not before the server was taken offline. Otherwise the list does not know of the restart yet, and may never do;
+// the server then counts as started when it was put back online, so that a cold server is not overloaded.
+func (o *Word) Counts(s choice.Server) choice.Server {
+	if o.Out(s.ID) && s.State == choice.Ready {
 		s.State = choice.Draining
 	}
-	if was, ok := w.back[s.ID]; ok && s.Started < was.from {
-		s.Started = was.to
+	if period, ok := o.restored[s.ID]; ok && s.Started < period.from {
+		s.Started = period.to
 	}
 	return s
 }
 
-// Gone says that the list names a server no more. One that is out stays out: it may be listed again.
-func (w *Word) Gone(id string) { delete(w.back, id) }
+// ServerRemoved records that a server is no longer listed. A server that is offline stays so, as it may be listed again.
+func (o *Word) Gone(id string) { delete(o.restored, id) }
 
-// Saying is a Word in a form that outlives its process. Times are Unix milliseconds.
+// Snapshot is the serializable form of a Set, to hand over to another process. Times are Unix milliseconds.
 type Saying struct {
-	Out  map[string]int64    `json:"out,omitempty"`  // since when, by server
-	Back map[string][2]int64 `json:"back,omitempty"` // out from when to when
+	Out  map[string]int64    `json:"out,omitempty"`  // by server id: when it was taken offline
+	Back map[string][2]int64 `json:"back,omitempty"` // by server id: start and end of the offline period
 }
 
-// Saying returns what was said.
-func (w *Word) Saying() Saying {
-	s := Saying{Out: make(map[string]int64, len(w.out)), Back: make(map[string][2]int64, len(w.back))}
-	for id, from := range w.out {
+// Snapshot returns the overrides in serializable form.
+func (o *Word) Saying() Saying {
+	s := Saying{Out: make(map[string]int64, len(o.offline)), Back: make(map[string][2]int64, len(o.restored))}
+	for id, from := range o.offline {
 		s.Out[id] = from.Milliseconds()
 	}
-	for id, was := range w.back {
-		s.Back[id] = [2]int64{was.from.Milliseconds(), was.to.Milliseconds()}
+	for id, period := range o.restored {
+		s.Back[id] = [2]int64{period.from.Milliseconds(), period.to.Milliseconds()}
 	}
 	return s
 }
 
-// Take takes over what was said to another process, up to the bound. A time in the future, by a clock that was off, counts
-// as now: else a server would stay cold for as long as that.
-func (w *Word) Take(now time.Duration, s Saying) {
-	past := func(ms int64) time.Duration { return min(now, time.Duration(ms)*time.Millisecond) }
+// Restore adds the overrides of another process, up to MaxOffline. A time in the future, which a wrong clock can cause, counts as
+// now: otherwise a server would count as cold until that time.
+func (o *Word) Take(now time.Duration, s Saying) {
+	notFuture := func(ms int64) time.Duration { return min(now, time.Duration(ms)*time.Millisecond) }
 	for id, from := range s.Out {
-		w.Offline(past(from), id)
+		o.Offline(notFuture(from), id)
 	}
-	for id, was := range s.Back {
-		if len(w.back) >= Most || w.Out(id) {
+	for id, period := range s.Back {
+		if len(o.restored) >= Most || o.Out(id) {
 			continue
 		}
-		if w.back == nil {
-			w.back = map[string]absence{}
+		if o.restored == nil {
+			o.restored = map[string]offlinePeriod{}
 		}
-		w.back[id] = absence{past(was[0]), past(was[1])}
+		o.restored[id] = offlinePeriod{notFuture(period[0]), notFuture(period[1])}
 	}
 }
 
-// Copy returns an equal Word.
-func (w *Word) Copy() Word { return Word{out: maps.Clone(w.out), back: maps.Clone(w.back)} }
+// Copy returns a deep copy.
+func (o *Word) Copy() Word {
+	return Word{offline: maps.Clone(o.offline), restored: maps.Clone(o.restored)}
+}
--- a/internal/decide/relay/relay.go
+++ b/internal/decide/relay/relay.go
@@ -1,95 +1,100 @@
-// Package relay decides how long an answer is held before it is relayed to its client while its server still sends it.
+// Package relay decides how long an answer is held, that is buffered, before it is relayed to the client while the server is
+// still sending it. It does no I/O and reads no clock.
 //
-// An answer that is held can be replaced: where its server breaks it off, another server is asked, or the client gets an error. One that
-// has begun to be relayed is final, and breaks the client's connection with it. So an answer is held for as long as it fits
-// into memory and the client's time allows; a long one must not be held for long, as its client takes seconds to read it.
+// A held answer can be replaced: if the server breaks it off, another server is asked, or the client gets an error. An answer that is
+// being relayed is final: if it breaks off, the client's connection has to be closed. So an answer is held for as long as it fits
+// into memory and the client's deadline allows. A long answer must not be held for long, as its client takes seconds to read it.
 package relay
 
 import "time"
 
 const (
-	// MostHeld is how long an answer of unknown length is held at the most. It may well be short, and whole soon.
+	// MaxHold is the longest time that an answer of unknown length is held. Such an answer may be short and soon complete.
 	MostHeld = 500 * time.Millisecond
-	// MostHeldLong is how long an answer is held that is known to be long: its client counts the time to the first byte.
+	// MaxHoldLong is the longest time that an answer known to be long is held. It is short, as clients measure the time to the
+	// first byte.
 	MostHeldLong = 100 * time.Millisecond
-	// MostFirst is how long the first byte of a body may take behind the head. There is nothing to relay before it.
+	// MaxFirstByte is the longest time from the head of an answer to the first byte of its body. Before that byte there is
+	// nothing to relay.
 	MostFirst = 500 * time.Millisecond
-	// MostPause is how long a held answer may have paused when it begins to be relayed. Servers that go on send something at least
-	// that often; one that does not is likely to have stopped.
+	// MaxPause is the longest time since the last received data with which an answer starts to be relayed. A server that makes
+	// progress sends something at least that often; one that does not has probably stopped.
 	MostPause = 300 * time.Millisecond
 )
 
-// Verdict says what becomes of a held answer.
+// Verdict tells what to do with a held answer.
 type Verdict int
 
 // The verdicts.
 const (
-	Hold    Verdict = iota // until Until
-	Relay                  // from now on
-	Replace                // it has stopped, or is late: another server is asked, or the client gets an error
+	Hold    Verdict = iota // keep holding it until NextCheck
+	Relay                  // start to relay it
+	Replace                // it has stopped or is too late: ask another server, or answer the client with an error
 )
 
-// Held is an answer that is held. Times are on one clock, of any beginning.
+// Held is the state of a held answer. All times are on one monotonic clock with an arbitrary origin. It is not safe for
+// concurrent use.
 type Held struct {
-	until    time.Duration // it is held
-	toTheEnd bool          // its client's time is over then
-	look     time.Duration // when it is looked whether it goes on; until for not before that
-	pause    time.Duration // that it may have made by then
-	limit    int           // bytes that are held at the most
-	first    bool          // it is that of a request's first attempt
-	received int
-	last     time.Duration // when something was received
+	until         time.Duration // when holding ends
+	untilDeadline bool          // until is the client's deadline
+	nextCheck     time.Duration // when to check whether data is still arriving; equal to until if that is the only check
+	maxPause      time.Duration // longest allowed time without data at a check
+	limit         int           // maximum number of bytes held
+	firstAttempt  bool          // it answers the first attempt of a request
+	received      int           // bytes
+	lastReceived  time.Duration // when data was last received; initially when the head was received
 }
 
-// Begin begins to hold an answer of unknown length whose head has come and whose client waits for so long yet. At most so many bytes of it are
-// held. One that has stopped by half of the client's time is replaced where it is that of the first attempt: it may also be long and its server
-// slow in sending it, and further attempts would fare no better. One that is not whole when its client's time is over is not relayed.
+// NewHeld starts to hold an answer of unknown length whose head was received at now. left is the time until the client's deadline, limit the
+// maximum number of bytes to hold. If the answer has stopped by half of left it is replaced, but only if it is that of the first attempt:
+// the answer may also be long and its server slow, and then further attempts would do no better. An answer that is not complete at the
+// client's deadline is not relayed.
 func Begin(now, left time.Duration, limit int, first bool) *Held {
 	left = max(left, 0)
-	length := min(MostHeld, left)
-	h := &Held{until: now + length, toTheEnd: length == left, look: now + length, limit: limit, first: first, last: now}
+	hold := min(MostHeld, left)
+	h := &Held{until: now + hold, untilDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
 	if first {
-		untilLook := min(MostHeld, left/2) // the other half is for another server
-		h.look, h.pause = now+untilLook, min(MostPause, untilLook/2)
+		untilCheck := min(MostHeld, left/2) // the other half is left for an attempt at another server
+		h.nextCheck, h.maxPause = now+untilCheck, min(MostPause, untilCheck/2)
 	}
 	return h
 }
 
-// BeginLong is Begin for an answer that is known to be longer than what is held.
+// NewHeldLong is like NewHeld, for an answer that is known to be longer than limit.
 func BeginLong(now, left time.Duration, limit int) *Held {
-	length := min(MostHeldLong, max(left, 0)/2)
-	return &Held{until: now + length, look: now + length, limit: limit, last: now}
+	hold := min(MostHeldLong, max(left, 0)/2)
+	return &Held{until: now + hold, nextCheck: now + hold, limit: limit, lastReceived: now}
 }
 
-// Received says that so many bytes more have been received, and returns what becomes of the answer.
+// Received records that further bytes were received. It returns Relay if the limit is exceeded, else Hold.
 func (h *Held) Received(now time.Duration, bytes int) Verdict {
 	h.received += bytes
-	h.last = now
+	h.lastReceived = now
 	if h.received > h.limit {
 		return Relay
 	}
 	return Hold
 }
 
-// Until is when Due is to be asked.
+// NextCheck returns the time at which Check is to be called.
 func (h *Held) Until() time.Duration {
 	if h.received == 0 {
-		return h.last + MostFirst
+		return h.lastReceived + MostFirst
 	}
-	return h.look
+	return h.nextCheck
 }
 
-// Due returns what becomes of the answer where it is not whole at some time. Where it is held on, that is until another Until.
+// Check returns what to do with an answer that is not complete at now. After Hold, NextCheck returns the time of the next call.
 func (h *Held) Due(now time.Duration) Verdict {
 	switch {
 	case now < h.Until():
 		return Hold
-	case h.received == 0, h.first && now-h.last > h.pause:
+	case h.received == 0, h.firstAttempt && now-h.lastReceived > h.maxPause:
 		return Replace
 	case now < h.until:
-		h.look = h.until
+		h.nextCheck = h.until
 		return Hold
-	case h.toTheEnd:
+	case h.untilDeadline:
 		return Replace
 	}
 	return Relay
--- a/internal/decide/relay/relay_test.go
+++ b/internal/decide/relay/relay_test.go
@@ -21,19 +21,19 @@
 		until  time.Duration
 		due    Verdict
 	}{
-		"goes on":                             {Begin(0, long, 64, true), []piece{{100 * ms, 10}, {450 * ms, 10}}, MostHeld, Relay},
-		"has stopped":                         {Begin(0, long, 64, true), []piece{{100 * ms, 10}, {200 * ms, 10}}, MostHeld, Replace},
-		"has stopped, second attempt":         {Begin(0, long, 64, false), []piece{{100 * ms, 10}, {200 * ms, 10}}, MostHeld, Relay},
-		"nothing has come":                    {Begin(0, long, 64, true), nil, MostFirst, Replace},
-		"nothing has come, second attempt":    {Begin(0, long, 64, false), nil, MostFirst, Replace},
-		"goes on in half of a short time":     {Begin(0, short, 64, true), []piece{{200 * ms, 10}}, 300 * ms, Hold},
-		"stopped in half of that":             {Begin(0, short, 64, true), []piece{{100 * ms, 10}}, 300 * ms, Replace},
-		"a short time, second attempt":        {Begin(0, short, 64, false), []piece{{100 * ms, 10}}, MostHeld, Relay},
-		"the end of the time, second attempt": {Begin(0, 400*ms, 64, false), []piece{{100 * ms, 10}, {350 * ms, 10}}, 400 * ms, Replace},
-		"no time left":                        {Begin(0, -long, 64, true), []piece{{0, 10}}, 0, Replace},
-		"no time left, second attempt":        {Begin(0, -long, 64, false), []piece{{0, 10}}, 0, Replace},
-		"known to be long, stopped":           {BeginLong(0, long, 64), []piece{{0, 10}}, MostHeldLong, Relay},
-		"known to be long, nothing is here":   {BeginLong(0, long, 64), nil, MostFirst, Replace},
+		"goes on":                            {Begin(0, long, 64, true), []piece{{100 * ms, 10}, {450 * ms, 10}}, MostHeld, Relay},
+		"has stopped":                        {Begin(0, long, 64, true), []piece{{100 * ms, 10}, {200 * ms, 10}}, MostHeld, Replace},
+		"has stopped, second attempt":        {Begin(0, long, 64, false), []piece{{100 * ms, 10}, {200 * ms, 10}}, MostHeld, Relay},
+		"nothing received":                   {Begin(0, long, 64, true), nil, MostFirst, Replace},
+		"nothing received, second attempt":   {Begin(0, long, 64, false), nil, MostFirst, Replace},
+		"goes on at half of a short time":    {Begin(0, short, 64, true), []piece{{200 * ms, 10}}, 300 * ms, Hold},
+		"stopped at half of a short time":    {Begin(0, short, 64, true), []piece{{100 * ms, 10}}, 300 * ms, Replace},
+		"a short time, second attempt":       {Begin(0, short, 64, false), []piece{{100 * ms, 10}}, MostHeld, Relay},
+		"deadline reached, second attempt":   {Begin(0, 400*ms, 64, false), []piece{{100 * ms, 10}, {350 * ms, 10}}, 400 * ms, Replace},
+		"no time left":                       {Begin(0, -long, 64, true), []piece{{0, 10}}, 0, Replace},
+		"no time left, second attempt":       {Begin(0, -long, 64, false), []piece{{0, 10}}, 0, Replace},
+		"known to be long, stopped":          {BeginLong(0, long, 64), []piece{{0, 10}}, MostHeldLong, Relay},
+		"known to be long, nothing received": {BeginLong(0, long, 64), nil, MostFirst, Replace},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := c.held
@@ -43,20 +43,21 @@
 				}
 			}
 			if h.Until() != c.until {
-				t.Errorf("held until %v, not %v", h.Until(), c.until)
+				t.Errorf("held until %v, want %v", h.Until(), c.until)
 			}
 			if v := h.Due(h.Until()); v != c.due {
-				t.Errorf("verdict %v, not %v", v, c.due)
+				t.Errorf("verdict %v, want %v", v, c.due)
 			}
 		})
 	}
 	h := Begin(0, time.Second, 64, true)
 	if h.Received(ms, 64) != Hold || h.Received(2*ms, 1) != Relay {
-		t.Error("the limit does not hold")
+		t.Error("the limit on held bytes does not apply")
 	}
 }
 
-// One that goes on at half of its client's time is held on, and relayed only where its client waits for longer than MostHeld.
+// An answer that is still arriving at half of the client's time is held further, and relayed only if the client waits for longer
+// than MaxHold.
 func TestHeldOnFromHalfOfTheTime(t *testing.T) {
 	for left, want := range map[time.Duration]Verdict{600 * ms: Relay, 500 * ms: Replace, 200 * ms: Replace} {
 		h := Begin(0, left, 64, true)
@@ -69,13 +70,13 @@
 		}
 		h.Received(h.Until()-ms, 10)
 		if v := h.Due(h.Until()); v != want {
-			t.Errorf("%v: %v in the end", left, v)
+			t.Errorf("%v: %v at the end", left, v)
 		}
 	}
 }
 
-// However an answer comes, it is held no longer than MostHeld nor than its client's time, or than the first byte may take. It is relayed only while
-// its client waits, and one of a first attempt only where it has not paused for longer than it may.
+// However an answer arrives, it is held no longer than MaxHold and the client's deadline, or than MaxFirstByte while its body has not
+// started. It is relayed only before the client's deadline, and that of a first attempt only if it has not paused for longer than MaxPause.
 func TestHoldIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(20*time.Second)).Draw(t, "left"))
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -1,44 +1,46 @@
-// Package shutdown plans the end of a process: until when it accepts connections, by when every request it has taken is
-// answered, and by when it is gone. It does no I/O and reads no clock.
+// Package shutdown plans the shutdown of a process: until when it accepts connections, by when it has answered every request that
+// it has received, and by when it exits. It does no I/O and reads no clock.
 package shutdown
 
 import "time"
 
-// The platform's terms. SIGKILL comes no sooner after SIGTERM than the longest deadline of the settings, of which
-// LongestDeadline counts at the most, and KillMargin.
+// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline in the settings, capped at MaxDeadline, plus
+// KillMargin.
 const (
 	LongestDeadline = 3 * time.Second
 	KillMargin      = 700 * time.Millisecond
 
-	// Stall is how long a process may be held up at any point: when it is told to end, and again when it writes an answer.
+	// MaxStall is how long a process may be stalled at any point: when it receives SIGTERM, and again when it writes an answer.
 	Stall = 150 * time.Millisecond
 )
 
 const (
-	// writeTime is what writing the last answers takes.
+	// writeTime is the time to write the last answers.
 	writeTime = 50 * time.Millisecond
-	// closeTime is what is left before the kill when the last connections are closed.
+	// closeMargin is the time that is left until SIGKILL when the last connections are closed.
 	closeTime = 100 * time.Millisecond
-	// idleFor is how long idle connections are left open: clients hear of the end so late. New ones are accepted for longer, also for clients
-	// whose request has crossed the end of an idle connection.
+	// idleDuration is how long idle connections stay open after SIGTERM, as clients learn of the shutdown only that late.
+	// New connections are accepted for acceptDuration, which is longer, also for clients whose request crossed the close of an idle
+	// connection.
 	idleFor   = 400 * time.Millisecond
 	acceptFor = 500 * time.Millisecond
 )
 
-// Schedule says when each stage of the end is over. Times count from SIGTERM.
+// Schedule holds the ends of the stages of a shutdown. Times count from SIGTERM.
 type Schedule struct {
-	Accept   time.Duration // new connections are accepted for so long
-	Idle     time.Duration // idle connections stay open for so long
-	AnswerBy time.Duration // every request has its final answer; one taken later is answered at once
-	CloseBy  time.Duration // all connections are closed and the process is gone
+	Accept   time.Duration // until then new connections are accepted
+	Idle     time.Duration // until then idle connections stay open
+	AnswerBy time.Duration // by then every request has its final answer; a request received later is answered at once
+	CloseBy  time.Duration // by then all connections are closed and the process exits
 }
 
-// KillAfter is the earliest time after SIGTERM at which the process is killed.
+// KillAfter returns the earliest time after SIGTERM at which the platform sends SIGKILL.
 func KillAfter(longestDeadline time.Duration) time.Duration {
 	return min(longestDeadline, LongestDeadline) + KillMargin
 }
 
-// Plan makes the schedule for settings with a longest deadline. Where the process is replaced, another accepts at the same socket.
+// Plan returns the schedule for settings with the given longest deadline. A process that is replaced accepts no more connections,
+// as its replacement accepts on the same socket.
 func Plan(longestDeadline time.Duration, replaced bool) Schedule {
 	kill := KillAfter(longestDeadline)
 	plan := Schedule{Idle: idleFor, AnswerBy: kill - 2*Stall - writeTime, CloseBy: kill - closeTime}
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -20,27 +20,27 @@
 	}
 }
 
-// Whatever the settings say, a process that is held up when it is told to end and again as it answers is done before the kill,
-// and no request that was taken before SIGTERM has less than its own deadline, where that counts whole.
+// With any settings, a process that stalls at SIGTERM and again while it answers is done before SIGKILL, and no request received
+// before SIGTERM gets less time than its own deadline, unless that exceeds MaxDeadline.
 func TestPlanHoldsBeforeTheKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deadline := time.Duration(rapid.Int64Range(int64(10*time.Millisecond), int64(time.Hour)).Draw(t, "deadline"))
 		replaced := rapid.Bool().Draw(t, "replaced")
 		plan, kill := Plan(deadline, replaced), KillAfter(deadline)
 		if last := Stall + plan.AnswerBy + Stall + writeTime; last > kill {
-			t.Fatalf("the last answer may come after %v, the kill after %v", last, kill)
+			t.Fatalf("the last answer may be written after %v, SIGKILL follows after %v", last, kill)
 		}
 		if deadline <= LongestDeadline && plan.AnswerBy < deadline {
-			t.Fatalf("answers by %v cut a deadline of %v", plan.AnswerBy, deadline)
+			t.Fatalf("answering by %v shortens a deadline of %v", plan.AnswerBy, deadline)
 		}
 		if plan.CloseBy <= plan.AnswerBy || plan.CloseBy >= kill {
-			t.Fatalf("closes after %v, answers after %v, kill after %v", plan.CloseBy, plan.AnswerBy, kill)
+			t.Fatalf("closes after %v, answers after %v, SIGKILL after %v", plan.CloseBy, plan.AnswerBy, kill)
 		}
 		if replaced != (plan.Accept == 0) {
 			t.Fatalf("accepts for %v, replaced %t", plan.Accept, replaced)
 		}
 		if !replaced && plan.Accept <= plan.Idle || plan.Idle >= plan.CloseBy {
-			t.Fatalf("accepts for %v, where idle connections end after %v and all after %v", plan.Accept, plan.Idle, plan.CloseBy)
+			t.Fatalf("accepts for %v, but idle connections end after %v and all after %v", plan.Accept, plan.Idle, plan.CloseBy)
 		}
 	})
 }
--- a/internal/decide/succession/succession.go
+++ b/internal/decide/succession/succession.go
@@ -1,5 +1,5 @@
-// Package succession holds what one process of an agent leaves to the next: its form, and what of it counts. It does no
-// I/O and reads no clock.
+// Package handover defines what one process of an agent hands over to the process that replaces it, its encoding, and which
+// notifications between the two apply. It does no I/O and reads no clock.
 package succession
 
 import (
@@ -13,77 +13,79 @@
 	"ternbeam/internal/decide/operators"
 )
 
-// State is what a process begins with that replaces another.
+// State is the state that a process starts with if it replaces another one.
 type State struct {
 	Name      string           `json:"name"`
-	Discovery string           `json:"discovery"` // whose list it is: another one counts versions otherwise
-	List      json.RawMessage  `json:"list"`      // in discovery's form
-	Said      operators.Saying `json:"said"`
-	Learned   *choice.Memory   `json:"learned,omitempty"`
-	Listeners []string         `json:"listeners"` // their addresses, in the order in which they cross
+	Discovery string           `json:"discovery"`         // address of List's source; list versions differ between sources
+	List      json.RawMessage  `json:"list"`              // the server list, in discovery's format
+	Said      operators.Saying `json:"said"`              // operators' overrides of servers
+	Learned   *choice.Memory   `json:"learned,omitempty"` // what the decision module has learned
+	Listeners []string         `json:"listeners"`         // addresses of the listeners, in the order in which their descriptors are passed
 }
 
-// News is what one of two processes is told while both live.
+// Update is a notification between the old and the new process while both are running.
 type News struct {
-	Offline string          `json:"offline,omitempty"`
-	Online  string          `json:"online,omitempty"`
-	Ended   json.RawMessage `json:"ended,omitempty"` // entries of servers that drain or are gone, in discovery's form
+	Offline string          `json:"offline,omitempty"` // id of a server that an operator took offline
+	Online  string          `json:"online,omitempty"`  // id of a server that an operator put back online
+	Ended   json.RawMessage `json:"ended,omitempty"`   // entries of servers that are draining or were removed, in discovery's format
 
-	// Replaced says that the process that says it has left what it had to a further one: its end leaves nobody alone.
+	// Replaced reports that the sender has itself handed over to a further process, so the receiver need not take over when
+	// the sender exits.
 	Replaced bool `json:"replaced,omitempty"`
 }
 
-// Counts reports whether the other process's word that a server drains or is gone counts: not where it is of an earlier
-// start than is known here, nor of a server that is not.
-func Counts(known, said choice.Server) bool {
-	return known.ID == said.ID && said.State != choice.Ready && said.Started >= known.Started
+// Applies reports whether the other process's notification that a server is draining or was removed applies. It does not if it is
+// about an earlier start of the server than the one known here, or about a server that is unknown here.
+func Counts(known, notified choice.Server) bool {
+	return known.ID == notified.ID && notified.State != choice.Ready && notified.Started >= known.Started
 }
 
-// The frame of what crosses: the mark with the version, the length of what follows, its checksum.
+// A frame consists of the magic with the version, the length of the body (4 bytes, big endian), its CRC-32C (4 bytes, big endian)
+// and the body.
 const (
-	mark = "TBS\x01"
-	// HeadSize is the size of a frame's head.
-	HeadSize = len(mark) + 4 + 4
-	// MostBytes is the most that a frame may hold: a list of 8 MiB and as much again for the rest.
+	magic = "TBS\x01"
+	// HeaderSize is the size of a frame's header in bytes.
+	HeadSize = len(magic) + 4 + 4
+	// MaxBodyBytes is the maximum size of a frame's body: a server list of 8 MiB and as much again for the rest.
 	MostBytes = 16 << 20
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Frame words a value.
+// Encode returns a frame with the JSON encoding of v.
 func Frame(v any) ([]byte, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("succession: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if len(body) > MostBytes {
-		return nil, fmt.Errorf("succession: %d bytes, %d at most can cross", len(body), MostBytes)
+		return nil, fmt.Errorf("handover: body of %d bytes exceeds the maximum of %d", len(body), MostBytes)
 	}
-	out := append(make([]byte, 0, HeadSize+len(body)), mark...)
+	out := append(make([]byte, 0, HeadSize+len(body)), magic...)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
-	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(body, table))
+	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(body, crcTable))
 	return append(out, body...), nil
 }
 
-// ErrFrame is why a frame is not read.
-var ErrFrame = errors.New("succession: a frame that can't be read")
+// ErrFrame reports a frame that can't be decoded.
+var ErrFrame = errors.New("handover: invalid frame")
 
-// Head reads the head of a frame, and returns the length and the checksum of what follows.
+// DecodeHeader decodes the header of a frame and returns the length and the checksum of its body.
 func Head(head []byte) (length int, sum uint32, err error) {
-	if len(head) != HeadSize || string(head[:len(mark)]) != mark {
-		return 0, 0, fmt.Errorf("%w: it begins with %q, not with %q", ErrFrame, head[:min(len(head), len(mark))], mark)
+	if len(head) != HeadSize || string(head[:len(magic)]) != magic {
+		return 0, 0, fmt.Errorf("%w: it begins with %q instead of %q", ErrFrame, head[:min(len(head), len(magic))], magic)
 	}
-	n := binary.BigEndian.Uint32(head[len(mark):])
+	n := binary.BigEndian.Uint32(head[len(magic):])
 	if n > MostBytes {
-		return 0, 0, fmt.Errorf("%w: byte %d: a length of %d, %d at most are read", ErrFrame, len(mark), n, MostBytes)
+		return 0, 0, fmt.Errorf("%w: byte %d: a length of %d exceeds the maximum of %d", ErrFrame, len(magic), n, MostBytes)
 	}
-	return int(n), binary.BigEndian.Uint32(head[len(mark)+4:]), nil
+	return int(n), binary.BigEndian.Uint32(head[len(magic)+4:]), nil
 }
 
-// Body reads what follows a head.
+// DecodeBody checks the body of a frame against its checksum and decodes it into into.
 func Body(body []byte, sum uint32, into any) error {
-	if got := crc32.Checksum(body, table); got != sum {
-		return fmt.Errorf("%w: its checksum is %08x, not %08x", ErrFrame, got, sum)
+	if got := crc32.Checksum(body, crcTable); got != sum {
+		return fmt.Errorf("%w: checksum is %08x, want %08x", ErrFrame, got, sum)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrFrame, err)
--- a/internal/decide/succession/succession_test.go
+++ b/internal/decide/succession/succession_test.go
@@ -29,24 +29,24 @@
 	if err := parse(frame, &n); err != nil || n.Offline != "s-1" {
 		t.Errorf("%+v, %v", n, err)
 	}
-	for i := range frame { // any byte that is another makes it one that is not read
+	for i := range frame { // changing any byte makes the frame invalid
 		bad := append([]byte(nil), frame...)
 		bad[i] ^= 0x20
 		if err := parse(bad, &n); !errors.Is(err, ErrFrame) {
 			t.Errorf("byte %d: %v", i, err)
 		}
 	}
-	binary.BigEndian.PutUint32(frame[len(mark):], MostBytes+1)
+	binary.BigEndian.PutUint32(frame[len(magic):], MostBytes+1)
 	if _, _, err := Head(frame[:HeadSize]); err == nil || !strings.Contains(err.Error(), "byte 4: a length of") {
-		t.Errorf("a length beyond the bound: %v", err)
+		t.Errorf("a length above the maximum: %v", err)
 	}
 }
 
-// A word of a drain counts for the process that it is of and no later one.
+// A notification of a drain applies to the server process that it is about and not to a later one.
 func TestCounts(t *testing.T) {
 	for _, c := range []struct {
-		known, said choice.Server
-		want        bool
+		known, notified choice.Server
+		want            bool
 	}{
 		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5, State: choice.Draining}, true},
 		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5, State: choice.Gone}, true},
@@ -55,8 +55,8 @@
 		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5}, false},
 		{choice.Server{}, choice.Server{ID: "a", State: choice.Gone}, false},
 	} {
-		if got := Counts(c.known, c.said); got != c.want {
-			t.Errorf("known %+v, said %+v: %t", c.known, c.said, got)
+		if got := Counts(c.known, c.notified); got != c.want {
+			t.Errorf("known %+v, notified %+v: %t", c.known, c.notified, got)
 		}
 	}
 }
