--- a/internal/decide/ledger/bench_test.go
+++ b/internal/decide/ledger/bench_test.go
@@ -17,8 +17,8 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			l := New(Settings{MaxAttempts: 2, Carries: func(choice.Protocols) bool { return true }}, module)
-			l.Start(time.Hour)
+			tracker := New(Settings{MaxAttempts: 2, Carries: func(choice.Protocols) bool { return true }}, module)
+			tracker.Start(time.Hour)
 			var entries []Entry
 			memory := choice.Memory{}
 			for i := range n {
@@ -26,16 +26,16 @@
 				entries = append(entries, Entry{Server: choice.Server{ID: id, Weight: 1}, Addr: "127.0.0.1:1"})
 				memory.Servers = append(memory.Servers, choice.ServerMemory{ID: id, Rate: 100, Trust: 1, Failing: 0.1})
 			}
-			l.List(time.Hour, true, entries)
+			tracker.List(time.Hour, true, entries)
 			module.Recall(time.Hour, memory)
 			var into Learned
-			l.Export(time.Hour, &into, nil)
+			tracker.Export(time.Hour, &into, nil)
 			if len(into.Servers) != n || len(into.Fleet) != n {
 				b.Fatalf("%d servers, %d in the fleet", len(into.Servers), len(into.Fleet))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Export(time.Hour, &into, nil)
+				tracker.Export(time.Hour, &into, nil)
 			}
 		})
 	}
--- a/internal/decide/ledger/crossing_test.go
+++ b/internal/decide/ledger/crossing_test.go
@@ -10,12 +10,12 @@
 // A client disconnects while its call is on its way to the tracker, so the two events may arrive in either order. In both, the call
 // ends at once, nothing is sent for it, and the tracker keeps nothing of it.
 func TestClientLeavesAsItsCallArrives(t *testing.T) {
-	for name, cross := range map[string]func(l *Ledger, call *Call) []Order{
-		"disconnect first": func(l *Ledger, call *Call) []Order {
-			return append(l.Left(time.Hour, call), l.Arrived(time.Hour, call)...)
+	for name, cross := range map[string]func(tracker *Ledger, call *Call) []Order{
+		"disconnect first": func(tracker *Ledger, call *Call) []Order {
+			return append(tracker.Left(time.Hour, call), tracker.Arrived(time.Hour, call)...)
 		},
-		"call first": func(l *Ledger, call *Call) []Order {
-			return append(l.Arrived(time.Hour, call), l.Left(time.Hour, call)...)
+		"call first": func(tracker *Ledger, call *Call) []Order {
+			return append(tracker.Arrived(time.Hour, call), tracker.Left(time.Hour, call)...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -24,18 +24,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := New(Settings{MaxAttempts: 2, Carries: func(choice.Protocols) bool { return true }}, module)
-			l.Start(time.Hour)
-			l.List(time.Hour, true, []Entry{{Server: choice.Server{ID: "s", Weight: 1}, Addr: "127.0.0.1:1"}})
+			tracker := New(Settings{MaxAttempts: 2, Carries: func(choice.Protocols) bool { return true }}, module)
+			tracker.Start(time.Hour)
+			tracker.List(time.Hour, true, []Entry{{Server: choice.Server{ID: "s", Weight: 1}, Addr: "127.0.0.1:1"}})
 			call := &Call{Request: choice.Request{ID: "a", Deadline: time.Hour + time.Second}}
 			call.Leave()
-			for _, o := range cross(l, call) {
+			for _, o := range cross(tracker, call) {
 				if o.Kind == Begin || o.Kind == Reply {
 					t.Errorf("command of kind %d for a disconnected client", o.Kind)
 				}
 			}
-			if open, held := l.Count(); open != 0 || held != 0 || l.Stats().Gone != 1 {
-				t.Errorf("%d unanswered, %d held, %d disconnected", open, held, l.Stats().Gone)
+			if open, held := tracker.Count(); open != 0 || held != 0 || tracker.Stats().Gone != 1 {
+				t.Errorf("%d unanswered, %d held, %d disconnected", open, held, tracker.Stats().Gone)
 			}
 		})
 	}
--- a/internal/decide/ledger/ending_test.go
+++ b/internal/decide/ledger/ending_test.go
@@ -10,11 +10,11 @@
 // A shutdown shortens the deadlines of unanswered calls, of their attempts, of later calls and of calls whose body ends later.
 func TestEndBindsCallsAndAttempts(t *testing.T) {
 	const by = 2 * time.Second
-	l, _ := observed(scripted{"request": {{Kind: choice.Send, Request: "open", Server: "s-1"}}})
+	tracker, _ := observed(scripted{"request": {{Kind: choice.Send, Request: "open", Server: "s-1"}}})
 	open := &Call{Request: choice.Request{ID: "open", Deadline: time.Hour, Coming: true}}
-	l.Arrived(0, open)
+	tracker.Arrived(0, open)
 	bound := time.Duration(0)
-	for _, o := range l.End(time.Second, by) {
+	for _, o := range tracker.End(time.Second, by) {
 		if o.Kind == Bound && o.Attempt.Call == open {
 			bound = o.At
 		}
@@ -22,15 +22,15 @@
 	if open.Deadline != by || bound != by {
 		t.Errorf("deadline %v, its attempt ends at %v", open.Deadline, bound)
 	}
-	l.Whole(time.Second, open, time.Minute)
+	tracker.Whole(time.Second, open, time.Minute)
 	if open.Deadline != by {
 		t.Errorf("deadline %v after its body was complete", open.Deadline)
 	}
 	later := &Call{Request: choice.Request{ID: "later", Deadline: time.Minute}}
-	if l.Arrived(time.Second, later); later.Deadline != by {
+	if tracker.Arrived(time.Second, later); later.Deadline != by {
 		t.Errorf("deadline %v of a later call", later.Deadline)
 	}
-	if l.End(time.Second, by+time.Second); l.clampDeadline(time.Minute) != by {
-		t.Errorf("a later shutdown time moved the deadline to %v", l.clampDeadline(time.Minute))
+	if tracker.End(time.Second, by+time.Second); tracker.clampDeadline(time.Minute) != by {
+		t.Errorf("a later shutdown time moved the deadline to %v", tracker.clampDeadline(time.Minute))
 	}
 }
--- a/internal/decide/ledger/record_test.go
+++ b/internal/decide/ledger/record_test.go
@@ -10,10 +10,10 @@
 // observed returns a Tracker whose module follows a script, and the Records that it produces.
 func observed(script map[string][]choice.Action) (*Ledger, *[]Record) {
 	var records []Record
-	l := New(Settings{Classes: 1, MaxAttempts: 3, Carries: func(choice.Protocols) bool { return true },
+	tracker := New(Settings{Classes: 1, MaxAttempts: 3, Carries: func(choice.Protocols) bool { return true },
 		Observe: func(r Record) { records = append(records, r) }}, scripted(script))
-	l.List(0, true, []Entry{{Server: choice.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}, {Server: choice.Server{ID: "s-2"}, Addr: "127.0.0.1:2"}})
-	return l, &records
+	tracker.List(0, true, []Entry{{Server: choice.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}, {Server: choice.Server{ID: "s-2"}, Addr: "127.0.0.1:2"}})
+	return tracker, &records
 }
 
 // scripted is a module that returns the actions listed for an event: "request", or for outcomes "first ended" and "second ended".
@@ -35,24 +35,24 @@
 }
 
 func TestRecordOfARetry(t *testing.T) {
-	l, records := observed(scripted{
+	tracker, records := observed(scripted{
 		"request":      {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}},
 		"first ended":  {{Kind: choice.Send, Request: "4f", Server: "s-2", Reason: choice.Retry}},
 		"second ended": {{Kind: choice.Fail, Request: "4f", Reason: choice.RetryBudget}},
 	})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, Connection: Connection{Opened: time.Second, Requests: 2}}
-	end := func(now time.Duration, orders []Order, r choice.Result) []Order {
-		for _, o := range orders {
+	end := func(now time.Duration, commands []Order, r choice.Result) []Order {
+		for _, o := range commands {
 			if o.Kind == Begin {
-				return l.Ended(now, o.Attempt, Ended(r))
+				return tracker.Ended(now, o.Attempt, Ended(r))
 			}
 		}
-		t.Fatalf("no attempt is started in %+v", orders)
+		t.Fatalf("no attempt is started in %+v", commands)
 		return nil
 	}
-	orders := l.Arrived(time.Second, call)
-	orders = end(1500*time.Millisecond, orders, choice.ConnectFailed)
-	end(2*time.Second, orders, choice.Reset)
+	commands := tracker.Arrived(time.Second, call)
+	commands = end(1500*time.Millisecond, commands, choice.ConnectFailed)
+	end(2*time.Second, commands, choice.Reset)
 	if len(*records) != 1 {
 		t.Fatalf("%d records", len(*records))
 	}
@@ -66,17 +66,17 @@
 	if len(r.Attempts) != 2 || r.Attempts[0] != want[0] || r.Attempts[1] != want[1] {
 		t.Errorf("attempts %+v, want %+v", r.Attempts, want)
 	}
-	if n := l.Reasons()["retry budget empty"]; n != 1 {
+	if n := tracker.Reasons()["retry budget empty"]; n != 1 {
 		t.Errorf("the reason was counted %d times", n)
 	}
 }
 
 func TestRecordOfAClientThatLeaves(t *testing.T) {
-	l, records := observed(scripted{"request": {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}}})
+	tracker, records := observed(scripted{"request": {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}}})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}}
-	l.Arrived(time.Second, call)
-	l.Left(2*time.Second, call)
-	l.Left(2*time.Second, call)
+	tracker.Arrived(time.Second, call)
+	tracker.Left(2*time.Second, call)
+	tracker.Left(2*time.Second, call)
 	if len(*records) != 1 || (*records)[0].Reason != ReasonDisconnected || len((*records)[0].Attempts) != 1 || !(*records)[0].Attempts[0].Open {
 		t.Errorf("%+v", *records)
 	}
@@ -85,22 +85,22 @@
 // The transport may notice that the client has disconnected before the front reports it. The call then ends as one whose client
 // disconnected, whichever notification comes first, and is counted once.
 func TestAttemptNoticesThatTheClientLeft(t *testing.T) {
-	l, records := observed(scripted{
+	tracker, records := observed(scripted{
 		"request":     {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}},
 		"first ended": {{Kind: choice.Refuse, Request: "4f", Reason: choice.AttemptNotSent}},
 	})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, Disconnected: func() bool { return true }}
-	orders := l.Arrived(0, call)
+	commands := tracker.Arrived(0, call)
 	if !call.Abandoned() {
 		t.Fatal("the disconnect was not detected")
 	}
-	for _, o := range l.Ended(time.Second, orders[0].Attempt, Ended(choice.NotSent)) {
+	for _, o := range tracker.Ended(time.Second, commands[0].Attempt, Ended(choice.NotSent)) {
 		if o.Kind == Reply {
 			t.Errorf("answered %+v", o.Answer)
 		}
 	}
-	l.Left(time.Second, call)
-	if s := l.Stats(); s.Gone != 1 || s.Refused != 0 || len(*records) != 1 || l.unanswered != 0 || len(l.calls) != 0 {
-		t.Errorf("%+v, %d records, %d unanswered, %d held", s, len(*records), l.unanswered, len(l.calls))
+	tracker.Left(time.Second, call)
+	if s := tracker.Stats(); s.Gone != 1 || s.Refused != 0 || len(*records) != 1 || tracker.unanswered != 0 || len(tracker.calls) != 0 {
+		t.Errorf("%+v, %d records, %d unanswered, %d held", s, len(*records), tracker.unanswered, len(tracker.calls))
 	}
 }
--- a/internal/decide/ledger/routed_test.go
+++ b/internal/decide/ledger/routed_test.go
@@ -26,42 +26,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := New(Settings{MaxAttempts: 1, Carries: func(choice.Protocols) bool { return true }, Routes: r}, sender{})
+	tracker := New(Settings{MaxAttempts: 1, Carries: func(choice.Protocols) bool { return true }, Routes: r}, sender{})
 	var entries []Entry
 	for _, id := range []string{"a", "b", "c"} {
 		entries = append(entries, Entry{Server: choice.Server{ID: id, Speaks: 1}, Addr: id, Shapes: []string{"a/1"}})
 	}
-	l.List(0, true, entries)
-	timers := func(orders []Order) (at []time.Duration) {
-		for _, o := range orders {
+	tracker.List(0, true, entries)
+	timers := func(commands []Order) (at []time.Duration) {
+		for _, o := range commands {
 			if o.Kind == SetTimer && o.Token == routesToken {
 				at = append(at, o.At)
 			}
 		}
 		return at
 	}
-	deny := func(now time.Duration, server string) []time.Duration {
+	reject := func(now time.Duration, server string) []time.Duration {
 		call := &Call{Request: choice.Request{ID: server + now.String(), Key: server, Deadline: now + time.Minute}, Tag: routes.Tag{Table: tab, Spoken: 1}}
-		for _, o := range l.Arrived(now, call) {
+		for _, o := range tracker.Arrived(now, call) {
 			if o.Kind == Begin {
-				return timers(l.Ended(now, o.Attempt, Ending{Result: choice.Rejected, Report: choice.NoReport, ShapeUnknown: true}))
+				return timers(tracker.Ended(now, o.Attempt, Ending{Result: choice.Rejected, Report: choice.NoReport, ShapeUnknown: true}))
 			}
 		}
 		t.Fatalf("at %v no attempt was started at %s", now, server)
 		return nil
 	}
-	fire := func(now time.Duration) []time.Duration { return timers(l.Fired(now, routesToken)) }
+	fire := func(now time.Duration) []time.Duration { return timers(tracker.Fired(now, routesToken)) }
 	const ms = time.Millisecond
 	for i, c := range []struct {
 		got  func() []time.Duration
 		want time.Duration // the time of the one timer that is set; 0 for none
 	}{
-		{func() []time.Duration { return deny(0, "a") }, 1000 * ms},
+		{func() []time.Duration { return reject(0, "a") }, 1000 * ms},
 		{func() []time.Duration { return fire(1000 * ms) }, 0},
-		{func() []time.Duration { return deny(1000*ms, "a") }, 3000 * ms}, // the time to forget doubles
-		{func() []time.Duration { return deny(1500*ms, "b") }, 2500 * ms}, // earlier than the one that is set
-		{func() []time.Duration { return fire(2500 * ms) }, 3000 * ms},    // set a second time for 3000
-		{func() []time.Duration { return deny(2900*ms, "c") }, 0},         // would be 3900, after the one that is set
+		{func() []time.Duration { return reject(1000*ms, "a") }, 3000 * ms}, // the time to forget doubles
+		{func() []time.Duration { return reject(1500*ms, "b") }, 2500 * ms}, // earlier than the one that is set
+		{func() []time.Duration { return fire(2500 * ms) }, 3000 * ms},      // set a second time for 3000
+		{func() []time.Duration { return reject(2900*ms, "c") }, 0},         // would be 3900, after the one that is set
 		{func() []time.Duration { return fire(3000 * ms) }, 3900 * ms},
 		{func() []time.Duration { return fire(3000 * ms) }, 0}, // the superseded timer
 		{func() []time.Duration { return fire(3900 * ms) }, 0},
--- a/internal/decide/life/life_test.go
+++ b/internal/decide/life/life_test.go
@@ -122,7 +122,7 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		most := 1 + r.IntN(4)
-		b := NewBook(most)
+		p := NewBook(most)
 		servers := []*Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 		var granted, waiting []*Conn // connections that have a place, or wait for one, in order
 		var used []*Conn
@@ -139,14 +139,14 @@
 			s := servers[r.IntN(len(servers))]
 			switch r.IntN(8) {
 			case 0, 1:
-				if c := b.Lend(s, choice.Protocols(1), nil); c != nil {
+				if c := p.Lend(s, choice.Protocols(1), nil); c != nil {
 					if c.State() != InUse || c.Server != s || slices.Contains(used, c) || s.Retired() {
 						t.Fatalf("seed %d: acquired %+v", seed, c)
 					}
 					used = append(used, c)
 					continue
 				}
-				c, evicted := b.Claim(s, choice.Protocols(1))
+				c, evicted := p.Claim(s, choice.Protocols(1))
 				if evicted != nil && (evicted.State() != Closed || slices.Contains(used, evicted)) {
 					t.Fatalf("seed %d: evicted %+v", seed, evicted)
 				}
@@ -162,18 +162,18 @@
 				c := granted[0]
 				granted = granted[1:]
 				if r.IntN(3) == 0 {
-					next, err := b.GiveUp(c)
+					next, err := p.GiveUp(c)
 					if err != nil || c.State() != Closed {
 						t.Fatalf("seed %d: after the abort: state %v, error %v", seed, c.State(), err)
 					}
 					grant(next)
 				} else {
-					if err := b.Open(c, nil); err != nil {
+					if err := p.Open(c, nil); err != nil {
 						t.Fatal(err)
 					}
 					used = append(used, c)
 				}
-				if b.Open(c, nil) == nil {
+				if p.Open(c, nil) == nil {
 					t.Fatalf("seed %d: opened twice", seed)
 				}
 			case 4, 5:
@@ -188,25 +188,25 @@
 						t.Fatalf("seed %d: after Spoil: state %v, error %v", seed, c.State(), err)
 					}
 				}
-				kept, next, err := b.Return(c)
+				kept, next, err := p.Return(c)
 				if err != nil || kept != (!spoilt && waited == 0 && !c.Server.Retired()) || !kept && c.State() != Closed {
 					t.Fatalf("seed %d: kept %t, %v, %v", seed, kept, c.State(), err)
 				}
 				grant(next)
-				if _, _, err := b.Return(c); err == nil || c.Spoil() == nil {
+				if _, _, err := p.Return(c); err == nil || c.Spoil() == nil {
 					t.Fatalf("seed %d: released twice", seed)
 				}
 			case 6:
 				if len(waiting) > 0 {
 					i := r.IntN(len(waiting))
-					if next, err := b.GiveUp(waiting[i]); next != nil || err != nil {
+					if next, err := p.GiveUp(waiting[i]); next != nil || err != nil {
 						t.Fatalf("seed %d: a queued connection released a place when aborted: %v", seed, err)
 					}
 					waiting = slices.Delete(waiting, i, i+1)
 				}
 			case 7:
 				if r.IntN(10) == 0 {
-					closed, next := b.Retire(s)
+					closed, next := p.Retire(s)
 					for _, c := range closed {
 						if c.State() != Closed {
 							t.Fatalf("seed %d: state %v after its server retired", seed, c.State())
@@ -216,15 +216,15 @@
 						grant(c)
 					}
 					servers[slices.Index(servers, s)] = &Server{ID: s.ID}
-				} else if idle := b.Idle(); len(idle) > 0 {
-					next, err := b.Drop(idle[0])
+				} else if idle := p.Idle(); len(idle) > 0 {
+					next, err := p.Drop(idle[0])
 					if err != nil {
 						t.Fatal(err)
 					}
 					grant(next)
 				}
 			}
-			open, idle, queue := b.Count()
+			open, idle, queue := p.Count()
 			if open > most || open != idle+len(used)+len(granted) || queue != len(waiting) {
 				t.Fatalf("seed %d: %d places, %d idle, %d in use, %d granted, %d queued, want %d", seed, open, idle, len(used),
 					len(granted), queue, len(waiting))
--- a/internal/decide/life/line_test.go
+++ b/internal/decide/life/line_test.go
@@ -17,8 +17,8 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		now := time.Unix(0, 0)
-		l := NewLine(now)
-		l.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
+		m := NewLine(now)
+		m.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
 		ended := map[*Attempt]bool{}
 		var joined, writing, asked []*Slot // queued; being written; completely written
 		end := func(s *Slot) {
@@ -43,13 +43,13 @@
 			switch k := r.IntN(9); {
 			case k <= 2:
 				a := &Attempt{}
-				s, err := l.Join(a, a, 4)
+				s, err := m.Join(a, a, 4)
 				check(err)
 				if s != nil {
 					joined = append(joined, s)
 				}
 			case k == 3:
-				s := l.Next()
+				s := m.Next()
 				if (s == nil) != (len(joined) == 0) || s != nil && s != joined[0] {
 					t.Fatalf("seed %d: out of order", seed)
 				}
@@ -60,17 +60,17 @@
 				send, err := s.Life.Begin(10, Now{Over: r.IntN(4) == 0})
 				check(err)
 				if !send {
-					l.Drop(s)
+					m.Drop(s)
 					end(s)
 					continue
 				}
-				check(l.Begun(s, now))
+				check(m.Begun(s, now))
 				writing = append(writing, s)
 			case k == 4 && len(writing) > 0:
 				s := writing[0]
 				writing = writing[1:]
 				oneway := r.IntN(4) == 0
-				over, err := l.Wrote(s, 10, oneway)
+				over, err := m.Wrote(s, 10, oneway)
 				check(err)
 				if over {
 					end(s)
@@ -80,22 +80,22 @@
 				}
 			case k == 5 && len(asked) > 0:
 				s := take(&asked)
-				got, err := l.Reply(s.Seq, now)
-				if l.slots[s.Seq] != s {
+				got, err := m.Reply(s.Seq, now)
+				if m.slots[s.Seq] != s {
 					continue // answered earlier
 				}
 				check(err)
 				if got != s {
 					t.Fatalf("seed %d: the reply was given to another attempt", seed)
 				}
-				over, err := l.Answered(got, choice.Failed)
+				over, err := m.Answered(got, choice.Failed)
 				check(err)
 				if over {
 					end(s)
 				} else if !ended[s.Life] {
 					t.Fatalf("seed %d: a reply ended no attempt", seed)
 				}
-				if _, err := l.Reply(s.Seq, now); !errors.Is(err, ErrForeign) {
+				if _, err := m.Reply(s.Seq, now); !errors.Is(err, ErrForeign) {
 					t.Fatalf("seed %d: a second reply: %v", seed, err)
 				}
 			case k == 6:
@@ -107,7 +107,7 @@
 					if ended[s.Life] {
 						continue
 					}
-					check(l.Abandon(s, []Cause{Late, Withdrawn}[r.IntN(2)]))
+					check(m.Abandon(s, []Cause{Late, Withdrawn}[r.IntN(2)]))
 					end(s)
 					if from == &joined {
 						joined = slices.DeleteFunc(joined, func(o *Slot) bool { return o == s })
@@ -117,32 +117,32 @@
 					}
 				}
 			case k == 7 && r.IntN(10) == 0:
-				failed, err := l.Break([]Cause{Broken, Garbled}[r.IntN(2)])
+				failed, err := m.Break([]Cause{Broken, Garbled}[r.IntN(2)])
 				check(err)
 				for _, s := range failed {
 					end(s)
 				}
 				for _, s := range writing {
-					over, err := l.Wrote(s, 5, false)
+					over, err := m.Wrote(s, 5, false)
 					check(err)
 					if over {
 						end(s)
 					}
 				}
-				if s, err := l.Join(&Attempt{}, nil, 4); s != nil || err != nil || len(l.slots) > 0 || !l.Broken() {
+				if s, err := m.Join(&Attempt{}, nil, 4); s != nil || err != nil || len(m.slots) > 0 || !m.Broken() {
 					t.Fatalf("seed %d: a broken connection continues", seed)
 				}
 				joined, writing, asked = nil, nil, nil
 				now = now.Add(time.Second)
-				l = NewLine(now)
+				m = NewLine(now)
 			}
 			live := 0
-			for _, s := range l.Slots() {
+			for _, s := range m.Slots() {
 				if !ended[s.Life] {
 					live++
 				}
 			}
-			if rests, _ := l.Rests(r.IntN(2) == 0); rests && live > 0 {
+			if rests, _ := m.Rests(r.IntN(2) == 0); rests && live > 0 {
 				t.Fatalf("seed %d: it can be released with %d attempts pending", seed, live)
 			}
 		}
@@ -153,28 +153,28 @@
 func TestSuspectLine(t *testing.T) {
 	for _, replied := range []bool{true, false} {
 		now := time.Unix(0, 0)
-		l := NewLine(now)
+		m := NewLine(now)
 		var slots []*Slot
 		for range 2 {
-			s, err := l.Join(&Attempt{}, nil, 4)
-			if err != nil || l.Next() != s {
+			s, err := m.Join(&Attempt{}, nil, 4)
+			if err != nil || m.Next() != s {
 				t.Fatal(err)
 			}
 			now = now.Add(time.Second)
 			s.Life.Begin(1, Now{})
-			l.Begun(s, now)
-			l.Wrote(s, 1, false)
+			m.Begun(s, now)
+			m.Wrote(s, 1, false)
 			slots = append(slots, s)
 		}
 		now = now.Add(time.Second)
 		if replied {
-			l.Reply(slots[1].Seq, now)
-			l.Answered(slots[1], choice.OK)
+			m.Reply(slots[1].Seq, now)
+			m.Answered(slots[1], choice.OK)
 		}
-		if err := l.Abandon(slots[0], Late); err != nil {
+		if err := m.Abandon(slots[0], Late); err != nil {
 			t.Fatal(err)
 		}
-		if s, _ := l.Join(&Attempt{}, nil, 4); (s != nil) != replied {
+		if s, _ := m.Join(&Attempt{}, nil, 4); (s != nil) != replied {
 			t.Errorf("reply received: %t, accepts a new attempt: %t", replied, s != nil)
 		}
 	}
--- a/internal/decide/operators/operators_test.go
+++ b/internal/decide/operators/operators_test.go
@@ -22,20 +22,20 @@
 		state  choice.State
 		start  time.Duration
 	}{
-		"no override":         {func(o *Word) {}, choice.Server{Started: before}, choice.Ready, before},
-		"out":                 {func(o *Word) { o.Offline(out, "a") }, choice.Server{Started: before}, choice.Draining, before},
-		"out and restarted":   {func(o *Word) { o.Offline(out, "a") }, choice.Server{Started: out}, choice.Draining, out},
-		"out and terminating": {func(o *Word) { o.Offline(out, "a") }, choice.Server{State: choice.Draining}, choice.Draining, 0},
-		"out and gone":        {func(o *Word) { o.Offline(out, "a") }, choice.Server{State: choice.Gone}, choice.Gone, 0},
-		"out, gone, anew":     {func(o *Word) { o.Offline(out, "a"); o.Gone("a") }, choice.Server{Started: back}, choice.Draining, back},
-		"out twice, back":     {func(o *Word) { o.Offline(out, "a"); o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{}, choice.Ready, back},
-		"back, restart known": {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{Started: 25 * time.Second}, choice.Ready, 25 * time.Second},
-		"back, known later":   {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{Started: 31 * time.Second}, choice.Ready, 31 * time.Second},
-		"back, terminating":   {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{State: choice.Draining}, choice.Draining, back},
-		"never out, put back": {func(o *Word) { o.Online(back, "a") }, choice.Server{Started: before}, choice.Ready, before},
-		"back, gone, anew":    {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a"); o.Gone("a") }, choice.Server{}, choice.Ready, 0},
-		"out, back, out":      {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a"); o.Offline(out, "a") }, choice.Server{}, choice.Draining, 0},
-		"another is out":      {func(o *Word) { o.Offline(out, "b") }, choice.Server{}, choice.Ready, 0},
+		"no override":          {func(o *Word) {}, choice.Server{Started: before}, choice.Ready, before},
+		"out":                  {func(o *Word) { o.Offline(out, "a") }, choice.Server{Started: before}, choice.Draining, before},
+		"out and restarted":    {func(o *Word) { o.Offline(out, "a") }, choice.Server{Started: out}, choice.Draining, out},
+		"out and terminating":  {func(o *Word) { o.Offline(out, "a") }, choice.Server{State: choice.Draining}, choice.Draining, 0},
+		"out and gone":         {func(o *Word) { o.Offline(out, "a") }, choice.Server{State: choice.Gone}, choice.Gone, 0},
+		"out, gone, relisted":  {func(o *Word) { o.Offline(out, "a"); o.Gone("a") }, choice.Server{Started: back}, choice.Draining, back},
+		"out twice, back":      {func(o *Word) { o.Offline(out, "a"); o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{}, choice.Ready, back},
+		"back, restart known":  {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{Started: 25 * time.Second}, choice.Ready, 25 * time.Second},
+		"back, known later":    {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{Started: 31 * time.Second}, choice.Ready, 31 * time.Second},
+		"back, terminating":    {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a") }, choice.Server{State: choice.Draining}, choice.Draining, back},
+		"never out, put back":  {func(o *Word) { o.Online(back, "a") }, choice.Server{Started: before}, choice.Ready, before},
+		"back, gone, relisted": {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a"); o.Gone("a") }, choice.Server{}, choice.Ready, 0},
+		"out, back, out":       {func(o *Word) { o.Offline(out, "a"); o.Online(back, "a"); o.Offline(out, "a") }, choice.Server{}, choice.Draining, 0},
+		"another is out":       {func(o *Word) { o.Offline(out, "b") }, choice.Server{}, choice.Ready, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var o, next Word
