--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -1,6 +1,6 @@
-// Package core runs a decision module for every protocol: it takes calls from the fronts, makes the attempts that the
-// module orders through the transports and gives the final answers. It decides nothing itself, and knows nothing of
-// how calls and answers are worded.
+// Package core runs the decision module for all protocols. It accepts calls from the fronts, executes the attempts that
+// the module orders through the transports, and returns the final answers. It makes no decisions itself and is
+// independent of how calls and answers are encoded.
 package core
 
 import (
@@ -26,10 +26,10 @@
 	"ternbeam/internal/host/pool"
 )
 
-// ErrWithdrawn is the cause with which the context of an attempt ends that the module cancels.
-var ErrWithdrawn = errors.New("withdrawn by the module")
+// ErrCanceled is the cancellation cause of an attempt's context when the module cancels the attempt.
+var ErrWithdrawn = errors.New("canceled by the decision module")
 
-// What fronts and transports know of a call is the ledger's.
+// Types of the ledger that fronts and transports use.
 type (
 	Call    = ledger.Call
 	Answer  = ledger.Answer
@@ -43,169 +43,171 @@
 	Served    = ledger.Served
 	Refused   = ledger.Refused
 	Failed    = ledger.Failed
-	Duplicate = ledger.Duplicate
-	Unfit     = ledger.Unfit
+	Duplicate = ledger.Duplicate // a call with this id is in progress
+	Unfit     = ledger.Unfit     // the call could not be translated
 )
 
-// Ended is an Ending that brought nothing.
+// Ended returns an Ending that has a result and no answer.
 func Ended(r choice.Result) Ending { return ledger.Ended(r) }
 
-// Transport makes attempts at servers of one protocol. It returns when the attempt has ended or its context has; the
-// result says whether it can have run.
+// Transport makes attempts at servers of one protocol. Attempt returns when the attempt or its context has ended; the
+// result tells whether the server may have executed the call.
 type Transport interface {
 	Attempt(ctx context.Context, at *Attempt) Ending
 }
 
-// Settings are what a Core is made of.
+// Settings configure a Core.
 type Settings struct {
 	Module     choice.Settings
 	Seed       uint64
 	Zones      []string
-	MostHeld   int            // calls not answered yet; 0 for no bound
-	Known      discovery.List // the list as it was last had
-	Discovery  string         // address of the list
+	MostHeld   int            // limit on calls that are not answered yet; 0 for no limit
+	Known      discovery.List // the latest known list of servers
+	Discovery  string         // address of the list service
 	Asking     asking.Settings
-	Feed       Feed // brings the list where not nil; Known and Discovery mean nothing then
+	Feed       Feed // if not nil, it provides the list; InitialList and Discovery are ignored then
 	Pool       *pool.Pool
-	Transports map[choice.Protocols]Transport // by what a server is spoken to in
+	Transports map[choice.Protocols]Transport // by the protocol that a server speaks
 	Log        *slog.Logger
-	Illegal    func(error)            // takes steps that must not come; none where nil
-	Routes     *routes.Routes         // by the shapes of calls; nil where they have none
-	Publish    bool                   // figures are wanted
-	Clients    func() conntrack.Stats // counts the connections of clients; nil where nobody does
-	Inherited  *Inheritance           // what a process that this one replaces has left; nil where there is none
+	Illegal    func(error)            // is called with illegal state transitions; may be nil
+	Routes     *routes.Routes         // by the shapes of calls; nil if calls have none
+	Publish    bool                   // operations are enabled: Figures are published, and other processes may replace this one
+	Clients    func() conntrack.Stats // counts the connections of clients; may be nil
+	Inherited  *Inheritance           // state of the process that this one replaces; nil if there is none
 }
 
-// Core is one client-side balancer: the host of a Ledger. One goroutine, the loop, owns the Ledger and the timers;
+// Core is one client-side balancer, which hosts a Ledger. One goroutine, the event loop, owns the Ledger and the timers;
 // everything else posts events to it.
 type Core struct {
-	set       Settings
-	log       *slog.Logger
-	events    chan func()
-	urgent    chan func() // goes before events: the operators' word and lists, which wait for no queue of calls
-	workers   workers
-	abandoned atomic.Int64           // calls whose clients were gone before they could be taken
-	malformed atomic.Int64           // calls that no front could read, which the loop never sees
-	ready     chan struct{}          // closed when clients may begin
-	begun     func(*Attempt, Ending) // one for all attempts
-	figures   atomic.Pointer[Figures]
-	forwards  atomic.Int64 // attempts that were written whole
-	steps     clock.Steps  // of the wall clock
+	set           Settings
+	log           *slog.Logger
+	events        chan func()
+	urgent        chan func() // takes precedence over events: operator commands and lists, which do not wait behind queued calls
+	workers       workers
+	abandoned     atomic.Int64           // calls whose clients disconnected before the calls could be submitted
+	malformed     atomic.Int64           // calls that a front could not read; the loop never sees them
+	ready         chan struct{}          // closed when clients may send calls
+	onAnswerBegun func(*Attempt, Ending) // shared by all attempts
+	figures       atomic.Pointer[Figures]
+	forwards      atomic.Int64 // attempts whose message was written completely
+	clockSteps    clock.Steps  // of the wall clock
 
 	undelivered *undeliveredLog // answers that did not reach their clients
 
-	// What follows belongs to the loop.
-	ledger    *ledger.Ledger
-	requests  *requestLog
-	timers    timerHeap
-	discovery string               // the address that is followed
-	watch     func()               // begins a watch there
-	unwatch   func()               // ends it; nothing that it has delivered is applied from then on
-	clock     func() learned.Clock // nil where nothing is remembered
-	published time.Duration        // when the figures were
-	list      discovery.List       // as it stands
-	others    map[*Other]bool      // processes that this one tells what it is told
+	// The following fields are used by the event loop only.
+	ledger       *ledger.Ledger
+	requests     *requestLog
+	timers       timerHeap
+	discovery    string               // address of the list service being watched
+	startWatch   func()               // watches that list service
+	stopWatch    func()               // ends the watch; lists that it has delivered are no longer applied
+	learnedClock func() learned.Clock // nil if no learned state was restored
+	publishedAt  time.Duration        // when the figures were last published
+	list         discovery.List       // the current list
+	subscribers  map[*Other]bool      // other processes of this agent, which are sent this one's news
 }
 
-// New returns a Core that is ready to Run.
+// New returns a Core; Run starts it. An error means that the module rejects its settings.
 func New(set Settings) (*Core, error) {
 	balancer, err := choice.New(set.Module, set.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	requests := newRequestLog(set.Log, set.Module.Classes)
-	books := ledger.New(ledger.Settings{Classes: len(set.Module.Classes), Observe: func(r ledger.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MostHeld: set.MostHeld,
+	callLedger := ledger.New(ledger.Settings{Classes: len(set.Module.Classes), Observe: func(r ledger.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MostHeld: set.MostHeld,
 		Carries: func(needs choice.Protocols) bool { return set.Transports[needs] != nil }, Illegal: set.Illegal, Routes: set.Routes,
 		Places: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Asking.Me, Seed: set.Seed})}, balancer)
 	c := &Core{set: set, log: set.Log, events: make(chan func(), 1024), urgent: make(chan func()), workers: newWorkers(), ready: make(chan struct{}),
-		ledger: books, requests: requests, undelivered: newUndeliveredLog(set.Log), others: map[*Other]bool{}}
-	c.begun = func(at *Attempt, e Ending) { c.post(func() { c.do(c.ledger.Begun(c.Now(), at, e)) }) }
-	c.publish() // so that there are figures from the start
+		ledger: callLedger, requests: requests, undelivered: newUndeliveredLog(set.Log), subscribers: map[*Other]bool{}}
+	c.onAnswerBegun = func(at *Attempt, e Ending) { c.post(func() { c.execute(c.ledger.Begun(c.Now(), at, e)) }) }
+	c.publish() // so that Figures never returns nil
 	return c, nil
 }
 
-// Now is the module's clock: monotonic, in Unix time.
+// Now returns the time of the module's clock: monotonic, as the time since the Unix epoch.
 func (c *Core) Now() time.Duration { return clock.Now() }
 
-// Reroute takes another table of shapes, once it is in use.
+// ReplaceRoutes replaces the table of shapes and returns once the new one is in use.
 func (c *Core) Reroute(ctx context.Context, t *routes.Table) error {
 	result, err := ask(ctx, c, func() error {
 		orders, err := c.ledger.Reroute(c.Now(), t)
-		c.do(orders)
+		c.execute(orders)
 		return err
 	})
 	return cmp.Or(err, result)
 }
 
-// post hands an event to the loop.
+// post queues an event for the event loop.
 func (c *Core) post(event func()) { c.events <- event }
 
-// postUrgent hands the loop an event that goes before all that are queued, unless the context ends first. Drains are to count
-// within a time, however many calls wait.
+// postUrgent hands the event loop an event that takes precedence over all queued ones, unless the context ends first. Drains must
+// take effect within a bounded time, however many calls are queued.
 func (c *Core) postUrgent(ctx context.Context, event func()) { postOn(ctx, c.urgent, event) }
 
-// Respond returns once the loop has handled an event behind those that are queued, or ctx has ended.
+// Ping returns once the event loop has handled all events that were queued before the call, or ctx has ended.
 func (c *Core) Respond(ctx context.Context) {
 	ask(ctx, c, func() struct{} { return struct{}{} })
 }
 
-// Ready is closed when clients may begin: the list has come, or was waited for long enough.
+// Ready returns a channel that is closed when clients may send calls: the list was received, or the wait for it timed out.
 func (c *Core) Ready() <-chan struct{} { return c.ready }
 
-// End says that the process was told to end at some time and has every request answered by another: those that are open, and
-// those that come from now on.
-func (c *Core) End(told, answerBy time.Time) {
+// BeginShutdown records that the process was asked to terminate at the time signaled. All requests, open ones and later ones, are
+// answered by answerBy.
+func (c *Core) End(signaled, answerBy time.Time) {
 	c.post(func() {
-		c.requests.endingAt = clock.Of(told)
-		c.do(c.ledger.End(c.Now(), clock.Of(answerBy)))
+		c.requests.shutdownAt = clock.Of(signaled)
+		c.execute(c.ledger.End(c.Now(), clock.Of(answerBy)))
 	})
 }
 
-// Take takes a call from a front. It gets one final answer.
+// Submit accepts a call from a front. The call gets exactly one final answer, unless its client disconnects.
 func (c *Core) Take(call *Call) {
-	c.post(func() { c.do(c.ledger.Arrived(c.Now(), call)) })
+	c.post(func() { c.execute(c.ledger.Arrived(c.Now(), call)) })
 }
 
-// Whole takes the news that the last byte of a call that was Coming is here, and when its client gives up.
+// RequestReceived records that the last byte of a call that was still being received has arrived. Left is the time until its client
+// gives up.
 func (c *Core) Whole(call *Call, left time.Duration) {
 	deadline := c.Now() + left
-	c.post(func() { c.do(c.ledger.Whole(c.Now(), call, deadline)) })
+	c.post(func() { c.execute(c.ledger.Whole(c.Now(), call, deadline)) })
 }
 
-// Left takes the news that the client of a call has gone away: no answer is owed any more.
-// Nothing more is sent for it from this moment on, however many events are queued before this one.
+// ClientDisconnected records that the client of a call has disconnected and no longer expects an answer. From this moment on nothing
+// more is sent for the call, however many events are queued before this one.
 func (c *Core) Left(call *Call) {
 	call.Leave()
-	c.post(func() { c.do(c.ledger.Left(c.Now(), call)) })
+	c.post(func() { c.execute(c.ledger.Left(c.Now(), call)) })
 }
 
-// Abandoned counts a call whose client was gone before it could be taken.
+// CountAbandoned counts a call whose client disconnected before the call could be submitted.
 func (c *Core) Abandoned() { c.abandoned.Add(1) }
 
-// Malformed counts a call that a front could not read.
+// CountMalformed counts a call that a front could not read.
 func (c *Core) Malformed() { c.malformed.Add(1) }
 
 const (
-	// firstList is how long the agent waits for discovery's word before it calls itself ready, and anyList how long where it
-	// knows no server and would refuse all calls: what a list service that is busy with a whole fleet needs, if it is not too slow.
+	// firstListTimeout is how long the agent waits for the first list before it reports itself ready. emptyListTimeout applies
+	// instead if the agent knows no server and would refuse all calls: a list service that is busy with a whole fleet, if it is not
+	// too slow, needs that long.
 	firstList   = 200 * time.Millisecond
 	anyList     = 5 * time.Second
-	sweepEvery  = time.Second
-	reportEvery = 5 * time.Second
+	sweepEvery  = time.Second     // between closing server connections that were idle for too long or closed by the server
+	reportEvery = 5 * time.Second // between log lines with the counts
 )
 
-// Run is the loop. It owns the Balancer: it takes one event after the other, and timers when they are due.
+// Run runs the event loop until ctx ends: it handles one event at a time, and timers when they are due.
 func (c *Core) Run(ctx context.Context) {
 	if c.set.Feed != nil {
-		c.do(c.ledger.Start(c.Now()))
-		c.feed(ctx)
+		c.execute(c.ledger.Start(c.Now()))
+		c.startFeed(ctx)
 	} else {
-		c.follow(ctx, c.set.Discovery, c.set.Known)
-		c.do(c.ledger.Start(c.Now()))
-		c.inherit()
-		c.apply(c.set.Known)
-		c.learn()
-		go c.watch()
+		c.switchDiscovery(ctx, c.set.Discovery, c.set.Known)
+		c.execute(c.ledger.Start(c.Now()))
+		c.inheritOperatorState()
+		c.applyList(c.set.Known)
+		c.inheritLearned()
+		go c.startWatch()
 	}
 	wait := firstList
 	if c.set.Asking.Shared && c.ledger.ServerCount() == 0 {
@@ -218,19 +220,19 @@
 	defer report.Stop()
 	due := time.NewTimer(0)
 	defer due.Stop()
-	var publish <-chan time.Time // never where nobody wants figures
+	var publish <-chan time.Time // nil, which never fires, if figures are not published
 	if c.set.Publish {
 		ticks := time.NewTicker(publishEvery)
 		defer ticks.Stop()
 		publish = ticks.C
 	}
 	for {
-		if c.set.Publish && c.Now()-c.published >= publishEvery { // under full load the timer alone may wait its turn
+		if c.set.Publish && c.Now()-c.publishedAt >= publishEvery { // under full load the ticker alone could be late
 			c.publish()
 		}
 		for len(c.timers) > 0 && c.timers[0].at <= c.Now() {
 			t := heap.Pop(&c.timers).(timer)
-			c.do(c.ledger.Fired(c.Now(), t.token))
+			c.execute(c.ledger.Fired(c.Now(), t.token))
 		}
 		if len(c.timers) > 0 {
 			due.Reset(c.timers[0].at - c.Now())
@@ -266,16 +268,16 @@
 	}
 }
 
-// Snapshot is what a Core holds at one time.
+// Snapshot holds the counts and the servers of a Core at one moment.
 type Snapshot struct {
 	Stats      Stats
 	Malformed  int64
-	Open, Held int // calls not answered yet; these and those with attempts in flight
+	Open, Held int // calls not answered yet; these plus answered calls with attempts in flight
 	Timers     int
-	Servers    []string // the ids of those that can be sent to
+	Servers    []string // ids of the servers that calls can be sent to
 }
 
-// Snapshot asks the loop what it holds. It must run.
+// Snapshot returns the state of the event loop, which must be running.
 func (c *Core) Snapshot() Snapshot {
 	taken := make(chan Snapshot, 1)
 	c.post(func() {
@@ -287,7 +289,7 @@
 	return <-taken
 }
 
-// Report logs the counts.
+// Report logs the counts and returns once they are logged.
 func (c *Core) Report() {
 	done := make(chan struct{})
 	c.post(func() { c.report(); close(done) })
@@ -295,7 +297,7 @@
 }
 
 func (c *Core) report() {
-	if step := c.steps.Read(); step != 0 {
+	if step := c.clockSteps.Read(); step != 0 {
 		c.log.Warn("the wall clock was stepped", "by", step)
 	}
 	s := c.ledger.Stats()
@@ -315,14 +317,14 @@
 		"backends", c.ledger.ServerCount(), "connections", connections, "waiting", waiting)
 }
 
-// do carries out the ledger's orders.
-func (c *Core) do(orders []ledger.Order) {
+// execute carries out the ledger's orders, one after the other.
+func (c *Core) execute(orders []ledger.Order) {
 	for _, o := range orders {
 		switch o.Kind {
 		case ledger.SetTimer:
 			heap.Push(&c.timers, timer{at: o.At, token: o.Token})
 		case ledger.Begin:
-			c.begin(o.Attempt)
+			c.startAttempt(o.Attempt)
 		case ledger.Withdraw:
 			o.Attempt.Withdraw(ErrWithdrawn)
 		case ledger.Reply:
@@ -340,10 +342,10 @@
 	}
 }
 
-// begin makes an attempt on a goroutine of its own.
-func (c *Core) begin(at *Attempt) {
+// startAttempt makes an attempt on a worker goroutine.
+func (c *Core) startAttempt(at *Attempt) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	at.Withdraw, at.Forwards, at.Begun = cancel, &c.forwards, c.begun
+	at.Withdraw, at.Forwards, at.Begun = cancel, &c.forwards, c.onAnswerBegun
 	if at.SendBy != 0 {
 		at.WriteBy = clock.At(at.SendBy)
 	}
@@ -353,17 +355,17 @@
 		ending := transport.Attempt(ctx, at)
 		stop()
 		cancel(nil)
-		c.post(func() { c.do(c.ledger.Ended(c.Now(), at, ending)) })
+		c.post(func() { c.execute(c.ledger.Ended(c.Now(), at, ending)) })
 	})
 }
 
-// timer is a timer of the module's.
+// timer is a timer that the module has set.
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-// timerHeap is a heap of timers by their times.
+// timerHeap is a heap of timers, the earliest first.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -8,54 +8,54 @@
 	"ternbeam/internal/decide/succession"
 )
 
-// publishEvery is how old figures may get, but for what the machine itself stands still.
+// publishInterval is the maximum age of published figures, unless the machine itself is suspended.
 const publishEvery = 100 * time.Millisecond
 
-// Figures are what those who run the agent are told, as of one moment. Nobody changes them.
+// Figures are metrics for operators, all taken at one moment. They are immutable.
 type Figures struct {
-	Classes     []ledger.ClassStats // by class, of the process
-	Outstanding int                 // calls taken and not ended
+	Classes     []ledger.ClassStats // by class, since the process started
+	Outstanding int                 // calls accepted and not finished
 	Discovered  int                 // servers in the list
-	Ejected     int                 // of them, those that are avoided
+	Ejected     int                 // those of them that are avoided
 }
 
-// Figures returns the latest figures, and how many attempts were written whole so far. It waits for nothing.
+// Figures returns the latest published figures, and how many attempts were written completely so far. It does not block.
 func (c *Core) Figures() (*Figures, int64) { return c.figures.Load(), c.forwards.Load() }
 
-// publish publishes the figures of now.
+// publish publishes the current figures.
 func (c *Core) publish() {
 	open, _ := c.ledger.Count()
 	f := &Figures{Classes: c.ledger.Stats().Classes, Outstanding: open + c.ledger.Passing()}
 	f.Discovered, f.Ejected = c.ledger.Fleet()
-	c.published = c.Now()
+	c.publishedAt = c.Now()
 	c.figures.Store(f)
 }
 
-// Offline takes a server out, until Online. From when it returns nothing new is begun there. It is false for one that
-// nobody knows.
+// Offline takes a server out of service until Online is called. Once it returns, no new attempt is started at the server. Known is
+// false if there is no such server. An error means that ctx ended first.
 func (c *Core) Offline(ctx context.Context, id string) (known bool, err error) {
-	return c.steer(ctx, id, (*ledger.Ledger).Offline, succession.News{Offline: id})
+	return c.applyOperatorChange(ctx, id, (*ledger.Ledger).Offline, succession.News{Offline: id})
 }
 
-// Online puts a server back.
+// Online puts a server back into service.
 func (c *Core) Online(ctx context.Context, id string) (known bool, err error) {
-	return c.steer(ctx, id, (*ledger.Ledger).Online, succession.News{Online: id})
+	return c.applyOperatorChange(ctx, id, (*ledger.Ledger).Online, succession.News{Online: id})
 }
 
-func (c *Core) steer(ctx context.Context, id string, how func(*ledger.Ledger, time.Duration, string) ([]ledger.Order, bool),
+func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*ledger.Ledger, time.Duration, string) ([]ledger.Order, bool),
 	news succession.News) (known bool, err error) {
-	return demand(ctx, c, func() bool {
+	return askUrgent(ctx, c, func() bool {
 		orders, known := how(c.ledger, c.Now(), id)
-		c.do(orders)
+		c.execute(orders)
 		if known {
-			c.tell(news, nil)
+			c.notifySubscribers(news, nil)
 		}
 		c.publish()
 		return known
 	})
 }
 
-// demand is ask for what waits for no queue of calls.
-func demand[T any](ctx context.Context, c *Core, question func() T) (T, error) {
+// askUrgent is like ask, but does not wait behind queued calls.
+func askUrgent[T any](ctx context.Context, c *Core, question func() T) (T, error) {
 	return askOn(ctx, c.urgent, question)
 }
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -10,32 +10,32 @@
 	"ternbeam/internal/decide/ledger"
 )
 
-// rememberFor is how long servers that come into the list are looked for in the past.
+// recallPeriod is how long after the start servers that enter the list are looked up in the restored state.
 const rememberFor = 10 * time.Minute
 
-// Remember hands the loop what an earlier agent knew, before clients come.
+// RestoreLearned hands the event loop what an earlier process had learned. It is called before clients connect.
 func (c *Core) Remember(past *aging.Past, clock func() learned.Clock) {
 	c.post(func() {
 		c.ledger.Remember(past)
-		c.clock = clock
+		c.learnedClock = clock
 		c.recall()
 		time.AfterFunc(rememberFor, func() { c.post(c.ledger.Forget) })
 	})
 }
 
-// recall tells the module what is remembered of servers that were named anew.
+// recall passes what was learned earlier about servers that have just entered the list to the module.
 func (c *Core) recall() {
-	if c.clock == nil {
+	if c.learnedClock == nil {
 		return
 	}
-	n, worked := c.ledger.Recall(c.Now(), c.clock())
+	n, worked := c.ledger.Recall(c.Now(), c.learnedClock())
 	c.set.Pool.Remember(worked)
 	if n+len(worked) > 0 {
 		c.log.Info("learned: recalled", "servers", n, "addresses", len(worked), "of", c.ledger.ServerCount())
 	}
 }
 
-// View asks the loop how much is new.
+// View returns the module's count of what it has learned, the number of servers, and the load.
 func (c *Core) View(ctx context.Context) (keeping.View, error) {
 	return ask(ctx, c, func() keeping.View {
 		open, _ := c.ledger.Count()
@@ -47,7 +47,8 @@
 	})
 }
 
-// Export asks the loop for what was learned. The value is the loop's until it is returned; after an error it may be still.
+// Export copies what was learned into a value. The event loop owns that value until Export returns; after an error it may still be
+// writing to it.
 func (c *Core) Export(ctx context.Context, into *ledger.Learned) (keeping.View, error) {
 	return ask(ctx, c, func() keeping.View {
 		c.ledger.Export(c.Now(), into, c.set.Pool.Worked)
@@ -55,7 +56,7 @@
 	})
 }
 
-// ask has the loop answer a question; the loop never waits for who asked.
+// ask runs a query on the event loop and returns its result. The loop never waits for the caller.
 func ask[T any](ctx context.Context, c *Core, question func() T) (answer T, err error) {
 	return askOn(ctx, c.events, question)
 }
@@ -73,7 +74,7 @@
 	}
 }
 
-// postOn hands the loop an event by one of its channels, unless the context ends first.
+// postOn sends the event loop an event through one of its channels, unless the context ends first.
 func postOn(ctx context.Context, events chan<- func(), event func()) error {
 	select {
 	case events <- event:
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -10,17 +10,17 @@
 	"ternbeam/internal/discovery"
 )
 
-// loggedServers bounds how many servers a line of the log names.
-const loggedServers = 20
+// maxLoggedServers limits how many servers a log line names.
+const maxLoggedServers = 20
 
-// Feed brings changes of the list from elsewhere than one discovery, until the context ends.
+// Feed delivers changes of the list of servers from a source other than a single list service, until the context ends.
 type Feed func(ctx context.Context, deliver func([]ledger.Entry))
 
-// feed begins to take changes from a Feed.
-func (c *Core) feed(ctx context.Context) {
+// startFeed starts applying the changes that a Feed delivers.
+func (c *Core) startFeed(ctx context.Context) {
 	go c.set.Feed(ctx, func(changes []ledger.Entry) {
 		c.postUrgent(ctx, func() {
-			c.do(c.ledger.List(c.Now(), false, changes))
+			c.execute(c.ledger.List(c.Now(), false, changes))
 			c.recall()
 			c.markReady()
 			c.log.Info("list", "changes", len(changes), "backends", c.ledger.ServerCount())
@@ -28,7 +28,7 @@
 	})
 }
 
-// Follow watches another discovery from now on; the same one changes nothing.
+// SetDiscovery switches to the list service at an address. It has no effect if that one is watched already.
 func (c *Core) Follow(ctx context.Context, addr string) {
 	c.post(func() {
 		if c.set.Feed != nil {
@@ -37,26 +37,26 @@
 		}
 		c.log.Info("new configuration", "discovery", addr, "before", c.discovery)
 		if addr != c.discovery {
-			c.follow(ctx, addr, discovery.List{Version: discovery.Unknown})
-			go c.watch()
+			c.switchDiscovery(ctx, addr, discovery.List{Version: discovery.Unknown})
+			go c.startWatch()
 		}
 	})
 }
 
-// follow sets the discovery that is watched from now on; the watch on another ends. Lists of that one may still be
-// queued: they count by other versions and must not be applied after the first list of the new one.
-func (c *Core) follow(ctx context.Context, addr string, known discovery.List) {
-	if c.unwatch != nil {
-		c.unwatch()
+// switchDiscovery sets the list service to watch and ends the watch on the previous one. Lists of the previous one may still
+// be queued. Their version numbers are unrelated, and they must not be applied after the first list of the new one.
+func (c *Core) switchDiscovery(ctx context.Context, addr string, known discovery.List) {
+	if c.stopWatch != nil {
+		c.stopWatch()
 	}
-	ctx, c.unwatch = context.WithCancel(ctx)
+	ctx, c.stopWatch = context.WithCancel(ctx)
 	c.discovery, c.list.Version = addr, known.Version
 	d := discovery.New(addr, known, c.log)
-	c.watch = func() {
+	c.startWatch = func() {
 		d.KeepWatching(ctx, asking.New(c.set.Asking, c.set.Seed), func(l discovery.List) {
 			c.postUrgent(ctx, func() {
 				if ctx.Err() == nil {
-					c.apply(l)
+					c.applyList(l)
 					c.markReady()
 				}
 			})
@@ -64,14 +64,14 @@
 	}
 }
 
-// apply applies the list of servers or a change of it.
-func (c *Core) apply(l discovery.List) {
-	c.pass(l)
-	c.enter(l)
+// applyList applies the list of servers, or a change of it, and forwards what has ended to other processes.
+func (c *Core) applyList(l discovery.List) {
+	c.recordList(l)
+	c.applyEntries(l)
 }
 
-// enter is apply for what no other process needs to be told.
-func (c *Core) enter(l discovery.List) {
+// applyEntries applies a list without forwarding it to other processes.
+func (c *Core) applyEntries(l discovery.List) {
 	entries := make([]ledger.Entry, 0, len(l.Servers))
 	var draining []string
 	for _, e := range l.Servers {
@@ -85,8 +85,8 @@
 			draining = append(draining, e.ID)
 		}
 	}
-	c.do(c.ledger.List(c.Now(), l.Full, entries))
+	c.execute(c.ledger.List(c.Now(), l.Full, entries))
 	c.recall()
 	c.log.Info("list", "version", l.Version, "full", l.Full, "entries", len(l.Servers), "backends", c.ledger.ServerCount(),
-		"draining", len(draining), "draining_ids", strings.Join(draining[:min(len(draining), loggedServers)], " "))
+		"draining", len(draining), "draining_ids", strings.Join(draining[:min(len(draining), maxLoggedServers)], " "))
 }
--- a/internal/host/core/list_test.go
+++ b/internal/host/core/list_test.go
@@ -16,7 +16,7 @@
 	"ternbeam/internal/protocol"
 )
 
-// newCore returns a Core that knows the servers of a list; its transports do nothing but what the test says.
+// newCore returns a Core with an initial list of servers and no transports.
 func newCore(t *testing.T, addr string, known ...discovery.Entry) *Core {
 	t.Helper()
 	c, err := New(Settings{Module: choice.Settings{Tick: time.Millisecond, MaxAttempts: 2,
@@ -29,7 +29,7 @@
 	return c
 }
 
-// What the old discovery has delivered and waits in the queue behind the switch must not undo the new list.
+// A list of the old list service that is queued behind the switch to a new one must not be applied.
 func TestQueuedListOfTheOldDiscoveryIsDropped(t *testing.T) {
 	asked, push := make(chan struct{}), make(chan struct{})
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,18 +51,18 @@
 	c.post(func() {
 		close(waits)
 		<-gate
-		c.follow(context.Background(), "127.0.0.1:1", discovery.List{Version: discovery.Unknown})
+		c.switchDiscovery(context.Background(), "127.0.0.1:1", discovery.List{Version: discovery.Unknown})
 	})
 	<-waits
 	close(push)
-	testkit.Eventually(t, "its list is queued", func() bool { return len(c.events) > 0 })
+	testkit.Eventually(t, "the old service's list is queued", func() bool { return len(c.events) > 0 })
 	close(gate)
 	if got := c.Snapshot().Servers; len(got) != 0 {
-		t.Errorf("knows %q", got)
+		t.Errorf("servers %q, want none", got)
 	}
 }
 
-// A server that the list says has restarted, moved or speaks otherwise is another one, with connections of its own.
+// A server that has restarted, moved or changed its protocol according to the list is treated as a new one, with new connections.
 func TestRestartedServerIsAnother(t *testing.T) {
 	e := discovery.Entry{ID: "b", Addr: "127.0.0.1:1", Zone: "z", State: "in_service", StartedMS: 5}
 	for name, change := range map[string]func(*discovery.Entry){
@@ -74,30 +74,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCore(t, "127.0.0.1:1")
-			c.apply(discovery.List{Full: true, Servers: []discovery.Entry{e}})
+			c.applyList(discovery.List{Full: true, Servers: []discovery.Entry{e}})
 			old, next := c.ledger.Server("b"), e
 			change(&next)
-			c.apply(discovery.List{Servers: []discovery.Entry{next}})
+			c.applyList(discovery.List{Servers: []discovery.Entry{next}})
 			now := c.ledger.Server("b")
 			if kept := now == old; kept != (name == "nothing") || old.Retired() == kept {
-				t.Errorf("the same: %t, retired: %t", kept, old.Retired())
+				t.Errorf("same server: %t, old one retired: %t", kept, old.Retired())
 			}
 			if known := now != nil; known != (name != "drains" && name != "gone") {
-				t.Errorf("it can be sent to: %t", known)
+				t.Errorf("calls can be sent to it: %t", known)
 			}
 		})
 	}
 }
 
-// An entry that cannot be read costs nothing but itself.
+// An entry that cannot be read is skipped, and the others are applied.
 func TestUnreadableEntries(t *testing.T) {
 	c := newCore(t, "127.0.0.1:1")
-	c.apply(discovery.List{Full: true, Servers: []discovery.Entry{
+	c.applyList(discovery.List{Full: true, Servers: []discovery.Entry{
 		{ID: "a", Addr: "127.0.0.1:1", State: "in_service", Protocol: "gopher"},
 		{ID: "b", Addr: "127.0.0.1:1", State: "in_service", Multiplexed: true},
 		{ID: "c", Addr: "nowhere", State: "in_service"},
 		{ID: "d", Addr: "127.0.0.1:1", State: "in_service", Protocol: "thrift-compact", Multiplexed: true}}})
 	if s := c.ledger.Server("d"); len(c.ledger.Servers()) != 1 || s == nil || s.Speaks != protocol.ThriftCompact || !s.Multiplexed {
-		t.Errorf("knows %v", c.ledger.Servers())
+		t.Errorf("servers %v, want only d", c.ledger.Servers())
 	}
 }
--- a/internal/host/core/requestlog.go
+++ b/internal/host/core/requestlog.go
@@ -13,41 +13,41 @@
 	"ternbeam/internal/decide/ledger"
 )
 
-// The lines that requests may cost. What is over that is counted and said with the next line.
+// Limits on the log lines for requests. Suppressed lines are counted, and the next line reports the count.
 const (
 	requestLinesPerSecond = 10
 	requestLinesBurst     = 40
 
-	// At the end of the process every request may matter.
-	endingLinesPerSecond = 200
-	endingLinesBurst     = 2000
+	// During shutdown every request may matter.
+	shutdownLinesPerSecond = 200
+	shutdownLinesBurst     = 2000
 )
 
-// kindNames name the final answers in the log.
+// kindNames are the names of the kinds of final answers in the log.
 var kindNames = [...]string{ledger.Served: "served", ledger.Refused: "refused", ledger.Failed: "failed", ledger.Duplicate: "duplicate",
 	ledger.Unfit: "not translatable"}
 
-// requestLog logs how requests ended: sampled, and only those that were not simply served by their first attempt. Once the
-// process ends it logs all. It belongs to the core's loop.
+// requestLog logs how requests ended. It samples them, and skips those that were served by their first attempt. During shutdown it
+// logs all of them, up to a higher limit. Only the event loop may use it.
 type requestLog struct {
-	log        *slog.Logger
-	classes    []choice.Class
-	usual      *rate.Limiter
-	ending     *rate.Limiter
-	suppressed int
-	endingAt   time.Duration // when the process was told to end, on the module's clock; 0 before
+	log             *slog.Logger
+	classes         []choice.Class
+	normalLimiter   *rate.Limiter
+	shutdownLimiter *rate.Limiter
+	suppressed      int
+	shutdownAt      time.Duration // when the process was asked to terminate, on the module's clock; 0 before
 }
 
 func newRequestLog(log *slog.Logger, classes []choice.Class) *requestLog {
-	return &requestLog{log: log, classes: classes, usual: rate.NewLimiter(requestLinesPerSecond, requestLinesBurst),
-		ending: rate.NewLimiter(endingLinesPerSecond, endingLinesBurst)}
+	return &requestLog{log: log, classes: classes, normalLimiter: rate.NewLimiter(requestLinesPerSecond, requestLinesBurst),
+		shutdownLimiter: rate.NewLimiter(shutdownLinesPerSecond, shutdownLinesBurst)}
 }
 
-// observe takes the Record of a request that ended just now.
+// observe logs the Record of a request that has just ended.
 func (r *requestLog) observe(now time.Time, rec ledger.Record) {
-	limiter := r.usual
-	if r.endingAt > 0 {
-		limiter = r.ending
+	limiter := r.normalLimiter
+	if r.shutdownAt > 0 {
+		limiter = r.shutdownLimiter
 	} else if rec.Plain() {
 		return
 	}
@@ -67,8 +67,8 @@
 	if c := rec.Connection; c.Requests > 0 {
 		fields = append(fields, "conn_age", seconds(rec.Taken-c.Opened), "conn_requests", c.Requests)
 	}
-	if r.endingAt > 0 {
-		fields = append(fields, "taken_after_signal", seconds(rec.Taken-r.endingAt))
+	if r.shutdownAt > 0 {
+		fields = append(fields, "taken_after_signal", seconds(rec.Taken-r.shutdownAt))
 	}
 	if r.suppressed > 0 {
 		fields = append(fields, "lines_suppressed", r.suppressed)
@@ -84,11 +84,11 @@
 	return r.classes[i].Name
 }
 
-// mostCause is how many bytes of an attempt's cause are logged: servers may have a part in it.
-const mostCause = 80
+// maxCauseBytes is how many bytes of an attempt's cause are logged: the text may contain data from the server.
+const maxCauseBytes = 80
 
-// attemptsText words attempts as server, reason, result and span, in seconds since the request was taken, and the cause of the result where one
-// was told.
+// attemptsText formats attempts as server, reason, result, start and end in seconds since the request was accepted, and the cause of the
+// result if there is one.
 func attemptsText(attempts []ledger.AttemptRecord) string {
 	var text strings.Builder
 	for i, at := range attempts {
@@ -102,7 +102,7 @@
 		fmt.Fprintf(&text, "%s %s %s %s-%s", at.Server, at.Reason, at.Result, seconds(at.Sent), seconds(at.Over))
 		if at.Cause != nil {
 			cause := at.Cause.Error()
-			fmt.Fprintf(&text, " (%s)", cause[:min(len(cause), mostCause)])
+			fmt.Fprintf(&text, " (%s)", cause[:min(len(cause), maxCauseBytes)])
 		}
 	}
 	return text.String()
@@ -110,7 +110,7 @@
 
 func seconds(d time.Duration) string { return fmt.Sprintf("%.3f", d.Seconds()) }
 
-// reasonsText words counts by reason, in the order of the reasons' names.
+// reasonsText formats the counts by reason, sorted by the names of the reasons.
 func reasonsText(counts map[ledger.Reason]int) string {
 	parts := make([]string, 0, len(counts))
 	for reason, n := range counts {
@@ -120,7 +120,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// resultsText words the counts of attempts by result, those that are not 0.
+// resultsText formats the counts of attempts by result, omitting zero counts.
 func resultsText(counts []int) string {
 	var parts []string
 	for result, n := range counts {
--- a/internal/host/core/requestlog_test.go
+++ b/internal/host/core/requestlog_test.go
@@ -22,7 +22,7 @@
 
 func TestRequestLogNamesReasonAndAttempts(t *testing.T) {
 	lines := logged(t, func(r *requestLog) {
-		r.endingAt = 10 * time.Second
+		r.shutdownAt = 10 * time.Second
 		r.observe(time.Now(), ledger.Record{ID: "4f", Taken: 11 * time.Second, Took: 2500 * time.Millisecond, Kind: ledger.Failed,
 			Reason: ledger.Reason(choice.DeadlinePassed.String()), Connection: ledger.Connection{Opened: 9 * time.Second, Requests: 3},
 			Attempts: []ledger.AttemptRecord{
@@ -38,13 +38,13 @@
 	}
 }
 
-// Requests that end badly by the thousand cost a bounded number of lines, and the next line says how many were left out.
+// Thousands of failing requests cause a bounded number of log lines, and the next line reports how many were suppressed.
 func TestRequestLogIsBounded(t *testing.T) {
 	lines := logged(t, func(r *requestLog) {
 		now := time.Now()
 		for range 10_000 {
 			r.observe(now, ledger.Record{Kind: ledger.Refused, Reason: "overloaded"})
-			r.observe(now, ledger.Record{Kind: ledger.Served, Reason: ledger.ReasonAnswered}) // no news
+			r.observe(now, ledger.Record{Kind: ledger.Served, Reason: ledger.ReasonAnswered}) // not logged: served by its first attempt
 		}
 		r.observe(now.Add(time.Second), ledger.Record{Kind: ledger.Refused, Reason: "overloaded"})
 	})
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -12,24 +12,24 @@
 	"ternbeam/internal/discovery"
 )
 
-// Inheritance is what the process that this one replaces has left, beside the list.
+// InheritedState is the state that this process takes over from the one that it replaces, in addition to the list of servers.
 type Inheritance struct {
 	Said    operators.Saying
 	Learned *choice.Memory
 }
 
-// Other is a process that serves beside this one.
-type Other struct{ say func(succession.News) }
+// Subscriber is another process of this agent, which receives this process's news while both are serving.
+type Other struct{ notify func(succession.News) }
 
-// inherit takes over what the operators have said, before any server counts as one that may be sent to.
-func (c *Core) inherit() {
+// inheritOperatorState restores the operators' commands. It runs before any server becomes available to calls.
+func (c *Core) inheritOperatorState() {
 	if c.set.Inherited != nil {
-		c.do(c.ledger.Take(c.Now(), c.set.Inherited.Said))
+		c.execute(c.ledger.Take(c.Now(), c.set.Inherited.Said))
 	}
 }
 
-// learn takes over what was learned of the servers of the list, which is enough to take clients.
-func (c *Core) learn() {
+// inheritLearned restores what the replaced process had learned about the listed servers. With that the agent is ready for clients.
+func (c *Core) inheritLearned() {
 	if c.set.Inherited == nil {
 		return
 	}
@@ -40,19 +40,19 @@
 	c.markReady()
 }
 
-// Leave returns what a process begins with that replaces this one. From that moment on say is told what this process is
-// told, until the Other parts.
-func (c *Core) Leave(ctx context.Context, say func(succession.News)) (s succession.State, o *Other, err error) {
-	o = &Other{say}
-	s, err = demand(ctx, c, func() succession.State {
-		c.others[o] = true
+// HandOver returns the state that a replacing process starts with. From that moment on notify is called with all news that this
+// process receives, until Unsubscribe.
+func (c *Core) Leave(ctx context.Context, notify func(succession.News)) (s succession.State, o *Other, err error) {
+	o = &Other{notify}
+	s, err = askUrgent(ctx, c, func() succession.State {
+		c.subscribers[o] = true
 		s := succession.State{Discovery: c.discovery, Said: c.ledger.Saying()}
 		if len(c.list.Servers) > 0 {
-			s.List, _ = json.Marshal(c.list) // of plain values; none where it fails all the same
+			s.List, _ = json.Marshal(c.list) // consists of plain values; nil if encoding fails regardless
 		}
 		var learned ledger.Learned
 		c.ledger.Export(c.Now(), &learned, nil)
-		if _, err := json.Marshal(learned.Memory); err == nil { // a figure that is none does not cross
+		if _, err := json.Marshal(learned.Memory); err == nil { // NaN and infinity can't be encoded; nothing learned is handed over then
 			s.Learned = &learned.Memory
 		}
 		return s
@@ -60,38 +60,38 @@
 	return s, o, err
 }
 
-// Join has say told what this process is told, until the Other parts.
-func (c *Core) Join(say func(succession.News)) *Other {
-	o := &Other{say}
-	c.post(func() { c.others[o] = true })
+// Subscribe has notify called with all news that this process receives, until Unsubscribe.
+func (c *Core) Join(notify func(succession.News)) *Other {
+	o := &Other{notify}
+	c.post(func() { c.subscribers[o] = true })
 	return o
 }
 
-// Part says that a process is gone.
-func (c *Core) Part(o *Other) { c.post(func() { delete(c.others, o) }) }
+// Unsubscribe removes a process that has ended.
+func (c *Core) Part(o *Other) { c.post(func() { delete(c.subscribers, o) }) }
 
-// Tell tells all processes beside this one.
-func (c *Core) Tell(n succession.News) { c.post(func() { c.tell(n, nil) }) }
+// Broadcast sends news to all other processes of this agent.
+func (c *Core) Tell(n succession.News) { c.post(func() { c.notifySubscribers(n, nil) }) }
 
-// Hear takes what another process was told, and passes it on to those that it does not come from: of three each knows only
-// the one before and the one behind, so that nothing comes back.
+// ReceiveNews applies news from another process and forwards it to all others. Of three processes each knows only its predecessor
+// and its successor, so that no news returns to its sender.
 func (c *Core) Hear(ctx context.Context, n succession.News, from *Other) {
-	var said []discovery.Entry
-	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &said) != nil {
-		said = nil
+	var reported []discovery.Entry
+	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &reported) != nil {
+		reported = nil
 	}
-	demand(ctx, c, func() bool {
-		c.tell(n, from)
+	askUrgent(ctx, c, func() bool {
+		c.notifySubscribers(n, from)
 		if n.Offline != "" {
 			orders, _ := c.ledger.Offline(c.Now(), n.Offline)
-			c.do(orders)
+			c.execute(orders)
 		}
 		if n.Online != "" {
 			orders, _ := c.ledger.Online(c.Now(), n.Online)
-			c.do(orders)
+			c.execute(orders)
 		}
 		var ended []discovery.Entry
-		for _, e := range said {
+		for _, e := range reported {
 			known, listed := c.ledger.Listed(e.ID)
 			s, err := e.Server(c.set.Zones)
 			if listed && err == nil && succession.Counts(known, s) {
@@ -99,49 +99,49 @@
 			}
 		}
 		if len(ended) > 0 {
-			c.enter(discovery.List{Version: c.list.Version, Servers: ended})
+			c.applyEntries(discovery.List{Version: c.list.Version, Servers: ended})
 		}
 		return true
 	})
 }
 
-// tell tells the processes beside this one, but for the one that it comes from, if any.
-func (c *Core) tell(n succession.News, from *Other) {
-	for o := range c.others {
+// notifySubscribers sends news to the other processes, except the one that it came from, if any.
+func (c *Core) notifySubscribers(n succession.News, from *Other) {
+	for o := range c.subscribers {
 		if o != from {
-			o.say(n)
+			o.notify(n)
 		}
 	}
 }
 
-// pass keeps the list as it stands, and tells other processes which servers drain or are gone by a change of it.
-func (c *Core) pass(l discovery.List) {
-	if !c.set.Publish { // no other process will ever be there
+// recordList updates the current list, and notifies other processes of servers that drain or were removed by the change.
+func (c *Core) recordList(l discovery.List) {
+	if !c.set.Publish { // without operations address there is never another process
 		return
 	}
 	var ended []discovery.Entry
-	at := make(map[string]int, len(c.list.Servers))
+	indexes := make(map[string]int, len(c.list.Servers))
 	for i, e := range c.list.Servers {
-		at[e.ID] = i
+		indexes[e.ID] = i
 	}
 	if l.Full {
-		named := make(map[string]bool, len(l.Servers))
+		present := make(map[string]bool, len(l.Servers))
 		for _, e := range l.Servers {
-			named[e.ID] = true
+			present[e.ID] = true
 		}
 		for _, e := range c.list.Servers {
-			if !named[e.ID] {
+			if !present[e.ID] {
 				e.State = "terminated"
 				ended = append(ended, e)
 			}
 		}
-		c.list.Servers, at = nil, map[string]int{}
+		c.list.Servers, indexes = nil, map[string]int{}
 	}
 	for _, e := range l.Servers {
-		i, known := at[e.ID]
+		i, known := indexes[e.ID]
 		if !known {
 			i = len(c.list.Servers)
-			at[e.ID] = i
+			indexes[e.ID] = i
 			c.list.Servers = append(c.list.Servers, e)
 		}
 		c.list.Servers[i] = e
@@ -151,9 +151,9 @@
 	}
 	c.list.Servers = slices.DeleteFunc(c.list.Servers, func(e discovery.Entry) bool { return e.State == "terminated" })
 	c.list.Version, c.list.Full = l.Version, true
-	if len(ended) > 0 && len(c.others) > 0 {
+	if len(ended) > 0 && len(c.subscribers) > 0 {
 		if text, err := json.Marshal(ended); err == nil {
-			c.tell(succession.News{Ended: text}, nil)
+			c.notifySubscribers(succession.News{Ended: text}, nil)
 		}
 	}
 }
--- a/internal/host/core/undelivered.go
+++ b/internal/host/core/undelivered.go
@@ -9,7 +9,7 @@
 	"ternbeam/internal/decide/ledger"
 )
 
-// undeliveredLog counts and logs final answers that did not reach their clients whole. It is safe for concurrent use.
+// undeliveredLog counts and logs final answers that were not delivered completely. It is safe for concurrent use.
 type undeliveredLog struct {
 	log     *slog.Logger
 	limiter *rate.Limiter
@@ -20,8 +20,8 @@
 	return &undeliveredLog{log: log, limiter: rate.NewLimiter(requestLinesPerSecond, requestLinesBurst)}
 }
 
-// Undelivered records that the final answer to a call did not reach its client whole: at which stage that was, and why. Most
-// often the client has disconnected.
+// RecordUndelivered records that the final answer to a call did not reach its client completely, at which stage and why. Usually
+// the client has disconnected. It is safe for concurrent use.
 func (c *Core) Undelivered(call *Call, kind ledger.Kind, stage string, cause error) {
 	c.undelivered.count.Add(1)
 	if !c.undelivered.limiter.Allow() {
--- a/internal/host/core/workers.go
+++ b/internal/host/core/workers.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// workers run attempts. A goroutine that has made one stays a while for the next: its stack has grown already, and
-// growing one anew for each attempt costs more than the module's decision.
+// workers run attempts on goroutines that are reused: the stack of a used one has grown already, and growing a new one for
+// each attempt costs more than the module's decision.
 type workers struct {
 	jobs chan func()
 	idle *atomic.Int32
 }
 
-// mostIdle is how many goroutines wait for a job at the most.
-const mostIdle = 64
+// maxIdleWorkers is the maximum number of goroutines that wait for a job.
+const maxIdleWorkers = 64
 
 func newWorkers() workers { return workers{jobs: make(chan func()), idle: new(atomic.Int32)} }
 
-// run runs a job on a goroutine of its own.
+// run runs a job on an idle goroutine, or a new one if there is none.
 func (w workers) run(job func()) {
 	select {
 	case w.jobs <- job:
@@ -26,7 +26,7 @@
 func (w workers) work(job func()) {
 	for {
 		job()
-		if w.idle.Add(1) > mostIdle {
+		if w.idle.Add(1) > maxIdleWorkers {
 			w.idle.Add(-1)
 			return
 		}
