--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool keeps the connections to servers, for every transport. What is decided about them, their number, whose
-// turn it is, which are kept, is life.Book's; here are the sockets.
+// Package pool manages the connections to servers for all transports. Decisions about them, such as their number, the order of
+// waiting attempts and which connections are kept, are made by life.Book; this package handles the sockets.
 package pool
 
 import (
@@ -17,55 +17,56 @@
 	"ternbeam/internal/sysio/socketio"
 )
 
-// ErrNoPlace says that every place for a connection is in use by an attempt.
-var ErrNoPlace = errors.New("no place left for a connection")
+// ErrNoSlot means that every slot for a connection is in use by an attempt and none was released before the context ended.
+var ErrNoPlace = errors.New("no connection slot is free")
 
 // Conn is a connection to a server.
 type Conn struct {
 	net.Conn
-	Session any // what its transport keeps with it
-	life    *life.Conn
-	since   time.Time // idle since
-	looked  time.Time // when it was lent, and nothing had come on it; zero for one that was dialled
+	Session   any // state that its transport keeps with the connection
+	state     *life.Conn
+	idleSince time.Time // when it was last released
+	checkedAt time.Time // when it was acquired from the idle ones and found usable; zero for a new connection
 }
 
-// Settings bound a Pool.
+// Settings configure a Pool.
 type Settings struct {
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // net.Dialer's where nil
-	DialTimeout time.Duration                                                     // with the wait for a place
-	IdleFor     time.Duration                                                     // an idle connection may still be used
-	Rest        time.Duration                                                     // an idle one is not used before in HTTP; Rest where 0
-	Most        int                                                               // connections
-	Illegal     func(error)                                                       // takes steps that must not come; none where nil
-	Addresses   addresses.Settings                                                // of servers that have several
+	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // net.Dialer's if nil
+	DialTimeout time.Duration                                                     // includes the wait for a slot
+	IdleFor     time.Duration                                                     // how long an idle connection is kept and may be used again
+	Rest        time.Duration                                                     // idle time of HTTP connections before reuse; ReuseDelay if 0
+	Most        int                                                               // maximum number of connections to all servers
+	Illegal     func(error)                                                       // is called with illegal state transitions; may be nil
+	Addresses   addresses.Settings                                                // how servers with several addresses are dialed
 }
 
 const (
-	// Rest is how long a connection on which HTTP is spoken has to stay silent behind an answer before it carries the next
-	// request. Nothing ties an answer to its request: a second one, which a server may send some milliseconds late, would be
-	// taken for that of the next. Those that were seen came within 5.4 ms.
+	// ReuseDelay is how long an HTTP connection must stay silent after an answer before it carries the next request. HTTP/1.1
+	// does not match answers to requests: a duplicate answer, which a server may send some milliseconds late, would be taken for
+	// the answer to the next request. The duplicates that were observed arrived within 5.4 ms.
 	Rest = 10 * time.Millisecond
 
-	// mostPausing is how many attempts may wait for connections to have rested while there is place for others. A rest costs
-	// less than a handshake; where calls come so fast that many would wait, another connection is used again and again.
-	mostPausing = 4
+	// maxReuseWaits limits how many attempts wait for the reuse delay of a connection while there are free slots for new ones.
+	// Waiting costs less than a handshake. Where calls arrive so fast that more attempts would wait, a new connection is dialed,
+	// which is then reused many times.
+	maxReuseWaits = 4
 
-	// lookAgain is how long after a connection was looked at it has to be once more before it is written to. Nothing of what is
-	// done between takes so long, unless the process stands still.
+	// recheckAfter is the age of the last check of an idle connection at which it is checked again before it is written to. The
+	// steps in between take less time, unless the process is suspended.
 	lookAgain = 5 * time.Millisecond
 )
 
-// Pool holds the connections to all servers. It may be used by several goroutines.
+// Pool holds the connections to all servers. It is safe for concurrent use.
 type Pool struct {
 	set Settings
 
-	mu     sync.Mutex
-	book   *life.Book
-	turns  map[*life.Conn]chan struct{} // closed when one that waits for a place has it
-	addrs  *addresses.Book
-	extra  int // dials beside the first of each race
-	pauses int // attempts that wait for a connection to have rested
-	began  time.Time
+	mu         sync.Mutex
+	book       *life.Book
+	granted    map[*life.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
+	addrs      *addresses.Book
+	extraDials int // dials in progress beyond the first of each race
+	reuseWaits int // attempts that wait for the reuse delay of a connection
+	startedAt  time.Time
 }
 
 // New returns an empty Pool.
@@ -79,44 +80,44 @@
 	if set.Rest == 0 {
 		set.Rest = Rest
 	}
-	return &Pool{set: set, book: life.NewBook(set.Most), turns: map[*life.Conn]chan struct{}{},
-		addrs: addresses.NewBook(set.Addresses), began: time.Now()}
+	return &Pool{set: set, book: life.NewBook(set.Most), granted: map[*life.Conn]chan struct{}{},
+		addrs: addresses.NewBook(set.Addresses), startedAt: time.Now()}
 }
 
-// Acquire returns an idle connection on which the protocol was spoken, or dials a new one: a server that speaks
-// several keeps to one on each connection.
+// Acquire returns an idle connection for a protocol, or dials a new one. A server that supports several protocols speaks
+// only one of them on each connection. It returns ErrNoSlot if no slot becomes free in time.
 func (p *Pool) Acquire(ctx context.Context, s *life.Server, speaks choice.Protocols, at *life.Attempt) (*Conn, error) {
 	p.mu.Lock()
-	for l := p.book.Lend(s, speaks, p.rested); l != nil; l = p.book.Lend(s, speaks, p.rested) {
+	for l := p.book.Lend(s, speaks, p.reusable); l != nil; l = p.book.Lend(s, speaks, p.reusable) {
 		c := l.Host.(*Conn)
-		if left := p.rest(c); left > 0 {
-			if open, _, _ := p.book.Count(); p.pauses >= mostPausing && open < p.set.Most {
+		if left := p.reuseWait(c); left > 0 {
+			if open, _, _ := p.book.Count(); p.reuseWaits >= maxReuseWaits && open < p.set.Most {
 				p.returnLocked(c, true)
-				break // for a new one
+				break // dial a new one
 			}
-			if !p.pauseLocked(ctx, left) {
+			if !p.waitLocked(ctx, left) {
 				p.returnLocked(c, true)
 				p.mu.Unlock()
 				return nil, ErrNoPlace
 			}
 		}
-		if p.fit(c) {
-			c.looked = time.Now()
+		if p.usable(c) {
+			c.checkedAt = time.Now()
 			p.mu.Unlock()
-			p.heed(at.Connect())
+			p.reportIllegal(at.Connect())
 			return c, nil
 		}
 		p.returnLocked(c, false)
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.set.DialTimeout)
 	defer cancel()
-	l, err := p.placeLocked(ctx, s, speaks)
+	l, err := p.claimLocked(ctx, s, speaks)
 	p.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
 
-	p.heed(at.Dial())
+	p.reportIllegal(at.Dial())
 	socket, err := p.dial(ctx, s)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,35 +125,37 @@
 		p.giveUpLocked(l)
 		return nil, err
 	}
-	p.heed(at.Connect())
-	c := &Conn{Conn: socketio.Wrap(socket), life: l}
-	p.heed(p.book.Open(l, c))
+	p.reportIllegal(at.Connect())
+	c := &Conn{Conn: socketio.Wrap(socket), state: l}
+	p.reportIllegal(p.book.Open(l, c))
 	return c, nil
 }
 
-// fit reports whether an idle connection may carry a request: its server has not closed it, nor is about to, and nothing has
-// come unasked, which would pass for the next answer.
-func (p *Pool) fit(c *Conn) bool { return time.Since(c.since) < p.set.IdleFor && peek.Silent(c.Conn) }
+// usable reports whether an idle connection may carry a request: its server has not closed it and is not about to, and has sent no
+// unsolicited data, which would be taken for the next answer.
+func (p *Pool) usable(c *Conn) bool {
+	return time.Since(c.idleSince) < p.set.IdleFor && peek.Silent(c.Conn)
+}
 
-// Fit is asked right before the first byte is written to a connection. It is false for one that was idle and is not fit any
-// more: the process may have stood still since it was lent.
+// Usable reports whether a request may still be written to a connection. It is called right before the first byte is written: the
+// process may have been suspended since a connection was acquired from the idle ones.
 func (p *Pool) Fit(c *Conn) bool {
-	return c.looked.IsZero() || time.Since(c.looked) < lookAgain || p.fit(c)
+	return c.checkedAt.IsZero() || time.Since(c.checkedAt) < lookAgain || p.usable(c)
 }
 
-// rest is how long a connection has to rest yet.
-func (p *Pool) rest(c *Conn) time.Duration {
-	if c.life.Speaks&protocol.HTTP == 0 { // replies in Thrift name their calls
+// reuseWait returns how long a connection must still stay idle before it can be reused. It may be negative.
+func (p *Pool) reuseWait(c *Conn) time.Duration {
+	if c.state.Speaks&protocol.HTTP == 0 { // Thrift replies carry the ids of their calls
 		return 0
 	}
-	return p.set.Rest - time.Since(c.since)
+	return p.set.Rest - time.Since(c.idleSince)
 }
 
-func (p *Pool) rested(l *life.Conn) bool { return p.rest(l.Host.(*Conn)) <= 0 }
+func (p *Pool) reusable(l *life.Conn) bool { return p.reuseWait(l.Host.(*Conn)) <= 0 }
 
-// pauseLocked waits, without the lock. It is false where the context ended meanwhile.
-func (p *Pool) pauseLocked(ctx context.Context, d time.Duration) bool {
-	p.pauses++
+// waitLocked releases the lock and waits. It returns false if the context ended before.
+func (p *Pool) waitLocked(ctx context.Context, d time.Duration) bool {
+	p.reuseWaits++
 	p.mu.Unlock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -163,11 +166,11 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	p.pauses--
+	p.reuseWaits--
 	return rested
 }
 
-// dial connects to a server, by the one of its addresses that comes up first.
+// dial connects to a server, at whichever of its addresses connects first.
 func (p *Pool) dial(ctx context.Context, s *life.Server) (net.Conn, error) {
 	if len(s.Addrs) < 2 {
 		_, network, target := addresses.Of(s.Addr)
@@ -176,110 +179,110 @@
 	return p.race(ctx, s)
 }
 
-// Worked returns which of a server's addresses connected last, as far as that is remembered; empty for none.
+// LastWorking returns the one of a server's addresses that last connected successfully, or "" if none is known.
 func (p *Pool) Worked(addrs []string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addrs.Best(time.Since(p.began), addrs)
+	return p.addrs.Best(time.Since(p.startedAt), addrs)
 }
 
-// Remember takes addresses that connected in an earlier life.
+// RestoreWorking records addresses that connected successfully in an earlier process.
 func (p *Pool) Remember(worked []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, addr := range worked {
-		p.addrs.Worked(time.Since(p.began), addr)
+		p.addrs.Worked(time.Since(p.startedAt), addr)
 	}
 }
 
-// dialled is what came of a dial.
-type dialled struct {
+// dialResult is the result of one dial.
+type dialResult struct {
 	addr string
 	conn net.Conn
 	err  error
 }
 
-// race dials several addresses as the race says, and closes what does not win.
+// race dials several addresses in the order and at the times that addresses.Race decides, and closes the connections that lose.
 func (p *Pool) race(ctx context.Context, s *life.Server) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.mu.Lock()
-	r := p.addrs.Race(time.Since(p.began), s.Addrs)
+	r := p.addrs.Race(time.Since(p.startedAt), s.Addrs)
 	p.mu.Unlock()
-	results := make(chan dialled, len(s.Addrs)) // so that who comes too late need not wait
-	out, beside := 0, 0
+	results := make(chan dialResult, len(s.Addrs)) // buffered so that late dials do not block
+	pending, extra := 0, 0
 	defer func() {
-		go func() { // those that are under way, which the context ends
-			for range out {
+		go func() { // collect the dials in progress, which the context ends
+			for range pending {
 				if d := <-results; d.conn != nil {
 					d.conn.Close()
 				}
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.extra -= beside
+			p.extraDials -= extra
 		}()
 	}()
-	var last error
+	var lastErr error
 	for {
 		p.mu.Lock()
 		open, _, _ := p.book.Count()
-		dial := r.Start(time.Since(p.began), p.set.Most-open-p.extra+beside)
+		toDial := r.Start(time.Since(p.startedAt), p.set.Most-open-p.extraDials+extra)
 		due, more := r.Due()
-		p.extra -= beside
-		beside = max(0, out+len(dial)-1)
-		p.extra += beside
+		p.extraDials -= extra
+		extra = max(0, pending+len(toDial)-1)
+		p.extraDials += extra
 		p.mu.Unlock()
-		for _, addr := range dial {
-			out++
+		for _, addr := range toDial {
+			pending++
 			go func() {
 				_, network, target := addresses.Of(addr)
 				conn, err := p.set.Dial(ctx, network, target)
-				results <- dialled{addr, conn, err}
+				results <- dialResult{addr, conn, err}
 			}()
 		}
 		var next <-chan time.Time
-		if wait := due - time.Since(p.began); more && wait > 0 {
+		if wait := due - time.Since(p.startedAt); more && wait > 0 {
 			timer := time.NewTimer(wait)
 			defer timer.Stop()
 			next = timer.C
 		}
 		select {
 		case d := <-results:
-			out--
+			pending--
 			p.mu.Lock()
-			now, lost := time.Since(p.began), false
+			now, allFailed := time.Since(p.startedAt), false
 			if d.err == nil {
 				r.Connected(now, d.addr)
 			} else {
-				lost = r.Failed(now, d.addr)
+				allFailed = r.Failed(now, d.addr)
 			}
 			p.mu.Unlock()
 			if d.err == nil {
 				return d.conn, nil
 			}
-			if last = d.err; lost {
-				return nil, last
+			if lastErr = d.err; allFailed {
+				return nil, lastErr
 			}
 		case <-next:
 		case <-ctx.Done():
 			p.mu.Lock()
-			r.GaveUp(time.Since(p.began))
+			r.GaveUp(time.Since(p.startedAt))
 			p.mu.Unlock()
-			return nil, errors.Join(context.Cause(ctx), last)
+			return nil, errors.Join(context.Cause(ctx), lastErr)
 		}
 	}
 }
 
-// heed passes on a step that must not come.
-func (p *Pool) heed(err error) {
+// reportIllegal reports an illegal state transition.
+func (p *Pool) reportIllegal(err error) {
 	if err != nil {
 		p.set.Illegal(err)
 	}
 }
 
-// placeLocked waits for a place for a connection.
-func (p *Pool) placeLocked(ctx context.Context, s *life.Server, speaks choice.Protocols) (*life.Conn, error) {
+// claimLocked waits for a slot for a connection.
+func (p *Pool) claimLocked(ctx context.Context, s *life.Server, speaks choice.Protocols) (*life.Conn, error) {
 	l, evicted := p.book.Claim(s, speaks)
 	if evicted != nil {
 		evicted.Host.(*Conn).Close()
@@ -288,7 +291,7 @@
 		return l, nil
 	}
 	turn := make(chan struct{})
-	p.turns[l] = turn
+	p.granted[l] = turn
 	p.mu.Unlock()
 	select {
 	case <-turn:
@@ -297,41 +300,42 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	delete(p.turns, l)
-	p.giveUpLocked(l) // it may have got a place just now
+	delete(p.granted, l)
+	p.giveUpLocked(l) // it may just have been given a slot
 	return nil, ErrNoPlace
 }
 
 func (p *Pool) giveUpLocked(l *life.Conn) {
 	next, err := p.book.GiveUp(l)
-	p.heed(err)
+	p.reportIllegal(err)
 	p.grantLocked(next)
 }
 
-// grantLocked wakes the attempts whose connections got a place.
+// grantLocked wakes the attempts whose connections were given a slot.
 func (p *Pool) grantLocked(next ...*life.Conn) {
 	for _, l := range next {
-		if turn := p.turns[l]; turn != nil {
+		if turn := p.granted[l]; turn != nil {
 			close(turn)
-			delete(p.turns, l)
+			delete(p.granted, l)
 		}
 	}
 }
 
-// Release takes a connection back, to be used again or to be closed.
+// Release returns a connection to the pool, which keeps it if reuse is true and there is no other need for its slot, and closes it
+// otherwise.
 func (p *Pool) Release(c *Conn, reuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.returnLocked(c, reuse)
 }
 
 func (p *Pool) returnLocked(c *Conn, reuse bool) {
 	if !reuse {
-		p.heed(c.life.Spoil())
+		p.reportIllegal(c.state.Spoil())
 	}
-	kept, next, err := p.book.Return(c.life)
-	p.heed(err)
+	kept, next, err := p.book.Return(c.state)
+	p.reportIllegal(err)
 	if !kept {
 		c.Close()
 		p.grantLocked(next)
@@ -343,38 +347,39 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.book.Idle() {
-		if c := l.Host.(*Conn); time.Since(c.since) >= p.set.IdleFor || !peek.Silent(c.Conn) {
+		if c := l.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleFor || !peek.Silent(c.Conn) {
 			c.Close()
 			next, err := p.book.Drop(l)
-			p.heed(err)
+			p.reportIllegal(err)
 			p.grantLocked(next)
 		}
 	}
 }
 
-// Retire ends the sending to a server. Attempts in flight go on.
+// Retire closes the idle connections to a server and stops lending its connections. Attempts in flight continue.
 func (p *Pool) Retire(s *life.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shutLocked(p.book.Retire(s))
+	p.closeLocked(p.book.Retire(s))
 }
 
-// shutLocked closes connections that the book gives up, and wakes the attempts that get places.
-func (p *Pool) shutLocked(closed, next []*life.Conn) {
+// closeLocked closes connections that the book drops, and wakes the attempts that are given their slots.
+func (p *Pool) closeLocked(closed, next []*life.Conn) {
 	for _, l := range closed {
 		l.Host.(*Conn).Close()
 	}
 	p.grantLocked(next...)
 }
 
-// Bound sets another bound on the connections.
+// SetMaxConns changes the maximum number of connections. If there are more, idle ones are closed now, the longest idle first, and
+// those in use when they are released.
 func (p *Pool) Bound(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.shutLocked(p.book.Bound(most))
+	p.closeLocked(p.book.Bound(most))
 }
 
-// Count returns how many places are taken, how many of them by idle connections, and how many attempts wait for one.
+// Count returns how many slots are in use, how many of them by idle connections, and how many attempts wait for a slot.
 func (p *Pool) Count() (open, idle, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
