--- a/connectionends_test.go
+++ b/connectionends_test.go
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-// connectionPackages are those that hold connections of clients.
+// connectionPackages are the packages that hold connections of clients.
 var connectionPackages = []string{"internal/host/accept", "internal/host/conntrack", "internal/http/httpfront", "internal/thrift/thriftfront"}
 
-// spared are functions of theirs that close something else, as the value says.
-var spared = map[string]string{
+// exempt lists functions of these packages that close something other than a connection, and what that is.
+var exempt = map[string]string{
 	"accept.NewSocket": "a descriptor of the listener", "httpfront.relay": "the answer", "httpfront.clear": "the answer", "httpfront.stop": "the upload",
-	"conntrack.Accept": "calls end", "thriftfront.Stop": "the listener", "thriftfront.forget": "nothing but the account of a client",
+	"conntrack.Accept": "calls Listener.end", "thriftfront.Stop": "the listener", "thriftfront.forget": "only the record of a client",
 }
 
-// endsConnection reports whether a call may end a connection: by closing it, by expiring its deadline, by panicking in a handler, or by a header.
+// endsConnection reports whether a call may end a connection: by closing it, expiring its deadline, panicking in a handler, or setting a header.
 func endsConnection(call *ast.CallExpr) bool {
 	switch f := call.Fun.(type) {
 	case *ast.Ident:
@@ -71,7 +71,7 @@
 	return names
 }
 
-// sources returns the text of all Go files, those of tests or the others.
+// sources returns the text of all test files or of all other Go files.
 func sources(t *testing.T, tests bool) string {
 	t.Helper()
 	var all strings.Builder
@@ -89,7 +89,7 @@
 	return all.String()
 }
 
-// Each place in the code that can end a client's connection is on the page of ends, and each row there names tests that there are.
+// Each function that can end a client's connection must be listed on the page of connection ends, and each row there must name existing tests.
 func TestConnectionEndsAreAccounted(t *testing.T) {
 	text, err := os.ReadFile("docs/ops/connection-ends.md")
 	if err != nil {
@@ -98,8 +98,8 @@
 	page := string(text)
 	for _, dir := range connectionPackages {
 		for _, name := range functionsThatEnd(t, dir) {
-			if spared[name] == "" && !strings.Contains(page, "`"+name+"`") {
-				t.Errorf("%s can end a connection and is not on the page", name)
+			if exempt[name] == "" && !strings.Contains(page, "`"+name+"`") {
+				t.Errorf("%s can end a connection and is not listed on the page", name)
 			}
 		}
 	}
@@ -112,20 +112,20 @@
 		rows++
 		named := regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(row, -1)
 		if len(named) == 0 {
-			t.Errorf("no test: %s", row)
+			t.Errorf("row without a test: %s", row)
 		}
 		for _, name := range named {
 			if !strings.Contains(tests, "func "+name[1]+"(t *testing.T)") {
-				t.Errorf("there is no test %s", name[1])
+				t.Errorf("test %s does not exist", name[1])
 			}
 		}
 	}
 	if rows < 20 {
-		t.Errorf("%d rows were found", rows)
+		t.Errorf("%d rows, want at least 20", rows)
 	}
 	for _, line := range regexp.MustCompile("`([a-z][a-z' ]+ [a-z' ,]+)`").FindAllStringSubmatch(page, -1) {
 		if !strings.Contains(code, line[1]) {
-			t.Errorf("no log line %q", line[1])
+			t.Errorf("the code contains no log message %q", line[1])
 		}
 	}
 }
--- a/internal/host/conntrack/closerace_test.go
+++ b/internal/host/conntrack/closerace_test.go
@@ -9,31 +9,32 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// Guards against a tracker that waits for good for the reader of a connection that it closes, and has all clients wait with it.
+// Guards against a deadlock: the tracker, while it holds its lock, waits for the reader of a connection that it closes, and all
+// clients are blocked.
 func TestClosingDoesNotWaitForALateReader(t *testing.T) {
 	for name, end := range map[string]func(t *testing.T, d *Listener){
-		"as it has been idle for long": func(t *testing.T, d *Listener) {
+		"as it is idle for too long": func(t *testing.T, d *Listener) {
 			d.tracker.now = func() time.Time { return time.Now().Add(time.Hour) }
-			for range d.tracker.most / keptPart {
-				visitor(t, d, "")
-				conn := admit(t, d)
+			for range d.tracker.maxConns / idleShareDivisor {
+				dialClient(t, d, "")
+				conn := acceptConn(t, d)
 				d.tracker.Busy(conn)
 				d.tracker.Idle(conn)
 			}
 		},
 		"for room": func(t *testing.T, d *Listener) {
-			for range d.tracker.most {
-				visitor(t, d, "")
-				d.tracker.Busy(admit(t, d))
+			for range d.tracker.maxConns {
+				dialClient(t, d, "")
+				d.tracker.Busy(acceptConn(t, d))
 			}
 		},
-		"as the listener ends":   func(_ *testing.T, d *Listener) { d.CloseIdle() },
-		"at the listener's last": func(_ *testing.T, d *Listener) { d.CloseUnfinished() },
+		"as the shutdown begins": func(_ *testing.T, d *Listener) { d.CloseIdle() },
+		"as the shutdown ends":   func(_ *testing.T, d *Listener) { d.CloseUnfinished() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newListener(t, 2)
-			visitor(t, d, "")
-			conn := admit(t, d).(*Conn)
+			dialClient(t, d, "")
+			conn := acceptConn(t, d).(*Conn)
 			d.tracker.Busy(conn)
 			d.tracker.Idle(conn)
 			read := lateReader(t, conn)
@@ -46,14 +47,15 @@
 				select {
 				case <-done:
 				case <-time.After(testkit.Patience):
-					t.Fatalf("%s waits for good", what)
+					t.Fatalf("%s is blocked forever", what)
 				}
 			}
 		})
 	}
 }
 
-// lateReader returns when a reader has begun to read a connection, and reads it when the connection is being closed. It tells when it is done.
+// lateReader returns once a reader holds the connection's descriptor. The reader reads only when the connection is being closed. The
+// channel is closed when it is done.
 func lateReader(t *testing.T, conn *Conn) <-chan struct{} {
 	t.Helper()
 	raw, err := conn.SyscallConn()
@@ -67,7 +69,7 @@
 			close(begun)
 			testkit.Eventually(t, "the connection is being closed", func() bool { return raw.Control(func(uintptr) {}) != nil })
 			if n, _, err := conn.ReadNow(fd, make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("%d bytes were read of a connection that was closed, %v", n, err)
+				t.Errorf("%d bytes were read from a closed connection, error %v", n, err)
 			}
 			return true
 		})
--- a/internal/host/conntrack/conn.go
+++ b/internal/host/conntrack/conn.go
@@ -19,28 +19,29 @@
 // Conn is a client's connection.
 type Conn struct {
 	*net.TCPConn
-	stream        *socketio.Conn // over the same connection
-	receivedBytes atomic.Int64   // bytes that were read in all
-	received      atomic.Int64   // when that was last, since the package's start
-
-	listener  *Listener
-	unwatched chan struct{} // told when something was read, and nobody may read on
-
-	// mu is waited for by readers that hold the descriptor (ReadNow): nothing that waits for them, as closing does, may be called under it.
-	mu      sync.Mutex
-	reading bool   // somebody does, and gets what comes
-	ahead   []byte // read by Probe, and by nobody else yet
-	over    bool   // more came than is kept, so that what follows is of no use
-	ending  bool   // who reads is to end it, unless something has come
-	stopped bool   // it is being closed, and nothing more is read
-	readBy  time.Time
-	failure error    // of the last Read that brought nothing
-	cause   EndCause // for which its reader is to end it
+	stream        *socketio.Conn // reads and writes the same connection
+	receivedBytes atomic.Int64   // bytes read so far
+	receivedAt    atomic.Int64   // time of the latest read, as the duration since started
+
+	listener *Listener
+	readDone chan struct{} // receives a value when a read has returned data, as the reader may not be reading any more
+
+	// mu is acquired by readers that hold the descriptor (ReadNow). Nothing that waits for those, such as closing the connection, may be
+	// called while mu is held.
+	mu           sync.Mutex
+	reading      bool   // a Read is in progress and receives what arrives
+	buffered     []byte // data that Probe has read and Read has not returned yet
+	overflowed   bool   // Probe has discarded data, so that what follows can't be used
+	endRequested bool   // the reader has been asked to close the connection, unless data has been received
+	stopped      bool   // the connection is being closed, and nothing more is read
+	readDeadline time.Time
+	readErr      error    // error of the last Read that returned no data
+	endCause     EndCause // why the reader has been asked to close the connection
 }
 
-// newConn returns a Conn over a connection that was accepted.
+// newConn returns a Conn for an accepted connection.
 func newConn(socket *net.TCPConn, l *Listener) (*Conn, error) {
-	c := &Conn{TCPConn: socket, listener: l, unwatched: make(chan struct{}, 1)}
+	c := &Conn{TCPConn: socket, listener: l, readDone: make(chan struct{}, 1)}
 	var err error
 	if c.stream, err = socketio.New(socket, l.failures.failed); err != nil {
 		return nil, err
@@ -51,20 +52,20 @@
 	return c, nil
 }
 
-// mostAhead is how many bytes Probe keeps: more than a usual request has.
-const mostAhead = 128 << 10
+// maxBufferedBytes is how many bytes Probe buffers: more than a usual request has.
+const maxBufferedBytes = 128 << 10
 
-// ReceivedBytes returns how many bytes were read from the connection.
+// ReceivedBytes returns how many bytes have been read from the connection.
 func (c *Conn) ReceivedBytes() int { return int(c.receivedBytes.Load()) }
 
-// Read reads from the connection, as net.Conn's does. Data already received takes precedence over the read deadline.
+// Read implements net.Conn. Data already received takes precedence over the read deadline.
 func (c *Conn) Read(p []byte) (n int, err error) {
 	c.mu.Lock()
-	if n = copy(p, c.ahead); n > 0 || c.over {
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
+	if n = copy(p, c.buffered); n > 0 || c.overflowed {
+		if c.buffered = c.buffered[n:]; len(c.buffered) == 0 {
+			c.buffered = nil
 		}
-		c.goOnLocked()
+		c.restoreDeadlineLocked()
 		c.mu.Unlock()
 		if n == 0 {
 			err = net.ErrClosed
@@ -75,31 +76,31 @@
 	c.mu.Unlock()
 	n, err = c.stream.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		// What has come goes before the time, which may have passed while the process stood still: a connection that is closed over a
-		// request that has come leaves that without an answer. Nobody gets more time by this, as nothing is waited for.
+		// Data already received takes precedence over the deadline, which may have passed while the process was suspended: if the
+		// connection were closed, a request that has been received would get no answer. This extends no deadline, as it does not wait.
 		if n = c.takeUnread(p); n > 0 {
 			err = nil
 		}
 	}
 	c.mu.Lock()
 	if c.reading = false; n > 0 {
-		c.goOnLocked()
+		c.restoreDeadlineLocked()
 	} else {
-		c.failure = err
+		c.readErr = err
 	}
 	c.mu.Unlock()
 	if n > 0 {
 		c.Received(n)
 		select {
-		case c.unwatched <- struct{}{}:
-		default: // one that waits to be read stands for any number
+		case c.readDone <- struct{}{}:
+		default: // a pending value stands for any number of reads
 		}
 	}
 	return n, err
 }
 
-// takeUnread reads what has come without waiting for more. Where the system does not tell whether something has, it is asked again: the
-// connection is about to be closed over that.
+// takeUnread reads what has been received, without waiting for more. If the system can't tell whether there is data, it tries again:
+// otherwise the connection would be closed and the data lost.
 func (c *Conn) takeUnread(p []byte) int {
 	for failures := 1; ; failures++ {
 		n, err := peek.Take(c.TCPConn, p)
@@ -114,8 +115,8 @@
 	}
 }
 
-// Write writes to the connection, as net.Conn's does. It goes on through errors for as long as the connection stands: the client waits for
-// its final answer. What can be sent at once takes precedence over the write deadline, which may have passed while the process was suspended.
+// Write implements net.Conn. It retries after errors while the connection is established, as the client waits for its final answer. What
+// can be sent at once is sent in spite of the write deadline, which may have passed while the process was suspended.
 func (c *Conn) Write(p []byte) (int, error) {
 	n, err := c.stream.Write(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -126,7 +127,7 @@
 	return n, err
 }
 
-// Close closes the connection. Data that has come and is unread is lost with it, which is logged: a client may wait for an answer to that.
+// Close closes the connection. Unread data is lost, which is logged: a client may be waiting for an answer to it.
 func (c *Conn) Close() error {
 	if c.listener != nil && peek.HasData(c.TCPConn) {
 		c.listener.unread.ended(c, c.receivedBytes.Load())
@@ -134,22 +135,23 @@
 	return c.TCPConn.Close()
 }
 
-// lastError returns why the last Read brought nothing, or nil, and for what its reader is to end the connection.
+// lastError returns the error of the last Read that returned no data, or nil, and why the reader has been asked to close the connection.
 func (c *Conn) lastError() (failure error, cause EndCause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failure, c.cause
+	return c.readErr, c.endCause
 }
 
-// Failed records why a reader that uses ReadNow reads no more, and for what it ends the connection; NotEnded where the client has.
+// RecordReadError records the error with which a reader that uses ReadNow stops reading, and why it closes the connection. Cause is
+// NotEnded if the client ended it.
 func (c *Conn) Failed(err error, cause EndCause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failure, c.cause = err, cause
+	c.readErr, c.endCause = err, cause
 }
 
-// SinceLastData is how long ago the last bytes arrived in the kernel, whoever has read them by now and however late. Where the system does not tell
-// it is the most that it can be: they came after the latest wait for data, or for a connection.
+// SinceLastData returns how long ago the last bytes arrived in the kernel, whether or not they have been read. If the system can't tell, it
+// returns an upper bound: the bytes arrived no earlier than the latest wait for data, or for a connection.
 func (c *Conn) SinceLastData() time.Duration {
 	if since, known := peek.SinceLastData(c.TCPConn); known {
 		return since
@@ -161,69 +163,69 @@
 	return time.Since(ready)
 }
 
-// Watched reports whether somebody reads the connection now, who sees its end at once. Where that changes Unwatched is told.
+// BeingRead reports whether a Read is in progress, which would notice a disconnect at once. ReadDone signals when that changes.
 func (c *Conn) Watched() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reading
 }
 
-// Unwatched is told when a read of the connection has brought something: nobody may be reading any more.
-func (c *Conn) Unwatched() <-chan struct{} { return c.unwatched }
+// ReadDone returns a channel that receives a value when a Read has returned data: the connection may not be being read any more.
+func (c *Conn) Unwatched() <-chan struct{} { return c.readDone }
 
-// Disconnected reports whether the client has ended the connection, without waiting. What it sent before stays to be read.
+// Disconnected reports, without blocking, whether the client has ended the connection. Data that it sent before can still be read.
 func (c *Conn) Disconnected() bool { return peek.HungUp(c.TCPConn) }
 
-// end expires the read deadline, so that whoever reads the connection closes it. Data that has been received takes precedence, and
-// the connection stays open then: no request is both read and left without an answer.
+// end expires the read deadline, so that the reader of the connection closes it. Data that has been received takes precedence, and
+// the connection stays open then: no request is read and left without an answer.
 func (c *Conn) end(cause EndCause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending, c.cause = true, cause
+	c.endRequested, c.endCause = true, cause
 	c.TCPConn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// goOnLocked restores the read deadline that end has expired.
-func (c *Conn) goOnLocked() {
-	if c.ending {
-		c.ending, c.cause = false, NotEnded
-		c.TCPConn.SetReadDeadline(c.readBy)
+// restoreDeadlineLocked restores the read deadline that end has expired.
+func (c *Conn) restoreDeadlineLocked() {
+	if c.endRequested {
+		c.endRequested, c.endCause = false, NotEnded
+		c.TCPConn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// SetReadDeadline is net.Conn's. A reader that waits for a request sets a time for that; one that takes it back has found a request
-// in what it had read before, which the end must not cut short.
+// SetReadDeadline implements net.Conn. A reader that waits for a request sets a deadline. One that clears it has found a request in data
+// that it had read before, which a pending request to close the connection must not cut off.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readBy = t
-	if c.ending = c.ending && !t.IsZero(); c.ending {
+	c.readDeadline = t
+	if c.endRequested = c.endRequested && !t.IsZero(); c.endRequested {
 		return nil
 	}
-	c.cause = NotEnded
+	c.endCause = NotEnded
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// LimitReading brings the read deadline forward to some time from now, unless there is none or an earlier one.
+// LimitReading moves the read deadline forward to within from now, unless there is none or an earlier one.
 func (c *Conn) LimitReading(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	by := time.Now().Add(within)
-	if c.readBy.IsZero() || c.readBy.Before(by) {
+	if c.readDeadline.IsZero() || c.readDeadline.Before(by) {
 		return
 	}
-	c.readBy = by
-	if !c.ending {
+	c.readDeadline = by
+	if !c.endRequested {
 		c.TCPConn.SetReadDeadline(by)
 	}
 }
 
-// SetDeadline is net.Conn's.
+// SetDeadline implements net.Conn.
 func (c *Conn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// Quiet reports whether it is certain that there is no unread data.
+// HasNoUnread reports whether the connection is certain to be open and without unread data.
 func (c *Conn) Quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,7 +234,7 @@
 
 func (c *Conn) quietLocked() bool { return c.unreadLocked() == peek.UnreadNothing }
 
-// unread is what has come and was not read, by Probe neither.
+// unread returns what has been received and not been returned by Read, including data that Probe has buffered.
 func (c *Conn) unread() peek.Unread {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,14 +242,14 @@
 }
 
 func (c *Conn) unreadLocked() peek.Unread {
-	if len(c.ahead) > 0 || c.over {
+	if len(c.buffered) > 0 || c.overflowed {
 		return peek.UnreadData
 	}
 	return peek.UnreadOf(c.TCPConn)
 }
 
-// stopReading ends the reading of the connection, which is to be closed, if no more than some number of bytes was ever received. It reports
-// whether it did.
+// stopReading prevents further reads of the connection, which is then closed, if no more than the given number of bytes have been received
+// and no data is unread. It reports whether it did.
 func (c *Conn) stopReading(received int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,8 +260,8 @@
 	return true
 }
 
-// ReadNow reads what has come on the connection's descriptor without waiting, for readers that poll it themselves. It is not done where there is
-// nothing to read. The connection is not closed for want of data between the reading and its record.
+// ReadNow reads from the connection's descriptor without blocking, for readers that poll it themselves. Done is false if there is nothing
+// to read. The connection can't be closed as unused between the read and its being recorded.
 func (c *Conn) ReadNow(fd uintptr, p []byte) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -278,50 +280,50 @@
 	return max(n, 0), reads.End(fd, unix.POLLIN, err), err
 }
 
-// ReadTries decides how often a reader that uses ReadNow tries one read.
+// NewReadTries returns the retry policy of one read, for a reader that uses ReadNow.
 func (c *Conn) ReadTries() socketio.Tries {
 	return socketio.NewTries("read", c.listener.failures.failed)
 }
 
-// Received records that bytes were read.
+// RecordReceived records that n bytes were read.
 func (c *Conn) Received(n int) {
-	c.received.Store(int64(time.Since(started)))
+	c.receivedAt.Store(int64(time.Since(started)))
 	c.receivedBytes.Add(int64(n))
 }
 
-// started is what times of connections count from.
+// started is the reference point of receivedAt.
 var started = time.Now()
 
-// lastReceived is when bytes were last read.
-func (c *Conn) lastReceived() time.Time { return started.Add(time.Duration(c.received.Load())) }
+// lastReceived returns when bytes were last read.
+func (c *Conn) lastReceived() time.Time { return started.Add(time.Duration(c.receivedAt.Load())) }
 
-// parts are what Probe reads into: one of its own for each request would be most of the garbage.
-var parts = sync.Pool{New: func() any { return new([4 << 10]byte) }}
+// probeBuffers are the buffers that Probe reads into: a new one for each request would be most of the garbage.
+var probeBuffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
 
-// Probe reports, without blocking, whether the client has closed the connection, also when the FIN is queued behind unread data that
-// fills the receive buffer. It reads up to mostAhead bytes of that and keeps them for Read. With more than that the connection
-// can't carry another request, as over says.
+// Probe reports, without blocking, whether the client has closed the connection, even if the FIN is queued behind unread data that
+// fills the receive buffer. It reads up to maxBufferedBytes of that data and keeps them for Read. If there is more, it returns over, and
+// the connection can't carry another request.
 func (c *Conn) Probe() (gone, over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reading { // who reads sees the end itself, unless it comes at this moment
-		return peek.HungUp(c.TCPConn), c.over
+	if c.reading { // the reader notices the end itself, unless it arrives at this moment
+		return peek.HungUp(c.TCPConn), c.overflowed
 	}
-	part := parts.Get().(*[4 << 10]byte)
-	defer parts.Put(part)
-	for most := 2 * mostAhead; most > 0; most -= len(part) {
+	part := probeBuffers.Get().(*[4 << 10]byte)
+	defer probeBuffers.Put(part)
+	for most := 2 * maxBufferedBytes; most > 0; most -= len(part) {
 		n, err := peek.Take(c.TCPConn, part[:])
 		if err == peek.ErrNothing {
 			c.stream.Reads().Empty()
 		}
 		if n == 0 {
-			return !errors.Is(err, peek.ErrNothing) && !errors.Is(err, peek.ErrUnclear), c.over
+			return !errors.Is(err, peek.ErrNothing) && !errors.Is(err, peek.ErrUnclear), c.overflowed
 		}
 		c.Received(n)
 		c.stream.Reads().Took()
-		if c.over = c.over || len(c.ahead)+n > mostAhead; !c.over {
-			c.ahead = append(c.ahead, part[:n]...)
+		if c.overflowed = c.overflowed || len(c.buffered)+n > maxBufferedBytes; !c.overflowed {
+			c.buffered = append(c.buffered, part[:n]...)
 		}
 	}
-	return peek.HungUp(c.TCPConn), c.over
+	return peek.HungUp(c.TCPConn), c.overflowed
 }
--- a/internal/host/conntrack/ends.go
+++ b/internal/host/conntrack/ends.go
@@ -12,27 +12,27 @@
 // EndCause is why a client's connection ended.
 type EndCause int
 
-// The causes. Those from EndedIdle on are the agent's own, on connections without a request: a request that is on its way then is not read.
+// The causes. From EndedIdle on, the agent itself ended a connection that had no request: a request then in transit is never read.
 const (
-	NotEnded         EndCause = iota // by the agent, so far
-	EndedByClient                    // it closed or reset the connection
-	EndedWithRequest                 // behind the answer to a request, or without one, which has a line of its own in the log
-	EndedIdle                        // nothing came on it for long after an answer
-	EndedSilent                      // no request came on it whole in time
-	EndedForRoom                     // other connections need its place
-	EndedForShutdown                 // its listener ends
+	NotEnded         EndCause = iota // the agent has not ended it so far
+	EndedByClient                    // the client closed or reset the connection
+	EndedWithRequest                 // after the answer to a request, or without an answer, which is logged separately
+	EndedIdle                        // no data for too long after an answer
+	EndedSilent                      // no complete first request in time
+	EndedForRoom                     // its slot was needed for other connections
+	EndedForShutdown                 // its listener was shutting down
 	endCauses
 )
 
 var endCauseNames = [endCauses]string{"", "client", "request", "idle", "silent", "room", "shutdown"}
 
-// String returns the cause as the log has it.
+// String returns the name of the cause in the log.
 func (c EndCause) String() string { return endCauseNames[c] }
 
 // EndCounts counts ended connections by cause.
 type EndCounts [endCauses]int
 
-// String lists the causes that were seen.
+// String lists the causes whose count is not zero.
 func (n EndCounts) String() string {
 	var seen []string
 	for cause, count := range n {
@@ -43,34 +43,34 @@
 	return strings.Join(seen, ", ")
 }
 
-// endCause is why a connection was closed.
+// endCause returns why a connection was closed.
 func (v *entry) endCause() EndCause {
 	failure, cause := v.conn.lastError()
 	expired := errors.Is(failure, os.ErrDeadlineExceeded)
 	switch {
 	case expired && cause != NotEnded:
 		return cause
-	case v.in == nil:
+	case v.queue == nil:
 		return EndedWithRequest
 	case !expired:
 		return EndedByClient
-	case v.in == v.from.tracker.fresh:
+	case v.queue == v.listener.tracker.fresh:
 		return EndedSilent
 	}
 	return EndedIdle
 }
 
-// recordEndLocked counts the end of a connection, and logs it where the agent itself ended it without a request.
+// recordEndLocked counts the end of a connection, and logs it if the agent itself ended a connection without a request.
 func (t *Tracker) recordEndLocked(v *entry, cause EndCause) {
 	t.stats.Ended[cause]++
-	if v.in != nil && v.begun() {
-		v.from.unfinished.ended(v.conn, v.conn.receivedBytes.Load()-v.read)
+	if v.queue != nil && v.requestBegun() {
+		v.listener.unfinished.ended(v.conn, v.conn.receivedBytes.Load()-v.receivedBefore)
 	}
 	if cause < EndedIdle {
 		return
 	}
-	v.from.endings.add(slog.LevelInfo, func() []any {
-		return []any{"cause", cause.String(), "waited", time.Since(v.since).Round(time.Millisecond), "age", time.Since(v.opened).Round(time.Millisecond),
+	v.listener.endings.add(slog.LevelInfo, func() []any {
+		return []any{"cause", cause.String(), "waited", time.Since(v.queuedAt).Round(time.Millisecond), "age", time.Since(v.acceptedAt).Round(time.Millisecond),
 			"received_bytes", v.conn.ReceivedBytes()}
 	})
 }
--- a/internal/host/conntrack/ends_test.go
+++ b/internal/host/conntrack/ends_test.go
@@ -10,7 +10,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// endCase brings a connection to its end: first what its client and its request do, then why its reader finds nothing.
+// endCase is one way in which a connection ends: before sets up its state, and end makes its reader's next read fail.
 type endCase struct {
 	cause  EndCause
 	before func(d *Listener, conn net.Conn)
@@ -29,24 +29,24 @@
 		{EndedForRoom, answered, func(d *Listener, _, conn net.Conn) {
 			d.tracker.mu.Lock()
 			defer d.tracker.mu.Unlock()
-			d.tracker.yieldLocked(d.tracker.all[conn], EndedForRoom)
+			d.tracker.yieldLocked(d.tracker.conns[conn], EndedForRoom)
 		}},
 		{EndedForShutdown, answered, func(d *Listener, _, _ net.Conn) { d.CloseIdle() }},
 	}
 }
 
-// The end of each connection is counted by its cause, and has a line where the agent ended it without a request.
+// The end of each connection is counted by its cause, and logged if the agent ended it without a request.
 func TestEndsAreCountedByCause(t *testing.T) {
 	for _, c := range endCases() {
 		t.Run(c.cause.String(), func(t *testing.T) {
 			log := &testkit.Log{}
 			d := newLoggedListener(t, 10, slog.New(slog.NewTextHandler(log, nil))).ReaderCloses()
-			client := visitor(t, d, "")
-			conn := admit(t, d)
+			client := dialClient(t, d, "")
+			conn := acceptConn(t, d)
 			c.before(d, conn)
 			c.end(d, client, conn)
 			if _, err := conn.Read(make([]byte, 1)); err == nil {
-				t.Fatal("something was read")
+				t.Fatal("data was read")
 			}
 			conn.Close()
 			d.tracker.Closed(conn)
@@ -56,17 +56,17 @@
 			}
 			line := strings.Contains(log.String(), "client connection ended without a request\" cause="+c.cause.String())
 			if own := c.cause >= EndedIdle; line != own {
-				t.Errorf("a line %t, want %t\n%s", line, own, log)
+				t.Errorf("logged: %t, want %t\n%s", line, own, log)
 			}
 		})
 	}
 }
 
-// A connection that is closed directly, as its reader waits for no deadline, counts too.
+// A connection that the tracker closes itself, as its reader does not close it at its deadline, is counted too.
 func TestDirectEndsAreCountedByCause(t *testing.T) {
 	d := newListener(t, 10)
-	visitor(t, d, "")
-	conn := admit(t, d)
+	dialClient(t, d, "")
+	conn := acceptConn(t, d)
 	d.CloseSilent()
 	d.tracker.Closed(conn) // its reader finds it closed
 	if ended := d.tracker.Stats().Ended; ended != (EndCounts{EndedForShutdown: 1}) {
--- a/internal/host/conntrack/listener.go
+++ b/internal/host/conntrack/listener.go
@@ -12,33 +12,34 @@
 	"ternbeam/internal/host/accept"
 )
 
-// Listener is a net.Listener that accepts through a Tracker.
+// Listener is a net.Listener whose connections are registered with a Tracker. One goroutine at a time may call Accept; the other methods
+// are safe for concurrent use.
 type Listener struct {
 	*net.TCPListener
 	tracker      *Tracker
 	ending       atomic.Bool
-	by           time.Time   // when the taking from the queue ends at the latest; who accepts sets it
-	latest       time.Time   // what by may be at the most, zero for any; set before ending is
-	left         atomic.Bool // to another process, which accepts what stands in the queue
+	drainBy      time.Time   // when draining the accept queue ends at the latest; set by Accept
+	drainLatest  time.Time   // upper bound of drainBy, zero for none; set before ending
+	handedOver   atomic.Bool // the socket is left to another process, which accepts what is queued
 	closed       chan struct{}
-	retry        *accept.Retrier
-	socket       *accept.Socket               // accepts; nil where it could not be opened, and TCPListener does
-	accept       func() (*net.TCPConn, error) // of one of them, or a test's
-	readerCloses bool                         // who reads a connection ends it, by its read deadline
+	retrier      *accept.Retrier
+	socket       *accept.Socket               // accepts connections; nil if it could not be opened, and TCPListener accepts them
+	accept       func() (*net.TCPConn, error) // Accept of socket or of TCPListener, or a test's
+	readerCloses bool                         // readers close connections when their read deadline expires
 	unfinished   *countedLog                  // connections that ended with an unfinished request
-	unread       *countedLog                  // connections that are closed over unread data
-	failures     *countedLog                  // calls that failed on connections that stand
-	endings      *countedLog                  // connections that the agent ends without a request
-
-	// What follows is under the Tracker's lock.
-	count   int           // of its connections
-	shut    bool          // none stays idle
-	emptied chan struct{} // closed when there are none; nil where nobody waits for that
+	unread       *countedLog                  // connections closed over unread data
+	failures     *countedLog                  // system calls that failed on established connections
+	endings      *countedLog                  // connections that the agent closed without a request
+
+	// The following fields are guarded by the Tracker's lock.
+	count     int           // connections of this listener
+	closeIdle bool          // connections are closed as they become idle
+	emptied   chan struct{} // closed when there are no connections; nil if nobody waits for that
 }
 
 // Listen returns a Listener whose connections are tracked.
 func (t *Tracker) Listen(l *net.TCPListener, log *slog.Logger) *Listener {
-	listener := &Listener{TCPListener: l, tracker: t, closed: make(chan struct{}), retry: accept.NewRetrier(log), accept: l.AcceptTCP,
+	listener := &Listener{TCPListener: l, tracker: t, closed: make(chan struct{}), retrier: accept.NewRetrier(log), accept: l.AcceptTCP,
 		unfinished: newCountedLog(log, "connection closed with an unfinished request", countedLinesPerSecond, &t.unfinished),
 		unread:     newCountedLog(log, "connection closed over unread data", countedLinesPerSecond, &t.unread),
 		failures:   newCountedLog(log, "a call failed on a client's connection that stands, trying again", countedLinesPerSecond, &t.failures),
@@ -52,7 +53,7 @@
 	return listener
 }
 
-// SetDeadline sets when Accept fails with os.ErrDeadlineExceeded.
+// SetDeadline sets the deadline after which Accept fails with os.ErrDeadlineExceeded.
 func (l *Listener) SetDeadline(t time.Time) error {
 	if l.socket != nil {
 		return l.socket.SetDeadline(t)
@@ -60,7 +61,7 @@
 	return l.TCPListener.SetDeadline(t)
 }
 
-// Close ends the listening.
+// Close closes the listening socket.
 func (l *Listener) Close() error {
 	if l.socket != nil {
 		l.socket.Close()
@@ -68,19 +69,19 @@
 	return l.TCPListener.Close()
 }
 
-// ReaderCloses leaves the closing of connections to their readers, whose read deadline is expired instead: for readers that close a
+// ReaderCloses leaves closing connections to their readers and expires the read deadline instead. It is for readers that close a
 // connection when its deadline passes without data. It must be called before the first Accept.
 func (l *Listener) ReaderCloses() *Listener {
 	l.readerCloses = true
 	return l
 }
 
-// Accept accepts the next connection. After CloseAfter it drains the accept queue of the kernel before it returns net.ErrClosed. Errors
-// of the system neither end it nor count as an empty queue.
+// Accept accepts the next connection. After CloseAfter it drains the kernel's accept queue before it returns net.ErrClosed. System errors
+// neither end it nor count as an empty queue.
 func (l *Listener) Accept() (net.Conn, error) {
 	for queued := true; ; queued = false {
-		socket, err := accept.Do(l.retry, func() (*net.TCPConn, error) {
-			if !l.by.IsZero() && time.Now().After(l.by) {
+		socket, err := accept.Do(l.retrier, func() (*net.TCPConn, error) {
+			if !l.drainBy.IsZero() && time.Now().After(l.drainBy) {
 				return nil, net.ErrClosed
 			}
 			return l.accept()
@@ -88,23 +89,23 @@
 		switch {
 		case err == nil:
 			c, err := newConn(socket, l)
-			if err != nil { // it is closed already
+			if err != nil { // the connection is closed already
 				continue
 			}
-			l.tracker.enter(&entry{conn: c, from: l})
+			l.tracker.enter(&entry{conn: c, listener: l})
 			return c, nil
 		case !l.ending.Load():
 			return nil, err
-		case !queued || l.left.Load() || errors.Is(err, net.ErrClosed):
+		case !queued || l.handedOver.Load() || errors.Is(err, net.ErrClosed):
 			return nil, l.end()
 		}
-		if l.by.IsZero() {
-			l.by = time.Now().Add(mostDrained) // a queue of two processes is never empty for long
-			if !l.latest.IsZero() && l.latest.Before(l.by) {
-				l.by = l.latest
+		if l.drainBy.IsZero() {
+			l.drainBy = time.Now().Add(mostDrained) // a queue shared by two processes may never be seen empty
+			if !l.drainLatest.IsZero() && l.drainLatest.Before(l.drainBy) {
+				l.drainBy = l.drainLatest
 			}
 		}
-		l.SetDeadline(time.Now().Add(drained)) // one that has passed lets nothing in that waits already
+		l.SetDeadline(time.Now().Add(drained)) // with an expired deadline even queued connections would not be accepted
 	}
 }
 
@@ -114,27 +115,27 @@
 	return net.ErrClosed
 }
 
-// CloseAfter stops accepting after a while, once the accept queue is empty or mostDrained later, and waits for that. With lingering 0
-// it stops at once: another process shares the listening socket and accepts what is queued. With an end, accepting stops early
-// enough for the last connection to be answered by then.
+// CloseAfter stops accepting after lingering, once the accept queue is empty or at the latest maxQueueDrain later, and waits until then.
+// With lingering 0 it stops at once: another process shares the listening socket and accepts what is queued. If end is not zero, accepting
+// stops early enough for the last connection to be answered by end.
 func (l *Listener) CloseAfter(lingering time.Duration, end time.Time) {
 	if !end.IsZero() {
-		l.latest = end.Add(-AnswerWriteTime - SilentGrace)
+		l.drainLatest = end.Add(-AnswerWriteTime - SilentGrace)
 	}
-	l.left.Store(lingering == 0)
+	l.handedOver.Store(lingering == 0)
 	l.ending.Store(true)
 	l.SetDeadline(time.Now().Add(lingering))
 	<-l.closed
 }
 
-// CloseSilent closes the listener's connections on which nothing was received yet.
+// CloseSilent closes the listener's connections on which nothing has been received yet.
 func (l *Listener) CloseSilent() {
 	l.tracker.mu.Lock()
 	defer l.tracker.unlock()
 	l.closeUnbegunLocked(l.tracker.fresh, &l.tracker.stats.EndedSilent)
 }
 
-// CloseUnfinished closes the listener's connections that have no whole request, also those that have received a part of one.
+// CloseUnfinished closes the listener's connections without a complete request, including those that have received part of one.
 func (l *Listener) CloseUnfinished() {
 	l.tracker.mu.Lock()
 	defer l.tracker.unlock()
@@ -146,19 +147,19 @@
 	}
 }
 
-// CloseIdle closes the listener's idle connections, and from now on each as it becomes idle. One that has received a part of a
-// request stays.
+// CloseIdle closes the listener's idle connections, and from now on each connection as it becomes idle. Those that have received part of a
+// request stay open.
 func (l *Listener) CloseIdle() {
 	l.tracker.mu.Lock()
 	defer l.tracker.unlock()
-	l.shut = true
+	l.closeIdle = true
 	l.closeUnbegunLocked(l.tracker.idle, &l.tracker.stats.EndedIdle)
 }
 
-// closeUnbegunLocked closes the listener's connections in a queue that have received nothing of a request, and counts them.
+// closeWithoutDataLocked closes the listener's connections in a queue that have received no part of a request, and counts them.
 func (l *Listener) closeUnbegunLocked(from *list.List, ended *int) {
 	l.eachLocked(from, func(v *entry) {
-		if v.begun() {
+		if v.requestBegun() {
 			l.tracker.stats.KeptBegun++
 			return
 		}
@@ -167,18 +168,18 @@
 	})
 }
 
-// eachLocked calls do with each of the listener's connections in a queue. Do may take the connection out of it.
+// eachLocked calls do with each of the listener's connections in a queue. Do may remove the connection from it.
 func (l *Listener) eachLocked(from *list.List, do func(*entry)) {
 	for e := from.Front(); e != nil; {
 		next := e.Next()
-		if v := e.Value.(*entry); v.from == l {
+		if v := e.Value.(*entry); v.listener == l {
 			do(v)
 		}
 		e = next
 	}
 }
 
-// Empty waits until the listener, which has stopped accepting, has no connection left, or until ctx ends.
+// WaitEmpty waits until the listener, which must have stopped accepting, has no connection left. It returns ctx's error if ctx ends first.
 func (l *Listener) Empty(ctx context.Context) error {
 	l.tracker.mu.Lock()
 	if l.count == 0 {
--- a/internal/host/conntrack/log.go
+++ b/internal/host/conntrack/log.go
@@ -11,13 +11,13 @@
 	"ternbeam/internal/sysio/socketio"
 )
 
-// How many lines of one kind are written: clients may leave by the thousand, and a system that is short of memory fails many calls.
+// Rate limits of log lines of one kind: thousands of clients may disconnect at once, and a system that is short of memory fails many calls.
 const (
 	countedLinesPerSecond = 1
-	endLinesPerSecond     = 10 // of connections that the agent ends
+	endLinesPerSecond     = 10 // for connections that the agent ends
 )
 
-// countedLog counts what happens to connections in one way, and logs some of it. It is safe for concurrent use.
+// countedLog counts events of one kind on connections, and logs some of them. It is safe for concurrent use.
 type countedLog struct {
 	log     *slog.Logger
 	message string
@@ -29,7 +29,7 @@
 	return &countedLog{log: log, message: message, total: total, limiter: rate.NewLimiter(rate.Limit(linesPerSecond), linesPerSecond)}
 }
 
-// add counts, and logs attributes where a line may be written.
+// add counts an event, and logs it with its attributes if the rate limit allows.
 func (l *countedLog) add(level slog.Level, attributes func() []any) {
 	total := l.total.Add(1)
 	if l.limiter.Allow() {
@@ -37,7 +37,7 @@
 	}
 }
 
-// ended records a connection that ended, and how much had been received on it of what matters.
+// ended records a connection that ended, and how many bytes of the relevant data had been received on it.
 func (l *countedLog) ended(c *Conn, received int64) {
 	l.add(slog.LevelInfo, func() []any {
 		failure, cause := c.lastError()
@@ -45,7 +45,7 @@
 	})
 }
 
-// failed records a call that failed.
+// failed records a system call that failed.
 func (l *countedLog) failed(f socketio.Failure) {
 	l.add(slog.LevelWarn, func() []any { return []any{"call", f.Call, "error", f.Err} })
 }
--- a/internal/host/conntrack/room.go
+++ b/internal/host/conntrack/room.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// staleAfter is how long a request that has begun to come may pause before its connection may give way to another.
+	// partialRequestStaleAfter is how long a partly received request may pause before its connection may be closed for another.
 	staleAfter = 500 * time.Millisecond
-	// mostYielding is how many connections may be on their way out at a time, beyond the places that there are. Accepting waits for some of
-	// them then, for yieldWait at the most: a reader that is to end a connection needs no longer, unless it is suspended.
-	mostYielding = 8
-	yieldWait    = 20 * time.Millisecond
-
-	// freshGrace is for how long a new connection has its place to send a request, where that does not have a newcomer wait for over
-	// mostQueued, in the kernel's queue and here.
+	// maxYielding limits how many connections may be yielding at a time, that is, are about to be closed by their readers and no longer
+	// count against the limit on connections. When it is reached, accepting waits for some of them, but no longer than maxYieldWait: a reader
+	// needs no longer to close a connection, unless it is suspended.
+	maxYielding = 8
+	yieldWait   = 20 * time.Millisecond
+
+	// freshGrace is how long a new connection keeps its slot for sending a request, provided that a newcomer does not wait longer than
+	// maxQueueWait for it, in the kernel's queue and here.
 	freshGrace = 300 * time.Millisecond
 	mostQueued = 200 * time.Millisecond
-	roomLook   = 5 * time.Millisecond // how often it is looked whether a newcomer that waits has sent a request
+	roomLook   = 5 * time.Millisecond // how often a waiting newcomer is checked for a request
 
-	// keptPart is the part of the places, inverted, that idle connections may hold for as long as their clients keep them. Beyond that, ones that
-	// have been idle for idleAfter give way: a request may be on its way on each that is closed.
-	keptPart  = 2
-	idleAfter = 2050 * time.Millisecond
+	// idleShareDivisor is the reciprocal of the share of slots that idle connections may hold for as long as their clients keep them. Beyond
+	// that share, connections that have been idle for surplusIdleAfter are closed, and no others, as a request may be in transit on each
+	// connection that is closed.
+	idleShareDivisor = 2
+	idleAfter        = 2050 * time.Millisecond
 )
 
-// awaitYielding waits until few connections are on their way out.
+// awaitYielding waits until fewer than maxYielding connections are yielding, or maxYieldWait has passed.
 func (t *Tracker) awaitYielding() {
 	var expired <-chan time.Time
-	for t.yieldingCount() >= mostYielding {
+	for t.yieldingCount() >= maxYielding {
 		if expired == nil {
 			timer := time.NewTimer(yieldWait)
 			defer timer.Stop()
@@ -44,28 +46,29 @@
 	}
 }
 
-// awaitFreshGrace has a newcomer wait, where every place is taken, until the connection that would give way to it has had its time to send a
-// request, unless the newcomer has sent one itself or has waited for long.
+// awaitFreshGrace makes a newcomer wait, if all slots are taken, until the connection that would be closed for it has had freshGrace to
+// send a request. It does not wait if the newcomer itself has sent data or has waited for maxQueueWait.
 func (t *Tracker) awaitFreshGrace(newcomer *Conn) {
 	for wait := t.freshGraceLeft(); wait > 0; wait = t.freshGraceLeft() {
-		mostWait := mostQueued - newcomer.SinceLastData()
-		if mostWait <= 0 || newcomer.unread() != peek.UnreadNothing {
+		maxWait := mostQueued - newcomer.SinceLastData()
+		if maxWait <= 0 || newcomer.unread() != peek.UnreadNothing {
 			return
 		}
-		time.Sleep(min(wait, mostWait, roomLook))
+		time.Sleep(min(wait, maxWait, roomLook))
 	}
 }
 
-// freshGraceLeft is for how long the connection that would give way first has its place yet; 0 where there is room, or none that said nothing.
+// freshGraceLeft returns how long the connection that would be closed first may still keep its slot. It is 0 if a slot is free or every
+// connection has received data.
 func (t *Tracker) freshGraceLeft() time.Duration {
 	t.mu.Lock()
 	defer t.unlock()
-	if len(t.all) < t.most+t.yielding {
+	if len(t.conns) < t.maxConns+t.yielding {
 		return 0
 	}
 	for e := t.fresh.Front(); e != nil; e = e.Next() {
-		if v := e.Value.(*entry); !v.yielding && !v.begun() {
-			return freshGrace - t.now().Sub(v.opened)
+		if v := e.Value.(*entry); !v.yielding && !v.requestBegun() {
+			return freshGrace - t.now().Sub(v.acceptedAt)
 		}
 	}
 	return 0
@@ -77,32 +80,32 @@
 	return t.yielding
 }
 
-// endSurplusIdleLocked ends connections that have been idle for idleAfter, the longest first, while idle ones hold more than their part of the
-// places and few connections are on their way out.
+// endSurplusIdleLocked closes connections that have been idle for surplusIdleAfter, the longest idle first, while idle ones hold more than
+// their share of the slots and fewer than maxYielding connections are yielding.
 func (t *Tracker) endSurplusIdleLocked() {
 	next := t.idle.Front()
-	for surplus := t.idle.Len() - t.most/keptPart; surplus > 0 && next != nil && t.yielding < mostYielding; surplus-- {
+	for surplus := t.idle.Len() - t.maxConns/idleShareDivisor; surplus > 0 && next != nil && t.yielding < maxYielding; surplus-- {
 		v := next.Value.(*entry)
-		if t.now().Sub(v.since) < idleAfter {
+		if t.now().Sub(v.queuedAt) < idleAfter {
 			return
 		}
 		next = next.Next()
-		if !v.begun() {
+		if !v.requestBegun() {
 			t.yieldLocked(v, EndedIdle)
 		}
 	}
 }
 
-// makeRoomLocked closes a connection on which nothing was received, or else one whose request has stalled; the newest only if
-// there is no other. A request that was read, and that Busy was not called for yet, is never cut off.
+// makeRoomLocked closes a connection that has received nothing since it was queued, or else one whose partial request has stalled; the newest
+// only if there is no other. A connection whose request was read, but not yet reported by MarkBusy, is never closed.
 func (t *Tracker) makeRoomLocked(newest *entry) {
 	now := t.now()
-	for _, may := range []func(v *entry) bool{
-		func(v *entry) bool { return !v.begun() },
+	for _, eligible := range []func(v *entry) bool{
+		func(v *entry) bool { return !v.requestBegun() },
 		func(v *entry) bool { return now.Sub(v.conn.lastReceived()) > staleAfter },
 	} {
 		for _, from := range []*list.List{t.fresh, t.idle} {
-			if t.yieldOneLocked(from, func(v *entry) bool { return v != newest && may(v) }) {
+			if t.yieldOneLocked(from, func(v *entry) bool { return v != newest && eligible(v) }) {
 				return
 			}
 		}
@@ -112,13 +115,13 @@
 	}
 }
 
-// yieldOneLocked has the first connection of a queue give way that may and on which nothing is unread. It reports whether no other has to: one that
-// its client has left does as well, and one of which the system does not tell may be such a one.
-func (t *Tracker) yieldOneLocked(from *list.List, may func(v *entry) bool) (done bool) {
+// yieldOneLocked closes the first eligible connection of a queue that has no unread data. It reports whether no other connection needs to be
+// closed: one whose client has disconnected frees its slot as well, and one whose state the system can't tell may be such a connection.
+func (t *Tracker) yieldOneLocked(from *list.List, eligible func(v *entry) bool) (done bool) {
 	unknown := false
 	for e := from.Front(); e != nil; e = e.Next() {
 		v := e.Value.(*entry)
-		if v.yielding || !may(v) {
+		if v.yielding || !eligible(v) {
 			continue
 		}
 		switch v.conn.unread() {
@@ -137,11 +140,11 @@
 	return unknown
 }
 
-// yieldLocked closes a connection without a request whose place is needed. Its reader does so where it can: only the reader knows whether it has taken a
-// request from the kernel that is not recorded yet.
+// yieldLocked closes a connection without a request whose slot is needed. If readers close connections, its reader does: only the reader
+// knows whether it has read a request from the kernel that is not recorded yet.
 func (t *Tracker) yieldLocked(v *entry, cause EndCause) bool {
-	if !v.from.readerCloses {
-		return !v.begun() && t.closeLocked(v, cause)
+	if !v.listener.readerCloses {
+		return !v.requestBegun() && t.closeLocked(v, cause)
 	}
 	if !v.conn.Quiet() {
 		return false
@@ -152,14 +155,14 @@
 	return true
 }
 
-// startYieldingLocked counts a connection as on its way out.
+// startYieldingLocked marks a connection as yielding: its reader is about to close it.
 func (t *Tracker) startYieldingLocked(v *entry) {
 	v.yielding = true
 	t.yielding++
 }
 
-// yieldedLocked ends the count of a connection as yielding: it is closed, or has a request after all.
-func (t *Tracker) yieldedLocked(v *entry) {
+// doneYieldingLocked unmarks a connection as yielding: it has been closed, or has received a request after all.
+func (t *Tracker) doneYieldingLocked(v *entry) {
 	if !v.yielding {
 		return
 	}
@@ -167,24 +170,25 @@
 	t.yielding--
 	select {
 	case t.yielded <- struct{}{}:
-	default: // who waits looks at the count
+	default: // a pending value is enough: the waiter checks the count
 	}
 }
 
-// closeLocked has unlock close a connection unless something has come on it. Nobody may be reading it, but by ReadNow.
+// closeLocked removes a connection and schedules it for closing by unlock, unless data has been received on it. It must not be called for
+// connections that are read in any way but by ReadNow.
 func (t *Tracker) closeLocked(v *entry, cause EndCause) bool {
-	if !v.conn.stopReading(v.read) {
+	if !v.conn.stopReading(v.receivedBefore) {
 		return false
 	}
 	t.closing = append(t.closing, v.conn)
 	t.recordEndLocked(v, cause)
-	t.forgetLocked(v)
+	t.removeLocked(v)
 	return true
 }
 
-// NearlyFull reports whether connections that have sent something hold five eighths of the places.
+// NearlyFull reports whether connections that have sent data hold at least five eighths of the slots.
 func (t *Tracker) NearlyFull() bool {
 	t.mu.Lock()
 	defer t.unlock()
-	return len(t.all)-t.fresh.Len() >= t.most*5/8
+	return len(t.conns)-t.fresh.Len() >= t.maxConns*5/8
 }
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -1,5 +1,5 @@
-// Package conntrack accepts the connections of clients, for every front, and tracks them: which have a request, which are idle, and
-// which give way when there are too many or when the agent ends.
+// Package conntrack accepts and tracks the connections of clients for all fronts. It records which have a request and which are idle, and
+// decides which are closed when there are too many or when the agent shuts down.
 package conntrack
 
 import (
@@ -11,47 +11,49 @@
 )
 
 const (
-	drained     = 50 * time.Millisecond  // without a new connection, the kernel's queue is empty
-	mostDrained = 500 * time.Millisecond // how long that is waited for
+	drained     = 50 * time.Millisecond  // if no connection arrives for this long, the kernel's accept queue counts as empty
+	mostDrained = 500 * time.Millisecond // how long draining the accept queue may take
 
-	// SilentGrace is how long a connection that came just before the end has to send a request.
+	// SilentGrace is how long a connection accepted just before the shutdown has to send a request.
 	SilentGrace = 200 * time.Millisecond
 
-	// AnswerWriteTime is how long before an agent is gone at its end every request that it has taken is answered, and connections
-	// without a request are closed: the time to write answers.
+	// AnswerWriteTime is the time for writing answers at the end of a shutdown: that long before the agent exits, every accepted request
+	// has its answer, and connections without a request are closed.
 	AnswerWriteTime = 50 * time.Millisecond
 
-	// ProbeInterval is how often it is looked whether a client that waits is still there, where nobody reads what it sends. What its
-	// client does not want is not to be sent on from 0.1 s later.
+	// ProbeInterval is how often a client that waits for an answer is checked for a disconnect while its connection is not being read. From
+	// 0.1 s after a client has disconnected, nothing more may be sent to a server for it.
 	ProbeInterval = 20 * time.Millisecond
 )
 
-// Tracker keeps account of the connections of all listeners that share it. They accept always: who waits in the
-// kernel's queue could neither be served nor turned away. When every place is taken, one that has no request gives
-// way: first the oldest of those that have not said anything yet, then the one that has been idle for longest.
+// Tracker tracks the connections of all listeners that share it. Listeners always accept, as clients that wait in the
+// kernel's queue could be neither served nor refused. When all slots are taken, a connection without a request is closed:
+// first the oldest of those that have not sent any data, then the one that has been idle for longest.
 //
-// A request may come on a connection at the moment at which it is closed. Whoever reads one says so by Busy before it is
-// acted on, and does not act on it where the Tracker has closed the connection: its client asks once more elsewhere.
+// A request may arrive on a connection at the moment at which it is closed. A reader must therefore call MarkBusy before it acts on
+// a request, and must drop the request if the Tracker has closed the connection: the client retries elsewhere.
+//
+// A Tracker is safe for concurrent use.
 type Tracker struct {
-	most int
-	now  func() time.Time
+	maxConns int
+	now      func() time.Time
 
-	// Counts of the listeners' logs.
+	// Totals of the listeners' countedLogs.
 	unfinished, unread, failures, endings atomic.Int64
 
 	mu    sync.Mutex
 	stats Stats
-	all   map[net.Conn]*entry
-	fresh *list.List // of entries on which nothing was received yet, the oldest first
-	idle  *list.List // of entries between requests
+	conns map[net.Conn]*entry
+	fresh *list.List // entries that have not received anything yet, the oldest first
+	idle  *list.List // entries between two requests, the longest idle first
 
-	yielding int           // connections that are on their way out
-	yielded  chan struct{} // told when one of them is gone, or has a request after all
-	closing  []*Conn       // forgotten, to be closed by unlock
+	yielding int           // number of connections that their readers are about to close
+	yielded  chan struct{} // receives a value when one of them is closed, or has received a request after all
+	closing  []*Conn       // removed connections, which unlock closes
 }
 
-// unlock releases the lock and closes the connections that were forgotten under it. Closing waits for whoever makes a system call on the
-// connection, which may take as long as a thread is suspended.
+// unlock releases the lock and then closes the connections that were removed while it was held. Closing waits for system calls in progress
+// on the connection, which may take as long as a thread is suspended.
 func (t *Tracker) unlock() {
 	closing := t.closing
 	t.closing = nil
@@ -61,21 +63,21 @@
 	}
 }
 
-// Stats counts connections since the start, by what became of them.
+// Stats counts connections since the start by what happened to them.
 type Stats struct {
 	Accepted      int
-	ClosedForRoom int // closed unused, to make room for others
-	EndedIdle     int // told to end at the end of their listener, with no request begun on them
-	EndedSilent   int // the same, before they had said anything
-	KeptBegun     int // left open then, as a request had begun to come
-	EndedBegun    int // told to end later, with a request that had not come whole
+	ClosedForRoom int // closed without a request, to make room for others
+	EndedIdle     int // idle, and closed by the shutdown of their listener without any data of a request
+	EndedSilent   int // the same, before they had sent any data
+	KeptBegun     int // left open then, as part of a request had been received
+	EndedBegun    int // closed later in the shutdown, without a complete request
 
-	Ended EndCounts // closed, by cause
+	Ended EndCounts // closed connections by cause
 
-	ClosedUnfinished int // closed with a request begun that was never read whole
-	ClosedUnread     int // closed over data that had come and was not read
-	CallsFailed      int // on connections that stand, and tried again
-	Dropped          int // requests that were read when their connection had been closed to make room
+	ClosedUnfinished int // closed with a partly received request
+	ClosedUnread     int // closed over unread data
+	CallsFailed      int // system calls that failed on established connections, and were retried
+	Dropped          int // requests that were read after the Tracker had closed their connection
 }
 
 // Stats returns the counts so far.
@@ -89,122 +91,122 @@
 
 // entry is a tracked connection.
 type entry struct {
-	conn *Conn
-	from *Listener
-	in   *list.List    // the queue it is in: fresh or idle; nil while it has a request
-	at   *list.Element // of in
-	read int64         // bytes that had been read from it when its waiting began
+	conn           *Conn
+	listener       *Listener
+	queue          *list.List    // Tracker.fresh or Tracker.idle; nil while the connection has a request, or its reader was asked to close it
+	element        *list.Element // in queue
+	receivedBefore int64         // bytes received on the connection before it was queued
 
-	opened, since time.Time // when it was accepted, and when its waiting began
+	acceptedAt, queuedAt time.Time // when it was registered, and when it was queued
 
-	yielding bool // its reader is to end it, and its place counts as free
+	yielding bool // its reader is about to close it, and its slot counts as free
 }
 
-// begun reports whether a part of a request was received since the connection was queued.
-func (v *entry) begun() bool { return v.conn.receivedBytes.Load() > v.read }
+// requestBegun reports whether any data of a request has been received since the connection was queued.
+func (v *entry) requestBegun() bool { return v.conn.receivedBytes.Load() > v.receivedBefore }
 
-// New returns a Tracker that keeps so many connections at most.
-func New(most int) *Tracker {
-	return &Tracker{most: most, now: time.Now, all: map[net.Conn]*entry{}, fresh: list.New(), idle: list.New(), yielded: make(chan struct{}, 1)}
+// New returns a Tracker with a maximum number of connections.
+func New(maxConns int) *Tracker {
+	return &Tracker{maxConns: maxConns, now: time.Now, conns: map[net.Conn]*entry{}, fresh: list.New(), idle: list.New(), yielded: make(chan struct{}, 1)}
 }
 
-// enter takes a connection that was accepted.
+// add registers an accepted connection, and closes others if there are too many.
 func (t *Tracker) enter(v *entry) {
 	t.awaitYielding()
 	t.awaitFreshGrace(v.conn)
 	t.mu.Lock()
 	defer t.unlock()
-	t.all[v.conn] = v
-	v.opened = t.now()
+	t.conns[v.conn] = v
+	v.acceptedAt = t.now()
 	t.stats.Accepted++
-	v.from.count++
-	t.waitLocked(v, t.fresh)
+	v.listener.count++
+	t.enqueueLocked(v, t.fresh)
 	t.endSurplusIdleLocked()
-	if len(t.all) > t.most {
+	if len(t.conns) > t.maxConns {
 		t.makeRoomLocked(v)
 	}
 }
 
-// waitLocked puts a connection into a queue of those without a request.
-func (t *Tracker) waitLocked(v *entry, in *list.List) {
-	v.in, v.at, v.read, v.since = in, in.PushBack(v), v.conn.receivedBytes.Load(), t.now()
+// enqueueLocked puts a connection into a queue of connections without a request.
+func (t *Tracker) enqueueLocked(v *entry, queue *list.List) {
+	v.queue, v.element, v.receivedBefore, v.queuedAt = queue, queue.PushBack(v), v.conn.receivedBytes.Load(), t.now()
 }
 
-// Busy records that a request was read from a connection. It returns false if the Tracker has closed the connection: the request must
-// not be acted on then.
+// MarkBusy records that a request was read from a connection. It returns false if the Tracker has closed the connection: the caller must
+// drop the request then.
 func (t *Tracker) Busy(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.all[c]
+	v := t.conns[c]
 	if v == nil {
 		t.stats.Dropped++
 		return false
 	}
-	t.yieldedLocked(v)
+	t.doneYieldingLocked(v)
 	v.unqueueLocked()
 	return true
 }
 
-// unqueueLocked takes a connection out of its queue.
+// unqueueLocked removes a connection from its queue.
 func (v *entry) unqueueLocked() {
-	if v.in != nil {
-		v.in.Remove(v.at)
-		v.in, v.at = nil, nil
+	if v.queue != nil {
+		v.queue.Remove(v.element)
+		v.queue, v.element = nil, nil
 	}
 }
 
-// Idle records that a connection has no request any more.
+// MarkIdle records that a connection has no request any more. The Tracker may close it for room, or as its listener shuts down.
 func (t *Tracker) Idle(c net.Conn) {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.all[c]
-	if v == nil || v.in != nil {
+	v := t.conns[c]
+	if v == nil || v.queue != nil {
 		return
 	}
-	t.waitLocked(v, t.idle)
-	if v.from.shut {
+	t.enqueueLocked(v, t.idle)
+	if v.listener.closeIdle {
 		t.finishLocked(v)
 		return
 	}
 	t.endSurplusIdleLocked()
-	if len(t.all) > t.most {
+	if len(t.conns) > t.maxConns {
 		t.makeRoomLocked(nil)
 	}
 }
 
-// Waits reports whether a connection has no request.
+// AwaitsRequest reports whether a connection is tracked and has no request.
 func (t *Tracker) Waits(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.all[c]
-	return v != nil && v.in != nil
+	v := t.conns[c]
+	return v != nil && v.queue != nil
 }
 
-// Closed records that a connection was closed.
+// MarkClosed records that a connection was closed. Connections that are not tracked are ignored.
 func (t *Tracker) Closed(c net.Conn) {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.all[c]
+	v := t.conns[c]
 	if v == nil {
 		return
 	}
 	t.recordEndLocked(v, v.endCause())
-	t.forgetLocked(v)
+	t.removeLocked(v)
 }
 
-func (t *Tracker) forgetLocked(v *entry) {
-	t.yieldedLocked(v)
+func (t *Tracker) removeLocked(v *entry) {
+	t.doneYieldingLocked(v)
 	v.unqueueLocked()
-	delete(t.all, v.conn)
-	if v.from.count--; v.from.count == 0 && v.from.emptied != nil {
-		close(v.from.emptied)
-		v.from.emptied = nil
+	delete(t.conns, v.conn)
+	if v.listener.count--; v.listener.count == 0 && v.listener.emptied != nil {
+		close(v.listener.emptied)
+		v.listener.emptied = nil
 	}
 }
 
-// finishLocked closes a connection at the end of its listener.
+// shutDownLocked closes a connection because its listener shuts down.
 func (t *Tracker) finishLocked(v *entry) {
-	if !v.from.readerCloses {
+	if !v.listener.readerCloses {
 		t.closeLocked(v, EndedForShutdown)
 	} else if v.conn.Quiet() {
 		v.conn.end(EndedForShutdown)
@@ -215,5 +217,5 @@
 func (t *Tracker) Count() int {
 	t.mu.Lock()
 	defer t.unlock()
-	return len(t.all)
+	return len(t.conns)
 }
--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -29,21 +29,21 @@
 	return New(most).Listen(l.(*net.TCPListener), log)
 }
 
-// visitor connects and says something, which has come before the connection is accepted.
-func visitor(t *testing.T, d *Listener, words string) net.Conn {
+// dialClient connects and sends data, before the connection is accepted.
+func dialClient(t *testing.T, d *Listener, data string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	if _, err := io.WriteString(c, words); err != nil {
+	if _, err := io.WriteString(c, data); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func admit(t *testing.T, d *Listener) net.Conn {
+func acceptConn(t *testing.T, d *Listener) net.Conn {
 	t.Helper()
 	c, err := d.Accept()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// closed reports whether the other side has closed a connection; it waits a little for that.
+// closed reports whether the other side closes a connection within wait.
 func closed(c net.Conn, wait time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(wait))
 	_, err := c.Read(make([]byte, 1))
@@ -65,68 +65,68 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// Clients that connect by hundreds and say nothing must not keep usual ones out, whose idle connections stay.
+// Hundreds of clients that connect and send nothing must not displace normal ones, whose idle connections stay open.
 func TestSilentConnectionsGiveWayFirst(t *testing.T) {
 	d := newListener(t, 4)
-	idle := visitor(t, d, "")
-	accepted := admit(t, d)
+	idle := dialClient(t, d, "")
+	accepted := acceptConn(t, d)
 	d.tracker.Busy(accepted)
 	d.tracker.Idle(accepted)
-	begun := visitor(t, d, "GET /")
-	admit(t, d)
-	var mute []net.Conn
+	begun := dialClient(t, d, "GET /")
+	acceptConn(t, d)
+	var silent []net.Conn
 	for range 10 {
-		mute = append(mute, visitor(t, d, ""))
-		admit(t, d)
+		silent = append(silent, dialClient(t, d, ""))
+		acceptConn(t, d)
 	}
 	if n := d.tracker.Count(); n != 4 {
 		t.Errorf("%d connections", n)
 	}
-	for i, c := range mute {
+	for i, c := range silent {
 		if gone := i < 8; closed(c, map[bool]time.Duration{true: testkit.Patience, false: time.Millisecond}[gone]) != gone {
 			t.Errorf("silent connection %d closed: %t", i, !gone)
 		}
 	}
 	if closed(idle, time.Millisecond) || closed(begun, time.Millisecond) {
-		t.Error("a usual client's connection was closed")
+		t.Error("a normal client's connection was closed")
 	}
 }
 
-// Where nobody is silent the one that has been idle for longest goes, and a newcomer only if all are busy.
+// If every connection has sent data, the one that has been idle for longest is closed, and the newcomer only if all others are busy.
 func TestIdleConnectionsGiveWayInTurn(t *testing.T) {
 	d := newListener(t, 2)
 	var clients, conns []net.Conn
 	for range 2 {
-		clients = append(clients, visitor(t, d, ""))
-		conns = append(conns, admit(t, d))
+		clients = append(clients, dialClient(t, d, ""))
+		conns = append(conns, acceptConn(t, d))
 		d.tracker.Busy(conns[len(conns)-1])
 	}
-	newcomer := visitor(t, d, "")
-	admit(t, d)
+	newcomer := dialClient(t, d, "")
+	acceptConn(t, d)
 	if !closed(newcomer, testkit.Patience) || d.tracker.Count() != 2 {
 		t.Errorf("%d connections with two busy ones", d.tracker.Count())
 	}
 	d.tracker.Idle(conns[1])
 	d.tracker.Idle(conns[0])
-	visitor(t, d, "")
-	admit(t, d)
+	dialClient(t, d, "")
+	acceptConn(t, d)
 	if !closed(clients[1], testkit.Patience) || closed(clients[0], time.Millisecond) {
-		t.Error("not the one that was idle for longest was closed")
+		t.Error("a connection other than the longest idle one was closed")
 	}
 }
 
-// What the kernel has accepted before the end is receivedBytes, however late the agent gets to it.
+// Connections that the kernel accepted before the shutdown are served, however late the agent accepts them.
 func TestQueueIsTakenAtTheEnd(t *testing.T) {
 	d := newListener(t, 10)
 	for range 3 {
-		visitor(t, d, "GET /")
+		dialClient(t, d, "GET /")
 	}
 	go d.CloseAfter(-time.Second, time.Time{})
 	for !d.ending.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	for range 3 {
-		admit(t, d)
+		acceptConn(t, d)
 	}
 	if _, err := d.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("error %v", err)
@@ -134,19 +134,19 @@
 	<-d.closed
 }
 
-// At the end those that say nothing are not waited for, but who has begun a request is.
+// The shutdown closes connections that have sent nothing, but waits for those that have sent part of a request.
 func TestSilentConnectionsAreDroppedAtTheEnd(t *testing.T) {
 	d := newListener(t, 10)
-	mute, begun := visitor(t, d, ""), visitor(t, d, "GET /")
-	admit(t, d)
-	admit(t, d)
+	silent, begun := dialClient(t, d, ""), dialClient(t, d, "GET /")
+	acceptConn(t, d)
+	acceptConn(t, d)
 	d.CloseSilent()
-	if !closed(mute, testkit.Patience) || closed(begun, time.Millisecond) || d.tracker.Count() != 1 {
+	if !closed(silent, testkit.Patience) || closed(begun, time.Millisecond) || d.tracker.Count() != 1 {
 		t.Errorf("%d connections", d.tracker.Count())
 	}
 }
 
-// A queue that never gets empty, as two processes accept from it, does not keep the tracker open.
+// An accept queue that never becomes empty, as two processes share it, does not keep the listener open.
 func TestBusyQueueEnds(t *testing.T) {
 	d := newListener(t, 1000)
 	stop := make(chan struct{})
@@ -164,7 +164,7 @@
 			}
 		}
 	}()
-	end := time.Now().Add(AnswerWriteTime + SilentGrace + mostDrained/2) // of the whole agent, before the queue's own time is over
+	end := time.Now().Add(AnswerWriteTime + SilentGrace + mostDrained/2) // of the whole agent, before maxQueueDrain has passed
 	go d.CloseAfter(time.Millisecond, end)
 	for end := time.Now().Add(testkit.Patience); ; {
 		c, err := d.Accept()
@@ -174,7 +174,7 @@
 		c.Close()
 		d.tracker.Closed(c)
 		if time.Now().After(end) {
-			t.Fatal("it accepts for ever")
+			t.Fatal("it does not stop accepting")
 		}
 	}
 	<-d.closed
@@ -183,120 +183,120 @@
 	}
 }
 
-// Bytes come as the end of an idle connection is under way: who reads it finds them before the end, whichever came first, and the
-// connection goes on with the time to read that it was set.
+// Data arrives while an idle connection is being closed. Its reader gets the data first, whichever came first, and the connection stays open
+// with the read deadline that was set.
 func TestBytesComeAsAnIdleConnectionEnds(t *testing.T) {
-	for name, cross := range map[string]func(c *Conn, client net.Conn){
-		"the end, then bytes": func(c *Conn, client net.Conn) { c.end(EndedForRoom); io.WriteString(client, "GET") },
-		"bytes, then the end": func(c *Conn, client net.Conn) { io.WriteString(client, "GET"); c.end(EndedForRoom) },
-		"a time to read between": func(c *Conn, client net.Conn) {
+	for name, race := range map[string]func(c *Conn, client net.Conn){
+		"closing, then data": func(c *Conn, client net.Conn) { c.end(EndedForRoom); io.WriteString(client, "GET") },
+		"data, then closing": func(c *Conn, client net.Conn) { io.WriteString(client, "GET"); c.end(EndedForRoom) },
+		"a new deadline in between": func(c *Conn, client net.Conn) {
 			c.end(EndedForRoom)
 			io.WriteString(client, "GET")
 			c.SetReadDeadline(time.Now().Add(testkit.Patience))
 		},
-		"bytes, then the time to read is over": func(c *Conn, client net.Conn) {
+		"data, then the deadline expires": func(c *Conn, client net.Conn) {
 			io.WriteString(client, "GET")
-			testkit.Eventually(t, "the bytes are there", func() bool { return !c.Quiet() })
+			testkit.Eventually(t, "the data has arrived", func() bool { return !c.Quiet() })
 			c.SetReadDeadline(time.Unix(1, 0))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newListener(t, 10).ReaderCloses()
-			client := visitor(t, d, "")
-			c := admit(t, d).(*Conn)
-			cross(c, client)
-			testkit.Eventually(t, "the bytes are there", func() bool { return !c.Quiet() })
+			client := dialClient(t, d, "")
+			c := acceptConn(t, d).(*Conn)
+			race(c, client)
+			testkit.Eventually(t, "the data has arrived", func() bool { return !c.Quiet() })
 			p := make([]byte, 10)
 			if n, err := c.Read(p); string(p[:n]) != "GET" {
 				t.Fatalf("%q, %v", p[:n], err)
 			}
 			io.WriteString(client, " /")
-			testkit.Eventually(t, "more bytes are there", func() bool { return !c.Quiet() })
+			testkit.Eventually(t, "more data has arrived", func() bool { return !c.Quiet() })
 			if n, err := c.Read(p); string(p[:n]) != " /" {
-				t.Errorf("it does not go on: %q, %v", p[:n], err)
+				t.Errorf("the connection does not continue: %q, %v", p[:n], err)
 			}
 		})
 	}
 	d := newListener(t, 10).ReaderCloses()
-	visitor(t, d, "")
-	c := admit(t, d).(*Conn)
+	dialClient(t, d, "")
+	c := acceptConn(t, d).(*Conn)
 	d.CloseSilent()
 	if _, err := c.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Errorf("one on which nothing comes: %v", err)
+		t.Errorf("a connection without data: %v", err)
 	}
 	if n := d.tracker.Count(); n != 1 {
 		t.Errorf("%d connections before the reader has closed it", n)
 	}
 }
 
-// An accept that fails for want of memory or descriptors, as Linux documents, ends nothing: who waits in the queue is let in, while
-// the agent serves and while it ends, and the agent's end is as it would have been.
+// An accept that fails for lack of memory or descriptors, as Linux documents, does not stop the listener: queued connections are accepted
+// while the agent serves and while it shuts down, and the shutdown completes as usual.
 func TestFailedAcceptsEndNothing(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN} {
 		for _, ending := range []bool{false, true} {
 			t.Run(fmt.Sprint(errno, ", ending ", ending), func(t *testing.T) {
 				d := newListener(t, 10)
-				real, calls := d.accept, 0
+				acceptReal, calls := d.accept, 0
 				d.accept = func() (*net.TCPConn, error) {
 					if calls++; calls%3 != 0 {
 						return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 					}
-					return real()
+					return acceptReal()
 				}
 				for range 4 {
-					visitor(t, d, "GET /")
+					dialClient(t, d, "GET /")
 				}
-				came := time.Now()
+				dialed := time.Now()
 				if ending {
 					go d.CloseAfter(-time.Second, time.Time{})
-					testkit.Eventually(t, "it ends", d.ending.Load)
+					testkit.Eventually(t, "it shuts down", d.ending.Load)
 				}
 				for range 4 {
-					c := admit(t, d).(*Conn)
+					c := acceptConn(t, d).(*Conn)
 					if _, err := c.Read(make([]byte, 5)); err != nil {
 						t.Fatal(err)
 					}
-					if since := c.stream.Reads().Since(); since.IsZero() || since.After(came) {
-						t.Errorf("it is not known to have waited, but since %v after it came", since.Sub(came))
+					if since := c.stream.Reads().Since(); since.IsZero() || since.After(dialed) {
+						t.Errorf("it counts as queued since %v after it was dialed", since.Sub(dialed))
 					}
 				}
 				if !ending {
 					go d.CloseAfter(0, time.Time{})
 				}
 				if c, err := d.Accept(); !errors.Is(err, net.ErrClosed) {
-					t.Errorf("accepts %v, %v after the end", c, err)
+					t.Errorf("accepted %v, %v after the shutdown", c, err)
 				}
 			})
 		}
 	}
 }
 
-// A connection that is closed over data that nobody has read is counted, one without is not, and neither is one that its client has ended.
+// A connection that is closed over unread data is counted. One without unread data is not, nor is a second Close.
 func TestCloseOverUnreadDataIsCounted(t *testing.T) {
 	d := newListener(t, 8)
-	for words, want := range map[string]int{"GET /": 1, "": 0} {
+	for data, want := range map[string]int{"GET /": 1, "": 0} {
 		before := d.tracker.Stats().ClosedUnread
-		visitor(t, d, words)
-		c := admit(t, d).(*Conn)
-		testkit.Eventually(t, "what was said is there", func() bool { return c.Quiet() == (words == "") })
+		dialClient(t, d, data)
+		c := acceptConn(t, d).(*Conn)
+		testkit.Eventually(t, "the data has arrived", func() bool { return c.Quiet() == (data == "") })
 		c.Close()
 		c.Close()
 		if got := d.tracker.Stats().ClosedUnread - before; got != want {
-			t.Errorf("%q: counted %d times", words, got)
+			t.Errorf("%q: counted %d times", data, got)
 		}
 	}
 }
 
-// Connections that are idle stay as their clients keep them, while they hold no more than their part of the places.
+// Idle connections stay open as long as their clients keep them, unless they hold more than their share of the slots.
 func TestIdleConnectionsStayWhileThereIsRoom(t *testing.T) {
-	const most, kept, surplus = 16, 16 / keptPart, 3
+	const most, kept, surplus = 16, 16 / idleShareDivisor, 3
 	d := newListener(t, most)
 	now := time.Now()
 	d.tracker.now = func() time.Time { return now }
 	var clients []net.Conn
 	add := func() {
-		clients = append(clients, visitor(t, d, ""))
-		conn := admit(t, d)
+		clients = append(clients, dialClient(t, d, ""))
+		conn := acceptConn(t, d)
 		d.tracker.Busy(conn)
 		d.tracker.Idle(conn)
 	}
@@ -309,7 +309,7 @@
 		add()
 	}
 	if ended := d.tracker.Stats().Ended; ended != (EndCounts{EndedIdle: surplus}) {
-		t.Errorf("%q with %d idle connections of %d places", ended, kept+surplus, most)
+		t.Errorf("%q with %d idle connections of %d slots", ended, kept+surplus, most)
 	}
 	for i, client := range clients {
 		if wait := time.Millisecond; i < surplus != closed(client, wait) {
@@ -318,34 +318,34 @@
 	}
 }
 
-// Guards against an idle connection that is closed for room while clients that have left hold places, as their readers are late.
+// Guards against closing an idle connection for room while disconnected clients still hold slots because their readers are late.
 func TestClientsThatHaveLeftGiveWayFirst(t *testing.T) {
 	for _, readerCloses := range []bool{false, true} {
 		d := newListener(t, 4)
 		d.readerCloses = readerCloses
-		kept := visitor(t, d, "")
-		conn := admit(t, d)
+		kept := dialClient(t, d, "")
+		conn := acceptConn(t, d)
 		d.tracker.Busy(conn)
 		d.tracker.Idle(conn)
 		const crowd = 12
 		for range crowd {
-			visitor(t, d, "").Close()
+			dialClient(t, d, "").Close()
 		}
 		for range crowd {
-			admit(t, d)
+			acceptConn(t, d)
 		}
 		_, cause := conn.(*Conn).lastError()
 		if ended := d.tracker.Stats().Ended; ended != (EndCounts{}) || cause != NotEnded || closed(kept, time.Millisecond) {
-			t.Errorf("reader closes %t: %q, told to end for %v", readerCloses, ended, cause)
+			t.Errorf("reader closes %t: %q, reader asked to close for %v", readerCloses, ended, cause)
 		}
 	}
 }
 
-// Guards against an answer that is not sent as the time to write it passes before the first byte is tried.
+// Guards against an answer that is not sent because the write deadline passes before the first write is attempted.
 func TestAnswersAreSentThoughTheirTimeHasPassed(t *testing.T) {
 	d := newListener(t, 10)
-	client := visitor(t, d, "GET /")
-	conn := admit(t, d)
+	client := dialClient(t, d, "GET /")
+	conn := acceptConn(t, d)
 	conn.SetWriteDeadline(time.Unix(1, 0))
 	const answer = "an answer"
 	if n, err := conn.Write([]byte(answer)); n != len(answer) || err != nil {
@@ -356,11 +356,11 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	if n, err := conn.Write(make([]byte, 64<<20)); n == 64<<20 || !isTimeout(err) {
-		t.Errorf("a client that takes nothing: %d, %v", n, err)
+		t.Errorf("a client that does not read: %d, %v", n, err)
 	}
 }
 
-// Guards against connections that are closed under the requests of clients that ask rarely, while nobody needs their places.
+// Guards against closing connections of clients that send requests rarely while their slots are not needed.
 func TestHalfOfThePlacesMayBeHeldByClientsThatAskRarely(t *testing.T) {
 	const most, rarely = 32, idleAfter + 100*time.Millisecond
 	d := newListener(t, most)
@@ -368,8 +368,8 @@
 	d.tracker.now = func() time.Time { return now }
 	var all []net.Conn
 	for range most / 2 {
-		visitor(t, d, "")
-		all = append(all, admit(t, d))
+		dialClient(t, d, "")
+		all = append(all, acceptConn(t, d))
 	}
 	for range 3 {
 		for _, conn := range all {
@@ -382,51 +382,51 @@
 	}
 }
 
-// Those that have not been idle for long stay beyond that.
+// Connections that were used recently stay open even beyond the share of idle ones.
 func TestConnectionsThatWereUsedLatelyStay(t *testing.T) {
 	const most = 16
 	d := newListener(t, most)
 	now := time.Now()
 	d.tracker.now = func() time.Time { return now }
 	for range most {
-		visitor(t, d, "")
-		conn := admit(t, d)
+		dialClient(t, d, "")
+		conn := acceptConn(t, d)
 		d.tracker.Busy(conn)
 		d.tracker.Idle(conn)
 	}
 	now = now.Add(idleAfter - time.Millisecond)
-	visitor(t, d, "GET /")
-	admit(t, d)
+	dialClient(t, d, "GET /")
+	acceptConn(t, d)
 	if ended, want := d.tracker.Stats().Ended, (EndCounts{EndedForRoom: 1}); ended != want {
 		t.Errorf("%q, want %q", ended, want)
 	}
 }
 
-// A newcomer waits for the place of one that has just come only while it has sent nothing itself, and not for long.
+// A newcomer waits for the slot of a connection that was accepted recently only while it has sent nothing itself, and not for long.
 func TestNewcomersWaitForThoseThatHaveJustCome(t *testing.T) {
-	const slack = 100 * time.Millisecond // of a busy machine, below mostQueued
+	const slack = 100 * time.Millisecond // for a busy machine; less than maxQueueWait
 	d := newListener(t, 2)
 	for range 2 {
-		visitor(t, d, "")
-		admit(t, d)
+		dialClient(t, d, "")
+		acceptConn(t, d)
 	}
 	begin := time.Now()
-	visitor(t, d, "GET /")
-	admit(t, d)
+	dialClient(t, d, "GET /")
+	acceptConn(t, d)
 	if took := time.Since(begin); took > slack {
 		t.Errorf("a newcomer with a request waited for %v", took)
 	}
 	begin = time.Now()
-	visitor(t, d, "")
-	admit(t, d)
+	dialClient(t, d, "")
+	acceptConn(t, d)
 	if took := time.Since(begin); took < mostQueued/2 || took > mostQueued+slack {
 		t.Errorf("a silent newcomer waited for %v", took)
 	}
 	time.Sleep(freshGrace)
 	begin = time.Now()
-	visitor(t, d, "")
-	admit(t, d)
+	dialClient(t, d, "")
+	acceptConn(t, d)
 	if took := time.Since(begin); took > slack {
-		t.Errorf("a newcomer waited for %v before connections that have had their time", took)
+		t.Errorf("a newcomer waited for %v although the grace of the others had passed", took)
 	}
 }
