--- a/internal/host/accept/accept.go
+++ b/internal/host/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept accepts connections in spite of errors of the system. accept(2) documents many that say nothing of the
-// listener: errors of the connection that was to be accepted, and a shortage of descriptors or memory that passes. None of them
-// may end a server.
+// Package accept accepts connections and retries after system errors. accept(2) documents many errors that do not concern the
+// listener: errors of the connection to be accepted, and temporary shortages of descriptors or memory. None of them may stop a
+// server.
 package accept
 
 import (
@@ -15,10 +15,10 @@
 	"ternbeam/internal/sysio/transient"
 )
 
-const logEvery = time.Second
+const logEvery = time.Second // minimum interval between log lines
 
-// Final reports whether an error of an accept says that nothing more will be accepted: the listener was closed here, or the
-// time that was set for it has passed.
+// IsFinal reports whether an error of an accept means that nothing more will be accepted: the listener was closed by this process, or
+// its deadline has passed.
 func Final(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
 }
@@ -28,23 +28,23 @@
 	log   *slog.Logger
 	sleep func(time.Duration)
 
-	mu       sync.Mutex
-	failures int // in a row
-	total    int
-	logged   time.Time
+	mu         sync.Mutex
+	failures   int // in a row
+	total      int
+	lastLogged time.Time
 }
 
-// NewRetrier returns a Retrier that logs failures, one line a second at most.
+// NewRetrier returns a Retrier that logs failures, at most one line per second.
 func NewRetrier(log *slog.Logger) *Retrier { return &Retrier{log: log, sleep: time.Sleep} }
 
-// Failures is how many accepts have failed in all.
+// TotalFailures returns how many accepts have failed since the start.
 func (r *Retrier) Failures() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total
 }
 
-// Do calls accept until it succeeds or fails with an error that is Final.
+// Do calls accept until it succeeds or fails with an error for which IsFinal is true. It waits between failures.
 func Do[C any](r *Retrier, accept func() (C, error)) (C, error) {
 	for {
 		conn, err := accept()
@@ -65,15 +65,15 @@
 	r.failures = 0
 }
 
-// failed counts a failure and returns how long to wait: nothing after a single one, which may be of one connection.
+// failed counts a failure and returns how long to wait: 0 after a single failure, which may concern only one connection.
 func (r *Retrier) failed(err error) (backoff time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures++
 	r.total++
 	now := time.Now()
-	if now.Sub(r.logged) >= logEvery {
-		r.logged = now
+	if now.Sub(r.lastLogged) >= logEvery {
+		r.lastLogged = now
 		r.log.Warn("accepting a connection failed, trying again", "error", err, "in_a_row", r.failures, "in_all", r.total)
 	}
 	if r.failures == 1 {
@@ -89,7 +89,7 @@
 	retrier *Retrier
 }
 
-// Wrap returns a Listener over another one.
+// Wrap returns a Listener that accepts from l.
 func Wrap(l *net.TCPListener, log *slog.Logger) (*Listener, error) {
 	socket, err := NewSocket(l)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return &Listener{TCPListener: l, socket: socket, retrier: NewRetrier(log)}, nil
 }
 
-// Accept is net.Listener's. Reads and writes of the connection go on through errors while it stands.
+// Accept implements net.Listener. Reads and writes of the connection are retried after errors while it is established.
 func (l *Listener) Accept() (net.Conn, error) {
 	conn, err := Do(l.retrier, l.socket.Accept)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return socketio.Wrap(conn), nil
 }
 
-// Close is net.Listener's.
+// Close implements net.Listener.
 func (l *Listener) Close() error {
 	l.socket.Close()
 	return l.TCPListener.Close()
--- a/internal/host/accept/accept_test.go
+++ b/internal/host/accept/accept_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// documented are the errors that accept(2) names, but EAGAIN and EINTR, which the poller takes.
+// documented are the errors that accept(2) lists, except EAGAIN and EINTR, which the poller handles.
 var documented = []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 	syscall.EPROTO, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
 	syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.ENOSR, syscall.EINVAL, syscall.EBADF}
 
-func accepting(err error) error {
+func acceptError(err error) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 }
 
-// Each error that is documented is survived, once and for a while.
+// Accepting continues after each documented error, whether it occurs once or repeatedly.
 func TestDocumentedErrorsAreSurvived(t *testing.T) {
 	for _, errno := range documented {
 		for _, times := range []int{1, 100} {
@@ -33,7 +33,7 @@
 				calls := 0
 				got, err := Do(r, func() (string, error) {
 					if calls++; calls <= times {
-						return "", accepting(errno)
+						return "", acceptError(errno)
 					}
 					return "connection", nil
 				})
@@ -56,7 +56,7 @@
 	}
 }
 
-// The listener's own end is not retried.
+// Errors that end the listener itself are not retried.
 func TestFinalErrors(t *testing.T) {
 	for _, final := range []error{net.ErrClosed, os.ErrDeadlineExceeded} {
 		r := NewRetrier(slog.New(slog.DiscardHandler))
--- a/internal/host/accept/socket_test.go
+++ b/internal/host/accept/socket_test.go
@@ -24,7 +24,7 @@
 	return s, l
 }
 
-// What came with a connection is read from it, and both of its addresses are known.
+// Data sent before the accept can be read from the connection, and both of its addresses are known.
 func TestSocketAccepts(t *testing.T) {
 	s, l := newSocket(t)
 	for range 3 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A deadline ends an Accept, one that is taken back lets connections in again, and Close ends it for good.
+// A deadline ends an Accept, clearing it allows accepting again, and Close ends it permanently.
 func TestSocketDeadlineAndClose(t *testing.T) {
 	s, l := newSocket(t)
 	s.SetDeadline(time.Now().Add(time.Millisecond))
@@ -85,7 +85,7 @@
 	}
 }
 
-// A connection has waited in the queue since that was last seen empty at the most: however long nobody accepts, and no longer than that.
+// QueuedSince is when the queue was last seen empty: it covers the whole time for which nobody accepts, and no more.
 func TestQueuedSince(t *testing.T) {
 	s, l := newSocket(t)
 	dialled := make(chan time.Time, 1) // when the latest dial began
