--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange sends one message and reads one answer on one connection, for every protocol that has no more than
-// one call at a time on it. It says how an attempt ended and whether it can have run; what a message is and where
-// an answer ends is the protocol's matter.
+// Package exchange sends one message and reads one answer on one connection, for all protocols with at most one call at a
+// time on a connection. It determines how an attempt ended and whether the server may have executed it. Encoding messages
+// and finding the end of an answer is left to a protocol's Codec.
 package exchange
 
 import (
@@ -21,42 +21,46 @@
 )
 
 const (
-	// Stall is how long an answer that has begun may pause. One whose rest does not come is spoilt, and to learn that at the deadline only
-	// would be too late for another attempt.
+	// StallTimeout is how long a partly received answer may pause. An answer that does not continue is invalid, and detecting that only at the
+	// deadline would be too late for another attempt.
 	Stall = 300 * time.Millisecond
 
-	// mostUnsent is how old the wording of a message may be as nothing of it is written yet: its deadline may be 0.15 s too late, and the process
-	// may be held up for as long in the write itself.
+	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the deadline in it may be up to 0.15 s too
+	// late, and the process may be suspended for as long in the write itself.
 	mostUnsent = 5 * time.Millisecond
 
-	// reservedPart is the part of an attempt's time, inverted, that is left for another one by the end of an answer that goes on and on.
-	reservedPart = 4
+	// reservedDivisor is the reciprocal of the share of an attempt's time that is reserved for another attempt, in case an answer keeps
+	// arriving without becoming complete.
+	reservedDivisor = 4
 
-	inlineSend = 8 << 10 // more than this is written while the answer is awaited: it may come before all is taken
-	stallGrace = 10 * time.Millisecond
+	// maxInlineMessageBytes is the size up to which a message is written before the answer is awaited. A longer one is written meanwhile,
+	// as its answer may arrive before the server has read it completely.
+	maxInlineMessageBytes = 8 << 10
 
-	// relayStall is how long an answer may pause that is being relayed: nobody could be asked for it instead.
+	stallGrace = 10 * time.Millisecond // extra time for a read whose deadline has passed
+
+	// relayStallTimeout is how long an answer that is being relayed may pause: another attempt could not replace it any more.
 	relayStall = 10 * time.Second
 )
 
-// ErrSpoilt is why an answer counts as an error of the server's: nobody can tell what it is.
+// ErrInvalidAnswer means that an answer can't be interpreted and counts as an error of the server.
 var ErrSpoilt = errors.New("spoilt answer")
 
-// Talk is one attempt in the words of its protocol.
+// Codec encodes the message and decodes the answer of one attempt in a protocol.
 type Talk interface {
-	// Message words the call for the server, which is to answer by end. It is sent before the next call; nil where it can't
-	// be sent any more.
+	// Message encodes the call for the server, which is to answer by end. The result is valid until the next call of Message. It is nil
+	// if the message can't be sent any more.
 	Message(end time.Time) []byte
-	// Answer reads one answer whole. Where its connection can be used again, reusable is true. What it can't make
-	// sense of is an ErrSpoilt.
+	// Answer reads one complete answer. Reusable tells whether the connection can carry another call. The error for an answer that can't
+	// be interpreted is an ErrInvalidAnswer.
 	Answer(in *Inflow) (e core.Ending, reusable bool, err error)
 }
 
-// Following is a Talk whose message goes on behind what Message words. Follow writes the rest, while the answer is awaited,
-// and returns how many bytes of it were written; an error means that not all were. Stop ends a Follow that waits for more
-// to come.
+// StreamingCodec is a Codec whose message may continue after what Message returns. Follow writes the rest, while the answer is
+// awaited, and returns how many bytes of it were written; an error means that it was not written completely. Stop ends a Follow
+// that waits for more data from the client.
 type Following interface {
-	Follows() bool // where it does not, Talk is all there is of it
+	Follows() bool // if false, Message returns the whole message, and Follow is not called
 	Follow(w net.Conn) (n int, err error)
 	Stop()
 }
@@ -64,67 +68,69 @@
 // Transport makes attempts over the connections of a Pool, one at a time on each.
 type Transport struct {
 	Pool  *pool.Pool
-	Stall time.Duration // an answer that has begun may pause for so long
+	Stall time.Duration // how long a partly received answer may pause
 
-	Long  bool // answers may be long: one that goes on is not ended before the attempt is
+	Long  bool // an answer that keeps arriving may take as long as the attempt
 	Begin func(at *core.Attempt) Talk
 }
 
-// Attempt is core.Transport's.
+// Attempt implements core.Transport.
 func (t *Transport) Attempt(ctx context.Context, at *core.Attempt) core.Ending {
 	c, err := t.Pool.Acquire(ctx, at.Server, at.Speaks, &at.Life)
 	if err != nil {
 		return NoConnection(ctx, at, err)
 	}
-	talk := t.Begin(at)
-	end, _ := ctx.Deadline()
-	message, worded := talk.Message(end), time.Now()
-	if message == nil { // it can't be said any more, which is as if it came too late
+	codec := t.Begin(at)
+	deadline, _ := ctx.Deadline()
+	message, encodedAt := codec.Message(deadline), time.Now()
+	if message == nil { // it can't be sent any more, which counts as late
 		t.Pool.Release(c, true)
 		return Fail(at, life.Late)
 	}
 	size := len(message)
-	rest, _ := talk.(Following)
-	if rest != nil && !rest.Follows() {
-		rest = nil
+	stream, _ := codec.(Following)
+	if stream != nil && !stream.Follows() {
+		stream = nil
 	}
-	if rest != nil {
-		size = math.MaxInt // not known
+	if stream != nil {
+		size = math.MaxInt // unknown
 	}
-	// A dial takes time: what was right to send before may not be any more, nor on this connection.
+	// Dialing takes time: by now the attempt may not be sent any more, or not on this connection.
 	send := Begin(ctx, at, size)
-	fit := !send || t.Pool.Fit(c)
-	if !fit {
+	usable := !send || t.Pool.Fit(c)
+	if !usable {
 		Fail(at, life.Broken) // nothing was written yet
 	}
-	if !send || !fit {
-		if rest != nil {
-			rest.Stop()
+	if !send || !usable {
+		if stream != nil {
+			stream.Stop()
 		}
-		t.Pool.Release(c, fit)
+		t.Pool.Release(c, usable)
 		return core.Ended(at.Life.Result())
 	}
-	if rest == nil && time.Since(worded) > mostUnsent {
-		message = reworded(at, talk, message, end)
+	if stream == nil && time.Since(encodedAt) > mostUnsent {
+		message = reencode(at, codec, message, deadline)
 	}
-	e, reuse := t.exchange(ctx, c, at, talk, message, rest, end)
+	e, reuse := t.exchange(ctx, c, at, codec, message, stream, deadline)
 	t.Pool.Release(c, reuse)
 	return e
 }
 
-// reworded words a message anew that is about to be written, as its deadline has come nearer.
-func reworded(at *core.Attempt, talk Talk, message []byte, end time.Time) []byte {
-	again := talk.Message(end)
-	if again == nil {
+// reencode encodes a message again right before it is written, as less time is left until its deadline. It returns the old message if the
+// new one can't be sent any more.
+func reencode(at *core.Attempt, codec Talk, message []byte, deadline time.Time) []byte {
+	encoded := codec.Message(deadline)
+	if encoded == nil {
 		return message
 	}
-	if len(again) != len(message) {
-		at.Heed(at.Life.Sized(len(again)))
+	if len(encoded) != len(message) {
+		at.Heed(at.Life.Sized(len(encoded)))
 	}
-	return again
+	return encoded
 }
 
-// Begin asks whether an attempt that has a connection may still be sent.
+// BeginSend reports whether an attempt that has a connection may still be sent, and records that it is being sent. Size is the size of
+// the message in bytes.
 func Begin(ctx context.Context, at *core.Attempt, size int) bool {
 	send, err := at.Life.Begin(size, life.Now{Withdrawn: errors.Is(context.Cause(ctx), core.ErrWithdrawn),
 		Late: ctx.Err() != nil || !at.WriteBy.IsZero() && !time.Now().Before(at.WriteBy), Over: at.Call.Abandoned(), Retired: at.Server.Retired()})
@@ -132,7 +138,7 @@
 	return send
 }
 
-// NoConnection ends an attempt for which the pool had no connection.
+// FailUnconnected ends an attempt for which the pool returned an error instead of a connection.
 func NoConnection(ctx context.Context, at *core.Attempt, err error) core.Ending {
 	cause := life.Broken
 	switch {
@@ -147,7 +153,7 @@
 // Fail ends an attempt without an answer.
 func Fail(at *core.Attempt, c life.Cause) core.Ending { return failure(at, c, nil) }
 
-// failure ends an attempt without an answer because of an error.
+// failure ends an attempt without an answer because of an error, which may be nil.
 func failure(at *core.Attempt, c life.Cause, err error) core.Ending {
 	at.Heed(at.Life.Fail(c))
 	e := core.Ended(at.Life.Result())
@@ -155,37 +161,37 @@
 	return e
 }
 
-// inflows are shared: a connection needs one only while an answer is read.
-var inflows = sync.Pool{New: func() any { return &Inflow{Reader: bufio.NewReaderSize(nil, 4<<10)} }}
-
-// exchange sends the message and reads the answer whole. The connection can be used again if reuse is true and is
-// closed otherwise.
-func (t *Transport) exchange(ctx context.Context, c *pool.Conn, at *core.Attempt, talk Talk, message []byte,
-	rest Following, end time.Time) (e core.Ending, reuse bool) {
-	c.SetReadDeadline(end) // that of writing is set as it begins
-	undisturbed := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	in := inflows.Get().(*Inflow)
-	defer inflows.Put(in)
-	in.reset(ctx, at, c.Conn, end, t.Stall)
-	in.long, in.undisturbed = t.Long, undisturbed
-	in.send(talk, message, rest)
-	e, reusable, err := talk.Answer(in)
-	reuse = (in.relaying || undisturbed()) && err == nil && reusable && in.Buffered() == 0
-	if n := in.sent(false); !reuse || n < 0 || n != in.size {
+// answerReaders are pooled: a connection needs one only while an answer is read.
+var answerReaders = sync.Pool{New: func() any { return &Inflow{Reader: bufio.NewReaderSize(nil, 4<<10)} }}
+
+// exchange sends the message and reads the complete answer. If reuse is true the connection can be used again, otherwise
+// it is closed.
+func (t *Transport) exchange(ctx context.Context, c *pool.Conn, at *core.Attempt, codec Talk, message []byte,
+	stream Following, deadline time.Time) (e core.Ending, reuse bool) {
+	c.SetReadDeadline(deadline) // the write deadline is set as writing begins
+	detach := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	in := answerReaders.Get().(*Inflow)
+	defer answerReaders.Put(in)
+	in.reset(ctx, at, c.Conn, deadline, t.Stall)
+	in.long, in.detachContext = t.Long, detach
+	in.send(codec, message, stream)
+	e, reusable, err := codec.Answer(in)
+	reuse = (in.relaying || detach()) && err == nil && reusable && in.Buffered() == 0
+	if n := in.bytesSent(false); !reuse || n < 0 || n != in.messageBytes {
 		reuse = false
-		if rest != nil {
-			rest.Stop()
+		if stream != nil {
+			stream.Stop()
 		}
-		c.Close() // ends a write that still goes on
+		c.Close() // ends a write that is still in progress
 	}
-	n := max(0, in.sent(true))
-	if in.size >= 0 && (rest != nil || in.size != len(message)) { // it went on, or was worded anew
-		at.Heed(at.Life.Sized(in.size))
+	n := max(0, in.bytesSent(true))
+	if in.messageBytes >= 0 && (stream != nil || in.messageBytes != len(message)) { // it was streamed, or encoded again
+		at.Heed(at.Life.Sized(in.messageBytes))
 	}
 	at.Heed(at.Life.Wrote(n))
 	switch {
 	case err == nil:
-		if in.began {
+		if in.anyReceived {
 			at.Heed(at.Life.Read())
 		}
 		at.Heed(at.Life.Answer(e.Result))
@@ -197,188 +203,190 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return failure(at, life.Late, err), false
 	}
-	if in.failed != nil && errors.Is(err, net.ErrClosed) {
-		err = in.failed
+	if in.writeErr != nil && errors.Is(err, net.ErrClosed) {
+		err = in.writeErr
 	}
 	return failure(at, life.Broken, err), false
 }
 
-// Inflow is what comes back on a connection.
+// AnswerReader reads the answer to a message from a connection and limits the time that it may take. It also writes the message, which may
+// continue while the answer is read. Only the goroutine of its attempt may use it.
 type Inflow struct {
 	*bufio.Reader
-	conn    net.Conn
-	at      *core.Attempt
-	ctx     context.Context
-	end     time.Time     // of the waiting for an answer
-	stall   time.Duration // for which an answer may pause
-	wholeBy time.Time     // when an answer that has begun must be whole; zero for no such time
-	begun   bool
-	began   bool       // something of the answer has come
-	size    int        // of the message; -1 while it is not known
-	n       int        // bytes of it that were written, -1 while that goes on
-	written chan wrote // brings what became of the writing
-	failed  error      // of the writing, once n is known
-
-	long        bool        // answers need not be whole before the attempt ends
-	undisturbed func() bool // ends the attempt's deadline
-	relaying    bool        // the answer is being relayed
-	late        func() bool // what is done where the answer is held and not whole in time; nil where it is not held
+	conn         net.Conn
+	at           *core.Attempt
+	ctx          context.Context
+	deadline     time.Time        // of the attempt; the zero time is no deadline
+	stallTimeout time.Duration    // how long a partly received answer may pause
+	completeBy   time.Time        // when a partly received answer must be complete; zero for no limit
+	midAnswer    bool             // an answer is partly received, so that its pauses are limited
+	anyReceived  bool             // at least one byte of an answer was received
+	messageBytes int              // size of the message; -1 while it is unknown
+	writtenBytes int              // bytes of the message that were written; -1 while writing is in progress
+	writeDone    chan writeResult // receives the result of writing
+	writeErr     error            // error of writing, once writtenBytes is known
+
+	long          bool        // an answer may take as long as the attempt
+	detachContext func() bool // detaches the connection's deadlines from the attempt's context; false if the context has ended
+	relaying      bool        // the answer is being relayed
+	onLate        func() bool // called if a held answer is not complete in time; nil if the answer is not held
 }
 
-// wrote is what became of the writing of a message.
-type wrote struct {
+// writeResult is the result of writing a message.
+type writeResult struct {
 	n   int
-	err error // nil where it is whole
+	err error // nil if the message was written completely
 }
 
-func (f *Inflow) reset(ctx context.Context, at *core.Attempt, c net.Conn, end time.Time, stall time.Duration) {
-	*f = Inflow{Reader: f.Reader, conn: c, at: at, ctx: ctx, end: end, stall: stall}
-	f.Reader.Reset(source{f})
+func (r *Inflow) reset(ctx context.Context, at *core.Attempt, c net.Conn, deadline time.Time, stallTimeout time.Duration) {
+	*r = Inflow{Reader: r.Reader, conn: c, at: at, ctx: ctx, deadline: deadline, stallTimeout: stallTimeout}
+	r.Reader.Reset(connReader{r})
 }
 
-// send writes the message. A long one is written while the answer is awaited, and so is what follows it.
-func (f *Inflow) send(talk Talk, message []byte, rest Following) {
-	conn, at := f.conn, f.at
-	write := func() wrote {
-		n, err := f.writeMessage(talk, message, rest != nil)
-		if err == nil && rest != nil {
+// send writes the message. A long or streamed one is written while the answer is awaited.
+func (r *Inflow) send(codec Talk, message []byte, stream Following) {
+	conn, at := r.conn, r.at
+	write := func() writeResult {
+		n, err := r.writeMessage(codec, message, stream != nil)
+		if err == nil && stream != nil {
 			var more int
-			more, err = rest.Follow(conn)
+			more, err = stream.Follow(conn)
 			n += more
 		}
 		if err != nil {
-			conn.Close() // it never ran; there is no answer to wait for
+			conn.Close() // the server never executes it, and there is no answer to wait for
 		} else {
 			at.Forwarded()
 		}
-		return wrote{n, err}
+		return writeResult{n, err}
 	}
-	if f.size = len(message); f.size <= inlineSend && rest == nil {
-		f.take(write())
+	if r.messageBytes = len(message); r.messageBytes <= maxInlineMessageBytes && stream == nil {
+		r.recordWrite(write())
 		return
 	}
-	if rest != nil {
-		f.size = -1
+	if stream != nil {
+		r.messageBytes = -1
 	}
-	written := make(chan wrote, 1)
-	f.n, f.written = -1, written
+	written := make(chan writeResult, 1)
+	r.writtenBytes, r.writeDone = -1, written
 	go func() { written <- write() }()
 }
 
-// writeMessage writes a message whole. Where nothing of it can be written for a while, as the system fails, it is asked anew whether it may be
-// sent, and worded anew, as its deadline has come nearer; but for one that goes on, whose deadline counts from its end.
-func (f *Inflow) writeMessage(talk Talk, message []byte, goesOn bool) (n int, err error) {
-	if goesOn {
-		f.writeBy(f.end)
-		return f.conn.Write(message)
-	}
-	f.writeBy(time.Now().Add(mostUnsent))
-	n, err = f.conn.Write(message)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && f.maySend() {
-		if message = talk.Message(f.end); message == nil {
+// writeMessage writes a complete message. If nothing of it can be written for maxUnsentAge, as system calls fail, it checks again whether
+// the message may be sent and encodes it again, as less time is left until its deadline. A streamed message is not encoded again: its time
+// counts from its last byte.
+func (r *Inflow) writeMessage(codec Talk, message []byte, streamed bool) (n int, err error) {
+	if streamed {
+		r.setWriteDeadline(r.deadline)
+		return r.conn.Write(message)
+	}
+	r.setWriteDeadline(time.Now().Add(mostUnsent))
+	n, err = r.conn.Write(message)
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.maySend() {
+		if message = codec.Message(r.deadline); message == nil {
 			break
 		}
-		f.writeBy(time.Now().Add(mostUnsent))
-		n, err = f.conn.Write(message)
+		r.setWriteDeadline(time.Now().Add(mostUnsent))
+		n, err = r.conn.Write(message)
 	}
 	if n == 0 && err != nil || n == len(message) {
 		return n, err
 	}
-	f.writeBy(f.end)
-	more, err := f.conn.Write(message[n:])
+	r.setWriteDeadline(r.deadline)
+	more, err := r.conn.Write(message[n:])
 	return n + more, err
 }
 
-// maySend reports whether a message that was not written yet may still be.
-func (f *Inflow) maySend() bool {
+// maySend reports whether a message of which nothing has been written may still be sent.
+func (r *Inflow) maySend() bool {
 	now := time.Now()
-	return f.ctx.Err() == nil && (f.end.IsZero() || now.Before(f.end)) && (f.at.WriteBy.IsZero() || now.Before(f.at.WriteBy)) &&
-		!f.at.Call.Abandoned() && !f.at.Server.Retired()
+	return r.ctx.Err() == nil && (r.deadline.IsZero() || now.Before(r.deadline)) && (r.at.WriteBy.IsZero() || now.Before(r.at.WriteBy)) &&
+		!r.at.Call.Abandoned() && !r.at.Server.Retired()
 }
 
-// writeBy sets when writing ends, if the attempt does not end before.
-func (f *Inflow) writeBy(by time.Time) {
-	f.conn.SetWriteDeadline(earliest(by, f.end, f.at.WriteBy))
-	if f.ctx.Err() != nil { // it has just ended, and what it set must not be undone
-		f.conn.SetWriteDeadline(time.Unix(1, 0))
+// setWriteDeadline sets the write deadline, which the end of the attempt and the time by which it must be sent may bring forward.
+func (r *Inflow) setWriteDeadline(by time.Time) {
+	r.conn.SetWriteDeadline(earliest(by, r.deadline, r.at.WriteBy))
+	if r.ctx.Err() != nil { // the context has just ended, and the expired deadline that it has set must stay
+		r.conn.SetWriteDeadline(time.Unix(1, 0))
 	}
 }
 
-// sent returns how many bytes of the message were written, or -1 while that goes on and is not waited for.
-func (f *Inflow) sent(wait bool) int {
-	if f.n < 0 {
+// bytesSent returns how many bytes of the message were written. While writing is in progress it returns -1, or waits if wait is true.
+func (r *Inflow) bytesSent(wait bool) int {
+	if r.writtenBytes < 0 {
 		select {
-		case w := <-f.written:
-			f.take(w)
+		case w := <-r.writeDone:
+			r.recordWrite(w)
 		default:
 			if wait {
-				f.take(<-f.written)
+				r.recordWrite(<-r.writeDone)
 			}
 		}
 	}
-	return f.n
+	return r.writtenBytes
 }
 
-// take takes what became of the writing. Where something followed the message, its size is known now if it is whole.
-func (f *Inflow) take(w wrote) {
-	if f.n, f.failed = w.n, w.err; w.err == nil {
-		f.size = w.n
+// recordWrite records the result of writing. It sets the size of the message, which for a streamed one was unknown, if all was written.
+func (r *Inflow) recordWrite(w writeResult) {
+	if r.writtenBytes, r.writeErr = w.n, w.err; w.err == nil {
+		r.messageBytes = w.n
 	}
 }
 
-// Sent waits until the message is written whole, for a Talk that no answer comes to.
-func (f *Inflow) Sent() error {
-	if n := f.sent(true); n < f.size {
-		return fmt.Errorf("%d of %d bytes written", n, f.size)
+// WaitSent waits until the message is written completely, for a Codec whose call has no answer. It returns an error if it was not.
+func (r *Inflow) Sent() error {
+	if n := r.bytesSent(true); n < r.messageBytes {
+		return fmt.Errorf("%d of %d bytes written", n, r.messageBytes)
 	}
 	return nil
 }
 
-// Relay begins to relay an answer that is still being received: the attempt's deadline does not end it any more. It is false
-// where that has passed. From here on it may pause for longer.
-func (f *Inflow) Relay(e core.Ending) bool {
-	if !f.undisturbed() {
+// Relay starts relaying an answer that is still being received. The attempt's deadline no longer applies to it, and it may pause for up
+// to relayStallTimeout. Relay returns false if the attempt's context has ended already.
+func (r *Inflow) Relay(e core.Ending) bool {
+	if !r.detachContext() {
 		return false
 	}
-	f.relaying = true
-	f.at.Begun(f.at, e)
+	r.relaying = true
+	r.at.Begun(r.at, e)
 	return true
 }
 
-// Begin waits for the first byte of an answer, or of its next part, for as long as the attempt has. From then on the
-// answer must go on.
-func (f *Inflow) Begin() error {
-	f.expect(false)
-	_, err := f.Peek(1)
+// AwaitData waits for the first byte of an answer, or of its next part, until the attempt's deadline. From then on the answer may pause
+// only for StallTimeout, and unless answers may be long it must be complete before the time reserved for another attempt.
+func (r *Inflow) Begin() error {
+	r.setMidAnswer(false)
+	_, err := r.Peek(1)
 	if err == nil {
-		f.began = true
-		f.expect(true)
+		r.anyReceived = true
+		r.setMidAnswer(true)
 	}
 	return err
 }
 
-// expect sets how long the next bytes may take: till the end, or less once an answer has begun.
-func (f *Inflow) expect(begun bool) {
-	if begun == f.begun {
-		return // the end is what the exchange has set
+// setMidAnswer sets how long the next bytes may take: until the attempt's deadline, or less once an answer is partly received.
+func (r *Inflow) setMidAnswer(begun bool) {
+	if begun == r.midAnswer {
+		return // exchange has set the read deadline
 	}
-	f.begun, f.wholeBy = begun, time.Time{}
+	r.midAnswer, r.completeBy = begun, time.Time{}
 	if !begun {
-		f.until(f.end)
+		r.setReadDeadline(r.deadline)
 		return
 	}
-	if !f.long && !f.end.IsZero() {
-		f.wholeBy = f.end.Add(-time.Until(f.end) / reservedPart)
+	if !r.long && !r.deadline.IsZero() {
+		r.completeBy = r.deadline.Add(-time.Until(r.deadline) / reservedDivisor)
 	}
-	f.pauseBy(f.stall)
+	r.limitPause(r.stallTimeout)
 }
 
-// pauseBy lets an answer that has begun pause for some time from now.
-func (f *Inflow) pauseBy(d time.Duration) {
-	f.until(earliest(time.Now().Add(d), f.end, f.wholeBy))
+// limitPause sets how long a partly received answer may pause from now on.
+func (r *Inflow) limitPause(d time.Duration) {
+	r.setReadDeadline(earliest(time.Now().Add(d), r.deadline, r.completeBy))
 }
 
-// earliest returns the earliest of some times, of those that are not zero; the zero time where all are.
+// earliest returns the earliest time that is not zero, or the zero time if all are.
 func earliest(times ...time.Time) (first time.Time) {
 	for _, t := range times {
 		if first.IsZero() || !t.IsZero() && t.Before(first) {
@@ -388,65 +396,66 @@
 	return first
 }
 
-func (f *Inflow) until(by time.Time) {
-	f.conn.SetReadDeadline(by)
-	if f.ctx.Err() != nil { // it has just ended, and what it set must not be undone
-		f.conn.SetReadDeadline(time.Unix(1, 0))
+func (r *Inflow) setReadDeadline(by time.Time) {
+	r.conn.SetReadDeadline(by)
+	if r.ctx.Err() != nil { // the context has just ended, and the expired deadline that it has set must stay
+		r.conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// Hold has a function called where an answer that has begun is not read whole by some time. If that returns true the answer goes on to be
-// read: it is relayed from there, or held until another time.
-func (f *Inflow) Hold(until time.Time, late func() bool) {
-	f.late = late
-	f.until(earliest(until, f.end))
+// Hold has late called if a partly received answer is not complete by until. If late returns true, reading continues: late has either
+// called Relay, or called Hold again with another time.
+func (r *Inflow) Hold(until time.Time, late func() bool) {
+	r.onLate = late
+	r.setReadDeadline(earliest(until, r.deadline))
 }
 
-// Left is how long the attempt has yet, for ever where it has no end.
-func (f *Inflow) Left() time.Duration {
-	if f.end.IsZero() {
+// TimeLeft returns the time until the attempt's deadline, or math.MaxInt64 if it has none.
+func (r *Inflow) Left() time.Duration {
+	if r.deadline.IsZero() {
 		return math.MaxInt64
 	}
-	return time.Until(f.end)
+	return time.Until(r.deadline)
 }
 
-// source reads from the connection for the Inflow's buffer.
-type source struct{ *Inflow }
+// connReader reads from the connection for the AnswerReader's buffer.
+type connReader struct{ *Inflow }
 
-func (f source) Read(p []byte) (int, error) {
-	if f.relaying {
-		f.conn.SetReadDeadline(time.Now().Add(relayStall))
-		return f.conn.Read(p)
+func (r connReader) Read(p []byte) (int, error) {
+	if r.relaying {
+		r.conn.SetReadDeadline(time.Now().Add(relayStall))
+		return r.conn.Read(p)
 	}
-	n, err := f.conn.Read(p)
-	if f.begun && errors.Is(err, os.ErrDeadlineExceeded) && f.ctx.Err() == nil {
-		n, err = f.readLate(p)
+	n, err := r.conn.Read(p)
+	if r.midAnswer && errors.Is(err, os.ErrDeadlineExceeded) && r.ctx.Err() == nil {
+		n, err = r.readLate(p)
 	}
-	if n > 0 && f.begun && f.late == nil {
-		f.pauseBy(f.stall) // pieces may come slowly, if they come
+	if n > 0 && r.midAnswer && r.onLate == nil {
+		r.limitPause(r.stallTimeout) // an answer may arrive slowly, as long as it continues
 	}
 	return n, err
 }
 
-// readLate reads where the time for it has passed: what has been received by then, as the agent itself may have stood still, or what has the answer
-// relayed from here, or held on. A read whose deadline has passed does not ask the system for the first.
-func (f source) readLate(p []byte) (n int, err error) {
-	if f.late != nil {
-		if n, err = peek.Take(f.conn, p); n > 0 || isEnd(err) {
+// readLate handles an expired read deadline. It reads data that has been received by then, as the agent itself may have been suspended: a
+// read with an expired deadline does not ask the system for data. For a held answer without such data it calls onLate, after which the
+// answer may be relayed or held further.
+func (r connReader) readLate(p []byte) (n int, err error) {
+	if r.onLate != nil {
+		if n, err = peek.Take(r.conn, p); n > 0 || isEnd(err) {
 			return n, err
 		}
-		if f.late() {
-			return f.Read(p)
+		if r.onLate() {
+			return r.Read(p)
 		}
 	}
-	f.conn.SetReadDeadline(time.Now().Add(stallGrace))
-	if n, err = f.conn.Read(p); errors.Is(err, os.ErrDeadlineExceeded) {
-		err = fmt.Errorf("%w: it does not go on", ErrSpoilt)
+	r.conn.SetReadDeadline(time.Now().Add(stallGrace))
+	if n, err = r.conn.Read(p); errors.Is(err, os.ErrDeadlineExceeded) {
+		err = fmt.Errorf("%w: it does not continue", ErrSpoilt)
 	}
 	return n, err
 }
 
-// isEnd reports whether an error of peek.Take is the end of the connection.
+// isEnd reports whether an error of peek.Take means that the connection has ended.
 func isEnd(err error) bool {
 	return !errors.Is(err, peek.ErrNothing) && !errors.Is(err, peek.ErrUnclear) && !errors.Is(err, errors.ErrUnsupported)
 }
