--- a/internal/host/conntrack/listener.go
+++ b/internal/host/conntrack/listener.go
@@ -12,8 +12,8 @@
 	"ternbeam/internal/host/accept"
 )
 
-// Listener is a net.Listener whose connections are registered with a Tracker. One goroutine at a time may call Accept; the other methods
-// are safe for concurrent use.
+// Listener is a net.Listener whose connections are registered with a Tracker. One goroutine at a time may call Accept. CloseAfter is called
+// at most once, from another goroutine.
 type Listener struct {
 	*net.TCPListener
 	tracker      *Tracker
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -67,10 +67,10 @@
 type Stats struct {
 	Accepted      int
 	ClosedForRoom int // closed without a request, to make room for others
-	EndedIdle     int // idle, and closed by the shutdown of their listener without any data of a request
-	EndedSilent   int // the same, before they had sent any data
+	EndedIdle     int // idle ones that their listener's shutdown asked to close, with no data of a request
+	EndedSilent   int // the same, for those that had not sent any data yet
 	KeptBegun     int // left open then, as part of a request had been received
-	EndedBegun    int // closed later in the shutdown, without a complete request
+	EndedBegun    int // asked to close later in the shutdown, without a complete request
 
 	Ended EndCounts // closed connections by cause
 
--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -72,7 +72,7 @@
 	accepted := acceptConn(t, d)
 	d.tracker.Busy(accepted)
 	d.tracker.Idle(accepted)
-	begun := dialClient(t, d, "GET /")
+	partial := dialClient(t, d, "GET /")
 	acceptConn(t, d)
 	var silent []net.Conn
 	for range 10 {
@@ -87,7 +87,7 @@
 			t.Errorf("silent connection %d closed: %t", i, !gone)
 		}
 	}
-	if closed(idle, time.Millisecond) || closed(begun, time.Millisecond) {
+	if closed(idle, time.Millisecond) || closed(partial, time.Millisecond) {
 		t.Error("a normal client's connection was closed")
 	}
 }
@@ -137,11 +137,11 @@
 // The shutdown closes connections that have sent nothing, but waits for those that have sent part of a request.
 func TestSilentConnectionsAreDroppedAtTheEnd(t *testing.T) {
 	d := newListener(t, 10)
-	silent, begun := dialClient(t, d, ""), dialClient(t, d, "GET /")
+	silent, partial := dialClient(t, d, ""), dialClient(t, d, "GET /")
 	acceptConn(t, d)
 	acceptConn(t, d)
 	d.CloseSilent()
-	if !closed(silent, testkit.Patience) || closed(begun, time.Millisecond) || d.tracker.Count() != 1 {
+	if !closed(silent, testkit.Patience) || closed(partial, time.Millisecond) || d.tracker.Count() != 1 {
 		t.Errorf("%d connections", d.tracker.Count())
 	}
 }
@@ -327,11 +327,11 @@
 		conn := acceptConn(t, d)
 		d.tracker.Busy(conn)
 		d.tracker.Idle(conn)
-		const crowd = 12
-		for range crowd {
+		const visitors = 12
+		for range visitors {
 			dialClient(t, d, "").Close()
 		}
-		for range crowd {
+		for range visitors {
 			acceptConn(t, d)
 		}
 		_, cause := conn.(*Conn).lastError()
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -62,7 +62,7 @@
 	Seed       uint64
 	Zones      []string
 	MostHeld   int            // limit on calls that are not answered yet; 0 for no limit
-	Known      discovery.List // the latest known list of servers
+	Known      discovery.List // the list of servers to start with
 	Discovery  string         // address of the list service
 	Asking     asking.Settings
 	Feed       Feed // if not nil, it provides the list; InitialList and Discovery are ignored then
@@ -129,7 +129,7 @@
 
 // ReplaceRoutes replaces the table of shapes and returns once the new one is in use.
 func (c *Core) Reroute(ctx context.Context, t *routes.Table) error {
-	result, err := ask(ctx, c, func() error {
+	result, err := query(ctx, c, func() error {
 		orders, err := c.ledger.Reroute(c.Now(), t)
 		c.execute(orders)
 		return err
@@ -146,7 +146,7 @@
 
 // Ping returns once the event loop has handled all events that were queued before the call, or ctx has ended.
 func (c *Core) Respond(ctx context.Context) {
-	ask(ctx, c, func() struct{} { return struct{}{} })
+	query(ctx, c, func() struct{} { return struct{}{} })
 }
 
 // Ready returns a channel that is closed when clients may send calls: the list was received, or the wait for it timed out.
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -44,7 +44,7 @@
 
 func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*ledger.Ledger, time.Duration, string) ([]ledger.Order, bool),
 	news succession.News) (known bool, err error) {
-	return askUrgent(ctx, c, func() bool {
+	return queryUrgent(ctx, c, func() bool {
 		orders, known := how(c.ledger, c.Now(), id)
 		c.execute(orders)
 		if known {
@@ -55,7 +55,7 @@
 	})
 }
 
-// askUrgent is like ask, but does not wait behind queued calls.
-func askUrgent[T any](ctx context.Context, c *Core, question func() T) (T, error) {
-	return askOn(ctx, c.urgent, question)
+// queryUrgent is like query, but does not wait behind queued calls.
+func queryUrgent[T any](ctx context.Context, c *Core, run func() T) (T, error) {
+	return queryOn(ctx, c.urgent, run)
 }
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -37,7 +37,7 @@
 
 // View returns the module's count of what it has learned, the number of servers, and the load.
 func (c *Core) View(ctx context.Context) (keeping.View, error) {
-	return ask(ctx, c, func() keeping.View {
+	return query(ctx, c, func() keeping.View {
 		open, _ := c.ledger.Count()
 		load := 0.0
 		if most := c.set.MostHeld; most > 0 {
@@ -50,27 +50,27 @@
 // Export copies what was learned into a value. The event loop owns that value until Export returns; after an error it may still be
 // writing to it.
 func (c *Core) Export(ctx context.Context, into *ledger.Learned) (keeping.View, error) {
-	return ask(ctx, c, func() keeping.View {
+	return query(ctx, c, func() keeping.View {
 		c.ledger.Export(c.Now(), into, c.set.Pool.Worked)
 		return keeping.View{News: c.ledger.News(), Servers: c.ledger.ServerCount()}
 	})
 }
 
-// ask runs a query on the event loop and returns its result. The loop never waits for the caller.
-func ask[T any](ctx context.Context, c *Core, question func() T) (answer T, err error) {
-	return askOn(ctx, c.events, question)
+// query runs a function on the event loop and returns its result. The loop never waits for the caller.
+func query[T any](ctx context.Context, c *Core, run func() T) (result T, err error) {
+	return queryOn(ctx, c.events, run)
 }
 
-func askOn[T any](ctx context.Context, events chan<- func(), question func() T) (answer T, err error) {
-	answers := make(chan T, 1)
-	if err := postOn(ctx, events, func() { answers <- question() }); err != nil {
-		return answer, err
+func queryOn[T any](ctx context.Context, events chan<- func(), run func() T) (result T, err error) {
+	results := make(chan T, 1)
+	if err := postOn(ctx, events, func() { results <- run() }); err != nil {
+		return result, err
 	}
 	select {
-	case answer = <-answers:
-		return answer, nil
+	case result = <-results:
+		return result, nil
 	case <-ctx.Done():
-		return answer, context.Cause(ctx)
+		return result, context.Cause(ctx)
 	}
 }
 
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -44,7 +44,7 @@
 // process receives, until Unsubscribe.
 func (c *Core) Leave(ctx context.Context, notify func(succession.News)) (s succession.State, o *Other, err error) {
 	o = &Other{notify}
-	s, err = askUrgent(ctx, c, func() succession.State {
+	s, err = queryUrgent(ctx, c, func() succession.State {
 		c.subscribers[o] = true
 		s := succession.State{Discovery: c.discovery, Said: c.ledger.Saying()}
 		if len(c.list.Servers) > 0 {
@@ -80,7 +80,7 @@
 	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &reported) != nil {
 		reported = nil
 	}
-	askUrgent(ctx, c, func() bool {
+	queryUrgent(ctx, c, func() bool {
 		c.notifySubscribers(n, from)
 		if n.Offline != "" {
 			orders, _ := c.ledger.Offline(c.Now(), n.Offline)
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -366,12 +366,12 @@
 }
 
 // setMidAnswer sets how long the next bytes may take: until the attempt's deadline, or less once an answer is partly received.
-func (r *Inflow) setMidAnswer(begun bool) {
-	if begun == r.midAnswer {
+func (r *Inflow) setMidAnswer(midAnswer bool) {
+	if midAnswer == r.midAnswer {
 		return // exchange has set the read deadline
 	}
-	r.midAnswer, r.completeBy = begun, time.Time{}
-	if !begun {
+	r.midAnswer, r.completeBy = midAnswer, time.Time{}
+	if !midAnswer {
 		r.setReadDeadline(r.deadline)
 		return
 	}
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -85,7 +85,8 @@
 }
 
 // Acquire returns an idle connection for a protocol, or dials a new one. A server that supports several protocols speaks
-// only one of them on each connection. It returns ErrNoSlot if no slot becomes free in time.
+// only one of them on each connection. It returns ErrNoSlot if no slot becomes free in time, or the error
+// of the dial.
 func (p *Pool) Acquire(ctx context.Context, s *life.Server, speaks choice.Protocols, at *life.Attempt) (*Conn, error) {
 	p.mu.Lock()
 	for l := p.book.Lend(s, speaks, p.reusable); l != nil; l = p.book.Lend(s, speaks, p.reusable) {
