--- a/internal/http/httpfront/answer.go
+++ b/internal/http/httpfront/answer.go
@@ -10,56 +10,57 @@
 	"ternbeam/internal/http/httpmsg"
 )
 
-// statuses are those of the final answers.
+// statuses maps the kind of a final answer to its HTTP status.
 var statuses = [...]int{core.Served: http.StatusOK, core.Refused: http.StatusServiceUnavailable,
 	core.Failed: http.StatusBadGateway, core.Duplicate: http.StatusConflict, core.Unfit: http.StatusUnprocessableEntity}
 
-// The stages at which an answer may fail to reach its client, in the log.
+// The stages at which delivering an answer may fail, as logged.
 const (
-	stageWrite = "write" // of an answer that the agent has whole
-	stageRelay = "relay" // of an answer that is relayed while its server sends it
+	stageWrite = "write" // writing an answer that the agent holds completely
+	stageRelay = "relay" // relaying an answer while its server sends it
 )
 
-// deliveryError is why an answer did not reach its client whole.
+// deliveryError says why an answer was not completely delivered to its client.
 type deliveryError struct {
 	stage string
 	cause error
 }
 
-// final writes the final answer to a client that is connected. An answer that can't be written whole ends the connection, and is logged.
+// writeFinal writes the final answer to a client that is connected. If it can't be written completely, the connection is closed and the
+// failure is logged.
 func (f *Front) final(w http.ResponseWriter, in *http.Request, call *core.Call, ans core.Answer) {
-	if f.ending.Load() {
+	if f.shuttingDown.Load() {
 		endConnection(w, in)
 	}
-	err := f.answer(w, in, ans, f.patience(call))
+	err := f.writeAnswer(w, in, ans, f.writeTimeout(call))
 	if err == nil {
 		return
 	}
 	f.core.Undelivered(call, ans.Kind, err.stage, err.cause)
-	panic(http.ErrAbortHandler) // net/http would take an answer that was begun for a whole one
+	panic(http.ErrAbortHandler) // net/http would treat a partly written answer as complete
 }
 
-// abandon answers a request whose client has disconnected. Nobody should be there to read this; whoever is must not take the
-// end of the connection for an empty answer.
+// answerDisconnected answers a request whose client has disconnected. Normally nobody reads this answer; a client that still
+// does must not mistake the close for an empty answer.
 func (f *Front) abandon(w http.ResponseWriter, in *http.Request) {
 	w.Header().Set("Connection", "close")
-	f.answer(w, in, core.Answer{Kind: core.Failed}, lateWrite)
+	f.writeAnswer(w, in, core.Answer{Kind: core.Failed}, lateWrite)
 }
 
-// patience is how long a client may take nothing of its answer. An answer is of use until answerGrace after the client's time: a client that
-// waits is not given up before, whatever keeps the answer from it.
-func (f *Front) patience(call *core.Call) time.Duration {
-	if f.long {
+// writeTimeout returns how long a client may accept nothing of its answer. An answer is useful until answerGrace after the client's
+// deadline: a waiting client is not given up earlier, whatever delays the answer.
+func (f *Front) writeTimeout(call *core.Call) time.Duration {
+	if f.longBodies {
 		return writePause
 	}
 	return max(lateWrite, call.Deadline+answerGrace-f.core.Now())
 }
 
-// answer writes an answer whole and returns why it could not be, or nil.
-func (f *Front) answer(w http.ResponseWriter, in *http.Request, ans core.Answer, patience time.Duration) *deliveryError {
-	callerOf(in).answering = true
+// writeAnswer writes a complete answer. It returns nil or the reason why the answer could not be written.
+func (f *Front) writeAnswer(w http.ResponseWriter, in *http.Request, ans core.Answer, timeout time.Duration) *deliveryError {
+	clientConnOf(in).answerStarted = true
 	header := w.Header()
-	header["Content-Type"] = nil // no guess from the body
+	header["Content-Type"] = nil // net/http must not guess it from the body
 	control := http.NewResponseController(w)
 	body := []byte(nil)
 	if reply, ok := ans.Reply.(*httpmsg.Reply); ok {
@@ -67,16 +68,16 @@
 		if reply.ContentType != "" {
 			header["Content-Type"] = []string{reply.ContentType}
 		}
-		for _, more := range reply.Header {
-			header[more[0]] = append(header[more[0]], more[1])
+		for _, h := range reply.Header {
+			header[h[0]] = append(header[h[0]], h[1])
 		}
 		if reply.Stream != nil {
 			return relay(w, control, reply)
 		}
 	}
-	// The time to write begins now: the request may have taken long to arrive, and the process may have been suspended. A client whose
-	// connection ends without an answer may ask again, for what may have had its effect.
-	control.SetWriteDeadline(time.Now().Add(patience))
+	// The write timeout starts now: the request may have taken long to arrive, and the process may have been suspended. A client whose
+	// connection closes without an answer may retry a request that has already taken effect.
+	control.SetWriteDeadline(time.Now().Add(timeout))
 	if ans.Cause != nil {
 		body = []byte(ans.Cause.Error())
 		header["Content-Type"] = []string{"text/plain; charset=utf-8"}
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// writeAndFlush writes a part of an answer through to the connection.
+// writeAndFlush writes part of an answer and flushes it to the connection.
 func writeAndFlush(w io.Writer, control *http.ResponseController, part []byte) error {
 	if _, err := w.Write(part); err != nil {
 		return err
@@ -100,8 +101,8 @@
 	return control.Flush()
 }
 
-// relay writes an answer while its server sends it. Where that breaks off, the connection has to end before the end that the head has
-// promised.
+// relay writes an answer while its server sends it. If the server's answer breaks off, the connection must close before the length
+// announced in the head is reached.
 func relay(w http.ResponseWriter, control *http.ResponseController, reply *httpmsg.Reply) *deliveryError {
 	defer reply.Close()
 	if reply.Length >= 0 {
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -1,4 +1,4 @@
-// Package httpfront takes calls in HTTP/1.1 and gives their final answers.
+// Package httpfront accepts HTTP/1.1 requests from clients, submits them to the core as calls and writes the final answers.
 package httpfront
 
 import (
@@ -28,58 +28,59 @@
 )
 
 const (
-	// An error or a close is owed within 3 s of connecting to whoever sends nothing or not all.
+	// A client that sends nothing, or only part of a request, gets an error or a close within 3 s of connecting.
 	headTimeout = 2 * time.Second
 	readTimeout = 2500 * time.Millisecond // for head and body
-	// idleTimeout is how long the connection of a client that never returns is kept. Where idle ones hold too many places the tracker ends them
-	// long before.
+	// idleTimeout limits how long the connection of a client that never returns is kept. When idle connections hold too many
+	// places, the tracker ends them much earlier.
 	idleTimeout = 10 * time.Minute
-	lateWrite   = time.Second            // how long a client may take nothing of its answer, at the least
-	answerGrace = 500 * time.Millisecond // after a client's time an answer to it still counts as one
+	lateWrite   = time.Second            // minimum time for which a client may accept nothing of its answer
+	answerGrace = 500 * time.Millisecond // an answer is still useful for this long after the client's deadline
 )
 
-// Front is the HTTP/1.1 side of the agent towards its clients.
+// Front is the HTTP/1.1 side of the agent that faces its clients.
 type Front struct {
-	cfg     *config.Config
-	shapes  Shapes // nil where calls have none
-	long    bool   // bodies may be long, and come in every form of HTTP/1.1
-	core    *core.Core
-	log     *slog.Logger
-	http    *http.Server
-	tracker *conntrack.Tracker
-	listen  *conntrack.Listener
-	ending  atomic.Bool // answers say that their connection ends
-	look    time.Duration
-	budget  httpmsg.Budget
+	cfg           *config.Config
+	shapes        Shapes // nil when calls have no shapes
+	longBodies    bool   // bodies may be long, and may use every framing of HTTP/1.1
+	core          *core.Core
+	log           *slog.Logger
+	http          *http.Server
+	tracker       *conntrack.Tracker
+	listener      *conntrack.Listener
+	shuttingDown  atomic.Bool // answers announce that their connection closes
+	probeInterval time.Duration
+	budget        httpmsg.Budget
 }
 
-// Shapes finds the shapes of requests.
+// Shapes determines the shapes of requests.
 type Shapes interface {
-	// HTTP finds that of a request of a class, and whether its path ends in what it is about. The zero Tag is that of a
-	// class without shapes; a request in none of its class's is an error.
+	// HTTP returns the shape of a request of the given class, and whether the last segment of its path is the key. It returns
+	// the zero Tag for a class without shapes, and an error if the request has none of the shapes of its class.
 	HTTP(class string, r *httpmsg.Request) (tag routes.Tag, keyLast bool, err error)
 }
 
-// WithShapes has the Front find the shapes of requests. It is called before Serve.
+// WithShapes makes the Front determine the shapes of requests. It must be called before Serve.
 func (f *Front) WithShapes(s Shapes) { f.shapes = s }
 
-// New returns a Front that takes the connections of a listener through a connection tracker.
-func New(cfg *config.Config, c *core.Core, d *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
-	f := &Front{cfg: cfg, core: c, log: log, tracker: d, listen: d.Listen(l, log).ReaderCloses(), look: conntrack.ProbeInterval}
-	// No http.ServeMux: it would redirect where a path is not in its plainest form.
+// New returns a Front that accepts connections on l and tracks them in tracker.
+func New(cfg *config.Config, c *core.Core, tracker *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
+	f := &Front{cfg: cfg, core: c, log: log, tracker: tracker, listener: tracker.Listen(l, log).ReaderCloses(), probeInterval: conntrack.ProbeInterval}
+	// No http.ServeMux: it would redirect a request whose path is not in canonical form.
 	handler := func(w http.ResponseWriter, in *http.Request) {
 		defer f.answerPanic(w, in)
-		if !f.tracker.Busy(callerOf(in).conn) { // closed while this was being read: its client asks once more, and must not have its effect twice
+		// False if closed while the request was being read: its client retries, and the request must not take effect twice.
+		if !f.tracker.Busy(clientConnOf(in).conn) {
 			f.log.Warn("request dropped as its connection had been closed", "id", in.Header.Get("X-Correlation-Id"))
 			panic(http.ErrAbortHandler)
 		}
-		callerOf(in).answering = false
-		callerOf(in).tape.begin(in)
+		clientConnOf(in).answerStarted = false
+		clientConnOf(in).recorder.headRead(in)
 		if in.URL.Path != "/ready" {
 			f.request(w, in)
 			return
 		}
-		if f.ending.Load() {
+		if f.shuttingDown.Load() {
 			endConnection(w, in)
 		}
 		select {
@@ -90,93 +91,97 @@
 		}
 	}
 	head, read := headTimeout, readTimeout
-	if f.long = cfg.Long(); f.long {
-		head, read = longHeadTimeout, longHeadTimeout // bodies have a pace of their own
+	if f.longBodies = cfg.Long(); f.longBodies {
+		head, read = longHeadTimeout, longHeadTimeout // bodies have timeouts of their own
 	}
-	f.budget.Most = cfg.Limits.HeapLimit() / uploadsPart
+	f.budget.Most = cfg.Limits.HeapLimit() / uploadHeapDivisor
 	f.http = &http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: head, ReadTimeout: read,
 		WriteTimeout: cfg.LongestDeadline() + lateWrite, IdleTimeout: idleTimeout, MaxHeaderBytes: httpmsg.MaxHead,
-		ConnState: f.note, ConnContext: f.withCaller, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
+		ConnState: f.connState, ConnContext: f.withClientConn, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
 	return f
 }
 
-// answerPanic answers a request whose handling has panicked, where its answer has not begun: net/http would end the connection without one.
+// answerPanic answers a request whose handler has panicked, unless its answer has already started: net/http would close the
+// connection without an answer.
 func (f *Front) answerPanic(w http.ResponseWriter, in *http.Request) {
 	cause := recover()
 	switch {
 	case cause == nil:
 		return
-	case cause == http.ErrAbortHandler, callerOf(in).answering:
+	case cause == http.ErrAbortHandler, clientConnOf(in).answerStarted:
 		panic(cause)
 	}
 	f.log.Error("the handling of a request panicked", "id", in.Header.Get("X-Correlation-Id"), "cause", cause, "stack", string(debug.Stack()))
 	f.abandon(w, in)
 }
 
-// note follows a connection through the server, as its ConnState.
-func (f *Front) note(conn net.Conn, state http.ConnState) {
-	c := conn.(*tape).Conn
+// connState is the ConnState callback of the HTTP server. It keeps the tracker up to date.
+func (f *Front) connState(conn net.Conn, state http.ConnState) {
+	c := conn.(*recordingConn).Conn
 	switch state {
 	case http.StateIdle:
-		conn.(*tape).next()
+		conn.(*recordingConn).requestDone()
 		f.tracker.Idle(c)
 	case http.StateClosed, http.StateHijacked:
 		f.tracker.Closed(c)
 	}
 }
 
-// caller is a client's connection, as its requests find it.
-type caller struct {
-	conn  *conntrack.Conn
-	tape  *tape // over conn
-	asked int   // requests so far
+// clientConn is the connection of a client, as seen by the handlers of its requests.
+type clientConn struct {
+	conn     *conntrack.Conn
+	recorder *recordingConn // wraps conn
+	requests int            // requests so far
 
-	answering bool // the final answer to the current request has begun
+	answerStarted bool // the final answer to the current request has started
 
 	opened time.Duration // on the module's clock
 }
 
-type callerKey struct{}
+type clientConnKey struct{}
 
-// withCaller lets the requests on a connection find it.
-func (f *Front) withCaller(ctx context.Context, c net.Conn) context.Context {
-	t := c.(*tape)
-	return context.WithValue(ctx, callerKey{}, &caller{conn: t.Conn, tape: t, opened: f.core.Now()})
+// withClientConn makes the connection available to the handlers of its requests, as the server's ConnContext.
+func (f *Front) withClientConn(ctx context.Context, c net.Conn) context.Context {
+	t := c.(*recordingConn)
+	return context.WithValue(ctx, clientConnKey{}, &clientConn{conn: t.Conn, recorder: t, opened: f.core.Now()})
 }
 
-func callerOf(in *http.Request) *caller { return in.Context().Value(callerKey{}).(*caller) }
+func clientConnOf(in *http.Request) *clientConn {
+	return in.Context().Value(clientConnKey{}).(*clientConn)
+}
 
-// Serve takes calls until Stop; it always ends with an error.
+// Serve accepts connections until Stop is called. It always returns an error.
 func (f *Front) Serve() error {
-	return f.http.Serve(taped{f.listen, f.http.ReadHeaderTimeout})
+	return f.http.Serve(recordingListener{f.listener, f.http.ReadHeaderTimeout})
 }
 
-// Stop ends the front gently. Clients hear of it a little later, so new connections are accepted for a while, or not at
-// all where another process accepts at the same socket. Those that wait for nothing are left open for some time, in which whoever asks once more is answered and told that the connection
-// ends; then they are closed, while a client that just wrote to one can still come anew. After that, what was taken is
-// answered, for so long as it may take; who has said nothing by then is not waited for.
+// Stop shuts the front down gracefully. Clients learn of the shutdown with a delay, so new connections are accepted for some
+// more time, or not at all if another process accepts on the same socket. Connections without a request stay open for plan.Idle;
+// a client that sends a request during that time is answered and notified that the connection closes. Then they are closed, while a
+// client that has just written to one can still reconnect. After that, the requests already received are answered, within the
+// time that the plan leaves. Connections on which nothing has been received by then are not waited for.
 func (f *Front) Stop(begin time.Time, plan shutdown.Schedule) {
 	end := begin.Add(plan.CloseBy)
-	f.ending.Store(true)
-	stage := f.stages(begin)
+	f.shuttingDown.Store(true)
+	stage := f.startStageLog(begin)
 	closed := make(chan struct{})
-	go func() { f.listen.CloseAfter(plan.Accept, end); close(closed) }()
+	go func() { f.listener.CloseAfter(plan.Accept, end); close(closed) }()
 	time.Sleep(plan.Idle)
-	// Not http.Server's Shutdown: it closes a connection that it takes for idle while a request is being read there, which is
-	// then sent on all the same, and once more when its client, who heard nothing, asks again.
-	f.listen.CloseIdle()
+	// http.Server's Shutdown can't be used: it closes a connection that it considers idle while a request is being read from it. That
+	// request would still be forwarded, and forwarded again when its client, which got no answer, retries.
+	f.listener.CloseIdle()
 	stage("idle connections told to end")
 	<-closed
 	stage("accepting ended")
 	silent := time.AfterFunc(min(conntrack.SilentGrace, time.Until(end)-conntrack.AnswerWriteTime), func() {
-		f.listen.CloseSilent()
+		f.listener.CloseSilent()
 		stage("silent connections told to end")
 	})
 	defer silent.Stop()
-	if !f.empty(end.Add(-conntrack.AnswerWriteTime)) {
-		f.listen.CloseUnfinished() // nobody sends on in time what has not come whole by now
+	if !f.waitEmpty(end.Add(-conntrack.AnswerWriteTime)) {
+		f.listener.CloseUnfinished() // a request that is incomplete by now would be forwarded too late
 		stage("unfinished requests told to end")
-		if !f.empty(end) {
+		if !f.waitEmpty(end) {
 			f.log.Warn("connections were still open at the end", "connections", f.tracker.Count())
 		}
 	}
@@ -184,15 +189,15 @@
 	stage("closed")
 }
 
-// empty waits until no connection is left, or until some time. It reports whether none is.
-func (f *Front) empty(by time.Time) bool {
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+// waitEmpty waits until no connection is left or until the given time. It reports whether none is left.
+func (f *Front) waitEmpty(deadline time.Time) bool {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	return f.listen.Empty(ctx) == nil
+	return f.listener.Empty(ctx) == nil
 }
 
-// stages begins the log of a shutdown and returns what logs its next stage.
-func (f *Front) stages(begin time.Time) (stage func(name string)) {
+// startStageLog logs the beginning of a shutdown and returns a function that logs each further stage.
+func (f *Front) startStageLog(begin time.Time) (stage func(name string)) {
 	f.log.Info("shutdown", "stage", "begun", "connections", f.tracker.Count())
 	return func(name string) {
 		s := f.tracker.Stats()
@@ -201,15 +206,15 @@
 	}
 }
 
-// endConnection has the connection of a request end with its answer, unless the client has sent more behind the request: that would be closed on
-// unanswered.
+// endConnection makes the connection of a request close after its answer, unless the client has already sent more data behind the
+// request: that data would get no answer.
 func endConnection(w http.ResponseWriter, in *http.Request) {
-	if !callerOf(in).tape.hasMore() {
+	if !clientConnOf(in).recorder.hasMore() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// request serves one request of the application.
+// handleRequest handles one request of the application.
 func (f *Front) request(w http.ResponseWriter, in *http.Request) {
 	call, body, err := f.parse(in, w)
 	if err != nil {
@@ -220,50 +225,50 @@
 		case errors.Is(err, errFraming):
 			status = http.StatusLengthRequired
 		}
-		f.core.Malformed()                    // no line each: they may come by the thousand
-		w.Header().Set("Connection", "close") // whoever sent this may have sent anything behind it
+		f.core.Malformed()                    // not logged one by one: there may be thousands
+		w.Header().Set("Connection", "close") // the client may have sent anything behind the request
 		http.Error(w, err.Error(), status)
 		return
 	}
-	http.NewResponseController(w).SetReadDeadline(time.Time{}) // or waiting for the client to leave would end with it
-	from := callerOf(in)
+	http.NewResponseController(w).SetReadDeadline(time.Time{}) // otherwise it would also end the wait for the client's disconnect
+	client := clientConnOf(in)
 	gone := func() bool {
-		gone, over := from.conn.Probe()
-		if over { // no requests can be told apart in what is left of that
+		gone, over := client.conn.Probe()
+		if over { // no requests can be told apart in the unread data
 			w.Header().Set("Connection", "close")
 		}
 		return gone
 	}
-	// While a long body comes its reader sees the end. Who is gone was so behind another request, or long ago: there is nobody to
-	// send this on for.
+	// While a long body is being received, its reader detects a disconnect. A client that is gone at this point disconnected behind
+	// another request or long ago: there is nobody to forward this request for.
 	if !call.Coming && gone() {
 		f.core.Abandoned()
 		f.abandon(w, in)
 		return
 	}
-	answers := newHandover(call)
-	defer answers.clear()
-	call.Answer = answers.give
-	from.asked++
-	call.Disconnected = from.conn.Disconnected
-	call.Connection = ledger.Connection{Opened: from.opened, Requests: from.asked}
+	slot := newAnswerSlot(call)
+	defer slot.clear()
+	call.Answer = slot.deliver
+	client.requests++
+	call.Disconnected = client.conn.Disconnected
+	call.Connection = ledger.Connection{Opened: client.opened, Requests: client.requests}
 	f.core.Take(call)
-	// Some clients ask once and keep their connection for good. Where places get short it ends with the answer; a
-	// client that does come back opens another.
-	if from.asked == 1 && f.tracker.NearlyFull() {
+	// Some clients send one request and keep their connection forever. When places are scarce, the connection closes after the
+	// first answer; a client that does return opens another one.
+	if client.requests == 1 && f.tracker.NearlyFull() {
 		endConnection(w, in)
 	}
 	if call.Coming {
-		defer body.stop() // however this ends
+		defer body.stop() // however the call ends
 		broken, err := body.pump(f.core, call), error(nil)
 		select {
-		case ans := <-answers.one:
+		case ans := <-slot.answers:
 			if body.stop() {
-				w.Header().Set("Connection", "close") // what is left of the request is not read
+				w.Header().Set("Connection", "close") // the rest of the request is not read
 			}
 			f.final(w, in, call, ans)
 			return
-		case err = <-broken: // nil where it is whole
+		case err = <-broken: // nil if the body is complete
 		}
 		if err != nil {
 			f.core.Malformed()
@@ -272,7 +277,7 @@
 			return
 		}
 	}
-	if ans, ok := f.await(in.Context(), from.conn, answers.one, gone); ok {
+	if ans, ok := f.await(in.Context(), client.conn, slot.answers, gone); ok {
 		f.final(w, in, call, ans)
 		return
 	}
@@ -280,11 +285,11 @@
 	f.abandon(w, in)
 }
 
-// await waits for the answer to a call. It is false where the client leaves before. net/http reads the connection meanwhile and
-// tells at once of its end, unless something has come behind the request: then it reads no further, and the connection is looked at.
+// await waits for the answer to a call. It returns false if the client disconnects first. Meanwhile net/http reads the connection
+// and reports its end at once, unless there is data behind the request: then it stops reading, and the connection is probed instead.
 func (f *Front) await(ctx context.Context, conn *conntrack.Conn, answer <-chan core.Answer, gone func() bool) (core.Answer, bool) {
-	look := time.NewTicker(f.look)
-	defer look.Stop()
+	ticker := time.NewTicker(f.probeInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case ans := <-answer:
@@ -292,11 +297,11 @@
 		case <-ctx.Done():
 			return core.Answer{}, false
 		case <-conn.Unwatched():
-			look.Reset(f.look)
-		case <-look.C:
+			ticker.Reset(f.probeInterval)
+		case <-ticker.C:
 			switch {
 			case conn.Watched():
-				look.Stop()
+				ticker.Stop()
 			case gone():
 				return core.Answer{}, false
 			}
@@ -304,26 +309,26 @@
 	}
 }
 
-// handover brings one call its final answer. An answer may begin to come at the moment at which its client leaves: whoever
-// finds it last closes what it comes on, which would wait for a reader for good.
-type handover struct {
-	call *core.Call
-	one  chan core.Answer
+// answerSlot delivers the final answer of one call. An answer may start at the moment when its client disconnects: whichever side
+// notices last closes the answer's stream, which would otherwise wait for a reader forever.
+type answerSlot struct {
+	call    *core.Call
+	answers chan core.Answer
 }
 
-func newHandover(call *core.Call) handover { return handover{call, make(chan core.Answer, 1)} }
+func newAnswerSlot(call *core.Call) answerSlot { return answerSlot{call, make(chan core.Answer, 1)} }
 
-// give is Call.Answer.
-func (h handover) give(ans core.Answer) {
-	if h.one <- ans; h.call.Gone() {
-		h.clear()
+// deliver is the Call.Answer callback.
+func (s answerSlot) deliver(ans core.Answer) {
+	if s.answers <- ans; s.call.Gone() {
+		s.clear()
 	}
 }
 
-// clear closes an answer that nobody took. Where none has come yet, give does if the client is gone by then.
-func (h handover) clear() {
+// discard closes an answer that was not taken. If there is none yet, deliver discards it once the client has disconnected.
+func (s answerSlot) clear() {
 	select {
-	case ans := <-h.one:
+	case ans := <-s.answers:
 		if r, ok := ans.Reply.(io.Closer); ok {
 			r.Close()
 		}
@@ -331,25 +336,25 @@
 	}
 }
 
-// methods are those of the classes' effects.
+// methods maps the effect of a class to the method of its requests.
 var methods = map[choice.Effect]string{choice.Safe: http.MethodGet, choice.Keyed: http.MethodPost,
 	choice.Unsafe: http.MethodPost}
 
-// errFraming is why a request is turned away whose end may be told in two ways. net/http drops the Content-Length
-// beside a Transfer-Encoding before anybody can see it, and in HTTP/1.0 the Transfer-Encoding; the two may disagree
-// on where the request ends and so hide another in its body. The application sends neither.
+// errFraming rejects a request whose end could be determined in two ways. net/http drops a Content-Length
+// next to a Transfer-Encoding before any handler can see it, and drops the Transfer-Encoding in HTTP/1.0. The two may
+// disagree on where the request ends, and so smuggle another request in its body. The application sends neither.
 var errFraming = errors.New("requests are taken without Transfer-Encoding and as HTTP 1.1 only")
 
-// errTwoLengths is why a request is turned away that has a length beside a Transfer-Encoding.
+// errTwoLengths rejects a request that has both a Content-Length and a Transfer-Encoding.
 var errTwoLengths = errors.New("a Content-Length beside a Transfer-Encoding")
 
-// once are the headers that a request may hold one of.
-var once = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "Idempotency-Key"}
+// singleHeaders lists the headers that may occur only once in a request.
+var singleHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "Idempotency-Key"}
 
-// parse reads a request, whole or as far as it is read before the core takes it: then the rest is still to come. What it
-// returns as an error is the client's fault.
-func (f *Front) parse(in *http.Request, w http.ResponseWriter) (*core.Call, *arriving, error) {
-	call, left, err := f.parseHead(in)
+// parse reads a request. It reads a short body whole; the rest of a long one is received after the core has taken the call.
+// Every error that it returns is the client's fault.
+func (f *Front) parse(in *http.Request, w http.ResponseWriter) (*core.Call, *incomingBody, error) {
+	call, wait, err := f.parseHead(in)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -357,25 +362,25 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	from := callerOf(in)
-	waited := from.conn.SinceLastData() // its client counts from when it sent the request
-	left = max(0, left-waited)
-	call.Deadline = f.core.Now() + left // counted from the last byte
+	client := clientConnOf(in)
+	waited := client.conn.SinceLastData() // the client counts from when it sent the request
+	wait = max(0, wait-waited)
+	call.Deadline = f.core.Now() + wait // counted from the last byte
 	if call.Coming {
-		body.left = left
-		call.Deadline += body.longest()
+		body.timeLeft = wait
+		call.Deadline += body.maxReadTime()
 	}
 	return call, body, nil
 }
 
-// parseHead reads what the head says, and how long the client waits.
+// parseHead evaluates the request line and the headers. It also returns how long the client waits.
 func (f *Front) parseHead(in *http.Request) (call *core.Call, wait time.Duration, err error) {
 	chunked := len(in.TransferEncoding) > 0
-	if !in.ProtoAtLeast(1, 1) || chunked && !f.long {
+	if !in.ProtoAtLeast(1, 1) || chunked && !f.longBodies {
 		return nil, 0, errFraming
 	}
 	if chunked {
-		if callerOf(in).tape.twoLengths(in) {
+		if clientConnOf(in).recorder.hasAmbiguousLength(in) {
 			return nil, 0, errTwoLengths
 		}
 	}
@@ -383,7 +388,7 @@
 	payload := &httpmsg.Request{Method: in.Method, URL: in.URL, Header: h}
 	call = &core.Call{Payload: payload}
 	call.Needs = protocol.HTTP
-	for _, name := range once {
+	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
 			return nil, 0, fmt.Errorf("%s given %d times", name, len(h[name]))
 		}
@@ -404,7 +409,7 @@
 		return nil, 0, fmt.Errorf("class %q in X-Service-Class, %q in the path", name, parts[0])
 	}
 	effect := cfg.Module.Classes[call.Class].Effect
-	if !call.Tag.Set() { // or the shape says which method it has, and whether a body
+	if !call.Tag.Set() { // otherwise the shape determines the method, and whether there is a body
 		if in.Method != methods[effect] {
 			return nil, 0, fmt.Errorf("method %s for class %q", in.Method, name)
 		}
@@ -418,14 +423,14 @@
 	if call.Tenant = cfg.Tenant(h.Get("X-Account")); call.Tenant < 0 {
 		return nil, 0, fmt.Errorf("unknown X-Account %q", h.Get("X-Account"))
 	}
-	left, err := strconv.ParseFloat(h.Get("X-Time-Left"), 64)
-	if err != nil || math.IsNaN(left) || math.IsInf(left, 0) || left <= 0 {
+	seconds, err := strconv.ParseFloat(h.Get("X-Time-Left"), 64)
+	if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds <= 0 {
 		return nil, 0, fmt.Errorf("X-Time-Left %q is no time above 0", h.Get("X-Time-Left"))
 	}
 	if len(parts) > 1 && keyLast {
 		call.Key = parts[len(parts)-1]
 	}
 	call.Again = h.Get("X-Repeat") == "1"
-	longest := cfg.Module.Classes[call.Class].Deadline
-	return call, time.Duration(min(left, longest.Seconds()) * float64(time.Second)), nil
+	maxWait := cfg.Module.Classes[call.Class].Deadline
+	return call, time.Duration(min(seconds, maxWait.Seconds()) * float64(time.Second)), nil
 }
--- a/internal/http/httpfront/long.go
+++ b/internal/http/httpfront/long.go
@@ -13,77 +13,78 @@
 )
 
 const (
-	// longHeadTimeout is how long a head may take where clients may be slow, which they may for 2 s.
+	// longHeadTimeout limits the time for a head when clients may be slow. They may be slow for up to 2 s.
 	longHeadTimeout = 2400 * time.Millisecond
 
-	// A body may keep the agent waiting so long in all, and as long again as it takes at the least pace.
-	bodyGrace = 1500 * time.Millisecond
-	bodyPace  = 48_000 // bytes a second
+	// A body may keep the agent waiting for bodyGrace in total, plus the time that it takes at minBodyRate.
+	bodyGrace   = 1500 * time.Millisecond
+	minBodyRate = 48_000 // bytes per second
 
-	writePause  = 10 * time.Second // how long a client may take nothing of an answer
-	uploadsPart = 4                // the part of the heap that is for bodies kept for another attempt, inverted
+	writePause        = 10 * time.Second // how long a client may accept nothing of an answer
+	uploadHeapDivisor = 4                // 1/uploadHeapDivisor of the heap holds bodies that are kept for another attempt
 )
 
-// paced reads a body for as long as it keeps its pace. What passes while nobody reads does not count.
-type paced struct {
-	body    io.Reader
-	control *http.ResponseController
-	came    int64
-	waited  time.Duration
+// pacedBody reads a body and fails when the body arrives more slowly than minBodyRate, after bodyGrace. Time in which nobody reads does not
+// count.
+type pacedBody struct {
+	body     io.Reader
+	control  *http.ResponseController
+	received int64
+	waited   time.Duration
 
 	mu      sync.Mutex
 	stopped bool
 }
 
-func pace(in *http.Request, w http.ResponseWriter) *paced {
-	return &paced{body: in.Body, control: http.NewResponseController(w)}
+func newPacedBody(in *http.Request, w http.ResponseWriter) *pacedBody {
+	return &pacedBody{body: in.Body, control: http.NewResponseController(w)}
 }
 
-// errStopped is why a body is read no further.
+// errStopped is returned by reads after the request has ended.
 var errStopped = errors.New("the request is over")
 
-func (p *paced) Read(b []byte) (int, error) {
-	begin := time.Now()
-	left := bodyGrace + time.Duration(p.came)*time.Second/bodyPace - p.waited
+func (p *pacedBody) Read(b []byte) (int, error) {
+	start := time.Now()
+	remaining := bodyGrace + time.Duration(p.received)*time.Second/minBodyRate - p.waited
 	p.mu.Lock()
 	stopped := p.stopped
 	if !stopped {
-		p.control.SetReadDeadline(begin.Add(max(left, 0)))
+		p.control.SetReadDeadline(start.Add(max(remaining, 0)))
 	}
 	p.mu.Unlock()
 	if stopped {
 		return 0, errStopped
 	}
 	n, err := p.body.Read(b)
-	p.waited += time.Since(begin)
-	p.came += int64(n)
+	p.waited += time.Since(start)
+	p.received += int64(n)
 	return n, err
 }
 
-// halt ends a Read that waits, and those to come.
-func (p *paced) halt() {
+// halt ends a pending Read and makes later ones fail.
+func (p *pacedBody) halt() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopped = true
 	p.control.SetReadDeadline(time.Unix(1, 0))
 }
 
-// arriving is a body that is being read.
-type arriving struct {
-	*paced
-	up   *httpmsg.Upload
-	left time.Duration // how long the client waits from the last byte on
+// incomingBody is a request body that is being received.
+type incomingBody struct {
+	*pacedBody
+	upload   *httpmsg.Upload
+	timeLeft time.Duration // how long the client waits, counted from the last byte
 
-	once  sync.Once
-	quit  chan struct{}
-	done  chan struct{}
-	whole bool // once done
+	once     sync.Once
+	quit     chan struct{}
+	done     chan struct{}
+	complete bool // valid once done is closed
 }
 
-// readBody reads a body whole, if it is short. Of a long one it reads the beginning: the rest comes while it is sent on.
-func (f *Front) readBody(in *http.Request, w http.ResponseWriter, call *core.Call) (*arriving, error) {
+// readBody reads a short body completely. Of a long body it reads the beginning; the rest is forwarded as it arrives.
+func (f *Front) readBody(in *http.Request, w http.ResponseWriter, call *core.Call) (*incomingBody, error) {
 	payload := call.Payload.(*httpmsg.Request)
-	long := f.long && !call.Tag.Set()
+	long := f.longBodies && !call.Tag.Set()
 	switch {
 	case in.ContentLength > httpmsg.MaxBody && !long:
 		return nil, &http.MaxBytesError{Limit: httpmsg.MaxBody} // without reading it
@@ -95,17 +96,17 @@
 		return nil, nil
 	}
 	if in.ContentLength > 0 && in.ContentLength <= httpmsg.MaxBody {
-		from := io.Reader(in.Body)
-		if f.long {
-			from = pace(in, w)
+		source := io.Reader(in.Body)
+		if f.longBodies {
+			source = newPacedBody(in, w)
 		}
 		payload.Body = make([]byte, in.ContentLength)
-		if _, err := io.ReadFull(from, payload.Body); err != nil {
+		if _, err := io.ReadFull(source, payload.Body); err != nil {
 			return nil, fmt.Errorf("%w: %w", errBody, err)
 		}
 		return nil, nil
 	}
-	a := &arriving{paced: pace(in, w), quit: make(chan struct{}), done: make(chan struct{})}
+	a := &incomingBody{pacedBody: newPacedBody(in, w), quit: make(chan struct{}), done: make(chan struct{})}
 	first, err := make([]byte, 0, httpmsg.MaxBody), error(nil)
 	for err == nil && len(first) < cap(first) {
 		var n int
@@ -114,33 +115,33 @@
 	}
 	switch err {
 	case nil:
-	case io.EOF: // short, and chunked
+	case io.EOF: // short, but chunked
 		payload.Body = first
 		return nil, nil
 	default:
 		return nil, fmt.Errorf("%w: %w", errBody, err)
 	}
-	a.up = httpmsg.NewUpload(in.ContentLength, &f.budget)
-	a.up.Fill(first, a.quit)
-	payload.Upload, call.Coming = a.up, true
+	a.upload = httpmsg.NewUpload(in.ContentLength, &f.budget)
+	a.upload.Fill(first, a.quit)
+	payload.Upload, call.Coming = a.upload, true
 	return a, nil
 }
 
-// errBody is why a request is turned away whose body did not come, or not as it should.
+// errBody rejects a request whose body was not received or is invalid.
 var errBody = errors.New("reading the body")
 
-// longest is how much longer the body can take at its least pace.
-func (a *arriving) longest() time.Duration {
-	most := a.up.Length()
-	if most < 0 {
-		most = httpmsg.MaxLong
+// maxReadTime returns how long reading the rest of the body can take at most.
+func (a *incomingBody) maxReadTime() time.Duration {
+	length := a.upload.Length()
+	if length < 0 {
+		length = httpmsg.MaxLong
 	}
-	return bodyGrace + time.Duration(most)*time.Second/bodyPace
+	return bodyGrace + time.Duration(length)*time.Second/minBodyRate
 }
 
-// pump reads the rest of the body, until it is whole, broken or stopped. What it returns brings nil when it is whole, and
-// why it broke otherwise; nothing where it was stopped.
-func (a *arriving) pump(c *core.Core, call *core.Call) <-chan error {
+// pump reads the rest of the body until it is complete, fails or is stopped. The returned channel receives nil if the body is complete,
+// the error if it failed, and nothing if it was stopped.
+func (a *incomingBody) pump(c *core.Core, call *core.Call) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
 		defer close(a.done)
@@ -152,19 +153,19 @@
 				err = &http.MaxBytesError{Limit: httpmsg.MaxLong}
 			}
 			if err != nil && err != io.EOF {
-				c.Left(call) // before an attempt ends of that, which would be made again
-				a.up.End(err)
+				c.Left(call) // before an attempt fails because of it, which would be retried
+				a.upload.End(err)
 				ended <- fmt.Errorf("%w: %w", errBody, err)
 				return
 			}
-			if n > 0 && !a.up.Fill(part[:n], a.quit) {
+			if n > 0 && !a.upload.Fill(part[:n], a.quit) {
 				return
 			}
 			if err == io.EOF {
-				a.control.SetReadDeadline(time.Time{}) // or waiting for the client to leave would end with it
-				a.whole = true
-				a.up.End(nil)
-				c.Whole(call, a.left)
+				a.control.SetReadDeadline(time.Time{}) // otherwise it would also end the wait for the client's disconnect
+				a.complete = true
+				a.upload.End(nil)
+				c.Whole(call, a.timeLeft)
 				ended <- nil
 				return
 			}
@@ -173,8 +174,8 @@
 	return ended
 }
 
-// stop ends the reading, and reports whether the body was not read whole.
-func (a *arriving) stop() (cut bool) {
+// stop ends the reading and reports whether the body was not read completely.
+func (a *incomingBody) stop() (incomplete bool) {
 	if a == nil {
 		return false
 	}
@@ -186,7 +187,7 @@
 			a.halt()
 			<-a.done
 		}
-		a.up.Close()
+		a.upload.Close()
 	})
-	return !a.whole
+	return !a.complete
 }
--- a/internal/http/httpfront/tape.go
+++ b/internal/http/httpfront/tape.go
@@ -12,159 +12,159 @@
 	"ternbeam/internal/http/httpmsg"
 )
 
-// taped accepts connections that keep the bytes which were read last.
-type taped struct {
+// recordingListener accepts connections that record the bytes read last.
+type recordingListener struct {
 	*conntrack.Listener
-	headWithin time.Duration // for a request that has begun on an idle connection
+	headTimeout time.Duration // for a request that has started on an idle connection
 }
 
-func (l taped) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &tape{Conn: c.(*conntrack.Conn), headWithin: l.headWithin}, nil
+	return &recordingConn{Conn: c.(*conntrack.Conn), headTimeout: l.headTimeout}, nil
 }
 
 const (
-	readAhead = 4 << 10                       // net/http reads so much at a time, and so far beyond a request
-	tapeMost  = httpmsg.MaxHead + 3*readAhead // a head that it takes, and what lies round it
+	readAhead   = 4 << 10                       // net/http reads this much at a time, and up to this far beyond a request
+	maxRecorded = httpmsg.MaxHead + 3*readAhead // the largest head that it accepts, and what surrounds it
 )
 
-// tape is a connection that keeps the bytes in which the head of the current request stands: net/http tells neither all of the head nor what it has
-// read behind the request.
-type tape struct {
+// recordingConn is a connection that keeps the bytes of the head of the current request: net/http exposes neither the complete head nor
+// what it has read beyond the request.
+type recordingConn struct {
 	*conntrack.Conn
-	headWithin time.Duration
+	headTimeout time.Duration
 
-	mu       sync.Mutex // net/http may read on while a request is answered
-	bytes    []byte
-	idle     bool  // nothing has come since the last request was over
-	received int64 // bytes in all
-	end      int64 // so many of them are there up to the end of the current request, or unknownEnd
+	mu         sync.Mutex // net/http may continue to read while a request is answered
+	recorded   []byte
+	idle       bool  // nothing has been received since the last request ended
+	received   int64 // total bytes
+	requestEnd int64 // total bytes up to the end of the current request, or unknownEnd
 }
 
-// unknownEnd is the end of a request whose length is not told, or whose head is not on the tape.
+// unknownEnd is the requestEnd of a request whose length is unknown, or whose head is not recorded.
 const unknownEnd = -1
 
-func (t *tape) Read(p []byte) (int, error) {
+func (t *recordingConn) Read(p []byte) (int, error) {
 	n, err := t.Conn.Read(p)
-	if n > 0 && t.keep(p[:n]) {
-		t.LimitReading(t.headWithin) // net/http waits for the first bytes of a request for as long as a connection may be idle
+	if n > 0 && t.record(p[:n]) {
+		t.LimitReading(t.headTimeout) // net/http waits for the first bytes of a request for as long as a connection may be idle
 	}
 	return n, err
 }
 
-// SetReadDeadline is net.Conn's. Where the next request has begun in what was read with the last one, net/http's time for an idle connection is
-// no longer than that for a head.
-func (t *tape) SetReadDeadline(by time.Time) error {
-	if limit := time.Now().Add(t.headWithin); t.nextBegun() && by.After(limit) {
-		by = limit
+// SetReadDeadline sets the read deadline as net.Conn's does. If the next request has already started in data read with the last one,
+// net/http's deadline for an idle connection is limited to the timeout for a head.
+func (t *recordingConn) SetReadDeadline(deadline time.Time) error {
+	if limit := time.Now().Add(t.headTimeout); t.nextStarted() && deadline.After(limit) {
+		deadline = limit
 	}
-	return t.Conn.SetReadDeadline(by)
+	return t.Conn.SetReadDeadline(deadline)
 }
 
-// nextBegun reports whether a request has begun behind the last one, which is over.
-func (t *tape) nextBegun() bool {
+// nextStarted reports whether the last request has ended and another has started behind it.
+func (t *recordingConn) nextStarted() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.idle && t.end != unknownEnd && t.received > t.end
+	return t.idle && t.requestEnd != unknownEnd && t.received > t.requestEnd
 }
 
-// keep keeps what was read, but for the body of the current request where its end is known. It reports whether a request has begun on an idle
-// connection.
-func (t *tape) keep(got []byte) (begun bool) {
+// record stores the bytes read, except those of the current request's body if its end is known. It reports whether a request has
+// started on an idle connection.
+func (t *recordingConn) record(data []byte) (started bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	begun, t.idle = t.idle, false
-	ofBody := max(0, min(t.end-t.received, int64(len(got))))
-	t.received += int64(len(got))
-	got = got[ofBody:]
-	if len(got) > readAhead { // read past net/http's buffer: of a body
-		got = got[len(got)-readAhead:]
+	started, t.idle = t.idle, false
+	bodyBytes := max(0, min(t.requestEnd-t.received, int64(len(data))))
+	t.received += int64(len(data))
+	data = data[bodyBytes:]
+	if len(data) > readAhead { // read past net/http's buffer, so part of a body
+		data = data[len(data)-readAhead:]
 	}
-	if over := len(t.bytes) + len(got) - tapeMost; over > 0 {
-		t.bytes = t.bytes[:copy(t.bytes, t.bytes[min(over, len(t.bytes)):])]
+	if excess := len(t.recorded) + len(data) - maxRecorded; excess > 0 {
+		t.recorded = t.recorded[:copy(t.recorded, t.recorded[min(excess, len(t.recorded)):])]
 	}
-	t.bytes = append(t.bytes, got...)
-	return begun
+	t.recorded = append(t.recorded, data...)
+	return started
 }
 
-// next says that a request is over. The next one may have begun in what was read beyond it.
-func (t *tape) next() {
+// requestDone notes that a request has ended. The next one may have started in the data read beyond it.
+func (t *recordingConn) requestDone() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	beyond := int64(readAhead + 1) // net/http's buffer, and a byte that it reads while a request is answered
-	if t.end != unknownEnd {
-		beyond = max(0, t.received-t.end)
+	beyond := int64(readAhead + 1) // net/http's buffer, and one byte that it reads while a request is answered
+	if t.requestEnd != unknownEnd {
+		beyond = max(0, t.received-t.requestEnd)
 	}
-	first := max(0, int64(len(t.bytes))-beyond)
-	t.bytes = t.bytes[:copy(t.bytes, t.bytes[first:])]
+	first := max(0, int64(len(t.recorded))-beyond)
+	t.recorded = t.recorded[:copy(t.recorded, t.recorded[first:])]
 	t.idle = true
 }
 
-// begin says that the head of a request was read, and nothing of its body.
-func (t *tape) begin(in *http.Request) {
+// headRead notes that the head of a request has been read, and nothing of its body.
+func (t *recordingConn) headRead(in *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.end, t.idle = unknownEnd, false
+	t.requestEnd, t.idle = unknownEnd, false
 	if in.ContentLength < 0 {
 		return
 	}
 	for head := range t.headsLocked(in) {
-		if head.own {
-			t.end = t.received - int64(len(t.bytes)-head.end) + in.ContentLength
+		if head.matches {
+			t.requestEnd = t.received - int64(len(t.recorded)-head.end) + in.ContentLength
 			return
 		}
 	}
 }
 
-// hasMore reports whether more has come behind a request whose body is read, another one as a rule. Of one whose end can't be told it knows only
-// what net/http has not read yet.
-func (t *tape) hasMore() bool {
+// hasMore reports whether there is data behind a request whose body has been read, usually another request. If the end of the request is
+// unknown, it only sees data that net/http has not read yet.
+func (t *recordingConn) hasMore() bool {
 	t.mu.Lock()
-	readOn := t.end != unknownEnd && t.received > t.end
+	readBeyond := t.requestEnd != unknownEnd && t.received > t.requestEnd
 	t.mu.Unlock()
-	return readOn || !t.Quiet()
+	return readBeyond || !t.Quiet()
 }
 
-// twoLengths reports whether a head that could be that of the request has a length beside the encoding, or none is there:
-// net/http has dropped the length by now.
-func (t *tape) twoLengths(in *http.Request) bool {
+// hasAmbiguousLength reports whether a head that may be that of the chunked request has a Content-Length too, or no such head is
+// recorded. net/http has already dropped the Content-Length.
+func (t *recordingConn) hasAmbiguousLength(in *http.Request) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	found := false
 	for head := range t.headsLocked(in) {
-		if head.own && head.length {
+		if head.matches && head.hasLength {
 			return true
 		}
-		found = found || head.own
+		found = found || head.matches
 	}
 	return !found
 }
 
-// tapedHead is a head on the tape.
-type tapedHead struct {
-	end    int  // where its body begins
-	own    bool // it has the request's id
-	length bool // it has a Content-Length
+// recordedHead describes a head among the recorded bytes.
+type recordedHead struct {
+	end       int  // offset of the body
+	matches   bool // it has the request's X-Correlation-Id
+	hasLength bool // it has a Content-Length
 }
 
-// headsLocked goes through the heads on the tape with the request line of a request: others may have come behind it, or before.
-func (t *tape) headsLocked(in *http.Request) iter.Seq[tapedHead] {
+// headsLocked iterates over the recorded heads that have the request line of in: other requests may be recorded before and after it.
+func (t *recordingConn) headsLocked(in *http.Request) iter.Seq[recordedHead] {
 	line, id := []byte(in.Method+" "+in.RequestURI+" HTTP/1."), in.Header.Get("X-Correlation-Id")
-	return func(yield func(tapedHead) bool) {
-		for rest := t.bytes; ; {
+	return func(yield func(recordedHead) bool) {
+		for rest := t.recorded; ; {
 			i := bytes.Index(rest, line)
 			if i < 0 {
 				return
 			}
 			rest = rest[i+len(line):]
-			head, size, whole := readTaped(rest, id)
+			head, size, whole := parseRecordedHead(rest, id)
 			if !whole {
 				return
 			}
-			head.end = len(t.bytes) - len(rest) + size
+			head.end = len(t.recorded) - len(rest) + size
 			if !yield(head) {
 				return
 			}
@@ -172,8 +172,8 @@
 	}
 }
 
-// readTaped reads a head from behind its request line, and returns its size. It is not whole where its end is not on the tape.
-func readTaped(text []byte, id string) (head tapedHead, size int, whole bool) {
+// parseRecordedHead parses a head after its request line and returns its size. whole is false if the end of the head is not recorded.
+func parseRecordedHead(text []byte, id string) (head recordedHead, size int, whole bool) {
 	for rest := text; ; {
 		line, more, found := bytes.Cut(rest, []byte("\n"))
 		if !found {
@@ -186,9 +186,9 @@
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch name = bytes.TrimSpace(name); {
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			head.length = true
+			head.hasLength = true
 		case bytes.EqualFold(name, []byte("X-Correlation-Id")):
-			head.own = string(bytes.TrimSpace(value)) == id
+			head.matches = string(bytes.TrimSpace(value)) == id
 		}
 	}
 }
--- a/internal/http/httpfront/tape_test.go
+++ b/internal/http/httpfront/tape_test.go
@@ -17,8 +17,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// Whatever the sizes of requests that were sent one behind the other, and of the parts in which they come, a request has more behind it if and
-// only if it is not the last.
+// Requests are sent back to back, with random sizes, in pieces of random sizes. A request must have more data behind it if and only if
+// it is not the last.
 func TestTapeKnowsWhetherMoreHasCome(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -32,7 +32,7 @@
 					number, strings.Repeat("y", random.IntN(3000)), len(body), body)
 			}
 			more := make(chan bool, requests)
-			conn, sent := serveTaped(t, func(on *tape) { more <- on.hasMore() })
+			conn, sent := serveRecorded(t, func(on *recordingConn) { more <- on.hasMore() })
 			for text.Len() > 0 {
 				conn.Write(text.Next(1 + random.IntN(9000)))
 				time.Sleep(time.Duration(random.IntN(2)) * time.Millisecond)
@@ -47,8 +47,8 @@
 	}
 }
 
-// serveTaped serves a connection: each request's body is read, and it is looked at once everything is sent.
-func serveTaped(t *testing.T, look func(on *tape)) (client net.Conn, sent chan struct{}) {
+// serveRecorded serves one connection. It reads each request's body, and calls check after everything has been sent.
+func serveRecorded(t *testing.T, check func(on *recordingConn)) (client net.Conn, sent chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,16 +57,16 @@
 	sent = make(chan struct{})
 	front := &Front{tracker: conntrack.New(10)}
 	contextOf := func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, callerKey{}, &caller{tape: c.(*tape)})
+		return context.WithValue(ctx, clientConnKey{}, &clientConn{recorder: c.(*recordingConn)})
 	}
-	server := &http.Server{ConnContext: contextOf, ConnState: front.note, Handler: http.HandlerFunc(func(_ http.ResponseWriter, in *http.Request) {
-		on := callerOf(in).tape
-		on.begin(in)
+	server := &http.Server{ConnContext: contextOf, ConnState: front.connState, Handler: http.HandlerFunc(func(_ http.ResponseWriter, in *http.Request) {
+		on := clientConnOf(in).recorder
+		on.headRead(in)
 		io.Copy(io.Discard, in.Body)
 		<-sent
-		look(on)
+		check(on)
 	})}
-	go server.Serve(taped{front.tracker.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler)).ReaderCloses(), headTimeout})
+	go server.Serve(recordingListener{front.tracker.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler)).ReaderCloses(), headTimeout})
 	t.Cleanup(func() { server.Close() })
 	client, err = net.Dial("tcp", l.Addr().String())
 	if err != nil {
