--- a/internal/http/httpback/crossing_test.go
+++ b/internal/http/httpback/crossing_test.go
@@ -21,8 +21,8 @@
 	"ternbeam/internal/protocol"
 )
 
-// peer runs a server that serves each connection so; n counts them, from 1 on.
-func peer(t *testing.T, serve func(c net.Conn, r *bufio.Reader, n int)) *life.Server {
+// runServer starts a server that handles each connection with serve; n counts the connections, from 1 on.
+func runServer(t *testing.T, serve func(c net.Conn, r *bufio.Reader, n int)) *life.Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,8 +42,8 @@
 	return &life.Server{ID: "b", Addr: l.Addr().String()}
 }
 
-// next reads a request and returns its id, empty at the end.
-func next(r *bufio.Reader) string {
+// readRequestID reads a request and returns its ID, empty at the end of the connection.
+func readRequestID(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return ""
@@ -51,12 +51,12 @@
 	return req.Header.Get("X-Correlation-Id")
 }
 
-func answerTo(id string) string {
+func answerWithID(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 }
 
-// spoken is an attempt in HTTP with an end.
-func spoken(t *testing.T, u *exchange.Transport, id string, s *life.Server) core.Ending {
+// httpAttempt makes an attempt over HTTP that has a deadline.
+func httpAttempt(t *testing.T, u *exchange.Transport, id string, s *life.Server) core.Ending {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
@@ -72,58 +72,58 @@
 	return ""
 }
 
-// A server answers a request once more, some milliseconds later, and another request has begun on that connection meanwhile:
-// nobody could tell that the answer is not its own. A connection has to rest before it is used again, so that it comes first.
+// Guards against taking a second answer to a request for the answer to the next one. A server answers twice, some milliseconds apart,
+// and the next request may already be on that connection. So a connection is not reused before a delay, in which the second answer arrives.
 func TestSecondAnswerMeetsNextRequest(t *testing.T) {
-	b := peer(t, func(c net.Conn, r *bufio.Reader, _ int) {
-		id := next(r)
-		fmt.Fprint(c, answerTo(id))
+	b := runServer(t, func(c net.Conn, r *bufio.Reader, _ int) {
+		id := readRequestID(r)
+		fmt.Fprint(c, answerWithID(id))
 		crossed := make(chan string, 1)
-		go func() { crossed <- next(r) }()
+		go func() { crossed <- readRequestID(r) }()
 		select {
-		case <-crossed: // the next request is on its way, and the connection has not rested
+		case <-crossed: // the next request was sent without the reuse delay
 		case <-time.After(3 * time.Millisecond):
 		}
-		fmt.Fprint(c, answerTo(id))
+		fmt.Fprint(c, answerWithID(id))
 	})
 	u := newTransport(pool.Settings{Rest: 300 * time.Millisecond})
 	for i := range 3 {
 		id := fmt.Sprint("call-", i)
-		if e := spoken(t, u, id, b); e.Result != choice.OK || bodyOf(e) != id {
-			t.Errorf("%s: result %d, with the answer of %q", id, e.Result, bodyOf(e))
+		if e := httpAttempt(t, u, id, b); e.Result != choice.OK || bodyOf(e) != id {
+			t.Errorf("%s: result %d, with the answer to %q", id, e.Result, bodyOf(e))
 		}
 	}
 }
 
-// Calls that come faster than connections have rested wait for them, a few of them; the others open more, where there is place,
-// so that in the end all find one that has rested. Each connection rests.
+// A few of the calls that find no connection past its reuse delay wait for one; the others open more connections, within the limit, so that
+// in the end every call finds one. The reuse delay is observed on each connection.
 func TestFewWaitForRest(t *testing.T) {
-	const rest, calls, most = 100 * time.Millisecond, 12, 20
+	const reuseDelay, calls, maxConns = 100 * time.Millisecond, 12, 20
 	var opened atomic.Int32
 	var mu sync.Mutex
-	var short []time.Duration
-	b := peer(t, func(c net.Conn, r *bufio.Reader, _ int) {
+	var tooEarly []time.Duration
+	b := runServer(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		opened.Add(1)
 		for answered := (time.Time{}); ; {
-			id := next(r)
+			id := readRequestID(r)
 			if id == "" {
 				return
 			}
-			if rested := time.Since(answered); !answered.IsZero() && rested < rest {
+			if idleFor := time.Since(answered); !answered.IsZero() && idleFor < reuseDelay {
 				mu.Lock()
-				short = append(short, rested)
+				tooEarly = append(tooEarly, idleFor)
 				mu.Unlock()
 			}
-			answered = time.Now() // it can't be there before
-			fmt.Fprint(c, answerTo(id))
+			answered = time.Now() // the next request can't arrive earlier
+			fmt.Fprint(c, answerWithID(id))
 		}
 	})
-	u := newTransport(pool.Settings{Rest: rest, Most: most})
+	u := newTransport(pool.Settings{Rest: reuseDelay, Most: maxConns})
 	burst := func() {
 		var all sync.WaitGroup
 		for i := range calls {
 			all.Go(func() {
-				if e := spoken(t, u, fmt.Sprint("call-", i), b); e.Result != choice.OK {
+				if e := httpAttempt(t, u, fmt.Sprint("call-", i), b); e.Result != choice.OK {
 					t.Errorf("result %d", e.Result)
 				}
 			})
@@ -132,26 +132,26 @@
 	}
 	burst()
 	burst()
-	if n := opened.Load(); n <= 1 || n > most {
-		t.Errorf("%d connections for %d calls at a time", n, calls)
+	if n := opened.Load(); n <= 1 || n > maxConns {
+		t.Errorf("%d connections for %d concurrent calls", n, calls)
 	}
 	open, idle, waiting := u.Pool.Count()
 	if open != idle || waiting != 0 {
-		t.Errorf("%d places taken, %d idle, %d waited for, with nothing under way", open, idle, waiting)
+		t.Errorf("%d connections open, %d idle, %d attempts waiting, with no call in flight", open, idle, waiting)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(short) > 0 {
-		t.Errorf("connections rested for %v only", short)
+	if len(tooEarly) > 0 {
+		t.Errorf("connections were reused after only %v", tooEarly)
 	}
 }
 
-// Who waits for a connection to have rested is withdrawn, or its time ends: nothing is sent, and the connection goes back.
+// An attempt that waits for a connection's reuse delay is canceled or times out: nothing is sent, and the connection is released.
 func TestWithdrawnWhileItRests(t *testing.T) {
 	var seen testkit.Counter
-	b := server(t, func(_ http.ResponseWriter, r *http.Request) { seen.Add(r) })
+	b := startServer(t, func(_ http.ResponseWriter, r *http.Request) { seen.Add(r) })
 	u := newTransport(pool.Settings{Rest: testkit.Patience})
-	if e := spoken(t, u, "first", b); e.Result != choice.OK {
+	if e := httpAttempt(t, u, "first", b); e.Result != choice.OK {
 		t.Fatalf("result %d", e.Result)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -159,42 +159,42 @@
 	second := attempt("second", b)
 	second.Speaks = protocol.HTTP
 	go func() { ended <- u.Attempt(ctx, second) }()
-	testkit.Eventually(t, "the second waits", func() bool { return idle(u) == 0 })
+	testkit.Eventually(t, "the second attempt waits", func() bool { return idleConns(u) == 0 })
 	cancel()
 	if e := <-ended; e.Result != choice.NotSent || seen.Of("second") != 0 {
 		t.Errorf("result %d, %d requests", e.Result, seen.Of("second"))
 	}
-	if count(u) != 1 || idle(u) != 1 {
-		t.Errorf("%d places taken, %d idle", count(u), idle(u))
+	if openConns(u) != 1 || idleConns(u) != 1 {
+		t.Errorf("%d connections open, %d idle", openConns(u), idleConns(u))
 	}
 }
 
-// stalling is a transport that stands still between the look at its connection and the first byte.
-func stalling(u *exchange.Transport, still func()) *exchange.Transport {
+// withStall returns u with a call of stall between the check of the connection and the first byte written.
+func withStall(u *exchange.Transport, stall func()) *exchange.Transport {
 	begin := u.Begin
-	u.Begin = func(at *core.Attempt) exchange.Talk { still(); return begin(at) }
+	u.Begin = func(at *core.Attempt) exchange.Talk { stall(); return begin(at) }
 	return u
 }
 
-// The process stands still between the look at an idle connection and the first byte, and the server closes it meanwhile, as
-// idle. The request must not be written there: it would count as one that may have run, and an unsafe one would be lost.
+// The process is suspended between the check of an idle connection and the first byte, and the server closes the idle connection
+// meanwhile. The request must not be written there: it would count as one that may have run, and an unsafe one would be lost.
 func TestIdleConnectionEndsDuringAStandstill(t *testing.T) {
 	closed := make(chan net.Conn, 1)
-	b := peer(t, func(c net.Conn, r *bufio.Reader, _ int) {
-		for id := next(r); id != ""; id = next(r) {
-			fmt.Fprint(c, answerTo(id))
+	b := runServer(t, func(c net.Conn, r *bufio.Reader, _ int) {
+		for id := readRequestID(r); id != ""; id = readRequestID(r) {
+			fmt.Fprint(c, answerWithID(id))
 			closed <- c
 		}
 	})
 	calls := 0
-	u := stalling(newTransport(pool.Settings{Rest: time.Nanosecond}), func() {
+	u := withStall(newTransport(pool.Settings{Rest: time.Nanosecond}), func() {
 		if calls++; calls == 2 {
 			c := <-closed
 			c.Close()
-			time.Sleep(10 * time.Millisecond) // the standstill itself
+			time.Sleep(10 * time.Millisecond) // the suspension itself
 		}
 	})
-	if e := spoken(t, u, "first", b); e.Result != choice.OK {
+	if e := httpAttempt(t, u, "first", b); e.Result != choice.OK {
 		t.Fatalf("result %d", e.Result)
 	}
 	a := attempt("second", b)
@@ -202,7 +202,7 @@
 	if e := u.Attempt(context.Background(), a); e.Result != choice.ConnectFailed || a.Life.CanHaveRun() {
 		t.Errorf("result %d, can have run: %t", e.Result, a.Life.CanHaveRun())
 	}
-	if e := spoken(t, u, "third", b); e.Result != choice.OK || bodyOf(e) != "third" {
+	if e := httpAttempt(t, u, "third", b); e.Result != choice.OK || bodyOf(e) != "third" {
 		t.Errorf("result %d, %q", e.Result, bodyOf(e))
 	}
 }
--- a/internal/http/httpback/fuzz_test.go
+++ b/internal/http/httpback/fuzz_test.go
@@ -13,7 +13,7 @@
 	"ternbeam/internal/http/httpmsg"
 )
 
-// answers are seeds: in order, odd and spoilt.
+// answers are seeds: valid, unusual and invalid ones.
 var answers = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 	"HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT util=0.5, qps=40, eps=0\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok",
@@ -34,8 +34,8 @@
 	"\x8e\x1f7\x00noise",
 }
 
-// Whatever a server sends, the reader ends, takes no more than an answer may hold, and reads a head that it reads by
-// itself as net/http does.
+// Whatever a server sends, the reader terminates, accepts no more than an answer may hold, and parses plain heads as net/http
+// does.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range answers {
 		f.Add([]byte(text))
@@ -55,27 +55,27 @@
 		if end < 0 {
 			return
 		}
-		plain, ok := plainHead(text[:end+4])
+		plain, ok := parsePlainHead(text[:end+4])
 		if !ok {
 			return
 		}
-		if other, err := anyHead(text[:end+4]); err != nil || !reflect.DeepEqual(plain, other) {
-			t.Fatalf("read as %+v, by net/http as %+v, %v", plain, other, err)
+		if other, err := parseAnyHead(text[:end+4]); err != nil || !reflect.DeepEqual(plain, other) {
+			t.Fatalf("parsed as %+v, by net/http as %+v, %v", plain, other, err)
 		}
 	})
 }
 
-// The heads that servers usually send are read without net/http; those with more to them are not.
+// Heads that servers usually send are parsed without net/http; those with anything else in them are not.
 func TestPlainHeads(t *testing.T) {
 	for i, text := range answers[:5] {
 		head, _, _ := strings.Cut(text, "\r\n\r\n")
-		if _, ok := plainHead([]byte(head + "\r\n\r\n")); ok != (i < 3) {
+		if _, ok := parsePlainHead([]byte(head + "\r\n\r\n")); ok != (i < 3) {
 			t.Errorf("%q: plain %t", head, ok)
 		}
 	}
 }
 
-// readAnswer reads one answer whole.
+// readAnswer reads one complete answer.
 func readAnswer(r *bufio.Reader, begin func() error, wanted []string) (answer, error) {
 	h, err := readHeads(r, begin, wanted)
 	if err != nil {
--- a/internal/http/httpback/httpback.go
+++ b/internal/http/httpback/httpback.go
@@ -24,43 +24,43 @@
 	"ternbeam/internal/settings/wire"
 )
 
-// New returns a transport; the fields are the figures of load reports. Answers that are long are passed on while they come,
-// or else are spoilt.
+// New returns a transport over pool p. fields names the values that are read from load reports. If long is true, long answers are
+// relayed while they are received; otherwise an answer longer than httpmsg.MaxBody is invalid.
 func New(p *pool.Pool, fields []string, long bool) *exchange.Transport {
 	return &exchange.Transport{Pool: p, Stall: exchange.Stall, Long: long, Begin: func(at *core.Attempt) exchange.Talk {
-		t := &talk{request: at.Payload.(*httpmsg.Request), host: host(at.Server.Addr), fields: fields, first: at.Number == 0}
-		t.whole = !long || at.Way.Plan != nil || len(t.request.Wanted) > 0 || t.request.Unknown != 0
-		return t
+		c := &codec{request: at.Payload.(*httpmsg.Request), host: hostHeader(at.Server.Addr), fields: fields, firstAttempt: at.Number == 0}
+		c.bufferAnswer = !long || at.Way.Plan != nil || len(c.request.Wanted) > 0 || c.request.Unknown != 0
+		return c
 	}}
 }
 
-type talk struct {
-	request *httpmsg.Request
-	host    string
-	fields  []string
-	first   bool             // of the request's attempts
-	whole   bool             // answers are not passed on while they come: their shape matters
-	body    *httpmsg.Outflow // of a request that is sent while it comes
+type codec struct {
+	request      *httpmsg.Request
+	host         string
+	fields       []string
+	firstAttempt bool             // of the call
+	bufferAnswer bool             // answers are not relayed while they are received, because their shape matters
+	body         *httpmsg.Outflow // of a request that is forwarded while it is received
 }
 
-// host is what the Host header says of an address. A Unix socket has no host (RFC 9110, section 7.2, asks for one).
-func host(addr string) string {
+// hostHeader returns the Host header for an address. A Unix socket has no host, but RFC 9110, section 7.2, requires the header.
+func hostHeader(addr string) string {
 	if addresses.IsUnix(addr) {
 		return "localhost"
 	}
 	return addr
 }
 
-// passedOn are the headers that go on to a server. X-Time-Left is worded anew.
-var passedOn = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "Idempotency-Key", "X-Repeat",
+// forwardedHeaders are the headers that are forwarded to a server. X-Time-Left is written anew.
+var forwardedHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "Idempotency-Key", "X-Repeat",
 	"X-Weight-Hint", "X-Facts", "Content-Type"}
 
-// Message words the request for a server. What it is made of was read by net/http, which lets no line end into it.
-func (t *talk) Message(end time.Time) []byte {
-	r := t.request
+// Message encodes the request for a server. Its parts were read by net/http, which lets no line break into them.
+func (c *codec) Message(end time.Time) []byte {
+	r := c.request
 	if r.Upload != nil {
 		var err error
-		if t.body, err = r.Upload.Open(); err != nil {
+		if c.body, err = r.Upload.Open(); err != nil {
 			return nil
 		}
 	}
@@ -70,8 +70,8 @@
 	}
 	m := make([]byte, 0, 512+len(r.Body))
 	m = append(append(append(append(m, r.Method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
-	m = append(append(m, t.host...), "\r\n"...)
-	for _, names := range [...][]string{passedOn, r.Pass} {
+	m = append(append(m, c.host...), "\r\n"...)
+	for _, names := range [...][]string{forwardedHeaders, r.Pass} {
 		for _, name := range names {
 			for _, v := range r.Header[name] {
 				m = append(append(append(append(m, name...), ": "...), v...), "\r\n"...)
@@ -81,7 +81,7 @@
 	for _, h := range r.Fields {
 		m = append(append(append(append(m, h[0]...), ": "...), h[1]...), "\r\n"...)
 	}
-	if r.Upload != nil && !r.Upload.Whole() { // its time counts from its last byte
+	if r.Upload != nil && !r.Upload.Whole() { // the client's time counts from the last byte
 		m = append(append(append(m, "X-Time-Left: "...), r.Header.Get("X-Time-Left")...), "\r\n"...)
 	} else if !end.IsZero() {
 		m = append(m, "X-Time-Left: "...)
@@ -105,54 +105,54 @@
 }
 
 // Answer reads one answer.
-func (t *talk) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
-	h, err := readHeads(in.Reader, in.Begin, t.request.Wanted)
+func (c *codec) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
+	h, err := readHeads(in.Reader, in.Begin, c.request.Wanted)
 	if err != nil {
 		return core.Ending{}, false, err
 	}
-	if h.long() && !t.whole {
-		return t.receiveLong(in, h)
+	if h.mayRelay() && !c.bufferAnswer {
+		return c.receiveLong(in, h)
 	}
 	ans, err := readBody(in.Reader, h)
 	if err != nil {
 		return core.Ending{}, false, err
 	}
-	e := ans.ending(t.fields)
-	// Only the server's explicit word that it has not begun proves that the call never ran.
-	if ans.unprocessed && ans.status == t.request.Unknown {
+	e := ans.outcome(c.fields)
+	// Only the server's explicit statement that it has not begun proves that the call never ran.
+	if ans.unprocessed && ans.status == c.request.Unknown {
 		e.Result, e.ShapeUnknown = choice.Rejected, true
 	}
 	return e, ans.reusable, nil
 }
 
-// answer is an answer that was read whole.
+// answer is an answer that was read completely.
 type answer struct {
 	head
 	body     []byte
-	reusable bool // its connection
+	reusable bool // the connection can be used again
 }
 
-// readHeads reads the head of one answer; begin waits for the first byte of a head. Some headers are wanted beside the
-// usual ones.
+// readHeads reads the head of one answer and skips those of 1xx answers. begin waits for the first byte of a head. wanted names
+// headers to return in addition to the usual ones.
 func readHeads(r *bufio.Reader, begin func() error, wanted []string) (head, error) {
-	for room := httpmsg.MaxHead; ; { // for the heads of 1xx answers too
+	for remaining := httpmsg.MaxHead; ; { // shared with the heads of 1xx answers
 		if err := begin(); err != nil {
 			return head{}, err
 		}
-		text, err := readHead(r, room)
+		text, err := readHead(r, remaining)
 		if err != nil {
 			return head{}, err
 		}
-		room -= len(text)
-		h, ok := plainHead(text)
+		remaining -= len(text)
+		h, ok := parsePlainHead(text)
 		if !ok {
-			if h, err = anyHead(text); err != nil {
+			if h, err = parseAnyHead(text); err != nil {
 				return head{}, err
 			}
 		}
 		if h.status >= 200 {
 			if len(wanted) > 0 {
-				if h.wanted, err = wantedOf(text, wanted); err != nil {
+				if h.wanted, err = findHeaders(text, wanted); err != nil {
 					return head{}, err
 				}
 			}
@@ -161,26 +161,26 @@
 	}
 }
 
-// head is what the head of an answer says.
+// head holds what the head of an answer states.
 type head struct {
 	status      int
-	length      int64 // of the body; -1 where it is not said
+	length      int64 // of the body; -1 if unknown
 	chunked     bool
-	close       bool // the connection ends with it
+	close       bool // the connection ends with this answer
 	unprocessed bool
-	reports     int // X-Backend-Load headers
+	reportCount int // number of X-Backend-Load headers
 	report      string
 	contentType string
 	wanted      [][2]string
 }
 
-// wantedOf finds some headers in a head, each value of theirs.
-func wantedOf(text []byte, names []string) (found [][2]string, err error) {
+// findHeaders returns all values of the named headers.
+func findHeaders(text []byte, names []string) (found [][2]string, err error) {
 	for rest := text; len(rest) > 0; {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
-		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') { // RFC 9112, section 5.2
-			return nil, fmt.Errorf("%w: a header over several lines", exchange.ErrSpoilt)
+		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') { // obsolete line folding, see RFC 9112, section 5.2
+			return nil, fmt.Errorf("%w: a header folded over several lines", exchange.ErrSpoilt)
 		}
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		for _, wanted := range names {
@@ -192,9 +192,9 @@
 	return found, nil
 }
 
-// plainHead reads the head of an answer as nearly all are: HTTP/1.1, one length in digits, each header on a line. It
-// leaves everything else to net/http, whose reading it shares where it does not.
-func plainHead(text []byte) (h head, ok bool) {
+// parsePlainHead parses the head of an answer in the form that nearly all have: HTTP/1.1, one length in digits, each header on one line.
+// It leaves all others to net/http, and agrees with net/http on those that it parses.
+func parsePlainHead(text []byte) (h head, ok bool) {
 	h.length = -1
 	const begin = "HTTP/1.1 "
 	line, rest, found := bytes.Cut(text, []byte("\r\n"))
@@ -231,13 +231,13 @@
 			}
 		}
 		value := bytes.Trim(line[colon+1:], " \t")
-		if !printable(value) || !h.take(line[:colon], value) {
+		if !printable(value) || !h.addHeader(line[:colon], value) {
 			return h, false
 		}
 	}
 }
 
-// printable reports whether a text holds nothing but ASCII that can be seen, and spaces: no line end above all.
+// printable reports whether a text consists only of visible ASCII characters and spaces. In particular, it has no line break.
 func printable(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' || c > '~' {
@@ -247,8 +247,8 @@
 	return true
 }
 
-// take takes one header. It is false for those that need more care.
-func (h *head) take(name, value []byte) bool {
+// addHeader evaluates one header. It returns false for those that need the full parser.
+func (h *head) addHeader(name, value []byte) bool {
 	is := func(other string) bool { return len(name) == len(other) && strings.EqualFold(string(name), other) }
 	switch {
 	case is("Content-Length"):
@@ -270,7 +270,7 @@
 		}
 		h.unprocessed = string(value) == "1"
 	case is("X-Backend-Load"):
-		h.reports++
+		h.reportCount++
 		h.report = string(value)
 	case is("Content-Type"):
 		if h.contentType != "" {
@@ -281,8 +281,8 @@
 	return true
 }
 
-// anyHead reads the head of an answer as net/http does.
-func anyHead(text []byte) (head, error) {
+// parseAnyHead parses the head of an answer with net/http.
+func parseAnyHead(text []byte) (head, error) {
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 	if err != nil || resp.StatusCode == http.StatusSwitchingProtocols {
 		return head{}, fmt.Errorf("%w: status %.20q, %v", exchange.ErrSpoilt, text, err)
@@ -290,15 +290,15 @@
 	h := head{status: resp.StatusCode, length: resp.ContentLength, close: resp.Close,
 		chunked:     slices.Contains(resp.TransferEncoding, "chunked"),
 		unprocessed: resp.Header.Get("X-Unprocessed") == "1", contentType: resp.Header.Get("Content-Type"),
-		reports: len(resp.Header["X-Backend-Load"]), report: resp.Header.Get("X-Backend-Load")}
+		reportCount: len(resp.Header["X-Backend-Load"]), report: resp.Header.Get("X-Backend-Load")}
 	if h.chunked && bytes.Contains(bytes.ToLower(text), []byte("\ncontent-length:")) {
-		return head{}, fmt.Errorf("%w: its length is said twice", exchange.ErrSpoilt)
+		return head{}, fmt.Errorf("%w: both Content-Length and Transfer-Encoding", exchange.ErrSpoilt)
 	}
 	return h, nil
 }
 
-// readHead reads the head of an answer as far as the empty line.
-func readHead(r *bufio.Reader, room int) (head []byte, err error) {
+// readHead reads the head of an answer up to and including the empty line.
+func readHead(r *bufio.Reader, limit int) (head []byte, err error) {
 	const protocol = "HTTP/1."
 	if start, err := r.Peek(len(protocol)); err != nil {
 		return nil, err
@@ -307,27 +307,27 @@
 	}
 	for {
 		line, err := r.ReadSlice('\n')
-		begins := len(head) == 0 || head[len(head)-1] == '\n' // a line may be longer than the buffer
+		lineStart := len(head) == 0 || head[len(head)-1] == '\n' // a line may be longer than the buffer
 		head = append(head, line...)
 		switch {
-		case len(head) > room:
-			return nil, fmt.Errorf("%w: its head is too long", exchange.ErrSpoilt)
+		case len(head) > limit:
+			return nil, fmt.Errorf("%w: the head is too long", exchange.ErrSpoilt)
 		case err == bufio.ErrBufferFull:
 		case err != nil:
 			return nil, err
-		case begins && len(bytes.TrimRight(line, "\r\n")) == 0:
+		case lineStart && len(bytes.TrimRight(line, "\r\n")) == 0:
 			return head, nil
 		}
 	}
 }
 
-// readBody reads a body whole. Where the length is not said it ends with the connection: orderly, or else it is not whole (RFC 9112, section
-// 6.3). One that is too long is not worth reading.
+// readBody reads a complete body. If its length is unknown, it ends when the connection closes; a reset means that it is incomplete (RFC
+// 9112, section 6.3). A body that is too long is not read.
 func readBody(r *bufio.Reader, h head) (ans answer, err error) {
 	ans = answer{head: h}
 	switch {
 	case h.length > httpmsg.MaxBody:
-		return ans, fmt.Errorf("%w: its length", exchange.ErrSpoilt)
+		return ans, fmt.Errorf("%w: the body is too long", exchange.ErrSpoilt)
 	case h.chunked:
 		ans.body, err = readToEnd(httputil.NewChunkedReader(r))
 		ans.reusable = err == nil && !h.close && readTrailer(r) == nil
@@ -340,20 +340,20 @@
 	return ans, err
 }
 
-// readToEnd reads a body to its end. One that is too long is an error.
+// readToEnd reads a body to its end. A body that is too long is an error.
 func readToEnd(r io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, httpmsg.MaxBody+1))
 	if len(body) > httpmsg.MaxBody {
-		return nil, fmt.Errorf("%w: its length", exchange.ErrSpoilt)
+		return nil, fmt.Errorf("%w: the body is too long", exchange.ErrSpoilt)
 	}
 	return body, err
 }
 
-// readTrailer reads what follows the last chunk. Nothing of it is passed on (RFC 9110, section 6.5.1, lets it be dropped).
+// readTrailer reads what follows the last chunk and drops it, as RFC 9110, section 6.5.1, allows.
 func readTrailer(r *bufio.Reader) error {
-	for room := maxTrailer; ; {
+	for remaining := maxTrailerBytes; ; {
 		line, err := r.ReadSlice('\n')
-		if room -= len(line); err != nil || room < 0 {
+		if remaining -= len(line); err != nil || remaining < 0 {
 			return cmp.Or(err, io.ErrShortBuffer)
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
@@ -362,34 +362,34 @@
 	}
 }
 
-// statusError is a status by which a request is not served.
+// statusError is the status of an answer that does not serve the request.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprint("status ", int(e)) }
 
-// ending says what an answer means. Only a complete 200 is served, and only an answer that says so proves that the
-// request never ran.
-func (ans answer) ending(fields []string) core.Ending {
-	out := core.Ended(choice.Failed)
+// outcome returns the outcome of an attempt with this answer. Only a complete 200 counts as served, and only an answer that states
+// so proves that the request never ran.
+func (ans answer) outcome(fields []string) core.Ending {
+	e := core.Ended(choice.Failed)
 	if ans.status != http.StatusOK {
-		out.Cause = statusError(ans.status)
+		e.Cause = statusError(ans.status)
 	}
-	if ans.reports == 1 {
-		out.Report = parseReport(ans.report, fields)
+	if ans.reportCount == 1 {
+		e.Report = parseReport(ans.report, fields)
 	}
 	switch ans.status {
 	case http.StatusOK:
-		out.Result, out.Reply = choice.OK, &httpmsg.Reply{ContentType: ans.contentType, Header: ans.wanted, Body: ans.body}
+		e.Result, e.Reply = choice.OK, &httpmsg.Reply{ContentType: ans.contentType, Header: ans.wanted, Body: ans.body}
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if ans.unprocessed {
-			out.Result = choice.Rejected
+			e.Result = choice.Rejected
 		}
 	}
-	return out
+	return e
 }
 
-// parseReport reads a load report such as "TEXT util=0.61, qps=40". One that can't be read is no report: the rest
-// of it would not be worth more.
+// parseReport parses a load report such as "TEXT util=0.61, qps=40". An invalid value makes the whole report invalid, as the
+// rest of it can't be trusted either.
 func parseReport(text string, fields []string) choice.Report {
 	report := choice.NoReport
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "TEXT ")
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -25,7 +25,7 @@
 	"ternbeam/internal/sysio/peek"
 )
 
-// newTransport returns a transport over a pool of its own; what the settings leave out is ample.
+// newTransport returns a transport over a pool of its own, with generous defaults for settings that are left out.
 func newTransport(set pool.Settings) *exchange.Transport {
 	if set.DialTimeout == 0 {
 		set.DialTimeout = testkit.Patience
@@ -42,43 +42,43 @@
 		Method: http.MethodPost, URL: &url.URL{Path: "/pay/x"}, Header: http.Header{"X-Correlation-Id": {id}}}}
 }
 
-func count(u *exchange.Transport) int { open, _, _ := u.Pool.Count(); return open }
-func idle(u *exchange.Transport) int  { _, idle, _ := u.Pool.Count(); return idle }
+func openConns(u *exchange.Transport) int { open, _, _ := u.Pool.Count(); return open }
+func idleConns(u *exchange.Transport) int { _, idle, _ := u.Pool.Count(); return idle }
 
-// server runs one that serves so.
-func server(t *testing.T, serve http.HandlerFunc) *life.Server {
+// startServer starts a server with the given handler.
+func startServer(t *testing.T, serve http.HandlerFunc) *life.Server {
 	t.Helper()
 	s := httptest.NewServer(serve)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return &life.Server{ID: "b", Addr: s.Listener.Addr().String()}
 }
 
-// A dial takes time, and meanwhile the request may have ended, its time may be up, the module may have withdrawn
-// it or the backend may have begun to drain: then nothing may be sent.
+// While a dial is in progress, the call may end, its deadline may pass, the module may cancel the attempt or the backend may begin to
+// drain: then nothing may be sent.
 func TestNothingIsSentAfterASlowDial(t *testing.T) {
 	for name, c := range map[string]struct {
-		meanwhile func(u *exchange.Transport, a *core.Attempt, withdraw context.CancelCauseFunc)
+		meanwhile func(u *exchange.Transport, a *core.Attempt, cancel context.CancelCauseFunc)
 		want      choice.Result
 	}{
-		"nothing":       {func(*exchange.Transport, *core.Attempt, context.CancelCauseFunc) {}, choice.OK},
-		"answered":      {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.End() }, choice.NotSent},
-		"left just now": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.Leave() }, choice.NotSent},
-		"closed, nobody told": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) {
+		"nothing":            {func(*exchange.Transport, *core.Attempt, context.CancelCauseFunc) {}, choice.OK},
+		"answered":           {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.End() }, choice.NotSent},
+		"client disconnects": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.Leave() }, choice.NotSent},
+		"client disconnects, not reported": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) {
 			a.Call.Disconnected = func() bool { return true }
 		}, choice.NotSent},
-		"drains":         {func(u *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { u.Pool.Retire(a.Server) }, choice.ConnectFailed},
-		"withdrawn":      {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrWithdrawn) }, choice.Cancelled},
-		"window is over": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.WriteBy = time.Now() }, choice.NotSent},
-		"time is over":   {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
+		"drains":              {func(u *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { u.Pool.Retire(a.Server) }, choice.ConnectFailed},
+		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrWithdrawn) }, choice.Cancelled},
+		"send window is over": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.WriteBy = time.Now() }, choice.NotSent},
+		"deadline is over":    {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var seen testkit.Counter
-			ctx, withdraw := context.WithCancelCause(context.Background())
-			a := attempt("id", server(t, func(_ http.ResponseWriter, r *http.Request) { seen.Add(r) }))
+			ctx, cancel := context.WithCancelCause(context.Background())
+			a := attempt("id", startServer(t, func(_ http.ResponseWriter, r *http.Request) { seen.Add(r) }))
 			var u *exchange.Transport
 			u = newTransport(pool.Settings{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				conn, err := new(net.Dialer).DialContext(ctx, network, addr)
-				c.meanwhile(u, a, withdraw)
+				c.meanwhile(u, a, cancel)
 				return conn, err
 			}})
 			got, sent := u.Attempt(ctx, a).Result, seen.Of("id")
@@ -89,10 +89,10 @@
 	}
 }
 
-// Only the status that the call's shape declares, with the server's explicit word that it has not begun, says that the
-// shape is not known and nothing has run. Headers that the shape speaks of come with an answer.
+// Only the status that the call's shape declares, together with the server's explicit statement that it has not begun, proves that the
+// shape is unknown and nothing has run. The reply headers that the shape declares are returned with the answer.
 func TestShapes(t *testing.T) {
-	b := server(t, func(w http.ResponseWriter, r *http.Request) {
+	b := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
 		h.Set("x-receipt", "r-9")
 		h.Set("Other", "x")
@@ -122,11 +122,11 @@
 	}
 }
 
-// What the backend may have read in whole may have run; only a write that fell short or never began proves that
-// it did not.
+// A request that the backend may have read completely may have run. Only an incomplete write, or one that never started, proves
+// that it did not.
 func TestBreaks(t *testing.T) {
 	var seen testkit.Counter
-	b := server(t, func(w http.ResponseWriter, r *http.Request) {
+	b := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if seen.Add(r); r.Header.Get("X-Correlation-Id") != "whole" {
 			testkit.HangUp(w)
 		}
@@ -143,15 +143,15 @@
 	if got := do("read and closed"); got != choice.Reset {
 		t.Errorf("result %d of a request that was read", got)
 	}
-	if got := do("whole"); got != choice.OK || idle(u) != 1 {
-		t.Fatalf("result %d, %d idle connections", got, idle(u))
+	if got := do("whole"); got != choice.OK || idleConns(u) != 1 {
+		t.Fatalf("result %d, %d idle connections", got, idleConns(u))
 	}
 	breaks.Store(true)
 	if got := do("half written"); got != choice.ConnectFailed || seen.Of("half written") != 0 {
-		t.Errorf("result %d of a request whose write fell short", got)
+		t.Errorf("result %d of a request whose write was incomplete", got)
 	}
-	if count(u) != 0 {
-		t.Errorf("%d broken connections are kept", count(u))
+	if openConns(u) != 0 {
+		t.Errorf("%d broken connections are kept", openConns(u))
 	}
 }
 
@@ -168,14 +168,14 @@
 	return n, errors.New("broken pipe")
 }
 
-// script runs a server that answers with these texts.
-func script(t *testing.T, answers ...string) (*life.Server, *atomic.Int32) {
+// scriptedServer starts a server that answers with the given texts.
+func scriptedServer(t *testing.T, answers ...string) (*life.Server, *atomic.Int32) {
 	t.Helper()
 	addr, accepted := testkit.Texts(t, answers...)
 	return &life.Server{ID: "b", Addr: addr}, accepted
 }
 
-func body(e core.Ending) string {
+func replyBody(e core.Ending) string {
 	if r, ok := e.Reply.(*httpmsg.Reply); ok {
 		return string(r.Body)
 	}
@@ -189,8 +189,8 @@
 	return u.Attempt(ctx, attempt(id, b))
 }
 
-// A spoilt answer is an attempt that may have run. It is known for one well before the time is up, while the
-// connection stays open, and that connection is not used again.
+// An attempt with an invalid answer may have run. The answer is recognized as invalid well before the deadline, while the connection
+// stays open, and that connection is not used again.
 func TestSpoiltAnswers(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, answer := range map[string]string{
@@ -214,30 +214,30 @@
 		"other protocol":    "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, _ := script(t, answer)
+			b, _ := scriptedServer(t, answer)
 			u := newTransport(pool.Settings{})
 			got := exchangeOnce(t, u, b, "id")
 			if got.Result != choice.Failed && got.Result != choice.Reset {
 				t.Errorf("result %d", got.Result)
 			}
 			if got.Cause == nil {
-				t.Error("it has no cause")
+				t.Error("there is no cause")
 			}
-			if count(u) != 0 {
+			if openConns(u) != 0 {
 				t.Error("the connection is kept")
 			}
 		})
 	}
 }
 
-// An attempt that is not served says why, one that is served does not.
+// An attempt that is not served has a cause; one that is served has none.
 func TestCausesOfAttempts(t *testing.T) {
 	for answer, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":                  "",
 		"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n": "status 500",
 		"HTTP/1.1 fine\r\n\r\n":                                           "spoilt answer: status",
 	} {
-		b, _ := script(t, answer)
+		b, _ := scriptedServer(t, answer)
 		got := exchangeOnce(t, newTransport(pool.Settings{}), b, "id")
 		if cause := fmt.Sprint(got.Cause); (got.Cause == nil) != (want == "") || !strings.HasPrefix(cause, want) && want != "" {
 			t.Errorf("%q: %v", answer, got.Cause)
@@ -253,7 +253,7 @@
 	}
 }
 
-// An answer of unknown length is whole where its connection ends orderly, and may have run where it is reset.
+// An answer of unknown length is complete if its connection closes in order. If the connection is reset, the call may have run.
 func TestAnswersThatEndWithTheirConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, body string
@@ -261,7 +261,7 @@
 		want       choice.Result
 	}{
 		"closed":              {"HTTP/1.1 200 OK\r\nConnection: close", "checked", false, choice.OK},
-		"closed, not said":    {"HTTP/1.1 200 OK", "checked", false, choice.OK},
+		"closed, no header":   {"HTTP/1.1 200 OK", "checked", false, choice.OK},
 		"closed, HTTP/1.0":    {"HTTP/1.0 200 OK", "checked", false, choice.OK},
 		"closed, empty":       {"HTTP/1.1 200 OK\r\nConnection: close", "", false, choice.OK},
 		"closed, 64 KiB":      {"HTTP/1.1 200 OK", strings.Repeat("x", httpmsg.MaxBody), false, choice.OK},
@@ -272,7 +272,7 @@
 		"an error, no length": {"HTTP/1.1 500 Oh", "no", false, choice.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := server(t, func(w http.ResponseWriter, r *http.Request) {
+			b := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 				conn, _, err := w.(http.Hijacker).Hijack()
 				if err != nil {
 					t.Error(err)
@@ -285,23 +285,23 @@
 				}
 				io.WriteString(conn, text)
 				if c.reset {
-					time.Sleep(50 * time.Millisecond) // or the reset takes what was not read with it
+					time.Sleep(50 * time.Millisecond) // otherwise the reset discards what was not read
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
 			u := newTransport(pool.Settings{})
 			got := exchangeOnce(t, u, b, "id")
-			if got.Result != c.want || got.Result == choice.OK && body(got) != c.body {
-				t.Errorf("result %v, %.20q", got.Result, body(got))
+			if got.Result != c.want || got.Result == choice.OK && replyBody(got) != c.body {
+				t.Errorf("result %v, %.20q", got.Result, replyBody(got))
 			}
-			if count(u) != 0 {
+			if openConns(u) != 0 {
 				t.Error("the connection is kept")
 			}
 		})
 	}
 }
 
-// Answers that are in order in spite of what comes with them.
+// Valid answers, with something unusual in them.
 func TestOddAnswers(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for name, answer := range map[string]string{
@@ -311,20 +311,20 @@
 		"unreadable report": strings.Replace(good, "\r\n", "\r\nX-Backend-Load: TEXT util=\x80, qps\r\n", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, _ := script(t, answer)
+			b, _ := scriptedServer(t, answer)
 			u := newTransport(pool.Settings{})
 			got := exchangeOnce(t, u, b, "id")
-			if got.Result != choice.OK || body(got) != "ok" || got.Report != choice.NoReport {
-				t.Errorf("result %d, %q, report %+v", got.Result, body(got), got.Report)
+			if got.Result != choice.OK || replyBody(got) != "ok" || got.Report != choice.NoReport {
+				t.Errorf("result %d, %q, report %+v", got.Result, replyBody(got), got.Report)
 			}
 		})
 	}
 }
 
-// The time that one exchange may take says nothing of how long its connection may be idle.
+// The time that one exchange may take does not limit how long its connection may be idle.
 func TestIdleConnectionIsUsedAgain(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	b, accepted := script(t, good, good)
+	b, accepted := scriptedServer(t, good, good)
 	u := newTransport(pool.Settings{})
 	u.Stall = 50 * time.Millisecond
 	exchangeOnce(t, u, b, "first")
@@ -334,16 +334,16 @@
 	}
 }
 
-// What stands behind an answer must not be taken for the answer to the next request.
+// Bytes behind an answer must not be taken for the answer to the next request.
 func TestBytesBehindAnAnswerEndItsConnection(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 	u := newTransport(pool.Settings{})
 	for name, more := range map[string]string{"a second copy": good, "noise": "\x00\x01"} {
 		t.Run(name, func(t *testing.T) {
-			b, accepted := script(t, good+more)
+			b, accepted := scriptedServer(t, good+more)
 			for i := range 2 {
-				if got := exchangeOnce(t, u, b, fmt.Sprint(i)); got.Result != choice.OK || body(got) != "first" {
-					t.Errorf("request %d: result %d, %q", i, got.Result, body(got))
+				if got := exchangeOnce(t, u, b, fmt.Sprint(i)); got.Result != choice.OK || replyBody(got) != "first" {
+					t.Errorf("request %d: result %d, %q", i, got.Result, replyBody(got))
 				}
 			}
 			if n := accepted.Load(); n != 2 {
@@ -353,7 +353,7 @@
 	}
 }
 
-// The same, where it comes while the connection is idle.
+// The same for bytes that arrive while the connection is idle.
 func TestIdleConnectionThatSpeaksIsDropped(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {}))
@@ -371,23 +371,23 @@
 		return c, err
 	}})
 	b := &life.Server{ID: "b", Addr: s.Listener.Addr().String()}
-	if got := exchangeOnce(t, u, b, "first"); got.Result != choice.OK || idle(u) != 1 {
-		t.Fatalf("result %d, %d idle connections", got.Result, idle(u))
+	if got := exchangeOnce(t, u, b, "first"); got.Result != choice.OK || idleConns(u) != 1 {
+		t.Fatalf("result %d, %d idle connections", got.Result, idleConns(u))
 	}
 	first := dialled
 	io.WriteString(<-conns, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-	testkit.Eventually(t, "it has come", func() bool { return !peek.Silent(first) })
-	if got := exchangeOnce(t, u, b, "second"); got.Result != choice.OK || len(body(got)) != 0 {
-		t.Errorf("result %d, %q", got.Result, body(got))
+	testkit.Eventually(t, "the bytes have arrived", func() bool { return !peek.Silent(first) })
+	if got := exchangeOnce(t, u, b, "second"); got.Result != choice.OK || len(replyBody(got)) != 0 {
+		t.Errorf("result %d, %q", got.Result, replyBody(got))
 	}
-	if idle(u) != 1 || dialled == first {
+	if idleConns(u) != 1 || dialled == first {
 		t.Error("the connection was used again")
 	}
 }
 
-// An answer may come before a large request is taken whole; the write must not stand in its way.
+// An answer may arrive before a large request is completely sent; the pending write must not block it.
 func TestEarlyAnswer(t *testing.T) {
-	// Before anybody connects: a buffer that is made small later may have taken the whole request by then.
+	// Set before connecting: a buffer that is shrunk later may already have taken the whole request.
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		failed := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 		return errors.Join(failed, err)
@@ -403,7 +403,7 @@
 			return
 		}
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
-		l.Accept() // reads nothing till the test ends
+		l.Accept() // reads nothing until the test ends
 		c.Close()
 	}()
 	u := newTransport(pool.Settings{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -417,13 +417,13 @@
 	a.Payload.(*httpmsg.Request).Body = make([]byte, httpmsg.MaxBody)
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
 	defer cancel()
-	if got := u.Attempt(ctx, a).Result; got != choice.Rejected || count(u) != 0 {
-		t.Errorf("result %d, %d connections", got, count(u))
+	if got := u.Attempt(ctx, a).Result; got != choice.Rejected || openConns(u) != 0 {
+		t.Errorf("result %d, %d connections", got, openConns(u))
 	}
 }
 
-// At the limit of descriptors the connection that was idle for longest gives way; with none idle an attempt waits
-// for a place, and is not sent if none is given up in time.
+// At the connection limit, the connection that has been idle longest is closed. With none idle an attempt waits for one, and is not
+// sent if none is released in time.
 func TestConnectionLimit(t *testing.T) {
 	hold := make(chan struct{})
 	arrived := make(chan struct{}, 1)
@@ -433,7 +433,7 @@
 			<-hold
 		}
 	}
-	x, y := server(t, serve), server(t, serve)
+	x, y := startServer(t, serve), startServer(t, serve)
 	var patient atomic.Bool
 	u := newTransport(pool.Settings{Most: 1})
 	do := func(id string, b *life.Server) choice.Result {
@@ -445,8 +445,8 @@
 		return u.Attempt(ctx, attempt(id, b)).Result
 	}
 	patient.Store(true)
-	if a, b := do("a", x), do("b", y); a != choice.OK || b != choice.OK || count(u) != 1 {
-		t.Errorf("results %d and %d, %d connections", a, b, count(u))
+	if a, b := do("a", x), do("b", y); a != choice.OK || b != choice.OK || openConns(u) != 1 {
+		t.Errorf("results %d and %d, %d connections", a, b, openConns(u))
 	}
 	first, waiting := make(chan choice.Result, 1), make(chan choice.Result, 2)
 	go func() { first <- do("held", x) }()
@@ -454,19 +454,19 @@
 	patient.Store(false)
 	queued := func() int { _, _, n := u.Pool.Count(); return n }
 	if got := do("c", y); got != choice.NotSent || queued() != 0 {
-		t.Errorf("result %d with every connection in use, %d wait", got, queued())
+		t.Errorf("result %d with every connection in use, %d waiting", got, queued())
 	}
 	patient.Store(true)
 	for _, id := range []string{"d", "e"} {
 		go func() { waiting <- do(id, y) }()
 	}
-	testkit.Eventually(t, "two wait", func() bool { return queued() == 2 })
+	testkit.Eventually(t, "two attempts wait", func() bool { return queued() == 2 })
 	close(hold)
 	if a, b, c := <-first, <-waiting, <-waiting; a != choice.OK || b != choice.OK || c != choice.OK {
-		t.Errorf("results %d of the one that was in use, %d and %d of those that waited", a, b, c)
+		t.Errorf("results %d of the attempt in flight, %d and %d of those that waited", a, b, c)
 	}
-	if count(u) > 1 {
-		t.Errorf("%d connections", count(u))
+	if openConns(u) > 1 {
+		t.Errorf("%d connections", openConns(u))
 	}
 }
 
--- a/internal/http/httpback/long.go
+++ b/internal/http/httpback/long.go
@@ -19,26 +19,26 @@
 	"ternbeam/internal/http/httpmsg"
 )
 
-const maxTrailer = 4 << 10
+const maxTrailerBytes = 4 << 10
 
-// Follows is exchange.Following's.
-func (t *talk) Follows() bool { return t.request.Upload != nil }
+// Follows reports whether the rest of the body is sent after the message. It implements exchange.StreamingCodec.
+func (c *codec) Follows() bool { return c.request.Upload != nil }
 
-// Stop is exchange.Following's.
-func (t *talk) Stop() {
-	if t.body != nil {
-		t.body.Close()
+// Stop ends a Follow that waits for more of the body. It implements exchange.StreamingCodec.
+func (c *codec) Stop() {
+	if c.body != nil {
+		c.body.Close()
 	}
 }
 
-// Follow sends the body while it comes.
-func (t *talk) Follow(w net.Conn) (n int, err error) {
-	defer t.body.Close()
-	length := t.request.Upload.Length()
+// Follow sends the body while it is being received.
+func (c *codec) Follow(w net.Conn) (n int, err error) {
+	defer c.body.Close()
+	length := c.request.Upload.Length()
 	sent := int64(0)
-	var chunk []byte // one for all parts: a chunk is written in one go
+	var chunk []byte // shared by all parts: each chunk is sent with one write
 	for {
-		part, err := t.body.Next()
+		part, err := c.body.Next()
 		if err == io.EOF {
 			break
 		}
@@ -61,40 +61,40 @@
 		m, err := io.WriteString(w, "0\r\n\r\n")
 		return n + m, err
 	case sent != length:
-		return n, fmt.Errorf("%d of %d bytes came", sent, length)
+		return n, fmt.Errorf("%d of %d bytes received", sent, length)
 	}
 	return n, nil
 }
 
-// long reports whether an answer may be passed on while it comes: a served one that is long, or of unknown length.
-func (h *head) long() bool {
+// mayRelay reports whether an answer may be relayed while it is received: it is served, and long or of unknown length.
+func (h *head) mayRelay() bool {
 	return h.status == http.StatusOK && (h.length > httpmsg.MaxBody && h.length <= httpmsg.MaxLong ||
 		h.length < 0 && (h.chunked || h.close))
 }
 
-// parts are the buffers through which answers are passed on.
-var parts = sync.Pool{New: func() any { return new([httpmsg.PartSize]byte) }}
+// partBuffers holds the buffers through which answers are relayed.
+var partBuffers = sync.Pool{New: func() any { return new([httpmsg.PartSize]byte) }}
 
-// errTooLong is why an answer of unknown length is broken off.
-var errTooLong = errors.New("more than a body may hold")
+// errTooLong ends an answer of unknown length that exceeds httpmsg.MaxStreamedBody.
+var errTooLong = errors.New("the body is too long")
 
-// relayed is an answer that may be long while it is read: held at first, then written to a pipe that its client reads.
-type relayed struct {
-	talk  *talk
-	in    *exchange.Inflow
-	head  head
-	held  *relay.Held
-	first []byte         // what has been received while it is held
-	out   *io.PipeWriter // nil while it is held
+// relayedAnswer is an answer that may be long. It is held at first, then written to a pipe from which its client reads.
+type relayedAnswer struct {
+	codec    *codec
+	in       *exchange.Inflow
+	head     head
+	held     *relay.Held
+	buffered []byte         // received while the answer is held
+	pipe     *io.PipeWriter // nil while the answer is held
 }
 
-// receiveLong reads an answer that may be long. Where it is whole before it has to be relayed, it is as any other.
-func (t *talk) receiveLong(in *exchange.Inflow, h head) (core.Ending, bool, error) {
-	r := &relayed{talk: t, in: in, head: h, held: relay.Begin(clock.Now(), in.Left(), httpmsg.MaxBody, t.first)}
+// receiveLong reads an answer that may be long. One that is complete before it has to be relayed is treated like a short one.
+func (c *codec) receiveLong(in *exchange.Inflow, h head) (core.Ending, bool, error) {
+	r := &relayedAnswer{codec: c, in: in, head: h, held: relay.Begin(clock.Now(), in.Left(), httpmsg.MaxBody, c.firstAttempt)}
 	if h.length >= 0 {
 		r.held = relay.BeginLong(clock.Now(), in.Left(), httpmsg.MaxBody)
 	}
-	in.Hold(r.until(), r.due)
+	in.Hold(r.holdUntil(), r.holdExpired)
 	body := io.Reader(in.Reader)
 	switch {
 	case h.chunked:
@@ -103,24 +103,24 @@
 		body = io.LimitReader(in.Reader, h.length)
 	}
 	received, err := r.receive(body)
-	whole := err == io.EOF && (h.length < 0 || received == h.length)
-	reusable := whole && !h.close && (!h.chunked || readTrailer(in.Reader) == nil)
-	if whole {
-		return r.ended(), reusable, nil
+	complete := err == io.EOF && (h.length < 0 || received == h.length)
+	reusable := complete && !h.close && (!h.chunked || readTrailer(in.Reader) == nil)
+	if complete {
+		return r.outcome(), reusable, nil
 	}
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	if r.out != nil {
-		r.out.CloseWithError(err)
+	if r.pipe != nil {
+		r.pipe.CloseWithError(err)
 	}
 	return core.Ending{}, false, err
 }
 
-// receive reads the body to its end and returns how many bytes it had, and the error that ended it: io.EOF where that is orderly.
-func (r *relayed) receive(body io.Reader) (received int64, err error) {
-	buffer := parts.Get().(*[httpmsg.PartSize]byte)
-	defer parts.Put(buffer)
+// receive reads the body to its end. It returns the number of bytes, and the error that ended the body: io.EOF for an orderly end.
+func (r *relayedAnswer) receive(body io.Reader) (received int64, err error) {
+	buffer := partBuffers.Get().(*[httpmsg.PartSize]byte)
+	defer partBuffers.Put(buffer)
 	for err == nil {
 		var n int
 		n, err = body.Read(buffer[:])
@@ -130,63 +130,63 @@
 		if n == 0 {
 			continue
 		}
-		if failed := r.take(buffer[:n]); failed != nil {
+		if failed := r.add(buffer[:n]); failed != nil {
 			return received, failed
 		}
 	}
 	return received, err
 }
 
-// take takes a part of the body.
-func (r *relayed) take(part []byte) error {
-	if r.out != nil {
-		_, err := r.out.Write(part) // fails where nobody reads any more
+// add holds or relays a part of the body.
+func (r *relayedAnswer) add(part []byte) error {
+	if r.pipe != nil {
+		_, err := r.pipe.Write(part) // fails if nobody reads any more
 		return err
 	}
-	r.first = append(r.first, part...)
+	r.buffered = append(r.buffered, part...)
 	if r.held.Received(clock.Now(), len(part)) == relay.Hold {
-		r.in.Hold(r.until(), r.due)
+		r.in.Hold(r.holdUntil(), r.holdExpired)
 		return nil
 	}
-	if !r.begin() {
+	if !r.startRelay() {
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
-// until is when due is to be called, on the system's clock.
-func (r *relayed) until() time.Time { return clock.At(r.held.Until()) }
+// holdUntil returns when holdExpired has to be called, as a time.Time.
+func (r *relayedAnswer) holdUntil() time.Time { return clock.At(r.held.Until()) }
 
-// due is called where the held answer is not whole in time. It reports whether the answer goes on to be read.
-func (r *relayed) due() bool {
+// holdExpired is called when the held answer is not complete in time. It reports whether reading the answer continues.
+func (r *relayedAnswer) holdExpired() bool {
 	switch r.held.Due(clock.Now()) {
 	case relay.Hold:
-		r.in.Hold(r.until(), r.due)
+		r.in.Hold(r.holdUntil(), r.holdExpired)
 		return true
 	case relay.Relay:
-		return r.begin()
+		return r.startRelay()
 	}
 	return false
 }
 
-// begin begins to relay the answer. It is false where the attempt's time is over.
-func (r *relayed) begin() bool {
-	e := answer{head: r.head}.ending(r.talk.fields)
+// startRelay starts to relay the answer. It returns false if the attempt's deadline has passed.
+func (r *relayedAnswer) startRelay() bool {
+	e := answer{head: r.head}.outcome(r.codec.fields)
 	reply := e.Reply.(*httpmsg.Reply)
-	reply.Length, reply.Body = r.head.length, r.first
-	reply.Stream, r.out = io.Pipe()
+	reply.Length, reply.Body = r.head.length, r.buffered
+	reply.Stream, r.pipe = io.Pipe()
 	if !r.in.Relay(e) {
-		r.out = nil
+		r.pipe = nil
 		return false
 	}
 	return true
 }
 
-// ended is how an attempt ended whose answer is whole.
-func (r *relayed) ended() core.Ending {
-	if r.out != nil {
-		r.out.Close()
+// outcome returns the outcome of an attempt whose answer is complete.
+func (r *relayedAnswer) outcome() core.Ending {
+	if r.pipe != nil {
+		r.pipe.Close()
 		return core.Ended(choice.OK)
 	}
-	return answer{head: r.head, body: r.first}.ending(r.talk.fields)
+	return answer{head: r.head, body: r.buffered}.outcome(r.codec.fields)
 }
--- a/internal/http/httpmsg/httpmsg.go
+++ b/internal/http/httpmsg/httpmsg.go
@@ -1,4 +1,4 @@
-// Package httpmsg holds what an HTTP call is between the front that takes it and the transport that makes its attempts.
+// Package httpmsg holds the representation of HTTP requests and replies that the front and the back share.
 package httpmsg
 
 import (
@@ -8,44 +8,44 @@
 )
 
 const (
-	// MaxBody is the most that a body may hold which is read whole. One that has a shape may hold no more.
+	// MaxBody limits the bytes of a body that is read completely. A body that has a shape is limited to this too.
 	MaxBody = 64 << 10
-	// MaxLong is the most that a body may hold which is passed on while it comes.
+	// MaxStreamedBody limits the bytes of a body that is forwarded while it is received.
 	MaxLong = 32 << 20
-	// MaxHead is the most that a request's or an answer's head may hold.
+	// MaxHead limits the bytes of the head of a request or an answer.
 	MaxHead = 16 << 10
 )
 
-// Request is the payload of a call that came in HTTP.
+// Request is the payload of a call that was received over HTTP.
 type Request struct {
 	Method string
 	URL    *url.URL
 	Header http.Header
 	Body   []byte
-	Upload *Upload // in place of Body, where that is sent on while it comes
+	Upload *Upload // in place of Body, for a body that is forwarded while it is received
 
-	// What follows is of calls that have a shape.
-	Pass    []string // further headers that go on to a server, in their canonical form
-	Wanted  []string // further headers of the answer that go back
+	// The following fields are for calls that have a shape.
+	Pass    []string // further headers that are forwarded to a server, in canonical form
+	Wanted  []string // further headers of the answer that are returned to the client
 	Unknown int      // the status of a server that does not know the shape; 0 for none
 
-	// A request that was translated has these in place of URL and Header.
+	// A translated request has these in place of URL and Header.
 	Target string
 	Fields [][2]string
 }
 
-// Reply is what a server answered a call that it served.
+// Reply is a server's answer to a call that it served.
 type Reply struct {
 	ContentType string
-	Header      [][2]string // further ones that were wanted
+	Header      [][2]string // the further headers that were requested, as name and value
 	Body        []byte
 
-	// An answer that is passed on while it comes has these in place of Body.
+	// An answer that is relayed while it is received has these; Body then holds its first bytes.
 	Stream *io.PipeReader
-	Length int64 // -1 where it is not said
+	Length int64 // -1 if unknown
 }
 
-// Close says that nobody reads the rest.
+// Close ends the reading of a relayed answer; its writer then fails.
 func (r *Reply) Close() error {
 	if r.Stream == nil {
 		return nil
--- a/internal/http/httpmsg/upload.go
+++ b/internal/http/httpmsg/upload.go
@@ -7,76 +7,76 @@
 	"sync/atomic"
 )
 
-// ErrDropped says that a body can't be sent again: bytes of it are gone.
-var ErrDropped = errors.New("the body was not kept whole")
+// ErrDropped is returned when a body can't be sent again because some of its bytes were dropped.
+var ErrDropped = errors.New("the body was not kept completely")
 
-// Upload is a body that is sent on while it comes. One goroutine fills it; attempts read it, each from its first byte, one
-// after the other or two at a time.
+// Upload is a body that is forwarded while it is received. One goroutine appends to it; attempts read it, each from its first byte,
+// one after the other or two at a time.
 type Upload struct {
 	budget *Budget
-	length int64 // -1 where it is not said
-
-	mu      sync.Mutex
-	changed chan struct{} // closed when anything changes
-	parts   [][]byte      // what is kept
-	base    int64         // bytes that are dropped, before the first of the parts
-	size    int64         // bytes that came
-	keep    int64         // so many may be held
-	readers map[*Outflow]bool
-	err     error // io.EOF when it is whole
+	length int64 // -1 if unknown
+
+	mu       sync.Mutex
+	changed  chan struct{} // closed when anything changes
+	parts    [][]byte      // the bytes that are kept
+	dropped  int64         // bytes dropped, which precede the first of the parts
+	received int64         // bytes received in total
+	limit    int64         // bytes that may be held
+	readers  map[*Outflow]bool
+	err      error // io.EOF when the body is complete
 }
 
-// Budget bounds what all uploads keep for further attempts.
+// Budget bounds the bytes that all uploads together keep for further attempts.
 type Budget struct {
 	Most int64
 	used atomic.Int64
 }
 
 const (
-	// PartSize is how much of a long body is moved at a time.
+	// PartSize is the number of bytes of a long body that are moved at a time.
 	PartSize = 32 << 10
-	// Window is what an upload holds at the least.
+	// MinBuffered is the number of bytes that every upload may hold.
 	Window = 64 << 10
-	// keepMost is what an upload keeps for another attempt where the budget has room.
-	keepMost = 1 << 20
+	// maxKeptBytes is the number of bytes that an upload keeps for another attempt if the budget has room.
+	maxKeptBytes = 1 << 20
 )
 
-// NewUpload returns an empty Upload.
+// NewUpload returns an empty Upload for a body of the given length, -1 if unknown. It reserves room in the budget until Close.
 func NewUpload(length int64, b *Budget) *Upload {
-	u := &Upload{budget: b, length: length, changed: make(chan struct{}), keep: Window, readers: map[*Outflow]bool{}}
-	if b.used.Add(keepMost) <= b.Most {
-		u.keep = keepMost
+	u := &Upload{budget: b, length: length, changed: make(chan struct{}), limit: Window, readers: map[*Outflow]bool{}}
+	if b.used.Add(maxKeptBytes) <= b.Most {
+		u.limit = maxKeptBytes
 	} else {
-		b.used.Add(-keepMost)
+		b.used.Add(-maxKeptBytes)
 	}
 	return u
 }
 
-// Length is the body's length, -1 where it is not said.
+// Length returns the length of the body, -1 if unknown.
 func (u *Upload) Length() int64 { return u.length }
 
-// Whole reports whether the last byte has come.
+// Complete reports whether the last byte has been received.
 func (u *Upload) Whole() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err == io.EOF
 }
 
-func (u *Upload) changedLocked() {
+func (u *Upload) notifyLocked() {
 	close(u.changed)
 	u.changed = make(chan struct{})
 }
 
-// Fill adds a copy of some bytes, PartSize at the most. It waits until there is room, or returns false where nobody will
-// make any.
+// Append adds a copy of part, which has at most PartSize bytes. It waits until there is room, and returns false if giveUp is closed
+// before that.
 func (u *Upload) Fill(part []byte, giveUp <-chan struct{}) bool {
 	for {
 		u.mu.Lock()
 		u.dropLocked(int64(len(part)))
-		if held := u.size - u.base; held == 0 || held+int64(len(part)) <= u.keep {
-			u.addLocked(part)
-			u.size += int64(len(part))
-			u.changedLocked()
+		if held := u.received - u.dropped; held == 0 || held+int64(len(part)) <= u.limit {
+			u.appendLocked(part)
+			u.received += int64(len(part))
+			u.notifyLocked()
 			u.mu.Unlock()
 			return true
 		}
@@ -90,35 +90,35 @@
 	}
 }
 
-// addLocked fills parts whole, however small the pieces are in which the bytes come: readers have looked at no byte beyond
-// what a part held.
-func (u *Upload) addLocked(more []byte) {
+// appendLocked fills the last part before it starts another one, so that small pieces don't make small parts. Readers never look
+// beyond the length that a part had when they read it.
+func (u *Upload) appendLocked(data []byte) {
 	if last := len(u.parts) - 1; last >= 0 {
-		n := min(len(more), cap(u.parts[last])-len(u.parts[last]))
-		u.parts[last] = append(u.parts[last], more[:n]...)
-		more = more[n:]
+		n := min(len(data), cap(u.parts[last])-len(u.parts[last]))
+		u.parts[last] = append(u.parts[last], data[:n]...)
+		data = data[n:]
 	}
-	if len(more) > 0 {
-		u.parts = append(u.parts, append(make([]byte, 0, max(PartSize, len(more))), more...))
+	if len(data) > 0 {
+		u.parts = append(u.parts, append(make([]byte, 0, max(PartSize, len(data))), data...))
 	}
 }
 
-// dropLocked drops what all attempts under way have read, if there is one, as far as room is needed.
+// dropLocked drops parts that all current readers have read, if there are readers, until there is room for need bytes.
 func (u *Upload) dropLocked(need int64) {
 	read := int64(-1)
 	for r := range u.readers {
-		if read < 0 || r.off < read {
-			read = r.off
+		if read < 0 || r.offset < read {
+			read = r.offset
 		}
 	}
-	for len(u.parts) > 0 && u.size-u.base+need > u.keep && u.base+int64(len(u.parts[0])) <= read {
-		u.base += int64(len(u.parts[0]))
+	for len(u.parts) > 0 && u.received-u.dropped+need > u.limit && u.dropped+int64(len(u.parts[0])) <= read {
+		u.dropped += int64(len(u.parts[0]))
 		u.parts[0] = nil
 		u.parts = u.parts[1:]
 	}
 }
 
-// End says that no more comes: nil when the body is whole.
+// Finish marks the end of the body: nil if the body is complete, otherwise the error that readers get.
 func (u *Upload) End(err error) {
 	if err == nil {
 		err = io.EOF
@@ -127,57 +127,57 @@
 	defer u.mu.Unlock()
 	if u.err == nil {
 		u.err = err
-		u.changedLocked()
+		u.notifyLocked()
 	}
 }
 
-// Close gives back what is kept. No attempt begins any more.
+// Close releases what is kept. No further attempt can read the body.
 func (u *Upload) Close() {
 	u.End(io.ErrUnexpectedEOF)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.keep == keepMost {
-		u.budget.used.Add(-keepMost)
+	if u.limit == maxKeptBytes {
+		u.budget.used.Add(-maxKeptBytes)
 	}
-	u.keep, u.base, u.parts = 0, u.size+1, nil
-	u.changedLocked()
+	u.limit, u.dropped, u.parts = 0, u.received+1, nil
+	u.notifyLocked()
 }
 
-// Open returns the body from its first byte on, for one attempt, or ErrDropped. It must be closed.
+// Open returns a reader of the body from its first byte on, for one attempt, or ErrDropped. The reader must be closed.
 func (u *Upload) Open() (*Outflow, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.base > 0 {
+	if u.dropped > 0 {
 		return nil, ErrDropped
 	}
-	r := &Outflow{up: u, stop: make(chan struct{})}
+	r := &Outflow{upload: u, stop: make(chan struct{})}
 	u.readers[r] = true
 	return r, nil
 }
 
-// Outflow is a body as one attempt reads it.
+// UploadReader reads the body for one attempt.
 type Outflow struct {
-	up   *Upload
-	off  int64
-	once sync.Once
-	stop chan struct{}
+	upload *Upload
+	offset int64
+	once   sync.Once
+	stop   chan struct{}
 }
 
-// Next returns the next part, which must not be changed, or io.EOF after the last. It waits for more to come.
+// Next returns the next part, which must not be changed, or io.EOF after the last. It waits until more data is received.
 func (r *Outflow) Next() ([]byte, error) {
-	u := r.up
+	u := r.upload
 	for {
 		u.mu.Lock()
-		if r.off < u.base {
+		if r.offset < u.dropped {
 			u.mu.Unlock()
 			return nil, ErrDropped
 		}
-		at := u.base
+		at := u.dropped
 		for _, p := range u.parts {
-			if end := at + int64(len(p)); r.off < end {
-				rest := p[r.off-at : len(p) : len(p)]
-				r.off = end
-				u.changedLocked()
+			if end := at + int64(len(p)); r.offset < end {
+				rest := p[r.offset-at : len(p) : len(p)]
+				r.offset = end
+				u.notifyLocked()
 				u.mu.Unlock()
 				return rest, nil
 			}
@@ -200,9 +200,9 @@
 func (r *Outflow) Close() {
 	r.once.Do(func() {
 		close(r.stop)
-		r.up.mu.Lock()
-		defer r.up.mu.Unlock()
-		delete(r.up.readers, r)
-		r.up.changedLocked()
+		r.upload.mu.Lock()
+		defer r.upload.mu.Unlock()
+		delete(r.upload.readers, r)
+		r.upload.notifyLocked()
 	})
 }
--- a/internal/http/httpmsg/upload_test.go
+++ b/internal/http/httpmsg/upload_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-func budget(keeps int64) *Budget { return &Budget{Most: keeps * keepMost} }
+func newBudget(keeps int64) *Budget { return &Budget{Most: keeps * maxKeptBytes} }
 
-// drain reads so many bytes of an Outflow, or all.
-func drain(t *testing.T, o *Outflow, n int) (got []byte) {
+// readN reads n bytes of an UploadReader, or up to its end.
+func readN(t *testing.T, o *Outflow, n int) (got []byte) {
 	t.Helper()
 	for len(got) < n {
 		p, err := o.Next()
@@ -26,9 +26,9 @@
 	return got
 }
 
-// What is kept is read again from the first byte, however small the pieces are in which it came.
+// Bytes that are kept can be read again from the first one, however small the pieces in which they were received.
 func TestUploadIsReadAgain(t *testing.T) {
-	u := NewUpload(-1, budget(1))
+	u := NewUpload(-1, newBudget(1))
 	var want []byte
 	for i := range 1000 {
 		part := bytes.Repeat([]byte{byte(i)}, i%97)
@@ -42,24 +42,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	half := drain(t, first, len(want)/2)
+	half := readN(t, first, len(want)/2)
 	first.Close()
 	second, err := u.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
 	u.End(nil)
-	if got := drain(t, second, len(want)+1); !bytes.Equal(got, want) || !bytes.HasPrefix(want, half) {
-		t.Errorf("%d bytes, not %d as they came", len(got), len(want))
+	if got := readN(t, second, len(want)+1); !bytes.Equal(got, want) || !bytes.HasPrefix(want, half) {
+		t.Errorf("%d bytes, not the %d received", len(got), len(want))
 	}
 	if !u.Whole() {
-		t.Error("it is not whole")
+		t.Error("the upload is not complete")
 	}
 }
 
-// Where there is no room, filling waits for a reader, and what was read is dropped: then nobody can begin anew.
+// Without room, appending waits for a reader, and what was read is dropped: then no other reader can start.
 func TestUploadBoundsWhatItKeeps(t *testing.T) {
-	b := budget(0)
+	b := newBudget(0)
 	u := NewUpload(10*Window, b)
 	part := bytes.Repeat([]byte{1}, PartSize)
 	for range Window / PartSize {
@@ -68,17 +68,17 @@
 	giveUp := make(chan struct{})
 	close(giveUp)
 	if u.Fill(part, giveUp) {
-		t.Error("it holds more than its window")
+		t.Error("it holds more than MinBuffered bytes")
 	}
 	o, err := u.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan []byte)
-	go func() { done <- drain(t, o, 10*Window) }()
+	go func() { done <- readN(t, o, 10*Window) }()
 	for range 8 * Window / PartSize {
 		if !u.Fill(part, nil) {
-			t.Fatal("no room while it is read")
+			t.Fatal("no room although it is read")
 		}
 	}
 	u.End(nil)
@@ -86,19 +86,19 @@
 		t.Errorf("%d bytes", len(got))
 	}
 	if _, err := u.Open(); !errors.Is(err, ErrDropped) {
-		t.Errorf("begun anew: %v", err)
+		t.Errorf("opened again: %v", err)
 	}
 	if b.used.Load() != 0 {
 		t.Errorf("%d of the budget used", b.used.Load())
 	}
 }
 
-// Who reads what breaks, or is closed, hears of it, and the budget gets back what it lent.
+// Readers of a body that fails or is closed get an error, and the budget gets its bytes back.
 func TestUploadEnds(t *testing.T) {
-	b := budget(1)
+	b := newBudget(1)
 	u, poor := NewUpload(-1, b), NewUpload(-1, b)
-	if u.keep != keepMost || poor.keep != Window {
-		t.Errorf("%d and %d kept", u.keep, poor.keep)
+	if u.limit != maxKeptBytes || poor.limit != Window {
+		t.Errorf("%d and %d kept", u.limit, poor.limit)
 	}
 	o, err := u.Open()
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	u.Close()
 	if _, err := u.Open(); err == nil {
-		t.Error("begun when it is closed")
+		t.Error("opened although it is closed")
 	}
 	if b.used.Load() != 0 {
 		t.Errorf("%d of the budget used", b.used.Load())
--- a/internal/http/httpops/httpops.go
+++ b/internal/http/httpops/httpops.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	headTimeout = time.Second // an answer is owed a second after a whole call, and nothing to half a one
-	mostHead    = 8 << 10
-	mostID      = 256
+	headTimeout    = time.Second // an answer is owed a second after a whole call, and nothing to half a one
+	maxHeaderBytes = 8 << 10
+	maxIDBytes     = 256
 )
 
 // Agent is what the second address speaks for.
@@ -38,24 +38,24 @@
 	classes []string // names, as label values
 	log     *slog.Logger
 	http    *http.Server
-	callers *callers
+	conns   *connLimit
 }
 
 // New returns a Server that keeps so many connections at the most.
 func New(agent Agent, classes []choice.Class, most int, log *slog.Logger) *Server {
-	s := &Server{agent: agent, log: log, callers: newCallers(most)}
+	s := &Server{agent: agent, log: log, conns: newConnLimit(most)}
 	for _, c := range classes {
-		s.classes = append(s.classes, label(c.Name))
+		s.classes = append(s.classes, escapeLabel(c.Name))
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/ready", s.ready)
 	mux.HandleFunc("GET /control/counters", s.counters)
-	mux.HandleFunc("POST /control/backends/{id}/offline", s.steer("out by hand", agent.Offline))
-	mux.HandleFunc("POST /control/backends/{id}/online", s.steer("put back by hand", agent.Online))
+	mux.HandleFunc("POST /control/backends/{id}/offline", s.overrideHandler("out by hand", agent.Offline))
+	mux.HandleFunc("POST /control/backends/{id}/online", s.overrideHandler("put back by hand", agent.Online))
 	s.http = &http.Server{ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout, WriteTimeout: 2 * headTimeout,
-		MaxHeaderBytes: mostHead, ConnContext: withConn, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+		MaxHeaderBytes: maxHeaderBytes, ConnContext: withConn, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if !s.callers.heard(connOf(r.Context())) {
+			if !s.conns.requestReceived(connOf(r.Context())) {
 				return // it was closed just now, to make room
 			}
 			w.Header().Set("Connection", "close") // one call to a connection
@@ -68,9 +68,9 @@
 		ConnState: func(c net.Conn, state http.ConnState) {
 			switch state {
 			case http.StateNew:
-				s.callers.enter(c)
+				s.conns.add(c)
 			case http.StateClosed, http.StateHijacked:
-				s.callers.leave(c)
+				s.conns.remove(c)
 			}
 		}}
 	return s
@@ -115,16 +115,16 @@
 }
 
 // labels escapes what the form of figures has an own meaning for.
-var labels = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-func label(value string) string { return labels.Replace(value) }
+func escapeLabel(value string) string { return labelEscaper.Replace(value) }
 
 // steer hands the operators' word on a server on.
-func (s *Server) steer(what string, say func(context.Context, string) (bool, error)) http.HandlerFunc {
+func (s *Server) overrideHandler(what string, say func(context.Context, string) (bool, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		if len(id) > mostID || strings.ContainsFunc(id, func(c rune) bool { return !unicode.IsPrint(c) }) {
-			http.Error(w, fmt.Sprintf("an id of at most %d printable characters is wanted", mostID), http.StatusBadRequest)
+		if len(id) > maxIDBytes || strings.ContainsFunc(id, func(c rune) bool { return !unicode.IsPrint(c) }) {
+			http.Error(w, fmt.Sprintf("an id of at most %d printable characters is wanted", maxIDBytes), http.StatusBadRequest)
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), headTimeout/2)
--- a/internal/http/httpops/httpops_test.go
+++ b/internal/http/httpops/httpops_test.go
@@ -19,21 +19,21 @@
 )
 
 // scripted is an agent that says what a test has it say.
-type scripted struct {
+type fakeAgent struct {
 	figures core.Figures
 	ready   chan struct{}
 	known   map[string]bool // to whom the word was said
 	err     error
 }
 
-func (s *scripted) Figures() (*core.Figures, int64) { return &s.figures, 7 }
-func (s *scripted) Ready() <-chan struct{}          { return s.ready }
-func (s *scripted) Offline(_ context.Context, id string) (bool, error) {
+func (s *fakeAgent) Figures() (*core.Figures, int64) { return &s.figures, 7 }
+func (s *fakeAgent) Ready() <-chan struct{}          { return s.ready }
+func (s *fakeAgent) Offline(_ context.Context, id string) (bool, error) {
 	return s.known[id], s.err
 }
-func (s *scripted) Online(_ context.Context, id string) (bool, error) { return s.known[id], s.err }
+func (s *fakeAgent) Online(_ context.Context, id string) (bool, error) { return s.known[id], s.err }
 
-func serve(t *testing.T, s *scripted, most int) (addr string) {
+func startServer(t *testing.T, s *fakeAgent, most int) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,8 +45,8 @@
 	return l.Addr().String()
 }
 
-func newScripted() *scripted {
-	return &scripted{ready: make(chan struct{}), known: map[string]bool{"s-1": true, "a/b c": true},
+func newFakeAgent() *fakeAgent {
+	return &fakeAgent{ready: make(chan struct{}), known: map[string]bool{"s-1": true, "a/b c": true},
 		figures: core.Figures{Classes: []ledger.ClassStats{{Served: 3, Refused: 2, Failed: 1}, {}}, Outstanding: 4, Discovered: 6, Ejected: 5}}
 }
 
@@ -73,8 +73,8 @@
 }
 
 func TestCalls(t *testing.T) {
-	s := newScripted()
-	addr := serve(t, s, 4)
+	s := newFakeAgent()
+	addr := startServer(t, s, 4)
 	for _, c := range []struct {
 		line string
 		want int
@@ -102,7 +102,7 @@
 }
 
 func TestFiguresInTheGivenForm(t *testing.T) {
-	_, got := call(t, serve(t, newScripted(), 4), "GET /control/counters")
+	_, got := call(t, startServer(t, newFakeAgent(), 4), "GET /control/counters")
 	want := `svc_succeeded{service="pay"} 3
 svc_declined{service="pay"} 2
 svc_aborted{service="pay"} 1
@@ -121,7 +121,7 @@
 
 // Those that hold connections with no whole call, or with none at all, keep nobody out.
 func TestSilentCallersGiveWay(t *testing.T) {
-	addr := serve(t, newScripted(), 8)
+	addr := startServer(t, newFakeAgent(), 8)
 	for i := range 100 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
