--- a/internal/http/httpops/callers.go
+++ b/internal/http/httpops/callers.go
@@ -6,18 +6,18 @@
 	"sync"
 )
 
-// callers bounds the connections. Where there is no room for another, the oldest that has not sent a whole call gives
-// way, whatever part of one it has sent: nothing is owed to it.
+// connLimit bounds the number of connections. When there is no room for another one, the oldest connection that has not sent a
+// complete request is closed, even if it has sent part of one: an incomplete request needs no answer.
 type connLimit struct {
 	maxConns int
 
 	mu      sync.Mutex
-	all     map[net.Conn]*list.Element // in waits; nil from the whole call on
-	waiting *list.List                 // the oldest first
+	all     map[net.Conn]*list.Element // element of waiting; nil once the complete request has been received
+	waiting *list.List                 // of net.Conn without a complete request, the oldest first
 }
 
-func newConnLimit(most int) *connLimit {
-	return &connLimit{maxConns: most, all: map[net.Conn]*list.Element{}, waiting: list.New()}
+func newConnLimit(maxConns int) *connLimit {
+	return &connLimit{maxConns: maxConns, all: map[net.Conn]*list.Element{}, waiting: list.New()}
 }
 
 func (c *connLimit) add(conn net.Conn) {
@@ -27,14 +27,14 @@
 	if len(c.all) <= c.maxConns {
 		return
 	}
-	oldest := c.waiting.Front() // the newest itself where all others are being answered
+	oldest := c.waiting.Front() // the new one itself if all others are being answered
 	c.waiting.Remove(oldest)
-	gone := oldest.Value.(net.Conn)
-	delete(c.all, gone)
-	gone.Close()
+	closed := oldest.Value.(net.Conn)
+	delete(c.all, closed)
+	closed.Close()
 }
 
-// heard says that a whole call has come on a connection. It is false where that was closed just now.
+// requestReceived notes that a complete request was received on a connection. It returns false if the connection has just been closed.
 func (c *connLimit) requestReceived(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http/httpops/httpops.go
+++ b/internal/http/httpops/httpops.go
@@ -1,5 +1,5 @@
-// Package httpops is the second address, for those who run the agent: whether it takes clients, its figures, and the
-// operators' word on servers.
+// Package httpops serves the agent's second address, for its operators: whether the agent is ready for clients, its counters, and
+// commands that take backends offline or back online.
 package httpops
 
 import (
@@ -19,12 +19,12 @@
 )
 
 const (
-	headTimeout    = time.Second // an answer is owed a second after a whole call, and nothing to half a one
+	headTimeout    = time.Second // a complete request is answered within this time, an incomplete one gets no answer
 	maxHeaderBytes = 8 << 10
 	maxIDBytes     = 256
 )
 
-// Agent is what the second address speaks for.
+// Agent is the agent that the second address reports on and controls.
 type Agent interface {
 	Figures() (*core.Figures, int64)
 	Ready() <-chan struct{}
@@ -32,18 +32,18 @@
 	Online(ctx context.Context, id string) (known bool, err error)
 }
 
-// Server answers at the second address.
+// Server serves the second address.
 type Server struct {
 	agent   Agent
-	classes []string // names, as label values
+	classes []string // names, escaped as label values
 	log     *slog.Logger
 	http    *http.Server
 	conns   *connLimit
 }
 
-// New returns a Server that keeps so many connections at the most.
-func New(agent Agent, classes []choice.Class, most int, log *slog.Logger) *Server {
-	s := &Server{agent: agent, log: log, conns: newConnLimit(most)}
+// New returns a Server with at most maxConns connections.
+func New(agent Agent, classes []choice.Class, maxConns int, log *slog.Logger) *Server {
+	s := &Server{agent: agent, log: log, conns: newConnLimit(maxConns)}
 	for _, c := range classes {
 		s.classes = append(s.classes, escapeLabel(c.Name))
 	}
@@ -56,11 +56,11 @@
 		MaxHeaderBytes: maxHeaderBytes, ConnContext: withConn, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if !s.conns.requestReceived(connOf(r.Context())) {
-				return // it was closed just now, to make room
+				return // just closed to make room
 			}
-			w.Header().Set("Connection", "close") // one call to a connection
+			w.Header().Set("Connection", "close") // one request per connection
 			if p := r.URL.EscapedPath(); path.Clean(p) != p {
-				http.NotFound(w, r) // the mux would point elsewhere, and a no is owed
+				http.NotFound(w, r) // the mux would redirect, but the request must be rejected
 				return
 			}
 			mux.ServeHTTP(w, r)
@@ -76,10 +76,10 @@
 	return s
 }
 
-// Serve answers until Close; it always ends with an error.
+// Serve accepts connections on l until Close is called. It always returns an error.
 func (s *Server) Serve(l net.Listener) error { return s.http.Serve(l) }
 
-// Close ends it.
+// Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 type connKey struct{}
@@ -111,16 +111,16 @@
 	fmt.Fprintf(&b, "svc_forwards %d\nsvc_outstanding %d\nsvc_discovered %d\nsvc_ejected %d\n", forwards, f.Outstanding,
 		f.Discovered, f.Ejected)
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	w.Write(b.Bytes()) // a failed write means that the caller has gone
+	w.Write(b.Bytes()) // a failed write means that the client has disconnected
 }
 
-// labels escapes what the form of figures has an own meaning for.
+// labelEscaper escapes the characters that have a meaning in the text format of the counters.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 func escapeLabel(value string) string { return labelEscaper.Replace(value) }
 
-// steer hands the operators' word on a server on.
-func (s *Server) overrideHandler(what string, say func(context.Context, string) (bool, error)) http.HandlerFunc {
+// overrideHandler returns a handler that applies an operator's command to a backend and logs it as message.
+func (s *Server) overrideHandler(message string, apply func(context.Context, string) (bool, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		if len(id) > maxIDBytes || strings.ContainsFunc(id, func(c rune) bool { return !unicode.IsPrint(c) }) {
@@ -129,14 +129,14 @@
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), headTimeout/2)
 		defer cancel()
-		known, err := say(ctx, id)
+		known, err := apply(ctx, id)
 		switch {
 		case err != nil:
 			http.Error(w, "nothing is promised: "+err.Error(), http.StatusServiceUnavailable)
 		case !known:
 			http.Error(w, fmt.Sprintf("no backend %q", id), http.StatusNotFound)
 		default:
-			s.log.Info(what, "backend", id)
+			s.log.Info(message, "backend", id)
 			fmt.Fprintln(w, "yes")
 		}
 	}
--- a/internal/http/httpops/httpops_test.go
+++ b/internal/http/httpops/httpops_test.go
@@ -18,11 +18,11 @@
 	"ternbeam/internal/host/core"
 )
 
-// scripted is an agent that says what a test has it say.
+// fakeAgent is an agent with scripted state.
 type fakeAgent struct {
 	figures core.Figures
 	ready   chan struct{}
-	known   map[string]bool // to whom the word was said
+	known   map[string]bool // IDs for which commands succeed
 	err     error
 }
 
@@ -33,13 +33,13 @@
 }
 func (s *fakeAgent) Online(_ context.Context, id string) (bool, error) { return s.known[id], s.err }
 
-func startServer(t *testing.T, s *fakeAgent, most int) (addr string) {
+func startServer(t *testing.T, s *fakeAgent, maxConns int) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := New(s, []choice.Class{{Name: "pay"}, {Name: "a\"b\\c\nd"}}, most, slog.New(slog.DiscardHandler))
+	srv := New(s, []choice.Class{{Name: "pay"}, {Name: "a\"b\\c\nd"}}, maxConns, slog.New(slog.DiscardHandler))
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
 	return l.Addr().String()
@@ -50,7 +50,7 @@
 		figures: core.Figures{Classes: []ledger.ClassStats{{Served: 3, Refused: 2, Failed: 1}, {}}, Outstanding: 4, Discovered: 6, Ejected: 5}}
 }
 
-// call makes one call on a connection of its own.
+// call sends one request on a connection of its own.
 func call(t *testing.T, addr, line string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -67,7 +67,7 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil || !resp.Close {
-		t.Errorf("%s: %v, the connection closes: %t", line, err, resp.Close)
+		t.Errorf("%s: %v, Connection: close %t", line, err, resp.Close)
 	}
 	return resp.StatusCode, string(text)
 }
@@ -97,7 +97,7 @@
 	}
 	s.err = errors.New("stopped")
 	if got, _ := call(t, addr, "POST /control/backends/s-1/offline"); got != 503 {
-		t.Errorf("a word that nobody took: %d", got)
+		t.Errorf("a command that the agent did not accept: %d", got)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-// Those that hold connections with no whole call, or with none at all, keep nobody out.
+// Connections without a complete request, or without any data, must not keep other clients out.
 func TestSilentCallersGiveWay(t *testing.T) {
 	addr := startServer(t, newFakeAgent(), 8)
 	for i := range 100 {
@@ -133,7 +133,7 @@
 		}
 		if i%10 == 0 {
 			if got, _ := call(t, addr, "GET /control/counters"); got != 200 {
-				t.Errorf("beside %d: %d", i, got)
+				t.Errorf("connection %d: %d", i, got)
 			}
 		}
 	}
