--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -16,91 +16,92 @@
 )
 
 const (
-	mostBytes = 8 << 20 // of one list: some 50,000 entries
-	// pace is how much of a list shows that it goes on: one that takes longer than a watch may be silent comes at some 57 KB/s.
-	pace = 256 << 10
-	// listStall is how long after a list has begun, or after pace of it, the rest may take. A service that breaks off without a word is asked
-	// again in time for what a silent watch missed; the next call has all the time that a watch may be silent, as the service may be slow.
+	maxListBytes = 8 << 20 // of one list: some 50,000 entries
+	// progressBytes is the amount of data that counts as progress of a list. One that takes longer than silenceTimeout needs some 57 KB/s.
+	progressBytes = 256 << 10
+	// listStallTimeout limits the time from the start of a list, or from its latest progress, to more progress or its end. If a service
+	// stops in the middle of a list without closing, it is asked again early enough for what a silent watch missed. The next call may take the
+	// full silenceTimeout, as the service may just be slow.
 	listStall = time.Second
 )
 
-// Events are told while a watch lasts, by the goroutine that watches.
+// Events are the callbacks and options of a watch. The callbacks run on the goroutine that watches.
 type Events struct {
-	Answered    func()     // the call was taken
-	Alive       func()     // something has come
-	Established func()     // something has come on the watch, or it was opened behind a whole list; told once, not at all where nil
-	Deliver     func(List) // a list that is believed
+	Answered    func()     // the service has accepted the call
+	Alive       func()     // data has been received
+	Established func()     // data was received on the watch, or it was opened after a full list; called once; may be nil
+	Deliver     func(List) // delivers an accepted list
 
-	Whole  bool          // the whole list is asked for first
-	Within time.Duration // in which a call is to be answered, and the whole list to come; 0 for what a watch may be silent
+	Whole  bool          // request the full list first
+	Within time.Duration // limits the time to an answer, and that of the full list; 0 for the client's silence timeout
 }
 
-// call is one call for the list, and the watch behind it.
+// call is one request for the list, and the watch after it.
 type call struct {
-	begun time.Duration
-	on    Events
+	started time.Duration
+	events  Events
 }
 
-// watch is Watch; it always ends with an error.
-func (d *Client) watch(ctx context.Context, on Events) error {
+// watch implements Watch. It always returns an error.
+func (d *Client) watch(ctx context.Context, events Events) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := d.silence
-	if on.Within > 0 {
-		limit = on.Within
+	limit := d.silenceTimeout
+	if events.Within > 0 {
+		limit = events.Within
 	}
-	silence := newSilenceTimer(limit, func(most time.Duration) { cancel(silenceError(most)) })
+	silence := newSilenceTimer(limit, func(limit time.Duration) { cancel(silenceError(limit)) })
 	defer silence.stop()
-	c := &call{begun: clock.Now(), on: on}
-	answered := func() { silence.reset(d.silence); on.Answered() }
-	tellAlive := func(of sign) {
-		if of != listBegun {
-			on.Alive()
+	c := &call{started: clock.Now(), events: events}
+	answered := func() { silence.reset(d.silenceTimeout); events.Answered() }
+	reportAlive := func(a activity) {
+		if a != listStarted {
+			events.Alive()
 		}
 	}
-	alive := func(of sign) {
-		if of == listBegun || of == partOfList {
-			silence.reset(d.stallNow())
+	alive := func(a activity) {
+		if a == listStarted || a == listProgress {
+			silence.reset(d.currentStallTimeout())
 		} else {
-			silence.reset(d.silence)
+			silence.reset(d.silenceTimeout)
 		}
-		tellAlive(of)
+		reportAlive(a)
 	}
-	wholeCame := false
-	if _, needed := d.version(); needed || on.Whole {
-		came, comes := answered, alive
-		if on.Whole {
-			came, comes = on.Answered, tellAlive // the whole list has as long as the call
+	fullReceived := false
+	if _, needed := d.version(); needed || events.Whole {
+		onAnswer, onData := answered, alive
+		if events.Whole {
+			onAnswer, onData = events.Answered, reportAlive // the full list may take as long as the call
 		}
-		if err := d.read(ctx, "", came, comes, func(l list) error {
+		if err := d.read(ctx, "", onAnswer, onData, func(l rawList) error {
 			silence.reset(limit) // for the watch
-			whole := l.whole(!wholeCame)
-			if !whole.Full && !wholeCame {
-				return d.takeDrains(ctx, c, whole)
+			parsed := l.toList(!fullReceived)
+			if !parsed.Full && !fullReceived {
+				return d.acceptDrains(ctx, c, parsed)
 			}
-			wholeCame = true
-			return d.take(ctx, c, whole)
+			fullReceived = true
+			return d.accept(ctx, c, parsed)
 		}); !errors.Is(err, io.EOF) {
 			return err
 		}
 	}
 	established := func() {}
-	if on.Established != nil {
-		established = sync.OnceFunc(on.Established)
+	if events.Established != nil {
+		established = sync.OnceFunc(events.Established)
 	}
 	version, _ := d.version()
 	return d.read(ctx, fmt.Sprintf("?stream=1&index=%d", version), func() {
 		answered()
-		if wholeCame {
+		if fullReceived {
 			established()
 		}
-	}, func(of sign) {
-		alive(of)
-		if of == emptyLine {
+	}, func(a activity) {
+		alive(a)
+		if a == emptyLine {
 			established()
 		}
-	}, func(l list) error {
-		err := d.take(ctx, c, l.whole(false))
+	}, func(l rawList) error {
+		err := d.accept(ctx, c, l.toList(false))
 		if err == nil {
 			established()
 		}
@@ -108,25 +109,25 @@
 	})
 }
 
-// stallNow is how long the rest of a list may take.
-func (d *Client) stallNow() time.Duration {
+// currentStallTimeout returns how long the rest of a list may take.
+func (d *Client) currentStallTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stalled {
-		return d.silence
+		return d.silenceTimeout
 	}
-	return min(d.stall, d.silence)
+	return min(d.stallTimeout, d.silenceTimeout)
 }
 
-// list is a List as it comes: it may not say whether it is whole.
-type list struct {
+// rawList is a List as received: it may not say whether it is full.
+type rawList struct {
 	Version int64   `json:"version"`
 	Full    *bool   `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// whole returns it as a List, which is whole as it says, or as is expected where it does not say.
-func (l list) whole(expected bool) List {
+// toList returns the list as a List. If the list does not say whether it is full, expected decides.
+func (l rawList) toList(expected bool) List {
 	full := expected
 	if l.Full != nil {
 		full = *l.Full
@@ -135,24 +136,24 @@
 }
 
 var (
-	errStale       = errors.New("a list that is older than what another call has brought since")
-	errNoWholeList = errors.New("a change of the list where the whole list was asked for")
+	errStale   = errors.New("the list is older than one that another call has delivered since")
+	errNotFull = errors.New("a change of the list in answer to a request for the full list")
 )
 
-// take delivers what is believed of a list. One that is not ends the watch: the next begins from the last good one.
-func (d *Client) take(ctx context.Context, c *call, l List) error {
+// accept delivers a list if it passes the checks. A rejected list ends the watch: the next one starts from the last accepted list.
+func (d *Client) accept(ctx context.Context, c *call, l List) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if ctx.Err() != nil { // another call has taken its place
+	if ctx.Err() != nil { // another call has replaced it
 		return context.Cause(ctx)
 	}
-	if by := d.latest.by; by != nil && by != c && c.begun < d.latest.at && l.Version < d.lists.Version() {
-		return errStale // the answer was late: that is no sign that discovery counts anew
+	if by := d.lastDelivery.by; by != nil && by != c && c.started < d.lastDelivery.at && l.Version < d.checker.Version() {
+		return errStale // the answer was late, which does not mean that discovery has restarted its versions
 	}
-	v := d.lists.Judge(l.judged())
+	v := d.checker.Judge(l.forCheck())
 	if v.Hold {
 		d.deliverDrains(c, l, v.Draining)
-		return fmt.Errorf("a list that is not believed: %s", v.Reason)
+		return fmt.Errorf("list rejected: %s", v.Reason)
 	}
 	if v.Reason != "" {
 		d.log.Warn("an odd list", "reason", v.Reason)
@@ -169,51 +170,51 @@
 		kept = append(kept, e)
 	}
 	l.Servers = kept
-	d.said, d.stalled, d.doubt = "", false, d.doubt && !l.Full
-	d.latest = delivery{c, clock.Now()}
-	c.on.Deliver(l)
+	d.lastEnd, d.stalled, d.drainsUnconfirmed = "", false, d.drainsUnconfirmed && !l.Full
+	d.lastDelivery = delivery{c, clock.Now()}
+	c.events.Deliver(l)
 	return nil
 }
 
-// takeDrains takes a change that came in place of the whole list. Its drains count; for the rest the whole list is asked for again.
-func (d *Client) takeDrains(ctx context.Context, c *call, l List) error {
+// acceptDrains delivers the drains of a change received in place of the full list. For the rest, the full list is requested again.
+func (d *Client) acceptDrains(ctx context.Context, c *call, l List) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	d.deliverDrains(c, l, d.lists.Drains(l.judged()))
-	return errNoWholeList
+	d.deliverDrains(c, l, d.checker.Drains(l.forCheck()))
+	return errNotFull
 }
 
-// deliverDrains delivers the entries of a list that is not believed by which servers drain. They bind at once; whether the rest is right
-// the whole list says.
+// deliverDrains delivers the entries of a rejected list that make servers drain. Drains take effect at once; whether the rest is right
+// is decided by the next full list.
 func (d *Client) deliverDrains(c *call, l List, draining []int) {
 	if len(draining) == 0 {
 		return
 	}
-	drains := List{Version: d.lists.Version()}
+	drains := List{Version: d.checker.Version()}
 	for _, i := range draining {
 		e := l.Servers[i]
 		e.State = terminating
 		drains.Servers = append(drains.Servers, e)
 	}
-	d.doubt = true
-	c.on.Deliver(drains)
+	d.drainsUnconfirmed = true
+	c.events.Deliver(drains)
 }
 
-// sign is a sign of life of an answer.
-type sign int
+// activity is what was received on an answer.
+type activity int
 
 const (
-	emptyLine  sign = iota // nothing has changed
-	listBegun              // the first bytes of a list have come
-	partOfList             // a good deal of a list has come
-	wholeList              // a list has come whole
+	emptyLine    activity = iota // nothing has changed
+	listStarted                  // the first bytes of a list were received
+	listProgress                 // progressBytes of a list were received
+	listComplete                 // a list was received completely
 )
 
-// read takes the lists of one answer until it ends; it always ends with an error.
-func (d *Client) read(ctx context.Context, query string, answered func(), alive func(sign), take func(list) error) error {
+// read decodes the lists of one answer and passes them to take. It always returns an error.
+func (d *Client) read(ctx context.Context, query string, answered func(), alive func(activity), take func(rawList) error) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.addr+"/v1/endpoints"+query, nil)
 	if err != nil {
 		return err
@@ -227,33 +228,33 @@
 		return fmt.Errorf("discovery answered %s", resp.Status)
 	}
 	answered()
-	// Empty lines mean nothing to the decoder; they show that the watch is alive, and so does a list that is whole. One that
-	// has begun does not: what comes of it in drips may never be one.
-	var got, done, shown int64 // bytes that came, those of whole lists, and those when something was last shown
-	within := false            // a list
+	// The decoder ignores empty lines, but they show that the watch is alive, and so does a complete list. The start of a list does not:
+	// a list that arrives in drips may never be complete.
+	var received, decoded, reported int64 // bytes received, bytes of complete lists, and bytes at the last report
+	inList := false                       // in the middle of a list
 	lines := json.NewDecoder(readerFunc(func(p []byte) (int, error) {
-		if got-done > mostBytes {
-			return 0, fmt.Errorf("a list of over %d bytes", mostBytes)
+		if received-decoded > maxListBytes {
+			return 0, fmt.Errorf("a list of over %d bytes", maxListBytes)
 		}
 		n, err := resp.Body.Read(p)
-		got += int64(n)
+		received += int64(n)
 		empty := len(bytes.TrimSpace(p[:n])) == 0
-		begins := !within && !empty
-		within = within || !empty
+		starts := !inList && !empty
+		inList = inList || !empty
 		switch {
-		case begins:
-			alive(listBegun)
-		case !within && bytes.IndexByte(p[:n], '\n') >= 0:
-			shown = got
+		case starts:
+			alive(listStarted)
+		case !inList && bytes.IndexByte(p[:n], '\n') >= 0:
+			reported = received
 			alive(emptyLine)
-		case got-shown >= pace:
-			shown = got
-			alive(partOfList)
+		case received-reported >= progressBytes:
+			reported = received
+			alive(listProgress)
 		}
 		return n, err
 	}))
 	for {
-		var l list
+		var l rawList
 		if err := lines.Decode(&l); err != nil {
 			return cmp.Or(context.Cause(ctx), fmt.Errorf("reading the list, byte %d: %w", lines.InputOffset(), err))
 		}
@@ -261,8 +262,8 @@
 		if err != nil {
 			return err
 		}
-		done, within, shown = lines.InputOffset(), len(bytes.TrimSpace(rest)) > 0, got
-		alive(wholeList)
+		decoded, inList, reported = lines.InputOffset(), len(bytes.TrimSpace(rest)) > 0, received
+		alive(listComplete)
 		if err := take(l); err != nil {
 			return err
 		}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -15,19 +15,18 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// calls runs a list service that answers the nth call as told, and the last way from then on. A way that returns leaves the call
-// open and silent.
-func calls(t *testing.T, ways ...func(w http.ResponseWriter, r *http.Request)) (addr string, asked chan string) {
+// startService starts a list service that handles the nth call with the nth handler, and later calls with the last one.
+func startService(t *testing.T, handlers ...func(w http.ResponseWriter, r *http.Request)) (addr string, requests chan string) {
 	t.Helper()
-	asked = make(chan string, 1000)
+	requests = make(chan string, 1000)
 	var n atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		way := ways[min(int(n.Add(1)), len(ways))-1]
-		asked <- r.URL.String()
-		way(w, r)
+		handler := handlers[min(int(n.Add(1)), len(handlers))-1]
+		requests <- r.URL.String()
+		handler(w, r)
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), requests
 }
 
 func write(w http.ResponseWriter, text string) {
@@ -36,8 +35,8 @@
 }
 
 const (
-	before = `{"version":8,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}` + "\n"
-	drains = `{"version":9,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"terminating"}]}` + "\n"
+	inService = `{"version":8,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}` + "\n"
+	draining  = `{"version":9,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"terminating"}]}` + "\n"
 )
 
 func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
@@ -48,15 +47,15 @@
 	<-r.Context().Done()
 }
 
-// All open watches fall silent, and servers begin to drain. The drain is heard by what counts as told, 6 s after the silence began,
-// and the least grace, whatever becomes of the first calls after that.
+// All open watches fall silent, and servers begin to drain. The drain must be received before it counts as known to the agent, 6 s after the
+// silence start, and the minimum grace is over, whatever happens to the first calls after that.
 func TestDrainBehindSilentWatches(t *testing.T) {
-	// The silence itself is shortened; the rest is played as it is.
+	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
-	most := 6*time.Second + 500*time.Millisecond - asking.Silence + silence
-	watch := func(w http.ResponseWriter, r *http.Request) { write(w, before); <-r.Context().Done() }
-	answers := func(w http.ResponseWriter, r *http.Request) { write(w, drains); <-r.Context().Done() }
-	for name, then := range map[string][]func(http.ResponseWriter, *http.Request){
+	limit := 6*time.Second + 500*time.Millisecond - asking.Silence + silence
+	watch := func(w http.ResponseWriter, r *http.Request) { write(w, inService); <-r.Context().Done() }
+	answers := func(w http.ResponseWriter, r *http.Request) { write(w, draining); <-r.Context().Done() }
+	for name, handlers := range map[string][]func(http.ResponseWriter, *http.Request){
 		"answered":                        {answers},
 		"silent":                          {silent, answers},
 		"a head, then silent":             {headOnly, answers},
@@ -66,41 +65,41 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, asked := calls(t, append([]func(http.ResponseWriter, *http.Request){watch}, then...)...)
+			addr, requests := startService(t, append([]func(http.ResponseWriter, *http.Request){watch}, handlers...)...)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			d := New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))
-			d.silence = silence
-			heard := make(chan time.Time, 100)
-			var began time.Time
+			d.silenceTimeout = silence
+			received := make(chan time.Time, 100)
+			var start time.Time
 			go d.KeepWatching(ctx, asking.New(asking.Settings{Grace: 500 * time.Millisecond}, 1), func(l List) {
-				if began.IsZero() {
-					began = time.Now()
+				if start.IsZero() {
+					start = time.Now()
 				} else if l.Servers[0].State == "terminating" {
-					heard <- time.Now()
+					received <- time.Now()
 				}
 			}, nil)
 			select {
-			case at := <-heard:
-				if took := at.Sub(began); took > most {
-					t.Errorf("heard after %v, over %v", took, most)
+			case at := <-received:
+				if took := at.Sub(start); took > limit {
+					t.Errorf("received after %v, over %v", took, limit)
 				}
 			case <-time.After(testkit.Patience):
-				t.Fatal("never heard")
+				t.Fatal("the drain was never received")
 			}
-			<-asked
-			if second := <-asked; second != "/v1/endpoints" {
-				t.Errorf("after the silence it asked for %s", second)
+			<-requests
+			if second := <-requests; second != "/v1/endpoints" {
+				t.Errorf("after the silence it requested %s", second)
 			}
 		})
 	}
 }
 
-// A list that has begun and comes in drips is no sign of life: it may never be whole. Lists that come indented, with pauses in
-// which nothing changes, are as good as others.
+// A list that has started and arrives in drips does not count as activity: it may never be complete. Lists that are indented, after
+// empty lines, are accepted like others.
 func TestListInDrips(t *testing.T) {
 	drip := func(w http.ResponseWriter, r *http.Request) {
-		write(w, before+`{"version":9,"servers":[`)
+		write(w, inService+`{"version":9,"servers":[`)
 		for r.Context().Err() == nil {
 			write(w, " \n")
 			select {
@@ -111,62 +110,62 @@
 	}
 	indented := func(w http.ResponseWriter, r *http.Request) {
 		write(w, "\n\n")
-		write(w, strings.ReplaceAll(strings.ReplaceAll(drains, ",", ",\n  "), "{", "{\n"))
+		write(w, strings.ReplaceAll(strings.ReplaceAll(draining, ",", ",\n  "), "{", "{\n"))
 		<-r.Context().Done()
 	}
-	addr, _ := calls(t, drip, indented)
+	addr, _ := startService(t, drip, indented)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))
-	d.silence = 200 * time.Millisecond
-	heard := make(chan struct{})
+	d.silenceTimeout = 200 * time.Millisecond
+	received := make(chan struct{})
 	go d.KeepWatching(ctx, asking.New(asking.Settings{}, 1), func(l List) {
 		if l.Servers[0].State == "terminating" {
-			close(heard)
+			close(received)
 		}
 	}, nil)
-	wait(t, heard)
+	wait(t, received)
 }
 
-// A service that all agents ask breaks off without a word in the midst of a list. It is asked again soon, and not after the time that a watch may
-// be silent; one whose lists take longer than that is heard at its next answer.
+// A service that all agents share stops in the middle of a list without closing. It must be called again soon, not only after the silence
+// timeout. A service whose lists always take longer than that is received at the next answer.
 func TestListThatStopsShort(t *testing.T) {
-	half := before[:len(before)/2]
+	half := inService[:len(inService)/2]
 	stops := func(w http.ResponseWriter, r *http.Request) { write(w, half); <-r.Context().Done() }
 	slow := func(w http.ResponseWriter, r *http.Request) {
 		write(w, half)
 		time.Sleep(1500 * time.Millisecond)
-		write(w, before[len(before)/2:])
+		write(w, inService[len(inService)/2:])
 		<-r.Context().Done()
 	}
 	for name, c := range map[string]struct {
-		ways []func(http.ResponseWriter, *http.Request)
-		most time.Duration
+		handlers []func(http.ResponseWriter, *http.Request)
+		most     time.Duration
 	}{
-		"once":        {[]func(http.ResponseWriter, *http.Request){stops, func(w http.ResponseWriter, r *http.Request) { write(w, before); <-r.Context().Done() }}, 2 * time.Second},
+		"once":        {[]func(http.ResponseWriter, *http.Request){stops, func(w http.ResponseWriter, r *http.Request) { write(w, inService); <-r.Context().Done() }}, 2 * time.Second},
 		"slow always": {[]func(http.ResponseWriter, *http.Request){slow}, 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, _ := calls(t, c.ways...)
+			addr, _ := startService(t, c.handlers...)
 			begin := time.Now()
-			// Of one agent alone the turns come at once.
+			// With a single agent, its slots come at once.
 			nextList(t, watchWith(t, asking.Settings{Shared: true, Agents: 1}, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))))
 			if took := time.Since(begin); took > c.most {
-				t.Errorf("heard after %v", took)
+				t.Errorf("received after %v", took)
 			}
 		})
 	}
 }
 
-// A watch that is reset between two lists, in the midst of one, or right after its beginning is begun anew from the last whole one.
+// A watch that is reset between two lists, in the middle of one, or right after its start is restarted from the last complete list.
 func TestWatchIsResetAnywhere(t *testing.T) {
 	next := `{"version":9,"servers":[{"id":"b","addr":"127.0.0.1:1","state":"terminating"}]}` + "\n"
 	for cut := range len(next) + 1 {
 		t.Run(fmt.Sprint("cut at ", cut), func(t *testing.T) {
 			t.Parallel()
-			addr, asked := calls(t, func(w http.ResponseWriter, r *http.Request) {
-				write(w, before+next[:cut])
+			addr, requests := startService(t, func(w http.ResponseWriter, r *http.Request) {
+				write(w, inService+next[:cut])
 				panic(http.ErrAbortHandler)
 			}, func(w http.ResponseWriter, r *http.Request) {
 				write(w, next)
@@ -175,27 +174,27 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			d := New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))
-			heard := make(chan struct{}, 10)
-			go d.KeepWatching(ctx, asking.New(oneAfterTheOther, 1), func(l List) {
+			received := make(chan struct{}, 10)
+			go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
 				if l.Version == 9 && l.Servers[0].State == "terminating" {
-					heard <- struct{}{}
+					received <- struct{}{}
 				}
 			}, nil)
-			wait(t, heard)
-			<-asked
+			wait(t, received)
+			<-requests
 			want := "/v1/endpoints?stream=1&index=8"
-			if cut >= len(next)-1 { // it was whole
+			if cut >= len(next)-1 { // the list was complete
 				want = "/v1/endpoints?stream=1&index=9"
 			}
-			if again := <-asked; again != want {
-				t.Errorf("asked for %s", again)
+			if again := <-requests; again != want {
+				t.Errorf("requested %s", again)
 			}
 		})
 	}
 }
 
-// Discovery begins anew and counts from the start, with a list that alone tells of a drain: the drain counts at once, though the list is
-// not believed yet. Whether the server drains still is asked with the next call, by the whole list.
+// Discovery restarts its versions, and only the resulting list announces a drain: the drain takes effect at once, although the list is
+// rejected at first. The next call, for the full list, determines whether the server still drains.
 func TestDrainInAListThatIsNotBelieved(t *testing.T) {
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"id":%q,"addr":"127.0.0.1:1","state":%q}`, id, state)
@@ -209,19 +208,19 @@
 		}
 	}
 	both := entry("a", "in_service") + "," + entry("b", "in_service")
-	addr, asked := calls(t, answers(8, true, both), answers(2, true, entry("a", "terminating")+","+entry("b", "in_service")),
+	addr, requests := startService(t, answers(8, true, both), answers(2, true, entry("a", "terminating")+","+entry("b", "in_service")),
 		answers(8, true, both), answers(9, false, entry("b", "terminating")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler))
-	heard := make(chan string, 100)
-	go d.KeepWatching(ctx, asking.New(oneAfterTheOther, 1), func(l List) {
+	received := make(chan string, 100)
+	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
 		said := fmt.Sprint(l.Version, " ", l.Full)
 		for _, e := range l.Servers {
 			said += " " + e.ID + " " + e.State
 		}
-		heard <- said
+		received <- said
 	}, nil)
-	expect(t, heard, "8 true a in_service b in_service", "8 false a terminating", "8 true a in_service b in_service", "9 false b terminating")
-	expect(t, asked, "/v1/endpoints", "/v1/endpoints?stream=1&index=8", "/v1/endpoints", "/v1/endpoints?stream=1&index=8")
+	expect(t, received, "8 true a in_service b in_service", "8 false a terminating", "8 true a in_service b in_service", "9 false b terminating")
+	expect(t, requests, "/v1/endpoints", "/v1/endpoints?stream=1&index=8", "/v1/endpoints", "/v1/endpoints?stream=1&index=8")
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery reads the list of servers: as a whole, and as a watch on its changes.
+// Package discovery receives the list of servers from the discovery service: the full list, and a watch for its changes.
 package discovery
 
 import (
@@ -16,10 +16,11 @@
 	"ternbeam/internal/sysio/socketio"
 )
 
-// dialTimeout bounds the connecting to discovery.
+// dialTimeout limits connecting to discovery.
 const dialTimeout = time.Second
 
-// dial connects to discovery. What it has written counts as told, whichever calls fail on the connection.
+// dial connects to discovery. What discovery has written counts as known to the agent, even if system calls fail on the connection, so it is
+// wrapped to retry them.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -28,92 +29,92 @@
 	return socketio.Wrap(conn), nil
 }
 
-// Client watches the list of one discovery. It is safe for concurrent use.
+// Client watches the list of one discovery service. It is safe for concurrent use.
 type Client struct {
-	addr    string
-	silence time.Duration // after which a watch is dead
-	stall   time.Duration // after which a list that has begun is, at the first time
-	client  *http.Client
-	log     *slog.Logger
+	addr           string
+	silenceTimeout time.Duration // after which a watch counts as dead
+	stallTimeout   time.Duration // after which a list that has started counts as stalled, the first time
+	client         *http.Client
+	log            *slog.Logger
 
-	mu      sync.Mutex      // held while a list is judged and delivered
-	lists   *listing.Keeper // which of them are believed
-	said    string          // how the latest watch ended, if none has delivered since
-	doubt   bool            // drains of a list that was not believed were delivered, and no whole list since
-	latest  delivery        // of a list that is believed
-	stalled bool            // the latest list that began did not come whole in time, and none has since
+	mu                sync.Mutex      // held while a list is checked and delivered
+	checker           *listing.Keeper // decides which lists are accepted
+	lastEnd           string          // error of the latest watch, empty if a list has been delivered since
+	drainsUnconfirmed bool            // drains of a rejected list were delivered, and no full list since
+	lastDelivery      delivery        // of an accepted list
+	stalled           bool            // the latest list that started was not complete in time, and none has been since
 }
 
-// delivery is when and by which call a list was delivered.
+// delivery records which call delivered a list, and when.
 type delivery struct {
 	by *call
 	at time.Duration
 }
 
-// Unknown stands for the version of a list where none has come from that discovery yet: another one may count
-// otherwise.
+// UnknownVersion is the version of a list when none has been received from this discovery service yet: another service may count
+// differently.
 const Unknown = listing.Unknown
 
-// New returns a Client that has a list already, or one of the version Unknown.
+// New returns a Client that starts from a known list, which may have the version UnknownVersion.
 func New(addr string, known List, log *slog.Logger) *Client {
-	lists := listing.New(known.Version)
+	checker := listing.New(known.Version)
 	if known.Version != Unknown {
-		lists.Judge(known.judged())
+		checker.Judge(known.forCheck())
 	}
-	return &Client{addr: addr, lists: lists, silence: asking.Silence, stall: listStall, log: log, client: &http.Client{
+	return &Client{addr: addr, checker: checker, silenceTimeout: asking.Silence, stallTimeout: listStall, log: log, client: &http.Client{
 		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
 			DialContext: dial},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// KeepWatching watches until ctx ends, again and again from the last version, when the Asker says so. An agent goes on with
-// the list that it has while there is no watch; lost, if it is not nil, is called at each that ends. Lists are delivered one after
-// the other, by any goroutine, and none after it has returned.
-func (d *Client) KeepWatching(ctx context.Context, asker *asking.Asker, deliver func(List), lost func()) {
+// KeepWatching watches the list until ctx ends. It starts each watch from the latest version, at the times that scheduler determines.
+// Without a watch, the agent continues with the list that it has. lost, which may be nil, is called whenever a watch ends. Lists are
+// delivered one after the other, from any goroutine, and none after KeepWatching has returned.
+func (d *Client) KeepWatching(ctx context.Context, scheduler *asking.Asker, deliver func(List), lost func()) {
 	if lost == nil {
 		lost = func() {}
 	}
-	if schedule := asker.Local(); schedule != nil {
+	if schedule := scheduler.Local(); schedule != nil {
 		newLocalWatch(d, schedule, deliver, lost).run(ctx)
 		return
 	}
-	d.keepWatchingInTurn(ctx, asker, deliver, lost)
+	d.keepWatchingShared(ctx, scheduler, deliver, lost)
 }
 
-// keepWatchingInTurn is KeepWatching of a service that answers all agents: there is one call at a time.
-func (d *Client) keepWatchingInTurn(ctx context.Context, asker *asking.Asker, deliver func(List), lost func()) {
+// keepWatchingShared is KeepWatching for a service that all agents share. It makes one call at a time.
+func (d *Client) keepWatchingShared(ctx context.Context, scheduler *asking.Asker, deliver func(List), lost func()) {
 	contact := newContactLog(d.log)
-	begun := clock.Now()
-	on := Events{Answered: func() { contact.answered(begun); asker.Answered(clock.Now()) }, Alive: contact.alive,
-		Deliver: func(l List) { asker.Delivered(); deliver(l) }, Within: asking.CallWait}
-	for next := asker.Start(begun); ; {
+	started := clock.Now()
+	events := Events{Answered: func() { contact.callAnswered(started); scheduler.Answered(clock.Now()) }, Alive: contact.dataReceived,
+		Deliver: func(l List) { scheduler.Delivered(); deliver(l) }, Within: asking.CallWait}
+	for next := scheduler.Start(started); ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(next - clock.Now()):
 		}
-		begun = clock.Now()
-		asker.Asked(begun)
-		contact.called()
-		silent := d.Watch(ctx, on)
+		started = clock.Now()
+		scheduler.Asked(started)
+		contact.callStarted()
+		silent := d.Watch(ctx, events)
 		if ctx.Err() != nil {
 			return
 		}
 		lost()
-		next = asker.Over(clock.Now(), silent)
+		next = scheduler.Over(clock.Now(), silent)
 	}
 }
 
-// Watch delivers lists in order until the watch ends, and returns for how long nothing had come then. How it ended is logged,
-// unless the one before ended in the same way.
-func (d *Client) Watch(ctx context.Context, on Events) (silent time.Duration) {
-	err := d.watch(ctx, on)
+// Watch delivers lists in order until the watch ends. It returns how long nothing had been received if that ended the watch, otherwise 0.
+// It logs the error, unless the previous watch ended with the same one.
+func (d *Client) Watch(ctx context.Context, events Events) (silent time.Duration) {
+	err := d.watch(ctx, events)
 	if ctx.Err() == nil {
 		d.logEnd(err)
 	}
 	var silence silenceError
-	if errors.As(err, &silence) && time.Duration(silence) < d.silence { // of a list that had begun
+	if errors.As(err, &silence) && time.Duration(silence) < d.silenceTimeout { // of a list that had started
 		d.mu.Lock()
 		d.stalled = true
 		d.mu.Unlock()
@@ -121,21 +122,21 @@
 	return time.Duration(silence)
 }
 
-// logEnd logs how a watch ended, unless the one before ended in the same way.
+// logEnd logs the error that ended a watch, unless the previous watch ended with the same one.
 func (d *Client) logEnd(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err.Error() == d.said {
+	if err.Error() == d.lastEnd {
 		return
 	}
-	d.said = err.Error()
-	d.log.Warn("the watch ended", "error", err, "version", d.lists.Version())
+	d.lastEnd = err.Error()
+	d.log.Warn("the watch ended", "error", err, "version", d.checker.Version())
 }
 
-// version is that of the latest list that is believed, and whether the whole list has to be asked for.
-func (d *Client) version() (version int64, whole bool) {
+// version returns the version of the latest accepted list, and whether the full list must be requested.
+func (d *Client) version() (version int64, full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	version = d.lists.Version()
-	return version, version == Unknown || d.doubt
+	version = d.checker.Version()
+	return version, version == Unknown || d.drainsUnconfirmed
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -19,19 +19,19 @@
 	"ternbeam/internal/protocol"
 )
 
-// oneAfterTheOther has so long pass between two calls that none is made beside one that is answered, also on a machine that is busy.
-var oneAfterTheOther = asking.Settings{Grace: 2500 * time.Millisecond}
+// sequentialCalls leaves so much time between two calls that none is made in parallel to one that is answered, even on a busy machine.
+var sequentialCalls = asking.Settings{Grace: 2500 * time.Millisecond}
 
-// A watch that ends, and one that stays open and is silent, are both begun again from the last version.
+// A watch that ends, and one that stays open but is silent, are both restarted from the last version.
 func TestWatchIsBegunAgain(t *testing.T) {
 	calls := make(chan string, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
 		flush := w.(http.Flusher).Flush
 		switch r.URL.Query().Get("index") {
-		case "7": // a list and a change in one breath, empty lines between, then the end
+		case "7": // a list and a change in one write, with an empty line between them, then the end
 			fmt.Fprint(w, `{"version":8,"full":true,"servers":[{"id":"a"}]}`+"\n\n"+`{"version":9,"servers":[{"id":"b"}]}`+"\n")
-		case "9": // says something, then falls silent
+		case "9": // sends a change, then falls silent
 			fmt.Fprint(w, `{"version":10,"servers":[{"id":"c"}]}`+"\n")
 			flush()
 			<-r.Context().Done()
@@ -43,10 +43,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := New(s.Listener.Addr().String(), List{Version: 7}, slog.New(slog.DiscardHandler))
-	d.silence = 300 * time.Millisecond
+	d.silenceTimeout = 300 * time.Millisecond
 	var got []string
 	delivered := make(chan struct{}, 8)
-	go d.KeepWatching(ctx, asking.New(oneAfterTheOther, 1), func(l List) {
+	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
 		got = append(got, fmt.Sprintln(l.Version, l.Full, l.Servers[0].ID))
 		delivered <- struct{}{}
 	}, nil)
@@ -56,11 +56,11 @@
 	if want := []string{"8 true a\n", "9 false b\n", "10 false c\n"}; !slices.Equal(got, want) {
 		t.Errorf("delivered %q, not %q", got, want)
 	}
-	// Behind a silent watch the whole list is asked for: a watch would be as silent where nothing has changed.
+	// After a silent watch the full list is requested: a new watch would be just as silent if nothing has changed.
 	expect(t, calls, "/v1/endpoints?stream=1&index=7", "/v1/endpoints?stream=1&index=9", "/v1/endpoints", "/v1/endpoints")
 }
 
-// expect waits for texts in their order.
+// expect waits for the given texts in order.
 func expect(t *testing.T, from <-chan string, all ...string) {
 	t.Helper()
 	for _, want := range all {
@@ -70,7 +70,7 @@
 				t.Errorf("%q, not %q", got, want)
 			}
 		case <-time.After(testkit.Patience):
-			t.Fatalf("%q never comes", want)
+			t.Fatalf("%q is never received", want)
 		}
 	}
 }
@@ -93,9 +93,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := New(s.Listener.Addr().String(), List{Version: 7}, slog.New(slog.DiscardHandler))
-	d.silence = 2 * time.Second // the list comes after 3 s
+	d.silenceTimeout = 2 * time.Second // the list is sent after 3 s
 	delivered := make(chan struct{}, 8)
-	go d.KeepWatching(ctx, asking.New(oneAfterTheOther, 1), func(List) { delivered <- struct{}{} }, nil)
+	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(List) { delivered <- struct{}{} }, nil)
 	wait(t, delivered)
 	if len(calls) != 1 {
 		t.Errorf("%d watches", len(calls))
@@ -107,7 +107,7 @@
 	select {
 	case <-c:
 	case <-time.After(testkit.Patience):
-		t.Fatal("in vain")
+		t.Fatal("nothing was received")
 	}
 }
 
@@ -129,24 +129,24 @@
 	}
 }
 
-// What can't be believed is not delivered: the last good list holds, the next question begins from it, and what is wrong is
-// logged once for as long as it stays the same.
+// Invalid lists are not delivered: the last accepted list stays in effect, the next call starts from it, and the error is logged
+// once for as long as it stays the same.
 func TestSpoiltListsAreNotDelivered(t *testing.T) {
 	const good = `{"version":8,"full":true,"servers":[{"id":"a","state":"terminating"}]}` + "\n"
-	for name, c := range map[string]struct{ text, says string }{
+	for name, c := range map[string]struct{ text, want string }{
 		"broken off": {`{"version":9,"servers":[{"id":"b`, "unexpected EOF"},
 		"unreadable": {`{"version":9,"servers":[{"id":7}]}`, "byte 34"},
 		"empty":      {`{"version":9,"full":true,"servers":[]}`, "without a server"},
 		"back":       {`{"version":3,"full":true,"servers":[{"id":"a","state":"in_service"}]}`, "version 3 after version 8"},
-		"too long":   {`{"version":9,"servers":[{"id":"` + strings.Repeat("b", 2*mostBytes) + `"}]}`, "a list of over"},
+		"too long":   {`{"version":9,"servers":[{"id":"` + strings.Repeat("b", 2*maxListBytes) + `"}]}`, "a list of over"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
-			asked := []string{}
+			requests := []string{}
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
-				asked = append(asked, r.URL.Query().Get("index"))
-				n := len(asked)
+				requests = append(requests, r.URL.Query().Get("index"))
+				n := len(requests)
 				mu.Unlock()
 				if n == 1 {
 					fmt.Fprint(w, good)
@@ -167,11 +167,11 @@
 			var got []int64
 			last := make(chan struct{})
 			d := New(s.Listener.Addr().String(), List{Version: 7}, slog.New(slog.NewTextHandler(&log, nil)))
-			d.silence, d.stall = testkit.Patience, testkit.Patience // a slow machine reads the longest list for seconds, which is no silence that is looked for here
+			d.silenceTimeout, d.stallTimeout = testkit.Patience, testkit.Patience // a slow machine reads the longest list for seconds, which must not count as silence
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				d.KeepWatching(ctx, asking.New(oneAfterTheOther, 1), func(l List) {
+				d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
 					if got = append(got, l.Version); l.Version == 10 {
 						close(last)
 					}
@@ -185,22 +185,22 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			// Behind two ends the whole list is asked for, which has no version. The longest takes so long to be read that all others may be
-			// made beside it, for the whole list.
-			if name != "too long" && !slices.Equal(asked, []string{"7", "8", "", ""}) {
-				t.Errorf("asked from %q", asked)
+			// After two ended watches the full list is requested, without a version. The longest list takes so long to read that all other calls
+			// may be made in parallel, for the full list.
+			if name != "too long" && !slices.Equal(requests, []string{"7", "8", "", ""}) {
+				t.Errorf("requested from %q", requests)
 			}
-			if len(asked) < 4 || asked[0] != "7" || slices.ContainsFunc(asked[1:], func(index string) bool { return index != "8" && index != "" }) {
-				t.Errorf("asked from %q", asked)
+			if len(requests) < 4 || requests[0] != "7" || slices.ContainsFunc(requests[1:], func(index string) bool { return index != "8" && index != "" }) {
+				t.Errorf("requested from %q", requests)
 			}
-			if n := strings.Count(log.String(), c.says); n < 1 || n > 2 { // the offset of the first differs
-				t.Errorf("said %d times what is wrong: %s", n, log.String()[:min(2000, log.Len())])
+			if n := strings.Count(log.String(), c.want); n < 1 || n > 2 { // the byte offset of the first error differs
+				t.Errorf("the error is logged %d times: %s", n, log.String()[:min(2000, log.Len())])
 			}
 		})
 	}
 }
 
-// A server that is named twice counts as the entry says that sends less there.
+// If a server is listed twice, the entry that sends it less traffic takes effect.
 func TestServerNamedTwice(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"version":8,"full":true,"servers":[{"id":"a","state":"in_service"},{"id":"b","state":"in_service"},{"id":"a","state":"terminating"}]}`)
--- a/internal/discovery/dnssource/dnssource.go
+++ b/internal/discovery/dnssource/dnssource.go
@@ -1,5 +1,5 @@
-// Package dnssource asks name servers what the deciding part says is to be asked. It owns sockets and timers and nothing
-// else; one goroutine owns the deciding part.
+// Package dnssource queries name servers as package resolve decides. It owns only sockets and timers; one goroutine owns the
+// resolver's state.
 package dnssource
 
 import (
@@ -17,38 +17,38 @@
 	"ternbeam/internal/decide/resolve"
 )
 
-// Settings are what a source is made of.
+// Settings configure a source.
 type Settings struct {
 	resolve.Settings
 	Addrs []string // of the name servers
 	Seed  uint64
 	Log   *slog.Logger
-	Now   func() time.Duration // the clock of the events
+	Now   func() time.Duration // clock of the resolver
 }
 
-// most is how many questions are out at a time.
-const most = 32
+// maxInFlight limits the number of concurrent queries.
+const maxInFlight = 32
 
-// Run asks until the context ends, and tells what the records say.
-func Run(ctx context.Context, set Settings, told func(resolve.Word), lost func()) {
+// Run queries until the context ends. It calls deliver with each new state of the records, and lost when no name server answers.
+func Run(ctx context.Context, set Settings, deliver func(resolve.Word), lost func()) {
 	set.Settings.Servers = len(set.Addrs)
 	r := resolve.New(set.Settings, set.Seed)
 	type done struct {
-		ask    resolve.Ask
+		query  resolve.Ask
 		answer resolve.Answer
 	}
-	answers := make(chan done, most)
-	room := make(chan struct{}, most)
+	answers := make(chan done, maxInFlight)
+	slots := make(chan struct{}, maxInFlight)
 	var queue []resolve.Ask
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		asks, again := r.Due(set.Now())
-		queue = append(queue, asks...)
+		queries, next := r.Due(set.Now())
+		queue = append(queue, queries...)
 	send:
 		for len(queue) > 0 {
 			select {
-			case room <- struct{}{}:
+			case slots <- struct{}{}:
 			default:
 				break send
 			}
@@ -56,77 +56,77 @@
 			queue = queue[1:]
 			go func() {
 				answer := Ask(ctx, set.Addrs[a.Server], a)
-				<-room
+				<-slots
 				select {
 				case answers <- done{a, answer}:
 				case <-ctx.Done():
 				}
 			}()
 		}
-		word, gone := r.Told()
-		if word != nil {
-			told(*word)
+		snapshot, unreachable := r.Told()
+		if snapshot != nil {
+			deliver(*snapshot)
 		}
-		if gone {
+		if unreachable {
 			lost()
 		}
-		timer.Reset(max(0, again-set.Now()))
+		timer.Reset(max(0, next-set.Now()))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		case d := <-answers:
 			if v := d.answer.Verdict; v != resolve.Good && v != resolve.None {
-				set.Log.Debug("no answer", "question", d.ask.Question.String(), "server", set.Addrs[d.ask.Server], "tcp", d.ask.TCP,
+				set.Log.Debug("no answer", "question", d.query.Question.String(), "server", set.Addrs[d.query.Server], "tcp", d.query.TCP,
 					"verdict", v.String(), "why", d.answer.Why)
 			}
-			queue = append(queue, r.Answered(set.Now(), d.ask.Number, d.ask.TCP, d.answer)...)
+			queue = append(queue, r.Answered(set.Now(), d.query.Number, d.query.TCP, d.answer)...)
 		}
 	}
 }
 
-// Ask asks one question of one server, over a socket of its own: its port is a new one each time, and what does not come
-// from the server asked never arrives. Messages that are no answer to it are passed over.
-func Ask(ctx context.Context, addr string, a resolve.Ask) resolve.Answer {
-	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
+// Exchange sends one query to one server over a socket of its own. The port is a new one each time, and the socket accepts nothing from
+// other servers. Messages that are no answer to the query are ignored.
+func Ask(ctx context.Context, addr string, q resolve.Ask) resolve.Answer {
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	id := dns.Id() // from crypto/rand
-	wire, err := resolve.Pack(id, a.Question)
+	wire, err := resolve.Pack(id, q.Question)
 	if err != nil {
 		return resolve.Answer{Verdict: resolve.Nonsense, Why: err.Error()}
 	}
 	network := "udp"
-	if a.TCP {
+	if q.TCP {
 		network = "tcp"
 		wire = append(binary.BigEndian.AppendUint16(nil, uint16(len(wire))), wire...)
 	}
-	answer, err := ask(ctx, network, addr, wire, id, a.Question)
+	answer, err := exchange(ctx, network, addr, wire, id, q.Question)
 	if err != nil {
 		return resolve.Answer{Verdict: resolve.Silence, Why: err.Error()}
 	}
 	return answer
 }
 
-func ask(ctx context.Context, network, addr string, wire []byte, id uint16, q resolve.Question) (resolve.Answer, error) {
+func exchange(ctx context.Context, network, addr string, wire []byte, id uint16, q resolve.Question) (resolve.Answer, error) {
 	c, err := new(net.Dialer).DialContext(ctx, network, addr)
 	if err != nil {
 		return resolve.Answer{}, err
 	}
 	defer c.Close()
-	if by, ok := ctx.Deadline(); ok {
-		c.SetDeadline(by)
+	if deadline, ok := ctx.Deadline(); ok {
+		c.SetDeadline(deadline)
 	}
 	defer context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })()
 	if _, err := c.Write(wire); err != nil {
 		return resolve.Answer{}, err
 	}
-	room := make([]byte, 1<<16)
+	buffer := make([]byte, 1<<16)
 	for {
-		n, err := read(network, c, room)
+		n, err := read(network, c, buffer)
 		if err != nil {
 			return resolve.Answer{}, fmt.Errorf("waiting for an answer: %w", err)
 		}
-		answer, err := resolve.Read(room[:n], id, q)
+		answer, err := resolve.Read(buffer[:n], id, q)
 		if errors.Is(err, resolve.ErrForeign) {
 			continue
 		}
@@ -134,13 +134,13 @@
 	}
 }
 
-func read(network string, c net.Conn, room []byte) (int, error) {
+func read(network string, c net.Conn, buffer []byte) (int, error) {
 	if network == "udp" {
-		return c.Read(room)
+		return c.Read(buffer)
 	}
 	var head [2]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
 		return 0, err
 	}
-	return io.ReadFull(c, room[:binary.BigEndian.Uint16(head[:])])
+	return io.ReadFull(c, buffer[:binary.BigEndian.Uint16(head[:])])
 }
--- a/internal/discovery/dnssource/dnssource_test.go
+++ b/internal/discovery/dnssource/dnssource_test.go
@@ -15,40 +15,40 @@
 
 const service = "_forms._tcp.example.org."
 
-// running is a source under way.
-type running struct {
-	words chan resolve.Word
-	lost  chan struct{}
+// runningSource is a source that Run operates.
+type runningSource struct {
+	snapshots chan resolve.Word
+	lost      chan struct{}
 }
 
-func start(t *testing.T, least time.Duration, servers ...string) running {
+func start(t *testing.T, least time.Duration, servers ...string) runningSource {
 	t.Helper()
 	set := Settings{Settings: resolve.Defaults, Addrs: servers, Seed: 1, Log: slog.New(slog.DiscardHandler),
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
 	set.Name, set.Timeout, set.TCP, set.Least, set.Most = service, 50*time.Millisecond, 50*time.Millisecond, least, least
 	ctx, cancel := context.WithCancel(context.Background())
-	r := running{make(chan resolve.Word, 1000), make(chan struct{}, 1000)}
+	r := runningSource{make(chan resolve.Word, 1000), make(chan struct{}, 1000)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		Run(ctx, set, func(w resolve.Word) { r.words <- w }, func() { r.lost <- struct{}{} })
+		Run(ctx, set, func(w resolve.Word) { r.snapshots <- w }, func() { r.lost <- struct{}{} })
 	}()
 	t.Cleanup(func() { cancel(); <-ended })
 	return r
 }
 
-// until waits for a word.
-func (r running) until(t *testing.T, what string, holds func(resolve.Word) bool) {
+// waitFor waits for a snapshot with the given property.
+func (r runningSource) waitFor(t *testing.T, what string, holds func(resolve.Word) bool) {
 	t.Helper()
 	timeout := time.After(testkit.Patience)
 	for {
 		select {
-		case w := <-r.words:
+		case w := <-r.snapshots:
 			if holds(w) {
 				return
 			}
 		case <-timeout:
-			t.Fatal("not told: " + what)
+			t.Fatal("not delivered: " + what)
 		}
 	}
 }
@@ -78,8 +78,8 @@
 	return func(w resolve.Word) bool { return len(w.Claims) == n }
 }
 
-// Each fault of a name server: another one is asked, or, where there is none, it is told that nobody answers; and all is
-// well when it is.
+// For each fault of a name server, another server is queried. Without another one, the loss is reported, and the source recovers with the
+// server.
 func TestFaults(t *testing.T) {
 	for name, fault := range map[string]standin.NameFault{"silent": standin.NameSilent, "cut off, and TCP hangs": standin.NameCutHang,
 		"refused": standin.NameRefused, "fails": standin.NameFails, "another id": standin.NameOtherID, "another port": standin.NameOtherPort,
@@ -91,45 +91,45 @@
 			alone := start(t, 20*time.Millisecond, bad.Addr())
 			select {
 			case <-alone.lost:
-			case w := <-alone.words:
-				t.Fatalf("told %+v", w)
+			case w := <-alone.snapshots:
+				t.Fatalf("delivered %+v", w)
 			case <-time.After(testkit.Patience):
-				t.Fatal("nothing is told")
+				t.Fatal("neither a snapshot nor the loss of all servers is reported")
 			}
 			good := newNames(t, records(1, 2)...)
-			start(t, 20*time.Millisecond, bad.Addr(), good.Addr()).until(t, "by the other server", has(2))
+			start(t, 20*time.Millisecond, bad.Addr(), good.Addr()).waitFor(t, "by the other server", has(2))
 			bad.Fault(standin.NameWell)
-			alone.until(t, "when it is well", has(2))
+			alone.waitFor(t, "when it is well", has(2))
 		})
 	}
 }
 
-// An answer that is cut off comes by TCP; so do 600 records, which no packet holds.
+// A truncated answer is fetched over TCP, and so are 600 records, which fit in no datagram.
 func TestLargeAnswers(t *testing.T) {
 	n := newNames(t, records(60, 3)...)
 	n.Fault(standin.NameCut)
-	start(t, time.Second, n.Addr()).until(t, "by TCP", has(3))
+	start(t, time.Second, n.Addr()).waitFor(t, "by TCP", has(3))
 	var many []string
 	for i := range 600 {
 		many = append(many, fmt.Sprintf("%s 60 SRV 1 5 %d forms-0.example.org.", service, 1000+i))
 	}
 	large := newNames(t, append(many, "forms-0.example.org. 60 A 127.0.0.1")...)
-	start(t, time.Second, large.Addr()).until(t, "600 records", has(600))
+	start(t, time.Second, large.Addr()).waitFor(t, "600 records", has(600))
 }
 
-// What changes in the zone is told soon after its lifetime; a name that is no more is told as empty.
+// A change of the zone is delivered soon after the TTL. A name that no longer exists is delivered as empty.
 func TestChanges(t *testing.T) {
 	n := newNames(t, records(0, 3)...)
 	r := start(t, 20*time.Millisecond, n.Addr())
-	r.until(t, "three servers", has(3))
+	r.waitFor(t, "three servers", has(3))
 	if err := n.Set(records(0, 2)...); err != nil {
 		t.Fatal(err)
 	}
-	r.until(t, "two servers", has(2))
+	r.waitFor(t, "two servers", has(2))
 	n.Fault(standin.NameEmpty)
-	r.until(t, "none", has(0))
+	r.waitFor(t, "none", has(0))
 	n.Fault(standin.NameWell)
-	r.until(t, "two again", func(w resolve.Word) bool {
+	r.waitFor(t, "two again", func(w resolve.Word) bool {
 		return len(w.Claims) == 2 && strings.HasPrefix(w.Claims[0].Addrs[0], "[::1]:")
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,7 +13,7 @@
 	"ternbeam/internal/protocol"
 )
 
-// List is a list of servers, or a change of one, as discovery words it.
+// List is a list of servers, or a change of one, in the format of the discovery service.
 type List struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
@@ -24,18 +24,18 @@
 type Entry struct {
 	ID          string   `json:"id"`
 	Addr        string   `json:"addr"`
-	Addrs       []string `json:"addrs,omitempty"` // all under which it can be reached, the best first; Addr alone where absent
+	Addrs       []string `json:"addrs,omitempty"` // all its addresses, the best first; Addr alone if absent
 	Zone        string   `json:"zone"`
 	Cell        int      `json:"cell"`
 	State       string   `json:"state"`
 	Weight      float64  `json:"weight"`
 	StartedMS   int64    `json:"started_ms"`
-	Protocol    string   `json:"protocol,omitempty"`    // HTTP/1.1 where absent
-	Multiplexed bool     `json:"multiplexed,omitempty"` // takes several calls at a time on a connection
-	Shapes      []string `json:"shapes,omitempty"`      // class/version of the messages that it takes, where it minds
+	Protocol    string   `json:"protocol,omitempty"`    // HTTP/1.1 if absent
+	Multiplexed bool     `json:"multiplexed,omitempty"` // accepts concurrent calls on a connection
+	Shapes      []string `json:"shapes,omitempty"`      // class/version of the messages that it accepts, if limited
 }
 
-// What one server may have.
+// Limits for one server.
 const (
 	maxAddrs  = 16
 	maxShapes = 64
@@ -47,23 +47,23 @@
 var states = map[string]choice.State{"in_service": choice.Ready, terminating: choice.Draining,
 	"terminated": choice.Gone}
 
-// Server words an entry for the module. Module time is Unix time, so a start needs no mapping, and 0 stays
-// 'long ago'.
+// Server converts an entry for the module. Module time is Unix time, so a start time needs no conversion, and 0 still
+// means "long ago".
 func (e Entry) Server(zones []string) (choice.Server, error) {
 	state, ok := states[e.State]
 	if !ok {
 		return choice.Server{}, fmt.Errorf("backend %q has the unknown state %q", e.ID, e.State)
 	}
-	server, err := e.describe(zones)
+	server, err := e.toServer(zones)
 	server.ID, server.State = e.ID, state
-	if state != choice.Ready { // that it drains or is gone counts, whatever is wrong with the rest
+	if state != choice.Ready { // a drain or removal takes effect, even if the rest of the entry is invalid
 		err = nil
 	}
 	return server, err
 }
 
-// describe words what the module needs beside the id and the state.
-func (e Entry) describe(zones []string) (choice.Server, error) {
+// toServer converts the fields other than the id and the state.
+func (e Entry) toServer(zones []string) (choice.Server, error) {
 	if len(e.Addrs) > maxAddrs {
 		return choice.Server{}, fmt.Errorf("backend %q: %d addresses, %d at most are taken", e.ID, len(e.Addrs), maxAddrs)
 	}
@@ -89,8 +89,8 @@
 		Weight: e.Weight, Started: time.Duration(e.StartedMS) * time.Millisecond}, nil
 }
 
-// judged is the list as far as it matters for whether it is believed.
-func (l List) judged() listing.List {
+// forCheck returns the fields of the list that decide whether it is accepted.
+func (l List) forCheck() listing.List {
 	out := listing.List{Version: l.Version, Full: l.Full, Entries: make([]listing.Entry, 0, len(l.Servers))}
 	for _, e := range l.Servers {
 		out.Entries = append(out.Entries, listing.Entry{ID: e.ID, State: states[e.State], Started: e.StartedMS})
@@ -98,7 +98,7 @@
 	return out
 }
 
-// Listed is the entry as the ledger takes it.
+// TrackerEntry converts an entry for the call tracker.
 func (e Entry) Listed(zones []string) (ledger.Entry, error) {
 	s, err := e.Server(zones)
 	return ledger.Entry{Server: s, Addr: e.Addr, Addrs: e.Addrs, Multiplexed: e.Multiplexed, Shapes: e.Shapes}, err
--- a/internal/discovery/localwatch.go
+++ b/internal/discovery/localwatch.go
@@ -11,11 +11,11 @@
 	"ternbeam/internal/decide/asking"
 )
 
-// errSuperseded ends a call in whose place another one is made or has established a watch.
-var errSuperseded = errors.New("another call has taken its place")
+// errSuperseded ends a call that another call replaces, by being made or by establishing a watch.
+var errSuperseded = errors.New("superseded by another call")
 
-// localWatch keeps a watch on a discovery service that serves this agent alone. While none is established it makes further calls beside
-// those that are pending: one that the service took while it was down may never be answered.
+// localWatch keeps a watch on a discovery service that serves only this agent. While no watch is established, it makes further calls in
+// parallel to the pending ones: a call that the service received while it was down may never be answered.
 type localWatch struct {
 	client   *Client
 	schedule *asking.LocalSchedule
@@ -23,12 +23,12 @@
 	lost     func()
 	contact  *contactLog
 
-	signals chan localSignal
-	calls   sync.WaitGroup // goroutines of calls
+	events chan callEvent
+	calls  sync.WaitGroup // goroutines of calls
 
-	// What follows belongs to run.
+	// The following fields belong to run.
 	pending     []*localCall // the oldest first
-	established *localCall   // whose watch is established, nil while there is none
+	established *localCall   // whose watch is established, nil if there is none
 }
 
 // localCall is a call of a localWatch.
@@ -36,26 +36,26 @@
 	cancel context.CancelCauseFunc
 }
 
-// localSignal says what became of a call.
-type localSignal struct {
-	from   *localCall
-	kind   signalKind
-	took   time.Duration // until it delivered
-	silent bool          // it ended as nothing came for too long
+// callEvent reports the progress of a call.
+type callEvent struct {
+	call   *localCall
+	kind   eventKind
+	took   time.Duration // from the start of the call to its first list
+	silent bool          // the call ended because nothing was received for too long
 }
 
-// signalKind names what became of a call.
-type signalKind int
+// eventKind is the kind of a callEvent.
+type eventKind int
 
 const (
-	callDelivered   signalKind = iota // its first list
-	callEstablished                   // a watch
+	callDelivered   eventKind = iota // the first list
+	callEstablished                  // the watch
 	callEnded
 )
 
 func newLocalWatch(client *Client, schedule *asking.LocalSchedule, deliver func(List), lost func()) *localWatch {
 	return &localWatch{client: client, schedule: schedule, deliver: deliver, lost: lost, contact: newContactLog(client.log),
-		signals: make(chan localSignal)}
+		events: make(chan callEvent)}
 }
 
 // run keeps the watch until ctx ends. It leaves no goroutine behind.
@@ -70,88 +70,88 @@
 		case <-ctx.Done():
 			return
 		case <-next.C:
-			w.begin(ctx)
+			w.startCall(ctx)
 			next.Reset(w.schedule.Interval())
-		case s := <-w.signals:
-			was := w.established
-			w.take(s)
+		case e := <-w.events:
+			previous := w.established
+			w.handle(e)
 			switch {
 			case w.established != nil:
 				next.Stop()
-			case was != nil:
+			case previous != nil:
 				next.Reset(w.schedule.Interval())
 			}
 		}
 	}
 }
 
-// begin makes a call. Where too many are pending, one makes room.
-func (w *localWatch) begin(ctx context.Context) {
+// startCall starts a call. If too many calls are pending, one of them is canceled.
+func (w *localWatch) startCall(ctx context.Context) {
 	if len(w.pending) >= asking.MostPending { // the oldest is kept, as the service may be slow
 		w.pending[1].cancel(errSuperseded)
 		w.pending = slices.Delete(w.pending, 1, 2)
 	}
-	how := w.schedule.Call(len(w.pending))
+	options := w.schedule.Call(len(w.pending))
 	ctx, cancel := context.WithCancelCause(ctx)
 	c := &localCall{cancel: cancel}
 	w.pending = append(w.pending, c)
-	w.contact.called()
-	begun := clock.Now()
+	w.contact.callStarted()
+	started := clock.Now()
 	delivered := sync.OnceFunc(func() {
-		w.signal(ctx, localSignal{from: c, kind: callDelivered, took: clock.Now() - begun})
+		w.send(ctx, callEvent{call: c, kind: callDelivered, took: clock.Now() - started})
 	})
-	on := Events{
+	events := Events{
 		Answered: func() {},
-		Alive:    w.contact.alive,
+		Alive:    w.contact.dataReceived,
 		Established: func() {
-			w.contact.answered(begun)
-			w.signal(ctx, localSignal{from: c, kind: callEstablished})
+			w.contact.callAnswered(started)
+			w.send(ctx, callEvent{call: c, kind: callEstablished})
 		},
 		Deliver: func(l List) {
-			w.contact.answered(begun)
+			w.contact.callAnswered(started)
 			w.deliver(l)
 			delivered()
 		},
-		Whole:  how.Whole,
-		Within: how.Within,
+		Whole:  options.Whole,
+		Within: options.Within,
 	}
 	w.calls.Go(func() {
 		defer cancel(nil)
-		silent := w.client.Watch(ctx, on)
-		w.signal(ctx, localSignal{from: c, kind: callEnded, silent: silent > 0})
+		silent := w.client.Watch(ctx, events)
+		w.send(ctx, callEvent{call: c, kind: callEnded, silent: silent > 0})
 	})
 }
 
-// signal tells run, unless the call does not count any more.
-func (w *localWatch) signal(ctx context.Context, s localSignal) {
+// send passes an event to run, unless the call no longer matters.
+func (w *localWatch) send(ctx context.Context, e callEvent) {
 	select {
-	case w.signals <- s:
+	case w.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// take takes note of what became of a call.
-func (w *localWatch) take(s localSignal) {
-	switch s.kind {
+// handle processes an event of a call.
+func (w *localWatch) handle(e callEvent) {
+	switch e.kind {
 	case callDelivered:
-		if w.established == nil { // an established watch has all the time that it likes
-			w.schedule.Delivered(s.took)
+		if w.established == nil { // an established watch may take as long as it needs
+			w.schedule.Delivered(e.took)
 		}
 	case callEstablished:
-		if w.established == nil && slices.Contains(w.pending, s.from) {
-			w.establish(s.from)
+		if w.established == nil && slices.Contains(w.pending, e.call) {
+			w.establish(e.call)
 		}
 	case callEnded:
-		if s.from == w.established {
+		if e.call == w.established {
 			w.established = nil
 		}
-		w.pending = slices.DeleteFunc(w.pending, func(c *localCall) bool { return c == s.from })
-		w.schedule.Ended(s.silent)
+		w.pending = slices.DeleteFunc(w.pending, func(c *localCall) bool { return c == e.call })
+		w.schedule.Ended(e.silent)
 		w.lost()
 	}
 }
 
-// establish takes the watch of a call; all others end.
+// establish makes a call's watch the established one and cancels all other calls.
 func (w *localWatch) establish(c *localCall) {
 	w.established = c
 	for _, other := range w.pending {
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -16,13 +16,13 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// watchLocally watches a service beside the agent until the test ends, and returns the lists that are delivered.
+// watchLocally watches a service that serves only this agent until the test ends, and returns the lists that are delivered.
 func watchLocally(t *testing.T, d *Client) <-chan List {
 	t.Helper()
 	return watchWith(t, asking.Settings{}, d)
 }
 
-// watchWith is watchLocally with settings.
+// watchWith is watchLocally with the given settings.
 func watchWith(t *testing.T, set asking.Settings, d *Client) <-chan List {
 	t.Helper()
 	lists := make(chan List, 1000)
@@ -43,23 +43,23 @@
 	case l := <-lists:
 		return l
 	case <-time.After(testkit.Patience):
-		t.Fatal("no list comes")
+		t.Fatal("no list is delivered")
 		return List{}
 	}
 }
 
-// Calls that hang are not waited for: others are made beside them, a bounded number at a time, and the first that is answered is the watch.
+// Calls that hang are not waited for: a bounded number of further calls runs in parallel, and the first one answered becomes the watch.
 func TestCallsBesideOnesThatHang(t *testing.T) {
 	var up atomic.Bool
 	var open, most, made atomic.Int32
-	addr, _ := calls(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		made.Add(1)
 		now := open.Add(1)
 		defer open.Add(-1)
 		for last := most.Load(); now > last && !most.CompareAndSwap(last, now); last = most.Load() {
 		}
 		if up.Load() {
-			write(w, before)
+			write(w, inService)
 			if !r.URL.Query().Has("stream") {
 				return
 			}
@@ -67,30 +67,30 @@
 		<-r.Context().Done()
 	})
 	lists := watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler)))
-	testkit.Eventually(t, "as many calls hang as may", func() bool { return made.Load() > 2*asking.MostPending })
-	if n := most.Load(); n > asking.MostPending+1 { // one is seen to end a little later
-		t.Errorf("%d calls at a time", n)
+	testkit.Eventually(t, "the maximum number of calls hangs", func() bool { return made.Load() > 2*asking.MostPending })
+	if n := most.Load(); n > asking.MostPending+1 { // the end of a call is noticed a little later
+		t.Errorf("%d concurrent calls", n)
 	}
 	up.Store(true)
 	if l := nextList(t, lists); l.Version != 8 || !l.Full {
 		t.Errorf("%+v", l)
 	}
-	testkit.Eventually(t, "all others have ended", func() bool { return open.Load() == 1 })
+	testkit.Eventually(t, "all other calls have ended", func() bool { return open.Load() == 1 })
 	before := made.Load()
-	time.Sleep(300 * time.Millisecond) // three intervals in which nothing is to happen
+	time.Sleep(300 * time.Millisecond) // three intervals in which no call may be made
 	if n := made.Load() - before; n != 0 {
-		t.Errorf("%d calls beside an established watch", n)
+		t.Errorf("%d calls in parallel to an established watch", n)
 	}
 }
 
-// A list that took long to come, and established the watch, does not make calls rarer when that watch has ended.
+// A list that took long to receive, and established the watch, does not reduce the rate of calls after that watch has ended.
 func TestSlowListDoesNotSlowLaterCalls(t *testing.T) {
 	var made atomic.Int32
 	ended := make(chan struct{})
-	addr, _ := calls(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		time.Sleep(400 * time.Millisecond)
-		write(w, before)
+		write(w, inService)
 		close(ended)
 		panic(http.ErrAbortHandler)
 	}, func(w http.ResponseWriter, r *http.Request) {
@@ -103,19 +103,19 @@
 	from := made.Load()
 	time.Sleep(time.Second)
 	if n := made.Load() - from; n < 6 { // of ten
-		t.Errorf("%d calls in a second", n)
+		t.Errorf("%d calls within a second", n)
 	}
 }
 
-// A service that needs a second for each answer is heard: the oldest call is kept beside later ones.
+// A service that needs a second for each answer still delivers: the oldest call is kept when later ones are made.
 func TestSlowServiceIsHeard(t *testing.T) {
-	addr, _ := calls(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(time.Second):
 		case <-r.Context().Done():
 			return
 		}
-		write(w, before)
+		write(w, inService)
 		<-r.Context().Done()
 	})
 	if l := nextList(t, watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler)))); l.Version != 8 {
@@ -123,20 +123,20 @@
 	}
 }
 
-// A service that takes no watch, but answers calls for the whole list, is heard all the same: each change within two intervals.
+// A service that accepts no watch, but answers requests for the full list, still delivers: each change within two intervals.
 func TestServiceThatTakesNoWatch(t *testing.T) {
 	for name, refuse := range map[string]func(http.ResponseWriter, *http.Request){"503": busy, "reset": reset, "silent": silent, "a head alone": headOnly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var drained atomic.Bool
-			addr, _ := calls(t, func(w http.ResponseWriter, r *http.Request) {
+			addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 				switch {
 				case r.URL.Query().Has("stream"):
 					refuse(w, r)
 				case drained.Load():
-					write(w, drains)
+					write(w, draining)
 				default:
-					write(w, before)
+					write(w, inService)
 				}
 			})
 			lists := watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler)))
@@ -146,24 +146,24 @@
 			for nextList(t, lists).Servers[0].State != terminating {
 			}
 			most := 500 * time.Millisecond
-			if name == "a head alone" { // a watch to all appearance, given up as it falls silent
+			if name == "a head alone" { // looks like a watch until it is given up for its silence
 				most += asking.Silence
 			}
 			if took := time.Since(begin); took > most {
-				t.Errorf("heard after %v, over %v", took, most)
+				t.Errorf("received after %v, over %v", took, most)
 			}
 		})
 	}
 }
 
-// A watch of which a good deal of a list has come is none yet: the list may never be whole.
+// A watch on which only part of a list was received is not established: the list may never be complete.
 func TestPartOfALargeListIsNoWatch(t *testing.T) {
-	large := `{"version":8,"servers":[{"id":"` + strings.Repeat("a", 2*pace)
-	addr, _ := calls(t, func(w http.ResponseWriter, r *http.Request) {
+	large := `{"version":8,"servers":[{"id":"` + strings.Repeat("a", 2*progressBytes)
+	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		write(w, large)
 		<-r.Context().Done()
 	}, func(w http.ResponseWriter, r *http.Request) {
-		write(w, before)
+		write(w, inService)
 		if r.URL.Query().Has("stream") {
 			<-r.Context().Done()
 		}
@@ -171,44 +171,44 @@
 	begin := time.Now()
 	nextList(t, watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))))
 	if took := time.Since(begin); took > time.Second {
-		t.Errorf("heard after %v", took)
+		t.Errorf("received after %v", took)
 	}
 }
 
-// A call that hung brings an older list after another call has brought a newer one: it does not count, and is no sign that discovery counts
-// anew, however many there are.
+// A call that hung brings an older list after another call has delivered a newer one. The older list is rejected, and does not suggest that
+// discovery has restarted its versions, however often it happens.
 func TestLateAnswersOfOlderLists(t *testing.T) {
 	d := New("127.0.0.1:1", List{Version: 7}, slog.New(slog.DiscardHandler))
 	var delivered []int64
-	on := Events{Deliver: func(l List) { delivered = append(delivered, l.Version) }}
-	late := &call{begun: 1, on: on}
+	events := Events{Deliver: func(l List) { delivered = append(delivered, l.Version) }}
+	late := &call{started: 1, events: events}
 	list := func(version int64, id string) List {
 		return List{Version: version, Full: true, Servers: []Entry{{ID: id, Addr: "127.0.0.1:1", State: "in_service"}}}
 	}
-	fresh := &call{begun: 2, on: on}
-	if err := d.take(t.Context(), fresh, list(9, "b")); err != nil {
+	fresh := &call{started: 2, events: events}
+	if err := d.accept(t.Context(), fresh, list(9, "b")); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
-		if err := d.take(t.Context(), late, list(8, "a")); err != errStale {
+		if err := d.accept(t.Context(), late, list(8, "a")); err != errStale {
 			t.Fatalf("a late answer: %v", err)
 		}
 	}
-	if err := d.take(t.Context(), late, list(9, "b")); err != nil {
-		t.Errorf("the same list once more: %v", err)
+	if err := d.accept(t.Context(), late, list(9, "b")); err != nil {
+		t.Errorf("the same list again: %v", err)
 	}
 	if fmt.Sprint(delivered) != "[9 9]" {
 		t.Errorf("delivered %v", delivered)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := d.take(ended, fresh, list(10, "c")); err == nil || len(delivered) != 2 {
+	if err := d.accept(ended, fresh, list(10, "c")); err == nil || len(delivered) != 2 {
 		t.Errorf("a list of a call that has ended: %v, delivered %v", err, delivered)
 	}
 }
 
-// The whole list is asked for, and the answer says that it is a change, or has a change behind the list: what a list says of itself goes
-// before what was asked. Its drains count at once, and no server is taken for gone.
+// The full list is requested, but the answer states that it is a change, or has a change after the full list: the statement in the list takes
+// precedence over the request. Drains in the change take effect at once, and no server counts as removed.
 func TestChangeWhereTheWholeListWasAskedFor(t *testing.T) {
 	const (
 		whole  = `{"version":8,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"},{"id":"b","addr":"127.0.0.1:2","state":"in_service"}]}` + "\n"
@@ -223,7 +223,7 @@
 		}
 	}
 	t.Run("a change behind it", func(t *testing.T) {
-		addr, _ := calls(t, answers(whole+change), answers("\n"))
+		addr, _ := startService(t, answers(whole+change), answers("\n"))
 		lists := watchLocally(t, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
 		for i, want := range []List{{Version: 8, Full: true}, {Version: 9}} {
 			if l := nextList(t, lists); l.Version != want.Version || l.Full != want.Full {
@@ -232,26 +232,26 @@
 		}
 	})
 	t.Run("a change alone", func(t *testing.T) {
-		addr, asked := calls(t, answers(change), answers(whole), answers("\n"))
-		lists := watchWith(t, oneAfterTheOther, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
+		addr, requests := startService(t, answers(change), answers(whole), answers("\n"))
+		lists := watchWith(t, sequentialCalls, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
 		if l := nextList(t, lists); l.Full || len(l.Servers) != 1 || l.Servers[0].State != terminating {
-			t.Errorf("of a change alone its drains count: %+v", l)
+			t.Errorf("only the drains of a change without a full list take effect: %+v", l)
 		}
 		if l := nextList(t, lists); l.Version != 8 || !l.Full {
-			t.Errorf("the whole list is asked for again: %+v", l)
+			t.Errorf("the full list is requested again: %+v", l)
 		}
-		expect(t, asked, "/v1/endpoints", "/v1/endpoints", "/v1/endpoints?stream=1&index=8")
+		expect(t, requests, "/v1/endpoints", "/v1/endpoints", "/v1/endpoints?stream=1&index=8")
 	})
 	t.Run("nothing said", func(t *testing.T) {
-		addr, _ := calls(t, answers(`{"version":8,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}`), answers("\n"))
+		addr, _ := startService(t, answers(`{"version":8,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}`), answers("\n"))
 		lists := watchLocally(t, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
 		if l := nextList(t, lists); !l.Full {
-			t.Errorf("the answer to a call for the whole list, where it does not say what it is: %+v", l)
+			t.Errorf("an answer to a request for the full list that does not say whether it is full: %+v", l)
 		}
 	})
 }
 
-// That a server drains or is gone counts, whatever is wrong with the rest of its entry.
+// A drain or removal takes effect even if the rest of the entry is invalid.
 func TestDrainOfAnEntryThatIsWrong(t *testing.T) {
 	for _, e := range []Entry{{Addr: "x"}, {}, {Addr: "127.0.0.1:1", Protocol: "odd"}, {Addr: "127.0.0.1:1", Shapes: make([]string, maxShapes+1)}} {
 		for text, state := range map[string]choice.State{"terminating": choice.Draining, "terminated": choice.Gone} {
@@ -267,9 +267,9 @@
 	}
 }
 
-// Lists of calls that run beside one another are delivered one at a time, and none after KeepWatching has returned.
+// Lists of parallel calls are delivered one at a time, and none after KeepWatching has returned.
 func TestNothingIsDeliveredAfterTheEnd(t *testing.T) {
-	addr, _ := calls(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		for i := 8; r.Context().Err() == nil; i++ {
 			write(w, fmt.Sprintf(`{"version":%d,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}`+"\n", i))
 		}
@@ -282,12 +282,12 @@
 		n := 0
 		d.KeepWatching(ctx, asking.New(asking.Settings{}, 1), func(List) {
 			if !mu.TryLock() {
-				t.Error("two lists at a time")
+				t.Error("two lists are delivered at the same time")
 				return
 			}
 			defer mu.Unlock()
 			if over {
-				t.Error("a list after the end")
+				t.Error("a list is delivered after the end")
 			}
 			if n++; n == 3 {
 				cancel()
--- a/internal/discovery/silence.go
+++ b/internal/discovery/silence.go
@@ -6,56 +6,56 @@
 	"time"
 )
 
-// standstill is by how much later than set a timer fires that shows that the process stood still, and what it takes then to
-// read what has come.
+// suspensionMargin is the lateness of a timer that shows that the process was suspended, and also the time that it takes to read data
+// received meanwhile.
 const standstill = 500 * time.Millisecond
 
-// silenceError is how a watch ends on which nothing has come for so long.
+// silenceError ends a watch on which nothing was received for this long.
 type silenceError time.Duration
 
 func (s silenceError) Error() string { return fmt.Sprintf("silent for %v", time.Duration(s)) }
 
-// silenceTimer tells when nothing has come on a watch for as long as it may be silent. What has come while the process stood still is
-// read first.
+// silenceTimer calls expired when nothing was received on a watch for longer than allowed. Data received while the process was
+// suspended is read first.
 type silenceTimer struct {
-	last  atomic.Pointer[pause]
-	timer *time.Timer
-	tell  func(most time.Duration)
+	last    atomic.Pointer[quietPeriod]
+	timer   *time.Timer
+	expired func(limit time.Duration)
 }
 
-// pause is a time in which nothing has come, and how long it may be.
-type pause struct {
+// quietPeriod is a time in which nothing was received, and its limit.
+type quietPeriod struct {
 	since time.Time
-	most  time.Duration
+	limit time.Duration
 }
 
-// newSilenceTimer returns a silenceTimer that runs. It calls tell once, on a goroutine of its own.
-func newSilenceTimer(most time.Duration, tell func(most time.Duration)) *silenceTimer {
-	s := &silenceTimer{tell: tell}
-	s.last.Store(&pause{time.Now(), most})
-	s.timer = time.AfterFunc(most, s.fired)
+// newSilenceTimer returns a running silenceTimer. It calls expired once, on a goroutine of its own.
+func newSilenceTimer(limit time.Duration, expired func(limit time.Duration)) *silenceTimer {
+	s := &silenceTimer{expired: expired}
+	s.last.Store(&quietPeriod{time.Now(), limit})
+	s.timer = time.AfterFunc(limit, s.fired)
 	return s
 }
 
-// reset notes that something has come, and how long nothing may come from now on.
-func (s *silenceTimer) reset(most time.Duration) {
-	s.last.Store(&pause{time.Now(), most})
-	s.timer.Reset(most)
+// reset notes that data was received, and sets the limit for the next quiet period.
+func (s *silenceTimer) reset(limit time.Duration) {
+	s.last.Store(&quietPeriod{time.Now(), limit})
+	s.timer.Reset(limit)
 }
 
 func (s *silenceTimer) stop() { s.timer.Stop() }
 
 func (s *silenceTimer) fired() {
-	before := s.last.Load()
-	passed := time.Since(before.since)
+	last := s.last.Load()
+	passed := time.Since(last.since)
 	switch {
-	case passed < before.most: // something came at this moment, and the timer is set anew
-	case passed < before.most+standstill:
-		s.tell(before.most)
-	default: // the process stood still itself, and has not read yet what has come meanwhile
+	case passed < last.limit: // data was received at this moment, and the timer has been reset
+	case passed < last.limit+standstill:
+		s.expired(last.limit)
+	default: // the process was suspended, and may not have read what was received meanwhile
 		time.AfterFunc(standstill, func() {
-			if s.last.Load() == before {
-				s.tell(before.most)
+			if s.last.Load() == last {
+				s.expired(last.limit)
 			}
 		})
 	}
--- a/internal/discovery/standstill_test.go
+++ b/internal/discovery/standstill_test.go
@@ -17,23 +17,23 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// watched names the address that the test's own process watches when it is started as another one.
-const watched = "TERNBEAM_TEST_WATCHES"
+// watchedAddrVar is the environment variable with the address to watch in a subprocess of the test.
+const watchedAddrVar = "TERNBEAM_TEST_WATCHES"
 
-// The process stands still for longer than a watch may be silent, and news come on it meanwhile: they are read when it goes on, and the
-// watch, which was never silent, is not given up. Another process stands still here, by SIGSTOP.
+// The process is suspended for longer than the silence timeout, and a change arrives meanwhile. After resuming, the change must be read,
+// and the watch, which was never silent, must not be given up. A subprocess is suspended here, by SIGSTOP.
 func TestNewsOfAStandstillAreRead(t *testing.T) {
 	const silence = 300 * time.Millisecond
-	if addr := os.Getenv(watched); addr != "" {
+	if addr := os.Getenv(watchedAddrVar); addr != "" {
 		log := slog.New(slog.NewTextHandler(os.Stdout, nil))
 		d := New(addr, List{Version: 7}, log)
-		d.silence = silence
-		d.KeepWatching(context.Background(), asking.New(oneAfterTheOther, 1), func(l List) { fmt.Println("version", l.Version) }, nil)
+		d.silenceTimeout = silence
+		d.KeepWatching(context.Background(), asking.New(sequentialCalls, 1), func(l List) { fmt.Println("version", l.Version) }, nil)
 		return
 	}
-	stopped, told := make(chan struct{}), make(chan struct{})
-	addr, asked := calls(t, func(w http.ResponseWriter, r *http.Request) {
-		write(w, before)
+	stopped, sent := make(chan struct{}), make(chan struct{})
+	addr, requests := startService(t, func(w http.ResponseWriter, r *http.Request) {
+		write(w, inService)
 		beat := time.NewTicker(silence / 10)
 		defer beat.Stop()
 		for running := true; running; {
@@ -44,12 +44,12 @@
 				running = false
 			}
 		}
-		write(w, drains)
-		close(told)
+		write(w, draining)
+		close(sent)
 		<-r.Context().Done()
 	}, silent)
 	other := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
-	other.Env = append(os.Environ(), watched+"="+addr, "GOMAXPROCS=1") // timers go before what has come then
+	other.Env = append(os.Environ(), watchedAddrVar+"="+addr, "GOMAXPROCS=1") // timers run before pending reads then
 	out, err := other.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -59,28 +59,28 @@
 	}
 	t.Cleanup(func() { other.Process.Kill(); other.Wait() })
 	lines := bufio.NewScanner(out)
-	says := func() string {
+	nextLine := func() string {
 		if !lines.Scan() {
-			t.Fatal("it has ended")
+			t.Fatal("the subprocess has ended")
 		}
 		return lines.Text()
 	}
-	if line := says(); line != "version 8" {
+	if line := nextLine(); line != "version 8" {
 		t.Fatal(line)
 	}
 	other.Process.Signal(syscall.SIGSTOP)
-	testkit.Eventually(t, "it stands still", func() bool {
+	testkit.Eventually(t, "the subprocess is stopped", func() bool {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", other.Process.Pid))
 		return err == nil && strings.HasPrefix(string(stat[strings.LastIndexByte(string(stat), ')')+1:]), " T")
 	})
 	close(stopped)
-	<-told
-	time.Sleep(silence + standstill + 100*time.Millisecond) // the standstill itself
+	<-sent
+	time.Sleep(silence + standstill + 100*time.Millisecond) // the suspension itself
 	other.Process.Signal(syscall.SIGCONT)
-	if line := says(); line != "version 9" {
-		t.Errorf("after the standstill: %s", line)
+	if line := nextLine(); line != "version 9" {
+		t.Errorf("after resuming: %s", line)
 	}
-	if n := len(asked); n != 1 {
+	if n := len(requests); n != 1 {
 		t.Errorf("%d calls", n)
 	}
 }
