--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -20,8 +20,8 @@
 	// progressBytes is the amount of data that counts as progress of a list. One that takes longer than silenceTimeout needs some 57 KB/s.
 	progressBytes = 256 << 10
 	// listStallTimeout limits the time from the start of a list, or from its latest progress, to more progress or its end. If a service
-	// stops in the middle of a list without closing, it is asked again early enough for what a silent watch missed. The next call may take the
-	// full silenceTimeout, as the service may just be slow.
+	// stops in the middle of a list without closing, it is called again soon enough to learn what a silent watch missed. The next call may
+	// take the full silenceTimeout, as the service may just be slow.
 	listStall = time.Second
 )
 
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -48,7 +48,7 @@
 }
 
 // All open watches fall silent, and servers begin to drain. The drain must be received before it counts as known to the agent, 6 s after the
-// silence start, and the minimum grace is over, whatever happens to the first calls after that.
+// silence began, and the minimum grace is over, whatever happens to the first calls after that.
 func TestDrainBehindSilentWatches(t *testing.T) {
 	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
@@ -128,7 +128,7 @@
 }
 
 // A service that all agents share stops in the middle of a list without closing. It must be called again soon, not only after the silence
-// timeout. A service whose lists always take longer than that is received at the next answer.
+// timeout. If its lists always take longer than that, the next answer delivers one.
 func TestListThatStopsShort(t *testing.T) {
 	half := inService[:len(inService)/2]
 	stops := func(w http.ResponseWriter, r *http.Request) { write(w, half); <-r.Context().Done() }
@@ -215,11 +215,11 @@
 	d := New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler))
 	received := make(chan string, 100)
 	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
-		said := fmt.Sprint(l.Version, " ", l.Full)
+		text := fmt.Sprint(l.Version, " ", l.Full)
 		for _, e := range l.Servers {
-			said += " " + e.ID + " " + e.State
+			text += " " + e.ID + " " + e.State
 		}
-		received <- said
+		received <- text
 	}, nil)
 	expect(t, received, "8 true a in_service b in_service", "8 false a terminating", "8 true a in_service b in_service", "9 false b terminating")
 	expect(t, requests, "/v1/endpoints", "/v1/endpoints?stream=1&index=8", "/v1/endpoints", "/v1/endpoints?stream=1&index=8")
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -167,7 +167,7 @@
 			var got []int64
 			last := make(chan struct{})
 			d := New(s.Listener.Addr().String(), List{Version: 7}, slog.New(slog.NewTextHandler(&log, nil)))
-			d.silenceTimeout, d.stallTimeout = testkit.Patience, testkit.Patience // a slow machine reads the longest list for seconds, which must not count as silence
+			d.silenceTimeout, d.stallTimeout = testkit.Patience, testkit.Patience // a slow machine reads the longest list for seconds
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -65,7 +65,7 @@
 // toServer converts the fields other than the id and the state.
 func (e Entry) toServer(zones []string) (choice.Server, error) {
 	if len(e.Addrs) > maxAddrs {
-		return choice.Server{}, fmt.Errorf("backend %q: %d addresses, %d at most are taken", e.ID, len(e.Addrs), maxAddrs)
+		return choice.Server{}, fmt.Errorf("backend %q: %d addresses, at most %d are accepted", e.ID, len(e.Addrs), maxAddrs)
 	}
 	for _, addr := range append([]string{e.Addr}, e.Addrs...) {
 		if kind, _, target := addresses.Of(addr); kind == addresses.Unix && target != "" {
@@ -76,7 +76,7 @@
 		}
 	}
 	if len(e.Shapes) > maxShapes {
-		return choice.Server{}, fmt.Errorf("backend %q: %d shapes, %d at most are taken", e.ID, len(e.Shapes), maxShapes)
+		return choice.Server{}, fmt.Errorf("backend %q: %d shapes, at most %d are accepted", e.ID, len(e.Shapes), maxShapes)
 	}
 	speaks, err := protocol.Parse(e.Protocol)
 	if err != nil {
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -51,12 +51,12 @@
 // Calls that hang are not waited for: a bounded number of further calls runs in parallel, and the first one answered becomes the watch.
 func TestCallsBesideOnesThatHang(t *testing.T) {
 	var up atomic.Bool
-	var open, most, made atomic.Int32
+	var open, maxOpen, made atomic.Int32
 	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		made.Add(1)
 		now := open.Add(1)
 		defer open.Add(-1)
-		for last := most.Load(); now > last && !most.CompareAndSwap(last, now); last = most.Load() {
+		for last := maxOpen.Load(); now > last && !maxOpen.CompareAndSwap(last, now); last = maxOpen.Load() {
 		}
 		if up.Load() {
 			write(w, inService)
@@ -68,7 +68,7 @@
 	})
 	lists := watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler)))
 	testkit.Eventually(t, "the maximum number of calls hangs", func() bool { return made.Load() > 2*asking.MostPending })
-	if n := most.Load(); n > asking.MostPending+1 { // the end of a call is noticed a little later
+	if n := maxOpen.Load(); n > asking.MostPending+1 { // the end of a call is noticed a little later
 		t.Errorf("%d concurrent calls", n)
 	}
 	up.Store(true)
@@ -145,12 +145,12 @@
 			begin := time.Now()
 			for nextList(t, lists).Servers[0].State != terminating {
 			}
-			most := 500 * time.Millisecond
+			limit := 500 * time.Millisecond
 			if name == "a head alone" { // looks like a watch until it is given up for its silence
-				most += asking.Silence
+				limit += asking.Silence
 			}
-			if took := time.Since(begin); took > most {
-				t.Errorf("received after %v, over %v", took, most)
+			if took := time.Since(begin); took > limit {
+				t.Errorf("received after %v, over %v", took, limit)
 			}
 		})
 	}
@@ -222,7 +222,7 @@
 			}
 		}
 	}
-	t.Run("a change behind it", func(t *testing.T) {
+	t.Run("a change after the full list", func(t *testing.T) {
 		addr, _ := startService(t, answers(whole+change), answers("\n"))
 		lists := watchLocally(t, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
 		for i, want := range []List{{Version: 8, Full: true}, {Version: 9}} {
@@ -242,7 +242,7 @@
 		}
 		expect(t, requests, "/v1/endpoints", "/v1/endpoints", "/v1/endpoints?stream=1&index=8")
 	})
-	t.Run("nothing said", func(t *testing.T) {
+	t.Run("full not stated", func(t *testing.T) {
 		addr, _ := startService(t, answers(`{"version":8,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}`), answers("\n"))
 		lists := watchLocally(t, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
 		if l := nextList(t, lists); !l.Full {
--- a/internal/http/httpfront/crossing_test.go
+++ b/internal/http/httpfront/crossing_test.go
@@ -304,8 +304,9 @@
 	}
 }
 
-// Another client takes the last place after a request has been read from an idle connection, but before its handler runs. That connection
-// must not be the one that is closed, and its request is answered once. The new connection, on which nothing was received, is closed.
+// Another client takes the last free connection after a request has been read from an idle connection, but before its handler runs. The
+// idle connection must not be the one that is closed, and its request is answered once. The new connection, on which nothing was
+// received, is closed.
 func TestPlaceIsTakenWhileARequestIsRead(t *testing.T) {
 	for kind, request := range requestsByKind {
 		t.Run(kind, func(t *testing.T) {
@@ -333,7 +334,7 @@
 				testkit.Eventually(t, "the attempt has started", func() bool { return r.servers.attempts(id) > 0 })
 				<-r.conns
 			}
-			cross = sync.OnceFunc(func() { // another client connects and takes the last place
+			cross = sync.OnceFunc(func() { // another client connects and takes the last free connection
 				r.dial(t)
 				newcomers <- <-r.conns
 			})
@@ -477,7 +478,7 @@
 }
 
 // Many clients disconnect at once, in rounds of up to 200, half of them after sending bytes that nobody reads. From 0.1 s later, nothing
-// may be forwarded for them, and all that they held is released. Time in which the machine itself stood still is not counted.
+// may be forwarded for them, and all that they held is released. Time in which the machine itself paused is not counted.
 func TestThousandLeavings(t *testing.T) {
 	r := newTestFront(t, 1000)
 	r.probeInterval = conntrack.ProbeInterval
@@ -538,7 +539,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if longest = max(longest, largest); largest > 100*time.Millisecond+time.Duration(longestPause.Load()) {
-			t.Errorf("noticed after %v; the machine stood still for %v at most", largest, time.Duration(longestPause.Load()))
+			t.Errorf("noticed after %v; the machine paused for at most %v", largest, time.Duration(longestPause.Load()))
 		}
 		testkit.Eventually(t, "everything is released", func() bool {
 			for range 200 { // attempts already sent go on until their answer or deadline
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -31,8 +31,8 @@
 	// A client that sends nothing, or only part of a request, gets an error or a close within 3 s of connecting.
 	headTimeout = 2 * time.Second
 	readTimeout = 2500 * time.Millisecond // for head and body
-	// idleTimeout limits how long the connection of a client that never returns is kept. When idle connections hold too many
-	// places, the tracker ends them much earlier.
+	// idleTimeout limits how long the connection of a client that never returns is kept. When idle connections use up too much of the
+	// connection limit, the tracker ends them much earlier.
 	idleTimeout = 10 * time.Minute
 	lateWrite   = time.Second            // minimum time for which a client may accept nothing of its answer
 	answerGrace = 500 * time.Millisecond // an answer is still useful for this long after the client's deadline
@@ -253,7 +253,7 @@
 	call.Disconnected = client.conn.Disconnected
 	call.Connection = ledger.Connection{Opened: client.opened, Requests: client.requests}
 	f.core.Take(call)
-	// Some clients send one request and keep their connection forever. When places are scarce, the connection closes after the
+	// Some clients send one request and keep their connection forever. Near the connection limit, the connection closes after the
 	// first answer; a client that does return opens another one.
 	if client.requests == 1 && f.tracker.NearlyFull() {
 		endConnection(w, in)
@@ -351,7 +351,7 @@
 // singleHeaders lists the headers that may occur only once in a request.
 var singleHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "Idempotency-Key"}
 
-// parse reads a request. It reads a short body whole; the rest of a long one is received after the core has taken the call.
+// parse reads a request. It reads a short body completely; the rest of a long one is received after the core has taken the call.
 // Every error that it returns is the client's fault.
 func (f *Front) parse(in *http.Request, w http.ResponseWriter) (*core.Call, *incomingBody, error) {
 	call, wait, err := f.parseHead(in)
--- a/internal/http/httpfront/tape.go
+++ b/internal/http/httpfront/tape.go
@@ -47,73 +47,73 @@
 // unknownEnd is the requestEnd of a request whose length is unknown, or whose head is not recorded.
 const unknownEnd = -1
 
-func (t *recordingConn) Read(p []byte) (int, error) {
-	n, err := t.Conn.Read(p)
-	if n > 0 && t.record(p[:n]) {
-		t.LimitReading(t.headTimeout) // net/http waits for the first bytes of a request for as long as a connection may be idle
+func (c *recordingConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 && c.record(p[:n]) {
+		c.LimitReading(c.headTimeout) // net/http waits for the first bytes of a request for as long as a connection may be idle
 	}
 	return n, err
 }
 
 // SetReadDeadline sets the read deadline as net.Conn's does. If the next request has already started in data read with the last one,
 // net/http's deadline for an idle connection is limited to the timeout for a head.
-func (t *recordingConn) SetReadDeadline(deadline time.Time) error {
-	if limit := time.Now().Add(t.headTimeout); t.nextStarted() && deadline.After(limit) {
+func (c *recordingConn) SetReadDeadline(deadline time.Time) error {
+	if limit := time.Now().Add(c.headTimeout); c.nextStarted() && deadline.After(limit) {
 		deadline = limit
 	}
-	return t.Conn.SetReadDeadline(deadline)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
 // nextStarted reports whether the last request has ended and another has started behind it.
-func (t *recordingConn) nextStarted() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.idle && t.requestEnd != unknownEnd && t.received > t.requestEnd
+func (c *recordingConn) nextStarted() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.idle && c.requestEnd != unknownEnd && c.received > c.requestEnd
 }
 
 // record stores the bytes read, except those of the current request's body if its end is known. It reports whether a request has
 // started on an idle connection.
-func (t *recordingConn) record(data []byte) (started bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	started, t.idle = t.idle, false
-	bodyBytes := max(0, min(t.requestEnd-t.received, int64(len(data))))
-	t.received += int64(len(data))
+func (c *recordingConn) record(data []byte) (started bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	started, c.idle = c.idle, false
+	bodyBytes := max(0, min(c.requestEnd-c.received, int64(len(data))))
+	c.received += int64(len(data))
 	data = data[bodyBytes:]
 	if len(data) > readAhead { // read past net/http's buffer, so part of a body
 		data = data[len(data)-readAhead:]
 	}
-	if excess := len(t.recorded) + len(data) - maxRecorded; excess > 0 {
-		t.recorded = t.recorded[:copy(t.recorded, t.recorded[min(excess, len(t.recorded)):])]
+	if excess := len(c.recorded) + len(data) - maxRecorded; excess > 0 {
+		c.recorded = c.recorded[:copy(c.recorded, c.recorded[min(excess, len(c.recorded)):])]
 	}
-	t.recorded = append(t.recorded, data...)
+	c.recorded = append(c.recorded, data...)
 	return started
 }
 
 // requestDone notes that a request has ended. The next one may have started in the data read beyond it.
-func (t *recordingConn) requestDone() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *recordingConn) requestDone() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	beyond := int64(readAhead + 1) // net/http's buffer, and one byte that it reads while a request is answered
-	if t.requestEnd != unknownEnd {
-		beyond = max(0, t.received-t.requestEnd)
+	if c.requestEnd != unknownEnd {
+		beyond = max(0, c.received-c.requestEnd)
 	}
-	first := max(0, int64(len(t.recorded))-beyond)
-	t.recorded = t.recorded[:copy(t.recorded, t.recorded[first:])]
-	t.idle = true
+	first := max(0, int64(len(c.recorded))-beyond)
+	c.recorded = c.recorded[:copy(c.recorded, c.recorded[first:])]
+	c.idle = true
 }
 
 // headRead notes that the head of a request has been read, and nothing of its body.
-func (t *recordingConn) headRead(in *http.Request) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.requestEnd, t.idle = unknownEnd, false
+func (c *recordingConn) headRead(in *http.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requestEnd, c.idle = unknownEnd, false
 	if in.ContentLength < 0 {
 		return
 	}
-	for head := range t.headsLocked(in) {
+	for head := range c.headsLocked(in) {
 		if head.matches {
-			t.requestEnd = t.received - int64(len(t.recorded)-head.end) + in.ContentLength
+			c.requestEnd = c.received - int64(len(c.recorded)-head.end) + in.ContentLength
 			return
 		}
 	}
@@ -121,20 +121,20 @@
 
 // hasMore reports whether there is data behind a request whose body has been read, usually another request. If the end of the request is
 // unknown, it only sees data that net/http has not read yet.
-func (t *recordingConn) hasMore() bool {
-	t.mu.Lock()
-	readBeyond := t.requestEnd != unknownEnd && t.received > t.requestEnd
-	t.mu.Unlock()
-	return readBeyond || !t.Quiet()
+func (c *recordingConn) hasMore() bool {
+	c.mu.Lock()
+	readBeyond := c.requestEnd != unknownEnd && c.received > c.requestEnd
+	c.mu.Unlock()
+	return readBeyond || !c.Quiet()
 }
 
 // hasAmbiguousLength reports whether a head that may be that of the chunked request has a Content-Length too, or no such head is
 // recorded. net/http has already dropped the Content-Length.
-func (t *recordingConn) hasAmbiguousLength(in *http.Request) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *recordingConn) hasAmbiguousLength(in *http.Request) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	found := false
-	for head := range t.headsLocked(in) {
+	for head := range c.headsLocked(in) {
 		if head.matches && head.hasLength {
 			return true
 		}
@@ -151,10 +151,10 @@
 }
 
 // headsLocked iterates over the recorded heads that have the request line of in: other requests may be recorded before and after it.
-func (t *recordingConn) headsLocked(in *http.Request) iter.Seq[recordedHead] {
+func (c *recordingConn) headsLocked(in *http.Request) iter.Seq[recordedHead] {
 	line, id := []byte(in.Method+" "+in.RequestURI+" HTTP/1."), in.Header.Get("X-Correlation-Id")
 	return func(yield func(recordedHead) bool) {
-		for rest := t.recorded; ; {
+		for rest := c.recorded; ; {
 			i := bytes.Index(rest, line)
 			if i < 0 {
 				return
@@ -164,7 +164,7 @@
 			if !whole {
 				return
 			}
-			head.end = len(t.recorded) - len(rest) + size
+			head.end = len(c.recorded) - len(rest) + size
 			if !yield(head) {
 				return
 			}
