--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -239,8 +239,8 @@
 		}
 		return gone
 	}
-	// While a long body is being received, its reader detects a disconnect. A client that is gone at this point disconnected behind
-	// another request or long ago: there is nobody to forward this request for.
+	// While a long body is being received, its reader detects a disconnect. A client that is gone at this point disconnected while an
+	// earlier request was handled, or long ago: there is nobody to forward this request for.
 	if !call.Coming && gone() {
 		f.core.Abandoned()
 		f.abandon(w, in)
--- a/internal/http/httpmsg/upload.go
+++ b/internal/http/httpmsg/upload.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Finish marks the end of the body: nil if the body is complete, otherwise the error that readers get.
+// Finish marks the end of the body. err is nil if the body is complete; otherwise readers get it after the data received.
 func (u *Upload) End(err error) {
 	if err == nil {
 		err = io.EOF
