--- a/internal/http/httpops/callers.go
+++ b/internal/http/httpops/callers.go
@@ -6,51 +6,51 @@
 	"sync"
 )
 
-// callers bounds the connections. Where there is no room for another, the oldest that has not sent a whole call gives
-// way, whatever part of one it has sent: nothing is owed to it.
-type callers struct {
-	most int
+// connLimit bounds the number of connections. When there is no room for another one, the oldest connection that has not sent a
+// complete request is closed, even if it has sent part of one: an incomplete request needs no answer.
+type connLimit struct {
+	maxConns int
 
-	mu    sync.Mutex
-	all   map[net.Conn]*list.Element // in waits; nil from the whole call on
-	waits *list.List                 // the oldest first
+	mu      sync.Mutex
+	all     map[net.Conn]*list.Element // element of waiting; nil once the complete request has been received
+	waiting *list.List                 // of net.Conn without a complete request, the oldest first
 }
 
-func newCallers(most int) *callers {
-	return &callers{most: most, all: map[net.Conn]*list.Element{}, waits: list.New()}
+func newConnLimit(maxConns int) *connLimit {
+	return &connLimit{maxConns: maxConns, all: map[net.Conn]*list.Element{}, waiting: list.New()}
 }
 
-func (c *callers) enter(conn net.Conn) {
+func (c *connLimit) add(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all[conn] = c.waits.PushBack(conn)
-	if len(c.all) <= c.most {
+	c.all[conn] = c.waiting.PushBack(conn)
+	if len(c.all) <= c.maxConns {
 		return
 	}
-	oldest := c.waits.Front() // the newest itself where all others are being answered
-	c.waits.Remove(oldest)
-	gone := oldest.Value.(net.Conn)
-	delete(c.all, gone)
-	gone.Close()
+	oldest := c.waiting.Front() // the new one itself if all others are being answered
+	c.waiting.Remove(oldest)
+	closed := oldest.Value.(net.Conn)
+	delete(c.all, closed)
+	closed.Close()
 }
 
-// heard says that a whole call has come on a connection. It is false where that was closed just now.
-func (c *callers) heard(conn net.Conn) bool {
+// requestReceived notes that a complete request was received on a connection. It returns false if the connection has just been closed.
+func (c *connLimit) requestReceived(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, open := c.all[conn]
 	if open && e != nil {
-		c.waits.Remove(e)
+		c.waiting.Remove(e)
 		c.all[conn] = nil
 	}
 	return open
 }
 
-func (c *callers) leave(conn net.Conn) {
+func (c *connLimit) remove(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.all[conn]; e != nil {
-		c.waits.Remove(e)
+		c.waiting.Remove(e)
 	}
 	delete(c.all, conn)
 }
