--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,5 @@
-// Package agent puts an agent together: the core, the fronts that take calls and the transports that make attempts.
+// Package agent assembles an agent: the core, the fronts that receive calls and the transports that send attempts. It also
+// reloads the configuration and hands over to a replacing process.
 package agent
 
 import (
@@ -42,53 +43,53 @@
 	"ternbeam/internal/translate"
 )
 
-// Agent is one client-side balancer on real sockets.
+// Agent is a client-side load balancer on real sockets.
 type Agent struct {
 	cfg     *config.Config
-	thrift  *thriftmap.Map // nil where Thrift is off
+	thrift  *thriftmap.Map // nil if Thrift is off
 	log     *slog.Logger
 	core    *core.Core
 	pool    *pool.Pool
 	tracker *conntrack.Tracker
 
-	keeper *keeper.Keeper // nil where nothing is kept
-	bridge *bridge.Bridge // nil where calls have no shapes
-	shapes func() (*translate.Set, error)
+	stateStore *keeper.Keeper // nil if learned state is not persisted
+	bridge     *bridge.Bridge // nil if no shapes are configured
+	shapes     func() (*translate.Set, error)
 
-	listeners []*net.TCPListener // the application's, then Thrift's if it is on
-	ops       net.Listener       // the second address; nil where there is none
-	line      line
-	reloads   reloads
-	illegal   atomic.Int64 // steps of attempts and connections that must not come
+	listeners    []*net.TCPListener // HTTP for the application, then Thrift if it is on
+	ops          net.Listener       // the operations address; nil if there is none
+	handover     handoverState
+	reloads      reloads
+	illegalSteps atomic.Int64 // illegal state transitions of attempts and connections
 }
 
-// front takes the calls of one listener.
+// front receives the calls of one listener.
 type front interface {
 	Serve() error
 	Stop(begin time.Time, plan shutdown.Schedule)
 }
 
-// New returns an Agent that is ready to Run. With a Thrift service, which may be nil, it takes calls in Thrift too.
+// New returns an Agent that is ready to Run. If service is not nil, the agent also accepts Thrift calls.
 func New(cfg *config.Config, service *thriftmap.Map, log *slog.Logger) (*Agent, error) {
 	return NewWith(cfg, Options{Service: service}, log)
 }
 
-// Options are what an agent may have beside its configuration.
+// Options are the optional parts of an agent that are not in its configuration.
 type Options struct {
-	Service *thriftmap.Map                 // takes Thrift too
-	Sources *sourceconf.Config             // where servers come from; the platform's list alone where nil
-	Peers   *sharing.Settings              // lists pass among agents; they do not where nil
-	Shapes  func() (*translate.Set, error) // reads the shapes of calls, again with each reload; calls have none where nil
-	Shared  string                         // the folder that a process shares with the one that replaces it; empty for none
+	Service *thriftmap.Map                 // the Thrift service; nil for HTTP only
+	Sources *sourceconf.Config             // sources of servers; nil for the platform's list only
+	Peers   *sharing.Settings              // gossip of server lists among agents; nil for none
+	Shapes  func() (*translate.Set, error) // reads the shapes of calls, at start and at each reload; nil for no translation
+	Shared  string                         // folder shared with a replacing process; empty for none
 }
 
-// NewWith is New with more options.
+// NewWithOptions is New with more options.
 func NewWith(cfg *config.Config, opts Options, log *slog.Logger) (*Agent, error) {
 	service, sources := opts.Service, opts.Sources
 	a := &Agent{cfg: cfg, thrift: service, log: log, tracker: conntrack.New(cfg.ClientSockets()), shapes: opts.Shapes}
-	a.claim(opts.Shared)
+	a.claimState(opts.Shared)
 	pooled := pool.Settings{DialTimeout: cfg.ConnectTimeout(), IdleFor: cfg.IdleFor(), Most: cfg.BackendSockets(),
-		Illegal: a.noteIllegal, Addresses: addresses.Defaults}
+		Illegal: a.recordIllegalStep, Addresses: addresses.Defaults}
 	var feed core.Feed
 	if sources != nil {
 		pooled.Addresses = sources.Addresses
@@ -98,21 +99,21 @@
 	a.pool = pool.New(pooled)
 	if opts.Peers != nil {
 		if sources != nil {
-			return nil, errors.New("lists from other agents and further sources of servers don't go together yet")
+			return nil, errors.New("server lists from other agents and additional sources of servers can't be combined yet")
 		}
-		others, err := peers.New(peers.Settings{Settings: *opts.Peers, Listen: cfg.Peers.Listen, Peers: cfg.Peers.All, Discovery: cfg.Discovery,
+		peerHost, err := peers.New(peers.Settings{Settings: *opts.Peers, Listen: cfg.Peers.Listen, Peers: cfg.Peers.All, Discovery: cfg.Discovery,
 			Known: cfg.Known, Asking: cfg.Asking, Zones: cfg.Host.Zones, Seed: cfg.Seed, Log: log})
 		if err != nil {
 			return nil, err
 		}
-		feed = others.Feed
+		feed = peerHost.Feed
 	}
 	transports := map[choice.Protocols]core.Transport{protocol.HTTP: httpback.New(a.pool, cfg.Fields, cfg.Long())}
 	if service != nil {
 		t := thriftback.New(a.pool, service)
 		transports[protocol.ThriftBinary], transports[protocol.ThriftCompact] = t, t
 	}
-	var ways *routes.Routes
+	var callRoutes *routes.Routes
 	if opts.Shapes != nil {
 		set, err := opts.Shapes()
 		if err != nil {
@@ -121,7 +122,7 @@
 		if a.bridge, err = bridge.New(set, cfg, service); err != nil {
 			return nil, err
 		}
-		if ways, err = a.bridge.Routes(); err != nil {
+		if callRoutes, err = a.bridge.Routes(); err != nil {
 			return nil, err
 		}
 		for p, t := range transports {
@@ -131,33 +132,35 @@
 	var err error
 	a.core, err = core.New(core.Settings{Module: cfg.Module, Seed: cfg.Seed, Zones: cfg.Host.Zones,
 		MostHeld: cfg.Host.Ceilings.MostHeld, Known: cfg.Known, Discovery: cfg.Discovery, Asking: cfg.Asking, Feed: feed, Pool: a.pool, Log: log,
-		Transports: transports, Illegal: a.noteIllegal, Routes: ways,
-		Publish: cfg.Ops != "", Clients: a.tracker.Stats, Inherited: a.line.inheritance()})
+		Transports: transports, Illegal: a.recordIllegalStep, Routes: callRoutes,
+		Publish: cfg.Ops != "", Clients: a.tracker.Stats, Inherited: a.handover.inheritedState()})
 	return a, err
 }
 
-// Keep has the agent keep what it learns in a folder, and begin with what is there. It is called before Run.
+// PersistLearned makes the agent store what it learns in a folder, and start with the state that is stored there. It must be
+// called before Run.
 func (a *Agent) Keep(set stateconf.Config) {
-	a.keeper = keeper.New(keeper.Settings{Config: set, Name: a.cfg.Name, Seed: a.cfg.Seed, Log: a.log})
+	a.stateStore = keeper.New(keeper.Settings{Config: set, Name: a.cfg.Name, Seed: a.cfg.Seed, Log: a.log})
 }
 
-// noteIllegal takes a step that must not come, a fault of this program: it is logged once and survived.
-func (a *Agent) noteIllegal(err error) {
-	if a.illegal.Add(1) == 1 {
+// recordIllegalStep counts an illegal state transition, which is a bug in this program. Only the first one is logged, and the
+// agent continues.
+func (a *Agent) recordIllegalStep(err error) {
+	if a.illegalSteps.Add(1) == 1 {
 		a.log.Error("an illegal step, further ones are counted only", "error", err)
 	}
 }
 
-// Listen opens the listeners and returns their addresses: the application's, then Thrift's if it is on. Clients that
-// connect wait until the agent runs.
+// Listen opens the listeners and returns their addresses: the application's, then Thrift's if it is on. Connections wait in the
+// accept queue until Run is called.
 func (a *Agent) Listen() (addrs []string, err error) {
 	for _, l := range []struct{ addr, what string }{{a.cfg.Listen, "the application"}, {a.thriftAddr(), "Thrift"}} {
 		if l.addr == "" {
 			continue
 		}
-		listener, err := a.bind(l.addr)
+		listener, err := a.listenForClients(l.addr)
 		if err != nil {
-			a.unlisten()
+			a.closeListeners()
 			return nil, fmt.Errorf("listening for %s: %w", l.what, err)
 		}
 		a.listeners = append(a.listeners, listener)
@@ -166,85 +169,87 @@
 	if a.cfg.Ops != "" {
 		ops, err := a.listen(net.ListenConfig{}, a.cfg.Ops)
 		if err != nil {
-			a.unlisten()
-			return nil, fmt.Errorf("listening for those who run the agent: %w", err)
+			a.closeListeners()
+			return nil, fmt.Errorf("listening on the operations address: %w", err)
 		}
 		wrapped, err := accept.Wrap(ops.(*net.TCPListener), a.log)
 		if err != nil {
 			ops.Close()
-			a.unlisten()
-			return nil, fmt.Errorf("listening for those who run the agent: %w", err)
+			a.closeListeners()
+			return nil, fmt.Errorf("listening on the operations address: %w", err)
 		}
 		a.ops = wrapped
 	}
 	return addrs, nil
 }
 
-// unlisten closes what a Listen that failed has opened.
-func (a *Agent) unlisten() {
+// closeListeners closes what a failed Listen has opened.
+func (a *Agent) closeListeners() {
 	for _, open := range a.listeners {
 		open.Close()
 	}
 	a.listeners = nil
 }
 
-// bind listens at an address of clients. Where a process may be replaced while it serves, two may listen there.
-func (a *Agent) bind(addr string) (*net.TCPListener, error) {
-	if l := a.line.inherited(addr); l != nil {
+// listenForClients listens on an address for clients, or returns the listener that the previous process handed over. If the
+// agent has an operations address, it may be replaced while it serves, so SO_REUSEPORT lets two processes listen there.
+func (a *Agent) listenForClients(addr string) (*net.TCPListener, error) {
+	if l := a.handover.inheritedListener(addr); l != nil {
 		return l, nil
 	}
-	var how net.ListenConfig
+	var lc net.ListenConfig
 	if a.cfg.Ops != "" {
-		how.Control = func(_, _ string, raw syscall.RawConn) (err error) {
-			if failed := raw.Control(func(fd uintptr) {
+		lc.Control = func(_, _ string, raw syscall.RawConn) (err error) {
+			if controlErr := raw.Control(func(fd uintptr) {
 				err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-			}); failed != nil {
-				return failed
+			}); controlErr != nil {
+				return controlErr
 			}
 			return err
 		}
 	}
-	l, err := a.listen(how, addr)
+	l, err := a.listen(lc, addr)
 	if err != nil {
 		return nil, err
 	}
 	return l.(*net.TCPListener), nil
 }
 
-// listenWithin is how long a listener may fail to open for a reason that passes: an agent is to be ready in 10 s.
+// listenTimeout is how long opening a listener is retried after transient errors: an agent must be ready within 10 s.
 const listenWithin = 4 * time.Second
 
-// errNoLocalAddress is why a listener is opened anew of which the system does not tell the address.
-var errNoLocalAddress = errors.New("the system does not tell its address")
+// errNoLocalAddress is returned for a listener whose local address is unknown because getsockname(2) failed.
+var errNoLocalAddress = errors.New("the system does not report the local address of the listener")
 
-// passingErrno reports whether an error of listening is none of those that last: such an address can't be listened at.
-var passingErrno = transient.Passing(syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EAFNOSUPPORT)
+// isTransientErrno reports whether an error of listening may go away. The errors given here are permanent: it is impossible to
+// listen on such an address.
+var isTransientErrno = transient.Passing(syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EAFNOSUPPORT)
 
-// listeningFailed reports whether listening failed in a way that may pass: an address that is still in use may be that of a process which is
-// ending, and a system that denies a socket (socket(2), EACCES), as it may for any address, may grant one soon.
-func listeningFailed(err error) bool {
+// isTransientListenError reports whether listening is worth a retry: an address in use may belong to a process that is shutting
+// down, and socket(2) may fail with EACCES for any address and succeed soon after.
+func isTransientListenError(err error) bool {
 	var call *os.SyscallError
 	denied := errors.As(err, &call) && call.Syscall == "socket" && call.Err == syscall.EACCES
-	return denied || errors.Is(err, errNoLocalAddress) || passingErrno(err)
+	return denied || errors.Is(err, errNoLocalAddress) || isTransientErrno(err)
 }
 
-// listen opens a listener, in spite of errors that may pass.
-func (a *Agent) listen(how net.ListenConfig, addr string) (l net.Listener, err error) {
+// listen opens a listener and retries after transient errors.
+func (a *Agent) listen(lc net.ListenConfig, addr string) (l net.Listener, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), listenWithin)
 	defer cancel()
 	err = transient.Until(ctx, func() error {
-		if l, err = how.Listen(ctx, "tcp", addr); err == nil && l.Addr() == nil { // getsockname(2) has failed
+		if l, err = lc.Listen(ctx, "tcp", addr); err == nil && l.Addr() == nil { // getsockname(2) failed
 			l.Close()
 			err = errNoLocalAddress
 		}
 		return err
 	}, transient.TellingFirst(func(err error) {
 		a.log.Warn("listening failed", "address", addr, "error", err)
-	}, listeningFailed))
+	}, isTransientListenError))
 	return l, err
 }
 
-// Ops returns the second address, empty where there is none.
+// OpsAddr returns the operations address, or an empty string if there is none.
 func (a *Agent) Ops() string {
 	if a.ops == nil {
 		return ""
@@ -252,14 +257,14 @@
 	return a.ops.Addr().String()
 }
 
-// Ready is closed when clients may begin.
+// Ready returns a channel that is closed when clients may send calls.
 func (a *Agent) Ready() <-chan struct{} { return a.core.Ready() }
 
-// Snapshot asks the agent, which must run, what it holds.
+// Snapshot returns the current counts and servers of the agent, which must be running.
 func (a *Agent) Snapshot() core.Snapshot { return a.core.Snapshot() }
 
-// Illegal is how many steps have come that must not.
-func (a *Agent) Illegal() int64 { return a.illegal.Load() }
+// IllegalSteps returns the number of illegal state transitions so far.
+func (a *Agent) Illegal() int64 { return a.illegalSteps.Load() }
 
 func (a *Agent) thriftAddr() string {
 	if a.thrift == nil {
@@ -268,8 +273,8 @@
 	return a.thrift.Listen
 }
 
-// Run serves until ctx ends, then answers what it has taken and returns. Whenever reload says so, it reads the
-// configuration again. It listens first, if Listen was not called.
+// Run serves until ctx is canceled, then answers the calls it has received and returns. On each value from reload it reads the
+// configuration again. It calls Listen first if the caller has not.
 func (a *Agent) Run(ctx context.Context, reload <-chan os.Signal) error {
 	if a.listeners == nil {
 		if _, err := a.Listen(); err != nil {
@@ -279,23 +284,23 @@
 	fronts := a.fronts()
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	if a.keeper != nil {
-		go a.keeper.Run(a.core)
-		if past := a.keeper.Past(); past != nil {
-			a.core.Remember(past, a.keeper.Clock)
+	if a.stateStore != nil {
+		go a.stateStore.Run(a.core)
+		if restored := a.stateStore.Past(); restored != nil {
+			a.core.Remember(restored, a.stateStore.Clock)
 		}
 	}
 	go a.core.Run(work)
 	a.watchStalls(work)
-	endLine := a.succeed(work)
-	defer endLine()
+	endHandover := a.runHandover(work)
+	defer endHandover()
 	failed := make(chan error, len(fronts)+1)
 	for _, f := range fronts {
 		go func() { failed <- f.Serve() }()
 	}
 	if a.ops != nil {
 		ops := httpops.New(a.core, a.cfg.Module.Classes, a.cfg.OpsSockets(), a.log)
-		defer ops.Close() // with the process: until then its figures are of interest
+		defer ops.Close() // last, since its counters are of interest until the process exits
 		go func() { failed <- ops.Serve(a.ops) }()
 	}
 	a.log.Info("started", "name", a.cfg.Name, "listen", a.listeners[0].Addr().String(), "discovery", a.cfg.Discovery,
@@ -319,8 +324,8 @@
 	for _, f := range fronts {
 		go func() { f.Stop(begin, plan); stopped <- struct{}{} }()
 	}
-	if a.keeper != nil {
-		a.keeper.End() // at once: what kills an agent that ends too slowly gives no further notice
+	if a.stateStore != nil {
+		a.stateStore.End() // immediately: an agent that shuts down too slowly is killed without further notice
 	}
 	for range fronts {
 		<-stopped
@@ -329,7 +334,7 @@
 	return nil
 }
 
-// watchStalls has parts of the agent logged that no longer go on: all others wait for them before long.
+// watchStalls logs parts of the agent that make no progress: all other parts soon wait for them.
 func (a *Agent) watchStalls(ctx context.Context) {
 	watch := stallwatch.Watch{Log: a.log, Interval: stallwatch.Interval, Limit: stallwatch.Limit}
 	watch.Run(ctx,
@@ -337,19 +342,19 @@
 		stallwatch.Check{Part: "connections of clients", Run: func(context.Context) { a.tracker.Count() }})
 }
 
-// fronts are those that take calls.
+// fronts returns the fronts, one for each listener.
 func (a *Agent) fronts() []front {
-	inHTTP := httpfront.New(a.cfg, a.core, a.tracker, a.listeners[0], a.log)
+	httpFront := httpfront.New(a.cfg, a.core, a.tracker, a.listeners[0], a.log)
 	if a.bridge != nil {
-		inHTTP.WithShapes(a.bridge)
+		httpFront.WithShapes(a.bridge)
 	}
 	if a.thrift == nil {
-		return []front{inHTTP}
+		return []front{httpFront}
 	}
 	a.log.Info("taking Thrift", "listen", a.listeners[1].Addr().String())
-	inThrift := thriftfront.New(a.cfg, a.thrift, a.core, a.tracker, a.listeners[1], a.log)
+	thriftFront := thriftfront.New(a.cfg, a.thrift, a.core, a.tracker, a.listeners[1], a.log)
 	if a.bridge != nil {
-		inThrift.WithShapes(a.bridge)
+		thriftFront.WithShapes(a.bridge)
 	}
-	return []front{inHTTP, inThrift}
+	return []front{httpFront, thriftFront}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -27,7 +27,7 @@
 	"ternbeam/internal/thrift/thriftmap"
 )
 
-// settings are those of the tests: a class of each effect.
+// settings are the settings of the tests, with one class for each effect.
 const settings = `{"Balancers":1,"Classes":[
 	{"Name":"check","Effect":"repeatable","Group":"all","AimNs":600000000,"DeadlineNs":%[1]d,"Worth":2},
 	{"Name":"record","Effect":"by_key","Group":"cell","WindowNs":2000000000,"AimNs":600000000,"DeadlineNs":%[1]d,"Worth":10},
@@ -36,28 +36,28 @@
 	"Discovery":"automatic","Report":{"Fields":["util","qps","eps"]},"TickNs":5000000,"WeightKind":"silent",
 	"Tenants":[{"Name":"leith"},{"Name":"oban"}],"Zones":["z"]}`
 
-// trial is what a test varies.
-type trial struct {
+// testConfig holds the settings that a test varies; zero values stand for defaults.
+type testConfig struct {
 	deadline, idle time.Duration
 	tries, sockets int
 	known          []discovery.Entry
 }
 
-func (tr trial) config(t *testing.T) *config.Config {
+func (tc testConfig) config(t *testing.T) *config.Config {
 	t.Helper()
-	if tr.deadline == 0 {
-		tr.deadline = testkit.Patience
+	if tc.deadline == 0 {
+		tc.deadline = testkit.Patience
 	}
-	if tr.idle == 0 {
-		tr.idle = time.Minute
+	if tc.idle == 0 {
+		tc.idle = time.Minute
 	}
-	if tr.tries == 0 {
-		tr.tries = 3
+	if tc.tries == 0 {
+		tc.tries = 3
 	}
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": tr.sockets},
-		"known":    discovery.List{Version: 7, Full: true, Servers: tr.known},
-		"settings": json.RawMessage(fmt.Sprintf(settings, int64(tr.deadline), int64(tr.idle), tr.tries))})
+		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": tc.sockets},
+		"known":    discovery.List{Version: 7, Full: true, Servers: tc.known},
+		"settings": json.RawMessage(fmt.Sprintf(settings, int64(tc.deadline), int64(tc.idle), tc.tries))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,30 +68,30 @@
 	return cfg
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// running is an agent under test.
-type running struct {
+// runningAgent is an agent under test.
+type runningAgent struct {
 	*Agent
 	url    string
-	thrift string // where it takes Thrift
-	end    context.CancelFunc
+	thrift string // address of the Thrift listener
+	stop   context.CancelFunc
 	done   chan error
 
 	reload chan os.Signal
 }
 
-// start runs an agent; one that the test did not end is ended after it.
-func start(t *testing.T, cfg *config.Config) *running { return startWith(t, cfg, nil) }
+// start runs an agent and stops it at the end of the test.
+func start(t *testing.T, cfg *config.Config) *runningAgent { return startWithThrift(t, cfg, nil) }
 
-// startWith runs one that takes Thrift too.
-func startWith(t testing.TB, cfg *config.Config, service *thriftmap.Map) *running {
+// startWithThrift is start with a Thrift service; nil for HTTP only.
+func startWithThrift(t testing.TB, cfg *config.Config, service *thriftmap.Map) *runningAgent {
 	t.Helper()
-	return startKeeping(t, cfg, service, quiet(), "")
+	return startWithState(t, cfg, service, discardLog(), "")
 }
 
-// startKeeping runs one that logs, and keeps what it learns in a folder if one is given.
-func startKeeping(t testing.TB, cfg *config.Config, service *thriftmap.Map, log *slog.Logger, folder string) *running {
+// startWithState is startWithThrift with a log, and with learned state persisted in folder if it is not empty.
+func startWithState(t testing.TB, cfg *config.Config, service *thriftmap.Map, log *slog.Logger, folder string) *runningAgent {
 	t.Helper()
 	cfg.Listen = "127.0.0.1:0"
 	a, err := New(cfg, service, log)
@@ -103,27 +103,27 @@
 		set.Load, set.End = testkit.Patience, testkit.Patience
 		a.Keep(set)
 	}
-	return run(t, a, cfg)
+	return runAgent(t, a, cfg)
 }
 
-// run runs an agent; one that the test did not end is ended after it.
-func run(t testing.TB, a *Agent, cfg *config.Config) *running {
+// runAgent runs an agent, waits until it is ready and stops it at the end of the test.
+func runAgent(t testing.TB, a *Agent, cfg *config.Config) *runningAgent {
 	t.Helper()
-	at, err := a.Listen()
+	addrs, err := a.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Listen = at[0]
+	cfg.Listen = addrs[0]
 	t.Cleanup(func() {
-		if n := a.illegal.Load(); n > 0 {
+		if n := a.illegalSteps.Load(); n > 0 {
 			t.Errorf("%d illegal steps", n)
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Agent: a, url: "http://" + cfg.Listen, end: cancel, done: make(chan error, 1),
+	r := &runningAgent{Agent: a, url: "http://" + cfg.Listen, stop: cancel, done: make(chan error, 1),
 		reload: make(chan os.Signal, 1)}
-	if len(at) > 1 {
-		r.thrift = at[1]
+	if len(addrs) > 1 {
+		r.thrift = addrs[1]
 	}
 	go func() { r.done <- a.Run(ctx, r.reload) }()
 	t.Cleanup(cancel)
@@ -138,14 +138,14 @@
 	return r
 }
 
-// held asks the loop how many requests and timers it keeps.
-func (r *running) held() (requests, open int) {
+// heldAndOpen returns how many requests the core holds, and how many of them are not answered yet.
+func (r *runningAgent) heldAndOpen() (requests, open int) {
 	s := r.core.Snapshot()
 	return s.Held, s.Open
 }
 
-// connections is the number of those to servers.
-func (r *running) connections() int {
+// serverConns returns the number of open connections to servers.
+func (r *runningAgent) serverConns() int {
 	open, _, _ := r.pool.Count()
 	return open
 }
@@ -158,8 +158,8 @@
 	return discovery.Entry{ID: id, Addr: s.Listener.Addr().String(), Zone: "z", Cell: 1, State: "in_service", Weight: 1}
 }
 
-// ask words a request of a class.
-func (r *running) ask(class, id string, left float64, body string) *http.Request {
+// newRequest returns a request of a class with left seconds until its deadline.
+func (r *runningAgent) newRequest(class, id string, left float64, body string) *http.Request {
 	method := http.MethodPost
 	if class == "check" {
 		method = http.MethodGet
@@ -201,8 +201,8 @@
 		w.Header().Set("X-Backend-Load", "TEXT util=0.5, qps=40, eps=0")
 		fmt.Fprint(w, "the answer")
 	})
-	r := start(t, trial{known: []discovery.Entry{e}}.config(t))
-	status, answer := do(t, r.ask("record", "id1", 5, "a form"))
+	r := start(t, testConfig{known: []discovery.Entry{e}}.config(t))
+	status, answer := do(t, r.newRequest("record", "id1", 5, "a form"))
 	if status != 200 || answer != "the answer" {
 		t.Errorf("answered %d %q", status, answer)
 	}
@@ -215,7 +215,7 @@
 	if left := got.Get("X-Time-Left"); left > "5.000" || left < "4" {
 		t.Errorf("the backend got X-Time-Left %q", left)
 	}
-	if held, open := r.held(); held != 0 || open != 0 {
+	if held, open := r.heldAndOpen(); held != 0 || open != 0 {
 		t.Errorf("%d requests kept, %d open, after all were answered", held, open)
 	}
 	if r.core.Snapshot().Stats.Reports != 1 {
@@ -223,7 +223,8 @@
 	}
 }
 
-// A pool that sends again by itself when a reused connection breaks makes an attempt that the module never ordered.
+// A connection pool must not retry by itself when a reused connection breaks: that would be an attempt which the choice module
+// never ordered.
 func TestNeverSendsAgainByItself(t *testing.T) {
 	for _, class := range []string{"check", "record"} {
 		t.Run(class, func(t *testing.T) {
@@ -233,14 +234,14 @@
 					testkit.HangUp(w)
 				}
 			})
-			r := start(t, trial{known: []discovery.Entry{e}, tries: 1}.config(t))
-			if status, _ := do(t, r.ask(class, "first", 5, "")); status != 200 {
+			r := start(t, testConfig{known: []discovery.Entry{e}, tries: 1}.config(t))
+			if status, _ := do(t, r.newRequest(class, "first", 5, "")); status != 200 {
 				t.Fatalf("the first request was answered %d", status)
 			}
-			if r.connections() != 1 {
-				t.Fatalf("%d connections kept", r.connections())
+			if r.serverConns() != 1 {
+				t.Fatalf("%d connections kept", r.serverConns())
 			}
-			status, _ := do(t, r.ask(class, "second", 5, ""))
+			status, _ := do(t, r.newRequest(class, "second", 5, ""))
 			if n := seen.Of("second"); n != 1 {
 				t.Errorf("the backend got the request %d times", n)
 			}
@@ -252,7 +253,7 @@
 	}
 }
 
-// Only an answer that says so proves that the request never ran, and no backend's status gets to the client.
+// Only an answer marked unprocessed proves that the request did not run, and a backend's status is never passed to the client.
 func TestStatusOfBackends(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -261,14 +262,14 @@
 		body, promise string
 		want          int
 	}{
-		{name: "turned away", status: 503, unprocessed: true, want: 503},
-		{name: "over already", status: 504, unprocessed: true, want: 503},
+		{name: "rejected by the server", status: 503, unprocessed: true, want: 503},
+		{name: "deadline exceeded", status: 504, unprocessed: true, want: 503},
 		{name: "may have run", status: 503, want: 502},
-		{name: "too many", status: 429, want: 502},
+		{name: "too many requests", status: 429, want: 502},
 		{name: "error that claims not to have run", status: 500, unprocessed: true, want: 502},
 		{name: "other success", status: 204, want: 502},
-		{name: "cut short", status: 200, body: "half", promise: "9", want: 502},
-		{name: "too long", status: 200, body: strings.Repeat("x", httpmsg.MaxBody+1), want: 502},
+		{name: "truncated body", status: 200, body: "half", promise: "9", want: 502},
+		{name: "body too long", status: 200, body: strings.Repeat("x", httpmsg.MaxBody+1), want: 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
@@ -282,15 +283,15 @@
 				w.WriteHeader(c.status)
 				io.WriteString(w, c.body)
 			})
-			r := start(t, trial{known: []discovery.Entry{e}, tries: 1}.config(t))
-			if status, _ := do(t, r.ask("pay", "id", 5, "")); status != c.want {
+			r := start(t, testConfig{known: []discovery.Entry{e}, tries: 1}.config(t))
+			if status, _ := do(t, r.newRequest("pay", "id", 5, "")); status != c.want {
 				t.Errorf("answered %d, not %d", status, c.want)
 			}
 		})
 	}
 }
 
-// An answer that only the end of its connection ends is served where that is orderly, and was cut short where it is a reset.
+// An answer that is delimited by the end of its connection is served after an orderly close, and fails after a reset.
 func TestUnframedAnswerIsServedIfItEndsOrderly(t *testing.T) {
 	for name, c := range map[string]struct {
 		reset  bool
@@ -303,12 +304,12 @@
 				defer conn.Close()
 				io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nall of it")
 				if c.reset {
-					time.Sleep(50 * time.Millisecond) // or the reset takes what was not read with it
+					time.Sleep(50 * time.Millisecond) // otherwise the reset discards unread data
 					conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			r := start(t, trial{known: []discovery.Entry{e}, tries: 1}.config(t))
-			if status, body := do(t, r.ask("record", "id", 5, "")); status != c.status || body != c.body {
+			r := start(t, testConfig{known: []discovery.Entry{e}, tries: 1}.config(t))
+			if status, body := do(t, r.newRequest("record", "id", 5, "")); status != c.status || body != c.body {
 				t.Errorf("answered %d %q", status, body)
 			}
 		})
@@ -323,9 +324,9 @@
 	dead := discovery.Entry{ID: "dead", Addr: l.Addr().String(), Zone: "z", Cell: 2, State: "in_service", Weight: 1}
 	l.Close()
 	live := newBackend(t, "live", func(w http.ResponseWriter, r *http.Request) {})
-	r := start(t, trial{known: []discovery.Entry{dead, live}}.config(t))
+	r := start(t, testConfig{known: []discovery.Entry{dead, live}}.config(t))
 	for i := range 8 {
-		if status, _ := do(t, r.ask("pay", fmt.Sprint(i), 5, "")); status != 200 {
+		if status, _ := do(t, r.newRequest("pay", fmt.Sprint(i), 5, "")); status != 200 {
 			t.Errorf("request %d was answered %d", i, status)
 		}
 	}
@@ -334,18 +335,18 @@
 	}
 }
 
-// A backend that takes requests and says nothing costs an answer at the deadline, and leaves nothing behind.
+// A backend that accepts requests and never answers makes them fail at the deadline, and no state or connection remains.
 func TestSilentBackend(t *testing.T) {
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
-	r := start(t, trial{known: []discovery.Entry{e}, tries: 1}.config(t))
+	r := start(t, testConfig{known: []discovery.Entry{e}, tries: 1}.config(t))
 	var all sync.WaitGroup
 	for i := range 20 {
 		all.Go(func() {
 			begin := time.Now()
-			resp, err := http.DefaultTransport.RoundTrip(r.ask("record", fmt.Sprint(i), 0.3, ""))
+			resp, err := http.DefaultTransport.RoundTrip(r.newRequest("record", fmt.Sprint(i), 0.3, ""))
 			if err != nil {
 				t.Errorf("no answer: %v", err)
 				return
@@ -357,17 +358,17 @@
 		})
 	}
 	all.Wait()
-	testkit.Eventually(t, "requests and connections are dropped", func() bool {
-		held, open := r.held()
-		return held == 0 && open == 0 && r.connections() == 0
+	testkit.Eventually(t, "requests and connections are removed", func() bool {
+		held, open := r.heldAndOpen()
+		return held == 0 && open == 0 && r.serverConns() == 0
 	})
 }
 
 func TestMalformedRequests(t *testing.T) {
 	var seen testkit.Counter
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) { seen.Add(r) })
-	r := start(t, trial{known: []discovery.Entry{e}}.config(t))
-	for name, spoil := range map[string]func(*http.Request){
+	r := start(t, testConfig{known: []discovery.Entry{e}}.config(t))
+	for name, corrupt := range map[string]func(*http.Request){
 		"no id":          func(q *http.Request) { q.Header.Del("X-Correlation-Id") },
 		"two ids":        func(q *http.Request) { q.Header.Add("X-Correlation-Id", "other") },
 		"no class":       func(q *http.Request) { q.Header.Del("X-Service-Class") },
@@ -376,33 +377,33 @@
 		"unknown tenant": func(q *http.Request) { q.Header.Set("X-Account", "nobody") },
 		"no time":        func(q *http.Request) { q.Header.Del("X-Time-Left") },
 		"time in words":  func(q *http.Request) { q.Header.Set("X-Time-Left", "soon") },
-		"no number":      func(q *http.Request) { q.Header.Set("X-Time-Left", "NaN") },
-		"for ever":       func(q *http.Request) { q.Header.Set("X-Time-Left", "Inf") },
-		"over already":   func(q *http.Request) { q.Header.Set("X-Time-Left", "-1") },
+		"not a number":   func(q *http.Request) { q.Header.Set("X-Time-Left", "NaN") },
+		"infinite time":  func(q *http.Request) { q.Header.Set("X-Time-Left", "Inf") },
+		"negative time":  func(q *http.Request) { q.Header.Set("X-Time-Left", "-1") },
 		"no key":         func(q *http.Request) { q.Header.Del("Idempotency-Key") },
 		"safe method":    func(q *http.Request) { q.Method = http.MethodGet },
 	} {
 		t.Run(name, func(t *testing.T) {
-			req := r.ask("record", "id", 5, "")
-			spoil(req)
+			req := r.newRequest("record", "id", 5, "")
+			corrupt(req)
 			if status, _ := do(t, req); status < 400 || status > 499 || status == 429 {
 				t.Errorf("answered %d", status)
 			}
 		})
 	}
-	if status, _ := do(t, r.ask("record", "id", 5, strings.Repeat("x", httpmsg.MaxBody+1))); status != 413 {
+	if status, _ := do(t, r.newRequest("record", "id", 5, strings.Repeat("x", httpmsg.MaxBody+1))); status != 413 {
 		t.Errorf("an oversized body was answered %d", status)
 	}
 	if n := seen.Of("id"); n != 0 {
-		t.Errorf("%d malformed requests were passed on", n)
+		t.Errorf("%d malformed requests were forwarded", n)
 	}
-	if status, _ := do(t, r.ask("record", "id", 5, strings.Repeat("x", httpmsg.MaxBody))); status != 200 {
+	if status, _ := do(t, r.newRequest("record", "id", 5, strings.Repeat("x", httpmsg.MaxBody))); status != 200 {
 		t.Errorf("the largest body was answered %d", status)
 	}
 }
 
-// raw sends bytes on a connection of their own and returns all that comes back until it is closed.
-func (r *running) raw(t *testing.T, text string) string {
+// sendRaw sends text on a new connection and returns everything that is received until the connection is closed.
+func (r *runningAgent) sendRaw(t *testing.T, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", r.cfg.Listen)
 	if err != nil {
@@ -413,16 +414,16 @@
 	io.WriteString(c, text)
 	answer, err := io.ReadAll(c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection stays open after %q", answer)
+		t.Fatalf("the connection is still open after %q", answer)
 	}
 	return string(answer)
 }
 
-// Where two readings of a request's end are possible, one of them may hide a second request in the body.
+// Request smuggling: if the end of a request is ambiguous, one reading of it may hide a second request in the body.
 func TestHiddenRequestIsNotPassedOn(t *testing.T) {
 	var seen testkit.Counter
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) { seen.Add(r) })
-	r := start(t, trial{known: []discovery.Entry{e}}.config(t))
+	r := start(t, testConfig{known: []discovery.Entry{e}}.config(t))
 	head := func(proto string) string {
 		return "POST /pay/x HTTP/" + proto + "\r\nHost: s\r\nX-Correlation-Id: outer\r\nX-Service-Class: pay\r\n" +
 			"X-Account: oban\r\nX-Time-Left: 5\r\n"
@@ -438,20 +439,21 @@
 		"body of a safe request": strings.NewReplacer("POST /pay", "GET /check", ": pay", ": check").Replace(head("1.1")) + "Content-Length: 5\r\n\r\n0\r\n\r\n" + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := r.raw(t, text); strings.Count(got, "HTTP/1.") != 1 ||
+			if got := r.sendRaw(t, text); strings.Count(got, "HTTP/1.") != 1 ||
 				!regexp.MustCompile(`^HTTP/1\.[01] [45]`).MatchString(got) {
 				t.Errorf("answered %q", got)
 			}
 			if seen.Of("outer")+seen.Of("inner") != 0 {
-				t.Error("it was passed on")
+				t.Error("the request was forwarded")
 			}
 		})
 	}
 }
 
-// Whoever says nothing, or not all, gets an error or a close soon; a body that is too long is not waited for.
+// A client that sends nothing, or an incomplete request, soon gets an error or a close. A body that is too long is refused
+// without reading it.
 func TestUnfinishedRequestsEnd(t *testing.T) {
-	r := start(t, trial{}.config(t))
+	r := start(t, testConfig{}.config(t))
 	head := "POST /pay/x HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: id\r\nX-Service-Class: pay\r\nX-Account: oban\r\n" +
 		"X-Time-Left: 15\r\n"
 	for name, c := range map[string]struct{ text, want string }{
@@ -464,7 +466,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			begin := time.Now()
-			if got := r.raw(t, c.text); !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
+			if got := r.sendRaw(t, c.text); !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
 				t.Errorf("answered %q", got)
 			}
 			if took := time.Since(begin); took > 4500*time.Millisecond {
@@ -475,11 +477,11 @@
 }
 
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	cfg := trial{}.config(t)
+	cfg := testConfig{}.config(t)
 	cfg.Module.MaxRetryAfter = time.Second
 	r := start(t, cfg) // knows no backend
 	begin := time.Now()
-	resp, err := http.DefaultTransport.RoundTrip(r.ask("pay", "id", 10, ""))
+	resp, err := http.DefaultTransport.RoundTrip(r.newRequest("pay", "id", 10, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -495,15 +497,15 @@
 		close(arrived)
 		<-r.Context().Done()
 	})
-	r := start(t, trial{known: []discovery.Entry{e}, tries: 1}.config(t))
-	ctx, leave := context.WithCancel(context.Background())
-	go func() { <-arrived; leave() }()
-	if resp, err := http.DefaultTransport.RoundTrip(r.ask("pay", "id", 10, "").WithContext(ctx)); err == nil {
+	r := start(t, testConfig{known: []discovery.Entry{e}, tries: 1}.config(t))
+	ctx, disconnect := context.WithCancel(context.Background())
+	go func() { <-arrived; disconnect() }()
+	if resp, err := http.DefaultTransport.RoundTrip(r.newRequest("pay", "id", 10, "").WithContext(ctx)); err == nil {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
-	testkit.Eventually(t, "the request is over", func() bool { _, open := r.held(); return open == 0 })
+	testkit.Eventually(t, "the request has ended", func() bool { _, open := r.heldAndOpen(); return open == 0 })
 	if r.core.Snapshot().Stats.Gone != 1 {
-		t.Errorf("%d clients left", r.core.Snapshot().Stats.Gone)
+		t.Errorf("%d clients disconnected", r.core.Snapshot().Stats.Gone)
 	}
 }
 
@@ -513,11 +515,11 @@
 		close(arrived)
 		<-release
 	})
-	r := start(t, trial{known: []discovery.Entry{e}}.config(t))
+	r := start(t, testConfig{known: []discovery.Entry{e}}.config(t))
 	first := make(chan int)
-	go func() { status, _ := do(t, r.ask("pay", "id", 10, "")); first <- status }()
+	go func() { status, _ := do(t, r.newRequest("pay", "id", 10, "")); first <- status }()
 	<-arrived
-	if status, _ := do(t, r.ask("pay", "id", 10, "")); status != 409 {
+	if status, _ := do(t, r.newRequest("pay", "id", 10, "")); status != 409 {
 		t.Errorf("the repeat was answered %d", status)
 	}
 	close(release)
@@ -526,8 +528,8 @@
 	}
 }
 
-// A backend closes idle connections after a known time. The agent drops them before: a request written at that
-// moment would be reset.
+// A backend closes idle connections after a known time. The agent closes them earlier: a request written at the moment of the
+// backend's close would be reset.
 func TestIdleConnectionsAreDropped(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -539,8 +541,8 @@
 	s.Start()
 	defer s.Close()
 	e := discovery.Entry{ID: "b", Addr: s.Listener.Addr().String(), Zone: "z", State: "in_service"}
-	r := start(t, trial{known: []discovery.Entry{e}, idle: 100 * time.Millisecond}.config(t))
-	if status, _ := do(t, r.ask("pay", "id", 10, "")); status != 200 {
+	r := start(t, testConfig{known: []discovery.Entry{e}, idle: 100 * time.Millisecond}.config(t))
+	if status, _ := do(t, r.newRequest("pay", "id", 10, "")); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	select {
@@ -548,10 +550,10 @@
 	case <-time.After(testkit.Patience):
 		t.Error("the idle connection was kept")
 	}
-	testkit.Eventually(t, "the connection is no longer counted", func() bool { return r.connections() == 0 })
+	testkit.Eventually(t, "the connection is no longer counted", func() bool { return r.serverConns() == 0 })
 }
 
-// An ending agent goes on accepting for a while, answers all it took and asks clients to close.
+// During shutdown an agent keeps accepting for a while, answers all calls that it received and asks clients to close.
 func TestEndsGently(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
@@ -559,10 +561,10 @@
 		<-release
 		fmt.Fprint(w, "done")
 	})
-	r := start(t, trial{known: []discovery.Entry{e}}.config(t))
+	r := start(t, testConfig{known: []discovery.Entry{e}}.config(t))
 	answers := make(chan *http.Response, 2)
 	ask := func(id string) {
-		resp, err := new(http.Transport).RoundTrip(r.ask("pay", id, 15, ""))
+		resp, err := new(http.Transport).RoundTrip(r.newRequest("pay", id, 15, ""))
 		if err != nil {
 			t.Errorf("%s: %v", id, err)
 			resp = &http.Response{}
@@ -571,10 +573,10 @@
 	}
 	go ask("before")
 	<-arrived
-	r.end()
+	r.stop()
 	go ask("after")
 	<-arrived
-	time.Sleep(shutdown.Plan(r.cfg.LongestDeadline(), false).Accept + 100*time.Millisecond) // both are to outlast the time of accepting
+	time.Sleep(shutdown.Plan(r.cfg.LongestDeadline(), false).Accept + 100*time.Millisecond) // both calls must outlast the accept phase
 	close(release)
 	for range 2 {
 		if resp := <-answers; resp.StatusCode != 200 || !resp.Close {
@@ -587,7 +589,7 @@
 			t.Error(err)
 		}
 	case <-time.After(testkit.Patience):
-		t.Error("the agent goes on")
+		t.Error("the agent is still running")
 	}
 	if c, err := net.Dial("tcp", r.cfg.Listen); err == nil {
 		c.Close()
@@ -595,15 +597,15 @@
 	}
 }
 
-// Clients that keep more connections than there are descriptors lose the idle ones, never an answer.
+// If clients keep more connections than there are descriptors, the agent closes idle ones and no answer is lost.
 func TestIdleClientsGiveWay(t *testing.T) {
 	e := newBackend(t, "b", func(http.ResponseWriter, *http.Request) {})
-	cfg := trial{known: []discovery.Entry{e}, sockets: config.LeastSockets}.config(t)
+	cfg := testConfig{known: []discovery.Entry{e}, sockets: config.LeastSockets}.config(t)
 	r := start(t, cfg)
 	for i := range 3 * cfg.ClientSockets() {
 		client := &http.Transport{}
 		defer client.CloseIdleConnections()
-		resp, err := client.RoundTrip(r.ask("pay", fmt.Sprint(i), 10, ""))
+		resp, err := client.RoundTrip(r.newRequest("pay", fmt.Sprint(i), 10, ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -614,15 +616,15 @@
 	}
 }
 
-// Clients that ask once and keep their connection must not use up the third of the descriptors that clients may hold:
-// from a fourth on a first answer ends its connection. Who has come back before may go on.
+// Clients that send one request and keep their connection must not exhaust the third of the descriptors that clients may use:
+// once a fourth is in use, the first answer on a connection closes it. Connections with a second request are kept.
 func TestConnectionsEndWithTheAnswerWhereCrowded(t *testing.T) {
 	e := newBackend(t, "b", func(http.ResponseWriter, *http.Request) {})
-	r := start(t, trial{known: []discovery.Entry{e}, sockets: config.LeastSockets}.config(t))
-	http.DefaultTransport.(*http.Transport).CloseIdleConnections() // the one that asked whether it is ready
+	r := start(t, testConfig{known: []discovery.Entry{e}, sockets: config.LeastSockets}.config(t))
+	http.DefaultTransport.(*http.Transport).CloseIdleConnections() // the one of the readiness check
 	ask := func(client *http.Transport, id string) (closes bool) {
 		t.Helper()
-		resp, err := client.RoundTrip(r.ask("pay", id, 10, ""))
+		resp, err := client.RoundTrip(r.newRequest("pay", id, 10, ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -639,7 +641,7 @@
 		if ask(client, fmt.Sprint(i)) {
 			closed++
 		} else if ask(client, fmt.Sprint(i, " again")) {
-			t.Error("one that has come back was closed")
+			t.Error("a connection with a second request was closed")
 		}
 	}
 	if closed == 0 {
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -11,10 +11,10 @@
 	"ternbeam/internal/lab/loadgen"
 )
 
-// BenchmarkThrough makes calls through an agent, 16 at a time, to servers that answer at once; direct is the same
-// without the agent. It shows allocations; ternbeam-load tells the processor time of the agent alone.
+// BenchmarkThrough makes calls through an agent, 4 at a time per processor (16 on 4 cores), to servers that answer immediately; "direct"
+// is the same without the agent. It reports allocations; ternbeam-load measures the CPU time of the agent alone.
 func BenchmarkThrough(b *testing.B) {
-	var names atomic.Int64 // of clients, as no id may come twice
+	var clients atomic.Int64 // numbers the clients, since every request id must be unique
 	for _, protocol := range loadgen.Protocols {
 		name := map[string]string{"http": "http", "binary": "thrift-binary", "compact": "thrift-compact"}[protocol]
 		p := loadgen.Platform("")
@@ -33,17 +33,17 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r := startWith(b, cfg, service)
-		at := r.thrift
+		r := startWithThrift(b, cfg, service)
+		agentAddr := r.thrift
 		if protocol == "http" {
-			at = strings.TrimPrefix(r.url, "http://")
+			agentAddr = strings.TrimPrefix(r.url, "http://")
 		}
-		for path, addr := range map[string]string{"direct": p.Known.Servers[0].Addr, "agent": at} {
+		for path, addr := range map[string]string{"direct": p.Known.Servers[0].Addr, "agent": agentAddr} {
 			b.Run(protocol+"/"+path, func(b *testing.B) {
 				b.ReportAllocs()
 				b.SetParallelism(4)
 				b.RunParallel(func(pb *testing.PB) {
-					c, err := loadgen.Dial(protocol, addr, fmt.Sprint(names.Add(1), "-"))
+					c, err := loadgen.Dial(protocol, addr, fmt.Sprint(clients.Add(1), "-"))
 					if err != nil {
 						b.Error(err)
 						return
@@ -58,6 +58,6 @@
 				})
 			})
 		}
-		r.end()
+		r.stop()
 	}
 }
--- a/internal/agent/jam_test.go
+++ b/internal/agent/jam_test.go
@@ -10,8 +10,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// Servers that turned all away and are well again get work again, also where all calls are of one class: with all refused at
-// once nothing would ever show that the jam is over.
+// Servers that rejected every call and then recover get calls again, also if all calls are of one class: if the agent refused
+// every call immediately, it would never find out that the overload is over.
 func TestJamEndsWithOneClass(t *testing.T) {
 	var full atomic.Bool
 	full.Store(true)
@@ -23,13 +23,13 @@
 	}
 	for _, m := range []standin.Method{standin.Check, standin.Record, standin.Pay} {
 		full.Store(true)
-		w := newWorld(t, speeches[0], standin.Platform{}, nil, standin.Options{ID: "a", Script: script}, standin.Options{ID: "b", Script: script})
+		w := newTestbed(t, protocolVariants[0], standin.Platform{}, nil, standin.Options{ID: "a", Script: script}, standin.Options{ID: "b", Script: script})
 		for i := range 30 {
-			w.kiosk.Ask(ask(m, fmt.Sprint(m, i)))
+			w.kiosk.Ask(newAsk(m, fmt.Sprint(m, i)))
 		}
 		full.Store(false)
 		testkit.Eventually(t, fmt.Sprint(m, " is served again"), func() bool {
-			return w.kiosk.Ask(ask(m, fmt.Sprint(m, time.Now().UnixNano()))).Kind == standin.Served
+			return w.kiosk.Ask(newAsk(m, fmt.Sprint(m, time.Now().UnixNano()))).Kind == standin.Served
 		})
 	}
 }
--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -14,36 +14,36 @@
 	"ternbeam/internal/store"
 )
 
-// An agent on sockets that ends keeps what it has learned of a silent server; the next one on the folder recalls it, and
-// one whose servers were all replaced recalls nothing.
+// An agent that shuts down stores what it learned about a silent server; the next agent on the same folder restores it, and an
+// agent whose servers were all replaced restores nothing.
 func TestNextAgentRecalls(t *testing.T) {
-	for _, sp := range speeches[:2] {
+	for _, sp := range protocolVariants[:2] {
 		t.Run(sp.name, func(t *testing.T) {
 			dir := t.TempDir()
 			silent := func(standin.Call) standin.Step { return standin.Step{Fault: standin.Silence} }
 			p := standin.Platform{Deadline: time.Second}
-			w := newWorld(t, sp, p, nil, standin.Options{ID: "well"}, standin.Options{ID: "also"}, standin.Options{ID: "ill", Script: silent})
-			next := func(until string) {
+			w := newTestbed(t, sp, p, nil, standin.Options{ID: "well"}, standin.Options{ID: "also"}, standin.Options{ID: "ill", Script: silent})
+			restart := func(untilLogged string) {
 				t.Helper()
-				w.end()
+				w.stop()
 				if err := <-w.done; err != nil {
 					t.Fatal(err)
 				}
 				log := new(testkit.Log)
-				w.again(t, sp, p, slog.New(slog.NewTextHandler(log, nil)), dir)
-				testkit.Eventually(t, "it says "+until, func() bool { return log.Has(until) })
+				w.startAgent(t, sp, p, slog.New(slog.NewTextHandler(log, nil)), dir)
+				testkit.Eventually(t, "the log has "+untilLogged, func() bool { return log.Has(untilLogged) })
 			}
-			next("nothing is kept yet")
+			restart("nothing is kept yet")
 			var asks sync.WaitGroup
 			for i := range 40 {
 				asks.Go(func() {
-					a := ask(standin.Check, fmt.Sprint("r", i))
+					a := newAsk(standin.Check, fmt.Sprint("r", i))
 					a.Left = 900 * time.Millisecond
 					w.kiosk.Ask(a)
 				})
 			}
 			asks.Wait()
-			next("learned: recalled")
+			restart("learned: recalled")
 			records, _, err := store.Peek(store.Dir(dir), keeper.Bounds(0))
 			if err != nil {
 				t.Fatal(err)
@@ -56,18 +56,18 @@
 			if len(ill) != 1 || ill[0].ID != "ill" || ill[0].Failing < 0.2 && !ill[0].Ejected {
 				t.Fatalf("kept %+v", kept)
 			}
-			for _, s := range w.servers { // all replaced while no agent looked
+			for _, s := range w.servers { // all servers are replaced while no agent runs
 				e := s.Entry()
 				e.StartedMS++
 				w.list.Tell(e)
 			}
-			w.end()
+			w.stop()
 			<-w.done
 			log := new(testkit.Log)
-			w.again(t, sp, p, slog.New(slog.NewTextHandler(log, nil)), dir)
-			w.atRest(t) // the loop has gone through what was posted before
+			w.startAgent(t, sp, p, slog.New(slog.NewTextHandler(log, nil)), dir)
+			w.waitIdle(t) // the event loop has handled all earlier events
 			if !log.Has("learned: loaded") || log.Has("learned: recalled") {
-				t.Errorf("of servers that were all replaced it says\n%s", log)
+				t.Errorf("after all servers were replaced the log is\n%s", log)
 			}
 		})
 	}
--- a/internal/agent/long_test.go
+++ b/internal/agent/long_test.go
@@ -23,74 +23,74 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// long starts an agent on a platform that has long bodies.
-func long(t *testing.T, known ...discovery.Entry) *running {
+// startLong starts an agent with an operations address, which also enables long bodies.
+func startLong(t *testing.T, known ...discovery.Entry) *runningAgent {
 	t.Helper()
-	return trial{known: known}.operated(t)
+	return testConfig{known: known}.startWithOps(t)
 }
 
-// pattern yields so many bytes that follow from a seed, and calls at once when half of them are read.
+// pattern is a reader of size bytes that are determined by a seed. It calls onHalfRead once half of them are read.
 type pattern struct {
-	seed, left, size int
-	half             func()
+	seed, remaining, size int
+	onHalfRead            func()
 }
 
-func newPattern(seed, size int, half func()) *pattern {
-	return &pattern{seed: seed, left: size, size: size, half: half}
+func newPattern(seed, size int, onHalfRead func()) *pattern {
+	return &pattern{seed: seed, remaining: size, size: size, onHalfRead: onHalfRead}
 }
 
 func (p *pattern) Read(b []byte) (int, error) {
-	if p.left == 0 {
+	if p.remaining == 0 {
 		return 0, io.EOF
 	}
-	if p.half != nil && p.left <= p.size/2 {
-		p.half()
-		p.half = nil
+	if p.onHalfRead != nil && p.remaining <= p.size/2 {
+		p.onHalfRead()
+		p.onHalfRead = nil
 	}
-	n := min(len(b), p.left)
+	n := min(len(b), p.remaining)
 	for i := range b[:n] {
-		at := p.size - p.left + i
+		at := p.size - p.remaining + i
 		b[i] = byte(at ^ at>>8*p.seed ^ at>>16 + p.seed)
 	}
-	p.left -= n
+	p.remaining -= n
 	return n, nil
 }
 
-func sum(r io.Reader) (string, int64, error) {
+func hashAll(r io.Reader) (string, int64, error) {
 	h := sha256.New()
 	n, err := io.Copy(struct{ hash.Hash }{h}, r)
 	return hex.EncodeToString(h.Sum(nil)), n, err
 }
 
-// barrier is where peers wait for one another.
+// barrier lets a number of goroutines wait for one another.
 type barrier struct {
-	mu   sync.Mutex
-	want int
-	here map[string]bool
-	all  chan struct{}
+	mu         sync.Mutex
+	want       int
+	arrived    map[string]bool
+	allArrived chan struct{}
 }
 
 func newBarrier(n int) *barrier {
-	return &barrier{want: n, here: map[string]bool{}, all: make(chan struct{})}
+	return &barrier{want: n, arrived: map[string]bool{}, allArrived: make(chan struct{})}
 }
 
 func (b *barrier) wait(t *testing.T, id string) {
 	b.mu.Lock()
-	if !b.here[id] {
-		if b.here[id] = true; len(b.here) == b.want {
-			close(b.all)
+	if !b.arrived[id] {
+		if b.arrived[id] = true; len(b.arrived) == b.want {
+			close(b.allArrived)
 		}
 	}
 	b.mu.Unlock()
 	select {
-	case <-b.all:
+	case <-b.allArrived:
 	case <-time.After(testkit.Patience):
-		t.Errorf("%s waits in vain for others", id)
+		t.Errorf("%s: timed out at the barrier", id)
 	}
 }
 
-// Twenty bodies of 32 MB at once in each direction, where every peer stops in the midst until all have got so far: what
-// the agent holds of them stays small, and each arrives as it was sent, once.
+// Twenty bodies of 32 MB are in transfer at once in each direction, and every peer pauses until all have got as far: the agent's
+// memory for them stays small, and each body arrives unchanged and once.
 func TestLongBodiesBothWays(t *testing.T) {
 	const peers, size = 20, 32 << 20
 	up, down := newBarrier(peers), newBarrier(peers)
@@ -103,7 +103,7 @@
 				return
 			}
 			up.wait(t, r.Header.Get("X-Correlation-Id"))
-			got, n, err := sum(io.MultiReader(bytes.NewReader(first), r.Body))
+			got, n, err := hashAll(io.MultiReader(bytes.NewReader(first), r.Body))
 			counter.Add(r)
 			if err != nil || n != size {
 				t.Errorf("a server reads %d bytes, %v", n, err)
@@ -117,13 +117,13 @@
 			io.Copy(w, newPattern(seed, size, nil))
 		})
 	}
-	r := long(t, backend("a"), backend("b"))
+	r := startLong(t, backend("a"), backend("b"))
 	var before runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	most := func(what string, times int) {
-		// Parts of bodies that are allocated and let go while the collector runs count as in use in that reading, some tens of MB
-		// at this pace. They only add: of some readings the least is the nearest to what is held.
+	checkGrowth := func(phase string, times int) {
+		// Parts of bodies that are allocated and freed while the garbage collector runs count as in use in that reading, some tens
+		// of MB at this rate. They only add, so the smallest of several readings is the closest to what is held.
 		readings := make([]int64, times)
 		for i := range readings {
 			var now runtime.MemStats
@@ -131,18 +131,18 @@
 			runtime.ReadMemStats(&now)
 			readings[i] = (int64(now.HeapAlloc) - int64(before.HeapAlloc)) >> 20
 		}
-		t.Logf("%s: %d MB more than before", what, readings)
-		// The bound on what is kept of bodies is a quarter of six tenths of 192 MB; the peers of the test are in the figure, too.
+		t.Logf("%s: %d MB more than before", phase, readings)
+		// Buffered bodies are limited to a quarter of six tenths of 192 MB; the readings include the peers of the test.
 		if grown := slices.Min(readings); grown > 80 {
-			t.Errorf("%s: %d MB more than before", what, grown)
+			t.Errorf("%s: %d MB more than before", phase, grown)
 		}
 	}
-	measured := sync.OnceFunc(func() { most("while 640 MB come", 3) })
+	measured := sync.OnceFunc(func() { checkGrowth("while 640 MB are uploaded", 3) })
 	var done sync.WaitGroup
 	for seed := range peers {
 		done.Go(func() {
 			id := fmt.Sprint("long-", seed)
-			req := r.ask("pay", id, 20, "")
+			req := r.newRequest("pay", id, 20, "")
 			req.Body, req.ContentLength = io.NopCloser(newPattern(seed, size, measured)), size
 			if seed%3 == 0 {
 				req.ContentLength = -1
@@ -156,31 +156,31 @@
 			first := make([]byte, 1<<16)
 			_, err = io.ReadFull(resp.Body, first)
 			down.wait(t, id)
-			got, n, more := sum(io.MultiReader(bytes.NewReader(first), resp.Body))
-			want, _, _ := sum(newPattern(seed, size, nil))
+			got, n, more := hashAll(io.MultiReader(bytes.NewReader(first), resp.Body))
+			want, _, _ := hashAll(newPattern(seed, size, nil))
 			if resp.StatusCode != http.StatusOK || n != size || got != want || err != nil || more != nil {
-				t.Errorf("%s: %d, %d bytes, as they were sent: %t, %v, %v", id, resp.StatusCode, n, got == want, err, more)
+				t.Errorf("%s: %d, %d bytes, unchanged: %t, %v, %v", id, resp.StatusCode, n, got == want, err, more)
 			}
 			if resp.Header.Get("Content-Type") != want {
 				t.Errorf("%s: the server read other bytes", id)
 			}
 		})
 	}
-	<-down.all
-	most("while 640 MB go back", 1)
+	<-down.allArrived
+	checkGrowth("while 640 MB are downloaded", 1)
 	done.Wait()
 	for seed := range peers {
 		if n := counter.Of(fmt.Sprint("long-", seed)); n != 1 {
 			t.Errorf("call %d ran %d times", seed, n)
 		}
 	}
-	testkit.Eventually(t, "all is counted as served, and nothing outstanding", func() bool {
-		return r.figure(t, `svc_succeeded{service="pay"}`) == peers && r.figure(t, "svc_outstanding") == 0
+	testkit.Eventually(t, "all calls are counted as served, and none is outstanding", func() bool {
+		return r.counter(t, `svc_succeeded{service="pay"}`) == peers && r.counter(t, "svc_outstanding") == 0
 	})
 }
 
-// An answer that its server breaks off, wherever, is not taken for a whole one; where nothing had gone to the client, the
-// final answer is one that says so.
+// An answer that its server truncates, at any byte, is never treated as complete; if nothing was sent to the client yet, the
+// client gets a failure as the final answer.
 func TestAnswersThatBreakOff(t *testing.T) {
 	const size = 200_000
 	for _, form := range []string{"length", "chunked", "close"} {
@@ -200,34 +200,34 @@
 						head, body = "Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s", size, body)
 					case "close":
 						head = "Connection: close"
-						defer c.(*net.TCPConn).SetLinger(0) // only a reset tells this one from a whole one
+						defer c.(*net.TCPConn).SetLinger(0) // only a reset distinguishes this one from a complete answer
 					}
 					fmt.Fprintf(out, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", head, body)
 					out.Flush()
-					if form == "close" { // a reset takes what was not read with it
+					if form == "close" { // a reset discards unread data
 						time.Sleep(200 * time.Millisecond)
 					}
 				})
-				r := long(t, e)
-				resp, err := http.DefaultTransport.RoundTrip(r.ask("pay", "a", 5, ""))
+				r := startLong(t, e)
+				resp, err := http.DefaultTransport.RoundTrip(r.newRequest("pay", "a", 5, ""))
 				if err != nil {
-					return // it broke off before the head was read
+					return // truncated before the head was read
 				}
 				defer resp.Body.Close()
 				body, err := io.ReadAll(resp.Body)
 				if resp.StatusCode == http.StatusOK && err == nil {
-					t.Errorf("passes for whole with %d bytes", len(body))
+					t.Errorf("treated as complete with %d bytes", len(body))
 				}
 				if resp.StatusCode == http.StatusServiceUnavailable {
-					t.Error("refused, and it has run")
+					t.Error("refused although it has run")
 				}
-				testkit.Eventually(t, "it counts as failed", func() bool { return r.figure(t, `svc_aborted{service="pay"}`) == 1 })
+				testkit.Eventually(t, "the call is counted as failed", func() bool { return r.counter(t, `svc_aborted{service="pay"}`) == 1 })
 			})
 		}
 	}
 }
 
-// The first bytes of a long answer do not wait for the rest, and its end may come after the deadline.
+// The first bytes of a long answer are relayed without waiting for the rest, and the answer may end after the deadline.
 func TestFirstBytesDoNotWait(t *testing.T) {
 	gate := make(chan struct{})
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
@@ -237,10 +237,10 @@
 		<-gate
 		io.WriteString(w, strings.Repeat("b", 50_000))
 	})
-	cfg := trial{known: []discovery.Entry{e}, deadline: 300 * time.Millisecond}.config(t)
+	cfg := testConfig{known: []discovery.Entry{e}, deadline: 300 * time.Millisecond}.config(t)
 	cfg.Ops = "127.0.0.1:0"
 	r := start(t, cfg)
-	resp, err := http.DefaultTransport.RoundTrip(r.ask("check", "a", 0.3, ""))
+	resp, err := http.DefaultTransport.RoundTrip(r.newRequest("check", "a", 0.3, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,53 +255,53 @@
 	}
 }
 
-// A client that goes away while its answer is passed on frees the server's connection, and so does one that goes away while
-// its body comes: that one never ran.
+// A client that disconnects while its answer is relayed frees the server's connection, and so does one that disconnects while its
+// body is uploaded: that call never ran.
 func TestPeersThatLeaveInTheMidst(t *testing.T) {
 	var counter testkit.Counter
-	begun, gone := make(chan struct{}, 2), make(chan struct{}, 2)
+	begun, ended := make(chan struct{}, 2), make(chan struct{}, 2)
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		begun <- struct{}{}
-		defer func() { gone <- struct{}{} }()
+		defer func() { ended <- struct{}{} }()
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
 		counter.Add(r)
 		io.Copy(w, newPattern(1, 1<<30, nil))
 	})
-	r := long(t, e)
-	resp, err := http.DefaultTransport.RoundTrip(r.ask("pay", "down", 5, ""))
+	r := startLong(t, e)
+	resp, err := http.DefaultTransport.RoundTrip(r.newRequest("pay", "down", 5, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.ReadFull(resp.Body, make([]byte, 1000))
 	resp.Body.Close()
 	<-begun
-	<-gone
+	<-ended
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(c, "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: up\r\nX-Service-Class: pay\r\nX-Account: oban\r\nX-Time-Left: 5\r\n"+
 		"Content-Length: 1000000\r\n\r\n%s", strings.Repeat("x", 500_000))
-	testkit.Eventually(t, "it is under way", func() bool { return r.figure(t, "svc_outstanding") == 1 })
-	<-begun // or it would not be sent at all, as the agent looks whether its client is there
+	testkit.Eventually(t, "the call is in flight", func() bool { return r.counter(t, "svc_outstanding") == 1 })
+	<-begun // otherwise it would not be sent at all, since the agent checks whether its client is connected
 	c.Close()
-	<-gone
-	testkit.Eventually(t, "nothing is held", func() bool {
-		held, open := r.held()
-		return held == 0 && open == 0 && r.connections() == 0
+	<-ended
+	testkit.Eventually(t, "no call and no connection remains", func() bool {
+		held, open := r.heldAndOpen()
+		return held == 0 && open == 0 && r.serverConns() == 0
 	})
 	if counter.Of("up") != 0 {
-		t.Error("half a call ran")
+		t.Error("an incomplete call ran")
 	}
 }
 
-// form is a request as raw text, and what becomes of it.
-type form struct {
+// requestForm is a request as raw text, and the expected answer.
+type requestForm struct {
 	name, text string
 	status     int
-	body       string // that the server gets, where it is served
+	body       string // expected answer of the server if the call is served
 }
 
 func post(id, headers, body string) string {
@@ -309,7 +309,7 @@
 		"\r\n" + body
 }
 
-// Every form of HTTP/1.1 is served, and what has two ends is not, however it is worded.
+// Every valid form of an HTTP/1.1 request is served. A request with an ambiguous end is not, however it is spelled.
 func TestFormsOfRequests(t *testing.T) {
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -317,14 +317,14 @@
 			t.Error(err)
 		}
 		if len(r.TransferEncoding) == 0 && r.ContentLength != int64(len(body)) {
-			t.Errorf("a length of %d for %d bytes", r.ContentLength, len(body))
+			t.Errorf("Content-Length %d for %d bytes", r.ContentLength, len(body))
 		}
 		fmt.Fprintf(w, "%s got %d:%.20s", r.Header.Get("X-Correlation-Id"), len(body), body)
 	})
-	r := long(t, e)
+	r := startLong(t, e)
 	big := strings.Repeat("z", 70_000)
 	chunked := "Transfer-Encoding: chunked\r\n"
-	for _, c := range []form{
+	for _, c := range []requestForm{
 		{"length", post("1", "Content-Length: 3\r\n", "abc"), 200, "1 got 3:abc"},
 		{"nothing", post("2", "Content-Length: 0\r\n", ""), 200, "2 got 0:"},
 		{"chunks", post("3", chunked, "1\r\na\r\n2\r\nbc\r\n0\r\n\r\n"), 200, "3 got 3:abc"},
@@ -336,18 +336,18 @@
 		{"folded", post("9", "X-Odd: a\r\n  b\r\nContent-Length: 3\r\n", "abc"), 200, "9 got 3:abc"},
 		{"long head", post("10", "X-Long: "+strings.Repeat("h", 10_000)+"\r\nContent-Length: 3\r\n", "abc"), 200, "10 got 3:abc"},
 		{"both", post("11", "Content-Length: 3\r\n"+chunked, "3\r\nabc\r\n0\r\n\r\n"), 400, ""},
-		{"both, the other way", post("12", chunked+"content-length : 3\r\n", "3\r\nabc\r\n0\r\n\r\n"), 400, ""},
+		{"both, in reverse order", post("12", chunked+"content-length : 3\r\n", "3\r\nabc\r\n0\r\n\r\n"), 400, ""},
 		{"both, in a long head", post("13", "X-Long: "+strings.Repeat("h", 10_000)+"\r\nCONTENT-LENGTH:3\r\n"+chunked, "3\r\nabc\r\n0\r\n\r\n"), 400, ""},
 		{"two lengths", post("14", "Content-Length: 3\r\nContent-Length: 4\r\n", "abcd"), 400, ""},
-		{"no length", post("15", "Content-Length: -3\r\n", "abc"), 400, ""},
-		{"too long", post("16", "Content-Length: 60000000\r\n", ""), 413, ""},
-		{"no chunk", post("17", chunked, "zz\r\nabc\r\n0\r\n\r\n"), 400, ""},
-		{"an encoding that is none", post("18", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"), 501, ""},
+		{"negative length", post("15", "Content-Length: -3\r\n", "abc"), 400, ""},
+		{"body too long", post("16", "Content-Length: 60000000\r\n", ""), 413, ""},
+		{"invalid chunk size", post("17", chunked, "zz\r\nabc\r\n0\r\n\r\n"), 400, ""},
+		{"unsupported transfer encoding", post("18", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"), 501, ""},
 		{"head too long", post("19", "X-Long: "+strings.Repeat("h", 40_000)+"\r\n", ""), 431, ""},
 		{"HTTP/1.0 and chunks", strings.Replace(post("20", chunked, "0\r\n\r\n"), "HTTP/1.1", "HTTP/1.0", 1), 0, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for _, step := range []int{1 << 20, 777} { // at once, and in pieces
+			for _, step := range []int{1 << 20, 777} { // in one write, and in pieces
 				conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 				if err != nil {
 					t.Fatal(err)
@@ -357,7 +357,7 @@
 				for text := c.text; len(text) > 0; {
 					n := min(step, len(text))
 					if _, err := io.WriteString(conn, text[:n]); err != nil {
-						break // it may have been turned away by now
+						break // the agent may have refused it already
 					}
 					text = text[n:]
 				}
@@ -379,13 +379,13 @@
 	}
 }
 
-// Calls in one packet are answered in turn, also where a chunked one stands between others, and one with two ends is seen
-// behind them.
+// Pipelined calls are answered in order, also if some of them are chunked, and a call with an ambiguous end is detected behind
+// them.
 func TestPipelinedForms(t *testing.T) {
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(w, r.Body)
 	})
-	r := long(t, e)
+	r := startLong(t, e)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -410,19 +410,19 @@
 	}
 }
 
-// A slow body's time counts from its last byte, and one that stops coming is told so.
+// The time left of a call with a slow body counts from the last byte of the body. A body that stalls is answered with an error.
 func TestSlowBodies(t *testing.T) {
 	var counter testkit.Counter
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
-		if _, n, err := sum(r.Body); err == nil && n == r.ContentLength {
+		if _, n, err := hashAll(r.Body); err == nil && n == r.ContentLength {
 			counter.Add(r)
 		}
 	})
-	r := long(t, e)
+	r := startLong(t, e)
 	for i, c := range []struct{ size, pieces int }{{30_000, 3}, {150_000, 3}} {
 		id := fmt.Sprint("slow", i)
 		in, out := io.Pipe()
-		req := r.ask("pay", id, 0.25, "")
+		req := r.newRequest("pay", id, 0.25, "")
 		req.Body, req.ContentLength = in, int64(c.size)
 		go func() {
 			for range c.pieces {
@@ -449,37 +449,37 @@
 			t.Errorf("half of %d: %d", size, resp.StatusCode)
 		}
 		if counter.Of(fmt.Sprint("half", size)) != 0 {
-			t.Error("half a call ran")
+			t.Error("an incomplete call ran")
 		}
 	}
-	testkit.Eventually(t, "nothing is held", func() bool {
-		held, open := r.held()
+	testkit.Eventually(t, "no call remains", func() bool {
+		held, open := r.heldAndOpen()
 		return held == 0 && open == 0
 	})
 }
 
-// What is kept of a body can be sent to another server, from its first byte; where bytes are gone the call is refused,
-// since no attempt can have run.
+// A body that is still fully buffered can be sent to another server. Once its first bytes were dropped the call is refused, since
+// no attempt can have run.
 func TestLongBodiesAreSentAgainWhileTheyAreKept(t *testing.T) {
 	var counter testkit.Counter
 	for _, c := range []struct {
 		name       string
-		size, read int // what the first server reads before it turns the call away
+		size, read int // bytes that the first server reads before it rejects the call
 		want       int
 	}{{"kept", 400_000, 100_000, 200}, {"dropped", 8 << 20, 6 << 20, 503}} {
 		t.Run(c.name, func(t *testing.T) {
-			turned := false
+			rejected := false
 			var mu sync.Mutex
 			serve := func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
-				first := !turned
-				turned = true
+				first := !rejected
+				rejected = true
 				mu.Unlock()
 				if !first {
-					got, n, err := sum(r.Body)
-					want, _, _ := sum(newPattern(1, c.size, nil))
+					got, n, err := hashAll(r.Body)
+					want, _, _ := hashAll(newPattern(1, c.size, nil))
 					if err != nil || got != want {
-						t.Errorf("the second reads %d bytes, %v", n, err)
+						t.Errorf("the second server reads %d bytes, %v", n, err)
 					}
 					counter.Add(r)
 					return
@@ -495,12 +495,12 @@
 				io.Copy(io.Discard, conn)
 				conn.Close()
 			}
-			r := long(t, newBackend(t, "a", serve), newBackend(t, "b", serve))
+			r := startLong(t, newBackend(t, "a", serve), newBackend(t, "b", serve))
 			id := "again-" + c.name
-			req := r.ask("pay", id, 5, "")
-			// The client goes on when the first server has turned the call away.
+			req := r.newRequest("pay", id, 5, "")
+			// The client continues its upload once the first server has rejected the call.
 			hold := func() {
-				testkit.Eventually(t, "it was turned away", func() bool {
+				testkit.Eventually(t, "the call was rejected", func() bool {
 					return r.core.Snapshot().Stats.Results[choice.Rejected] > 0
 				})
 			}
@@ -509,7 +509,7 @@
 			}
 			req.Body, req.ContentLength = io.NopCloser(newPattern(1, c.size, hold)), int64(c.size)
 			resp, err := http.DefaultTransport.RoundTrip(req)
-			if err != nil { // the answer may come while the body is still sent, and the connection end with it
+			if err != nil { // the answer may arrive, and the connection be closed, while the body is still being sent
 				if c.want == 200 {
 					t.Fatal(err)
 				}
--- a/internal/agent/operate_test.go
+++ b/internal/agent/operate_test.go
@@ -15,8 +15,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// operate calls the second address of an agent.
-func (r *running) operate(t *testing.T, method, path string) (status int, body string) {
+// callOps sends a request to the operations address of an agent.
+func (r *runningAgent) callOps(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.Ops()+path, nil)
 	if err != nil {
@@ -25,10 +25,10 @@
 	return do(t, req)
 }
 
-// figure reads one figure.
-func (r *running) figure(t *testing.T, name string) (n int) {
+// counter reads one counter from the operations address.
+func (r *runningAgent) counter(t *testing.T, name string) (n int) {
 	t.Helper()
-	_, text := r.operate(t, http.MethodGet, "/control/counters")
+	_, text := r.callOps(t, http.MethodGet, "/control/counters")
 	for line := range strings.Lines(text) {
 		if rest, ok := strings.CutPrefix(line, name+" "); ok {
 			fmt.Sscan(rest, &n)
@@ -39,14 +39,15 @@
 	return 0
 }
 
-func (tr trial) operated(t *testing.T) *running {
+// startWithOps starts an agent with an operations address.
+func (tc testConfig) startWithOps(t *testing.T) *runningAgent {
 	t.Helper()
-	cfg := tr.config(t)
+	cfg := tc.config(t)
 	cfg.Ops = "127.0.0.1:0"
 	return start(t, cfg)
 }
 
-// Each call counts once, under its class and the end that its client saw; attempts count when they are written.
+// Each call is counted once, under its class and the result that its client saw; attempts are counted when they are written.
 func TestFiguresAreWhatPeersSaw(t *testing.T) {
 	var got atomic.Int64
 	gate := make(chan struct{})
@@ -59,9 +60,9 @@
 			<-gate
 		}
 	})
-	r := trial{known: []discovery.Entry{e}}.operated(t)
+	r := testConfig{known: []discovery.Entry{e}}.startWithOps(t)
 	send := func(class, id, facts string) int {
-		req := r.ask(class, id, 5, "")
+		req := r.newRequest(class, id, 5, "")
 		req.Header.Set("X-Facts", facts)
 		status, _ := do(t, req)
 		return status
@@ -74,27 +75,27 @@
 	}
 	var held sync.WaitGroup
 	held.Go(func() { send("check", "held", "hold") })
-	testkit.Eventually(t, "one is outstanding", func() bool { return r.figure(t, "svc_outstanding") == 1 })
+	testkit.Eventually(t, "one call is outstanding", func() bool { return r.counter(t, "svc_outstanding") == 1 })
 	for class, by := range seen {
 		for name, status := range map[string]int{"succeeded": 200, "declined": 503, "aborted": 502} {
-			testkit.Eventually(t, fmt.Sprintf("%s of %s is %d, as clients saw", name, class, by[status]), func() bool {
-				return r.figure(t, fmt.Sprintf("svc_%s{service=%q}", name, class)) == by[status]
+			testkit.Eventually(t, fmt.Sprintf("%s of %s is %d, as seen by clients", name, class, by[status]), func() bool {
+				return r.counter(t, fmt.Sprintf("svc_%s{service=%q}", name, class)) == by[status]
 			})
 		}
 	}
-	if n := r.figure(t, "svc_forwards"); n != int(got.Load()) {
-		t.Errorf("%d forwards, servers saw %d", n, got.Load())
+	if n := r.counter(t, "svc_forwards"); n != int(got.Load()) {
+		t.Errorf("%d forwards, servers received %d", n, got.Load())
 	}
-	if n := r.figure(t, "svc_discovered"); n != 1 {
+	if n := r.counter(t, "svc_discovered"); n != 1 {
 		t.Errorf("%d discovered", n)
 	}
 	close(gate)
 	held.Wait()
-	testkit.Eventually(t, "none is outstanding", func() bool { return r.figure(t, "svc_outstanding") == 0 })
+	testkit.Eventually(t, "no call is outstanding", func() bool { return r.counter(t, "svc_outstanding") == 0 })
 }
 
-// Out holds against every word of the list, and put back the server gets calls again, with its failures of before
-// forgotten.
+// A server that an operator took offline gets no calls whatever the list reports. Back online it gets calls again, and its
+// earlier failures are forgotten.
 func TestOutAndBackAgainstTheList(t *testing.T) {
 	var mu sync.Mutex
 	got := map[string]int{}
@@ -106,8 +107,8 @@
 		})
 	}
 	a, b := serve("a"), serve("b")
-	d := newRegistry(t, 7, a, b)
-	cfg := trial{known: []discovery.Entry{a, b}}.config(t)
+	d := newDiscoveryServer(t, 7, a, b)
+	cfg := testConfig{known: []discovery.Entry{a, b}}.config(t)
 	cfg.Ops, cfg.Discovery = "127.0.0.1:0", d.addr()
 	r := start(t, cfg)
 	load := func(n int, tag string) map[string]int {
@@ -115,7 +116,7 @@
 		clear(got)
 		mu.Unlock()
 		for i := range n {
-			if status, _ := do(t, r.ask("check", fmt.Sprint(tag, i), 5, "")); status != http.StatusOK {
+			if status, _ := do(t, r.newRequest("check", fmt.Sprint(tag, i), 5, "")); status != http.StatusOK {
 				t.Fatalf("%s: %d", tag, status)
 			}
 		}
@@ -123,45 +124,45 @@
 		defer mu.Unlock()
 		return map[string]int{"a": got["a"], "b": got["b"]}
 	}
-	word := func(id, what string, want int) {
+	override := func(id, action string, want int) {
 		t.Helper()
-		if status, _ := r.operate(t, http.MethodPost, "/control/backends/"+id+"/"+what); status != want {
-			t.Errorf("%s %s: %d, not %d", id, what, status, want)
+		if status, _ := r.callOps(t, http.MethodPost, "/control/backends/"+id+"/"+action); status != want {
+			t.Errorf("%s %s: %d, not %d", id, action, status, want)
 		}
 	}
-	word("nobody", "offline", 404)
-	word("nobody", "online", 404)
-	word("b", "online", 200) // was never out
-	word("a", "offline", 200)
-	word("a", "offline", 200)
-	testkit.Eventually(t, "it counts as ejected", func() bool { return r.figure(t, "svc_ejected") == 1 })
+	override("nobody", "offline", 404)
+	override("nobody", "online", 404)
+	override("b", "online", 200) // was never offline
+	override("a", "offline", 200)
+	override("a", "offline", 200)
+	testkit.Eventually(t, "the server counts as ejected", func() bool { return r.counter(t, "svc_ejected") == 1 })
 	restarted, moved, gone := a, a, a
 	restarted.StartedMS = time.Now().UnixMilli()
 	moved.StartedMS, moved.Cell = restarted.StartedMS, 2
 	gone.State = "terminated"
-	for i, say := range [][]discovery.Entry{nil, {a}, {restarted}, {moved}, {gone}, {a}} {
+	for i, entries := range [][]discovery.Entry{nil, {a}, {restarted}, {moved}, {gone}, {a}} {
 		version := int64(8 + i)
-		if say != nil {
-			d.changes <- discovery.List{Version: version, Servers: say}
-			d.changes <- discovery.List{Version: version} // taken only when the one before is written
+		if entries != nil {
+			d.changes <- discovery.List{Version: version, Servers: entries}
+			d.changes <- discovery.List{Version: version} // received only after the previous one has been written
 		}
 		if n := load(30, fmt.Sprint("out", i, "-")); n["a"] != 0 {
-			t.Errorf("after word %d of the list it got %d calls", i, n["a"])
+			t.Errorf("after update %d of the list the offline server got %d calls", i, n["a"])
 		}
 	}
-	word("a", "online", 200)
+	override("a", "online", 200)
 	if n := load(60, "back"); n["a"] == 0 {
-		t.Error("it got no call after it was put back")
+		t.Error("the server got no call after it was back online")
 	}
-	if n := r.figure(t, "svc_ejected"); n != 0 {
+	if n := r.counter(t, "svc_ejected"); n != 0 {
 		t.Errorf("%d ejected", n)
 	}
 }
 
-// A full load and callers that say nothing leave the second address its time.
+// The operations address answers quickly in spite of full load and of callers that send incomplete requests.
 func TestSecondAddressUnderFullLoad(t *testing.T) {
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {})
-	r := trial{known: []discovery.Entry{e}}.operated(t)
+	r := testConfig{known: []discovery.Entry{e}}.startWithOps(t)
 	for range 100 {
 		c, err := net.Dial("tcp", r.Ops())
 		if err != nil {
@@ -180,7 +181,7 @@
 					return
 				default:
 				}
-				resp, err := http.DefaultTransport.RoundTrip(r.ask("check", fmt.Sprint("load", n, "-", i), 5, ""))
+				resp, err := http.DefaultTransport.RoundTrip(r.newRequest("check", fmt.Sprint("load", n, "-", i), 5, ""))
 				if err == nil {
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
@@ -190,12 +191,12 @@
 	}
 	for range 20 {
 		begin := time.Now()
-		r.figure(t, "svc_forwards")
+		r.counter(t, "svc_forwards")
 		if took := time.Since(begin); took > time.Second {
 			t.Errorf("an answer after %v", took)
 		}
 	}
 	close(stop)
 	load.Wait()
-	testkit.Eventually(t, "the load is in the figures", func() bool { return r.figure(t, `svc_succeeded{service="check"}`) > 0 })
+	testkit.Eventually(t, "the load is counted", func() bool { return r.counter(t, `svc_succeeded{service="check"}`) > 0 })
 }
--- a/internal/agent/parity_test.go
+++ b/internal/agent/parity_test.go
@@ -11,24 +11,24 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// outcome is what is to come of a call.
+// outcome is the expected result of a call.
 type outcome struct {
 	kind       standin.Kind
-	deliveries int // over all servers
+	deliveries int // to all servers together
 }
 
 var (
-	servedAtOnce = outcome{standin.Served, 1}
-	servedAgain  = outcome{standin.Served, 2}
-	refusedOnce  = outcome{standin.Refused, 1}
-	failedOnce   = outcome{standin.Failed, 1}
+	servedFirst   = outcome{standin.Served, 1}
+	servedOnRetry = outcome{standin.Served, 2}
+	refusedOnce   = outcome{standin.Refused, 1}
+	failedOnce    = outcome{standin.Failed, 1}
 )
 
-// The same faults, through every protocol, must have the same outcomes: final answers, attempts, effects and times.
+// The same faults must have the same outcomes in every protocol: final answers, attempts, effects and times.
 func TestFaultsFareAlike(t *testing.T) {
 	const deadline = 700 * time.Millisecond
-	// mayHaveRun is what comes of a fault after which an attempt may have run.
-	mayHaveRun := map[standin.Method]outcome{standin.Check: servedAgain, standin.Record: servedAgain,
+	// mayHaveRun is the outcome of a fault after which the attempt may have run.
+	mayHaveRun := map[standin.Method]outcome{standin.Check: servedOnRetry, standin.Record: servedOnRetry,
 		standin.Pay: failedOnce}
 	same := func(o outcome) map[standin.Method]outcome {
 		return map[standin.Method]outcome{standin.Check: o, standin.Record: o, standin.Pay: o}
@@ -37,48 +37,48 @@
 		name      string
 		script    standin.Script
 		platform  standin.Platform
-		pods      int // that the two servers are in
+		pods      int // number of pods that hold the two servers
 		want      map[standin.Method]outcome
-		least     time.Duration // until the answer
-		most      time.Duration
+		least     time.Duration // minimum time until the answer
+		most      time.Duration // maximum time until the answer; 0 for no limit
 		noEffects bool
 	}{
-		{name: "none", pods: 1, want: same(servedAtOnce)},
-		{name: "turned away", script: standin.First(1, standin.Step{Fault: standin.Reject}), pods: 1, want: same(servedAgain)},
-		{name: "turned away, and elsewhere", script: standin.First(1, standin.Step{Fault: standin.Reject}), pods: 2,
+		{name: "none", pods: 1, want: same(servedFirst)},
+		{name: "rejected once", script: standin.First(1, standin.Step{Fault: standin.Reject}), pods: 1, want: same(servedOnRetry)},
+		{name: "rejected, with another pod", script: standin.First(1, standin.Step{Fault: standin.Reject}), pods: 2,
 			want: same(outcome{standin.Refused, 2}), platform: standin.Platform{MostTries: 2}, noEffects: true},
-		{name: "turned away always", script: standin.First(9, standin.Step{Fault: standin.Reject}), pods: 1,
+		{name: "always rejected", script: standin.First(9, standin.Step{Fault: standin.Reject}), pods: 1,
 			want: same(outcome{standin.Refused, 3}), noEffects: true},
 		{name: "error", script: standin.First(1, standin.Step{Fault: standin.Error}), pods: 1, want: mayHaveRun},
 		{name: "reset before", script: standin.First(1, standin.Step{Fault: standin.ResetBefore}), pods: 1, want: mayHaveRun},
-		{name: "reply cut", script: standin.First(1, standin.Step{Fault: standin.CutReply}), pods: 1, want: mayHaveRun},
-		{name: "reply trickles", script: standin.First(1, standin.Step{Fault: standin.Trickle}), pods: 1, want: same(servedAtOnce),
+		{name: "truncated reply", script: standin.First(1, standin.Step{Fault: standin.CutReply}), pods: 1, want: mayHaveRun},
+		{name: "slow reply", script: standin.First(1, standin.Step{Fault: standin.Trickle}), pods: 1, want: same(servedFirst),
 			least: 250 * time.Millisecond, most: 4 * time.Second},
 		{name: "spoilt", script: standin.First(1, standin.Step{Fault: standin.Spoilt}), pods: 1, want: mayHaveRun,
 			most: 2 * time.Second},
-		{name: "reply to another", script: standin.First(1, standin.Step{Fault: standin.WrongSeq}), pods: 1, want: mayHaveRun,
+		{name: "reply to another call", script: standin.First(1, standin.Step{Fault: standin.WrongSeq}), pods: 1, want: mayHaveRun,
 			most: 2 * time.Second},
 		{name: "reply of 2 GiB", script: standin.First(1, standin.Step{Fault: standin.HugeReply}), pods: 1, want: mayHaveRun,
 			most: 2 * time.Second},
-		{name: "reset after", script: standin.First(1, standin.Step{Fault: standin.ResetAfter}), pods: 1, want: same(servedAtOnce)},
-		{name: "two replies", script: standin.First(1, standin.Step{Fault: standin.TwoReplies}), pods: 1, want: same(servedAtOnce)},
+		{name: "reset after", script: standin.First(1, standin.Step{Fault: standin.ResetAfter}), pods: 1, want: same(servedFirst)},
+		{name: "two replies", script: standin.First(1, standin.Step{Fault: standin.TwoReplies}), pods: 1, want: same(servedFirst)},
 		{name: "silence", script: standin.First(9, standin.Step{Fault: standin.Silence}), pods: 1,
 			platform: standin.Platform{Deadline: deadline}, least: deadline - 20*time.Millisecond, most: 3 * deadline,
 			want: map[standin.Method]outcome{standin.Check: refusedOnce, standin.Record: failedOnce, standin.Pay: failedOnce}},
-		// What may have run is only sent again within its pod and window, and otherwise failed, never refused.
-		{name: "lost, with another pod", script: standin.First(9, standin.Step{Fault: standin.ResetBefore}), pods: 2,
+		// A call that may have run is retried only within its pod and deduplication window, and otherwise failed, never refused.
+		{name: "connection lost, with another pod", script: standin.First(9, standin.Step{Fault: standin.ResetBefore}), pods: 2,
 			want:     map[standin.Method]outcome{standin.Record: {standin.Failed, 2}, standin.Pay: failedOnce},
 			platform: standin.Platform{MostTries: 2}},
-		{name: "lost beyond the window", script: standin.First(1, standin.Step{Fault: standin.ResetBefore,
+		{name: "connection lost beyond the window", script: standin.First(1, standin.Step{Fault: standin.ResetBefore,
 			Delay: 100 * time.Millisecond}), pods: 1, platform: standin.Platform{Window: 50 * time.Millisecond},
-			want: map[standin.Method]outcome{standin.Check: servedAgain, standin.Record: failedOnce, standin.Pay: failedOnce}},
-		// Late by a little: the reply comes just as the deadline fires, or just after.
+			want: map[standin.Method]outcome{standin.Check: servedOnRetry, standin.Record: failedOnce, standin.Pay: failedOnce}},
+		// The reply arrives just as the deadline fires, or just after.
 		{name: "reply at the deadline", script: standin.First(9, standin.Step{Delay: deadline}), pods: 1,
 			platform: standin.Platform{Deadline: deadline}, want: nil, most: 3 * deadline},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for _, sp := range speeches {
+			for _, sp := range protocolVariants {
 				for m := standin.Check; m <= standin.Pay; m++ {
 					t.Run(fmt.Sprint(sp.name, " ", m), func(t *testing.T) {
 						t.Parallel()
@@ -86,12 +86,12 @@
 						if c.pods == 1 {
 							second = first
 						}
-						// Each in a world of its own: what the module has seen of a fault changes what it does next.
-						w := newWorld(t, sp, c.platform, nil,
+						// Each case has its own testbed: a fault that the choice module has seen changes its later decisions.
+						w := newTestbed(t, sp, c.platform, nil,
 							standin.Options{ID: "a", Pod: first, Cell: 1, Script: c.script},
 							standin.Options{ID: "b", Pod: second, Cell: c.pods, Script: c.script})
-						w.expect(t, ask(m, "first"), c.want[m], c.least, c.most, c.noEffects, c.want == nil)
-						w.atRest(t)
+						w.expect(t, newAsk(m, "first"), c.want[m], c.least, c.most, c.noEffects, c.want == nil)
+						w.waitIdle(t)
 					})
 				}
 			}
@@ -99,8 +99,9 @@
 	}
 }
 
-// expect makes one call and holds what comes of it against what is wanted.
-func (w *world) expect(t *testing.T, a standin.Ask, want outcome, least, most time.Duration, noEffects, either bool) {
+// expect makes one call and compares its outcome with want. With either, any outcome passes except a lost or rejected call, and
+// there must be exactly one delivery.
+func (w *testbed) expect(t *testing.T, a standin.Ask, want outcome, least, most time.Duration, noEffects, either bool) {
 	t.Helper()
 	got := w.kiosk.Ask(a)
 	effects, deliveries := w.effects(a), w.deliveries(a.ID)
@@ -127,20 +128,20 @@
 	}
 }
 
-// A refusal says when to come back, in every protocol, and comes at once.
+// A refusal is immediate and carries a retry delay, in every protocol.
 func TestRefusalSaysWhenAlike(t *testing.T) {
-	for _, sp := range speeches {
-		w := newWorld(t, sp, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
-		got := w.kiosk.Ask(ask(standin.Pay, "id"))
+	for _, sp := range protocolVariants {
+		w := newTestbed(t, sp, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
+		got := w.kiosk.Ask(newAsk(standin.Pay, "id"))
 		if got.Kind != standin.Refused || got.RetryAfter != 300*time.Millisecond || got.Took > 2*time.Second {
-			t.Errorf("%s: %s, to come back after %v, told after %v", sp.name, got.Kind, got.RetryAfter, got.Took)
+			t.Errorf("%s: %s, retry after %v, answered after %v", sp.name, got.Kind, got.RetryAfter, got.Took)
 		}
 	}
 }
 
-// From the end of its grace on a server that drains gets nothing new, while what it has is answered.
+// After the grace period a draining server gets no new calls, and the calls that it has are answered.
 func TestDrainFaresAlike(t *testing.T) {
-	for _, sp := range speeches {
+	for _, sp := range protocolVariants {
 		t.Run(sp.name, func(t *testing.T) {
 			t.Parallel()
 			pod := standin.NewPod()
@@ -151,54 +152,54 @@
 				}
 				return standin.Step{}
 			}
-			w := newWorld(t, sp, standin.Platform{}, nil, standin.Options{ID: "a", Pod: pod, Cell: 1, Script: script})
+			w := newTestbed(t, sp, standin.Platform{}, nil, standin.Options{ID: "a", Pod: pod, Cell: 1, Script: script})
 			held := make(chan standin.Answer, 1)
-			go func() { held <- w.kiosk.Ask(ask(standin.Pay, "held")) }()
-			testkit.Eventually(t, "it is under way", func() bool { return w.deliveries("held") == 1 })
+			go func() { held <- w.kiosk.Ask(newAsk(standin.Pay, "held")) }()
+			testkit.Eventually(t, "the call is in flight", func() bool { return w.deliveries("held") == 1 })
 			w.servers[0].Drain()
 			w.list.Tell(w.servers[0].Entry())
-			testkit.Eventually(t, "the agent knows", func() bool { return len(w.core.Snapshot().Servers) == 0 })
-			if got := w.kiosk.Ask(ask(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
+			testkit.Eventually(t, "the agent has the update", func() bool { return len(w.core.Snapshot().Servers) == 0 })
+			if got := w.kiosk.Ask(newAsk(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
 				t.Errorf("a new call was %s after %d deliveries", got.Kind, w.deliveries("new"))
 			}
 			close(hold)
 			if got := <-held; got.Kind != standin.Served {
-				t.Errorf("the one under way was %s: %v", got.Kind, got.Err)
+				t.Errorf("the call in flight was %s: %v", got.Kind, got.Err)
 			}
 			if n := w.servers[0].Late(); n != 0 {
-				t.Errorf("%d calls came after the drain", n)
+				t.Errorf("%d calls arrived after the drain", n)
 			}
-			w.atRest(t)
-			testkit.Eventually(t, "its connections are closed", func() bool { return w.connections() == 0 })
+			w.waitIdle(t)
+			testkit.Eventually(t, "the server's connections are closed", func() bool { return w.serverConns() == 0 })
 		})
 	}
 }
 
-// An ending agent answers what it took, on every front.
+// During shutdown an agent answers all calls that it received, on every front.
 func TestEndsGentlyAlike(t *testing.T) {
-	for _, sp := range speeches {
+	for _, sp := range protocolVariants {
 		t.Run(sp.name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			w := newWorld(t, sp, standin.Platform{}, nil, standin.Options{ID: "a",
+			w := newTestbed(t, sp, standin.Platform{}, nil, standin.Options{ID: "a",
 				Script: func(standin.Call) standin.Step { return standin.Step{Until: release} }})
 			var all sync.WaitGroup
 			for i := range 5 {
 				all.Go(func() {
-					if got := w.kiosk.Ask(ask(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
+					if got := w.kiosk.Ask(newAsk(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
 						t.Errorf("%s: %v", got.Kind, got.Err)
 					}
 				})
 			}
-			testkit.Eventually(t, "all are under way", func() bool { _, open := w.held(); return open == 5 })
-			w.end()
+			testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 5 })
+			w.stop()
 			if got := make(chan standin.Answer, 1); true {
-				go func() { got <- w.kiosk.Ask(ask(standin.Pay, "after")) }()
-				testkit.Eventually(t, "one more is under way", func() bool { return w.deliveries("after") == 1 })
-				time.Sleep(shutdown.Plan(w.cfg.LongestDeadline(), false).Accept + 50*time.Millisecond) // all are to outlast the time of accepting
+				go func() { got <- w.kiosk.Ask(newAsk(standin.Pay, "after")) }()
+				testkit.Eventually(t, "one more call is in flight", func() bool { return w.deliveries("after") == 1 })
+				time.Sleep(shutdown.Plan(w.cfg.LongestDeadline(), false).Accept + 50*time.Millisecond) // all calls must outlast the accept phase
 				close(release)
 				if ans := <-got; ans.Kind != standin.Served {
-					t.Errorf("one that came while the agent ends was %s: %v", ans.Kind, ans.Err)
+					t.Errorf("a call that arrived during shutdown was %s: %v", ans.Kind, ans.Err)
 				}
 			}
 			all.Wait()
@@ -208,15 +209,15 @@
 					t.Error(err)
 				}
 			case <-time.After(testkit.Patience):
-				t.Error("the agent goes on")
+				t.Error("the agent is still running")
 			}
 		})
 	}
 }
 
-// A fleet may hold both kinds: each call goes to servers that speak as it does, and only there.
+// A fleet may mix HTTP and Thrift servers: each call goes only to servers that speak its protocol.
 func TestMixedFleet(t *testing.T) {
-	w := newWorld(t, speeches[0], standin.Platform{}, nil, standin.Options{ID: "h", Protocol: "http"},
+	w := newTestbed(t, protocolVariants[0], standin.Platform{}, nil, standin.Options{ID: "h", Protocol: "http"},
 		standin.Options{ID: "b", Protocol: "thrift-binary"}, standin.Options{ID: "c", Protocol: "thrift-compact"},
 		standin.Options{ID: "t", Protocol: "thrift"})
 	for i, c := range []struct{ kiosk, never, never2 string }{{"http", "", ""}, {"thrift-binary", "h", "c"},
@@ -231,7 +232,7 @@
 		}
 		defer k.Close()
 		for j := range 20 {
-			a := ask(standin.Record, fmt.Sprint(i, "-", j))
+			a := newAsk(standin.Record, fmt.Sprint(i, "-", j))
 			if got := k.Ask(a); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", c.kiosk, got.Kind, got.Err)
 			}
@@ -243,7 +244,7 @@
 			}
 		}
 	}
-	if s := w.core.Snapshot().Stats; s.Attempts != 60 { // one that went astray would have been made again
+	if s := w.core.Snapshot().Stats; s.Attempts != 60 { // an attempt at the wrong server would have been retried
 		t.Errorf("%d attempts for 60 calls", s.Attempts)
 	}
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,17 +9,18 @@
 	"ternbeam/internal/sysio/transient"
 )
 
-// reloadWithin is how long a changed configuration may fail to be read. What the new discovery has to tell binds 4 s after SIGHUP.
+// reloadTimeout is how long reading a changed configuration is retried. Lists of the new discovery service must be in effect 4 s
+// after SIGHUP.
 const reloadWithin = 3 * time.Second
 
-// reloads is the latest reload. One that is under way when the next begins is given up: the next reads the same files.
+// reloads holds the latest reload. A new reload cancels one that is still in progress, since it reads the same files.
 type reloads struct {
-	mu     sync.Mutex // held while files are read and what they say is put in use
+	mu     sync.Mutex // held while files are read and applied
 	cancel context.CancelFunc
 }
 
-// reload reads the configuration again, in the background: discovery may have moved, and shapes may have changed. Files that can't be
-// read, or are being written just now, are read again for a while; after that they change nothing.
+// reload reads the configuration again in the background: the address of discovery and the shapes may have changed. Files that
+// can't be read, or are half written, are retried for reloadTimeout; after that the old configuration stays in effect.
 func (a *Agent) reload(work context.Context) {
 	a.reloads.mu.Lock()
 	defer a.reloads.mu.Unlock()
@@ -34,25 +35,26 @@
 	go a.reloadPart(ctx, "keeping the old configuration", func() error { return a.reloadDiscovery(work) })
 }
 
-// reloadPart reloads one file until it succeeds, a later reload begins, or its time is over.
-func (a *Agent) reloadPart(ctx context.Context, failed string, read func() error) {
+// reloadPart retries one part of a reload until it succeeds, a later reload begins, or ctx times out. It logs failureMsg on a
+// timeout.
+func (a *Agent) reloadPart(ctx context.Context, failureMsg string, read func() error) {
 	failures := 0
 	err := transient.Until(ctx, func() error {
 		a.reloads.mu.Lock()
 		defer a.reloads.mu.Unlock()
 		if ctx.Err() != nil {
-			return nil // a later reload is under way, or the agent ends
+			return nil // a later reload is in progress, or the agent is shutting down
 		}
 		return read()
 	}, transient.TellingFirst(func(err error) {
 		a.log.Warn("reading the configuration failed, trying again", "error", err)
 	}, func(error) bool { failures++; return true }))
 	if err != nil && ctx.Err() != context.Canceled {
-		a.log.Error(failed, "error", err, "failures", failures)
+		a.log.Error(failureMsg, "error", err, "failures", failures)
 	}
 }
 
-// reloadShapes puts the shapes of the file in use.
+// reloadShapes reads the shapes and replaces the current ones.
 func (a *Agent) reloadShapes(ctx context.Context) error {
 	set, err := a.shapes()
 	if err != nil {
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// reloadDiscovery follows the discovery that the file names now, for as long as the agent works.
+// reloadDiscovery switches to the discovery address in the configuration file. work lasts as long as the agent runs.
 func (a *Agent) reloadDiscovery(work context.Context) error {
 	addr, err := a.cfg.NewDiscovery()
 	if err != nil {
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -21,8 +21,9 @@
 	"ternbeam/internal/settings/sourceconf"
 )
 
-// trials is how often each drain is tried; more by the environment, for the table in docs/design/membership.md.
-func trials(t *testing.T, usual int) int {
+// drainTrials returns how many drains to measure: usual, or TERNBEAM_TRIALS from the environment, which is used for the table in
+// docs/design/membership.md.
+func drainTrials(t *testing.T, usual int) int {
 	t.Helper()
 	if text := os.Getenv("TERNBEAM_TRIALS"); text != "" {
 		n, err := strconv.Atoi(text)
@@ -34,18 +35,18 @@
 	return usual
 }
 
-// sourced is an agent whose servers come from a list and from SRV records.
-type sourced struct {
-	*world
-	names *standin.Names
-	sp    speech
+// dnsTestbed is a testbed whose agent gets its servers from a list and from SRV records.
+type dnsTestbed struct {
+	*testbed
+	names   *standin.Names
+	variant protocolVariant
 }
 
-// records are those of the servers but for some.
-func (s *sourced) records(but ...string) (all []string) {
+// records returns the DNS records of all servers except those with the given ids.
+func (s *dnsTestbed) records(except ...string) (all []string) {
 	for _, server := range s.servers {
 		e := server.Entry()
-		if slices.Contains(but, e.ID) {
+		if slices.Contains(except, e.ID) {
 			continue
 		}
 		at := netip.MustParseAddrPort(e.Addr)
@@ -55,7 +56,7 @@
 	return all
 }
 
-func newSourced(t *testing.T, sp speech, servers ...standin.Options) *sourced {
+func newDNSTestbed(t *testing.T, sp protocolVariant, servers ...standin.Options) *dnsTestbed {
 	t.Helper()
 	list, err := standin.NewList()
 	if err != nil {
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(names.Close)
-	s := &sourced{world: &world{list: list}, names: names, sp: sp}
+	s := &dnsTestbed{testbed: &testbed{list: list}, names: names, variant: sp}
 	for _, o := range servers {
 		s.add(t, o)
 	}
@@ -97,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.running = run(t, a, cfg)
+	s.runningAgent = runAgent(t, a, cfg)
 	addr := s.thrift
 	if sp.protocol == "http" {
 		addr = cfg.Listen
@@ -109,9 +110,9 @@
 	return s
 }
 
-func (s *sourced) add(t *testing.T, o standin.Options) *standin.Server {
+func (s *dnsTestbed) add(t *testing.T, o standin.Options) *standin.Server {
 	t.Helper()
-	o.Protocol, o.Multiplexed = s.sp.protocol, s.sp.multiplexed
+	o.Protocol, o.Multiplexed = s.variant.protocol, s.variant.multiplexed
 	server, err := standin.Start(o)
 	if err != nil {
 		t.Fatal(err)
@@ -122,15 +123,16 @@
 	return server
 }
 
-// A server reported draining by the list, or taken out of the SRV records, gets no new work 500 ms after the agent was
-// told, while calls come all the time: on every protocol. When it was told is what the list and the name server saw.
+// A server that the list reports as draining, or that is removed from the SRV records, gets no new calls from 500 ms after the
+// agent was notified, under constant load and in every protocol. The time of notification is taken from the list service and the
+// name server.
 func TestDrainByEitherSource(t *testing.T) {
-	for _, sp := range speeches {
+	for _, sp := range protocolVariants {
 		for _, by := range []string{"list", "srv"} {
 			t.Run(sp.name+"/"+by, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
-				last := map[string]time.Time{} // when each server last got something new
+				last := map[string]time.Time{} // when each server last got a new call
 				options := func(id string) standin.Options {
 					return standin.Options{ID: id, Script: func(standin.Call) standin.Step {
 						mu.Lock()
@@ -139,7 +141,7 @@
 						return standin.Step{}
 					}}
 				}
-				s := newSourced(t, sp, options("stays-0"), options("stays-1"), options("stays-2"), options("stays-3"))
+				s := newDNSTestbed(t, sp, options("stays-0"), options("stays-1"), options("stays-2"), options("stays-3"))
 				ctx, cancel := context.WithCancel(context.Background())
 				var kiosks sync.WaitGroup
 				defer kiosks.Wait()
@@ -148,7 +150,7 @@
 				for k := range 4 {
 					kiosks.Go(func() {
 						for i := 0; ctx.Err() == nil; i++ {
-							a := ask(standin.Check, fmt.Sprintf("k%d-%d", k, i))
+							a := newAsk(standin.Check, fmt.Sprintf("k%d-%d", k, i))
 							if s.kiosk.Ask(a).Kind == standin.Served {
 								served.Add(1)
 							}
@@ -156,40 +158,40 @@
 					})
 				}
 				var took []time.Duration
-				for n := range trials(t, 3) {
+				for n := range drainTrials(t, 3) {
 					id := fmt.Sprint("drains-", n)
 					server := s.add(t, options(id))
 					if err := s.names.Set(s.records()...); err != nil {
 						t.Fatal(err)
 					}
-					testkit.Eventually(t, "it gets work, and both sources have named it", func() bool {
+					testkit.Eventually(t, "the server gets calls, and both sources have named it", func() bool {
 						mu.Lock()
 						defer mu.Unlock()
-						return !last[id].IsZero() && s.names.Named(id+".example.org.") > 3 // its addresses are asked for after the first
+						return !last[id].IsZero() && s.names.Named(id+".example.org.") > 3 // its addresses are queried after the SRV records
 					})
-					var told time.Time
+					var notified time.Time
 					if by == "list" {
 						e := server.Entry()
 						e.State = "terminating"
-						told = time.Now()
+						notified = time.Now()
 						s.list.Tell(e)
 					} else {
 						if err := s.names.Set(s.records(id)...); err != nil {
 							t.Fatal(err)
 						}
-						testkit.Eventually(t, "it is told by SRV", func() (ok bool) {
-							told, ok = s.names.Withdrawn(id + ".example.org.")
+						testkit.Eventually(t, "the SRV records without the server were sent", func() (ok bool) {
+							notified, ok = s.names.Withdrawn(id + ".example.org.")
 							return ok
 						})
 					}
-					before := served.Load() // from when on no work has come for long, by the work that others got
-					testkit.Eventually(t, "work goes on", func() bool { return served.Load() > before+200 && time.Since(told) > 600*time.Millisecond })
+					before := served.Load() // the other servers must get many more calls before the check
+					testkit.Eventually(t, "calls are still served", func() bool { return served.Load() > before+200 && time.Since(notified) > 600*time.Millisecond })
 					mu.Lock()
-					late := last[id].Sub(told)
+					late := last[id].Sub(notified)
 					mu.Unlock()
 					took = append(took, late)
 					if late > 500*time.Millisecond {
-						t.Errorf("trial %d: new work %v after it was told", n, late)
+						t.Errorf("trial %d: new call %v after the notification", n, late)
 					}
 					e := server.Entry()
 					e.State = "terminated"
@@ -201,16 +203,16 @@
 					server.Close()
 				}
 				slices.Sort(took)
-				t.Logf("%d trials: new work till %v (p50), %v (worst) after it was told", len(took), took[len(took)/2], took[len(took)-1])
+				t.Logf("%d trials: last new call %v (p50), %v (worst) after the notification", len(took), took[len(took)/2], took[len(took)-1])
 			})
 		}
 	}
 }
 
-// The list is out of reach and the fleet is replaced: the agent follows the SRV records.
+// If the list service is down and the fleet is replaced, the agent follows the SRV records.
 func TestListDownAndFleetReplaced(t *testing.T) {
-	s := newSourced(t, speeches[0], standin.Options{ID: "a"}, standin.Options{ID: "b"})
-	served := func(id string) bool { return s.kiosk.Ask(ask(standin.Check, id)).Kind == standin.Served }
+	s := newDNSTestbed(t, protocolVariants[0], standin.Options{ID: "a"}, standin.Options{ID: "b"})
+	served := func(id string) bool { return s.kiosk.Ask(newAsk(standin.Check, id)).Kind == standin.Served }
 	if !served("first") {
 		t.Fatal("not served at first")
 	}
@@ -232,10 +234,10 @@
 		server.Close()
 	}
 	n := 0
-	testkit.Eventually(t, "it is served by the new ones", func() bool { n++; return served(fmt.Sprint("then-", n)) })
+	testkit.Eventually(t, "a call is served by the new servers", func() bool { n++; return served(fmt.Sprint("then-", n)) })
 }
 
-// blackhole is an address at which dials hang: its listener's queue is full.
+// blackhole returns an address on which dials hang, since its listener's accept queue is full.
 func blackhole(t *testing.T, ip string) string {
 	t.Helper()
 	family, addr := syscall.AF_INET, syscall.Sockaddr(&syscall.SockaddrInet4{Addr: netip.MustParseAddr("127.0.0.1").As4()})
@@ -266,7 +268,7 @@
 		port = a.Port
 	}
 	at := net.JoinHostPort(ip, strconv.Itoa(port))
-	for range 8 { // until one hangs
+	for range 8 { // until a dial hangs
 		c, err := net.DialTimeout("tcp", at, 100*time.Millisecond)
 		if err != nil {
 			return at
@@ -277,8 +279,8 @@
 	return ""
 }
 
-// several starts an agent whose list names one server under several addresses, and a kiosk.
-func several(t *testing.T, sp speech, server *standin.Server, addrs []string, p standin.Platform) (*running, standin.Kiosk) {
+// startWithAddresses starts an agent whose list names one server with several addresses, and a kiosk.
+func startWithAddresses(t *testing.T, sp protocolVariant, server *standin.Server, addrs []string, p standin.Platform) (*runningAgent, standin.Kiosk) {
 	t.Helper()
 	e := server.Entry()
 	e.Addr, e.Addrs = addrs[0], addrs
@@ -292,7 +294,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := startWith(t, cfg, service)
+	r := startWithThrift(t, cfg, service)
 	addr := r.thrift
 	if sp.protocol == "http" {
 		addr = cfg.Listen
@@ -305,10 +307,10 @@
 	return r, kiosk
 }
 
-// A server with a Unix socket, an IPv6 and an IPv4 address, each kind dead in turn, and all: every call is served by those
-// that are left, at one delivery an attempt; and only dials race.
+// A server has a Unix socket, an IPv6 and an IPv4 address, of which one or several are dead: every call is served through the
+// working addresses, with one delivery per attempt, since only dials race.
 func TestAddressesBlackholed(t *testing.T) {
-	for _, sp := range speeches[:3] {
+	for _, sp := range protocolVariants[:3] {
 		for _, dead := range [][]string{nil, {"unix"}, {"ipv6"}, {"ipv4"}, {"unix", "ipv6"}, {"unix", "ipv6", "ipv4"}} {
 			t.Run(fmt.Sprint(sp.name, dead), func(t *testing.T) {
 				t.Parallel()
@@ -317,7 +319,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(server.Close)
-				dir, err := os.MkdirTemp("", "tb") // the path of a socket must be short
+				dir, err := os.MkdirTemp("", "tb") // a socket path must be short
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -330,13 +332,13 @@
 				if slices.Contains(dead, "ipv6") {
 					addrs[1] = blackhole(t, "::1")
 				}
-				if !slices.Contains(dead, "unix") { // or its path is not there
+				if !slices.Contains(dead, "unix") { // otherwise the path does not exist
 					forward(t, "unix", path, server.Addr())
 				}
-				_, kiosk := several(t, sp, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
+				_, kiosk := startWithAddresses(t, sp, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
 				methods := []standin.Method{standin.Check, standin.Record, standin.Pay}
 				for i := range 6 {
-					a := ask(methods[i%3], fmt.Sprint("c", i))
+					a := newAsk(methods[i%3], fmt.Sprint("c", i))
 					a.Left = 2500 * time.Millisecond
 					got := kiosk.Ask(a)
 					if want := len(dead) < 3; (got.Kind == standin.Served) != want {
@@ -354,10 +356,10 @@
 	}
 }
 
-// The dial to the first address succeeds and the reply stalls: nothing goes by way of another address unless the module
-// orders an attempt, and of a call that must not run twice none ever does.
+// If the dial to the first address succeeds and the reply stalls, nothing is sent to another address unless the choice module
+// orders a retry, which it never does for a call that must not run twice.
 func TestStalledReply(t *testing.T) {
-	for _, sp := range speeches[:3] {
+	for _, sp := range protocolVariants[:3] {
 		for _, method := range []standin.Method{standin.Record, standin.Pay} {
 			t.Run(fmt.Sprint(sp.name, method), func(t *testing.T) {
 				t.Parallel()
@@ -366,28 +368,28 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(server.Close)
-				swallows, err := net.Listen("tcp", "[::1]:0") // takes all and answers nothing: the call may have run
+				silent, err := net.Listen("tcp", "[::1]:0") // accepts everything and never answers: the call may have run
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Cleanup(func() { swallows.Close() })
+				t.Cleanup(func() { silent.Close() })
 				go func() {
 					for {
-						c, err := swallows.Accept()
+						c, err := silent.Accept()
 						if err != nil {
 							return
 						}
 						t.Cleanup(func() { c.Close() })
 					}
 				}()
-				r, kiosk := several(t, sp, server, []string{server.Addr(), swallows.Addr().String()},
+				r, kiosk := startWithAddresses(t, sp, server, []string{server.Addr(), silent.Addr().String()},
 					standin.Platform{Deadline: 700 * time.Millisecond, Window: 300 * time.Millisecond})
-				a := ask(method, "stalls")
+				a := newAsk(method, "stalls")
 				a.Left = 700 * time.Millisecond
 				if got := kiosk.Ask(a); got.Kind != standin.Failed {
 					t.Errorf("%v, %v", got.Kind, got.Err)
 				}
-				testkit.Eventually(t, "the agent is at rest", func() bool { return r.Snapshot().Held == 0 })
+				testkit.Eventually(t, "the agent is idle", func() bool { return r.Snapshot().Held == 0 })
 				if n := server.Accepted(); n != 0 {
 					t.Errorf("the second address got %d connections", n)
 				}
@@ -396,7 +398,7 @@
 	}
 }
 
-// forward passes what comes at another address on to a server.
+// forward listens on an address and proxies its connections to a server.
 func forward(t *testing.T, network, addr, to string) string {
 	t.Helper()
 	l, err := net.Listen(network, addr)
@@ -417,20 +419,20 @@
 					return
 				}
 				defer s.Close()
-				go pass(s, c)
-				pass(c, s)
+				go copyConn(s, c)
+				copyConn(c, s)
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-func pass(to, from net.Conn) {
-	room := make([]byte, 4<<10)
+func copyConn(to, from net.Conn) {
+	buf := make([]byte, 4<<10)
 	for {
-		n, err := from.Read(room)
+		n, err := from.Read(buf)
 		if n > 0 {
-			if _, err := to.Write(room[:n]); err != nil {
+			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
 		}
--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -21,39 +21,40 @@
 )
 
 const (
-	claimName = "ternbeam.sock"
-	// longestPath is what the name of a Unix socket may have, with the number of a process behind it.
-	longestPath = 90
+	socketName = "ternbeam.sock"
+	// maxPathLen is the maximum length of the path in bytes: with a process id appended it must still fit a Unix socket address.
+	maxPathLen = 90
 )
 
-// line is the part of an Agent that is about the processes before and after it.
-type line struct {
-	path string          // where claims are made; empty where this process is never replaced
-	heir *successor.Heir // what this process has from the one before; nil where it began from nothing
+// handoverState is what an Agent knows of the processes that it replaces and that replace it.
+type handoverState struct {
+	claimPath string          // socket on which a replacing process claims the state; empty if this process can't be replaced
+	received  *successor.Heir // what the previous process handed over; nil if there was none
 
-	mu      sync.Mutex
-	beside  int           // processes that serve beside this one
-	younger int           // those of them that have taken over from this one
-	again   chan struct{} // says that none of them is left: claims are to come here again
-	others  map[*successor.Link]*core.Other
+	mu          sync.Mutex
+	concurrent  int           // other processes that serve at the same time
+	successors  int           // those of them that replace this one
+	reoffer     chan struct{} // signals that no successor is left, so this process offers its state again
+	subscribers map[*successor.Link]*core.Other
 }
 
-// socketPath returns the path of the Unix socket in a folder: by the folder's descriptor, which stays open, where its name is too long for one.
+// socketPath returns the path of the Unix socket in a folder. If the path is too long for a socket address, it opens the folder
+// and returns a path through the descriptor, which stays open.
 func socketPath(folder string) (string, error) {
-	path := filepath.Join(folder, claimName)
-	if len(path) <= longestPath {
+	path := filepath.Join(folder, socketName)
+	if len(path) <= maxPathLen {
 		return path, nil
 	}
-	opened, err := unix.Open(folder, unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
+	dirFD, err := unix.Open(folder, unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
 	if err != nil {
 		return "", &os.PathError{Op: "open", Path: folder, Err: err}
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", opened, claimName), nil
+	return fmt.Sprintf("/proc/self/fd/%d/%s", dirFD, socketName), nil
 }
 
-// claim asks whoever serves under this agent's name for what it leaves. Where that is nobody, or not to be had, the agent
-// starts plainly.
-func (a *Agent) claim(shared string) {
+// claimState requests the state and listeners of the process that serves under this agent's name. If there is none, or the
+// request fails, the agent starts without them.
+func (a *Agent) claimState(shared string) {
 	if shared == "" || a.cfg.Ops == "" {
 		return
 	}
@@ -62,8 +63,8 @@
 		a.log.Warn("the shared folder can't be opened: a replacement begins from nothing", "error", err)
 		return
 	}
-	a.line.path = path
-	heir, err := successor.Claim(path, a.cfg.Name)
+	a.handover.claimPath = path
+	received, err := successor.Claim(path, a.cfg.Name)
 	switch {
 	case errors.Is(err, successor.ErrNobody):
 		return
@@ -71,78 +72,78 @@
 		a.log.Warn("starting from nothing, as what was left can't be had", "error", err)
 		return
 	}
-	a.line.heir = heir
+	a.handover.received = received
 	var list discovery.List
-	if json.Unmarshal(heir.State.List, &list) == nil && len(list.Servers) > 0 {
-		if heir.State.Discovery != a.cfg.Discovery {
-			list.Version = discovery.Unknown // counted otherwise
+	if json.Unmarshal(received.State.List, &list) == nil && len(list.Servers) > 0 {
+		if received.State.Discovery != a.cfg.Discovery {
+			list.Version = discovery.Unknown // another discovery service numbers its versions differently
 		}
 		list.Full = true
 		a.cfg.Known = list
 	}
-	a.log.Info("replacing another process", "servers", len(list.Servers), "out", len(heir.State.Said.Out), "listeners", len(heir.Listeners))
+	a.log.Info("replacing another process", "servers", len(list.Servers), "out", len(received.State.Said.Out), "listeners", len(received.Listeners))
 }
 
-// inheritance is what the core begins with; nil where that is nothing.
-func (l *line) inheritance() *core.Inheritance {
-	if l.heir == nil {
+// inheritedState returns the state that the core starts with, or nil if nothing was handed over.
+func (l *handoverState) inheritedState() *core.Inheritance {
+	if l.received == nil {
 		return nil
 	}
-	return &core.Inheritance{Said: l.heir.State.Said, Learned: l.heir.State.Learned}
+	return &core.Inheritance{Said: l.received.State.Said, Learned: l.received.State.Learned}
 }
 
-// inherited returns the listener that was left for an address, or nil.
-func (l *line) inherited(addr string) *net.TCPListener {
-	if l.heir == nil {
+// inheritedListener returns the listener that was handed over for an address, or nil, and passes its ownership to the caller.
+func (l *handoverState) inheritedListener(addr string) *net.TCPListener {
+	if l.received == nil {
 		return nil
 	}
-	for i, left := range l.heir.Listeners {
-		if left != nil && left.Addr().String() == addr {
-			l.heir.Listeners[i] = nil
-			return left
+	for i, listener := range l.received.Listeners {
+		if listener != nil && listener.Addr().String() == addr {
+			l.received.Listeners[i] = nil
+			return listener
 		}
 	}
 	return nil
 }
 
-// succeed tells and hears the process before this one, for as long as both live, and lets the next one claim once this
-// one takes clients. It returns what ends that.
-func (a *Agent) succeed(ctx context.Context) (end func()) {
-	if a.line.path == "" {
+// runHandover exchanges updates with the previous process as long as both run, and lets the next process claim the state once
+// this one is ready for clients. The returned function stops offering the state.
+func (a *Agent) runHandover(ctx context.Context) (end func()) {
+	if a.handover.claimPath == "" {
 		return func() {}
 	}
-	if heir := a.line.heir; heir != nil {
-		for _, l := range heir.Listeners { // for addresses at which this one does not listen
+	if received := a.handover.received; received != nil {
+		for _, l := range received.Listeners { // those for addresses on which this process does not listen
 			if l != nil {
 				l.Close()
 			}
 		}
-		before := a.core.Join(heir.Link.Say)
-		a.share(1, 0)
+		previous := a.core.Join(received.Link.Say)
+		a.processesChanged(1, 0)
 		go func() {
-			heir.Link.Run(func(n succession.News) { a.core.Hear(ctx, n, before) })
-			a.core.Part(before)
-			a.share(-1, 0)
+			received.Link.Run(func(n succession.News) { a.core.Hear(ctx, n, previous) })
+			a.core.Part(previous)
+			a.processesChanged(-1, 0)
 			a.log.Info("the process before is gone")
 		}()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	a.line.again = make(chan struct{}, 1)
+	a.handover.reoffer = make(chan struct{}, 1)
 	go func() {
 		select {
 		case <-a.core.Ready():
 		case <-ctx.Done():
 			return
 		}
-		for ctx.Err() == nil { // one that took the path over and is gone has left nobody there
-			offer := a.offer(ctx)
+		for ctx.Err() == nil { // again after a successor has exited: it took over the path, so nobody listens there now
+			offer := a.newOffer(ctx)
 			if offer == nil {
 				return
 			}
-			go offer.Serve(a.leave, a.linked)
+			go offer.Serve(a.handOver, a.serveSuccessor)
 			select {
 			case <-ctx.Done():
-			case <-a.line.again:
+			case <-a.handover.reoffer:
 			}
 			offer.Close()
 		}
@@ -150,10 +151,11 @@
 	return cancel
 }
 
-// offer lets the next process claim, as soon as the shared folder allows. It returns nil where ctx ends before.
-func (a *Agent) offer(ctx context.Context) (offer *successor.Offer) {
+// newOffer offers the state to the next process, and retries until the socket can be opened in the shared folder. It returns nil
+// if ctx is canceled first.
+func (a *Agent) newOffer(ctx context.Context) (offer *successor.Offer) {
 	transient.Until(ctx, func() (err error) {
-		offer, err = successor.NewOffer(a.line.path, a.cfg.Name, a.log)
+		offer, err = successor.NewOffer(a.handover.claimPath, a.cfg.Name, a.log)
 		return err
 	}, transient.TellingFirst(func(err error) {
 		a.log.Warn("until this succeeds a replacement begins from nothing, trying again", "error", err)
@@ -161,65 +163,66 @@
 	return offer
 }
 
-// leave is what the next process gets.
-func (a *Agent) leave(l *successor.Link) (succession.State, []*net.TCPListener, error) {
+// handOver returns the state and listeners for the next process, and subscribes it to updates.
+func (a *Agent) handOver(l *successor.Link) (succession.State, []*net.TCPListener, error) {
 	s, next, err := a.core.Leave(context.Background(), l.Say)
 	s.Name = a.cfg.Name
 	for _, listener := range a.listeners {
 		s.Listeners = append(s.Listeners, listener.Addr().String())
 	}
-	a.line.mu.Lock()
-	defer a.line.mu.Unlock()
-	if a.line.others == nil {
-		a.line.others = map[*successor.Link]*core.Other{}
+	a.handover.mu.Lock()
+	defer a.handover.mu.Unlock()
+	if a.handover.subscribers == nil {
+		a.handover.subscribers = map[*successor.Link]*core.Other{}
 	}
-	a.line.others[l] = next
+	a.handover.subscribers[l] = next
 	return s, a.listeners, err
 }
 
-// linked serves beside the next process, until one of the two ends.
-func (a *Agent) linked(l *successor.Link) {
-	a.line.mu.Lock()
-	next := a.line.others[l]
-	delete(a.line.others, l)
-	a.line.mu.Unlock()
+// serveSuccessor exchanges updates with a process that replaces this one, until one of the two exits.
+func (a *Agent) serveSuccessor(l *successor.Link) {
+	a.handover.mu.Lock()
+	next := a.handover.subscribers[l]
+	delete(a.handover.subscribers, l)
+	a.handover.mu.Unlock()
 	if next == nil {
-		return // nothing was left
+		return // nothing was handed over
 	}
-	a.share(1, 1)
+	a.processesChanged(1, 1)
 	a.log.Info("a process that replaces this one has begun")
-	a.core.Tell(succession.News{Replaced: true}) // for the one before
-	further := false
+	a.core.Tell(succession.News{Replaced: true}) // for the previous process
+	replacedToo := false
 	l.Run(func(n succession.News) {
-		further = further || n.Replaced
+		replacedToo = replacedToo || n.Replaced
 		a.core.Hear(context.Background(), n, next)
 	})
 	a.core.Part(next)
-	if further { // and another serves in its place
-		a.share(-1, 0)
+	if replacedToo { // a third process serves now
+		a.processesChanged(-1, 0)
 		a.log.Info("the process that replaced this one was replaced, too")
 		return
 	}
-	a.share(-1, -1)
+	a.processesChanged(-1, -1)
 	a.log.Info("the process that replaces this one is gone")
 	if !a.replaced() {
 		select {
-		case a.line.again <- struct{}{}:
-		default: // one that waits stands for any number
+		case a.handover.reoffer <- struct{}{}:
+		default: // a signal is already pending
 		}
 	}
 }
 
-// share counts the processes beside this one: together they hold what one may. Clients' connections are no part of that:
-// they are those of the same clients, whichever process has them, and to close some would turn away who is about to ask.
-func (a *Agent) share(beside, younger int) {
-	a.line.mu.Lock()
-	defer a.line.mu.Unlock()
-	a.line.beside += beside
-	a.line.younger += younger
+// processesChanged updates the number of concurrent processes and the limits of this one: together they may use what one
+// process may use. Client connections are not limited this way: they belong to the same clients whichever process holds them,
+// and closing some would turn away clients that are about to send a call.
+func (a *Agent) processesChanged(concurrent, successors int) {
+	a.handover.mu.Lock()
+	defer a.handover.mu.Unlock()
+	a.handover.concurrent += concurrent
+	a.handover.successors += successors
 	parts := 1
-	if a.line.beside > 0 {
-		parts = 2 // a third process comes only while the first ends
+	if a.handover.concurrent > 0 {
+		parts = 2 // a third process starts only while the first shuts down
 	}
 	a.pool.Bound(max(1, a.cfg.BackendSockets()/parts))
 	if a.cfg.Limits.MemoryMB > 0 {
@@ -227,9 +230,9 @@
 	}
 }
 
-// replaced reports whether another process has what this one leaves, and listens where it does.
+// replaced reports whether a running process has taken over the state of this one and listens on the same addresses.
 func (a *Agent) replaced() bool {
-	a.line.mu.Lock()
-	defer a.line.mu.Unlock()
-	return a.line.younger > 0
+	a.handover.mu.Lock()
+	defer a.handover.mu.Unlock()
+	return a.handover.successors > 0
 }
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -24,10 +24,10 @@
 
 var encodings = []thriftwire.Encoding{thriftwire.Binary, thriftwire.Compact}
 
-// speechOf is the way to speak an encoding.
-func speechOf(e thriftwire.Encoding) speech { return speeches[e] }
+// variantOf returns the protocol variant of an encoding, without multiplexing.
+func variantOf(e thriftwire.Encoding) protocolVariant { return protocolVariants[e] }
 
-// message words a call by hand.
+// message encodes a message field by field.
 func message(e thriftwire.Encoding, kind thriftwire.MessageType, method string, rawSeq []byte, id string, more ...func(*thriftwire.Writer)) []byte {
 	w := thriftwire.Writer{Encoding: e}
 	w.Head(kind, []byte(method), rawSeq)
@@ -56,7 +56,7 @@
 }
 
 // dial connects to the Thrift front.
-func (w *world) dial(t *testing.T) net.Conn {
+func (w *testbed) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", w.thrift)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return c
 }
 
-// answer reads one frame and its head.
-func answer(t *testing.T, c net.Conn) ([]byte, thriftwire.Head) {
+// readReply reads one frame and its head.
+func readReply(t *testing.T, c net.Conn) ([]byte, thriftwire.Head) {
 	t.Helper()
 	m, err := thriftwire.ReadFrame(c, 1<<20)
 	if err != nil {
@@ -81,10 +81,10 @@
 	return m, h
 }
 
-// A frame that a client cuts off at any byte is no call, and hurts nobody else.
+// A frame that is truncated at any byte is not a call, and does not affect other clients.
 func TestClientCutsAtEveryByte(t *testing.T) {
 	for _, e := range encodings {
-		w := newWorld(t, speechOf(e), standin.Platform{}, nil, standin.Options{ID: "a"})
+		w := newTestbed(t, variantOf(e), standin.Platform{}, nil, standin.Options{ID: "a"})
 		whole := call(e, 7, "cut")
 		for n := range whole {
 			c := w.dial(t)
@@ -95,21 +95,21 @@
 			}
 			c.Close()
 		}
-		if got := w.kiosk.Ask(ask(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
-			t.Errorf("%v: the whole one was %s, the one that was cut came %d times", e, got.Kind, w.deliveries("cut"))
+		if got := w.kiosk.Ask(newAsk(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
+			t.Errorf("%v: the complete call was %s, the truncated one was delivered %d times", e, got.Kind, w.deliveries("cut"))
 		}
-		w.atRest(t)
+		w.waitIdle(t)
 	}
 }
 
-// What is no call, or a harmful one, gets a clear exception or a close; other connections go on, and so does what was
-// asked before on the same one.
+// Malformed and malicious frames get an exception or a close. Other connections are not affected, and earlier calls on the same
+// connection are answered.
 func TestBadFrames(t *testing.T) {
 	for _, e := range encodings {
-		hold := make(chan struct{}) // one for each: what still comes of the world before must not see another
+		hold := make(chan struct{}) // one per encoding: calls left over from the previous testbed must not see another one
 		seq := thriftwire.AppendSeq(nil, e, 9)
 		other := thriftwire.Binary + thriftwire.Compact - e
-		bad := func(more string) []byte { // a call with bytes of another kind in place of its last byte
+		bad := func(more string) []byte { // a call whose last byte is replaced by more
 			m := message(e, thriftwire.Call, "payOut", seq, "bad")
 			return frame(append(m[:len(m)-1], more...))
 		}
@@ -147,8 +147,8 @@
 			"unknown tenant":       id("bad", "nobody"),
 			"unknown method":       frame(message(e, thriftwire.Call, "dance", seq, "bad")),
 			"a reply":              frame(message(e, thriftwire.Reply, "payOut", seq, "bad")),
-			"bytes behind":         bad("\x00\x00"),
-			"time that is over":    bad2(e, seq, -5),
+			"trailing bytes":       bad("\x00\x00"),
+			"negative time left":   expiredCall(e, seq, -5),
 		}
 		for name, f := range map[thriftwire.Encoding]map[string][]byte{thriftwire.Binary: binaryOnly,
 			thriftwire.Compact: compactOnly}[e] {
@@ -163,9 +163,9 @@
 			"noise":                  frame([]byte("noise in a frame")),
 			"name not UTF-8":         frame(message(e, thriftwire.Call, "\xff", seq, "bad")),
 			"of the other encoding":  call(other, 9, "bad"),
-			"oneway that is no note": frame(message(e, thriftwire.Oneway, "dance", seq, "bad")),
+			"oneway, unknown method": frame(message(e, thriftwire.Oneway, "dance", seq, "bad")),
 		}
-		w := newWorld(t, speechOf(e), standin.Platform{}, nil, standin.Options{ID: "a", Script: func(c standin.Call) standin.Step {
+		w := newTestbed(t, variantOf(e), standin.Platform{}, nil, standin.Options{ID: "a", Script: func(c standin.Call) standin.Step {
 			if strings.HasPrefix(c.ID, "before") {
 				return standin.Step{Until: hold}
 			}
@@ -175,15 +175,15 @@
 		check := func(name string) {
 			t.Helper()
 			good.Write(call(e, 3, "good "+name))
-			if m, h := answer(t, good); h.Type != thriftwire.Reply || !bytes.Contains(m, []byte("receipt of good "+name)) {
-				t.Errorf("%v: after %s the other connection got % x", e, name, m)
+			if m, h := readReply(t, good); h.Type != thriftwire.Reply || !bytes.Contains(m, []byte("receipt of good "+name)) {
+				t.Errorf("%v: after %s the other connection received % x", e, name, m)
 			}
 		}
 		check("nothing")
 		for name, f := range excepted {
 			c := w.dial(t)
 			c.Write(f)
-			m, h := answer(t, c)
+			m, h := readReply(t, c)
 			if h.Type != thriftwire.Exception || h.Seq != 9 {
 				t.Errorf("%v, %s: answered type %d, sequence id %d", e, name, h.Type, h.Seq)
 			}
@@ -191,7 +191,7 @@
 				t.Errorf("%s: % x", name, m)
 			}
 			c.Write(call(e, 4, "after "+name))
-			if _, h := answer(t, c); h.Type != thriftwire.Reply || h.Seq != 4 {
+			if _, h := readReply(t, c); h.Type != thriftwire.Reply || h.Seq != 4 {
 				t.Errorf("%v, %s: the next call got type %d", e, name, h.Type)
 			}
 			check(name)
@@ -201,32 +201,32 @@
 			c := w.dial(t)
 			c.Write(call(e, 5, "before "+name))
 			c.Write(f)
-			waiting.Go(func() { // the call before is answered, then the connection ends
+			waiting.Go(func() { // the earlier call is answered, then the connection is closed
 				m, err := thriftwire.ReadFrame(c, 1<<20)
 				if err != nil || !bytes.Contains(m, []byte("receipt of before")) {
-					t.Errorf("%v, %s: the call before got % x, %v", e, name, m, err)
+					t.Errorf("%v, %s: the earlier call got % x, %v", e, name, m, err)
 				}
-				if name == "oneway that is no note" {
-					return // nobody could be told
+				if name == "oneway, unknown method" {
+					return // a oneway has no reply, so the error can't be reported
 				}
 				if rest, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) || len(rest) > 0 {
 					t.Errorf("%v, %s: then % x, %v", e, name, rest, err)
 				}
 			})
 		}
-		testkit.Eventually(t, "those before are under way", func() bool { _, open := w.held(); return open == len(closed) })
+		testkit.Eventually(t, "the earlier calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == len(closed) })
 		check("closes")
 		close(hold)
 		waiting.Wait()
 		if n := w.deliveries("bad"); n != 0 {
-			t.Errorf("%v: %d bad calls were passed on", e, n)
+			t.Errorf("%v: %d bad calls were forwarded", e, n)
 		}
-		w.atRest(t)
+		w.waitIdle(t)
 	}
 }
 
-// bad2 is a call whose time is over.
-func bad2(e thriftwire.Encoding, seq []byte, left int64) []byte {
+// expiredCall encodes a call with left milliseconds until its deadline, which may be negative.
+func expiredCall(e thriftwire.Encoding, seq []byte, left int64) []byte {
 	w := thriftwire.Writer{Encoding: e}
 	w.Head(thriftwire.Call, []byte("payOut"), seq)
 	w.Struct(1)
@@ -238,8 +238,8 @@
 	return frame(w.Buf)
 }
 
-// Several calls may be out on a connection. Their answers come in their order, or in any where the client allows it;
-// those with the same sequence id keep their order in any case. The sequence id comes back byte for byte.
+// Several calls may be in flight on a connection. They are answered in order, or in any order if the client allows it; calls with
+// the same sequence id keep their order in either case. The sequence id is returned byte for byte.
 func TestSeveralCallsOnAConnection(t *testing.T) {
 	for _, e := range encodings {
 		for _, any := range []bool{false, true} {
@@ -253,7 +253,7 @@
 				}
 				return text
 			}
-			w := newWorld(t, speechOf(e), standin.Platform{}, edit, standin.Options{ID: "s",
+			w := newTestbed(t, variantOf(e), standin.Platform{}, edit, standin.Options{ID: "s",
 				Script: func(c standin.Call) standin.Step { return standin.Step{Until: release[c.ID]} }})
 			c := w.dial(t)
 			long := thriftwire.AppendSeq(nil, e, 6)
@@ -267,36 +267,36 @@
 			}
 			all = append(all, call(e, -8, "d")...)
 			c.Write(all)
-			testkit.Eventually(t, "all are under way", func() bool { _, open := w.held(); return open == 4 })
+			testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 4 })
 			order := []string{"a", "b", "c", "d"}
 			if any {
 				order = []string{"d", "b", "c", "a"}
 			}
 			for _, id := range []string{"d", "c", "b", "a"} {
 				close(release[id])
-				testkit.Eventually(t, id+" has its answer", func() bool { return w.core.Snapshot().Stats.Served > strings.Index("dcba", id) })
+				testkit.Eventually(t, id+" is answered", func() bool { return w.core.Snapshot().Stats.Served > strings.Index("dcba", id) })
 			}
 			for _, id := range order {
-				m, h := answer(t, c)
+				m, h := readReply(t, c)
 				if !bytes.Contains(m, []byte("receipt of "+id)) {
-					t.Fatalf("%v, any order %t: instead of %s's answer came % x", e, any, id, m)
+					t.Fatalf("%v, any order %t: expected the answer to %s, received % x", e, any, id, m)
 				}
 				if (id == "b" || id == "c") && !bytes.Equal(h.RawSeq(m), long) {
-					t.Errorf("%v: sequence id % x came back as % x", e, long, h.RawSeq(m))
+					t.Errorf("%v: sequence id % x was returned as % x", e, long, h.RawSeq(m))
 				}
 				if id == "d" && h.Seq != -8 {
 					t.Errorf("%v: sequence id %d", e, h.Seq)
 				}
 			}
-			w.atRest(t)
+			w.waitIdle(t)
 		}
 	}
 }
 
-// What goes beyond the calls that a connection may have under way is refused at once, with the declared exception.
+// Calls beyond the limit of calls in flight on a connection are refused immediately, with the declared exception.
 func TestTooManyCallsOnAConnection(t *testing.T) {
 	release := make(chan struct{})
-	w := newWorld(t, speeches[1], standin.Platform{}, func(text string) string {
+	w := newTestbed(t, protocolVariants[1], standin.Platform{}, func(text string) string {
 		text = strings.Replace(text, `replies = "in-order"`, `replies = "any-order"`, 1)
 		return strings.Replace(text, "max_calls_per_connection = 64", "max_calls_per_connection = 2", 1)
 	}, standin.Options{ID: "s", Script: func(standin.Call) standin.Step { return standin.Step{Until: release} }})
@@ -304,25 +304,25 @@
 	for i := range int32(3) {
 		c.Write(call(thriftwire.Binary, i, fmt.Sprint("id", i)))
 	}
-	m, h := answer(t, c)
+	m, h := readReply(t, c)
 	if h.Seq != 2 || h.Type != thriftwire.Reply || m[h.Struct] != byte(thriftwire.Struct) || m[h.Struct+2] != 1 {
 		t.Errorf("the third was answered % x", m)
 	}
 	close(release)
 	for range 2 {
-		if m, _ := answer(t, c); !bytes.Contains(m, []byte("receipt of id")) {
+		if m, _ := readReply(t, c); !bytes.Contains(m, []byte("receipt of id")) {
 			t.Errorf("answered % x", m)
 		}
 	}
 	if n := w.deliveries("id2"); n != 0 {
-		t.Errorf("the refused one came %d times", n)
+		t.Errorf("the refused call was delivered %d times", n)
 	}
 }
 
-// A client that leaves is owed nothing, however many of its calls are out; a oneway's client need not stay.
+// All calls of a client that disconnects are canceled; a oneway is delivered even if its client disconnects.
 func TestThriftClientsThatLeave(t *testing.T) {
 	release := make(chan struct{})
-	w := newWorld(t, speeches[2], standin.Platform{MostTries: 1}, nil, standin.Options{ID: "s",
+	w := newTestbed(t, protocolVariants[2], standin.Platform{MostTries: 1}, nil, standin.Options{ID: "s",
 		Script: func(c standin.Call) standin.Step {
 			if c.Method == standin.Note {
 				return standin.Step{}
@@ -333,11 +333,11 @@
 	for i := range int32(5) {
 		c.Write(call(thriftwire.Compact, i, fmt.Sprint("id", i)))
 	}
-	testkit.Eventually(t, "all are under way", func() bool { _, open := w.held(); return open == 5 })
+	testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 5 })
 	c.Close()
-	testkit.Eventually(t, "all are over", func() bool { _, open := w.held(); return open == 0 })
+	testkit.Eventually(t, "all calls have ended", func() bool { _, open := w.heldAndOpen(); return open == 0 })
 	if s := w.core.Snapshot().Stats; s.Gone != 5 {
-		t.Errorf("%d clients left", s.Gone)
+		t.Errorf("%d clients disconnected", s.Gone)
 	}
 	for i := range 10 {
 		c := w.dial(t)
@@ -345,14 +345,14 @@
 		c.Close()
 	}
 	for i := range 10 {
-		testkit.Eventually(t, "the note comes", func() bool { return w.deliveries(fmt.Sprint("note", i)) == 1 })
+		testkit.Eventually(t, "the note is delivered", func() bool { return w.deliveries(fmt.Sprint("note", i)) == 1 })
 	}
 	close(release)
-	w.atRest(t)
+	w.waitIdle(t)
 }
 
-// A client has as much under way as it may, so that nothing is read of it any more, and leaves: that is noticed all the same, and
-// nothing further is sent on for it.
+// A client disconnects while it has the maximum of calls in flight, so that the agent does not read from it. The agent notices the
+// disconnect nevertheless, and forwards no further call of it.
 func TestThriftClientLeavesWhileNothingIsRead(t *testing.T) {
 	for name, oneway := range map[string]bool{"calls that wait for answers": false, "a oneway that waits for its turn": true} {
 		for _, reset := range []bool{false, true} {
@@ -360,30 +360,30 @@
 				t.Parallel()
 				release := make(chan struct{})
 				defer close(release)
-				w := newWorld(t, speeches[1], standin.Platform{MostTries: 1}, func(text string) string {
+				w := newTestbed(t, protocolVariants[1], standin.Platform{MostTries: 1}, func(text string) string {
 					return strings.Replace(text, "max_calls_per_connection = 64", "max_calls_per_connection = 2", 1)
 				}, standin.Options{ID: "s", Script: func(standin.Call) standin.Step { return standin.Step{Until: release} }})
 				c := w.dial(t)
 				for i := range int32(2) {
 					c.Write(call(thriftwire.Binary, i, fmt.Sprint("id", i)))
 				}
-				testkit.Eventually(t, "two are under way", func() bool { _, open := w.held(); return open == 2 })
+				testkit.Eventually(t, "two calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 2 })
 				if oneway {
 					c.Write(frame(message(thriftwire.Binary, thriftwire.Oneway, "note", []byte{0, 0, 0, 9}, "note")))
 				}
-				for i := range int32(10) { // two of them are refused, which is told behind the first; the others are not read
+				for i := range int32(10) { // two of them are refused, with replies behind the first ones; the others are not read
 					c.Write(call(thriftwire.Binary, 10+i, fmt.Sprint("more", i)))
 				}
 				if reset {
 					c.(*net.TCPConn).SetLinger(0)
 				}
 				c.Close()
-				left := time.Now()
-				testkit.Eventually(t, "the calls are over", func() bool { return w.core.Snapshot().Stats.Gone == 2 })
-				t.Logf("noticed after %v", time.Since(left))
+				closed := time.Now()
+				testkit.Eventually(t, "the calls have ended", func() bool { return w.core.Snapshot().Stats.Gone == 2 })
+				t.Logf("noticed after %v", time.Since(closed))
 				for i := range 10 {
 					if n := w.deliveries(fmt.Sprint("more", i)); n != 0 {
-						t.Errorf("more%d came %d times", i, n)
+						t.Errorf("more%d was delivered %d times", i, n)
 					}
 				}
 			})
@@ -391,36 +391,37 @@
 	}
 }
 
-// A oneway gets no reply, and what is asked behind it is answered as ever.
+// A oneway gets no reply, and calls after it on the same connection are answered as usual.
 func TestOneway(t *testing.T) {
-	for _, sp := range speeches[1:] {
-		w := newWorld(t, sp, standin.Platform{}, nil, standin.Options{ID: "s"})
+	for _, sp := range protocolVariants[1:] {
+		w := newTestbed(t, sp, standin.Platform{}, nil, standin.Options{ID: "s"})
 		for i := range 3 {
-			if got := w.kiosk.Ask(ask(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
+			if got := w.kiosk.Ask(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
 				t.Errorf("%s: %s, %v", sp.name, got.Kind, got.Err)
 			}
-			if got := w.kiosk.Ask(ask(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
+			if got := w.kiosk.Ask(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", sp.name, got.Kind, got.Err)
 			}
 		}
 		for i := range 3 {
-			testkit.Eventually(t, "the note comes", func() bool { return w.deliveries(fmt.Sprint("n", i)) == 1 })
+			testkit.Eventually(t, "the note is delivered", func() bool { return w.deliveries(fmt.Sprint("n", i)) == 1 })
 		}
-		w.atRest(t)
+		w.waitIdle(t)
 		if s := w.core.Snapshot().Stats; s.Attempts != 6 {
 			t.Errorf("%s: %d attempts", sp.name, s.Attempts)
 		}
 	}
 }
 
-// A client that asks and reads nothing loses its connection; it holds up nobody and no memory without bound.
+// A client that sends calls and never reads loses its connection. It does not delay other clients, and the memory for its answers
+// is bounded.
 func TestClientThatReadsNothing(t *testing.T) {
-	w := newWorld(t, speeches[1], standin.Platform{}, nil, standin.Options{ID: "s"})
+	w := newTestbed(t, protocolVariants[1], standin.Platform{}, nil, standin.Options{ID: "s"})
 	c := w.dial(t)
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	key := strings.Repeat("k", 100)
 	stuck := make(chan error, 1)
-	go func() { // as many as it is let
+	go func() { // as many calls as the agent accepts
 		for i := int32(0); ; i++ {
 			m := thriftwire.Writer{Encoding: thriftwire.Binary}
 			m.Head(thriftwire.Call, []byte("formCheck"), thriftwire.AppendSeq(nil, thriftwire.Binary, i))
@@ -429,7 +430,7 @@
 			m.String(2, "oban")
 			m.String(3, key)
 			m.Stop()
-			m.String(2, strings.Repeat("x", 20<<10)) // it comes back with the answer
+			m.String(2, strings.Repeat("x", 20<<10)) // returned in the answer
 			m.Stop()
 			if _, err := c.Write(frame(m.Buf)); err != nil {
 				stuck <- err
@@ -438,7 +439,7 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		if got := w.kiosk.Ask(ask(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
+		if got := w.kiosk.Ask(newAsk(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
 			t.Fatalf("another client's call was %s: %v", got.Kind, got.Err)
 		}
 		select {
@@ -446,17 +447,17 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("its connection was kept")
 			}
-			w.atRest(t)
+			w.waitIdle(t)
 			return
 		default:
 		}
 	}
 }
 
-// A connection on which nothing comes is closed after the idle time, and one whose frame does not go on after the
-// frame's time; one whose call is under way is kept for as long as that takes.
+// An idle connection is closed after the idle timeout, and one with an incomplete frame after the frame timeout. A connection
+// with a call in flight is kept until the call ends.
 func TestThriftTimes(t *testing.T) {
-	w := newWorld(t, speeches[1], standin.Platform{}, func(text string) string {
+	w := newTestbed(t, protocolVariants[1], standin.Platform{}, func(text string) string {
 		text = strings.Replace(text, "idle_timeout_ms = 300000", "idle_timeout_ms = 100", 1)
 		return strings.Replace(text, "frame_timeout_ms = 2500", "frame_timeout_ms = 100", 1)
 	}, standin.Options{ID: "s", Service: 400 * time.Millisecond})
@@ -469,12 +470,12 @@
 	}
 	c := w.dial(t)
 	c.Write(call(thriftwire.Binary, 1, "slow"))
-	if m, _ := answer(t, c); !bytes.Contains(m, []byte("receipt of slow")) {
+	if m, _ := readReply(t, c); !bytes.Contains(m, []byte("receipt of slow")) {
 		t.Errorf("answered % x", m)
 	}
 }
 
-// apacheService is the service behind a server of the Apache library's.
+// apacheService implements the service of a server that uses the Apache Thrift library.
 type apacheService struct{ standin.Pod }
 
 func (s *apacheService) FormCheck(_ context.Context, h *formapi.Header, form []byte) (*formapi.FormResult_, error) {
@@ -495,9 +496,9 @@
 
 func (s *apacheService) Note(context.Context, *formapi.Header, string) error { return nil }
 
-// The Apache library's client works against the agent and its server behind it, in both protocols.
+// The clients and servers of the Apache Thrift library work with the agent between them, in both protocols.
 func TestApacheServer(t *testing.T) {
-	for _, sp := range speeches[1:3] {
+	for _, sp := range protocolVariants[1:3] {
 		var factory thrift.TProtocolFactory = thrift.NewTBinaryProtocolFactoryConf(nil)
 		if sp.protocol == "thrift-compact" {
 			factory = thrift.NewTCompactProtocolFactoryConf(nil)
@@ -513,21 +514,21 @@
 			thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), nil), factory)
 		server.SetLogger(func(string) {})
 		go server.Serve()
-		w := newWorld(t, sp, standin.Platform{MostTries: 1}, nil)
+		w := newTestbed(t, sp, standin.Platform{MostTries: 1}, nil)
 		w.list.Tell(discovery.Entry{ID: "apache", Addr: socket.Addr().String(), Zone: "z", State: "in_service",
 			Protocol: sp.protocol})
-		testkit.Eventually(t, "the agent knows it", func() bool { return len(w.core.Snapshot().Servers) == 1 })
+		testkit.Eventually(t, "the agent knows the server", func() bool { return len(w.core.Snapshot().Servers) == 1 })
 		for _, c := range []struct {
 			ask  standin.Ask
 			kind standin.Kind
 			text string
 		}{
-			{ask(standin.Check, "1"), standin.Served, "checked form-1 "},
-			{ask(standin.Record, "2"), standin.Served, "receipt of once-2"},
-			{ask(standin.Pay, "full"), standin.Refused, ""},
-			{ask(standin.Pay, "3"), standin.Failed, "failed"},
-			{ask(standin.Note, "4"), standin.Sent, ""},
-			{ask(standin.Check, "5"), standin.Served, "checked form-5 "},
+			{newAsk(standin.Check, "1"), standin.Served, "checked form-1 "},
+			{newAsk(standin.Record, "2"), standin.Served, "receipt of once-2"},
+			{newAsk(standin.Pay, "full"), standin.Refused, ""},
+			{newAsk(standin.Pay, "3"), standin.Failed, "failed"},
+			{newAsk(standin.Note, "4"), standin.Sent, ""},
+			{newAsk(standin.Check, "5"), standin.Served, "checked form-5 "},
 		} {
 			if got := w.kiosk.Ask(c.ask); got.Kind != c.kind || got.Text != c.text {
 				t.Errorf("%s, %s: %s %q, %v", sp.name, c.ask.ID, got.Kind, got.Text, got.Err)
--- a/internal/agent/world_test.go
+++ b/internal/agent/world_test.go
@@ -9,29 +9,29 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// speech is a way in which kiosks and servers speak.
-type speech struct {
+// protocolVariant is a protocol of kiosks and servers, with or without multiplexing.
+type protocolVariant struct {
 	name        string
-	protocol    string // of the kiosks, and of the servers
+	protocol    string // of kiosks and servers
 	multiplexed bool
 }
 
-var speeches = []speech{{"http", "http", false}, {"binary", "thrift-binary", false}, {"compact", "thrift-compact", false},
+var protocolVariants = []protocolVariant{{"http", "http", false}, {"binary", "thrift-binary", false}, {"compact", "thrift-compact", false},
 	{"binary multiplexed", "thrift-binary", true}, {"compact multiplexed", "thrift-compact", true}}
 
-// world is an agent between stand-ins.
-type world struct {
-	*running
-	list    *standin.List
-	servers []*standin.Server
-	kiosk   standin.Kiosk
-	edit    func(string) string // of the Thrift service's text
+// testbed is an agent between stand-in clients and servers.
+type testbed struct {
+	*runningAgent
+	list        *standin.List
+	servers     []*standin.Server
+	kiosk       standin.Kiosk
+	editService func(string) string // edits the text of the Thrift service; may be nil
 }
 
-// newWorld starts servers that speak so, a list of them, an agent and a kiosk.
-func newWorld(t *testing.T, sp speech, p standin.Platform, edit func(string) string, servers ...standin.Options) *world {
+// newTestbed starts servers of a protocol variant, a list service that names them, an agent and a kiosk.
+func newTestbed(t *testing.T, sp protocolVariant, p standin.Platform, edit func(string) string, servers ...standin.Options) *testbed {
 	t.Helper()
-	w := &world{}
+	w := &testbed{}
 	list, err := standin.NewList()
 	if err != nil {
 		t.Fatal(err)
@@ -51,17 +51,17 @@
 		w.servers = append(w.servers, s)
 		list.Tell(s.Entry())
 	}
-	w.edit = edit
-	w.again(t, sp, p, quiet(), "")
+	w.editService = edit
+	w.startAgent(t, sp, p, discardLog(), "")
 	return w
 }
 
-// again starts an agent, the first one or the next, which keeps what it learns in a folder if one is given.
-func (w *world) again(t *testing.T, sp speech, p standin.Platform, log *slog.Logger, folder string) {
+// startAgent starts the first or the next agent, with learned state persisted in folder if it is not empty.
+func (w *testbed) startAgent(t *testing.T, sp protocolVariant, p standin.Platform, log *slog.Logger, folder string) {
 	t.Helper()
 	p.Discovery, p.Known = w.list.Addr(), w.list.Full()
-	p.Known.Version = 0 // so that the watch has something to say, and the agent is ready at once
-	edit := w.edit
+	p.Known.Version = 0 // makes the watch send the list, so that the agent is ready immediately
+	edit := w.editService
 	if edit == nil {
 		edit = func(text string) string { return text }
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.running = startKeeping(t, cfg, service, log, folder)
+	w.runningAgent = startWithState(t, cfg, service, log, folder)
 	addr := w.thrift
 	if sp.protocol == "http" {
 		addr = cfg.Listen
@@ -80,8 +80,8 @@
 	t.Cleanup(w.kiosk.Close)
 }
 
-// ask words a call with all that its method needs.
-func ask(m standin.Method, id string) standin.Ask {
+// newAsk returns a call with all fields that its method requires.
+func newAsk(m standin.Method, id string) standin.Ask {
 	a := standin.Ask{Method: m, ID: id, Tenant: "oban", Key: "form-" + id, Left: 5 * time.Second}
 	if m == standin.Record {
 		a.Idempotency = "once-" + id
@@ -89,8 +89,8 @@
 	return a
 }
 
-// effects are those of a call over all pods, and deliveries how often servers got it.
-func (w *world) effects(a standin.Ask) (n int) {
+// effects returns how often a call took effect, over all pods.
+func (w *testbed) effects(a standin.Ask) (n int) {
 	key := a.ID
 	if a.Idempotency != "" {
 		key = a.Idempotency
@@ -101,14 +101,15 @@
 	return n
 }
 
-func (w *world) deliveries(id string) (n int) {
+// deliveries returns how often servers received a call.
+func (w *testbed) deliveries(id string) (n int) {
 	for _, p := range w.pods() {
 		n += p.Deliveries(id)
 	}
 	return n
 }
 
-func (w *world) pods() (pods []*standin.Pod) {
+func (w *testbed) pods() (pods []*standin.Pod) {
 	seen := map[*standin.Pod]bool{}
 	for _, s := range w.servers {
 		if !seen[s.Pod()] {
@@ -119,11 +120,11 @@
 	return pods
 }
 
-// atRest waits until nothing is under way in the agent.
-func (w *world) atRest(t *testing.T) {
+// waitIdle waits until no call or attempt is in flight in the agent.
+func (w *testbed) waitIdle(t *testing.T) {
 	t.Helper()
-	testkit.Eventually(t, "the agent is at rest", func() bool {
-		held, open := w.held()
+	testkit.Eventually(t, "the agent is idle", func() bool {
+		held, open := w.heldAndOpen()
 		return held == 0 && open == 0
 	})
 }
