--- a/clock_test.go
+++ b/clock_test.go
@@ -9,27 +9,27 @@
 	"testing"
 )
 
-// wallReading finds readings of the wall clock as a number, in which a step of it shows.
-var wallReading = regexp.MustCompile(`time\.Now\(\)(\.UTC\(\)|\.Round\([^)]*\))*\.Unix`)
+// wallClockRead matches code that reads the wall clock as a number, which a clock step affects.
+var wallClockRead = regexp.MustCompile(`time\.Now\(\)(\.UTC\(\)|\.Round\([^)]*\))*\.Unix`)
 
-// wallReaders are the packages that may read the wall clock so, and why.
-var wallReaders = map[string]string{
-	"internal/host/keeper": "ages of what was learned go on while the machine sleeps, and between processes",
-	"internal/host/peers":  "the epoch of a process is told to other agents, and need only grow from one to the next",
+// wallClockReaders are the packages that may read the wall clock this way, with the reason.
+var wallClockReaders = map[string]string{
+	"internal/host/keeper": "learned state ages also while the machine sleeps, and between processes",
+	"internal/host/peers":  "the epoch of a process is sent to other agents, and only has to grow from one process to the next",
 }
 
-// Everywhere else spans come from internal/clock, which a step of the wall clock does not move.
+// All other packages measure durations with internal/clock, which a step of the wall clock does not affect.
 func TestWallClockIsReadInFewPlaces(t *testing.T) {
-	for _, room := range []string{"choice", "internal", "cmd/ternbeam"} {
-		err := fs.WalkDir(os.DirFS("."), room, func(name string, d fs.DirEntry, err error) error {
-			if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || within(path.Dir(name), "internal/lab") {
+	for _, tree := range []string{"choice", "internal", "cmd/ternbeam"} {
+		err := fs.WalkDir(os.DirFS("."), tree, func(name string, d fs.DirEntry, err error) error {
+			if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || isWithin(path.Dir(name), "internal/lab") {
 				return err
 			}
 			text, err := os.ReadFile(name)
 			if err != nil {
 				return err
 			}
-			if found := wallReading.Find(text); found != nil && wallReaders[path.Dir(name)] == "" {
+			if found := wallClockRead.Find(text); found != nil && wallClockReaders[path.Dir(name)] == "" {
 				t.Errorf("%s reads the wall clock: %s", name, found)
 			}
 			return nil
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 	}
-	if !wallReading.MatchString("time.Duration(time.Now().UnixNano())") {
-		t.Error("a reading is not found")
+	if !wallClockRead.MatchString("time.Duration(time.Now().UnixNano())") {
+		t.Error("a read of the wall clock is not detected")
 	}
 }
--- a/cmd/ternbeam/main.go
+++ b/cmd/ternbeam/main.go
@@ -1,6 +1,6 @@
-// Command ternbeam is a client-side load-balancing agent. Without arguments it serves as the environment tells:
-// NODE_CONFIG names its configuration. It serves until SIGTERM or SIGINT and then answers what it has taken. SIGHUP
-// makes it read the configuration again.
+// Command ternbeam is a client-side load-balancing agent. Without arguments it serves, configured by the environment:
+// NODE_CONFIG names its configuration file. On SIGTERM or SIGINT it answers the calls that it has received and exits. On SIGHUP it
+// reads the configuration again.
 package main
 
 import (
@@ -33,15 +33,15 @@
 )
 
 type commands struct {
-	Run       runCommand       `cmd:"" default:"withargs" help:"Serve, as the environment tells (the default)."`
-	Check     checkCommand     `cmd:"" help:"Say what is wrong in configuration files, by line and key."`
-	State     stateCommand     `cmd:"" help:"Look at what an agent keeps of what it learned, or reset it."`
-	Members   membersCommand   `cmd:"" help:"Say which servers the sources of a file name, by whose word and which rule."`
-	Translate translateCommand `cmd:"" help:"Show what becomes of a message by a file of shapes, field by field."`
-	Record    recordCommand    `cmd:"" help:"Stand between clients and an agent, and record what passes, with some fields hidden."`
-	Replay    replayCommand    `cmd:"" help:"Play a recording of old clients to stand-in servers of the old and the new shape, and say what differs."`
-	Demo      demoCommand      `cmd:"" help:"Show the agent at work on loopback, with a hang and a rolling replacement."`
-	Help      helpCommand      `cmd:"" help:"Show this text, or that of a command."`
+	Run       runCommand       `cmd:"" default:"withargs" help:"Run the agent, configured by the environment (the default command)."`
+	Check     checkCommand     `cmd:"" help:"Check configuration files and report errors by line and key."`
+	State     stateCommand     `cmd:"" help:"Inspect or reset the learned state that an agent stores."`
+	Members   membersCommand   `cmd:"" help:"Show the servers that the sources of a file name, and the source and rule behind each value."`
+	Translate translateCommand `cmd:"" help:"Show how a file of shapes translates a message, field by field."`
+	Record    recordCommand    `cmd:"" help:"Run a proxy between clients and an agent that records the calls, with some fields redacted."`
+	Replay    replayCommand    `cmd:"" help:"Replay a recording of old clients to stand-in servers of the old and the new shape, and report differences."`
+	Demo      demoCommand      `cmd:"" help:"Run a demo of the agent on loopback, with a hanging server and a rolling replacement."`
+	Help      helpCommand      `cmd:"" help:"Show this help, or the help of a command."`
 }
 
 func main() {
@@ -68,47 +68,48 @@
 	Command []string `arg:"" optional:"" help:"A command."`
 }
 
-// Run shows the help text.
+// Run prints the help text.
 func (h *helpCommand) Run(k *kong.Kong) error {
 	_, err := k.Parse(append(h.Command, "--help"))
 	return err
 }
 
 type runCommand struct {
-	Thrift    string `help:"Take Thrift too, as this file says (see deploy/thrift.toml)." placeholder:"FILE"`
-	Sources   string `help:"Take servers from the sources of this file (see deploy/sources.toml)." placeholder:"FILE"`
-	Peers     string `help:"Have lists of servers from other agents and pass them on, as this file says (see deploy/peers.toml)." placeholder:"FILE"`
-	Translate string `help:"Translate between the shapes of this file (see deploy/translate.toml)." placeholder:"FILE"`
-	State     string `help:"Keep what is learned, as this file says (see deploy/state.toml)." placeholder:"FILE"`
+	Thrift    string `help:"Accept Thrift calls too, as configured in this file (see deploy/thrift.toml)." placeholder:"FILE"`
+	Sources   string `help:"Get servers from the sources in this file (see deploy/sources.toml)." placeholder:"FILE"`
+	Peers     string `help:"Exchange server lists with other agents, as configured in this file (see deploy/peers.toml)." placeholder:"FILE"`
+	Translate string `help:"Translate between the shapes in this file (see deploy/translate.toml)." placeholder:"FILE"`
+	State     string `help:"Store learned state, as configured in this file (see deploy/state.toml)." placeholder:"FILE"`
 }
 
-// loadWithin is how long the reading of the configuration may fail at the start.
+// loadTimeout is how long reading the configuration is retried at startup.
 const loadWithin = 3 * time.Second
 
-// loadConfig reads the configuration, again where the system fails to read the file that is there.
+// loadConfig reads the configuration and retries after transient I/O errors.
 func loadConfig(ctx context.Context) (cfg *config.Config, err error) {
 	ctx, cancel := context.WithTimeout(ctx, loadWithin)
 	defer cancel()
 	err = transient.Until(ctx, func() error {
 		cfg, err = config.Load(os.Getenv)
 		return err
-	}, systemFailed)
+	}, isTransientReadError)
 	return cfg, err
 }
 
-// systemFailed reports whether reading a file failed in a way that may pass, and not as there is no file to read at its path.
-var systemFailed = transient.Passing(syscall.ENOENT, syscall.EACCES, syscall.EISDIR, syscall.ENOTDIR, syscall.ELOOP, syscall.ENAMETOOLONG)
+// isTransientReadError reports whether reading a file failed with an error that may go away. The errors given here are permanent:
+// there is no readable file at the path.
+var isTransientReadError = transient.Passing(syscall.ENOENT, syscall.EACCES, syscall.EISDIR, syscall.ENOTDIR, syscall.ELOOP, syscall.ENAMETOOLONG)
 
-// lastLinesWithin is how long the end of the process waits for the log's reader.
+// logFlushTimeout is how long the exiting process waits for the reader of its log.
 const lastLinesWithin = 100 * time.Millisecond
 
-// Run serves.
+// Run runs the agent until SIGTERM or SIGINT.
 func (r *runCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reload := make(chan os.Signal, 1) // one that waits stands for any number
+	reload := make(chan os.Signal, 1) // one pending signal stands for any number
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // nobody may read the log any more, which is no reason to end
+	signal.Ignore(syscall.SIGPIPE) // the agent must survive when the reader of its log exits
 	defer signal.Stop(reload)
 	cfg, err := loadConfig(ctx)
 	if err != nil {
@@ -131,23 +132,23 @@
 			return err
 		}
 	}
-	var lists *sharing.Settings
+	var peerSettings *sharing.Settings
 	if r.Peers != "" {
 		text, err := os.ReadFile(r.Peers)
 		if err != nil {
 			return err
 		}
-		if lists, err = peerconf.Parse(text); err != nil {
+		if peerSettings, err = peerconf.Parse(text); err != nil {
 			return fmt.Errorf("%s: %w", r.Peers, err)
 		}
 	}
-	opts := agent.Options{Service: service, Sources: sources, Peers: lists, Shared: os.Getenv("TMPDIR")}
+	opts := agent.Options{Service: service, Sources: sources, Peers: peerSettings, Shared: os.Getenv("TMPDIR")}
 	if r.Translate != "" {
 		opts.Shapes = func() (*translate.Set, error) { return loadShapes(r.Translate) }
 	}
-	lines := logqueue.New(os.Stderr)
-	defer lines.Close(lastLinesWithin)
-	a, err := agent.NewWith(cfg, opts, slog.New(slog.NewTextHandler(lines, nil)))
+	logWriter := logqueue.New(os.Stderr)
+	defer logWriter.Close(lastLinesWithin)
+	a, err := agent.NewWith(cfg, opts, slog.New(slog.NewTextHandler(logWriter, nil)))
 	if err != nil {
 		return err
 	}
@@ -165,7 +166,7 @@
 }
 
 type checkCommand struct {
-	Files []string `arg:"" help:"An agent's configuration (.json), a Thrift service's (.toml) that of what is kept (state.toml, or any with a table half_life) or that of the sources (sources.toml, or any with a table dns) or that of peers (peers.toml, or any with a table lists) or that of shapes (translate.toml, or any with a table shapes). The classes of a service are held against those of the configuration, where both are given."`
+	Files []string `arg:"" help:"Files to check: an agent's configuration (.json), a Thrift service (.toml), learned state (state.toml, or any with a table half_life), sources (sources.toml, or any with a table dns), peers (peers.toml, or any with a table lists) or shapes (translate.toml, or any with a table shapes). If a configuration is given too, the classes of a Thrift service are checked against its classes."`
 }
 
 // Run checks the files.
@@ -181,16 +182,16 @@
 		}
 		bad++
 		all := []error{err}
-		if several, ok := err.(interface{ Unwrap() []error }); ok {
-			all = several.Unwrap()
+		if joined, ok := err.(interface{ Unwrap() []error }); ok {
+			all = joined.Unwrap()
 		}
 		for _, err := range all {
 			fmt.Fprintf(out, "%s: %v\n", name, err)
 		}
 	}
-	for _, later := range []bool{false, true} { // those that hold the classes first
+	for _, later := range []bool{false, true} { // the configuration first, since it defines the classes
 		for _, name := range files {
-			if service := filepath.Ext(name) == ".toml"; service != later {
+			if isTOML := filepath.Ext(name) == ".toml"; isTOML != later {
 				continue
 			}
 			text, err := os.ReadFile(name)
@@ -218,20 +219,20 @@
 		}
 	}
 	if bad > 0 {
-		return errors.New("not all files are good")
+		return errors.New("some files have errors")
 	}
 	return nil
 }
 
 type demoCommand struct {
-	For    time.Duration `default:"12s" help:"How long kiosks ask; 4s at the least."`
-	Kiosks int           `default:"6" help:"Kiosks of each protocol."`
+	For    time.Duration `default:"12s" help:"How long the kiosks send calls; at least 4s."`
+	Kiosks int           `default:"6" help:"Number of kiosks for each protocol."`
 }
 
 // Run runs the demo.
 func (d *demoCommand) Run(k *kong.Kong) error {
 	if d.For < 4*time.Second || d.Kiosks < 1 {
-		return errors.New("the demo needs 4s and 1 kiosk at the least")
+		return errors.New("the demo needs at least 4s and 1 kiosk")
 	}
 	return demo.Run(demo.Options{For: d.For, Kiosks: d.Kiosks, Out: k.Stdout})
 }
--- a/cmd/ternbeam/members.go
+++ b/cmd/ternbeam/members.go
@@ -21,39 +21,39 @@
 	"ternbeam/internal/settings/sourceconf"
 )
 
-// loadSources reads the file that says where servers come from.
+// loadSources reads the configuration of the sources of servers.
 func loadSources(name string) (*sourceconf.Config, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	set, err := sourceconf.Parse(text)
+	cfg, err := sourceconf.Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return set, nil
+	return cfg, nil
 }
 
 type membersCommand struct {
 	File  string        `arg:"" help:"The file that names the sources (see deploy/sources.toml)."`
-	List  string        `help:"Address of the platform's list, which is a source too; without it only the file's." placeholder:"HOST:PORT"`
-	For   time.Duration `default:"3s" help:"How long sources are waited for."`
-	Watch bool          `help:"Go on, and show the view again with each change."`
-	JSON  bool          `name:"json" help:"For programs."`
+	List  string        `help:"Address of the platform's list service, an additional source; without it only the sources in the file are used." placeholder:"HOST:PORT"`
+	For   time.Duration `default:"3s" help:"How long to wait for the sources."`
+	Watch bool          `help:"Keep running, and show the view again at each change."`
+	JSON  bool          `name:"json" help:"Print JSON."`
 }
 
-// Run resolves, and shows the merged view.
+// Run queries the sources and prints the merged view.
 func (c *membersCommand) Run(k *kong.Kong) error {
-	set, err := loadSources(c.File)
+	cfg, err := loadSources(c.File)
 	if err != nil {
 		return err
 	}
-	if c.List == "" && len(set.DNS) == 0 {
-		return errors.New("no source: the file names none, and --list is not given")
+	if c.List == "" && len(cfg.DNS) == 0 {
+		return errors.New("no source: the file has none, and --list is not given")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	h := members.New(members.Settings{Config: *set, Discovery: c.List, Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
+	h := members.New(members.Settings{Config: *cfg, Discovery: c.List, Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
 	if !c.Watch {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.For)
--- a/cmd/ternbeam/memory.go
+++ b/cmd/ternbeam/memory.go
@@ -11,8 +11,8 @@
 	"ternbeam/internal/settings/config"
 )
 
-// limit keeps the runtime within what the platform grants. The live heap is small, so rare collections cost
-// little memory; near the limit they come more often.
+// applyLimits sets the processor and memory limits of the Go runtime to those of the platform. The live heap is small, so rare
+// collections cost little memory; near the limit they are more frequent.
 func limit(l config.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
@@ -23,29 +23,29 @@
 	}
 }
 
-// settleEvery is the longest time without a collection. One of the small live heap takes under a millisecond.
+// idleGCInterval is the maximum time without a garbage collection. One takes under a millisecond, since the live heap is small.
 const settleEvery = 5 * time.Second
 
-// settle collects at each tick, unless the runtime has done so since the last. With 400 % the first collection waits for
-// a heap of 16 MB (the runtime's least of 4 MB times four): a quiet agent fills that over minutes, and what looks like a
-// leak from outside is memory that it never needed.
+// collectWhenIdle runs a garbage collection at each tick, unless the runtime has run one since the last tick. With GOGC at 400 %
+// the first collection waits for a heap of 16 MB (the runtime's minimum of 4 MB times four): an idle agent fills that over
+// minutes with memory that it does not need, which looks like a leak from outside.
 func settle(ctx context.Context, ticks <-chan time.Time) {
-	seen := collections()
+	seen := gcCycles()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticks:
 		}
-		if collections() == seen {
+		if gcCycles() == seen {
 			runtime.GC()
 		}
-		seen = collections()
+		seen = gcCycles()
 	}
 }
 
-// collections is how many there were so far.
-func collections() uint64 {
+// gcCycles returns the number of garbage collections so far.
+func gcCycles() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/cycles/total:gc-cycles"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
--- a/cmd/ternbeam/replay.go
+++ b/cmd/ternbeam/replay.go
@@ -20,11 +20,11 @@
 )
 
 type recordCommand struct {
-	Listen   string   `required:"" help:"Where clients connect in place of the agent."`
+	Listen   string   `required:"" help:"Address on which clients connect instead of the agent's."`
 	To       string   `required:"" help:"The agent's address."`
-	Protocol string   `enum:"http,thrift" default:"http" help:"What clients speak there."`
-	Out      string   `required:"" help:"The recording, which must not be there yet." type:"path"`
-	Redact   []string `help:"Fields whose values are hidden: names of headers, of fields of queries and forms and of members of JSON; path, the last part of a path; or numbers such as 1.4, fields of Thrift."`
+	Protocol string   `enum:"http,thrift" default:"http" help:"Protocol of the clients."`
+	Out      string   `required:"" help:"File for the recording, which must not exist." type:"path"`
+	Redact   []string `help:"Fields to redact: names of headers, of query or form fields and of JSON members; path for the last part of the path; or Thrift field ids such as 1.4."`
 }
 
 // Run records until SIGTERM or SIGINT.
@@ -51,12 +51,12 @@
 }
 
 type replayCommand struct {
-	Recording string   `arg:"" help:"Made by ternbeam record: requests in the old shape of a refund, each with an id of its own." type:"existingfile"`
+	Recording string   `arg:"" help:"A recording by ternbeam record: requests in the old shape of a refund, each with a unique id." type:"existingfile"`
 	Translate string   `required:"" help:"The file of shapes (see deploy/translate.toml)." type:"existingfile"`
-	Servers   []string `enum:"http,thrift-binary,thrift-compact" default:"http,thrift-binary,thrift-compact" help:"What the new servers speak, each in turn."`
+	Servers   []string `enum:"http,thrift-binary,thrift-compact" default:"http,thrift-binary,thrift-compact" help:"Protocols of the new servers; the recording is replayed for each of them."`
 }
 
-// Run plays it and says what differs.
+// Run replays the recording and reports the differences.
 func (c *replayCommand) Run(k *kong.Kong) error {
 	f, err := os.Open(c.Recording)
 	if err != nil {
@@ -68,40 +68,40 @@
 		return fmt.Errorf("%s: %w", c.Recording, err)
 	}
 	different := 0
-	for _, speech := range c.Servers {
-		n, err := c.play(k.Stdout, all, speech)
+	for _, protocol := range c.Servers {
+		n, err := c.play(k.Stdout, all, protocol)
 		if err != nil {
 			return err
 		}
 		different += n
 	}
 	if different > 0 {
-		return fmt.Errorf("%d calls fared otherwise", different)
+		return fmt.Errorf("%d calls had different results", different)
 	}
 	return nil
 }
 
-// play plays a recording to new servers that speak so, and returns how many calls fared otherwise than with old ones.
-func (c *replayCommand) play(out io.Writer, all []replay.Exchange, speech string) (int, error) {
+// play replays a recording to new servers of a protocol, and returns how many calls had other results than with old servers.
+func (c *replayCommand) play(out io.Writer, all []replay.Exchange, protocol string) (int, error) {
 	shapes := func() (*translate.Set, error) { return loadShapes(c.Translate) }
-	quiet := slog.New(slog.DiscardHandler)
+	discardLog := slog.New(slog.DiscardHandler)
 	var old []standin.Options
-	for _, s := range []string{"http", "thrift-binary", "thrift-compact"} { // calls go to the one that speaks as they do
+	for _, s := range []string{"http", "thrift-binary", "thrift-compact"} { // calls go to the server of their protocol
 		old = append(old, standin.Options{ID: s, Protocol: s, Shapes: []string{"1"}, NoLoad: true})
 	}
-	before, err := replay.NewWorld(standin.Platform{}, shapes, quiet, old...)
+	before, err := replay.NewWorld(standin.Platform{}, shapes, discardLog, old...)
 	if err != nil {
 		return 0, err
 	}
 	defer before.Close()
-	after, err := replay.NewWorld(standin.Platform{}, shapes, quiet, standin.Options{ID: "new", Protocol: speech, Shapes: []string{"2"}})
+	after, err := replay.NewWorld(standin.Platform{}, shapes, discardLog, standin.Options{ID: "new", Protocol: protocol, Shapes: []string{"2"}})
 	if err != nil {
 		return 0, err
 	}
 	defer after.Close()
 	r := replay.Compare(before, after, all, 30*time.Second)
-	fmt.Fprintf(out, "to servers of %s: %d calls, %d the same, %d that the new shape can't hold, %d otherwise\n", speech, len(all), r.Same,
-		len(r.Unfit), len(r.Different))
+	fmt.Fprintf(out, "to servers of %s: %d calls, %d with the same result, %d that the new shape can't represent, %d with a different result\n",
+		protocol, len(all), r.Same, len(r.Unfit), len(r.Different))
 	for _, line := range append(r.Unfit, r.Different...) {
 		fmt.Fprintln(out, " ", line)
 	}
--- a/cmd/ternbeam/state.go
+++ b/cmd/ternbeam/state.go
@@ -22,50 +22,51 @@
 	"ternbeam/internal/store"
 )
 
-// loadState reads the file that says where and how what is learned is kept.
+// loadState reads the configuration of the stored learned state.
 func loadState(name string) (stateconf.Config, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return stateconf.Config{}, err
 	}
-	set, err := stateconf.Parse(text)
+	cfg, err := stateconf.Parse(text)
 	if err != nil {
-		return set, fmt.Errorf("%s: %w", name, err)
+		return cfg, fmt.Errorf("%s: %w", name, err)
 	}
-	return set, nil
+	return cfg, nil
 }
 
 type stateCommand struct {
-	Show   stateShow   `cmd:"" help:"Every fact, its age and what it would be worth now."`
-	Verify stateVerify `cmd:"" help:"Read everything; say what would be dropped and why. Fails where anything is."`
-	Diff   stateDiff   `cmd:"" help:"What differs between two folders."`
-	Export stateExport `cmd:"" help:"Everything that is kept, as JSON."`
-	Reset  stateReset  `cmd:"" help:"Forget everything. Fails while an agent owns the folder."`
+	Show   stateShow   `cmd:"" help:"Show every fact with its age and the values that an agent would restore now."`
+	Verify stateVerify `cmd:"" help:"Read everything and report what would be dropped and why. Fails if anything would be."`
+	Diff   stateDiff   `cmd:"" help:"Show the differences between two folders."`
+	Export stateExport `cmd:"" help:"Print all stored state as JSON."`
+	Reset  stateReset  `cmd:"" help:"Delete all learned state. Fails while an agent owns the folder."`
 }
 
-// kept is what a folder holds.
-type kept struct {
+// storedState is the content of a state folder.
+type storedState struct {
 	State   learned.State  `json:"state"`
 	Report  store.Report   `json:"report"`
 	Dropped []learned.Drop `json:"-"`
 }
 
-func peek(folder string) (k kept, err error) {
+// readFolder reads a state folder without locking it.
+func peek(folder string) (stored storedState, err error) {
 	records, report, err := store.Peek(store.Dir(folder), keeper.Bounds(1<<30))
 	if err != nil {
-		return k, err
+		return stored, err
 	}
-	k.Report = report
-	k.State, k.Dropped, err = learned.Read(keeper.Records(records))
-	return k, err
+	stored.Report = report
+	stored.State, stored.Dropped, err = learned.Read(keeper.Records(records))
+	return stored, err
 }
 
-// faults are what was dropped, in words.
-func (k kept) faults() (all []string) {
-	for _, d := range k.Report.Dropped {
+// droppedTexts describes each part that can't be read and is dropped.
+func (s storedState) droppedTexts() (all []string) {
+	for _, d := range s.Report.Dropped {
 		all = append(all, fmt.Sprintf("%s: %d bytes: %s", d.File, d.Bytes, d.Why))
 	}
-	for _, d := range k.Dropped {
+	for _, d := range s.Dropped {
 		all = append(all, fmt.Sprintf("%s: %v", d.Name, d.Why))
 	}
 	return all
@@ -73,15 +74,15 @@
 
 type stateShow struct {
 	Folder string `arg:"" help:"The folder."`
-	State  string `help:"The file that says how facts age (see deploy/state.toml); the defaults without it." placeholder:"FILE"`
-	JSON   bool   `name:"json" help:"For programs."`
+	State  string `help:"Configuration of how facts age (see deploy/state.toml); defaults without it." placeholder:"FILE"`
+	JSON   bool   `name:"json" help:"Print JSON."`
 }
 
-// shown is a fact as it is shown. Durations are in seconds.
+// factRow is the output for one fact. Durations are in seconds.
 type shown struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"addr"`
-	Age      float64 `json:"age_s"` // -1 where it cannot be told
+	Age      float64 `json:"age_s"` // -1 if unknown
 	Rate     float64 `json:"rate"`
 	Trust    float64 `json:"trust_now"`
 	RateNow  float64 `json:"rate_now"`
@@ -91,44 +92,46 @@
 	TrialNow bool    `json:"trial_now"`
 }
 
-func ageOf(age time.Duration, known bool) float64 {
+// ageSeconds returns an age in seconds, or -1 if it is unknown.
+func ageSeconds(age time.Duration, known bool) float64 {
 	if !known {
 		return -1
 	}
 	return age.Seconds()
 }
 
-// Run shows the facts.
+// Run prints the facts.
 func (c *stateShow) Run(k *kong.Kong) error {
-	set := aging.Defaults
+	agingSettings := aging.Defaults
 	if c.State != "" {
-		conf, err := loadState(c.State)
+		cfg, err := loadState(c.State)
 		if err != nil {
 			return err
 		}
-		set = conf.Aging
+		agingSettings = cfg.Aging
 	}
 	found, err := peek(c.Folder)
 	if err != nil {
 		return err
 	}
-	return show(k.Stdout, found, aging.New(set, found.State), keeper.Clock(), c.JSON)
+	return show(k.Stdout, found, aging.New(agingSettings, found.State), keeper.Clock(), c.JSON)
 }
 
-func show(out io.Writer, found kept, past *aging.Past, now learned.Clock, asJSON bool) error {
-	age, known, shared := past.ShowShared(now)
+// printFacts prints the stored facts, as JSON or as tables.
+func show(out io.Writer, found storedState, restored *aging.Past, now learned.Clock, asJSON bool) error {
+	age, known, shared := restored.ShowShared(now)
 	facts := []shown{}
-	for _, f := range past.Show(now) {
-		facts = append(facts, shown{ID: f.ID, Addr: f.Addr, Age: ageOf(f.Age, f.Known), Rate: f.Rate, Trust: f.Now.Trust,
+	for _, f := range restored.Show(now) {
+		facts = append(facts, shown{ID: f.ID, Addr: f.Addr, Age: ageSeconds(f.Age, f.Known), Rate: f.Rate, Trust: f.Now.Trust,
 			RateNow: f.Now.Rate, Failing: f.Failing, FailsNow: f.Now.Failing, Ejected: f.Ejected, TrialNow: f.Now.Ejected})
 	}
 	if asJSON {
-		return writeJSON(out, map[string]any{"agent": found.State.Shared.Agent, "age_s": ageOf(age, known),
+		return writeJSON(out, map[string]any{"agent": found.State.Shared.Agent, "age_s": ageSeconds(age, known),
 			"fleet": len(found.State.Shared.Fleet), "shared": found.State.Shared.Memory, "shared_now": shared, "servers": facts,
-			"dropped": found.faults()})
+			"dropped": found.droppedTexts()})
 	}
 	fmt.Fprintf(out, "agent %s, %d servers in the list then, written %s\n\n", found.State.Shared.Agent,
-		len(found.State.Shared.Fleet), ageText(ageOf(age, known)))
+		len(found.State.Shared.Fleet), ageText(ageSeconds(age, known)))
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "class\tusual\tleast\ttrust now")
 	trust := map[string]float64{}
@@ -138,7 +141,7 @@
 	for _, class := range found.State.Shared.Memory.Classes {
 		fmt.Fprintf(w, "%s\t%v\t%v\t%.2f\n", class.Name, class.Usual.Round(time.Microsecond), class.Least.Round(time.Microsecond), trust[class.Name])
 	}
-	fmt.Fprintln(w, "\nserver\taddress\tage\trate/s\tnow\ttrust now\tfailing\tnow\tejected\tcomes back so")
+	fmt.Fprintln(w, "\nserver\taddress\tage\trate/s\tnow\ttrust now\tfailing\tnow\tejected\tejected now")
 	for _, f := range facts {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%t\t%t\n", f.ID, f.Addr, ageText(f.Age), f.Rate, f.RateNow, f.Trust,
 			f.Failing, f.FailsNow, f.Ejected, f.TrialNow)
@@ -146,15 +149,15 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, fault := range found.faults() {
-		fmt.Fprintln(out, "dropped:", fault)
+	for _, text := range found.droppedTexts() {
+		fmt.Fprintln(out, "dropped:", text)
 	}
 	return nil
 }
 
 func ageText(s float64) string {
 	if s < 0 {
-		return "at a time that cannot be told"
+		return "at an unknown time"
 	}
 	return time.Duration(s*float64(time.Second)).Round(time.Second).String() + " ago"
 }
@@ -167,50 +170,50 @@
 
 type stateVerify struct {
 	Folder string `arg:"" help:"The folder."`
-	JSON   bool   `name:"json" help:"For programs."`
+	JSON   bool   `name:"json" help:"Print JSON."`
 }
 
-// Run reads everything.
+// Run reads everything and reports what can't be read.
 func (c *stateVerify) Run(k *kong.Kong) error {
 	found, err := peek(c.Folder)
-	faults := found.faults()
+	dropped := found.droppedTexts()
 	if c.JSON {
-		said := map[string]any{"generation": found.Report.From, "batches": found.Report.Batches, "records": found.Report.Records,
-			"servers": found.State.Count(), "dropped": faults}
+		result := map[string]any{"generation": found.Report.From, "batches": found.Report.Batches, "records": found.Report.Records,
+			"servers": found.State.Count(), "dropped": dropped}
 		if err != nil {
-			said["error"] = err.Error()
+			result["error"] = err.Error()
 		}
-		if e := writeJSON(k.Stdout, said); e != nil {
+		if e := writeJSON(k.Stdout, result); e != nil {
 			return e
 		}
 	} else {
 		fmt.Fprintf(k.Stdout, "generation %d, %d batches from logs, %d records, %d servers\n", found.Report.From,
 			found.Report.Batches, found.Report.Records, found.State.Count())
-		for _, f := range faults {
-			fmt.Fprintln(k.Stdout, "dropped:", f)
+		for _, text := range dropped {
+			fmt.Fprintln(k.Stdout, "dropped:", text)
 		}
 	}
-	if err == nil && len(faults) > 0 {
-		err = errors.New("not everything can be read")
+	if err == nil && len(dropped) > 0 {
+		err = errors.New("some of the state can't be read")
 	}
 	return err
 }
 
 type stateDiff struct {
-	Before string `arg:"" help:"A folder."`
-	After  string `arg:"" help:"Another one."`
-	JSON   bool   `name:"json" help:"For programs."`
+	Before string `arg:"" help:"The first folder."`
+	After  string `arg:"" help:"The second folder."`
+	JSON   bool   `name:"json" help:"Print JSON."`
 }
 
-// differs is a server that is not the same in two folders.
-type differs struct {
+// serverDiff is a server whose state differs between two folders.
+type serverDiff struct {
 	ID     string          `json:"id"`
 	What   string          `json:"what"`
 	Before *learned.Server `json:"before,omitempty"`
 	After  *learned.Server `json:"after,omitempty"`
 }
 
-// Run shows what differs.
+// Run prints the differences.
 func (c *stateDiff) Run(k *kong.Kong) error {
 	before, err := peek(c.Before)
 	if err != nil {
@@ -239,8 +242,8 @@
 	return w.Flush()
 }
 
-// diff lists the servers of which two states say something else, beyond their ages.
-func diff(before, after learned.State) (all []differs) {
+// diffStates returns the servers whose state differs, apart from its age.
+func diff(before, after learned.State) (all []serverDiff) {
 	byID := func(s learned.State) map[string]*learned.Server {
 		m := map[string]*learned.Server{}
 		for _, b := range s.Buckets {
@@ -255,19 +258,19 @@
 		a := now[id]
 		switch {
 		case a == nil:
-			all = append(all, differs{id, "no longer known", b, nil})
+			all = append(all, serverDiff{id, "no longer known", b, nil})
 		case a.Identity != b.Identity:
-			all = append(all, differs{id, "another server", b, a})
+			all = append(all, serverDiff{id, "another server", b, a})
 		case a.Rate != b.Rate || a.Failing != b.Failing || a.Ejected != b.Ejected:
-			all = append(all, differs{id, "changed", b, a})
+			all = append(all, serverDiff{id, "changed", b, a})
 		}
 	}
 	for id, a := range now {
 		if old[id] == nil {
-			all = append(all, differs{id, "new", nil, a})
+			all = append(all, serverDiff{id, "new", nil, a})
 		}
 	}
-	slices.SortFunc(all, func(x, y differs) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y serverDiff) int { return cmp.Compare(x.ID, y.ID) })
 	return all
 }
 
@@ -275,7 +278,7 @@
 	Folder string `arg:"" help:"The folder."`
 }
 
-// Run writes everything.
+// Run prints everything.
 func (c *stateExport) Run(k *kong.Kong) error {
 	found, err := peek(c.Folder)
 	if err != nil {
@@ -288,26 +291,26 @@
 	Folder string `arg:"" help:"The folder."`
 }
 
-// Run forgets everything, in the generation before too.
+// Run deletes everything, in the previous generation too.
 func (c *stateReset) Run(k *kong.Kong) (err error) {
 	st, _, err := store.Open(store.Dir(c.Folder), keeper.Bounds(1<<30))
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, st.Close()) }()
-	var gone []store.Record
+	var removed []store.Record
 	for _, name := range slices.Sorted(maps.Keys(st.All())) {
 		if r, _ := st.Get(name); r.Kind == learned.Kind {
 			r.Body, r.Gone = nil, true
-			gone = append(gone, r)
+			removed = append(removed, r)
 		}
 	}
-	if err := st.Put(gone...); err != nil {
+	if err := st.Put(removed...); err != nil {
 		return err
 	}
 	if err := errors.Join(st.Compact(), st.Compact()); err != nil {
 		return err
 	}
-	fmt.Fprintf(k.Stdout, "%d records forgotten\n", len(gone))
+	fmt.Fprintf(k.Stdout, "%d records deleted\n", len(removed))
 	return nil
 }
--- a/cmd/ternbeam/translate.go
+++ b/cmd/ternbeam/translate.go
@@ -30,28 +30,28 @@
 }
 
 type translateCommand struct {
-	File     string `arg:"" help:"Of shapes and mappings (see deploy/translate.toml)."`
-	From     string `help:"The shape of the message. Without it, what each mapping loses is shown." placeholder:"SHAPE"`
-	To       string `help:"The shape that it is to have." placeholder:"SHAPE"`
-	Reply    bool   `help:"The message is a reply in the shape --to, which goes back."`
-	Encoding string `enum:"binary,compact" default:"binary" help:"Of what is written in Thrift."`
-	Message  string `default:"-" help:"A file with the message; - for standard input. In HTTP: JSON with method, target, headers and body (a text) or body64. In Thrift: JSON with thrift64, the message without its frame."`
+	File     string `arg:"" help:"The file of shapes and mappings (see deploy/translate.toml)."`
+	From     string `help:"The shape of the message. Without --from and --to, the losses of each mapping are shown." placeholder:"SHAPE"`
+	To       string `help:"The shape to translate to." placeholder:"SHAPE"`
+	Reply    bool   `help:"The message is a reply in the shape --to, to be translated back to --from."`
+	Encoding string `enum:"binary,compact" default:"binary" help:"Encoding of the output in Thrift."`
+	Message  string `default:"-" help:"A file with the message; - for standard input. HTTP: JSON with method, target, headers and body (text) or body64. Thrift: JSON with thrift64, the message without its frame."`
 }
 
-// messageText is a message as a recording has it, or with its body as a text.
-type messageText struct {
+// messageInput is a message in the format of a recording, or with its body as text.
+type messageInput struct {
 	replay.Message
 	Text string `json:"body,omitempty"`
 }
 
-// Run shows it.
+// Run translates the message and prints the result, or the losses of each mapping.
 func (c *translateCommand) Run(k *kong.Kong) error {
 	set, err := loadShapes(c.File)
 	if err != nil {
 		return err
 	}
 	if c.From == "" && c.To == "" {
-		return losses(set, k.Stdout)
+		return printLosses(set, k.Stdout)
 	}
 	plan := set.Plan(c.From, c.To)
 	if plan == nil {
@@ -68,15 +68,15 @@
 	}
 	d := json.NewDecoder(in)
 	d.DisallowUnknownFields()
-	var text messageText
-	if err := d.Decode(&text); err != nil {
-		return fmt.Errorf("the message: %w", err)
+	var input messageInput
+	if err := d.Decode(&input); err != nil {
+		return fmt.Errorf("reading the message: %w", err)
 	}
-	return showFates(k.Stdout, plan, c.Reply, text, c.Encoding)
+	return printFates(k.Stdout, plan, c.Reply, input, c.Encoding)
 }
 
-// losses says of each mapping what it loses.
-func losses(set *translate.Set, out io.Writer) error {
+// printLosses prints what each mapping loses.
+func printLosses(set *translate.Set, out io.Writer) error {
 	for _, p := range set.Plans {
 		fmt.Fprintf(out, "%s to %s: ", p.From.Name, p.To.Name)
 		if all := p.Loses(); len(all) > 0 {
@@ -88,22 +88,22 @@
 	return nil
 }
 
-// showFates translates a message and says what became of each of its fields.
-func showFates(out io.Writer, plan *translate.Plan, reply bool, text messageText, encoding string) error {
-	m := &translate.Message{Method: text.Method, Target: text.Target, Body: append([]byte(text.Text), text.Body...), Thrift: text.Thrift}
-	words := translate.Words{Encoding: thriftwire.Binary, Envelope: translate.Envelope{Left: time.Second}}
+// printFates translates a message and prints the result of each of its fields, then the translated message.
+func printFates(out io.Writer, plan *translate.Plan, reply bool, input messageInput, encoding string) error {
+	m := &translate.Message{Method: input.Method, Target: input.Target, Body: append([]byte(input.Text), input.Body...), Thrift: input.Thrift}
+	params := translate.Words{Encoding: thriftwire.Binary, Envelope: translate.Envelope{Left: time.Second}}
 	if encoding == "compact" {
-		words.Encoding = thriftwire.Compact
+		params.Encoding = thriftwire.Compact
 	}
-	for _, h := range text.Headers {
+	for _, h := range input.Headers {
 		m.Header = append(m.Header, translate.Header{Name: h[0], Value: h[1]})
 		switch {
 		case strings.EqualFold(h[0], "Idempotency-Key"):
-			words.Envelope.Idempotency = h[1]
+			params.Envelope.Idempotency = h[1]
 		case strings.EqualFold(h[0], "X-Correlation-Id"):
-			words.Envelope.ID = h[1]
+			params.Envelope.ID = h[1]
 		case strings.EqualFold(h[0], "X-Account"):
-			words.Envelope.Tenant = h[1]
+			params.Envelope.Tenant = h[1]
 		}
 	}
 	fates, err := plan.Fates(m, reply)
@@ -116,26 +116,26 @@
 	if err != nil {
 		return err
 	}
-	var made *translate.Message
+	var translated *translate.Message
 	if reply {
-		made, err = plan.Reply(m, words)
+		translated, err = plan.Reply(m, params)
 	} else {
-		made, err = plan.Request(m, words)
+		translated, err = plan.Request(m, params)
 	}
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(out)
-	if made.Thrift != nil {
-		_, err := fmt.Fprintln(out, base64.StdEncoding.EncodeToString(made.Thrift))
+	if translated.Thrift != nil {
+		_, err := fmt.Fprintln(out, base64.StdEncoding.EncodeToString(translated.Thrift))
 		return err
 	}
-	if made.Method != "" {
-		fmt.Fprintln(out, made.Method, made.Target)
+	if translated.Method != "" {
+		fmt.Fprintln(out, translated.Method, translated.Target)
 	}
-	for _, h := range made.Header {
+	for _, h := range translated.Header {
 		fmt.Fprintf(out, "%s: %s\n", h.Name, h.Value)
 	}
-	_, err = fmt.Fprintf(out, "\n%s\n", made.Body)
+	_, err = fmt.Fprintf(out, "\n%s\n", translated.Body)
 	return err
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs balancers on the simulator's wire: events on standard input, actions on standard
-// output. It hosts many instances, which share nothing.
+// Command wirehost runs balancers on the simulator's wire protocol: it reads events from standard input and writes actions to
+// standard output. It hosts any number of instances, which share no state.
 package main
 
 import (
@@ -23,20 +23,20 @@
 	}
 }
 
-// askToken is that of the timer for the list; the module's are counted from 0.
-const askToken = 1 << 62
+// listTimerToken is the token of the timer for requesting the list. The tokens of the balancer count up from 0.
+const listTimerToken = 1 << 62
 
-// instance is one balancer, and what decides when it asks for the list.
+// instance is one balancer, with the scheduler of its list requests and its ranks at servers.
 type instance struct {
 	*choice.Balancer
-	asker  *asking.Asker // nil where the list comes unasked
-	places *subset.Subset
+	scheduler *asking.Asker // nil if the list is pushed
+	subset    *subset.Subset
 }
 
 // run answers every batch of events with one flushed reply until the input ends.
 func run(in io.Reader, w io.Writer) error {
 	var now time.Duration
-	var line []byte
+	var buf []byte
 	instances := map[string]instance{}
 	decoder, out := wire.NewDecoder(in), bufio.NewWriterSize(w, 1<<16)
 	for {
@@ -48,7 +48,7 @@
 			return err
 		}
 		var actions []choice.Action
-		ask := time.Duration(-1) // when the list is to be asked for
+		listAt := time.Duration(-1) // when to request the list; -1 for no change
 		switch i := instances[m.Instance]; m.Kind {
 		case wire.Turn:
 			now = m.Now
@@ -57,34 +57,34 @@
 			if err != nil {
 				return err
 			}
-			list := asking.Settings(m.Settings.List)
-			i = instance{Balancer: b, places: subset.New(subset.Settings{Agents: list.Agents, Me: list.Me, Seed: m.Seed})}
-			if list.Shared {
-				i.asker = asking.New(list, m.Seed)
-				ask = i.asker.Start(now)
+			listSettings := asking.Settings(m.Settings.List)
+			i = instance{Balancer: b, subset: subset.New(subset.Settings{Agents: listSettings.Agents, Me: listSettings.Me, Seed: m.Seed})}
+			if listSettings.Shared {
+				i.scheduler = asking.New(listSettings, m.Seed)
+				listAt = i.scheduler.Start(now)
 			}
 			instances[m.Instance] = i
 			actions = b.Start(now)
 		case wire.Killed:
 			delete(instances, m.Instance)
 		case wire.Unavailable:
-			if i.asker != nil {
-				ask = i.asker.Over(now, 0)
+			if i.scheduler != nil {
+				listAt = i.scheduler.Over(now, 0)
 			}
 		case wire.Event:
 			switch e := m.Event.(type) {
 			case choice.ServerList:
-				for at, s := range e.Servers {
-					e.Servers[at].Place = i.places.Place(s.ID)
+				for n, s := range e.Servers {
+					e.Servers[n].Place = i.subset.Place(s.ID)
 				}
-				if i.asker != nil && !m.Restored {
-					i.asker.Answered(now)
-					i.asker.Delivered()
+				if i.scheduler != nil && !m.Restored {
+					i.scheduler.Answered(now)
+					i.scheduler.Delivered()
 				}
 			case choice.TimerFired:
-				if e.Token == askToken && i.asker != nil {
-					i.asker.Asked(now)
-					out.Write(wire.AppendListen(line[:0], m.Instance))
+				if e.Token == listTimerToken && i.scheduler != nil {
+					i.scheduler.Asked(now)
+					out.Write(wire.AppendListen(buf[:0], m.Instance))
 					continue
 				}
 			}
@@ -95,12 +95,12 @@
 				return err
 			}
 		}
-		if ask >= 0 {
-			actions = append(actions, choice.Action{Kind: choice.SetTimer, Token: askToken, After: ask - now})
+		if listAt >= 0 {
+			actions = append(actions, choice.Action{Kind: choice.SetTimer, Token: listTimerToken, After: listAt - now})
 		}
 		for _, a := range actions {
-			line = wire.AppendAction(line[:0], m.Instance, a)
-			out.Write(line) // a failed write shows at the flush
+			buf = wire.AppendAction(buf[:0], m.Instance, a)
+			out.Write(buf) // a write error is returned by Flush
 		}
 	}
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -12,7 +12,7 @@
 	`"DeadlineNs":1200000000,"Effect":"repeatable","Group":"all","Name":"a","Worth":1}],"Ceilings":{"MostTries":3},` +
 	`"Discovery":"automatic","Report":{"Fields":["util","qps"]},"TickNs":4000000,"WeightKind":"silent"}}`
 
-// script is a conversation of the given instances, all lines of others left out.
+// script returns the input for the given instances only.
 func script(instances ...int) string {
 	var out strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
@@ -35,6 +35,7 @@
 	return out.String()
 }
 
+// reply runs the input and returns the lines of the output.
 func reply(t *testing.T, in string) []string {
 	t.Helper()
 	var out bytes.Buffer
@@ -60,16 +61,16 @@
 	}
 }
 
-// Instances in one process act as each does in a process of its own.
+// Several instances in one process act like each of them in a process of its own.
 func TestInstancesShareNothing(t *testing.T) {
 	together := reply(t, script(1, 2))
 	for _, i := range []int{1, 2} {
 		own := fmt.Sprintf(`"I":"agent_%d"`, i)
-		mine := func(lines []string) []string {
+		onlyOwn := func(lines []string) []string {
 			return slices.DeleteFunc(slices.Clone(lines), func(l string) bool { return !strings.Contains(l, own) })
 		}
-		if alone := mine(reply(t, script(i))); len(alone) == 0 || !slices.Equal(alone, mine(together)) {
-			t.Errorf("agent_%d acts differently in company", i)
+		if alone := onlyOwn(reply(t, script(i))); len(alone) == 0 || !slices.Equal(alone, onlyOwn(together)) {
+			t.Errorf("agent_%d acts differently beside another instance", i)
 		}
 	}
 }
--- a/connectionends_test.go
+++ b/connectionends_test.go
@@ -12,17 +12,18 @@
 	"testing"
 )
 
-// connectionPackages are those that hold connections of clients.
-var connectionPackages = []string{"internal/host/accept", "internal/host/conntrack", "internal/http/httpfront", "internal/thrift/thriftfront"}
+// clientConnPackages are the packages that hold client connections.
+var clientConnPackages = []string{"internal/host/accept", "internal/host/conntrack", "internal/http/httpfront", "internal/thrift/thriftfront"}
 
-// spared are functions of theirs that close something else, as the value says.
-var spared = map[string]string{
+// exempt are functions in these packages that close something else, which the value names.
+var exempt = map[string]string{
 	"accept.NewSocket": "a descriptor of the listener", "httpfront.relay": "the answer", "httpfront.clear": "the answer", "httpfront.stop": "the upload",
-	"conntrack.Accept": "calls end", "thriftfront.Stop": "the listener", "thriftfront.forget": "nothing but the account of a client",
+	"conntrack.Accept": "calls end", "thriftfront.Stop": "the listener", "thriftfront.forget": "only the state of a client",
 }
 
-// endsConnection reports whether a call may end a connection: by closing it, by expiring its deadline, by panicking in a handler, or by a header.
-func endsConnection(call *ast.CallExpr) bool {
+// mayEndConnection reports whether a call expression may end a connection: by closing it, by an expired deadline, by a panic in a
+// handler, or by a header.
+func mayEndConnection(call *ast.CallExpr) bool {
 	switch f := call.Fun.(type) {
 	case *ast.Ident:
 		return f.Name == "panic"
@@ -31,19 +32,20 @@
 		case "Close", "CloseWrite", "CloseRead", "SetLinger", "end", "yieldLocked", "closeLocked", "stopReading":
 			return true
 		case "Set":
-			return len(call.Args) == 2 && isText(call.Args[0], "Connection")
+			return len(call.Args) == 2 && isStringLiteral(call.Args[0], "Connection")
 		}
 	}
 	return false
 }
 
-func isText(e ast.Expr, text string) bool {
+// isStringLiteral reports whether e is the string literal text.
+func isStringLiteral(e ast.Expr, text string) bool {
 	literal, ok := e.(*ast.BasicLit)
 	return ok && literal.Value == `"`+text+`"`
 }
 
-// functionsThatEnd returns the functions of a package that may end a connection.
-func functionsThatEnd(t *testing.T, dir string) (names []string) {
+// connectionEnders returns the functions of a package that may end a connection.
+func connectionEnders(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	packages, err := parser.ParseDir(token.NewFileSet(), dir, func(f fs.FileInfo) bool { return !strings.HasSuffix(f.Name(), "_test.go") }, 0)
 	if err != nil {
@@ -59,7 +61,7 @@
 				ends := false
 				ast.Inspect(function, func(n ast.Node) bool {
 					call, ok := n.(*ast.CallExpr)
-					ends = ends || ok && endsConnection(call)
+					ends = ends || ok && mayEndConnection(call)
 					return true
 				})
 				if ends {
@@ -71,7 +73,7 @@
 	return names
 }
 
-// sources returns the text of all Go files, those of tests or the others.
+// sources returns the concatenated text of all Go files: of the test files, or of the others.
 func sources(t *testing.T, tests bool) string {
 	t.Helper()
 	var all strings.Builder
@@ -89,16 +91,16 @@
 	return all.String()
 }
 
-// Each place in the code that can end a client's connection is on the page of ends, and each row there names tests that there are.
+// Each function that can end a client connection is listed on docs/ops/connection-ends.md, and each row there names an existing test.
 func TestConnectionEndsAreAccounted(t *testing.T) {
 	text, err := os.ReadFile("docs/ops/connection-ends.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := string(text)
-	for _, dir := range connectionPackages {
-		for _, name := range functionsThatEnd(t, dir) {
-			if spared[name] == "" && !strings.Contains(page, "`"+name+"`") {
+	for _, dir := range clientConnPackages {
+		for _, name := range connectionEnders(t, dir) {
+			if exempt[name] == "" && !strings.Contains(page, "`"+name+"`") {
 				t.Errorf("%s can end a connection and is not on the page", name)
 			}
 		}
@@ -112,16 +114,16 @@
 		rows++
 		named := regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(row, -1)
 		if len(named) == 0 {
-			t.Errorf("no test: %s", row)
+			t.Errorf("no test in the row: %s", row)
 		}
 		for _, name := range named {
 			if !strings.Contains(tests, "func "+name[1]+"(t *testing.T)") {
-				t.Errorf("there is no test %s", name[1])
+				t.Errorf("test %s does not exist", name[1])
 			}
 		}
 	}
 	if rows < 20 {
-		t.Errorf("%d rows were found", rows)
+		t.Errorf("only %d rows were found", rows)
 	}
 	for _, line := range regexp.MustCompile("`([a-z][a-z' ]+ [a-z' ,]+)`").FindAllStringSubmatch(page, -1) {
 		if !strings.Contains(code, line[1]) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -221,8 +221,8 @@
 // errNoLocalAddress is returned for a listener whose local address is unknown because getsockname(2) failed.
 var errNoLocalAddress = errors.New("the system does not report the local address of the listener")
 
-// isTransientErrno reports whether an error of listening may go away. The errors given here are permanent: it is impossible to
-// listen on such an address.
+// isTransientErrno reports whether a listen error may be transient. The errors given here are permanent: they mean that the
+// address can't be listened on.
 var isTransientErrno = transient.Passing(syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EAFNOSUPPORT)
 
 // isTransientListenError reports whether listening is worth a retry: an address in use may belong to a process that is shutting
--- a/internal/agent/operate_test.go
+++ b/internal/agent/operate_test.go
@@ -136,11 +136,11 @@
 	override("a", "offline", 200)
 	override("a", "offline", 200)
 	testkit.Eventually(t, "the server counts as ejected", func() bool { return r.counter(t, "svc_ejected") == 1 })
-	restarted, moved, gone := a, a, a
+	restarted, moved, removed := a, a, a
 	restarted.StartedMS = time.Now().UnixMilli()
 	moved.StartedMS, moved.Cell = restarted.StartedMS, 2
-	gone.State = "terminated"
-	for i, entries := range [][]discovery.Entry{nil, {a}, {restarted}, {moved}, {gone}, {a}} {
+	removed.State = "terminated"
+	for i, entries := range [][]discovery.Entry{nil, {a}, {restarted}, {moved}, {removed}, {a}} {
 		version := int64(8 + i)
 		if entries != nil {
 			d.changes <- discovery.List{Version: version, Servers: entries}
--- a/layout_test.go
+++ b/layout_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-// floors are the rooms by what they may build on: a package imports packages of its own room and of lower floors only.
-// docs/design/layout.md says why.
-var floors = [][]string{
+// layers lists the package trees from the lowest layer to the highest: a package may import packages of its own tree and of lower
+// layers only. docs/design/layout.md gives the reasons.
+var layers = [][]string{
 	{"choice"},
 	{"internal/clock", "internal/decide", "internal/protocol", "internal/settings/conffile", "internal/settings/wire", "internal/sysio", "internal/thrift/thriftwire"},
 	{"internal/discovery", "internal/store", "internal/translate"},
@@ -28,47 +28,47 @@
 	{"cmd"},
 }
 
-// samples is the folder of sample configurations, which are texts only: anyone may read them.
-const samples = "deploy"
+// sampleConfigs is the folder of sample configurations. It contains only text, so any package may import it.
+const sampleConfigs = "deploy"
 
-// deciders do no I/O and read no clock.
-var deciders = []string{"choice", "internal/decide", "internal/translate"}
+// purePackages do no I/O and read no clock.
+var purePackages = []string{"choice", "internal/decide", "internal/translate"}
 
-// reaching are the packages through which a program reaches outside.
-var reaching = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "log", "log/slog", "golang.org/x/sys/unix"}
+// ioPackages are the packages for I/O, system calls and logging.
+var ioPackages = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "log", "log/slog", "golang.org/x/sys/unix"}
 
-// clocks are the functions that read a clock or wait for one, by package.
-var clocks = map[string][]string{
+// clockFuncs are the functions that read a clock or wait for one, by package.
+var clockFuncs = map[string][]string{
 	"time":    {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"},
 	"context": {"WithTimeout", "WithDeadline", "WithTimeoutCause", "WithDeadlineCause"},
 }
 
 const module = "ternbeam"
 
-// within reports whether a package stands in a room.
-func within(pkg, room string) bool { return pkg == room || strings.HasPrefix(pkg, room+"/") }
+// isWithin reports whether a package belongs to a package tree.
+func isWithin(pkg, tree string) bool { return pkg == tree || strings.HasPrefix(pkg, tree+"/") }
 
-// room is the room that a package stands in, the most exact one, and its floor.
-func room(pkg string) (name string, floor int) {
-	floor = -1
-	for i, rooms := range floors {
-		for _, r := range rooms {
-			if within(pkg, r) && len(r) >= len(name) {
-				name, floor = r, i
+// layerOf returns the most specific package tree that contains a package, and the index of its layer, or -1.
+func layerOf(pkg string) (name string, layer int) {
+	layer = -1
+	for i, trees := range layers {
+		for _, tree := range trees {
+			if isWithin(pkg, tree) && len(tree) >= len(name) {
+				name, layer = tree, i
 			}
 		}
 	}
-	return name, floor
+	return name, layer
 }
 
-// faults says what in a file goes against the layout.
-func faults(pkg string, file *ast.File) (all []string) {
-	own, floor := room(pkg)
-	if floor < 0 && pkg != samples {
-		return []string{pkg + " stands in no room"}
+// violations returns the violations of the layout in a file.
+func violations(pkg string, file *ast.File) (all []string) {
+	own, layer := layerOf(pkg)
+	if layer < 0 && pkg != sampleConfigs {
+		return []string{pkg + " belongs to no layer"}
 	}
-	decides := slices.ContainsFunc(deciders, func(d string) bool { return within(pkg, d) })
-	names := map[string]string{} // of what is imported, by the name in the file
+	pure := slices.ContainsFunc(purePackages, func(d string) bool { return isWithin(pkg, d) })
+	names := map[string]string{} // imported paths by their name in the file
 	for _, spec := range file.Imports {
 		target, _ := strconv.Unquote(spec.Path.Value)
 		name := path.Base(target)
@@ -76,24 +76,24 @@
 			name = spec.Name.Name
 		}
 		names[name] = target
-		if decides && slices.Contains(reaching, target) {
-			all = append(all, pkg+", which decides, imports "+target)
+		if pure && slices.Contains(ioPackages, target) {
+			all = append(all, pkg+", a pure package, imports "+target)
 		}
-		if !within(target, module) {
+		if !isWithin(target, module) {
 			continue
 		}
 		target = strings.TrimPrefix(strings.TrimPrefix(target, module), "/")
-		if to, below := room(target); to != own && below >= floor && target != samples {
-			all = append(all, pkg+" imports "+target+", which is no floor below it")
+		if to, below := layerOf(target); to != own && below >= layer && target != sampleConfigs {
+			all = append(all, pkg+" imports "+target+", which is not in a lower layer")
 		}
 	}
-	if !decides {
+	if !pure {
 		return all
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
 		if sel, ok := n.(*ast.SelectorExpr); ok {
-			if x, ok := sel.X.(*ast.Ident); ok && slices.Contains(clocks[names[x.Name]], sel.Sel.Name) {
-				all = append(all, pkg+", which decides, reads a clock by "+x.Name+"."+sel.Sel.Name)
+			if x, ok := sel.X.(*ast.Ident); ok && slices.Contains(clockFuncs[names[x.Name]], sel.Sel.Name) {
+				all = append(all, pkg+", a pure package, reads a clock by "+x.Name+"."+sel.Sel.Name)
 			}
 		}
 		return true
@@ -101,7 +101,7 @@
 	return all
 }
 
-// The arrows between the rooms go downwards, and what decides neither reaches outside nor reads a clock.
+// Packages import lower layers only, and pure packages do no I/O and read no clock.
 func TestLayout(t *testing.T) {
 	seen := 0
 	err := filepath.WalkDir(".", func(name string, d fs.DirEntry, err error) error {
@@ -113,8 +113,8 @@
 			return err
 		}
 		seen++
-		for _, fault := range faults(path.Dir(filepath.ToSlash(name)), file) {
-			t.Errorf("%s: %s", name, fault)
+		for _, violation := range violations(path.Dir(filepath.ToSlash(name)), file) {
+			t.Errorf("%s: %s", name, violation)
 		}
 		return nil
 	})
@@ -123,17 +123,17 @@
 	}
 }
 
-// Each kind of fault is seen.
+// Each kind of violation is detected.
 func TestLayoutFaults(t *testing.T) {
 	for _, c := range []struct{ pkg, text, want string }{
 		{"choice", `import "net"`, "imports net"},
 		{"internal/decide/life", `import "os"`, "imports os"},
 		{"internal/decide/life", `import "time"; var x = time.Now`, "reads a clock"},
 		{"internal/decide/life", `import t "time"; func f() { t.Sleep(1) }`, "reads a clock"},
-		{"internal/decide/life", `import "ternbeam/internal/host/pool"`, "no floor below"},
-		{"internal/http/httpback", `import "ternbeam/internal/thrift/thriftmap"`, "no floor below"},
-		{"internal/agent", `import "ternbeam/internal/lab/standin"`, "no floor below"},
-		{"internal/cellar", ``, "no room"},
+		{"internal/decide/life", `import "ternbeam/internal/host/pool"`, "not in a lower layer"},
+		{"internal/http/httpback", `import "ternbeam/internal/thrift/thriftmap"`, "not in a lower layer"},
+		{"internal/agent", `import "ternbeam/internal/lab/standin"`, "not in a lower layer"},
+		{"internal/cellar", ``, "belongs to no layer"},
 		{"internal/host/core", `import ("net"; "time"; "ternbeam/choice"); var _, _ = net.Dial, time.Now`, ""},
 		{"internal/decide/life", `import ("time"; "ternbeam/choice"); var _ time.Duration; var _ choice.Result`, ""},
 	} {
@@ -141,7 +141,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := strings.Join(faults(c.pkg, file), "; ")
+		got := strings.Join(violations(c.pkg, file), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
 			t.Errorf("%s, %s: %q", c.pkg, c.text, got)
 		}
--- a/policy_test.go
+++ b/policy_test.go
@@ -9,13 +9,13 @@
 	"unicode/utf8"
 )
 
-// The size of a policy file: so many non-blank lines, comments included, of so many characters.
+// The limits for a policy file: non-blank lines including comments, and characters in a line.
 const (
-	mostLines  = 700
-	mostLength = 110
+	maxLines      = 700
+	maxLineLength = 110
 )
 
-// policyFiles are the files that the deploy file names as policy.
+// policyFiles returns the files that deploy/balancer.toml names as policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("deploy/balancer.toml")
@@ -36,13 +36,13 @@
 	return names
 }
 
-// measure counts the lines that are not blank and lists the numbers of those that are too long.
+// measure counts the non-blank lines of a text and returns the numbers of the lines that are too long.
 func measure(text string) (lines int, long []int) {
 	for i, l := range strings.Split(text, "\n") {
 		if strings.TrimSpace(l) != "" {
 			lines++
 		}
-		if utf8.RuneCountInString(l) > mostLength {
+		if utf8.RuneCountInString(l) > maxLineLength {
 			long = append(long, i+1)
 		}
 	}
@@ -57,16 +57,16 @@
 		}
 		lines, long := measure(string(text))
 		if len(long) > 0 {
-			t.Errorf("%s: lines over %d characters: %v", name, mostLength, long)
+			t.Errorf("%s: lines over %d characters: %v", name, maxLineLength, long)
 		}
-		if lines > mostLines {
-			t.Errorf("%s holds %d lines that are not blank, %d at most", name, lines, mostLines)
+		if lines > maxLines {
+			t.Errorf("%s has %d non-blank lines, at most %d are allowed", name, lines, maxLines)
 		}
 	}
 }
 
 func TestMeasure(t *testing.T) {
-	lines, long := measure("a\n\n\t \n// b\n" + strings.Repeat("é", mostLength) + "\n\t" + strings.Repeat("x", mostLength) + "\n")
+	lines, long := measure("a\n\n\t \n// b\n" + strings.Repeat("é", maxLineLength) + "\n\t" + strings.Repeat("x", maxLineLength) + "\n")
 	if lines != 4 || len(long) != 1 || long[0] != 6 {
 		t.Errorf("%d lines, too long: %v", lines, long)
 	}
--- a/times_test.go
+++ b/times_test.go
@@ -13,11 +13,12 @@
 	"testing"
 )
 
-// timed are the rooms whose constants of time decide what clients, servers and the list service see of the agent.
-var timed = []string{"choice", "internal/agent", "internal/discovery", "internal/decide/asking", "internal/decide/relay", "internal/decide/shutdown", "internal/host", "internal/http", "internal/sysio", "internal/thrift"}
+// timedPackages are the package trees whose time constants affect the agent's behavior towards clients, servers and the list
+// service.
+var timedPackages = []string{"choice", "internal/agent", "internal/discovery", "internal/decide/asking", "internal/decide/relay", "internal/decide/shutdown", "internal/host", "internal/http", "internal/sysio", "internal/thrift"}
 
-// times finds the constants of a file that are told in units of time, each as it would stand in a row of the page.
-func times(pkg string, fset *token.FileSet, file *ast.File) (rows []string) {
+// timeConstants returns the constants of a file that are given in units of time, each as the row that the page must have for it.
+func timeConstants(pkg string, fset *token.FileSet, file *ast.File) (rows []string) {
 	for _, d := range file.Decls {
 		decl, ok := d.(*ast.GenDecl)
 		if !ok || decl.Tok != token.CONST {
@@ -37,13 +38,14 @@
 	return rows
 }
 
-// Each constant of time has its reason on docs/design/times.md, with the value that it has; and the page names none that there is not.
+// Each time constant is documented on docs/design/times.md with its value and a reason, and the page names no constant that does
+// not exist.
 func TestConstantsOfTimeHaveReasons(t *testing.T) {
 	page, err := os.ReadFile("docs/design/times.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, reasoned := map[string]bool{}, map[string]bool{}
+	documented, reasoned := map[string]bool{}, map[string]bool{}
 	for _, line := range strings.Split(string(page), "\n") {
 		if !strings.HasPrefix(line, "| `") {
 			continue
@@ -54,11 +56,11 @@
 			continue
 		}
 		row := cells[0] + " | " + cells[1] + " |"
-		told[row], reasoned[row] = true, len(strings.Trim(cells[2], " |")) > 20
+		documented[row], reasoned[row] = true, len(strings.Trim(cells[2], " |")) > 20
 	}
-	there := map[string]bool{}
-	for _, room := range timed {
-		err := fs.WalkDir(os.DirFS("."), room, func(name string, d fs.DirEntry, err error) error {
+	found := map[string]bool{}
+	for _, tree := range timedPackages {
+		err := fs.WalkDir(os.DirFS("."), tree, func(name string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 				return err
 			}
@@ -67,8 +69,8 @@
 			if err != nil {
 				return err
 			}
-			for _, row := range times(path.Dir(name), fset, file) {
-				if there[row] = true; !told[row] || !reasoned[row] {
+			for _, row := range timeConstants(path.Dir(name), fset, file) {
+				if found[row] = true; !documented[row] || !reasoned[row] {
 					t.Errorf("%s: not on the page, or without a reason: %s", name, row)
 				}
 			}
@@ -78,12 +80,12 @@
 			t.Fatal(err)
 		}
 	}
-	if len(there) < 20 {
-		t.Fatalf("%d constants of time were found", len(there))
+	if len(found) < 20 {
+		t.Fatalf("only %d time constants were found", len(found))
 	}
-	for row := range told {
-		if !there[row] {
-			t.Errorf("the page has a constant that is not there: %s", row)
+	for row := range documented {
+		if !found[row] {
+			t.Errorf("the page has a constant that does not exist: %s", row)
 		}
 	}
 }
