--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -17,12 +17,12 @@
 // An agent that shuts down stores what it learned about a silent server; the next agent on the same folder restores it, and an
 // agent whose servers were all replaced restores nothing.
 func TestNextAgentRecalls(t *testing.T) {
-	for _, sp := range protocolVariants[:2] {
-		t.Run(sp.name, func(t *testing.T) {
+	for _, variant := range protocolVariants[:2] {
+		t.Run(variant.name, func(t *testing.T) {
 			dir := t.TempDir()
 			silent := func(standin.Call) standin.Step { return standin.Step{Fault: standin.Silence} }
 			p := standin.Platform{Deadline: time.Second}
-			w := newTestbed(t, sp, p, nil, standin.Options{ID: "well"}, standin.Options{ID: "also"}, standin.Options{ID: "ill", Script: silent})
+			w := newTestbed(t, variant, p, nil, standin.Options{ID: "well"}, standin.Options{ID: "also"}, standin.Options{ID: "ill", Script: silent})
 			restart := func(untilLogged string) {
 				t.Helper()
 				w.stop()
@@ -30,7 +30,7 @@
 					t.Fatal(err)
 				}
 				log := new(testkit.Log)
-				w.startAgent(t, sp, p, slog.New(slog.NewTextHandler(log, nil)), dir)
+				w.startAgent(t, variant, p, slog.New(slog.NewTextHandler(log, nil)), dir)
 				testkit.Eventually(t, "the log has "+untilLogged, func() bool { return log.Has(untilLogged) })
 			}
 			restart("nothing is kept yet")
@@ -64,7 +64,7 @@
 			w.stop()
 			<-w.done
 			log := new(testkit.Log)
-			w.startAgent(t, sp, p, slog.New(slog.NewTextHandler(log, nil)), dir)
+			w.startAgent(t, variant, p, slog.New(slog.NewTextHandler(log, nil)), dir)
 			w.waitIdle(t) // the event loop has handled all earlier events
 			if !log.Has("learned: loaded") || log.Has("learned: recalled") {
 				t.Errorf("after all servers were replaced the log is\n%s", log)
--- a/internal/agent/parity_test.go
+++ b/internal/agent/parity_test.go
@@ -78,16 +78,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for _, sp := range protocolVariants {
+			for _, variant := range protocolVariants {
 				for m := standin.Check; m <= standin.Pay; m++ {
-					t.Run(fmt.Sprint(sp.name, " ", m), func(t *testing.T) {
+					t.Run(fmt.Sprint(variant.name, " ", m), func(t *testing.T) {
 						t.Parallel()
 						first, second := standin.NewPod(), standin.NewPod()
 						if c.pods == 1 {
 							second = first
 						}
 						// Each case has its own testbed: a fault that the choice module has seen changes its later decisions.
-						w := newTestbed(t, sp, c.platform, nil,
+						w := newTestbed(t, variant, c.platform, nil,
 							standin.Options{ID: "a", Pod: first, Cell: 1, Script: c.script},
 							standin.Options{ID: "b", Pod: second, Cell: c.pods, Script: c.script})
 						w.expect(t, newAsk(m, "first"), c.want[m], c.least, c.most, c.noEffects, c.want == nil)
@@ -130,19 +130,19 @@
 
 // A refusal is immediate and carries a retry delay, in every protocol.
 func TestRefusalSaysWhenAlike(t *testing.T) {
-	for _, sp := range protocolVariants {
-		w := newTestbed(t, sp, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
+	for _, variant := range protocolVariants {
+		w := newTestbed(t, variant, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
 		got := w.kiosk.Ask(newAsk(standin.Pay, "id"))
 		if got.Kind != standin.Refused || got.RetryAfter != 300*time.Millisecond || got.Took > 2*time.Second {
-			t.Errorf("%s: %s, retry after %v, answered after %v", sp.name, got.Kind, got.RetryAfter, got.Took)
+			t.Errorf("%s: %s, retry after %v, answered after %v", variant.name, got.Kind, got.RetryAfter, got.Took)
 		}
 	}
 }
 
 // After the grace period a draining server gets no new calls, and the calls that it has are answered.
 func TestDrainFaresAlike(t *testing.T) {
-	for _, sp := range protocolVariants {
-		t.Run(sp.name, func(t *testing.T) {
+	for _, variant := range protocolVariants {
+		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
 			pod := standin.NewPod()
 			hold := make(chan struct{})
@@ -152,7 +152,7 @@
 				}
 				return standin.Step{}
 			}
-			w := newTestbed(t, sp, standin.Platform{}, nil, standin.Options{ID: "a", Pod: pod, Cell: 1, Script: script})
+			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a", Pod: pod, Cell: 1, Script: script})
 			held := make(chan standin.Answer, 1)
 			go func() { held <- w.kiosk.Ask(newAsk(standin.Pay, "held")) }()
 			testkit.Eventually(t, "the call is in flight", func() bool { return w.deliveries("held") == 1 })
@@ -177,11 +177,11 @@
 
 // During shutdown an agent answers all calls that it received, on every front.
 func TestEndsGentlyAlike(t *testing.T) {
-	for _, sp := range protocolVariants {
-		t.Run(sp.name, func(t *testing.T) {
+	for _, variant := range protocolVariants {
+		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			w := newTestbed(t, sp, standin.Platform{}, nil, standin.Options{ID: "a",
+			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a",
 				Script: func(standin.Call) standin.Step { return standin.Step{Until: release} }})
 			var all sync.WaitGroup
 			for i := range 5 {
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -56,7 +56,7 @@
 	return all
 }
 
-func newDNSTestbed(t *testing.T, sp protocolVariant, servers ...standin.Options) *dnsTestbed {
+func newDNSTestbed(t *testing.T, variant protocolVariant, servers ...standin.Options) *dnsTestbed {
 	t.Helper()
 	list, err := standin.NewList()
 	if err != nil {
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(names.Close)
-	s := &dnsTestbed{testbed: &testbed{list: list}, names: names, variant: sp}
+	s := &dnsTestbed{testbed: &testbed{list: list}, names: names, variant: variant}
 	for _, o := range servers {
 		s.add(t, o)
 	}
@@ -84,7 +84,7 @@
 [guard]
 share = 0.6
 wait_s = 0.2
-`, names.Addr(), sp.protocol))
+`, names.Addr(), variant.protocol))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,10 +100,10 @@
 	}
 	s.runningAgent = runAgent(t, a, cfg)
 	addr := s.thrift
-	if sp.protocol == "http" {
+	if variant.protocol == "http" {
 		addr = cfg.Listen
 	}
-	if s.kiosk, err = standin.NewKiosk(sp.protocol, addr); err != nil {
+	if s.kiosk, err = standin.NewKiosk(variant.protocol, addr); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.kiosk.Close)
@@ -127,9 +127,9 @@
 // agent was notified, under constant load and in every protocol. The time of notification is taken from the list service and the
 // name server.
 func TestDrainByEitherSource(t *testing.T) {
-	for _, sp := range protocolVariants {
+	for _, variant := range protocolVariants {
 		for _, by := range []string{"list", "srv"} {
-			t.Run(sp.name+"/"+by, func(t *testing.T) {
+			t.Run(variant.name+"/"+by, func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
 				last := map[string]time.Time{} // when each server last got a new call
@@ -141,7 +141,7 @@
 						return standin.Step{}
 					}}
 				}
-				s := newDNSTestbed(t, sp, options("stays-0"), options("stays-1"), options("stays-2"), options("stays-3"))
+				s := newDNSTestbed(t, variant, options("stays-0"), options("stays-1"), options("stays-2"), options("stays-3"))
 				ctx, cancel := context.WithCancel(context.Background())
 				var kiosks sync.WaitGroup
 				defer kiosks.Wait()
@@ -280,7 +280,7 @@
 }
 
 // startWithAddresses starts an agent whose list names one server with several addresses, and a kiosk.
-func startWithAddresses(t *testing.T, sp protocolVariant, server *standin.Server, addrs []string, p standin.Platform) (*runningAgent, standin.Kiosk) {
+func startWithAddresses(t *testing.T, variant protocolVariant, server *standin.Server, addrs []string, p standin.Platform) (*runningAgent, standin.Kiosk) {
 	t.Helper()
 	e := server.Entry()
 	e.Addr, e.Addrs = addrs[0], addrs
@@ -296,10 +296,10 @@
 	}
 	r := startWithThrift(t, cfg, service)
 	addr := r.thrift
-	if sp.protocol == "http" {
+	if variant.protocol == "http" {
 		addr = cfg.Listen
 	}
-	kiosk, err := standin.NewKiosk(sp.protocol, addr)
+	kiosk, err := standin.NewKiosk(variant.protocol, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -307,14 +307,14 @@
 	return r, kiosk
 }
 
-// A server has a Unix socket, an IPv6 and an IPv4 address, of which one or several are dead: every call is served through the
-// working addresses, with one delivery per attempt, since only dials race.
+// A server has a Unix socket, an IPv6 and an IPv4 address, of which none, one, two or all are dead: while any of them works every
+// call is served through it, with one delivery per attempt, since only dials race.
 func TestAddressesBlackholed(t *testing.T) {
-	for _, sp := range protocolVariants[:3] {
+	for _, variant := range protocolVariants[:3] {
 		for _, dead := range [][]string{nil, {"unix"}, {"ipv6"}, {"ipv4"}, {"unix", "ipv6"}, {"unix", "ipv6", "ipv4"}} {
-			t.Run(fmt.Sprint(sp.name, dead), func(t *testing.T) {
+			t.Run(fmt.Sprint(variant.name, dead), func(t *testing.T) {
 				t.Parallel()
-				server, err := standin.Start(standin.Options{ID: "many", Protocol: sp.protocol})
+				server, err := standin.Start(standin.Options{ID: "many", Protocol: variant.protocol})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -335,7 +335,7 @@
 				if !slices.Contains(dead, "unix") { // otherwise the path does not exist
 					forward(t, "unix", path, server.Addr())
 				}
-				_, kiosk := startWithAddresses(t, sp, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
+				_, kiosk := startWithAddresses(t, variant, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
 				methods := []standin.Method{standin.Check, standin.Record, standin.Pay}
 				for i := range 6 {
 					a := newAsk(methods[i%3], fmt.Sprint("c", i))
@@ -359,11 +359,11 @@
 // If the dial to the first address succeeds and the reply stalls, nothing is sent to another address unless the choice module
 // orders a retry, which it never does for a call that must not run twice.
 func TestStalledReply(t *testing.T) {
-	for _, sp := range protocolVariants[:3] {
+	for _, variant := range protocolVariants[:3] {
 		for _, method := range []standin.Method{standin.Record, standin.Pay} {
-			t.Run(fmt.Sprint(sp.name, method), func(t *testing.T) {
+			t.Run(fmt.Sprint(variant.name, method), func(t *testing.T) {
 				t.Parallel()
-				server, err := standin.Start(standin.Options{ID: "many", Protocol: sp.protocol})
+				server, err := standin.Start(standin.Options{ID: "many", Protocol: variant.protocol})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -382,7 +382,7 @@
 						t.Cleanup(func() { c.Close() })
 					}
 				}()
-				r, kiosk := startWithAddresses(t, sp, server, []string{server.Addr(), silent.Addr().String()},
+				r, kiosk := startWithAddresses(t, variant, server, []string{server.Addr(), silent.Addr().String()},
 					standin.Platform{Deadline: 700 * time.Millisecond, Window: 300 * time.Millisecond})
 				a := newAsk(method, "stalls")
 				a.Left = 700 * time.Millisecond
--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -85,21 +85,21 @@
 }
 
 // inheritedState returns the state that the core starts with, or nil if nothing was handed over.
-func (l *handoverState) inheritedState() *core.Inheritance {
-	if l.received == nil {
+func (h *handoverState) inheritedState() *core.Inheritance {
+	if h.received == nil {
 		return nil
 	}
-	return &core.Inheritance{Said: l.received.State.Said, Learned: l.received.State.Learned}
+	return &core.Inheritance{Said: h.received.State.Said, Learned: h.received.State.Learned}
 }
 
 // inheritedListener returns the listener that was handed over for an address, or nil, and passes its ownership to the caller.
-func (l *handoverState) inheritedListener(addr string) *net.TCPListener {
-	if l.received == nil {
+func (h *handoverState) inheritedListener(addr string) *net.TCPListener {
+	if h.received == nil {
 		return nil
 	}
-	for i, listener := range l.received.Listeners {
+	for i, listener := range h.received.Listeners {
 		if listener != nil && listener.Addr().String() == addr {
-			l.received.Listeners[i] = nil
+			h.received.Listeners[i] = nil
 			return listener
 		}
 	}
@@ -136,31 +136,31 @@
 			return
 		}
 		for ctx.Err() == nil { // again after a successor has exited: it took over the path, so nobody listens there now
-			offer := a.newOffer(ctx)
-			if offer == nil {
+			server := a.newTakeoverServer(ctx)
+			if server == nil {
 				return
 			}
-			go offer.Serve(a.handOver, a.serveSuccessor)
+			go server.Serve(a.handOver, a.serveSuccessor)
 			select {
 			case <-ctx.Done():
 			case <-a.handover.reoffer:
 			}
-			offer.Close()
+			server.Close()
 		}
 	}()
 	return cancel
 }
 
-// newOffer offers the state to the next process, and retries until the socket can be opened in the shared folder. It returns nil
-// if ctx is canceled first.
-func (a *Agent) newOffer(ctx context.Context) (offer *successor.Offer) {
+// newTakeoverServer starts the server from which the next process claims the state, and retries until its socket can be opened in
+// the shared folder. It returns nil if ctx is canceled first.
+func (a *Agent) newTakeoverServer(ctx context.Context) (server *successor.Offer) {
 	transient.Until(ctx, func() (err error) {
-		offer, err = successor.NewOffer(a.handover.claimPath, a.cfg.Name, a.log)
+		server, err = successor.NewOffer(a.handover.claimPath, a.cfg.Name, a.log)
 		return err
 	}, transient.TellingFirst(func(err error) {
 		a.log.Warn("until this succeeds a replacement begins from nothing, trying again", "error", err)
 	}, transient.Always))
-	return offer
+	return server
 }
 
 // handOver returns the state and listeners for the next process, and subscribes it to updates.
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -393,14 +393,14 @@
 
 // A oneway gets no reply, and calls after it on the same connection are answered as usual.
 func TestOneway(t *testing.T) {
-	for _, sp := range protocolVariants[1:] {
-		w := newTestbed(t, sp, standin.Platform{}, nil, standin.Options{ID: "s"})
+	for _, variant := range protocolVariants[1:] {
+		w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "s"})
 		for i := range 3 {
 			if got := w.kiosk.Ask(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
-				t.Errorf("%s: %s, %v", sp.name, got.Kind, got.Err)
+				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
 			if got := w.kiosk.Ask(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
-				t.Errorf("%s: %s, %v", sp.name, got.Kind, got.Err)
+				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
 		}
 		for i := range 3 {
@@ -408,7 +408,7 @@
 		}
 		w.waitIdle(t)
 		if s := w.core.Snapshot().Stats; s.Attempts != 6 {
-			t.Errorf("%s: %d attempts", sp.name, s.Attempts)
+			t.Errorf("%s: %d attempts", variant.name, s.Attempts)
 		}
 	}
 }
@@ -498,9 +498,9 @@
 
 // The clients and servers of the Apache Thrift library work with the agent between them, in both protocols.
 func TestApacheServer(t *testing.T) {
-	for _, sp := range protocolVariants[1:3] {
+	for _, variant := range protocolVariants[1:3] {
 		var factory thrift.TProtocolFactory = thrift.NewTBinaryProtocolFactoryConf(nil)
-		if sp.protocol == "thrift-compact" {
+		if variant.protocol == "thrift-compact" {
 			factory = thrift.NewTCompactProtocolFactoryConf(nil)
 		}
 		socket, err := thrift.NewTServerSocket("127.0.0.1:0")
@@ -514,9 +514,9 @@
 			thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), nil), factory)
 		server.SetLogger(func(string) {})
 		go server.Serve()
-		w := newTestbed(t, sp, standin.Platform{MostTries: 1}, nil)
+		w := newTestbed(t, variant, standin.Platform{MostTries: 1}, nil)
 		w.list.Tell(discovery.Entry{ID: "apache", Addr: socket.Addr().String(), Zone: "z", State: "in_service",
-			Protocol: sp.protocol})
+			Protocol: variant.protocol})
 		testkit.Eventually(t, "the agent knows the server", func() bool { return len(w.core.Snapshot().Servers) == 1 })
 		for _, c := range []struct {
 			ask  standin.Ask
@@ -531,7 +531,7 @@
 			{newAsk(standin.Check, "5"), standin.Served, "checked form-5 "},
 		} {
 			if got := w.kiosk.Ask(c.ask); got.Kind != c.kind || got.Text != c.text {
-				t.Errorf("%s, %s: %s %q, %v", sp.name, c.ask.ID, got.Kind, got.Text, got.Err)
+				t.Errorf("%s, %s: %s %q, %v", variant.name, c.ask.ID, got.Kind, got.Text, got.Err)
 			}
 		}
 		socket.Interrupt()
--- a/internal/agent/world_test.go
+++ b/internal/agent/world_test.go
@@ -29,7 +29,7 @@
 }
 
 // newTestbed starts servers of a protocol variant, a list service that names them, an agent and a kiosk.
-func newTestbed(t *testing.T, sp protocolVariant, p standin.Platform, edit func(string) string, servers ...standin.Options) *testbed {
+func newTestbed(t *testing.T, variant protocolVariant, p standin.Platform, edit func(string) string, servers ...standin.Options) *testbed {
 	t.Helper()
 	w := &testbed{}
 	list, err := standin.NewList()
@@ -40,9 +40,9 @@
 	w.list = list
 	for _, opts := range servers {
 		if opts.Protocol == "" {
-			opts.Protocol = sp.protocol
+			opts.Protocol = variant.protocol
 		}
-		opts.Multiplexed = sp.multiplexed
+		opts.Multiplexed = variant.multiplexed
 		s, err := standin.Start(opts)
 		if err != nil {
 			t.Fatal(err)
@@ -52,12 +52,12 @@
 		list.Tell(s.Entry())
 	}
 	w.editService = edit
-	w.startAgent(t, sp, p, discardLog(), "")
+	w.startAgent(t, variant, p, discardLog(), "")
 	return w
 }
 
 // startAgent starts the first or the next agent, with learned state persisted in folder if it is not empty.
-func (w *testbed) startAgent(t *testing.T, sp protocolVariant, p standin.Platform, log *slog.Logger, folder string) {
+func (w *testbed) startAgent(t *testing.T, variant protocolVariant, p standin.Platform, log *slog.Logger, folder string) {
 	t.Helper()
 	p.Discovery, p.Known = w.list.Addr(), w.list.Full()
 	p.Known.Version = 0 // makes the watch send the list, so that the agent is ready immediately
@@ -71,10 +71,10 @@
 	}
 	w.runningAgent = startWithState(t, cfg, service, log, folder)
 	addr := w.thrift
-	if sp.protocol == "http" {
+	if variant.protocol == "http" {
 		addr = cfg.Listen
 	}
-	if w.kiosk, err = standin.NewKiosk(sp.protocol, addr); err != nil {
+	if w.kiosk, err = standin.NewKiosk(variant.protocol, addr); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.kiosk.Close)
