--- a/choice/api.go
+++ b/choice/api.go
@@ -1,6 +1,7 @@
-// Package choice holds the decisions of a client-side load balancer: which server gets a request, when an
-// attempt is given up or repeated, and what is refused. Every client process has a Balancer of its own; they
-// share nothing. A Balancer does no I/O and reads no clock: events go in with the time, actions come out.
+// Package choice makes the decisions of a client-side load balancer: which server gets a request, when an
+// attempt is retried, hedged or canceled, and which requests are shed. Every client process has its own
+// Balancer; balancers share no state. A Balancer does no I/O and reads no clock: the host passes it events
+// with their time and carries out the actions that it returns.
 package choice
 
 import (
@@ -10,181 +11,183 @@
 	"time"
 )
 
-// Effect says what repeating a request of a class would do.
+// Effect says whether a request of a class may run more than once.
 type Effect int
 
-// The effects of a repeat.
+// The effects of running a request again.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // carries a key: repeats are dropped within a group, for a while
+	Safe   Effect = iota // may be repeated any number of times
+	Keyed                // has an idempotency key: servers drop repeats within a scope, for a limited time
 	Unsafe               // must never run twice
 )
 
-// Group names the servers that drop repeats of a keyed request among themselves.
+// DedupScope names the servers that recognize and drop each other's repeats of a keyed request.
 type Group int
 
-// The groups of servers.
+// The scopes of deduplication.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	GroupAll  Group = iota // all servers
+	GroupZone              // servers of the same zone
+	GroupCell              // servers of the same cell
 )
 
-// Class describes one class of request.
+// Class describes one class of requests.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Group    Group         // of a keyed class
-	Window   time.Duration // of a keyed class: repeats are dropped so long after the first send
-	Aim      time.Duration // an answer within this time earns the full worth
-	Deadline time.Duration // the client's patience over all its tries
-	Worth    float64
+	Group    Group         // keyed classes: which servers drop repeats
+	Window   time.Duration // keyed classes: how long after the first send repeats are dropped
+	Aim      time.Duration // target latency: an answer within it has the full value
+	Deadline time.Duration // how long the client waits, over all its tries
+	Worth    float64       // relative value of an answer: requests of low value are shed first
 }
 
-// Settings are all that a Balancer is told at start. They do not change while it lives.
+// Settings configure a Balancer. They are fixed for its lifetime.
 type Settings struct {
-	Balancers      int           // how many balancers front the same servers
-	Tick           time.Duration // the least time between two events; timers are that exact
-	Classes        []Class
-	Zone           int           // where this balancer runs
-	CrossZonePrice float64       // what an attempt in another zone costs, as a share of a request; 0 for nothing
-	ListWeights    bool          // the list's weights say something of the servers' capacities
-	WarmKeys       bool          // a server that met a request's key lately does less work for it
+	Balancers      int           // number of balancers that use the same servers
+	Tick           time.Duration // minimum time between two events, and the precision of timers
+	Classes        []Class       // indexed by Request.Class
+	Zone           int           // zone in which this balancer runs
+	CrossZonePrice float64       // cost of an attempt in another zone, as a share of a request; 0 if free
+	ListWeights    bool          // the weights in the server list reflect the servers' capacities
+	WarmKeys       bool          // a server that recently handled a request's key does less work for it
 	Probes         bool          // servers may be probed
-	ProbePrice     float64       // what a probe costs, as a share of a request
-	ReportsLoad    bool          // reports state the requests that a server has in hand
-	MaxAttempts    int           // for one request
-	ParallelCopies bool          // a request may have two attempts out at a time
-	CanCancel      bool          // attempts may be cancelled
-	MaxRetryAfter  time.Duration // the longest come-back time that clients heed; 0 where they are given none
-	ColdFrom       float64       // a server starts with this share of its capacity at least
-	ColdFor        time.Duration // and has all of it after this time at the latest
-	Stall          time.Duration // by how much a send may be held up past its Within
+	ProbePrice     float64       // cost of a probe, as a share of a request
+	ReportsLoad    bool          // reports state the number of requests that a server has in flight
+	MaxAttempts    int           // per request
+	ParallelCopies bool          // a request may have two attempts in flight at a time (hedging)
+	CanCancel      bool          // attempts may be canceled
+	MaxRetryAfter  time.Duration // longest retry-after time that clients heed; 0 if they are given none
+	ColdFrom       float64       // minimum share of its capacity that a server has right after its start
+	ColdFor        time.Duration // time after its start at which it has all of it at the latest
+	Stall          time.Duration // how long a send may be delayed beyond its SendWithin
 }
 
-// check says in plain words what is wrong with the settings.
-func (set *Settings) check() error {
-	if len(set.Classes) == 0 {
-		return errors.New("choice: settings name no class of requests")
+// check returns an error for the first invalid setting.
+func (s *Settings) check() error {
+	if len(s.Classes) == 0 {
+		return errors.New("choice: settings have no request classes")
 	}
-	for _, c := range set.Classes {
+	for _, c := range s.Classes {
 		if c.Aim <= 0 || c.Deadline <= 0 {
-			return fmt.Errorf("choice: class %q needs an aim and a deadline above 0", c.Name)
+			return fmt.Errorf("choice: class %q: aim and deadline must be above 0", c.Name)
 		}
 		if c.Effect == Keyed && c.Window <= 0 {
-			return fmt.Errorf("choice: keyed class %q needs a window above 0", c.Name)
+			return fmt.Errorf("choice: keyed class %q: deduplication window must be above 0", c.Name)
 		}
 	}
-	if set.Stall < 0 {
-		return errors.New("choice: the stall must not be below 0")
+	if s.Stall < 0 {
+		return errors.New("choice: the maximum send delay must not be negative")
 	}
-	if set.MaxAttempts < 1 {
-		return errors.New("choice: settings allow no attempt")
+	if s.MaxAttempts < 1 {
+		return errors.New("choice: the maximum number of attempts must be at least 1")
 	}
-	if !(set.CrossZonePrice >= 0 && set.ProbePrice >= 0) {
-		return errors.New("choice: prices must not be below 0")
+	if !(s.CrossZonePrice >= 0 && s.ProbePrice >= 0) {
+		return errors.New("choice: the costs of cross-zone attempts and probes must be at least 0")
 	}
-	if set.ColdFor > 0 && (set.ColdFrom <= 0 || set.ColdFrom > 1) {
-		return errors.New("choice: the cold share must be above 0 and at most 1")
+	if s.ColdFor > 0 && (s.ColdFrom <= 0 || s.ColdFrom > 1) {
+		return errors.New("choice: the minimum share in slow start must be above 0 and at most 1")
 	}
 	return nil
 }
 
-// Protocols is a set of protocols, one bit each. What a bit stands for is the host's matter.
+// Protocols is a set of protocols, one bit each. The host assigns the bits.
 type Protocols uint64
 
-// State is what the list says of a server.
+// State is the state of a server in the list.
 type State int
 
 // The states of a server.
 const (
-	Ready    State = iota
-	Draining       // finishes its work; gets nothing new
-	Gone           // removed; in changes only
+	Ready    State = iota // gets requests
+	Draining              // finishes its requests in flight and gets no new ones
+	Gone                  // removed from the list; only in incremental updates
 )
 
-// Server is an entry of the list.
+// Server is an entry of the server list.
 type Server struct {
 	ID      string
 	State   State
 	Zone    int
-	Cell    int           // a small set of servers that drop each other's repeats
-	Weight  float64       // the list's figure for its size
-	Started time.Duration // its latest start, on the clock of the events; 0 for long ago
-	Speaks  Protocols
-	Place   float64 // this balancer's among all that might draw from it, from 0 to below 1; see package subset
+	Cell    int           // small group of servers that drop each other's repeats
+	Weight  float64       // relative size according to the list
+	Started time.Duration // time of its latest start, on the clock of the events; 0 if long ago
+	Speaks  Protocols     // protocols that the server speaks
+	Place   float64       // rank of this balancer among those that may draw it, in [0, 1); see package subset
 }
 
-// Report is what a server says of its own load. A negative figure is one that it does not state.
+// Report is the load that a server reports about itself. A negative figure is not stated.
 type Report struct {
-	Util     float64 // share of its cores' time in use
-	Rate     float64 // requests done a second
-	Errors   float64 // errors a second
-	InFlight float64
-	Queue    float64
+	Util     float64 // utilization: share of the time of its cores in use
+	Rate     float64 // requests completed per second
+	Errors   float64 // errors per second
+	InFlight float64 // requests in flight
+	Queue    float64 // requests queued
 }
 
-// NoReport is the Report of an answer that brought none.
+// NoReport is the Report of an answer that carries no load figures.
 var NoReport = Report{Util: -1, Rate: -1, Errors: -1, InFlight: -1, Queue: -1}
 
-// Result is how an attempt or a probe ended.
+// Result is the outcome of an attempt or a probe.
 type Result int
 
-// The results of an attempt.
+// The results of an attempt or a probe.
 const (
 	OK            Result = iota // served
-	Failed                      // an error came back; it may have run
-	Rejected                    // turned away unseen; it never ran
-	TimedOut                    // no answer in the time allowed; it may have run
-	ConnectFailed               // no connection in time; it never ran
-	Reset                       // the connection broke; it may have run
-	Cancelled                   // withdrawn; it may have run
-	NotSent                     // not sent at all: too late, or one attempt too many
+	Failed                      // the server returned an error; the request may have run
+	Rejected                    // the server refused to process the request; it never ran
+	TimedOut                    // no answer in the time allowed; the request may have run
+	ConnectFailed               // no connection in time; the request never ran
+	Reset                       // the connection broke; the request may have run
+	Cancelled                   // canceled; the request may have run
+	NotSent                     // not sent: too late, or one attempt too many; the request never ran
 )
 
 // neverRan reports whether the result proves that the request had no effect.
 func (r Result) neverRan() bool { return r == Rejected || r == ConnectFailed || r == NotSent }
 
-// Event is something that a Balancer is told: one of the types below.
+// Event is an input of a Balancer: one of the types below.
 type Event interface{ event() }
 
 type (
-	// ServerList brings the list of servers or a change of it. The slice is only read.
+	// ServerList carries the list of servers or an incremental update. The Balancer only reads the slice.
 	ServerList struct {
-		Full    bool // the whole list, not only the entries that changed
+		Full    bool // the complete list: servers that are missing from it are removed
 		Servers []Server
 	}
-	// Request is a client's request. It is owed one final answer: a served attempt, a Refuse or a Fail.
+	// Request is a client's request. It gets one final answer: a served attempt, a Refuse or a Fail.
 	Request struct {
 		ID            string
-		Class, Tenant int
-		Key           string        // what it is about; may be empty
-		Deadline      time.Duration // when the client gives this try up, on the clock of the events
-		Again         bool          // the client's own repeat, where clients say so
-		Needs         Protocols     // all of these a server must speak to be sent it; 0 where any will do
-		Coming        bool          // its last bytes are still to come; Whole says when they have
+		Class, Tenant int           // Class is an index into Settings.Classes
+		Key           string        // what the request is about, for key affinity; may be empty
+		Deadline      time.Duration // when the client gives up this try, on the clock of the events
+		Again         bool          // the client marked this try as its own retry
+		Needs         Protocols     // a server must speak all of these to get the request; 0 if any will do
+		Coming        bool          // the end of the body is not yet received; BodyReceived follows
 	}
-	// Whole says that a request that was coming is here to its last byte. Its time counts from now.
+	// BodyReceived reports that a request with BodyPending is received to its last byte. The latencies of its
+	// attempts count from this event on.
 	Whole struct {
 		Request  string
-		Deadline time.Duration
+		Deadline time.Duration // replaces that of the Request
 	}
-	// Outcome ends one attempt. Every Send gets one. The first OK answers the client by itself.
+	// Outcome ends one attempt. Every Send gets one. The first OK is the final answer by itself.
 	Outcome struct {
 		Request string
-		Attempt int // numbered from 0 in the order of the sends
+		Attempt int // index in the order of the sends, from 0
 		Server  string
 		Result  Result
 		Took    time.Duration
 		Closed  bool // the request needs no final answer any more
 		Report  Report
 	}
-	// Streaming says that a streamed answer has begun: the attempt belongs to the client now.
+	// StreamStarted reports that a streamed answer has begun to be passed to the client: the request needs no
+	// other attempt and no other final answer.
 	Streaming struct {
 		Request string
 		Attempt int
 	}
-	// ClientGone says that the client left; nothing more is owed.
+	// ClientDisconnected reports that the client has disconnected: its request needs no final answer.
 	ClientGone struct{ Request string }
 	// Probed is the result of a probe.
 	Probed struct {
@@ -193,9 +196,10 @@
 		Took   time.Duration
 		Report Report
 	}
-	// Ending says that the process ends: every open request gets its final answer by then at the latest.
+	// Shutdown reports that the process shuts down: every open request gets its final answer by Deadline at
+	// the latest.
 	Ending struct{ By time.Duration }
-	// TimerFired says that a timer set by SetTimer is due.
+	// TimerFired reports that a timer set by SetTimer has expired.
 	TimerFired struct{ Token uint64 }
 )
 
@@ -209,71 +213,74 @@
 func (Ending) event()     {}
 func (TimerFired) event() {}
 
-// ActionKind names what an Action does and which of its fields count.
+// ActionKind is the kind of an Action. It determines which of the fields are used.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Send     ActionKind = iota // Request to Server, given up after After (0: when the client does); see Within
-	Cancel                     // attempt number Attempt of Request
-	Refuse                     // Request: trying again does no harm; the client stays away for After
-	Fail                       // Request: no promise about its effect
-	SetTimer                   // TimerFired with Token comes after After
-	Probe                      // Server
+	Send     ActionKind = iota // send Request to Server; time out after After, or with the client if it is 0
+	Cancel                     // cancel attempt number Attempt of Request
+	Refuse                     // answer Request: a retry does no harm, but should wait for After
+	Fail                       // answer Request: it may or may not have run
+	SetTimer                   // deliver TimerFired with Token after After
+	Probe                      // probe Server
 )
 
-// Action is something that the Balancer wants done. Actions take effect in order.
+// Action is an instruction to the host, which carries out actions in order.
 type Action struct {
 	Kind    ActionKind
 	Request string
 	Server  string
 	Attempt int
 	After   time.Duration
-	Within  time.Duration // a Send must be written whole so soon, or not at all; 0 for any time
+	Within  time.Duration // the time in which a Send must be written whole, or not at all; 0 for no limit
 	Token   uint64
-	Reason  Reason // why, for logs and counts
+	Reason  Reason // why, for logs and metrics
 }
 
-// New returns a Balancer. Its random numbers follow from the seed alone.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.check(); err != nil {
+// New returns a Balancer. All its random numbers derive from the seed.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, 0)), byID: map[string]*server{},
-		requests: map[string]*request{}, timers: map[uint64]*request{}, token: firstToken,
-		budget: retrySaved, trialBy: Unsafe, tightest: set.Classes[0].Aim, jamWeight: jamWeight}
-	for _, c := range set.Classes {
-		b.usual, b.least = append(b.usual, float64(c.Aim)/4), append(b.least, float64(c.Aim)/4)
+	b := &Balancer{settings: settings, rng: rand.New(rand.NewPCG(seed, 0)), byID: map[string]*server{},
+		requests: map[string]*request{}, timers: map[uint64]*request{}, lastToken: firstToken,
+		retryBudget: maxRetryBudget, trialEffect: Unsafe, shortestAim: settings.Classes[0].Aim,
+		congestionWeight: maxCongestionWeight}
+	for _, c := range settings.Classes {
+		b.meanLatency, b.minLatency = append(b.meanLatency, float64(c.Aim)/4),
+			append(b.minLatency, float64(c.Aim)/4)
 		b.horizon = max(b.horizon, c.Aim)
-		b.tightest = min(b.tightest, c.Aim)
-		b.trialBy = min(b.trialBy, c.Effect)
-		b.worth += c.Worth / float64(len(set.Classes))
+		b.shortestAim = min(b.shortestAim, c.Aim)
+		b.trialEffect = min(b.trialEffect, c.Effect)
+		b.meanValue += c.Worth / float64(len(settings.Classes))
 	}
 	return b, nil
 }
 
-// Start returns what a new Balancer wants done before its first event.
+// Start returns the actions to carry out before the first event.
 func (b *Balancer) Start(now time.Duration) []Action {
 	b.now, b.actions = now, b.actions[:0]
 	b.startTick()
 	return b.actions
 }
 
-// Handle takes one event and returns what is to be done, in order. The actions hold until the next call. What
-// concerns a request, attempt or server that is not known is passed over. The time is that of a clock which
-// all balancers and servers have, to a small part of an aim; a rule is never broken by one that is off.
+// Handle processes one event and returns the resulting actions, in order. The returned slice is valid until
+// the next call. Events that name an unknown request, attempt or server are ignored. now is read from a
+// clock that all balancers and servers share, accurate to a small part of a target latency; an inaccurate
+// clock never causes a rule to be broken.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.now, b.actions = now, b.actions[:0]
-	b.findStall()
+	b.detectStall()
 	switch e := ev.(type) {
 	case ServerList:
-		b.list(e)
+		b.handleServerList(e)
 	case Request:
-		b.request(e)
+		b.handleRequest(e)
 	case Whole:
-		b.whole(e)
+		b.handleBodyReceived(e)
 	case Outcome:
-		b.outcome(e)
+		b.handleOutcome(e)
 	case Streaming:
 		if r := b.requests[e.Request]; r != nil {
 			b.close(r)
@@ -283,49 +290,49 @@
 			b.close(r)
 		}
 	case Probed:
-		b.probed(e)
+		b.handleProbed(e)
 	case Ending:
-		b.endAll(e.By)
+		b.handleShutdown(e.By)
 	case TimerFired:
-		b.fired(e.Token)
+		b.handleTimer(e.Token)
 	}
 	return b.actions
 }
 
-// Tokens of the timers that belong to no request.
+// Timer tokens. Those from firstToken on belong to requests.
 const (
 	tickToken uint64 = iota
 	firstToken
 )
 
-func (b *Balancer) fired(token uint64) {
+func (b *Balancer) handleTimer(token uint64) {
 	switch r := b.timers[token]; {
 	case token == tickToken:
 		b.tick()
-	case r != nil && token == r.due:
-		b.finish(r, DeadlinePassed)
-	case r != nil && r.waits > 0 && token == r.late:
-		b.choose(r)
+	case r != nil && token == r.deadlineTimer:
+		b.endUnserved(r, DeadlinePassed)
+	case r != nil && r.pendingProbes > 0 && token == r.probeTimer:
+		b.sendToBest(r)
 	}
 	delete(b.timers, token)
 }
 
-func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) timer(token uint64, after time.Duration) {
-	b.act(Action{Kind: SetTimer, Token: token, After: after})
+func (b *Balancer) setTimer(token uint64, after time.Duration) {
+	b.emit(Action{Kind: SetTimer, Token: token, After: after})
 }
 
-// startTick sets the timer of the next look at health.
+// startTick sets the timer for the next health check.
 func (b *Balancer) startTick() {
-	b.tickBy = b.now + b.horizon/ticks
-	b.timer(tickToken, b.horizon/ticks)
+	b.nextTick = b.now + b.horizon/ticksPerHorizon
+	b.setTimer(tickToken, b.horizon/ticksPerHorizon)
 }
 
-// timerFor sets a timer for a request and returns its token.
-func (b *Balancer) timerFor(r *request, after time.Duration) uint64 {
-	b.token++
-	b.timers[b.token] = r
-	b.timer(b.token, after)
-	return b.token
+// setRequestTimer sets a timer for a request and returns its token.
+func (b *Balancer) setRequestTimer(r *request, after time.Duration) uint64 {
+	b.lastToken++
+	b.timers[b.lastToken] = r
+	b.setTimer(b.lastToken, after)
+	return b.lastToken
 }
--- a/choice/check_test.go
+++ b/choice/check_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// world plays clients, servers and the list against a Balancer with random events and checks every action
-// against the rules. It shares no code with the module: it keeps its own books, from events and actions
-// alone.
+// world simulates clients, servers and the server list with random events, and checks every action of a
+// Balancer against the rules. It shares no code with the package: it keeps its own records, from events and
+// actions alone.
 type world struct {
-	set      Settings
+	settings Settings
 	rng      *rand.Rand
 	now      time.Duration
 	servers  map[string]*worldServer
-	ids      []string // of servers ever named, in order
+	ids      []string // of all servers ever listed, in order
 	requests map[string]*worldRequest
-	open     []string
+	openIDs  []string
 	timers   []worldTimer
 	probes   []worldProbe
 	faults   []string
@@ -31,7 +31,7 @@
 
 type worldServer struct {
 	Server
-	downAt time.Duration // when the balancer was told to stop; 0 while ready
+	stoppedAt time.Duration // when the list told the balancer to send no more; 0 while ready
 }
 
 type worldRequest struct {
@@ -41,14 +41,14 @@
 }
 
 type worldAttempt struct {
-	server *worldServer
-	zone   int
-	cell   int
-	at     time.Duration
-	out    bool
-	unrun  bool
-	ends   time.Duration
-	result Result
+	server   *worldServer
+	zone     int
+	cell     int
+	sentAt   time.Duration
+	inFlight bool
+	neverRan bool
+	endsAt   time.Duration
+	result   Result
 }
 
 type worldProbe struct {
@@ -61,29 +61,29 @@
 	token uint64
 }
 
-func newWorld(set Settings, seed uint64) *world {
-	return &world{set: set, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Hour,
+func newWorld(settings Settings, seed uint64) *world {
+	return &world{settings: settings, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Hour,
 		servers: map[string]*worldServer{}, requests: map[string]*worldRequest{}}
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *world) addFault(format string, args ...any) {
 	w.faults = append(w.faults, fmt.Sprintf("at %v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// act checks and carries out the actions.
-func (w *world) act(actions []Action) {
+// apply checks and carries out the actions.
+func (w *world) apply(actions []Action) {
 	for _, a := range slices.Clone(actions) {
 		r := w.requests[a.Request]
 		if r == nil && (a.Kind == Send || a.Kind == Cancel || a.Kind == Refuse || a.Kind == Fail) {
-			w.fault("action for the unknown request %q", a.Request)
+			w.addFault("action for the unknown request %q", a.Request)
 			continue
 		}
 		switch a.Kind {
 		case SetTimer:
 			w.timers = append(w.timers, worldTimer{w.now + a.After, a.Token})
 		case Probe:
-			if s := w.servers[a.Server]; !w.set.Probes || s == nil {
-				w.fault("a probe of %q", a.Server)
+			if s := w.servers[a.Server]; !w.settings.Probes || s == nil {
+				w.addFault("illegal probe of %q", a.Server)
 			}
 			w.probes = append(w.probes, worldProbe{w.now + time.Duration(w.rng.ExpFloat64()*20e6), a.Server})
 		case Send:
@@ -93,38 +93,38 @@
 		case Refuse:
 			w.refusals++
 			w.refuse(r)
-			w.end(r)
+			w.finalAnswer(r)
 		case Fail:
 			w.failures++
-			w.end(r)
+			w.finalAnswer(r)
 		}
 	}
 }
 
 func (w *world) send(r *worldRequest, a Action) {
 	w.sends++
-	s, c := w.servers[a.Server], w.set.Classes[r.Class]
+	s, c := w.servers[a.Server], w.settings.Classes[r.Class]
 	if s == nil {
-		w.fault("send to the unknown server %q", a.Server)
+		w.addFault("send to the unknown server %q", a.Server)
 		return
 	}
 	if r.closed {
-		w.fault("send for the closed request %s", r.ID)
+		w.addFault("send for the closed request %s", r.ID)
 	}
-	if s.downAt != 0 {
-		w.fault("send to %s, which drains or is gone", s.ID)
+	if s.stoppedAt != 0 {
+		w.addFault("send to %s, which drains or is removed", s.ID)
 	}
-	if len(r.sent) >= w.set.MaxAttempts {
-		w.fault("attempt %d of %d allowed", len(r.sent)+1, w.set.MaxAttempts)
+	if len(r.sent) >= w.settings.MaxAttempts {
+		w.addFault("attempt %d of %d allowed", len(r.sent)+1, w.settings.MaxAttempts)
 	}
-	out := 0
+	inFlight := 0
 	var first *worldAttempt
 	for i := range r.sent {
 		p := &r.sent[i]
-		if p.out {
-			out++
+		if p.inFlight {
+			inFlight++
 		}
-		if p.unrun {
+		if p.neverRan {
 			continue
 		}
 		if first == nil {
@@ -132,63 +132,63 @@
 		}
 		switch {
 		case c.Effect == Unsafe:
-			w.fault("an unsafe request is repeated")
+			w.addFault("an unsafe request is repeated")
 		case c.Effect == Keyed && c.Group == GroupZone && p.zone != s.Zone,
 			c.Effect == Keyed && c.Group == GroupCell && p.cell != s.Cell:
-			w.fault("a keyed request leaves its group")
+			w.addFault("a keyed request is sent outside its deduplication scope")
 		}
 	}
-	if c.Effect == Keyed && first != nil && w.now-first.at >= c.Window {
-		w.fault("a keyed request is repeated after its window")
+	if c.Effect == Keyed && first != nil && w.now-first.sentAt >= c.Window {
+		w.addFault("a keyed request is repeated after its window")
 	}
-	if out > 1 || out == 1 && !w.set.ParallelCopies {
-		w.fault("%d attempts in flight already", out)
+	if inFlight > 1 || inFlight == 1 && !w.settings.ParallelCopies {
+		w.addFault("%d attempts in flight already", inFlight)
 	}
-	// Outcomes come soon, late or never until the deadline, and are of every kind.
+	// Outcomes arrive early, late or not before the deadline, with results of every kind.
 	results := []Result{OK, OK, OK, OK, OK, Failed, Rejected, TimedOut, ConnectFailed, Reset}
-	p := worldAttempt{server: s, zone: s.Zone, cell: s.Cell, at: w.now, out: true,
+	p := worldAttempt{server: s, zone: s.Zone, cell: s.Cell, sentAt: w.now, inFlight: true,
 		result: results[w.rng.IntN(len(results))]}
-	p.ends = w.now + time.Duration(w.rng.ExpFloat64()*float64(c.Aim)/3) + time.Millisecond
-	if p.ends > r.Deadline {
-		p.ends, p.result = r.Deadline, TimedOut
+	p.endsAt = w.now + time.Duration(w.rng.ExpFloat64()*float64(c.Aim)/3) + time.Millisecond
+	if p.endsAt > r.Deadline {
+		p.endsAt, p.result = r.Deadline, TimedOut
 	}
 	r.sent = append(r.sent, p)
 }
 
 func (w *world) cancel(r *worldRequest, a Action) {
-	if !w.set.CanCancel || a.Attempt >= len(r.sent) {
-		w.fault("cancel is not allowed or names no attempt")
+	if !w.settings.CanCancel || a.Attempt >= len(r.sent) {
+		w.addFault("cancel is not allowed or the attempt does not exist")
 		return
 	}
-	if p := &r.sent[a.Attempt]; p.out {
-		p.ends, p.result = w.now+time.Millisecond, Cancelled
+	if p := &r.sent[a.Attempt]; p.inFlight {
+		p.endsAt, p.result = w.now+time.Millisecond, Cancelled
 	}
 }
 
 func (w *world) refuse(r *worldRequest) {
-	c := w.set.Classes[r.Class]
+	c := w.settings.Classes[r.Class]
 	for _, p := range r.sent {
-		if !p.unrun && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
-			w.fault("a request that may have run is refused")
+		if !p.neverRan && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+			w.addFault("a request that may have run is refused")
 			return
 		}
 	}
 }
 
-func (w *world) end(r *worldRequest) {
+func (w *world) finalAnswer(r *worldRequest) {
 	if r.closed {
-		w.fault("a second final answer for %s", r.ID)
+		w.addFault("a second final answer for %s", r.ID)
 	}
-	if w.now > r.Deadline+2*w.set.Tick {
-		w.fault("a final answer %v after the deadline", w.now-r.Deadline)
+	if w.now > r.Deadline+2*w.settings.Tick {
+		w.addFault("a final answer %v after the deadline", w.now-r.Deadline)
 	}
 	r.closed = true
 }
 
-// step moves the clock by a tick and returns the events that are due, in order. Each enters the books only
-// when it is taken, since the balancer has not heard of the later ones.
+// step advances the clock by a tick and returns the events that are due, in order. Each event changes the
+// records only when it is delivered, since the balancer does not know of the later ones.
 func (w *world) step(load float64) (events []func() Event) {
-	w.now += w.set.Tick
+	w.now += w.settings.Tick
 	kept := w.timers[:0]
 	for _, t := range w.timers {
 		if t.at > w.now {
@@ -208,22 +208,22 @@
 	if w.rng.Float64() < 0.02 {
 		events = append(events, w.churn)
 	}
-	open := w.open[:0]
-	for _, id := range w.open {
+	open := w.openIDs[:0]
+	for _, id := range w.openIDs {
 		r := w.requests[id]
 		waiting := false
 		for i := range r.sent {
 			p := &r.sent[i]
-			if p.out && p.ends <= w.now {
+			if p.inFlight && p.endsAt <= w.now {
 				events = append(events, func() Event {
-					p := &r.sent[i] // it may have moved
-					p.out, p.unrun = false, p.result.unrunInTests()
+					p := &r.sent[i] // the slice may have been reallocated
+					p.inFlight, p.neverRan = false, p.result.neverRanInTests()
 					r.closed = r.closed || p.result == OK
 					return Outcome{Request: id, Attempt: i, Server: p.server.ID, Result: p.result,
-						Took: w.now - p.at, Closed: r.closed, Report: w.report()}
+						Took: w.now - p.sentAt, Closed: r.closed, Report: w.report()}
 				})
 			}
-			waiting = waiting || p.out
+			waiting = waiting || p.inFlight
 		}
 		if !r.closed && w.rng.Float64() < 0.001 {
 			events = append(events, func() Event {
@@ -231,29 +231,29 @@
 				return ClientGone{id}
 			})
 		}
-		if !r.closed && w.now > r.Deadline+2*w.set.Tick {
-			w.fault("no final answer for %s", id)
+		if !r.closed && w.now > r.Deadline+2*w.settings.Tick {
+			w.addFault("no final answer for %s", id)
 			r.closed = true
 		}
 		if !r.closed || waiting {
 			open = append(open, id)
 		}
 	}
-	w.open = open
+	w.openIDs = open
 	for w.rng.Float64() < load {
 		w.count++
-		c := w.rng.IntN(len(w.set.Classes))
+		c := w.rng.IntN(len(w.settings.Classes))
 		e := Request{ID: fmt.Sprint("r", w.count), Class: c, Key: fmt.Sprint("k", w.rng.IntN(20)),
-			Deadline: w.now + time.Duration(float64(w.set.Classes[c].Deadline)*(0.3+0.7*w.rng.Float64()))}
+			Deadline: w.now + time.Duration(float64(w.settings.Classes[c].Deadline)*(0.3+0.7*w.rng.Float64()))}
 		w.requests[e.ID] = &worldRequest{Request: e}
-		w.open = append(w.open, e.ID)
+		w.openIDs = append(w.openIDs, e.ID)
 		events = append(events, func() Event { return e })
 	}
 	return events
 }
 
-// unrunInTests says again, apart from the module, which results prove that nothing ran.
-func (r Result) unrunInTests() bool {
+// neverRanInTests states, independently of the package, which results prove that the request never ran.
+func (r Result) neverRanInTests() bool {
 	return slices.Contains([]Result{Rejected, ConnectFailed, NotSent}, r)
 }
 
@@ -266,7 +266,7 @@
 	return r
 }
 
-// churn adds, restarts, drains or removes a server, or repeats the whole list.
+// churn adds, restarts, drains or removes a server, or repeats the full list.
 func (w *world) churn() Event {
 	if len(w.ids) < 3 || w.rng.Float64() < 0.3 {
 		s := &worldServer{Server: Server{ID: fmt.Sprint("s", len(w.ids)), Zone: w.rng.IntN(2), Cell: w.rng.IntN(3),
@@ -279,8 +279,8 @@
 		all := ServerList{Full: true}
 		for _, id := range w.ids {
 			s := w.servers[id]
-			if s.State == Gone || w.rng.Float64() < 0.05 { // left out of a full list is gone
-				s.State, s.downAt = Gone, w.now
+			if s.State == Gone || w.rng.Float64() < 0.05 { // a server missing from a full list is removed
+				s.State, s.stoppedAt = Gone, w.now
 				continue
 			}
 			all.Servers = append(all.Servers, s.Server)
@@ -291,9 +291,9 @@
 	s.State = []State{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]
 	switch {
 	case s.State == Ready:
-		s.Started, s.downAt = w.now, 0
-	case s.downAt == 0:
-		s.downAt = w.now
+		s.Started, s.stoppedAt = w.now, 0
+	case s.stoppedAt == 0:
+		s.stoppedAt = w.now
 	}
 	return ServerList{Servers: []Server{s.Server}}
 }
@@ -301,15 +301,15 @@
 // tamper may change the actions before they are carried out.
 type tamper func(*Balancer, []Action) []Action
 
-// run plays a stretch of time, then lets all end.
+// run simulates the given number of steps, then goes on without new requests until all have ended.
 func (w *world) run(t *testing.T, steps int, load float64, tamper tamper) *Balancer {
 	t.Helper()
-	b, err := New(w.set, 1)
+	b, err := New(w.settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.act(b.Start(w.now))
-	for i := range steps + int(w.longest()/w.set.Tick) + 4 {
+	w.apply(b.Start(w.now))
+	for i := range steps + int(w.longest()/w.settings.Tick) + 4 {
 		l := load
 		if i >= steps {
 			l = 0
@@ -319,32 +319,32 @@
 			if tamper != nil {
 				actions = tamper(b, actions)
 			}
-			w.act(actions)
+			w.apply(actions)
 		}
 	}
 	return b
 }
 
 func (w *world) longest() (d time.Duration) {
-	for _, c := range w.set.Classes {
+	for _, c := range w.settings.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
 }
 
-// settings draws settings of every sort.
+// randomSettings returns random settings.
 func randomSettings(rng *rand.Rand) Settings {
-	set := Settings{Balancers: 1 + rng.IntN(5), Tick: 5 * time.Millisecond, Zone: rng.IntN(2),
+	settings := Settings{Balancers: 1 + rng.IntN(5), Tick: 5 * time.Millisecond, Zone: rng.IntN(2),
 		CrossZonePrice: 0.1 * float64(rng.IntN(2)), ListWeights: rng.IntN(2) == 0,
 		WarmKeys: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(5), ParallelCopies: rng.IntN(2) == 0,
 		CanCancel: rng.IntN(3) > 0, Probes: rng.IntN(2) == 0, ReportsLoad: rng.IntN(2) == 0,
 		ProbePrice: 0.01 * float64(rng.IntN(3)), ColdFrom: 0.3, ColdFor: 5 * time.Second, MaxRetryAfter: time.Second}
 	for i := range 1 + rng.IntN(3) {
 		aim := time.Duration(100+rng.IntN(900)) * time.Millisecond
-		set.Classes = append(set.Classes, Class{Name: fmt.Sprint("c", i), Effect: Effect(rng.IntN(3)),
+		settings.Classes = append(settings.Classes, Class{Name: fmt.Sprint("c", i), Effect: Effect(rng.IntN(3)),
 			Group: Group(rng.IntN(3)), Window: aim, Aim: aim, Deadline: 3 * aim, Worth: 1 + 9*rng.Float64()})
 	}
-	return set
+	return settings
 }
 
 func TestRulesOverRandomEvents(t *testing.T) {
@@ -357,12 +357,12 @@
 			t.Errorf("seed %d: %s", seed, f)
 		}
 		if len(b.requests) != 0 {
-			t.Errorf("seed %d: %d requests are kept after all has ended", seed, len(b.requests))
+			t.Errorf("seed %d: %d requests are kept after all have ended", seed, len(b.requests))
 		}
 		sends, refusals, failures = sends+w.sends, refusals+w.refusals, failures+w.failures
 	}
 	if sends < 10000 || refusals < 100 || failures < 100 {
-		t.Errorf("the events are too tame: %d sends, %d refusals, %d failures", sends, refusals, failures)
+		t.Errorf("the events cover too little: %d sends, %d refusals, %d failures", sends, refusals, failures)
 	}
 }
 
@@ -382,7 +382,7 @@
 	}
 }
 
-// The checker itself must see a planted violation of each rule.
+// The checker must detect a planted violation of each rule.
 func TestCheckerCatchesViolations(t *testing.T) {
 	plants := map[string]func(w *world) tamper{
 		"no final answer": func(*world) tamper {
@@ -407,7 +407,7 @@
 				a = slices.Clone(a)
 				for i := range a {
 					for _, id := range w.ids {
-						if s := w.servers[id]; a[i].Kind == Send && s.downAt != 0 {
+						if s := w.servers[id]; a[i].Kind == Send && s.stoppedAt != 0 {
 							a[i].Server = id
 						}
 					}
@@ -450,13 +450,13 @@
 	}
 	for name, plant := range plants {
 		w := newWorld(Settings{}, 5)
-		w.set = randomSettings(rand.New(rand.NewPCG(2, 1)))
-		w.set.ParallelCopies, w.set.MaxAttempts = false, 3
-		w.set.Classes = []Class{{Effect: Unsafe, Aim: 200e6, Deadline: 600e6, Worth: 1},
+		w.settings = randomSettings(rand.New(rand.NewPCG(2, 1)))
+		w.settings.ParallelCopies, w.settings.MaxAttempts = false, 3
+		w.settings.Classes = []Class{{Effect: Unsafe, Aim: 200e6, Deadline: 600e6, Worth: 1},
 			{Effect: Keyed, Group: GroupCell, Window: 200e6, Aim: 200e6, Deadline: 600e6, Worth: 1}}
 		w.run(t, 3000, 0.5, plant(w))
 		if !slices.ContainsFunc(w.faults, func(f string) bool { return strings.Contains(f, name) }) {
-			t.Errorf("a planted violation goes unseen: %s; seen: %d faults", name, len(w.faults))
+			t.Errorf("planted violation not detected: %s; %d faults reported", name, len(w.faults))
 		}
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -25,9 +25,9 @@
 	ids int
 }
 
-func newBench(t *testing.T, set Settings, weights ...float64) *bench {
+func newBench(t *testing.T, settings Settings, weights ...float64) *bench {
 	t.Helper()
-	b, err := New(set, 1)
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,11 +41,13 @@
 	return h
 }
 
-// ask brings a request and returns its id and the server it is sent to, "" if none.
-func (h *bench) ask(class int) (id, to string) { return h.askFor(class, 2*time.Second) }
+// request delivers a request and returns its id and the server it is sent to, "" if none.
+func (h *bench) request(class int) (id, to string) {
+	return h.requestWithPatience(class, 2*time.Second)
+}
 
-// askFor is ask for a client that waits so long.
-func (h *bench) askFor(class int, patience time.Duration) (id, to string) {
+// requestWithPatience is request for a client that waits for the given time.
+func (h *bench) requestWithPatience(class int, patience time.Duration) (id, to string) {
 	h.ids++
 	id = fmt.Sprint("r", h.ids)
 	for _, a := range h.Handle(h.at, Request{ID: id, Class: class, Deadline: h.at + patience}) {
@@ -56,37 +58,37 @@
 	return id, to
 }
 
-// end ends attempt n of a request and returns the actions that follow, without timers.
-func (h *bench) end(id, server string, n int, result Result, report Report) []Action {
+// endAttempt ends attempt n of a request and returns the actions that follow, without timers.
+func (h *bench) endAttempt(id, server string, n int, result Result, report Report) []Action {
 	return h.Handle(h.at, Outcome{Request: id, Attempt: n, Server: server, Result: result,
 		Took: 50 * time.Millisecond, Closed: result == OK, Report: report})
 }
 
-// tick passes time, with the timer that checks health.
-func (h *bench) tick(d time.Duration) (actions []Action) {
+// advance advances the clock, with the timer that checks health.
+func (h *bench) advance(d time.Duration) (actions []Action) {
 	for end := h.at + d; h.at < end; {
-		h.at += h.horizon / ticks
+		h.at += h.horizon / ticksPerHorizon
 		actions = append(actions, slices.Clone(h.Handle(h.at, TimerFired{tickToken}))...)
 	}
 	return slices.DeleteFunc(actions, func(a Action) bool { return a.Kind == SetTimer })
 }
 
-func report(util, rate float64) Report {
+func utilReport(util, rate float64) Report {
 	r := NoReport
 	r.Util, r.Rate = util, rate
 	return r
 }
 
 func TestDrawsFollowCapacity(t *testing.T) {
-	set := testSettings()
-	set.ListWeights = true
-	h := newBench(t, set, 1, 2, 3, 4)
-	h.weigh()
-	ok, total := h.candidates(&request{class: &set.Classes[0], Request: Request{Deadline: h.at + 1}})
+	settings := testSettings()
+	settings.ListWeights = true
+	h := newBench(t, settings, 1, 2, 3, 4)
+	h.updateWeights()
+	ok, total := h.candidates(&request{class: &settings.Classes[0], Request: Request{Deadline: h.at + 1}})
 	const n = 40000
 	got := map[string]float64{}
 	for range n {
-		got[draw(ok, h.rng.Float64()*total).ID]++
+		got[drawByWeight(ok, h.rng.Float64()*total).ID]++
 	}
 	for i := range 4 {
 		want := n * float64(i+1) / 10
@@ -99,8 +101,8 @@
 func TestPickTakesLowestLoad(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
 	sent := map[string]int{}
-	for range 100 { // nothing ends: the counts of two equal servers stay even, but for draws that miss one
-		_, to := h.ask(1)
+	for range 100 { // nothing ends: two equal servers have equal counts, except for draws that miss one
+		_, to := h.request(1)
 		sent[to]++
 	}
 	if d := sent["s0"] - sent["s1"]; d < -4 || d > 4 {
@@ -108,32 +110,32 @@
 	}
 }
 
-// serve brings n requests one after the other, each answered at once, and counts those sent to the server.
+// serve delivers n requests one after the other, answers each at once, and counts those sent to the server.
 func (h *bench) serve(n int, server string) (count int) {
 	for range n {
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		if to == server {
 			count++
 		}
-		h.end(id, to, 0, OK, NoReport)
+		h.endAttempt(id, to, 0, OK, NoReport)
 	}
 	return count
 }
 
 func TestTies(t *testing.T) {
-	set := testSettings()
-	set.ListWeights = true
-	h := newBench(t, set, 1, 1.99)
-	if _, to := h.ask(0); to != "s1" { // stays in flight
+	settings := testSettings()
+	settings.ListWeights = true
+	h := newBench(t, settings, 1, 1.99)
+	if _, to := h.request(0); to != "s1" { // stays in flight
 		t.Fatalf("the lowest load is at s1, the request went to %s", to)
 	}
-	// Loads are now 1 and 2/1.99: a little more at the larger, within the tolerance, and so the larger wins.
+	// Loads are now 1 and 2/1.99: slightly higher at the larger server, but within the tolerance, so it wins.
 	if large := h.serve(200, "s1"); large < 190 {
-		t.Errorf("near-tie went to the larger %d of 200 times", large)
+		t.Errorf("a tie within the tolerance went to the larger server %d of 200 times", large)
 	}
-	h = newBench(t, testSettings(), 1, 1) // equal in all: at random
+	h = newBench(t, testSettings(), 1, 1) // equal in load and weight: at random
 	if first := h.serve(400, "s0"); first < 150 || first > 250 {
-		t.Errorf("a full tie went to the first %d of 400 times", first)
+		t.Errorf("a full tie went to the first server %d of 400 times", first)
 	}
 }
 
@@ -144,66 +146,67 @@
 		noise := 1 + 0.2*math.Sin(float64(i)*1.7)
 		for s, c := range []float64{100, 40} {
 			h.now = h.at
-			h.report(h.servers[s], report(0.5*noise, 0.5*c*(2-noise)))
+			h.recordReport(h.servers[s], utilReport(0.5*noise, 0.5*c*(2-noise)))
 		}
 	}
-	h.weigh()
-	for s, want := range []float64{100, 40, 70} { // the last has no estimate: the mean of the others
+	h.updateWeights()
+	for s, want := range []float64{100, 40, 70} { // the last one has no estimate: the mean of the others
 		if got := h.servers[s].weight; math.Abs(got-want) > 0.15*want {
 			t.Errorf("server %d: capacity %v, want about %v", s, got, want)
 		}
 	}
 }
 
-// Guards against the idle trap: rate over floored use called an idle server small, and so it stayed idle.
+// Guards against dividing the rate by a floor under the utilization: an idle server then looked small, and
+// so it stayed idle.
 func TestIdleServerKeepsFairShare(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
 	for range 50 {
 		h.at += 50 * time.Millisecond
 		h.now = h.at
-		h.report(h.servers[0], report(0.5, 50))
-		h.report(h.servers[1], report(0.01, 0.2))
+		h.recordReport(h.servers[0], utilReport(0.5, 50))
+		h.recordReport(h.servers[1], utilReport(0.01, 0.2))
 	}
-	h.weigh()
+	h.updateWeights()
 	if h.servers[1].weight < h.servers[0].weight {
 		t.Errorf("idle server weighs %v, a busy one %v", h.servers[1].weight, h.servers[0].weight)
 	}
 }
 
-// Guards against a server that takes requests and answers none while others answer.
+// Guards against a server that receives requests and answers none while others answer.
 func TestSilentServerIsEjectedRescuedAndReadmitted(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	var held []string
-	for h.servers[0].until == 0 {
-		id, to := h.ask(0)
+	for h.servers[0].ejectedUntil == 0 {
+		id, to := h.request(0)
 		if to == "s0" {
 			held = append(held, id)
 		} else {
-			h.end(id, to, 0, OK, report(0.5, 50))
+			h.endAttempt(id, to, 0, OK, utilReport(0.5, 50))
 		}
 		h.at += 10 * time.Millisecond
 		if h.at > time.Hour+3*time.Second {
 			t.Fatal("a silent server was never ejected")
 		}
-		for _, a := range h.tick(h.horizon / ticks) {
+		for _, a := range h.advance(h.horizon / ticksPerHorizon) {
 			if a.Kind != Cancel || !slices.Contains(held, a.Request) {
 				t.Fatalf("unexpected action %+v", a)
 			}
-			next := h.end(a.Request, "s0", a.Attempt, Cancelled, NoReport)
+			next := h.endAttempt(a.Request, "s0", a.Attempt, Cancelled, NoReport)
 			if len(next) != 1 || next[0].Kind != Send || next[0].Server == "s0" {
-				t.Fatalf("a rescued request is not sent elsewhere: %+v", next)
+				t.Fatalf("a canceled request is not sent elsewhere: %+v", next)
 			}
 		}
 	}
 	for range 20 {
-		if _, to := h.ask(1); to == "s0" {
+		if _, to := h.request(1); to == "s0" {
 			t.Fatal("an unsafe request went to an ejected server")
 		}
 	}
-	h.at = h.servers[0].until
+	h.at = h.servers[0].ejectedUntil
 	trials, trial := 0, ""
 	for range 20 {
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		if to != "s0" {
 			continue
 		}
@@ -212,69 +215,69 @@
 	if trials != 1 {
 		t.Fatalf("%d trials at once, want 1", trials)
 	}
-	h.end(trial, "s0", 0, OK, NoReport)
-	if h.servers[0].until != 0 {
-		t.Error("an answered trial does not readmit")
+	h.endAttempt(trial, "s0", 0, OK, NoReport)
+	if h.servers[0].ejectedUntil != 0 {
+		t.Error("an answered trial does not readmit the server")
 	}
 }
 
-// Guards against one costly request passing for a silent server at a quiet balancer.
+// Guards against taking one expensive request for a silent server at a balancer with little traffic.
 func TestOneLateAnswerEjectsNone(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
-	_, to := h.ask(1)
-	h.tick(h.horizon)
-	if s := h.byID[to]; s.until != 0 {
-		t.Error("ejected for one answer that is an aim late")
+	_, to := h.request(1)
+	h.advance(h.horizon)
+	if s := h.byID[to]; s.ejectedUntil != 0 {
+		t.Error("ejected for one answer that is late by a target latency")
 	}
 }
 
-// Guards against ejecting the fleet in a jam, and against a backlog that leaves the ejected out.
+// Guards against ejecting all servers under congestion, and against a backlog at the remaining servers.
 func TestJamEjectsNoneAndRefuses(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
-	for range 200 { // an ordinary start
-		id, to := h.ask(1)
-		h.end(id, to, 0, OK, report(0.5, 50))
-		h.tick(h.horizon / ticks)
+	for range 200 { // normal operation at first
+		id, to := h.request(1)
+		h.endAttempt(id, to, 0, OK, utilReport(0.5, 50))
+		h.advance(h.horizon / ticksPerHorizon)
 	}
 	for range 300 { // then nothing is answered
-		h.ask(1)
+		h.request(1)
 	}
-	h.tick(h.horizon)
-	h.weigh()
+	h.advance(h.horizon)
+	h.updateWeights()
 	for _, s := range h.servers {
-		if h.ejected(s) {
-			t.Error("a server is kept out though all are silent")
+		if h.isEjected(s) {
+			t.Error("a server is ejected though all are silent")
 		}
 	}
-	if jam := h.jamNow(); jam < 0.9 {
-		t.Errorf("slack used %v in a jam", jam)
+	if congestion := h.currentCongestion(); congestion < 0.9 {
+		t.Errorf("slack used %v under congestion", congestion)
 	}
 	refused := 0
 	for range 100 {
-		if _, to := h.ask(0); to == "" {
+		if _, to := h.request(0); to == "" {
 			refused++
 		}
 	}
 	if refused < 99 {
-		t.Errorf("%d of 100 cheap requests refused in a jam", refused)
+		t.Errorf("%d of 100 low-value requests refused under congestion", refused)
 	}
 }
 
-// Guards against the valuable waiting behind the cheap.
+// Guards against requests of high value waiting behind those of low value.
 func TestCheapGivesWayFirst(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
 	refused := [2]int{}
 	for i := range 2000 {
-		h.jam = shedFrom + 0.1/shedSlope
-		id, to := h.ask(i % 2)
+		h.congestion = shedThreshold + 0.1/shedSlope
+		id, to := h.request(i % 2)
 		if to == "" {
 			refused[i%2]++
 		} else {
-			h.end(id, to, 0, OK, NoReport)
+			h.endAttempt(id, to, 0, OK, NoReport)
 		}
 	}
 	if refused[0] < 400 || refused[1] > 120 {
-		t.Errorf("refused %d cheap and %d dear of 1000 each", refused[0], refused[1])
+		t.Errorf("refused %d of low and %d of high value, of 1000 each", refused[0], refused[1])
 	}
 }
 
@@ -283,55 +286,55 @@
 	h := newBench(t, testSettings(), 1, 1, 1)
 	bad := 0
 	for range 60 {
-		id, to := h.ask(1)
+		id, to := h.request(1)
 		result := OK
 		if to == "s0" {
 			bad, result = bad+1, Failed
 		}
-		h.end(id, to, 0, result, NoReport)
+		h.endAttempt(id, to, 0, result, NoReport)
 	}
 	if bad > 6 {
-		t.Errorf("a server that only fails got %d of 60", bad)
+		t.Errorf("a server that always fails got %d of 60 requests", bad)
 	}
-	h.servers[0].failing = failEject
-	id, _ := h.ask(1)
+	h.servers[0].failureRate = ejectThreshold
+	id, _ := h.request(1)
 	r := h.requests[id]
-	h.judge(&attempt{req: r, srv: h.servers[0]}, Outcome{Result: Failed})
-	if h.servers[0].until == 0 {
-		t.Error("a server that fails again and again is not ejected")
+	h.recordOutcome(&attempt{req: r, srv: h.servers[0]}, Outcome{Result: Failed})
+	if h.servers[0].ejectedUntil == 0 {
+		t.Error("a server that fails repeatedly is not ejected")
 	}
 }
 
-// Guards against pushing a cold server over: in a jam it has the lowest load of all.
+// Guards against overloading a cold server: under congestion it has the lowest load of all.
 func TestColdServerInAJam(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	for range 500 {
-		h.ask(1)
+		h.request(1)
 	}
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "new", Started: h.at}}})
 	cold := 0
 	const n = 300
 	for range n {
-		if _, to := h.ask(1); to == "new" {
+		if _, to := h.request(1); to == "new" {
 			cold++
 		}
 	}
 	part := 0.3 / 9.3
-	if most := n*coldTimes*part + 2; float64(cold) > most || cold == 0 {
+	if most := n*coldSendFactor*part + 2; float64(cold) > most || cold == 0 {
 		t.Errorf("a cold server got %d of %d, want 1 to %.1f", cold, n, most)
 	}
 }
 
-// A restart voids what was learnt, and is seen by the new start time.
+// A restart, recognized by a new start time, discards what was learned about the server.
 func TestRestartForgets(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
 	h.now = h.at
 	s := h.servers[0]
-	h.report(s, report(0.5, 500))
-	s.failing = 0.9
+	h.recordReport(s, utilReport(0.5, 500))
+	s.failureRate = 0.9
 	h.eject(s)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s0", Started: h.at}}})
-	if s.rate != 0 || s.failing != 0 || s.until != 0 {
+	if s.rate != 0 || s.failureRate != 0 || s.ejectedUntil != 0 {
 		t.Errorf("after a restart: %+v", s)
 	}
 }
@@ -339,8 +342,8 @@
 func TestKeyedStaysInItsCell(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	for range 30 {
-		id, to := h.ask(2)
-		next := h.end(id, to, 0, Reset, NoReport)
+		id, to := h.request(2)
+		next := h.endAttempt(id, to, 0, Reset, NoReport)
 		if len(next) != 1 || next[0].Kind == Send && h.byID[next[0].Server].Cell != h.byID[to].Cell {
 			t.Fatalf("after a reset at %s: %+v", to, next)
 		}
@@ -356,35 +359,35 @@
 	sends := 0
 	const n = 1000
 	for range n {
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		for try := 0; to != ""; try++ {
 			sends++
-			next := h.end(id, to, try, Rejected, NoReport)
+			next := h.endAttempt(id, to, try, Rejected, NoReport)
 			to = ""
 			if len(next) == 1 && next[0].Kind == Send {
 				to = next[0].Server
 			}
 		}
 	}
-	if most := n*(1+retryShare) + retrySaved; float64(sends) > most {
+	if most := n*(1+retryRatio) + maxRetryBudget; float64(sends) > most {
 		t.Errorf("%d attempts for %d requests", sends, n)
 	}
 }
 
-// An own-zone server is preferred while it has room, and no longer.
+// A server in the own zone is preferred as long as it has free capacity.
 func TestOwnZone(t *testing.T) {
-	set := testSettings()
-	set.CrossZonePrice = 0.1
-	h := newBench(t, set, 1, 1)
+	settings := testSettings()
+	settings.CrossZonePrice = 0.1
+	h := newBench(t, settings, 1, 1)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Zone: 1}}})
-	h.weigh()
+	h.updateWeights()
 	if h.servers[0].weight < 2*h.servers[1].weight {
-		t.Error("an idle server of the own zone is not preferred")
+		t.Error("an idle server in the own zone is not preferred")
 	}
-	h.servers[0].util = 1
-	h.weigh()
+	h.servers[0].reportedUtil = 1
+	h.updateWeights()
 	if h.servers[0].weight != h.servers[1].weight {
-		t.Error("a full server of the own zone is preferred")
+		t.Error("a fully used server in the own zone is preferred")
 	}
 }
 
@@ -414,15 +417,16 @@
 		"attempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"cold":     func(s *Settings) { s.ColdFrom = 0 },
 	} {
-		set := testSettings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil {
+		settings := testSettings()
+		spoil(&settings)
+		if _, err := New(settings, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// Guards against a fleet that is cold as a whole: its budgets must not keep every request out.
+// Guards against rejecting every request when all servers are cold: the limits on cold servers must not
+// apply then.
 func TestAllColdStillServes(t *testing.T) {
 	h := newBench(t, testSettings())
 	l := ServerList{Full: true}
@@ -432,56 +436,57 @@
 	h.Handle(h.at, l)
 	sent := 0
 	for range 100 {
-		if _, to := h.ask(1); to != "" {
+		if _, to := h.request(1); to != "" {
 			sent++
 		}
 	}
 	if sent < 90 {
-		t.Errorf("a cold fleet was sent %d of 100", sent)
+		t.Errorf("a fleet of cold servers was sent %d of 100 requests", sent)
 	}
 }
 
-// Guards against withdrawing what then could go nowhere: a keyed request whose cell is the silent server
-// alone.
+// Guards against canceling an attempt that can be made nowhere else: a keyed request whose cell contains
+// only the silent server.
 func TestRescueOnlyWhatCanGoElsewhere(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1)
 	for range 10 {
-		h.ask(2)
+		h.request(2)
 	}
 	h.now = h.at
 	h.eject(h.servers[2])
 	h.actions = nil
-	h.rescue(h.servers[2])
+	h.withdrawFromSilent(h.servers[2])
 	if len(h.servers[2].inFlight) == 0 || len(h.actions) != 0 {
 		t.Errorf("%d in flight, actions %+v", len(h.servers[2].inFlight), h.actions)
 	}
 }
 
-// The server of a key is drawn in proportion to capacity, alike at every balancer, and gives way under load.
+// The server of a key is drawn in proportion to capacity, is the same at every balancer, and is avoided
+// when it is busy.
 func TestHomeOfAKey(t *testing.T) {
-	set := testSettings()
-	set.ListWeights, set.WarmKeys = true, true
-	h, other := newBench(t, set, 1, 2, 3, 4), newBench(t, set, 1, 2, 3, 4)
-	other.rng.Uint64() // another state of chance
-	h.weigh()
-	other.weigh()
+	settings := testSettings()
+	settings.ListWeights, settings.WarmKeys = true, true
+	h, other := newBench(t, settings, 1, 2, 3, 4), newBench(t, settings, 1, 2, 3, 4)
+	other.rng.Uint64() // a different state of the random numbers
+	h.updateWeights()
+	other.updateWeights()
 	const n = 20000
 	got := make([]float64, 4)
 	for i := range n {
 		key := fmt.Sprint("key", i)
-		s := home(h.servers, key)
-		if home(other.servers, key).ID != s.ID {
-			t.Fatalf("%s is at home in two places", key)
+		s := rendezvousServer(h.servers, key)
+		if rendezvousServer(other.servers, key).ID != s.ID {
+			t.Fatalf("key %s is mapped to two servers", key)
 		}
 		got[slices.Index(h.servers, s)]++
 	}
 	for i, g := range got {
 		if want := n * float64(i+1) / 10; math.Abs(g-want) > 4*math.Sqrt(want) {
-			t.Errorf("server %d is home to %v keys, want about %v", i, g, want)
+			t.Errorf("server %d has %v keys, want about %v", i, g, want)
 		}
 	}
 	sent := map[string]int{}
-	for i := range 40 { // one key, nothing ends: its home fills up and the rest goes elsewhere
+	for i := range 40 { // one key, nothing ends: its server becomes busy and the rest goes elsewhere
 		e := Request{ID: fmt.Sprint("x", i), Key: "hot", Class: 1, Deadline: h.at + 1e9}
 		for _, a := range h.Handle(h.at, e) {
 			if a.Kind == Send {
@@ -490,48 +495,48 @@
 		}
 	}
 	if len(sent) < 4 {
-		t.Errorf("a hot key keeps to %v", sent)
+		t.Errorf("requests of a hot key go to %v only", sent)
 	}
 }
 
-// Guards against a server that one costly request made look slow and that then stood idle for good, since it
-// got nothing to show better with (almaty rough-1: two of 15 servers for 30 s).
+// Guards against a server that one expensive request makes look slow, and that stays idle as it gets no
+// requests to prove the opposite (seen with two of 15 servers, for 30 s).
 func TestOldEstimateFades(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1)
 	for range 30 {
-		id, to := h.ask(0)
-		r := report(0.5, 50)
+		id, to := h.request(0)
+		r := utilReport(0.5, 50)
 		if to == "s0" {
-			r = report(0.5, 1)
+			r = utilReport(0.5, 1)
 		}
-		h.end(id, to, 0, OK, r)
+		h.endAttempt(id, to, 0, OK, r)
 	}
 	slow := h.byID["s0"]
-	if h.weigh(); slow.capacity > 10 {
-		t.Fatalf("after reports of 2 a second at most the capacity is %v", slow.capacity)
+	if h.updateWeights(); slow.capacity > 10 {
+		t.Fatalf("after reports of at most 2 requests per second the capacity is %v", slow.capacity)
 	}
-	late := h.at + 3*reportTime*h.horizon
-	for h.at < late { // the others go on
+	late := h.at + 3*reportHorizons*h.horizon
+	for h.at < late { // the others continue to report
 		for _, s := range []string{"s1", "s2"} {
-			h.report(h.byID[s], report(0.5, 50))
+			h.recordReport(h.byID[s], utilReport(0.5, 50))
 		}
-		h.tick(h.horizon)
+		h.advance(h.horizon)
 	}
-	if h.weigh(); slow.capacity < 80 {
-		t.Errorf("long after its last report its capacity counts as %v, want near 100 as the others", slow.capacity)
+	if h.updateWeights(); slow.capacity < 80 {
+		t.Errorf("long after its last report its capacity counts as %v, want about 100 as for the others", slow.capacity)
 	}
 }
 
-// Where no server reports, and for figures that make no sense, all servers of a size count alike.
+// If no server reports, or only implausible figures, all servers of a size have equal weights.
 func TestCapacityWithoutReports(t *testing.T) {
-	set := testSettings()
-	set.ListWeights = true
-	h := newBench(t, set, 1, 1, 2)
-	for _, r := range []Report{NoReport, report(math.NaN(), 5), report(0.5, math.NaN()), report(-1, 9), report(0, 0),
-		report(math.Inf(1), 1), report(0.5, math.Inf(1))} {
-		h.report(h.servers[0], r)
-	}
-	h.weigh()
+	settings := testSettings()
+	settings.ListWeights = true
+	h := newBench(t, settings, 1, 1, 2)
+	for _, r := range []Report{NoReport, utilReport(math.NaN(), 5), utilReport(0.5, math.NaN()), utilReport(-1, 9), utilReport(0, 0),
+		utilReport(math.Inf(1), 1), utilReport(0.5, math.Inf(1))} {
+		h.recordReport(h.servers[0], r)
+	}
+	h.updateWeights()
 	for i, want := range []float64{1, 1, 2} {
 		if got := h.servers[i].weight; got != want {
 			t.Errorf("server %d weighs %v, want %v", i, got, want)
@@ -539,39 +544,40 @@
 	}
 }
 
-// Guards against a list that is late or old: what own traffic shows of a server's health outweighs a list
-// that calls it ready, and nothing outweighs a list that has it draining.
+// Guards against a list that is outdated: if the balancer sees that a server is unhealthy, it does not
+// matter that the list calls it ready, but a server that drains according to the list gets nothing in any
+// case.
 func TestLateList(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1)
 	list := func(state State, id string) {
 		h.Handle(h.at, ServerList{Servers: []Server{{ID: id, Weight: 1, State: state}}})
 	}
-	h.eject(h.byID["s0"]) // dead, and still in the list
+	h.eject(h.byID["s0"]) // dead, but still in the list
 	list(Ready, "s0")
 	list(Draining, "s1")
 	for range 200 {
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		if to != "s2" {
 			t.Fatalf("sent to %s: s0 is dead and s1 draining", to)
 		}
-		h.end(id, to, 0, OK, NoReport)
+		h.endAttempt(id, to, 0, OK, NoReport)
 	}
 }
 
-// Guards against many servers that die at once before the list says so: each request that a dead one did not
-// take is served elsewhere, and soon none is sent there.
+// Guards against many servers that die at once, before the list shows it: each request that a dead server
+// did not take is served elsewhere, and soon none is sent there.
 func TestManyDieAtOnce(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	dead := func(id string) bool { return id < "s2" }
 	late := 0
 	for i := range 300 {
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		n := 0
 		for ; dead(to); n++ {
 			if i > 150 {
 				late++
 			}
-			next := h.end(id, to, n, ConnectFailed, NoReport)
+			next := h.endAttempt(id, to, n, ConnectFailed, NoReport)
 			if len(next) != 1 || next[0].Kind != Send || next[0].Server == to {
 				t.Fatalf("after a failed connection: %+v", next)
 			}
@@ -580,41 +586,42 @@
 				t.Fatal("three attempts at dead servers")
 			}
 		}
-		h.end(id, to, n, OK, NoReport)
+		h.endAttempt(id, to, n, OK, NoReport)
 	}
 	if late > 2 {
-		t.Errorf("%d late attempts at dead servers", late)
+		t.Errorf("%d attempts at dead servers after the first 150 requests", late)
 	}
 }
 
-// Guards against a jam in which all of the cheapest class is refused, so that ejected servers never get the
-// cheap request that tries them and stand empty (incident if77e79).
+// Guards against congestion in which all requests of the least valuable class are shed, so that ejected
+// servers never get the request that tries them and stay idle.
 func TestTrialIsNotRefused(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1)
 	s := h.byID["s0"]
 	h.eject(s)
-	h.jam, h.worth = 1, 1e6
-	if id, to := h.ask(0); to != "" {
-		t.Fatalf("%s was sent to %s, not refused", id, to)
+	h.congestion, h.meanValue = 1, 1e6
+	if id, to := h.request(0); to != "" {
+		t.Fatalf("request %s was sent to %s, not refused", id, to)
 	}
-	h.at, h.jam, h.worth = s.until, 1, 1e6
-	if _, to := h.ask(0); to != "s0" {
+	h.at, h.congestion, h.meanValue = s.ejectedUntil, 1, 1e6
+	if _, to := h.request(0); to != "s0" {
 		t.Errorf("a trial went to %q", to)
 	}
-	if _, to := h.ask(0); to != "" {
-		t.Errorf("with the trial under way a request went to %q", to)
+	if _, to := h.request(0); to != "" {
+		t.Errorf("while the trial was in flight a request went to %q", to)
 	}
 }
 
-// asking returns a bench whose servers are asked for their load before each send.
-func asking(t *testing.T, weights ...float64) *bench {
-	set := testSettings()
-	set.Probes, set.ProbePrice, set.ReportsLoad = true, 0.001, true
-	return newBench(t, set, weights...)
+// newProbingBench returns a bench whose servers are probed for their load before each send.
+func newProbingBench(t *testing.T, weights ...float64) *bench {
+	settings := testSettings()
+	settings.Probes, settings.ProbePrice, settings.ReportsLoad = true, 0.001, true
+	return newBench(t, settings, weights...)
 }
 
-// answer plays probes and ends with the server that the request is sent to, "" if none. A load below 0 is mute.
-func (h *bench) answer(id string, actions []Action, load map[string]float64) (to string) {
+// answerProbes answers probes and returns the server that the request is then sent to, "" if none. A server
+// with a load below 0 does not answer.
+func (h *bench) answerProbes(id string, actions []Action, load map[string]float64) (to string) {
 	for len(actions) > 0 {
 		a := actions[0]
 		actions = slices.Clone(actions[1:])
@@ -622,7 +629,7 @@
 		case a.Kind == Send && a.Request == id:
 			to = a.Server
 		case a.Kind == Probe && load[a.Server] >= 0:
-			r := report(0.5, 50)
+			r := utilReport(0.5, 50)
 			r.InFlight = load[a.Server]
 			actions = append(actions, h.Handle(h.at, Probed{Server: a.Server, Result: OK, Report: r})...)
 		}
@@ -630,10 +637,10 @@
 	return to
 }
 
-// Guards against balancers that see almost nothing: with no own request in flight anywhere, the one server that
-// others have left free gets the request.
+// Guards against balancers that see very little themselves: with no own request in flight anywhere, the one
+// server that others have left free gets the request.
 func TestServersAreAskedFirst(t *testing.T) {
-	h := asking(t, 1, 1, 1, 1)
+	h := newProbingBench(t, 1, 1, 1, 1)
 	load := map[string]float64{"s0": 9, "s1": 9, "s2": 0, "s3": 9}
 	free := 0
 	for i := range 100 {
@@ -641,40 +648,41 @@
 		id := fmt.Sprint("q", i)
 		actions := slices.Clone(h.Handle(h.at, Request{ID: id, Class: 1, Deadline: h.at + 2*time.Second}))
 		if slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Send }) {
-			t.Fatal("sent before the servers were asked")
+			t.Fatal("sent before the servers were probed")
 		}
-		to := h.answer(id, actions, load)
+		to := h.answerProbes(id, actions, load)
 		if to == "s2" {
 			free++
 		}
 		if to != "" {
-			h.end(id, to, 0, OK, NoReport)
+			h.endAttempt(id, to, 0, OK, NoReport)
 		}
 	}
-	if free < 55 { // at least one of four draws meets it in 68 of 100
-		t.Errorf("the free server got %d of 100", free)
+	if free < 55 { // it is among the four servers drawn in 68 of 100 cases
+		t.Errorf("the free server got %d of 100 requests", free)
 	}
 }
 
-// Guards against sending to a server that does not even answer a probe, while others that answered grow stale.
+// Guards against sending to a server that does not answer probes, when the answers of other servers become
+// outdated.
 func TestMuteServerGetsNothing(t *testing.T) {
-	h := asking(t, 1, 1, 1, 1)
+	h := newProbingBench(t, 1, 1, 1, 1)
 	load := map[string]float64{"s0": -1}
 	sent := 0
 	for i := range 100 {
 		h.at += time.Second
 		id := fmt.Sprint("q", i)
-		to := h.answer(id, slices.Clone(h.Handle(h.at, Request{ID: id, Class: 1, Deadline: h.at + 2*time.Second})), load)
-		h.at += h.set.Classes[1].Aim / askPart
+		to := h.answerProbes(id, slices.Clone(h.Handle(h.at, Request{ID: id, Class: 1, Deadline: h.at + 2*time.Second})), load)
+		h.at += h.settings.Classes[1].Aim / probeTimeoutDivisor
 		if r := h.requests[id]; to == "" && r != nil {
-			to = h.answer(id, slices.Clone(h.Handle(h.at, TimerFired{r.late})), load)
+			to = h.answerProbes(id, slices.Clone(h.Handle(h.at, TimerFired{r.probeTimer})), load)
 		}
 		if to == "s0" {
-			t.Fatal("a mute server got a request")
+			t.Fatal("a server that does not answer probes got a request")
 		}
 		if to != "" {
 			sent++
-			h.end(id, to, 0, OK, NoReport)
+			h.endAttempt(id, to, 0, OK, NoReport)
 		}
 	}
 	if sent < 90 {
@@ -682,84 +690,85 @@
 	}
 }
 
-// Guards against queues where all servers drawn are full: work of little worth is turned away at once.
+// Guards against queues when all servers drawn are busy: requests of low value are shed at once.
 func TestFullServersRefuse(t *testing.T) {
-	h := asking(t, 1, 1)
+	h := newProbingBench(t, 1, 1)
 	refused := [2]int{}
 	for i := range 200 {
 		h.at += time.Second
 		id := fmt.Sprint("q", i)
 		e := Request{ID: id, Class: i % 2, Deadline: h.at + 2*time.Second}
-		to := h.answer(id, slices.Clone(h.Handle(h.at, e)), map[string]float64{"s0": 16, "s1": 16})
+		to := h.answerProbes(id, slices.Clone(h.Handle(h.at, e)), map[string]float64{"s0": 16, "s1": 16})
 		if to == "" {
 			refused[i%2]++
 		} else {
-			h.end(id, to, 0, OK, NoReport)
+			h.endAttempt(id, to, 0, OK, NoReport)
 		}
 	}
 	if refused[0] < 90 || refused[1] > 40 {
-		t.Errorf("refused %d cheap and %d dear of 100 each", refused[0], refused[1])
+		t.Errorf("refused %d of low and %d of high value, of 100 each", refused[0], refused[1])
 	}
 }
 
-// Guards against a quiet balancer that meets each server of a large fleet too seldom to know it.
+// Guards against a balancer with little traffic that uses each server of a large fleet too seldom to know
+// its state.
 func TestQuietBalancerKeepsToASubset(t *testing.T) {
 	h := newBench(t, testSettings(), make([]float64, 100)...)
 	for i, s := range h.servers {
 		s.Place = (float64(i) + 0.5) / 100
 	}
-	h.narrow()
+	h.updateSubset()
 	near := func() (n int) {
 		for _, s := range h.servers {
-			if !s.far {
+			if !s.outsideSubset {
 				n++
 			}
 		}
 		return n
 	}
-	if n := near(); n != subsetLeast {
-		t.Errorf("a quiet balancer draws from %d servers", n)
+	if n := near(); n != minSubsetSize {
+		t.Errorf("a balancer with little traffic draws from %d servers", n)
 	}
-	h.served = 60
-	h.narrow()
-	if n, want := near(), int(60*subsetTime*h.horizon.Seconds()); n != want {
-		t.Errorf("a busy balancer draws from %d servers, want %d", n, want)
+	h.answerRate = 60
+	h.updateSubset()
+	if n, want := near(), int(60*subsetHorizons*h.horizon.Seconds()); n != want {
+		t.Errorf("a balancer with much traffic draws from %d servers, want %d", n, want)
 	}
-	for _, s := range h.servers { // all of the subset drain: any other will do
-		if !s.far {
+	for _, s := range h.servers { // all of the subset drain: any other may be used
+		if !s.outsideSubset {
 			s.State = Draining
 		}
 	}
-	if _, to := h.ask(1); to == "" {
-		t.Error("nothing is sent when the subset is gone")
+	if _, to := h.request(1); to == "" {
+		t.Error("nothing is sent when the whole subset drains")
 	}
 }
 
-// Guards against taking long waits on others, costly requests or one slow server for a jam.
+// Guards against taking long processing times, expensive requests or one slow server for congestion.
 func TestSlackIsCountedFromTheLeastTime(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
-	for range 600 { // half of the aim each, always
-		id, to := h.ask(1)
+	for range 600 { // each takes half of the target latency
+		id, to := h.request(1)
 		h.at += 300 * time.Millisecond
 		h.Handle(h.at, Outcome{Request: id, Server: to, Took: 300 * time.Millisecond, Closed: true, Report: NoReport})
 	}
-	if jam := h.jamNow(); jam > shedFrom/2 {
-		t.Errorf("slack used %v by steady answers", jam)
+	if congestion := h.currentCongestion(); congestion > shedThreshold/2 {
+		t.Errorf("slack used %v by steady answers", congestion)
 	}
-	id, to := h.ask(1)
-	h.at += 3 * h.set.Classes[1].Aim
-	h.Handle(h.at, Outcome{Request: id, Server: to, Took: 3 * h.set.Classes[1].Aim, Closed: true, Report: NoReport})
-	if jam := h.jamNow(); jam > jamWeight+shedFrom/2 {
-		t.Errorf("slack used %v after one slow answer", jam)
+	id, to := h.request(1)
+	h.at += 3 * h.settings.Classes[1].Aim
+	h.Handle(h.at, Outcome{Request: id, Server: to, Took: 3 * h.settings.Classes[1].Aim, Closed: true, Report: NoReport})
+	if congestion := h.currentCongestion(); congestion > maxCongestionWeight+shedThreshold/2 {
+		t.Errorf("slack used %v after one slow answer", congestion)
 	}
 }
 
-// Guards against paying for questions while it is known that hardly anything is in use.
+// Guards against the cost of probes while the utilization is known to be low.
 func TestNobodyIsAskedWhileAllIsIdle(t *testing.T) {
-	h := asking(t, 1, 1)
+	h := newProbingBench(t, 1, 1)
 	send := func(use float64) (probes int) {
 		for _, s := range h.servers {
-			h.report(s, report(use, 100*use))
+			h.recordReport(s, utilReport(use, 100*use))
 		}
 		id := fmt.Sprint("i", use)
 		for _, a := range h.Handle(h.at, Request{ID: id, Class: 1, Deadline: h.at + 2*time.Second}) {
@@ -771,72 +780,72 @@
 	}
 	h.at += time.Second
 	if n := send(0.1); n != 0 {
-		t.Errorf("%d probes with a tenth in use", n)
+		t.Errorf("%d probes at a utilization of 0.1", n)
 	}
 	h.at += 20 * h.horizon
 	h.Handle(h.at, TimerFired{tickToken})
 	if n := send(0.9); n == 0 {
-		t.Error("no probe with nine tenths in use")
+		t.Error("no probe at a utilization of 0.9")
 	}
 }
 
-// Guards against a server that its reports show in full use and own counts show as idle (hot keys and slowed
-// servers at eventos-pelotas): where servers are not asked, use counts against their capacity.
+// Guards against a server that is fully used according to its reports and idle by own counts (with hot keys
+// and slowed servers): if servers are not probed, utilization reduces their free capacity.
 func TestUsedServerGetsLess(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1)
 	busy := 0
 	for range 100 {
 		h.now = h.at
-		h.report(h.servers[0], report(0.9, 90))
-		h.report(h.servers[1], report(0.3, 30))
-		id, to := h.ask(1)
+		h.recordReport(h.servers[0], utilReport(0.9, 90))
+		h.recordReport(h.servers[1], utilReport(0.3, 30))
+		id, to := h.request(1)
 		if to == "s0" {
 			busy++
 		}
-		h.end(id, to, 0, OK, NoReport)
+		h.endAttempt(id, to, 0, OK, NoReport)
 	}
 	if busy > 5 {
-		t.Errorf("the busy server got %d of 100", busy)
+		t.Errorf("the busy server got %d of 100 requests", busy)
 	}
 }
 
-// Guards against a long aim of the one class hiding that another is late already (ligues-bzh, where the valuable
-// class has the shortest aim): the slack is that of the tightest class.
+// Guards against missing that one class is already late because another one has a long target latency: the
+// slack is that of the class with the least.
 func TestTightestClassSetsTheSlack(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].Aim = 150e6
-	h := newBench(t, set, 1, 1)
-	id, _ := h.ask(1)
+	settings := testSettings()
+	settings.Classes[0].Aim = 150e6
+	h := newBench(t, settings, 1, 1)
+	id, _ := h.request(1)
 	a := h.requests[id].attempts[0]
-	h.now = h.at + time.Duration(h.least[1]) + 100*time.Millisecond
+	h.now = h.at + time.Duration(h.minLatency[1]) + 100*time.Millisecond
 	if used := h.slackUsed(a, false); used < 0.8 {
-		t.Errorf("slack used %v by a wait of 100 ms where the tightest aim is 150 ms", used)
+		t.Errorf("slack used %v by a wait of 100 ms with a shortest target latency of 150 ms", used)
 	}
 }
 
-// Guards against a crowd at one of a few servers that the mean use hides (placar-sul, the small twins): with a
-// tenth of the slack used servers are asked again.
+// Guards against a queue at one of a few servers that the mean utilization hides: from a tenth of the slack
+// used, servers are probed again.
 func TestLateAnswersMakeItAsk(t *testing.T) {
-	h := asking(t, 1, 1)
+	h := newProbingBench(t, 1, 1)
 	h.at += time.Second
-	h.jam = 0.11
+	h.congestion = 0.11
 	h.now = h.at
 	for _, s := range h.servers {
-		h.report(s, report(0.1, 10))
+		h.recordReport(s, utilReport(0.1, 10))
 	}
 	actions := h.Handle(h.at, Request{ID: "late", Class: 1, Deadline: h.at + 2*time.Second})
 	if !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Probe }) {
-		t.Error("no server is asked though answers are late")
+		t.Error("no server is probed though answers are late")
 	}
 }
 
-// Guards against dividing by the price of probes that cost nothing: no server was drawn then.
+// Guards against a division by the cost of probes if it is 0: no server was drawn then.
 func TestFreeProbes(t *testing.T) {
-	h := asking(t, 1, 1, 1)
-	h.set.ProbePrice = 0
+	h := newProbingBench(t, 1, 1, 1)
+	h.settings.ProbePrice = 0
 	e := Request{ID: "free", Class: 1, Deadline: h.at + 2*time.Second}
-	if to := h.answer("free", slices.Clone(h.Handle(h.at, e)), map[string]float64{}); to == "" {
-		t.Error("nothing is sent where probes are free")
+	if to := h.answerProbes("free", slices.Clone(h.Handle(h.at, e)), map[string]float64{}); to == "" {
+		t.Error("nothing is sent if probes are free")
 	}
 }
 
@@ -844,22 +853,22 @@
 	for _, price := range []float64{-0.1, math.NaN()} {
 		cross, probe := testSettings(), testSettings()
 		cross.CrossZonePrice, probe.ProbePrice = price, price
-		for _, set := range []Settings{cross, probe} {
-			if _, err := New(set, 1); err == nil {
-				t.Errorf("no error for prices %v and %v", set.CrossZonePrice, set.ProbePrice)
+		for _, settings := range []Settings{cross, probe} {
+			if _, err := New(settings, 1); err == nil {
+				t.Errorf("no error for costs %v and %v", settings.CrossZonePrice, settings.ProbePrice)
 			}
 		}
 	}
 }
 
-// Guards against a server that answers most and loses some: a late attempt there is copied to another one, but only
-// while such losses are seen, not in a jam, and within the budget for further attempts.
+// Guards against a server that answers most requests and loses some: a late attempt there is hedged at
+// another server, but only while such losses are seen, not under congestion, and within the retry budget.
 func TestLateAttemptsAreCopiedWhileSomeGetLost(t *testing.T) {
 	lose := func(h *bench) { // one request is lost at a server that answers a later one
 		type sent struct{ id, to string }
 		var all []sent
 		for range len(h.servers) + 1 { // so that one server has two
-			id, to := h.ask(0)
+			id, to := h.request(0)
 			all = append(all, sent{id, to})
 			h.at += time.Millisecond
 		}
@@ -869,7 +878,7 @@
 			}
 			all = slices.DeleteFunc(all, func(s sent) bool { return s == early })
 			for _, s := range all {
-				h.end(s.id, s.to, 0, OK, NoReport)
+				h.endAttempt(s.id, s.to, 0, OK, NoReport)
 			}
 			h.at += h.horizon
 			h.Handle(h.at, Outcome{Request: early.id, Server: early.to, Result: TimedOut, Closed: true, Report: NoReport})
@@ -877,111 +886,113 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		before func(h *bench)
-		jam    float64
-		copied bool
+		before     func(h *bench)
+		congestion float64
+		hedged     bool
 	}{
 		"nothing lost": {func(*bench) {}, 0, false},
 		"some lost":    {lose, 0, true},
 		"jam":          {lose, 0.9, false},
-		"no budget":    {func(h *bench) { lose(h); h.budget = 0 }, 0, false},
-		"no copies":    {func(h *bench) { lose(h); h.set.ParallelCopies = false }, 0, false},
+		"no budget":    {func(h *bench) { lose(h); h.retryBudget = 0 }, 0, false},
+		"no copies":    {func(h *bench) { lose(h); h.settings.ParallelCopies = false }, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := testSettings()
-			set.ParallelCopies = true
-			h := newBench(t, set, 1, 1, 1)
+			settings := testSettings()
+			settings.ParallelCopies = true
+			h := newBench(t, settings, 1, 1, 1)
 			c.before(h)
-			id, to := h.ask(0)
-			jam := max(h.jam, c.jam)
-			var copies []Action
-			for range 2 * ticks {
-				h.jam = jam
-				for _, a := range h.tick(h.horizon / ticks) {
+			id, to := h.request(0)
+			congestion := max(h.congestion, c.congestion)
+			var hedges []Action
+			for range 2 * ticksPerHorizon {
+				h.congestion = congestion
+				for _, a := range h.advance(h.horizon / ticksPerHorizon) {
 					if a.Kind == Send {
-						copies = append(copies, a)
+						hedges = append(hedges, a)
 					}
 				}
 			}
-			if c.copied != (len(copies) == 1) || len(copies) > 1 {
-				t.Fatalf("%d copies", len(copies))
+			if c.hedged != (len(hedges) == 1) || len(hedges) > 1 {
+				t.Fatalf("%d hedged attempts", len(hedges))
 			}
-			if c.copied && (copies[0].Request != id || copies[0].Server == to) {
-				t.Errorf("%v is the copy of what %s has", copies[0], to)
+			if c.hedged && (hedges[0].Request != id || hedges[0].Server == to) {
+				t.Errorf("%v is the hedged attempt of a request at %s", hedges[0], to)
 			}
 		})
 	}
 }
 
-// Guards against refusing work for times that are those of this process: while it was held up nobody could see
-// what servers did. The same time counts where the process ran.
+// Guards against taking a stall of this process for congestion: while it was stalled it could not see what
+// servers did. The same time counts if the process was running.
 func TestStallsAreNoJam(t *testing.T) {
 	for name, c := range map[string]struct {
 		pass func(h *bench, d time.Duration)
 		want bool
 	}{
-		"ran":     {func(h *bench, d time.Duration) { h.tick(d) }, true},
+		"ran":     {func(h *bench, d time.Duration) { h.advance(d) }, true},
 		"held up": {func(h *bench, d time.Duration) { h.at += d }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newBench(t, testSettings(), 1, 1, 1)
 			var ids, servers []string
 			for range 4 {
-				id, to := h.ask(0)
+				id, to := h.request(0)
 				ids, servers = append(ids, id), append(servers, to)
 			}
 			c.pass(h, h.horizon)
-			if jam := h.jamNow() > shedFrom; jam != c.want {
-				t.Errorf("a jam while all are out: %t", jam)
+			if congestion := h.currentCongestion() > shedThreshold; congestion != c.want {
+				t.Errorf("congestion while all are in flight: %t", congestion)
 			}
-			h.tick(h.horizon / ticks)
+			h.advance(h.horizon / ticksPerHorizon)
 			for i, id := range ids {
-				h.end(id, servers[i], 0, OK, NoReport)
+				h.endAttempt(id, servers[i], 0, OK, NoReport)
 			}
-			if jam := h.jam > shedFrom; jam != c.want {
-				t.Errorf("a jam as all are answered: %t (%.2f)", jam, h.jam)
+			if congestion := h.congestion > shedThreshold; congestion != c.want {
+				t.Errorf("congestion when all are answered: %t (%.2f)", congestion, h.congestion)
 			}
 		})
 	}
 }
 
-// Guards against refusing work for a jam where there is none: an attempt that its server has passed over, as it
-// answered one sent much later, is lost or costly and counts neither while it is out nor when its time is up.
+// Guards against seeing congestion where there is none: an attempt whose server has answered one sent much
+// later is lost or expensive, and does not count, neither while it is in flight nor when it times out.
 func TestLostAttemptIsNoJam(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		h := newBench(t, testSettings(), 1) // one server, so that all go there
-		early, to := h.ask(0)
-		h.tick(h.horizon)
-		later, _ := h.ask(0)
+		early, to := h.request(0)
+		h.advance(h.horizon)
+		later, _ := h.request(0)
 		if answers {
-			h.end(later, to, 0, OK, NoReport)
+			h.endAttempt(later, to, 0, OK, NoReport)
 		}
-		if jam := h.jamNow() > h.jam; jam == answers {
-			t.Errorf("later one answered: %t, the late one counts as a jam: %t", answers, jam)
+		if congestion := h.currentCongestion() > h.congestion; congestion == answers {
+			t.Errorf("later one answered: %t, the late one counts as congestion: %t", answers, congestion)
 		}
-		before := h.jam
+		before := h.congestion
 		h.Handle(h.at, Outcome{Request: early, Server: to, Result: TimedOut, Closed: true, Report: NoReport})
-		if jam := h.jam > before; jam == answers {
-			t.Errorf("later one answered: %t, the lost one counts as a jam: %t", answers, jam)
+		if congestion := h.congestion > before; congestion == answers {
+			t.Errorf("later one answered: %t, the lost one counts as congestion: %t", answers, congestion)
 		}
 	}
 }
 
-// Guards against a budget that ends while a server loses more than the usual share of what it takes.
+// Guards against a retry budget that runs out while a server loses more than the usual share of its
+// requests.
 func TestBudgetGrowsWithWhatGetsLost(t *testing.T) {
 	for _, lost := range []float64{0, 0.2} {
 		h := newBench(t, testSettings(), 1, 1)
-		h.budget, h.lost = 0, lost
-		if h.ask(0); math.Abs(h.budget-retryShare-lost) > 1e-9 {
-			t.Errorf("a first attempt adds %v with %v lost", h.budget, lost)
+		h.retryBudget, h.lossRate = 0, lost
+		if h.request(0); math.Abs(h.retryBudget-retryRatio-lost) > 1e-9 {
+			t.Errorf("a first attempt adds %v at a loss rate of %v", h.retryBudget, lost)
 		}
 	}
 }
 
-// hurry brings a request whose client gives it 150 ms and ends it so, or 120 ms later where it is answered.
-func (h *bench) hurry(answered bool) string {
+// impatientRequest delivers a request whose client waits for 150 ms. It times out then, or is answered
+// after 120 ms.
+func (h *bench) impatientRequest(answered bool) string {
 	const patience = 150 * time.Millisecond
-	id, to := h.askFor(0, patience)
+	id, to := h.requestWithPatience(0, patience)
 	took, result := patience, TimedOut
 	if answered {
 		took, result = 120*time.Millisecond, OK
@@ -991,47 +1002,49 @@
 	return to
 }
 
-// Guards against refusing, and against sparing servers, because some clients wait for less than an answer takes: on a day
-// of the large fleet three in ten gave up after 100 to 190 ms, and the agents took that for a jam.
+// Guards against shedding, and against avoiding servers, because some clients wait for less than the usual
+// latency: in one run three in ten gave up after 100 to 190 ms, and the agents took that for congestion.
 func TestClientsInAHurryAreNoJam(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1)
 	for i := range 200 {
-		if to := h.hurry(i%3 != 0); to == "" {
-			t.Fatalf("request %d is refused, the slack used counts as %v", i, h.jam)
+		if to := h.impatientRequest(i%3 != 0); to == "" {
+			t.Fatalf("request %d is refused, with congestion %v", i, h.congestion)
 		}
 	}
-	if h.jam > 0.1 || h.lost > 0 {
-		t.Errorf("jam %v, lost %v", h.jam, h.lost)
+	if h.congestion > 0.1 || h.lossRate > 0 {
+		t.Errorf("congestion %v, loss rate %v", h.congestion, h.lossRate)
 	}
 	for _, s := range h.servers {
-		if s.until > 0 {
-			t.Errorf("%s: failing %v, ejected until %v", s.ID, s.failing, s.until)
+		if s.ejectedUntil > 0 {
+			t.Errorf("%s: failure rate %v, ejected until %v", s.ID, s.failureRate, s.ejectedUntil)
 		}
 	}
 }
 
-// A server that answers none of them is found all the same, though each says less than one that was waited for.
+// A server that answers none of the impatient clients is ejected nevertheless, though each of their
+// timeouts counts less than one of a client that waits.
 func TestSilenceIsFoundByClientsInAHurry(t *testing.T) {
 	h := newBench(t, testSettings(), 1)
 	n := 0
-	for ; n < 2*missedMost && h.byID["s0"].until == 0; n++ {
-		h.hurry(false)
+	for ; n < 2*maxMissedAnswers && h.byID["s0"].ejectedUntil == 0; n++ {
+		h.impatientRequest(false)
 	}
-	if n <= 3 || n > missedMost { // three that are waited for eject a server
-		t.Errorf("ejected until %v after %d that it did not answer", h.byID["s0"].until, n)
+	if n <= 3 || n > maxMissedAnswers { // three timeouts of clients that wait eject a server
+		t.Errorf("ejected until %v after %d unanswered requests", h.byID["s0"].ejectedUntil, n)
 	}
 }
 
-// Guards against a fleet of quiet balancers that leaves new servers idle for the first seconds, as each by itself had to
-// send for long before one was due, and counted by a fleet of which it draws from a few; and against more than the part of
-// what a cold server can do that coldTimes allows.
+// Guards against balancers with little traffic that leave new servers idle for the first seconds, since
+// each one by itself would send there only after a long time, and since the share of a new server was
+// computed from the whole fleet and not from the subset. A cold server must not get more than
+// coldSendFactor allows either.
 func TestQuietFleetWarmsNewServers(t *testing.T) {
 	const agents, warm, cold, rate, took, span = 80, 42, 18, 50, 300 * time.Millisecond, 3 * time.Second
-	set := testSettings()
-	set.Balancers, set.WarmKeys = agents, true
+	settings := testSettings()
+	settings.Balancers, settings.WarmKeys = agents, true
 	sent, all := 0, 0
 	for i := range agents {
-		b, err := New(set, uint64(i))
+		b, err := New(settings, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -1046,18 +1059,19 @@
 			due time.Duration
 			Outcome
 		}
-		var out []sending
+		var inFlight []sending
 		run := func(end time.Duration, count bool) {
 			for ; now < end; now += time.Second / rate {
-				for len(out) > 0 && out[0].due <= now {
-					b.Handle(now, out[0].Outcome)
-					out = out[1:]
+				for len(inFlight) > 0 && inFlight[0].due <= now {
+					b.Handle(now, inFlight[0].Outcome)
+					inFlight = inFlight[1:]
 				}
 				b.Handle(now, TimerFired{tickToken})
 				ids++
 				for _, a := range b.Handle(now, Request{ID: fmt.Sprint(ids), Key: fmt.Sprint(i, ids), Deadline: now + 2*time.Second}) {
 					if a.Kind == Send {
-						out = append(out, sending{now + took, Outcome{Request: a.Request, Server: a.Server, Took: took, Closed: true, Report: NoReport}})
+						inFlight = append(inFlight, sending{now + took,
+							Outcome{Request: a.Request, Server: a.Server, Took: took, Closed: true, Report: NoReport}})
 						if count {
 							all++
 							if a.Server[0] == 'n' {
@@ -1076,42 +1090,43 @@
 		b.Handle(now, l)
 		run(now+span, true)
 	}
-	per := set.ColdFrom + (1-set.ColdFrom)*float64(span)/2/float64(set.ColdFor) // of a warm one's, on average
-	part := float64(sent) / float64(all) / (cold * per / (warm + cold*per))
-	t.Logf("cold servers get %.2f of their part", part)
-	if part < 0.25 || part > coldTimes*1.1 {
-		t.Errorf("cold servers get %.2f of their part of %d sends", part, all)
+	relative := settings.ColdFrom + (1-settings.ColdFrom)*float64(span)/2/float64(settings.ColdFor) // of that of a warm server, on average
+	share := float64(sent) / float64(all) / (cold * relative / (warm + cold*relative))
+	t.Logf("cold servers get %.2f of their share", share)
+	if share < 0.25 || share > coldSendFactor*1.1 {
+		t.Errorf("cold servers get %.2f of their share of %d sends", share, all)
 	}
 }
 
-// Guards against a fleet that tries a server which stays silent the more often the more balancers there are, and each of them for as
-// long as a client waits; and against one that forgets to try it.
+// Guards against trials of a silent server that become more frequent with more balancers, or each take as
+// long as a client waits; and against a fleet that stops trying the server.
 func TestTrialsOfAFleetAreConstant(t *testing.T) {
-	const span, rate = 2 * time.Minute, 3 // calls a second of each
+	const span, rate = 2 * time.Minute, 3 // calls per second of each balancer
 	for _, agents := range []int{1, 10, 100, 500} {
 		trials, longest := 0, time.Duration(0)
 		for i := range agents {
-			set := testSettings()
-			set.Balancers = agents
-			h := newBench(t, set, 1, 1, 1, 1)
+			settings := testSettings()
+			settings.Balancers = agents
+			h := newBench(t, settings, 1, 1, 1, 1)
 			for _, s := range h.servers {
 				s.Place = (float64(i) + 0.5) / float64(agents)
 			}
-			h.judged = h.at
+			h.lastOutcome = h.at
 			h.eject(h.byID["s0"])
 			for end, next := h.at+span, h.at; h.at < end; {
 				if h.at >= next {
 					next += time.Second / rate
-					id, to := h.ask(0)
+					id, to := h.request(0)
 					if to == "s0" {
 						trials++
 						begun := h.at
-						for h.byID["s0"].trial {
+						for h.byID["s0"].trialActive {
 							h.at += 10 * time.Millisecond
 							h.Handle(h.at, TimerFired{tickToken})
 						}
 						longest = max(longest, h.at-begun)
-						for _, a := range h.end(id, to, 0, Cancelled, NoReport) { // a balancer alone runs out of further attempts
+						// A single balancer runs out of retry budget.
+						for _, a := range h.endAttempt(id, to, 0, Cancelled, NoReport) {
 							if a.Kind == Send {
 								h.Handle(h.at, Outcome{Request: id, Attempt: 1, Server: a.Server, Took: 60 * time.Millisecond, Closed: true, Report: NoReport})
 							}
@@ -1125,9 +1140,9 @@
 			}
 		}
 		each := float64(trials) / span.Seconds()
-		t.Logf("%d agents: %.2f trials a second, %v at most", agents, each, longest)
+		t.Logf("%d agents: %.2f trials per second, the longest %v", agents, each, longest)
 		if each > 2 || each < 0.4 {
-			t.Errorf("%d agents try a silent server %.2f times a second", agents, each)
+			t.Errorf("%d agents try a silent server %.2f times per second", agents, each)
 		}
 		if longest > time.Second {
 			t.Errorf("%d agents: a trial takes %v", agents, longest)
@@ -1135,167 +1150,170 @@
 	}
 }
 
-// What one that does not draw from a server has heard of it is forgotten, as others try it; and a trial that is withdrawn was this
-// balancer's turn.
+// A balancer that does not draw from an ejected server readmits it after its turn without a trial, as other
+// balancers try it. A canceled trial uses up the balancer's turn.
 func TestTurnsPass(t *testing.T) {
-	set := testSettings()
-	set.Balancers = 10
-	h := newBench(t, set, make([]float64, 40)...)
+	settings := testSettings()
+	settings.Balancers = 10
+	h := newBench(t, settings, make([]float64, 40)...)
 	for i, s := range h.servers {
 		s.Place = (float64(i) + 0.5) / 40
 	}
-	h.narrow()
+	h.updateSubset()
 	near, far := h.servers[0], h.servers[39]
 	h.eject(near)
 	h.eject(far)
-	if !far.far || near.far || near.until != h.at+h.horizon || far.until <= h.at+9*h.horizon {
-		t.Fatalf("near %v until %v, far %v until %v", !near.far, near.until-h.at, far.far, far.until-h.at)
+	if !far.outsideSubset || near.outsideSubset || near.ejectedUntil != h.at+h.horizon || far.ejectedUntil <= h.at+9*h.horizon {
+		t.Fatalf("near %v until %v, far %v until %v", !near.outsideSubset, near.ejectedUntil-h.at, far.outsideSubset, far.ejectedUntil-h.at)
 	}
-	h.tick(h.horizon)
-	id, to := h.ask(0)
+	h.advance(h.horizon)
+	id, to := h.request(0)
 	if to != "s0" {
 		t.Fatalf("the trial went to %s", to)
 	}
-	h.end(id, to, 0, Cancelled, NoReport)
-	if want := h.at + time.Duration(10*near.part*float64(h.horizon)); near.trial || near.until != want {
-		t.Errorf("after a trial that was withdrawn it is out for %v, want %v", near.until-h.at, want-h.at)
+	h.endAttempt(id, to, 0, Cancelled, NoReport)
+	if want := h.at + time.Duration(10*near.subsetShare*float64(h.horizon)); near.trialActive || near.ejectedUntil != want {
+		t.Errorf("after a canceled trial it is ejected for %v, want %v", near.ejectedUntil-h.at, want-h.at)
 	}
-	h.tick(9 * h.horizon)
-	if far.until != 0 {
-		t.Error("a server that it does not draw from is out for ever")
+	h.advance(9 * h.horizon)
+	if far.ejectedUntil != 0 {
+		t.Error("a server outside the subset stays ejected")
 	}
 }
 
-// Guards against a client that waits for all its time because its request was the first to meet a server that has fallen silent, at a
-// balancer with so few requests that sixteen usual answers are longer than that: it is copied, once, and what the silent server
-// owed when the copy was answered says that it is ill. The copy costs one further attempt.
+// Guards against a client that waits until its deadline because its request is the first one sent to a
+// server that has fallen silent, at a balancer with so little traffic that sixteen mean latencies are
+// longer than that. The request is hedged, once, at the cost of one further attempt; when the second
+// attempt is answered, the first one counts as a failure of the silent server.
 func TestFirstToMeetSilenceIsCopied(t *testing.T) {
-	set := testSettings()
-	set.ParallelCopies = true
-	h := newBench(t, set, 1, 1)
-	id, to := h.ask(0)
+	settings := testSettings()
+	settings.ParallelCopies = true
+	h := newBench(t, settings, 1, 1)
+	id, to := h.request(0)
 	h.at += 300 * time.Millisecond
-	next, other := h.ask(0) // which is answered in good time
+	next, other := h.request(0) // which is answered in time
 	if other == to {
 		t.Fatal("the busy server got both")
 	}
 	h.Handle(h.at+50*time.Millisecond, Outcome{Request: next, Server: other, Took: 50 * time.Millisecond, Closed: true, Report: NoReport})
-	copies, at := 0, h.at-300*time.Millisecond
+	hedges, at := 0, h.at-300*time.Millisecond
 	for h.at < at+1900*time.Millisecond {
-		for _, a := range h.tick(h.horizon / ticks) {
+		for _, a := range h.advance(h.horizon / ticksPerHorizon) {
 			if a.Kind == Send {
-				if copies++; a.Request != id || a.Server == to {
+				if hedges++; a.Request != id || a.Server == to {
 					t.Fatalf("%+v", a)
 				}
 				at = h.at - at
-				before := h.byID[to].failing
+				before := h.byID[to].failureRate
 				all := h.Handle(h.at, Outcome{Request: id, Attempt: 1, Server: a.Server, Took: 50 * time.Millisecond, Closed: true, Report: NoReport})
 				if len(all) != 1 || all[0].Kind != Cancel || all[0].Attempt != 0 {
-					t.Fatalf("the first is not withdrawn: %+v", all)
+					t.Fatalf("the first attempt is not canceled: %+v", all)
 				}
-				h.end(id, to, 0, Cancelled, NoReport)
-				if got := h.byID[to].failing; got < before+0.4 || got > 0.7 {
-					t.Errorf("what was withdrawn counts %v", got-before)
+				h.endAttempt(id, to, 0, Cancelled, NoReport)
+				if got := h.byID[to].failureRate; got < before+0.4 || got > 0.7 {
+					t.Errorf("the canceled attempt adds %v to the failure rate", got-before)
 				}
-				at = h.at + 1900*time.Millisecond // no more
+				at = h.at + 1900*time.Millisecond // no further rounds
 			}
 		}
 	}
-	if copies != 1 {
-		t.Errorf("%d copies", copies)
+	if hedges != 1 {
+		t.Errorf("%d hedged attempts", hedges)
 	}
-	id, to = h.ask(0)
-	before := h.byID[to].failing
+	id, to = h.request(0)
+	before := h.byID[to].failureRate
 	h.at += 10 * time.Millisecond
-	h.end(id, to, 0, Cancelled, NoReport)
-	if h.byID[to].failing > before {
-		t.Error("one that was withdrawn soon, as its client left, counts against its server")
+	h.endAttempt(id, to, 0, Cancelled, NoReport)
+	if h.byID[to].failureRate > before {
+		t.Error("an attempt that is canceled early, because its client disconnected, counts against its server")
 	}
 }
 
-// Guards against refusing the work of a quiet balancer because servers that fell silent owe it answers, while others give theirs in good
-// time; and against not seeing a jam of all for that.
+// Guards against shedding at a balancer with little traffic because servers that fell silent owe it answers
+// while others answer in time; and against missing congestion at all servers.
 func TestSilentServersAreNoJam(t *testing.T) {
 	for _, silent := range []bool{true, false} {
-		set := testSettings()
-		set.ParallelCopies, set.CanCancel = false, false
-		h := newBench(t, set, 1, 1, 1, 1)
+		settings := testSettings()
+		settings.ParallelCopies, settings.CanCancel = false, false
+		h := newBench(t, settings, 1, 1, 1, 1)
 		refused := 0
 		for range 30 {
-			id, to := h.askFor(0, 2*time.Second)
+			id, to := h.requestWithPatience(0, 2*time.Second)
 			if to == "" {
 				refused++
 			}
-			h.tick(300 * time.Millisecond)
+			h.advance(300 * time.Millisecond)
 			if to == "s2" || to == "s3" || to != "" && !silent {
-				continue // they answer nothing
+				continue // these answer nothing
 			}
 			if to != "" {
 				h.Handle(h.at, Outcome{Request: id, Server: to, Took: 50 * time.Millisecond, Closed: true, Report: NoReport})
 			}
 		}
 		if silent && refused > 0 || !silent && refused < 5 {
-			t.Errorf("half of the servers silent %t: %d of 30 are refused", silent, refused)
+			t.Errorf("half of the servers silent: %t, %d of 30 are refused", silent, refused)
 		}
 	}
 }
 
-// Guards against a fleet that takes a server back at the pace of its turns: for as long as the others have not had theirs, those that
-// know send it more, by its own word on what it gets already; and that wears off. Without its word nothing is known, and a rush
+// Guards against a fleet that readmits a server only at the pace of its turns. Until the other balancers
+// have had theirs, those that have readmitted the server send it more, according to the load that it
+// reports, and less and less over time. If it reports nothing they send it no more than usual, as a rush
 // would be worse.
 func TestTakenBackBeforeTheOthersKnow(t *testing.T) {
-	set := testSettings()
-	set.Balancers = 100
+	settings := testSettings()
+	settings.Balancers = 100
 	for _, c := range []struct {
-		util, want float64 // what the server says when it is tried; the parts that it gets then
-	}{{0, aloneMost}, {0.25, 2}, {0.5, 1}, {0.9, 1}, {-1, 1}} {
-		h := newBench(t, set, 1, 1, 1, 1)
+		util, want float64 // utilization that it reports during its trial; its factor then
+	}{{0, maxReadmitFactor}, {0.25, 2}, {0.5, 1}, {0.9, 1}, {-1, 1}} {
+		h := newBench(t, settings, 1, 1, 1, 1)
 		for range 20 {
-			id, to := h.ask(0)
-			h.end(id, to, 0, OK, report(0.5, 50))
+			id, to := h.request(0)
+			h.endAttempt(id, to, 0, OK, utilReport(0.5, 50))
 		}
 		s := h.byID["s0"]
 		h.eject(s)
 		h.at += h.horizon
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		if to != "s0" {
 			t.Fatalf("the trial went to %s", to)
 		}
 		r := NoReport
 		if c.util >= 0 {
-			r = report(c.util, 100*c.util)
+			r = utilReport(c.util, 100*c.util)
 		}
-		h.end(id, to, 0, OK, r)
-		if got := s.alone(h.Balancer); math.Abs(got-c.want) > c.want/10 {
-			t.Errorf("used by %v it gets %v parts, want %v", c.util, got, c.want)
+		h.endAttempt(id, to, 0, OK, r)
+		if got := s.readmitFactor(h.Balancer); math.Abs(got-c.want) > c.want/10 {
+			t.Errorf("at utilization %v its factor is %v, want %v", c.util, got, c.want)
 		}
-		last := s.alone(h.Balancer)
+		last := s.readmitFactor(h.Balancer)
 		for range 50 {
-			h.tick(h.horizon * 2)
-			now := s.alone(h.Balancer)
+			h.advance(h.horizon * 2)
+			now := s.readmitFactor(h.Balancer)
 			if now > last || now < 1 {
-				t.Fatalf("%v parts after %v", now, last)
+				t.Fatalf("factor %v after %v", now, last)
 			}
 			last = now
 		}
 		if last != 1 {
-			t.Errorf("it gets %v parts when all have had their turns", last)
+			t.Errorf("its factor is %v when all have had their turns", last)
 		}
 	}
 }
 
-// Guards against a server that failed once and is never drawn again by a balancer that has idle ones, as nothing could show that it is
-// well: what is heard wears off, the slower the longer a round of turns is.
+// Guards against a server that failed once and is never drawn again by a balancer with idle servers, as
+// nothing could show that it is healthy. Its failure rate decays, more slowly the longer a round of turns
+// is.
 func TestFailuresWearOff(t *testing.T) {
 	left := func(balancers int) float64 {
-		set := testSettings()
-		set.Balancers = balancers
-		h := newBench(t, set, 1, 1)
-		h.servers[0].failing = 0.5
-		h.tick(20 * h.horizon)
-		return h.servers[0].failing
+		settings := testSettings()
+		settings.Balancers = balancers
+		h := newBench(t, settings, 1, 1)
+		h.servers[0].failureRate = 0.5
+		h.advance(20 * h.horizon)
+		return h.servers[0].failureRate
 	}
 	if alone, many := left(1), left(100); alone > 0.1 || many < 0.35 || many > 0.45 {
-		t.Errorf("after 20 horizons %v are left at one alone, %v at one of a hundred", alone, many)
+		t.Errorf("after 20 horizons the failure rate is %v at a single balancer, %v at one of a hundred", alone, many)
 	}
 }
--- a/choice/ending.go
+++ b/choice/ending.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// endAll has every open request end by some time at the latest, as the process does. Requests that come
-// later bring such a deadline themselves.
-func (b *Balancer) endAll(by time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(b.requests)) { // in an order that does not vary
+// handleShutdown moves the deadline of every open request to the given time, if it is later. Requests that
+// arrive after it already have such a deadline.
+func (b *Balancer) handleShutdown(by time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(b.requests)) { // in a deterministic order
 		r := b.requests[id]
 		if r.closed || r.Deadline <= by {
 			continue
 		}
-		delete(b.timers, r.due)
+		delete(b.timers, r.deadlineTimer)
 		r.Deadline = by
-		r.due = b.timerFor(r, max(0, by-b.now))
+		r.deadlineTimer = b.setRequestTimer(r, max(0, by-b.now))
 	}
 }
--- a/choice/ending_test.go
+++ b/choice/ending_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The end of the process cuts the deadlines of open requests: each has its final answer by then, once, and one whose body is
-// still coming, too.
+// A shutdown brings the deadlines of open requests forward: each has its final answer by then, once,
+// including one whose body is still being received.
 func TestEndingCutsOpenRequests(t *testing.T) {
 	const by = 2 * time.Second
 	for name, request := range map[string]Request{
@@ -49,7 +49,7 @@
 				do(timers[i].at, b.Handle(timers[i].at, TimerFired{Token: timers[i].token}))
 			}
 			if answered == 0 || answered > by {
-				t.Errorf("answered at %v, the process ends at %v", answered, by)
+				t.Errorf("answered at %v, the process shuts down by %v", answered, by)
 			}
 		})
 	}
--- a/choice/explore.go
+++ b/choice/explore.go
@@ -10,129 +10,134 @@
 	"time"
 )
 
-// NewWithSource returns a Balancer whose chance comes from a source, so that an explorer can try what chance may do.
-func NewWithSource(set Settings, src rand.Source) (*Balancer, error) {
-	b, err := New(set, 0)
+// NewWithSource returns a Balancer that takes its random numbers from src, so that a model checker can try
+// all of them.
+func NewWithSource(settings Settings, src rand.Source) (*Balancer, error) {
+	b, err := New(settings, 0)
 	if err == nil {
 		b.rng = rand.New(src)
 	}
 	return b, err
 }
 
-func appendNumbers(to []byte, all []float64) []byte {
+func appendNumbers(dst []byte, all []float64) []byte {
 	for _, x := range all {
-		to = binary.LittleEndian.AppendUint64(to, math.Float64bits(x))
+		dst = binary.LittleEndian.AppendUint64(dst, math.Float64bits(x))
 	}
-	return to
+	return dst
 }
 
-// inOrder returns the requests by their ids.
-func (b *Balancer) inOrder() []*request {
+// sortedRequests returns the requests in the order of their ids.
+func (b *Balancer) sortedRequests() []*request {
 	all := slices.AppendSeq(make([]*request, 0, len(b.requests)), maps.Values(b.requests))
 	slices.SortFunc(all, func(x, y *request) int { return cmp.Compare(x.ID, y.ID) })
 	return all
 }
 
-// Fingerprint appends all that the Balancer's next decisions depend on, but for chance. Two Balancers of equal settings
-// with equal fingerprints act alike from then on, whatever led there.
-func (b *Balancer) Fingerprint(to []byte) []byte {
-	num := func(all ...float64) { to = appendNumbers(to, all) }
+// Fingerprint appends all state on which the Balancer's next decisions depend, except for random numbers.
+// Two Balancers with equal settings and fingerprints act alike from then on, whatever happened before.
+func (b *Balancer) Fingerprint(dst []byte) []byte {
+	num := func(all ...float64) { dst = appendNumbers(dst, all) }
 	flags := func(all ...bool) {
 		for _, x := range all {
-			to = append(to, map[bool]byte{true: 1}[x])
+			dst = append(dst, map[bool]byte{true: 1}[x])
 		}
 	}
-	text := func(s string) { to = append(append(to, s...), 0) }
-	num(b.usual...)
-	num(b.least...)
-	num(b.budget, b.jam, b.use, b.known, b.jamWeight, b.total, b.well, b.lost, b.served, b.worth, b.coldBad, b.coldSeen,
-		float64(min(b.judged, 1)), float64(b.checked), float64(b.wrong), float64(b.tickBy), float64(b.stallEnd), float64(b.stalled))
+	text := func(s string) { dst = append(append(dst, s...), 0) }
+	num(b.meanLatency...)
+	num(b.minLatency...)
+	num(b.retryBudget, b.congestion, b.meanUtil, b.knownServers, b.congestionWeight, b.totalCapacity, b.healthyCapacity,
+		b.lossRate, b.answerRate, b.meanValue, b.coldFailureRate, b.coldSamples, float64(min(b.lastOutcome, 1)),
+		float64(b.importChecks), float64(b.importErrors), float64(b.nextTick), float64(b.stallEnd), float64(b.stallLength))
 	server := func(s *server) {
 		text(s.ID)
-		num(float64(s.State), float64(s.Started), s.rate, s.trust, s.capacity, s.done, s.util, s.used, float64(s.reported),
-			s.held, float64(s.seen), float64(s.asked), s.Place, float64(s.heard), float64(s.passed), s.failing,
-			float64(s.until), float64(s.back), s.others, s.spare, s.weight, float64(len(s.inFlight)), float64(min(s.judged, 1)))
-		flags(s.far, s.trial, s.recalled)
+		num(float64(s.State), float64(s.Started), s.rate, s.confidence, s.capacity, s.reportedRate, s.reportedUtil, s.lastUtil,
+			float64(s.lastReport), s.probedInFlight, float64(s.lastProbeAnswer), float64(s.lastProbe), s.Place,
+			float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate, float64(s.ejectedUntil), float64(s.readmittedAt),
+			s.othersShare, s.coldAllowance, s.weight, float64(len(s.inFlight)), float64(min(s.lastOutcome, 1)))
+		flags(s.outsideSubset, s.trialActive, s.imported)
 		for _, a := range s.inFlight {
 			text(a.req.ID)
-			num(float64(a.n))
+			num(float64(a.index))
 		}
 	}
 	for _, s := range b.servers {
 		server(s)
 	}
-	for _, r := range b.inOrder() {
+	for _, r := range b.sortedRequests() {
 		text(r.ID)
-		num(float64(r.Deadline), float64(r.since), float64(r.waits), float64(r.out), float64(len(r.attempts)))
-		flags(r.closed, b.timers[r.due] == r, b.timers[r.late] == r)
+		num(float64(r.Deadline), float64(r.probedSince), float64(r.pendingProbes), float64(r.inFlight), float64(len(r.attempts)))
+		flags(r.closed, b.timers[r.deadlineTimer] == r, b.timers[r.probeTimer] == r)
 		for _, a := range r.attempts {
 			server(a.srv)
 			num(float64(a.sent))
-			flags(a.out, a.neverRan, a.rescued)
+			flags(a.inFlight, a.neverRan, a.withdrawn)
 		}
 	}
-	return to
+	return dst
 }
 
-// Ahead is what may still come to a Balancer that is explored.
+// Remaining describes which events may still happen to a Balancer in a model checker.
 type Ahead struct {
 	Now      time.Duration
-	Requests int  // new ones, before time goes on
-	Looks    bool // at health while a request is open
+	Requests int  // number of new requests before time advances
+	Looks    bool // health may be checked while a request is open
 }
 
-// Outlook is a Fingerprint of what can still matter. It leaves out what no decision will read any more, where none of
-// the requests is probed for or has a key, no server reports or is cold, and chance gives only its least or its most,
-// to all draws of an event alike: then a draw is the first or the last of the candidates, whatever they weigh.
+// ReducedFingerprint appends a Fingerprint without the state that no decision will read any more. It requires
+// that no request waits for probes or has a key, that no server reports its load or is cold, and that the random
+// source returns only its least or its greatest value, the same for all draws of an event: then a draw takes the
+// first or the last of the candidates, whatever their weights.
 //
-//   - Without looks at health, the share lost and the slack used are read only for new requests, and usual and least
-//     times only to tell how much of the slack is used, which is none at the instant at which all were sent.
-//   - What is known of servers is read only if there may be one more attempt.
-//   - Failures are read only for an ejection: where so many more as there may be make none, they are none.
-//   - The budget is read only where it might not do for the attempts that there may be.
-func (b *Balancer) Outlook(to []byte, ahead Ahead) []byte {
-	if ahead.Looks {
-		return b.Fingerprint(to)
-	}
-	num := func(all ...float64) { to = appendNumbers(to, all) }
-	more := func(r *request) int { // attempts that it may still get
-		if r.closed || ahead.Now >= r.Deadline {
+//   - Without health checks, the loss rate and the congestion are read only for new requests, and mean and minimum
+//     latencies only to compute the slack used, which is none at the instant at which all were sent.
+//   - What is known about servers is read only if there may be another attempt.
+//   - Failure rates are read only to eject servers: if the outcomes that may still come cannot cause an ejection,
+//     the rates are left out.
+//   - The retry budget is read only if it might not suffice for the attempts that there may be.
+func (b *Balancer) Outlook(dst []byte, remaining Ahead) []byte {
+	if remaining.Looks {
+		return b.Fingerprint(dst)
+	}
+	num := func(all ...float64) { dst = appendNumbers(dst, all) }
+	attemptsLeft := func(r *request) int { // attempts that it may still get
+		if r.closed || remaining.Now >= r.Deadline {
 			return 0
 		}
-		return b.set.MaxAttempts - len(r.attempts)
+		return b.settings.MaxAttempts - len(r.attempts)
 	}
-	further := ahead.Requests * b.set.MaxAttempts
-	judged := further // outcomes that may come
-	requests := b.inOrder()
+	attempts := remaining.Requests * b.settings.MaxAttempts
+	outcomes := attempts // outcomes that may come
+	requests := b.sortedRequests()
 	for _, r := range requests {
-		further += more(r)
-		judged += r.out + more(r)
+		attempts += attemptsLeft(r)
+		outcomes += r.inFlight + attemptsLeft(r)
 	}
-	if ahead.Requests > 0 {
-		num(b.jam, b.lost, b.worth)
+	if remaining.Requests > 0 {
+		num(b.congestion, b.lossRate, b.meanValue)
 	}
-	if b.budget < float64(further)+1 {
-		num(b.budget)
+	if b.retryBudget < float64(attempts)+1 {
+		num(b.retryBudget)
 	}
-	if further > 0 {
+	if attempts > 0 {
 		ejects := false
 		for _, s := range b.servers {
-			worst := 1 - (1-s.failing)*math.Pow(1-failWeight, float64(judged))
-			ejects = ejects || s.until > 0 || worst > failEject
+			worst := 1 - (1-s.failureRate)*math.Pow(1-failureWeight, float64(outcomes))
+			ejects = ejects || s.ejectedUntil > 0 || worst > ejectThreshold
 		}
 		for _, s := range b.servers {
-			to = append(append(to, s.ID...), byte(s.State))
+			dst = append(append(dst, s.ID...), byte(s.State))
 			num(float64(s.Started))
 			if ejects {
-				num(s.failing, float64(min(s.until, 1)))
+				num(s.failureRate, float64(min(s.ejectedUntil, 1)))
 			}
 		}
 	}
 	for _, r := range requests {
-		to = append(append(to, r.ID...), 0, byte(r.out), byte(len(r.attempts)))
+		dst = append(append(dst, r.ID...), 0, byte(r.inFlight), byte(len(r.attempts)))
 		for _, a := range r.attempts {
 			var state byte
-			if a.out {
+			if a.inFlight {
 				state = 1
 			}
 			if a.neverRan && !r.closed {
@@ -141,62 +146,64 @@
 			if r.closed {
 				state |= 4
 			}
-			to = append(to, state)
-			if more(r) > 0 {
-				to = append(append(to, a.srv.ID...), 0)
+			dst = append(dst, state)
+			if attemptsLeft(r) > 0 {
+				dst = append(append(dst, a.srv.ID...), 0)
 			}
-			if more(r) > 0 && r.class.Effect == Keyed {
+			if attemptsLeft(r) > 0 && r.class.Effect == Keyed {
 				num(float64(a.sent))
 			}
 		}
 	}
-	return to
+	return dst
 }
 
-// Heeds reports whether a timer still means something.
+// TimerPending reports whether the timer still has an effect.
 func (b *Balancer) Heeds(token uint64) bool {
 	return token == tickToken || b.timers[token] != nil
 }
 
-// Copy returns an equal Balancer with a source of chance of its own. It must not wait for the answer to a probe.
+// Clone returns an equal Balancer that takes its random numbers from src. It must not have requests that
+// wait for probes.
 func (b *Balancer) Copy(src rand.Source) *Balancer {
-	twin := *b
-	twin.rng, twin.actions = rand.New(src), nil
-	twin.usual, twin.least = slices.Clone(b.usual), slices.Clone(b.least)
+	clone := *b
+	clone.rng, clone.actions = rand.New(src), nil
+	clone.meanLatency, clone.minLatency = slices.Clone(b.meanLatency), slices.Clone(b.minLatency)
 	servers := make(map[*server]*server, len(b.servers))
-	of := func(s *server) *server {
-		same := servers[s]
-		if same == nil && s != nil {
-			same = new(server)
-			*same = *s
-			same.inFlight, same.asking = nil, nil
-			servers[s] = same
+	cloneServer := func(s *server) *server {
+		copied := servers[s]
+		if copied == nil && s != nil {
+			copied = new(server)
+			*copied = *s
+			copied.inFlight, copied.probeWaiters = nil, nil
+			servers[s] = copied
 		}
-		return same
+		return copied
 	}
-	twin.requests = make(map[string]*request, len(b.requests))
+	clone.requests = make(map[string]*request, len(b.requests))
 	for id, r := range b.requests {
-		same := new(request)
-		*same = *r
-		same.drawn, same.home, same.attempts = nil, nil, make([]*attempt, len(r.attempts), b.set.MaxAttempts)
+		copied := new(request)
+		*copied = *r
+		copied.drawn, copied.affinityServer, copied.attempts = nil, nil, make([]*attempt, len(r.attempts), b.settings.MaxAttempts)
 		for i, a := range r.attempts {
-			same.attempts[i] = &attempt{req: same, srv: of(a.srv), n: a.n, sent: a.sent, out: a.out, neverRan: a.neverRan, rescued: a.rescued}
+			copied.attempts[i] = &attempt{req: copied, srv: cloneServer(a.srv), index: a.index, sent: a.sent, inFlight: a.inFlight,
+				neverRan: a.neverRan, withdrawn: a.withdrawn}
 		}
-		twin.requests[id] = same
+		clone.requests[id] = copied
 	}
-	twin.byID, twin.servers = make(map[string]*server, len(b.byID)), make([]*server, len(b.servers))
+	clone.byID, clone.servers = make(map[string]*server, len(b.byID)), make([]*server, len(b.servers))
 	for i, s := range b.servers {
-		twin.servers[i] = of(s)
-		twin.byID[s.ID] = of(s)
+		clone.servers[i] = cloneServer(s)
+		clone.byID[s.ID] = cloneServer(s)
 	}
-	for s, same := range servers { // those that are gone among them
+	for s, copied := range servers { // including those that were removed
 		for _, a := range s.inFlight {
-			same.inFlight = append(same.inFlight, twin.requests[a.req.ID].attempts[a.n])
+			copied.inFlight = append(copied.inFlight, clone.requests[a.req.ID].attempts[a.index])
 		}
 	}
-	twin.timers = maps.Clone(b.timers)
+	clone.timers = maps.Clone(b.timers)
 	for token, r := range b.timers {
-		twin.timers[token] = twin.requests[r.ID]
+		clone.timers[token] = clone.requests[r.ID]
 	}
-	return &twin
+	return &clone
 }
--- a/choice/figures.go
+++ b/choice/figures.go
@@ -1,16 +1,17 @@
 package choice
 
-// What others may read of a Balancer. None of it decides anything.
+// Read-only figures of a Balancer. No decision depends on them.
 
-// Ejected counts the ready servers that are kept out as ill.
+// EjectedCount returns the number of ready servers that are excluded as unhealthy.
 func (b *Balancer) Ejected() (n int) {
 	for _, s := range b.servers {
-		if s.State == Ready && b.ejected(s) {
+		if s.State == Ready && b.isEjected(s) {
 			n++
 		}
 	}
 	return n
 }
 
-// News counts what was learned so far: one that equals an earlier one means that nothing was since.
-func (b *Balancer) News() uint64 { return b.news }
+// Revision returns a count of the changes to what the Balancer has learned: if it is the same as before,
+// there were none.
+func (b *Balancer) News() uint64 { return b.revision }
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -9,23 +9,23 @@
 	"pgregory.net/rapid"
 )
 
-// learnedBench is a module that knows two quick servers, a slow one and a silent one that is ejected.
+// learnedBench returns a Balancer that knows two fast servers, a slow one and a silent one that is ejected.
 func learnedBench(t *testing.T) *bench {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
-	h.tick(time.Second)
+	h.advance(time.Second)
 	for i, rate := range []float64{100, 100, 20, 100} {
-		id, to := h.ask(0)
-		h.end(id, to, 0, OK, NoReport)
-		h.Balancer.report(h.byID["s"+string(rune('0'+i))], report(0.5, rate/2))
+		id, to := h.request(0)
+		h.endAttempt(id, to, 0, OK, NoReport)
+		h.Balancer.recordReport(h.byID["s"+string(rune('0'+i))], utilReport(0.5, rate/2))
 	}
 	s := h.byID["s3"]
-	s.judged = h.at
+	s.lastOutcome = h.at
 	h.eject(s)
 	return h
 }
 
-// What was exported and is recalled at once makes a new module draw as the old one does; time and words of the servers'
-// own wear it off.
+// Data that is exported and imported at once makes a new Balancer draw as the old one does. Its effect
+// fades with time and with the servers' own reports.
 func TestRecallGoesOn(t *testing.T) {
 	old := learnedBench(t)
 	var m Memory
@@ -35,41 +35,41 @@
 	}
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	h.Recall(h.at, m)
-	h.weigh()
+	h.updateWeights()
 	if got := h.byID["s2"].capacity / h.byID["s0"].capacity; got < 0.2 || got > 0.5 {
-		t.Errorf("the slow server counts as %v of a quick one", got)
+		t.Errorf("the slow server counts as %v of a fast one", got)
 	}
-	if !h.ejected(h.byID["s3"]) {
-		t.Error("the silent server is not out")
+	if !h.isEjected(h.byID["s3"]) {
+		t.Error("the silent server is not ejected")
 	}
 	if n := h.serve(60, "s3"); n != 0 {
-		t.Errorf("the silent server got %d before its trial is due", n)
+		t.Errorf("the silent server got %d requests before its trial was due", n)
 	}
-	h.Balancer.report(h.byID["s2"], report(0.5, 50)) // the slow one has become quick, and says so
-	if s := h.byID["s2"]; s.rate != 100 || s.trust != 1 {
-		t.Errorf("a server's own word: %v, trust %v", s.rate, s.trust)
+	h.Balancer.recordReport(h.byID["s2"], utilReport(0.5, 50)) // the slow one has become fast, and reports it
+	if s := h.byID["s2"]; s.rate != 100 || s.confidence != 1 {
+		t.Errorf("after a report of the server: capacity %v, confidence %v", s.rate, s.confidence)
 	}
-	h.tick(time.Minute)
-	if h.weigh(); h.byID["s0"].trust > 0.01 {
-		t.Errorf("a minute later the memory counts %v", h.byID["s0"].trust)
+	h.advance(time.Minute)
+	if h.updateWeights(); h.byID["s0"].confidence > 0.01 {
+		t.Errorf("a minute later the confidence in imported data is %v", h.byID["s0"].confidence)
 	}
 	tried := 0
 	for range 20 {
-		id, to := h.ask(0)
+		id, to := h.request(0)
 		if to == "s3" {
 			tried++
 			h.at += h.horizon
-			h.end(id, to, 0, TimedOut, NoReport)
+			h.endAttempt(id, to, 0, TimedOut, NoReport)
 			continue
 		}
-		h.end(id, to, 0, OK, NoReport)
+		h.endAttempt(id, to, 0, OK, NoReport)
 	}
 	if tried != 1 {
 		t.Errorf("the silent server was tried %d times", tried)
 	}
 }
 
-// A second export of what was recalled is the same, and one into a used value keeps nothing of before.
+// A second export gives the same data, also into a value that was used before.
 func TestExportReuses(t *testing.T) {
 	h := learnedBench(t)
 	var m, again Memory
@@ -84,18 +84,19 @@
 	}
 }
 
-// What a server has said or done in this life goes before memory, as do another start and what the list does not name.
+// Imported data does not replace what a server has reported or done itself, and is ignored if the server
+// was restarted or is not in the list.
 func TestRecallGivesWay(t *testing.T) {
 	e := ServerMemory{ID: "s0", Rate: 5, Trust: 1, Failing: 0.4}
 	for name, c := range map[string]struct {
-		do   func(h *bench)
-		edit func(*ServerMemory)
-		told bool
+		do      func(h *bench)
+		edit    func(*ServerMemory)
+		applied bool
 	}{
 		"nothing":       {func(*bench) {}, func(*ServerMemory) {}, true},
-		"it reported":   {func(h *bench) { h.Balancer.report(h.byID["s0"], report(0.5, 50)) }, func(*ServerMemory) {}, false},
-		"it answered":   {func(h *bench) { id, _ := h.ask(0); h.end(id, "s0", 0, OK, NoReport) }, func(*ServerMemory) {}, false},
-		"it is sent to": {func(h *bench) { h.ask(0) }, func(*ServerMemory) {}, false},
+		"it reported":   {func(h *bench) { h.Balancer.recordReport(h.byID["s0"], utilReport(0.5, 50)) }, func(*ServerMemory) {}, false},
+		"it answered":   {func(h *bench) { id, _ := h.request(0); h.endAttempt(id, "s0", 0, OK, NoReport) }, func(*ServerMemory) {}, false},
+		"it is sent to": {func(h *bench) { h.request(0) }, func(*ServerMemory) {}, false},
 		"it restarted":  {func(*bench) {}, func(e *ServerMemory) { e.Started = 1 }, false},
 		"no such":       {func(*bench) {}, func(e *ServerMemory) { e.ID = "s9" }, false},
 	} {
@@ -105,29 +106,30 @@
 			e := e
 			c.edit(&e)
 			h.Recall(h.at, Memory{Servers: []ServerMemory{e}})
-			if s := h.byID["s0"]; (s.rate == 5 && s.failing == 0.4) != c.told {
-				t.Errorf("rate %v, failing %v", s.rate, s.failing)
+			if s := h.byID["s0"]; (s.rate == 5 && s.failureRate == 0.4) != c.applied {
+				t.Errorf("capacity %v, failure rate %v", s.rate, s.failureRate)
 			}
 		})
 	}
 }
 
-// Failures at cold servers lower what cold servers get.
+// Failures at cold servers lower the number of requests that cold servers get.
 func TestBadColdStarts(t *testing.T) {
 	spare := func(m Memory) float64 {
 		h := newBench(t, testSettings(), 1, 1)
 		h.Recall(h.at, m)
 		h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Weight: 1, Started: h.at}}})
-		h.byID["s1"].spare = 0 // it begins at random
+		h.byID["s1"].coldAllowance = 0 // the initial value is random
 		h.serve(1, "")
-		return h.byID["s1"].spare
+		return h.byID["s1"].coldAllowance
 	}
 	if well, bad := spare(Memory{}), spare(Memory{ColdBad: 1, ColdSeen: 20}); math.Abs(bad-well/2) > 1e-9 || well <= 0 {
-		t.Errorf("a cold server gets %v, and %v where all failed", well, bad)
+		t.Errorf("a cold server gets %v, and %v if all attempts failed", well, bad)
 	}
 }
 
-// Any figures: what the module makes of them is finite and within bounds, and it ejects no more than a quarter.
+// Whatever figures are imported, the results are finite and within bounds, and at most a quarter of the
+// servers is ejected.
 func TestRecallOfAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := func(name string) float64 {
@@ -148,35 +150,35 @@
 				Reported: span("reported"), Failing: number("failing"), Judged: span("judged"),
 				Ejected: rapid.Bool().Draw(t, "ejected"), Trial: span("trial")})
 		}
-		for _, c := range b.set.Classes {
+		for _, c := range b.settings.Classes {
 			m.Classes = append(m.Classes, ClassMemory{Name: c.Name, Usual: span("usual"), Least: span("least"), Trust: number("trust")})
 		}
 		b.Handle(time.Hour, l)
 		b.Recall(time.Hour, m)
-		b.weigh()
+		b.updateWeights()
 		ejected := 0
 		for _, s := range b.servers {
-			if !(s.weight >= 0 && s.weight < math.Inf(1) && s.failing >= 0 && s.failing <= recallFailing && s.trust >= 0 && s.trust <= recallTrust) {
-				t.Fatalf("weight %v, failing %v, trust %v", s.weight, s.failing, s.trust)
+			if !(s.weight >= 0 && s.weight < math.Inf(1) && s.failureRate >= 0 && s.failureRate <= maxImportedFailureRate && s.confidence >= 0 && s.confidence <= maxImportedTrust) {
+				t.Fatalf("weight %v, failure rate %v, confidence %v", s.weight, s.failureRate, s.confidence)
 			}
-			if s.until > 0 {
+			if s.ejectedUntil > 0 {
 				ejected++
 			}
-			if s.until > time.Hour+b.horizon {
-				t.Fatalf("out for %v", s.until-time.Hour)
+			if s.ejectedUntil > time.Hour+b.horizon {
+				t.Fatalf("ejected for %v", s.ejectedUntil-time.Hour)
 			}
 		}
 		if 4*ejected > len(b.servers) {
-			t.Fatalf("%d of %d are out", ejected, len(b.servers))
+			t.Fatalf("%d of %d are ejected", ejected, len(b.servers))
 		}
-		for i, c := range b.set.Classes {
+		for i, c := range b.settings.Classes {
 			first := float64(c.Aim) / 4
-			if b.usual[i] < first/recallTimes || b.usual[i] > first*recallTimes || b.least[i] > b.usual[i] && b.least[i] > first {
-				t.Fatalf("usual %v, least %v of %v", b.usual[i], b.least[i], first)
+			if b.meanLatency[i] < first/importedLatencyFactor || b.meanLatency[i] > first*importedLatencyFactor || b.minLatency[i] > b.meanLatency[i] && b.minLatency[i] > first {
+				t.Fatalf("mean latency %v, minimum %v, initially %v", b.meanLatency[i], b.minLatency[i], first)
 			}
 		}
-		if !(b.lost >= 0 && b.lost <= lostFrom && b.coldBad >= 0 && b.coldBad <= 1 && b.served >= 0) {
-			t.Fatalf("lost %v, cold %v, served %v", b.lost, b.coldBad, b.served)
+		if !(b.lossRate >= 0 && b.lossRate <= hedgeLossThreshold && b.coldFailureRate >= 0 && b.coldFailureRate <= 1 && b.answerRate >= 0) {
+			t.Fatalf("loss rate %v, cold failure rate %v, answer rate %v", b.lossRate, b.coldFailureRate, b.answerRate)
 		}
 	})
 }
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -1,6 +1,6 @@
 package choice
 
-// Reason says why a Balancer ordered an action. It is for logs and counts only: no decision depends on it.
+// Reason says why a Balancer ordered an action. It is for logs and metrics only: no decision depends on it.
 type Reason int
 
 // The reasons, by the kinds of the actions that have them.
@@ -9,21 +9,21 @@
 
 	// Of a Send.
 	FirstAttempt
-	Retry // the attempt before has ended without an answer
-	Hedge // the attempt before is late
+	Retry // the previous attempt ended without an answer
+	Hedge // the previous attempt is late
 
 	// Of a Cancel.
-	ServerSilent  // its server answers nobody
-	OtherAnswered // another attempt of the request has
+	ServerSilent  // the server answers no request
+	OtherAnswered // another attempt of the request was answered
 
 	// Of a Refuse or a Fail.
-	Overloaded     // shed by the share of the slack that is used
-	ServersBusy    // shed, as the best server drawn has too much in hand
-	NoServer       // no server may be sent it
-	NotRepeatable  // an attempt may have run, and no other may be made
-	RetryBudget    // no further attempts are saved up
-	MostAttempts   // it has had as many as it may
-	AttemptNotSent // its last attempt could not be sent any more
+	Overloaded     // shed because of congestion
+	ServersBusy    // shed because the best server drawn has too many requests in flight
+	NoServer       // no server may get the request
+	NotRepeatable  // an attempt may have run, and the request may not be repeated
+	RetryBudget    // the retry budget is empty
+	MostAttempts   // the request has had the maximum number of attempts
+	AttemptNotSent // the last attempt could not be sent any more
 	DeadlinePassed
 	reasonCount
 )
@@ -45,7 +45,7 @@
 	DeadlinePassed: "deadline passed",
 }
 
-// String returns the reason in plain words.
+// String returns the name of the reason, as logs and metrics have it.
 func (r Reason) String() string {
 	if r < 0 || r >= reasonCount {
 		return "unknown"
@@ -53,25 +53,26 @@
 	return reasonNames[r]
 }
 
-// sendReason says why another attempt of a request is made.
+// sendReason returns why another attempt of the request is made.
 func (r *request) sendReason() Reason {
 	switch {
 	case len(r.attempts) == 0:
 		return FirstAttempt
-	case r.out > 0:
+	case r.inFlight > 0:
 		return Hedge
 	}
 	return Retry
 }
 
-// unsentReason says why a request that has no server to be sent to has none.
+// unsentReason returns why the request can be sent to no server.
 func (b *Balancer) unsentReason(r *request) Reason {
 	first := r.mayHaveRun()
-	windowOver := first != nil && r.class.Effect == Keyed && b.now+b.margin()-first.sent >= r.class.Window
+	windowOver := first != nil && r.class.Effect == Keyed &&
+		b.now+b.windowMargin()-first.sent >= r.class.Window
 	switch {
 	case b.now >= r.Deadline:
 		return DeadlinePassed
-	case len(r.attempts) >= b.set.MaxAttempts:
+	case len(r.attempts) >= b.settings.MaxAttempts:
 		return MostAttempts
 	case windowOver || first != nil && r.class.Effect == Unsafe:
 		return NotRepeatable
@@ -90,7 +91,7 @@
 	NotSent:       "not sent",
 }
 
-// String returns the result in plain words.
+// String returns the name of the result, as logs and metrics have it.
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
 		return "unknown"
--- a/choice/rescue_test.go
+++ b/choice/rescue_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A server that answers nobody has many requests in hand: those are withdrawn for which further attempts are saved up, and each of
-// them is sent again. The others wait on, and none is refused for want of an attempt that another one took.
+// When a server answers nothing, as many of its attempts are canceled as the retry budget allows, and each
+// of those requests is sent again. The others stay in flight, and none is refused because another one took
+// the budget.
 func TestRescueWithdrawsWhatItCanSendAgain(t *testing.T) {
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CanCancel: true, Tick: time.Millisecond,
 		Classes: []Class{{Name: "c", Effect: Safe, Aim: time.Second / 2, Deadline: time.Minute, Worth: 1}}}, 1)
@@ -16,14 +17,14 @@
 	}
 	b.Start(0)
 	b.Handle(0, ServerList{Full: true, Servers: []Server{{ID: "silent"}}})
-	const requests = 3 * retrySaved
+	const requests = 3 * maxRetryBudget
 	for i := range requests {
 		if len(sends(b.Handle(0, Request{ID: fmt.Sprint(i), Deadline: time.Minute}))) != 1 {
 			t.Fatalf("request %d is not sent", i)
 		}
 	}
 	b.Handle(0, ServerList{Servers: []Server{{ID: "well"}}})
-	budget := int(b.budget)
+	budget := int(b.retryBudget)
 	var withdrawn []Action
 	for now := time.Duration(0); len(withdrawn) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
 		for _, a := range b.Handle(now, TimerFired{Token: tickToken}) {
@@ -33,7 +34,7 @@
 		}
 	}
 	if len(withdrawn) == 0 || len(withdrawn) > budget {
-		t.Fatalf("%d of %d are withdrawn, with %d further attempts saved up", len(withdrawn), requests, budget)
+		t.Fatalf("%d of %d attempts are canceled, with a retry budget of %d", len(withdrawn), requests, budget)
 	}
 	for _, c := range withdrawn {
 		again := b.Handle(b.now, Outcome{Request: c.Request, Attempt: c.Attempt, Server: "silent", Result: Cancelled, Report: NoReport})
--- a/choice/window_test.go
+++ b/choice/window_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A keyed request is sent again only while its server would still drop it, though the send is held up for as long as it may be.
+// A keyed request is sent again only while its server would still drop it, even if the send is delayed by
+// as much as is allowed for.
 func TestWindowAllowsForAStall(t *testing.T) {
 	const window, tick, stall = time.Second, 5 * time.Millisecond, 150 * time.Millisecond
 	for _, c := range []struct {
@@ -28,7 +29,7 @@
 			t.Errorf("sent again %d times after %v", len(again), c.after)
 		}
 		if len(again) == 1 && c.after+again[0].Within+stall+tick > window {
-			t.Errorf("it may be written %v after the first, and %v later yet", c.after+again[0].Within, stall)
+			t.Errorf("it may be written %v after the first, plus a delay of %v", c.after+again[0].Within, stall)
 		}
 	}
 }
