--- a/choice/choice.go
+++ b/choice/choice.go
@@ -17,9 +17,9 @@
 	probeMinUtil          = 0.4  // utilization from which servers are probed, or a quarter of it in congestion
 	minKnownServers       = 0.25 // sum of confidence, in servers, up to which the utilization is unknown
 	probeTimeoutDivisor   = 8    // servers have this part of the target latency to answer a probe: an eighth
-	localZoneSubsetFactor = 3    // a server in the own zone is in the subset so many times as likely
+	localZoneSubsetFactor = 3    // a server in the own zone is this many times as likely to be in the subset
 	loadTolerance         = 0.01 // loads that differ by no more than this share count as equal
-	localZoneBonus        = 60   // weight added to an idle server in the own zone: this times CrossZoneCost
+	localZoneBonus        = 60   // times CrossZoneCost: relative weight gain of an idle server in the own zone
 	affinityFactor        = 2    // weight factor of the server to which a request's key hashes
 	coldSendFactor        = 1.25 // share of sends to a cold server, as a multiple of its share of the weight
 	minUtil               = 0.05 // lower utilization gives no estimate, and lower free capacity counts as this
@@ -30,7 +30,7 @@
 	failureWeight         = 0.3  // weight of a new sample in a server's failure rate
 	ejectThreshold        = 0.6  // failure rate above which a server is ejected: three failures in a row, from 0
 	hedgeLossThreshold    = 0.03 // loss rate at servers that answer others, from which late attempts are hedged
-	hedgeDelay            = 2.0  // mean latencies after which an attempt counts as late then
+	hedgeDelay            = 2.0  // mean latencies after which an attempt is late; hedged if losses are that high
 	silentHedgeDelay      = 8.0  // the same for an attempt whose server has been silent since the send
 	coldFailurePenalty    = 0.5  // share of the failure rate at cold servers by which their sends are reduced
 	minHealthyShare       = 0.5  // ejections are ignored below this share of capacity that is not ejected
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -231,7 +231,8 @@
 	}
 }
 
-// Guards against ejecting all servers under congestion, and against a backlog at the remaining servers.
+// Guards against ejecting all servers under congestion, and against a measure of congestion that leaves out
+// the ejected servers.
 func TestJamEjectsNoneAndRefuses(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	for range 200 { // normal operation at first
