--- a/choice/api.go
+++ b/choice/api.go
@@ -113,7 +113,7 @@
 	Weight  float64       // relative size according to the list
 	Started time.Duration // time of its latest start, on the clock of the events; 0 if long ago
 	Speaks  Protocols     // protocols that the server speaks
-	Place   float64       // rank of this balancer among those that may draw it, in [0, 1); see package subset
+	Place   float64       // this balancer's rank among those that may draw it, in [0, 1); see package subset
 }
 
 // Report is the load that a server reports about itself. A negative figure is not stated.
--- a/choice/coming_test.go
+++ b/choice/coming_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// EjectedCount counts the servers that get no requests, and none while most seem unhealthy.
+// Ejected counts the servers that get no requests, and none while most seem unhealthy.
 func TestEjectedIsCounted(t *testing.T) {
 	h := newBench(t, testSettings(), 1, 1, 1, 1)
 	if n := h.Ejected(); n != 0 {
--- a/choice/explore.go
+++ b/choice/explore.go
@@ -46,15 +46,17 @@
 	text := func(s string) { dst = append(append(dst, s...), 0) }
 	num(b.meanLatency...)
 	num(b.minLatency...)
-	num(b.retryBudget, b.congestion, b.meanUtil, b.knownServers, b.congestionWeight, b.totalCapacity, b.healthyCapacity,
-		b.lossRate, b.answerRate, b.meanValue, b.coldFailureRate, b.coldSamples, float64(min(b.lastOutcome, 1)),
-		float64(b.importChecks), float64(b.importErrors), float64(b.nextTick), float64(b.stallEnd), float64(b.stallLength))
+	num(b.retryBudget, b.congestion, b.meanUtil, b.knownServers, b.congestionWeight, b.totalCapacity,
+		b.healthyCapacity, b.lossRate, b.answerRate, b.meanValue, b.coldFailureRate, b.coldSamples,
+		float64(min(b.lastOutcome, 1)), float64(b.importChecks), float64(b.importErrors),
+		float64(b.nextTick), float64(b.stallEnd), float64(b.stallLength))
 	server := func(s *server) {
 		text(s.ID)
-		num(float64(s.State), float64(s.Started), s.rate, s.confidence, s.capacity, s.reportedRate, s.reportedUtil, s.lastUtil,
-			float64(s.lastReport), s.probedInFlight, float64(s.lastProbeAnswer), float64(s.lastProbe), s.Place,
-			float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate, float64(s.ejectedUntil), float64(s.readmittedAt),
-			s.othersShare, s.coldAllowance, s.weight, float64(len(s.inFlight)), float64(min(s.lastOutcome, 1)))
+		num(float64(s.State), float64(s.Started), s.rate, s.confidence, s.capacity, s.reportedRate,
+			s.reportedUtil, s.lastUtil, float64(s.lastReport), s.probedInFlight, float64(s.lastProbeAnswer),
+			float64(s.lastProbe), s.Place, float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate,
+			float64(s.ejectedUntil), float64(s.readmittedAt), s.othersShare, s.coldAllowance, s.weight,
+			float64(len(s.inFlight)), float64(min(s.lastOutcome, 1)))
 		flags(s.outsideSubset, s.trialActive, s.imported)
 		for _, a := range s.inFlight {
 			text(a.req.ID)
@@ -66,7 +68,8 @@
 	}
 	for _, r := range b.sortedRequests() {
 		text(r.ID)
-		num(float64(r.Deadline), float64(r.probedSince), float64(r.pendingProbes), float64(r.inFlight), float64(len(r.attempts)))
+		num(float64(r.Deadline), float64(r.probedSince), float64(r.pendingProbes), float64(r.inFlight),
+			float64(len(r.attempts)))
 		flags(r.closed, b.timers[r.deadlineTimer] == r, b.timers[r.probeTimer] == r)
 		for _, a := range r.attempts {
 			server(a.srv)
@@ -84,16 +87,16 @@
 	Looks    bool // health may be checked while a request is open
 }
 
-// ReducedFingerprint appends a Fingerprint without the state that no decision will read any more. It requires
-// that no request waits for probes or has a key, that no server reports its load or is cold, and that the random
-// source returns only its least or its greatest value, the same for all draws of an event: then a draw takes the
-// first or the last of the candidates, whatever their weights.
+// ReducedFingerprint appends a Fingerprint without the state that no decision will read any more. It
+// requires that no request waits for probes or has a key, that no server reports its load or is cold, and
+// that the random source returns only its least or its greatest value, the same for all draws of an event:
+// then a draw takes the first or the last of the candidates, whatever their weights.
 //
-//   - Without health checks, the loss rate and the congestion are read only for new requests, and mean and minimum
-//     latencies only to compute the slack used, which is none at the instant at which all were sent.
+//   - Without health checks, the loss rate and the congestion are read only for new requests, and mean and
+//     minimum latencies only to compute the slack used, which is none at the instant at which all were sent.
 //   - What is known about servers is read only if there may be another attempt.
-//   - Failure rates are read only to eject servers: if the outcomes that may still come cannot cause an ejection,
-//     the rates are left out.
+//   - Failure rates are read only to eject servers: if the outcomes that may still come cannot cause an
+//     ejection, the rates are left out.
 //   - The retry budget is read only if it might not suffice for the attempts that there may be.
 func (b *Balancer) Outlook(dst []byte, remaining Ahead) []byte {
 	if remaining.Looks {
@@ -184,10 +187,11 @@
 	for id, r := range b.requests {
 		copied := new(request)
 		*copied = *r
-		copied.drawn, copied.affinityServer, copied.attempts = nil, nil, make([]*attempt, len(r.attempts), b.settings.MaxAttempts)
+		copied.drawn, copied.affinityServer, copied.attempts = nil, nil,
+			make([]*attempt, len(r.attempts), b.settings.MaxAttempts)
 		for i, a := range r.attempts {
-			copied.attempts[i] = &attempt{req: copied, srv: cloneServer(a.srv), index: a.index, sent: a.sent, inFlight: a.inFlight,
-				neverRan: a.neverRan, withdrawn: a.withdrawn}
+			copied.attempts[i] = &attempt{req: copied, srv: cloneServer(a.srv), index: a.index, sent: a.sent,
+				inFlight: a.inFlight, neverRan: a.neverRan, withdrawn: a.withdrawn}
 		}
 		clone.requests[id] = copied
 	}
--- a/choice/figures.go
+++ b/choice/figures.go
@@ -2,7 +2,7 @@
 
 // Read-only figures of a Balancer. No decision depends on them.
 
-// EjectedCount returns the number of ready servers that are excluded as unhealthy.
+// Ejected returns the number of ready servers that are excluded as unhealthy.
 func (b *Balancer) Ejected() (n int) {
 	for _, s := range b.servers {
 		if s.State == Ready && b.isEjected(s) {
@@ -12,6 +12,6 @@
 	return n
 }
 
-// Revision returns a count of the changes to what the Balancer has learned: if it is the same as before,
+// News returns a count of the changes to what the Balancer has learned: if it is the same as before,
 // there were none.
 func (b *Balancer) News() uint64 { return b.revision }
