--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,18 +11,18 @@
 	}
 	now := time.Now()
 	if back := At(Of(now)); !back.Equal(now) {
-		t.Errorf("%v became %v", now, back)
+		t.Errorf("%v was converted to %v", now, back)
 	}
 }
 
-// A time whose wall reading was stepped by an hour, which its monotonic reading does not show, is the same time.
+// Differences and deadlines follow the monotonic clock, so a step of the wall clock does not change them.
 func TestStepOfTheWallClockDoesNotMoveNow(t *testing.T) {
 	before := time.Now()
 	if later := Of(before.Add(time.Second)) - Of(before); later != time.Second {
-		t.Errorf("a second is %v", later)
+		t.Errorf("a second became %v", later)
 	}
 	if until := time.Until(At(Now() + time.Hour)); until > time.Hour || until < time.Hour-time.Second {
-		t.Errorf("an hour is %v", until)
+		t.Errorf("an hour became %v", until)
 	}
 }
 
@@ -36,6 +36,6 @@
 		}
 	}
 	if got := new(Steps).Read(); got != 0 {
-		t.Errorf("a step of %v", got)
+		t.Errorf("reported a step of %v", got)
 	}
 }
--- a/internal/host/logqueue/logqueue.go
+++ b/internal/host/logqueue/logqueue.go
@@ -1,5 +1,5 @@
-// Package logqueue writes a log without ever making the program wait for its reader. A pipe that nobody reads fills up, and a write to it
-// blocks for as long as it is full: requests must not wait for that.
+// Package logqueue writes log lines asynchronously, so that the program never waits for the reader of the log. A pipe that is not read fills
+// up and then blocks writes; requests must not wait for that.
 package logqueue
 
 import (
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// mostQueued bounds the bytes that wait to be written. What comes beyond that is dropped, and counted.
-const mostQueued = 256 << 10
+// maxQueuedBytes limits the bytes that wait to be written. Lines beyond it are dropped and counted.
+const maxQueuedBytes = 256 << 10
 
-// Writer is an io.Writer of whole lines that never blocks. It is safe for concurrent use.
+// Writer is a non-blocking io.Writer for whole lines. It is safe for concurrent use.
 type Writer struct {
 	out    io.Writer
-	filled chan struct{} // told when something is queued
-	done   chan struct{} // closed when all is written after Close
+	filled chan struct{} // receives a value when lines are queued
+	done   chan struct{} // closed after Close, once everything is written
 
 	mu      sync.Mutex
 	queued  []byte
-	dropped int // lines, since the last one that was queued
+	dropped int // lines dropped since the last one that was queued
 	closed  bool
 }
 
-// New returns a Writer to out, which may block.
+// New returns a Writer that writes to out, which may block.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, filled: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues a line. It always succeeds.
+// Write queues a line, or drops it if the queue is full or closed. It always returns len(line) and no error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.closed || len(w.queued)+len(line) > mostQueued {
+	if w.closed || len(w.queued)+len(line) > maxQueuedBytes {
 		w.dropped++
 		return len(line), nil
 	}
@@ -52,11 +52,11 @@
 func (w *Writer) wake() {
 	select {
 	case w.filled <- struct{}{}:
-	default: // one that waits stands for any number
+	default: // one pending signal is enough
 	}
 }
 
-// run writes what is queued until the Writer is closed and nothing is left.
+// run writes queued lines until the Writer is closed and the queue is empty.
 func (w *Writer) run() {
 	defer close(w.done)
 	var spare []byte
@@ -66,7 +66,7 @@
 		w.queued = spare[:0]
 		w.mu.Unlock()
 		if len(lines) > 0 {
-			w.out.Write(lines) // an error has no other place to go to
+			w.out.Write(lines) // there is nowhere else to report an error
 		}
 		if closed {
 			return
@@ -75,14 +75,14 @@
 	}
 }
 
-// Close waits until what is queued is written, or for some time if that takes longer. Lines that come later are dropped.
-func (w *Writer) Close(most time.Duration) {
+// Close waits until all queued lines are written, for timeout at most. Lines that are written later are dropped.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
 	w.wake()
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/host/logqueue/logqueue_test.go
+++ b/internal/host/logqueue/logqueue_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Lines are written whole, once and in order, also what is queued at the end.
+// Lines are written whole, once and in order, including those that are queued at Close.
 func TestLinesAreWritten(t *testing.T) {
 	var out bytes.Buffer
 	w := New(&out)
@@ -22,11 +22,11 @@
 	}
 	w.Close(10 * time.Second)
 	if out.String() != want.String() {
-		t.Errorf("%d bytes, not %d", out.Len(), want.Len())
+		t.Errorf("%d bytes, want %d", out.Len(), want.Len())
 	}
 }
 
-// Where nobody reads, neither Write nor Close waits, and the next line that is written says how many were dropped.
+// If nobody reads, neither Write nor Close blocks, and the next line that is written reports how many were dropped.
 func TestNobodyReads(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -51,15 +51,15 @@
 		fmt.Fprintln(w, "read")
 	}
 	kept := bytes.Count(got, line)
-	if kept < mostQueued/len(line) || kept > lines-100 {
-		t.Errorf("%d lines of %d were kept", kept, lines)
+	if kept < maxQueuedBytes/len(line) || kept > lines-100 {
+		t.Errorf("kept %d lines of %d", kept, lines)
 	}
 	begin := time.Now()
 	for range lines {
 		w.Write(line)
 	}
 	if w.Close(time.Millisecond); time.Since(begin) > 5*time.Second {
-		t.Errorf("it took %v", time.Since(begin))
+		t.Errorf("writes and Close took %v", time.Since(begin))
 	}
 }
 
--- a/internal/host/members/members.go
+++ b/internal/host/members/members.go
@@ -1,5 +1,5 @@
-// Package members is the host of the membership: it watches the platform's list, has name servers asked, and hands what is
-// said to the deciding part, which one goroutine owns.
+// Package members runs the sources of the list of servers: it watches the platform's list, queries name servers, and passes their reports to
+// the membership (internal/decide/membership), which is used by one goroutine.
 package members
 
 import (
@@ -18,36 +18,36 @@
 	"ternbeam/internal/settings/sourceconf"
 )
 
-// Settings are what a Host is made of.
+// Settings configure a Host.
 type Settings struct {
 	sourceconf.Config
-	Discovery string         // the platform's list; none where empty
-	Known     discovery.List // as it was last had
+	Discovery string         // address of the platform's list; empty for none
+	Known     discovery.List // the last known platform's list
 	Asking    asking.Settings
 	Zones     []string
 	Seed      uint64
 	Log       *slog.Logger
 }
 
-// Host keeps the membership of one agent.
+// Host runs the membership of one agent.
 type Host struct {
-	set    Settings
-	events chan func()
-	list   int // source number of the list; -1 for none
+	set        Settings
+	events     chan func()
+	listSource int // source number of the platform's list; -1 for none
 
-	mu  sync.Mutex // held while the goroutine of Feed works on the membership
-	all *membership.Set
+	mu      sync.Mutex // held while the goroutine of Feed uses the membership
+	members *membership.Set
 }
 
-// forEver is how long the word of a source counts that nothing is said of.
+// noExpiry is how long the reports of a source without a configured limit stay valid.
 const forEver = 100 * 365 * 24 * time.Hour
 
-// ListName is the name of the platform's list among the sources.
+// ListName is the name of the source that is the platform's list.
 const ListName = "list"
 
-// New returns a Host that is ready to Feed.
+// New returns a Host that has not started its sources; Feed does.
 func New(set Settings) *Host {
-	h := &Host{set: set, events: make(chan func(), 64), list: -1}
+	h := &Host{set: set, events: make(chan func(), 64), listSource: -1}
 	m := set.Membership
 	hold := func(d time.Duration) time.Duration {
 		if d == 0 {
@@ -56,30 +56,30 @@
 		return d
 	}
 	if set.Discovery != "" {
-		h.list = 0
+		h.listSource = 0
 		m.Sources = append(m.Sources, membership.Source{Name: ListName, Hold: hold(set.ListHold), Absent: true, Guard: len(set.DNS) > 0})
 	}
 	for _, d := range set.DNS {
 		m.Sources = append(m.Sources, membership.Source{Name: d.Name, Hold: hold(d.Hold), Absent: true, Guard: true})
 	}
-	h.all = membership.New(m)
+	h.members = membership.New(m)
 	return h
 }
 
-// Feed is core.Feed: it tells every change, until the context ends.
+// Feed implements core.Feed: it runs the sources and delivers every change of the list until ctx is done.
 func (h *Host) Feed(ctx context.Context, deliver func([]ledger.Entry)) {
-	if h.list >= 0 {
+	if h.listSource >= 0 {
 		if len(h.set.Known.Servers) > 0 {
-			h.report(h.word(h.set.Known), deliver)
+			h.report(h.listReport(h.set.Known), deliver)
 		}
 		go h.watch(ctx, deliver)
 	}
 	for i, d := range h.set.DNS {
-		number := h.list + 1 + i
+		number := h.listSource + 1 + i
 		go dnssource.Run(ctx, dnssource.Settings{Settings: d.Resolve, Addrs: d.Servers, Seed: h.set.Seed + uint64(i), Log: h.set.Log, Now: clock.Now},
-			func(w resolve.Word) {
+			func(snapshot resolve.Word) {
 				h.post(ctx, func() {
-					h.report(membership.Report{Source: number, Full: true, Claims: w.Claims, Until: w.Until}, deliver)
+					h.report(membership.Report{Source: number, Full: true, Claims: snapshot.Claims, Until: snapshot.Until}, deliver)
 				})
 			}, func() {
 				h.set.Log.Warn("no name server answers", "name", d.Name)
@@ -93,7 +93,7 @@
 	for {
 		wait := time.Minute
 		h.mu.Lock()
-		if at, any := h.all.Next(); any {
+		if at, any := h.members.Next(); any {
 			wait = min(wait, max(0, at-clock.Now()))
 		}
 		h.mu.Unlock()
@@ -120,26 +120,26 @@
 	h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Report(clock.Now(), r) })
 }
 
-// change works on the membership and tells what came of it.
+// change applies do to the membership and delivers the resulting changes.
 func (h *Host) change(deliver func([]ledger.Entry), do func(*membership.Set) []ledger.Entry) {
 	h.mu.Lock()
-	changes := append([]ledger.Entry(nil), do(h.all)...)
+	changes := append([]ledger.Entry(nil), do(h.members)...)
 	h.mu.Unlock()
 	if len(changes) > 0 {
 		deliver(changes)
 	}
 }
 
-// Members lists all servers with what is said of them. It may be called by any goroutine.
+// Members returns all servers with what the sources report about them. It may be called from any goroutine.
 func (h *Host) Members() []membership.View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.all.Members()
+	return h.members.Members()
 }
 
-// word is what a list says.
-func (h *Host) word(l discovery.List) membership.Report {
-	r := membership.Report{Source: h.list, Full: l.Full, Version: l.Version}
+// listReport converts a platform's list to a report for the membership.
+func (h *Host) listReport(l discovery.List) membership.Report {
+	r := membership.Report{Source: h.listSource, Full: l.Full, Version: l.Version}
 	for _, e := range l.Servers {
 		s, err := e.Server(h.set.Zones)
 		if err != nil {
@@ -156,14 +156,14 @@
 	return r
 }
 
-// watch watches the platform's list, again and again.
+// watch keeps watching the platform's list and reports each update, until ctx is done.
 func (h *Host) watch(ctx context.Context, deliver func([]ledger.Entry)) {
 	discovery.New(h.set.Discovery, h.set.Known, h.set.Log).KeepWatching(ctx, asking.New(h.set.Asking, h.set.Seed), func(l discovery.List) {
-		r := h.word(l)
+		r := h.listReport(l)
 		h.post(ctx, func() { h.report(r, deliver) })
 	}, func() {
 		h.post(ctx, func() {
-			h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Lost(clock.Now(), h.list) })
+			h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Lost(clock.Now(), h.listSource) })
 		})
 	})
 }
--- a/internal/host/stallwatch/stallwatch.go
+++ b/internal/host/stallwatch/stallwatch.go
@@ -1,4 +1,5 @@
-// Package stallwatch logs parts of the process that make no progress any more, as in a deadlock, with the stacks of all goroutines.
+// Package stallwatch detects parts of the process that no longer make progress, for example because of a deadlock, and logs the stacks of all
+// goroutines.
 package stallwatch
 
 import (
@@ -8,28 +9,28 @@
 	"time"
 )
 
-// The times of a Watch in service.
+// The production settings of a Watch.
 const (
-	Interval = 2 * time.Second // from one check of a part to the next
-	Limit    = 2 * time.Second // a check that takes longer finds a stall
+	Interval = 2 * time.Second // between two checks of a part
+	Limit    = 2 * time.Second // a check that takes longer is logged as a stall
 )
 
-// mostStacks bounds the stacks in a line, in bytes.
-const mostStacks = 64 << 10
+// maxStackBytes limits the stacks in a log line, in bytes.
+const maxStackBytes = 64 << 10
 
-// Check tells that a part of the process makes progress.
+// Check tests whether a part of the process makes progress.
 type Check struct {
-	Part string
-	Run  func(ctx context.Context) // returns once the part has done something, or ctx has ended
+	Part string                    // name in the log
+	Run  func(ctx context.Context) // returns once the part has made progress or ctx is done
 }
 
-// Watch runs checks.
+// Watch runs checks periodically and logs stalls.
 type Watch struct {
 	Log             *slog.Logger
-	Interval, Limit time.Duration
+	Interval, Limit time.Duration // as the constants of these names
 }
 
-// Run runs each of the checks again and again, beside the others, until ctx ends.
+// Run starts a goroutine for each check that repeats it until ctx is done.
 func (w Watch) Run(ctx context.Context, checks ...Check) {
 	for _, check := range checks {
 		go w.repeat(ctx, check)
@@ -49,7 +50,7 @@
 	}
 }
 
-// once runs a check. A stall has a line when it is found, which it may not outlive, and one when it is over.
+// once runs a check. A stall is logged as soon as it is detected, because the process may not survive it, and again when it ends.
 func (w Watch) once(ctx context.Context, check Check) {
 	begin := time.Now()
 	found := time.AfterFunc(w.Limit, func() {
@@ -63,8 +64,8 @@
 	}
 }
 
-// stacks returns what all goroutines do.
+// stacks returns the stack traces of all goroutines.
 func stacks() string {
-	text := make([]byte, mostStacks)
+	text := make([]byte, maxStackBytes)
 	return string(text[:runtime.Stack(text, true)])
 }
--- a/internal/host/stallwatch/stallwatch_test.go
+++ b/internal/host/stallwatch/stallwatch_test.go
@@ -19,11 +19,11 @@
 		Check{"well", func(context.Context) {}})
 	testkit.Eventually(t, "the stall is logged", func() bool { return log.Has(`msg="a part of the process has stalled" part=stuck`) })
 	if !log.Has("TestStallsAreLogged") {
-		t.Errorf("no stacks: %s", log)
+		t.Errorf("no stacks in the log: %s", log)
 	}
 	close(release)
 	testkit.Eventually(t, "its end is logged", func() bool { return log.Has(`msg="a stall is over" part=stuck`) })
 	if strings.Contains(log.String(), "part=well") {
-		t.Errorf("what goes on has a line: %s", log)
+		t.Errorf("a part that makes progress was logged: %s", log)
 	}
 }
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,5 +1,4 @@
-// Package protocol names the protocols that servers speak and calls come in. The decision module knows them as bits
-// only.
+// Package protocol names the protocols of calls and servers. The decision module knows them only as bits.
 package protocol
 
 import (
@@ -15,15 +14,15 @@
 	ThriftCompact
 )
 
-// names are those of the list of servers. One that says only thrift takes frames of either encoding.
+// names maps protocol names in the list of servers. A server with the name "thrift" accepts frames in both encodings.
 var names = map[string]choice.Protocols{"": HTTP, "http": HTTP, "thrift": ThriftBinary | ThriftCompact,
 	"thrift-binary": ThriftBinary, "thrift-compact": ThriftCompact}
 
-// Parse returns what a server speaks by its entry in the list; without a word it is HTTP/1.1.
+// Parse returns the protocols for the name in a server's list entry. An empty name means HTTP/1.1.
 func Parse(name string) (choice.Protocols, error) {
-	speaks, ok := names[name]
+	protocols, ok := names[name]
 	if !ok {
 		return 0, fmt.Errorf("unknown protocol %q", name)
 	}
-	return speaks, nil
+	return protocols, nil
 }
--- a/internal/sysio/peek/peek.go
+++ b/internal/sysio/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at connections without waiting.
+// Package peek inspects the state of connections and their unread data without blocking.
 package peek
 
 import (
@@ -14,24 +14,24 @@
 	"ternbeam/internal/sysio/transient"
 )
 
-// ErrNothing says that nothing has come on a connection, and that it is open.
-var ErrNothing = errors.New("nothing has come")
+// ErrNoData is returned by ReadNow if the connection is open and has no unread data.
+var ErrNothing = errors.New("no data on the connection")
 
-// ErrUnclear says that the system did not tell whether something has come, or whether the connection is open.
+// ErrUnknown is returned by ReadNow if a system call failed, so that it is unknown whether there is data or whether the connection is open.
 var ErrUnclear = errors.New("the system call failed")
 
-// Unread is what has come on a connection and was not read.
+// Unread describes what has arrived on a connection and has not been read.
 type Unread int
 
-// What may have come.
+// The values of Unread.
 const (
-	UnreadUnknown Unread = iota // the system does not tell
+	UnreadUnknown Unread = iota // the system call failed
 	UnreadNothing
 	UnreadData
-	UnreadEnd // of the connection, or of the other side's sending, and nothing before that
+	UnreadEnd // the connection has ended or the other side has closed its sending side, and there is no data before that
 )
 
-// UnreadOf asks the kernel what is unread on a connection, and leaves it there.
+// UnreadOf asks the kernel what is unread on a connection, without reading it.
 func UnreadOf(c net.Conn) Unread {
 	var b [1]byte
 	n, err := receive(c, b[:], unix.MSG_PEEK)
@@ -46,13 +46,15 @@
 	return UnreadEnd
 }
 
-// Silent reports whether it is certain that nothing has come on a connection that nobody reads, not even its end. What has come stays there.
+// HasNoUnread reports whether it is certain that a connection has neither unread data nor an unread end. It reads nothing. No other goroutine
+// may be reading from the connection.
 func Silent(c net.Conn) bool { return UnreadOf(c) == UnreadNothing }
 
-// HasData reports whether it is certain that data has come on a connection that nobody has read.
+// HasData reports whether it is certain that a connection has unread data.
 func HasData(c net.Conn) bool { return UnreadOf(c) == UnreadData }
 
-// Take reads what has come on a connection. At its end it reads nothing, with another error than ErrNothing and ErrUnclear.
+// ReadNow reads available data from a connection without waiting. At the end of the stream it returns 0 and an error other than ErrNoData
+// and ErrUnknown.
 func Take(c net.Conn, p []byte) (n int, err error) { return receive(c, p, 0) }
 
 func receive(c net.Conn, p []byte, flags int) (n int, err error) {
@@ -66,7 +68,7 @@
 	switch {
 	case failed == unix.EAGAIN:
 		return 0, ErrNothing
-	case failed != nil && StateOf(c) != Ended: // the next look may tell
+	case failed != nil && StateOf(c) != Ended: // a later call may succeed
 		return 0, fmt.Errorf("%w: %w", ErrUnclear, failed)
 	case failed != nil:
 		return 0, failed
@@ -76,8 +78,8 @@
 	return n, nil
 }
 
-// SinceLastData is how long ago the last bytes arrived on a connection, by the kernel's account (tcp(7), TCP_INFO), to some milliseconds. It is not
-// known where the system does not tell.
+// SinceLastData returns how long ago the last bytes arrived on a connection according to the kernel (tcp(7), TCP_INFO), accurate to some
+// milliseconds. known is false if the system call failed.
 func SinceLastData(c net.Conn) (since time.Duration, known bool) {
 	var info *unix.TCPInfo
 	var failed error
@@ -91,19 +93,19 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond, true
 }
 
-// State is what the kernel says of a connection.
+// State is the state of a connection as reported by the kernel.
 type State int
 
 // The states.
 const (
-	Unclear State = iota // the system does not tell
-	Open                 // this side may send and receive; the other side may have ended its sending
-	Ended                // by a reset or an error, by both sides, or closed here
+	Unclear State = iota // the system call failed
+	Open                 // this side may send and receive; the other side may have closed its sending side
+	Ended                // by a reset or an error, by both sides, or closed on this side
 )
 
 // StateOf asks the kernel for the state of a connection.
 func StateOf(c net.Conn) State {
-	var ask [1]unix.PollFd // for no event: that the connection has ended is told always
+	var ask [1]unix.PollFd // no events requested: poll(2) always reports the end of the connection
 	var failed error
 	err := control(c, func(fd int) error {
 		ask[0].Fd = int32(fd)
@@ -119,8 +121,8 @@
 	return Open
 }
 
-// HungUp reports whether the other side of a connection has ended its sending or reset it, whatever lies unread before that. It is false where
-// the system does not tell, and true for a connection that this side has closed.
+// HungUp reports whether the other side has closed its sending side or reset the connection, regardless of unread data before that. It returns
+// false if the system call fails, and true for a connection that was closed on this side.
 func HungUp(c net.Conn) bool {
 	ask := [1]unix.PollFd{{Events: unix.POLLRDHUP}}
 	ready := 0
@@ -135,8 +137,8 @@
 	return ready > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// control makes a system call on a connection's descriptor, once more where a signal came between. An error says that it has
-// none, or none any more.
+// control makes a system call on a connection's descriptor and repeats it after EINTR. It returns an error if the connection has no descriptor
+// or is closed.
 func control(c net.Conn, call func(fd int) error) error {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/sysio/socketio/readiness.go
+++ b/internal/sysio/socketio/readiness.go
@@ -7,37 +7,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Readiness is an account of since when a descriptor may have been ready as a call on it succeeded: since the latest wait for it was over, as it
-// was not ready before that. The time for which calls on a ready descriptor fail or come late is in it. One goroutine at a time makes calls,
-// and any may ask. The zero Readiness knows nothing before the first wait.
+// Readiness tracks the earliest time at which a descriptor may have become ready before the latest successful call on it: the end of the
+// latest wait, as the descriptor was not ready before that. Time that is lost to failed or late calls on a ready descriptor is thus included.
+// One goroutine at a time may make calls; ReadySince may be called from any goroutine. The zero Readiness knows nothing before the first wait.
 type Readiness struct {
-	waits  bool
-	since  time.Duration // for the next call; times are counted from started, and 0 is unknown
-	latest atomic.Int64  // for the latest call that succeeded
+	waiting bool          // the latest call returned EAGAIN, and the descriptor is being waited for
+	since   time.Duration // for the next call; relative to origin, 0 if unknown
+	latest  atomic.Int64  // the value of since for the latest successful call
 }
 
-// started lies before all times of a Readiness.
-var started = time.Now()
+// origin is the reference point of all times in a Readiness. It precedes all of them.
+var origin = time.Now()
 
-// StartAt tells since when the descriptor may have been ready before the first call; the zero time is unknown.
+// StartAt sets the earliest time at which the descriptor may have become ready before the first call. The zero time means unknown.
 func (r *Readiness) StartAt(at time.Time) {
 	if !at.IsZero() {
-		r.since = at.Sub(started)
+		r.since = at.Sub(origin)
 	}
 }
 
-// Begin records that a call is about to be made.
+// Begin must be called immediately before a system call on the descriptor.
 func (r *Readiness) Begin() {
-	if r.waits {
-		r.waits, r.since = false, time.Since(started)
+	if r.waiting {
+		r.waiting, r.since = false, time.Since(origin)
 	}
 }
 
-// End records how the call has ended. It returns false where that is to be made again after an event of poll(2). A poller tells of changes
-// alone, so that a descriptor which is ready in spite of EAGAIN must not be waited for.
+// End records the result of a system call. It returns false if the call must be repeated after an event of poll(2). The runtime's poller is
+// edge-triggered, so a descriptor that is ready although the call returned EAGAIN must not be waited for.
 func (r *Readiness) End(fd uintptr, event int16, err error) (done bool) {
 	if err == unix.EAGAIN && !Ready(fd, event) {
-		r.waits = true
+		r.waiting = true
 		return false
 	}
 	if err == nil {
@@ -46,17 +46,18 @@
 	return true
 }
 
-// Took records that a call which does not wait has taken what there was.
+// RecordSuccess records that a non-blocking call has read data.
 func (r *Readiness) Took() { r.latest.Store(int64(r.since)) }
 
-// Empty records that a call which does not wait has found nothing.
-func (r *Readiness) Empty() { r.since = time.Since(started) }
+// RecordEmpty records that a non-blocking call has found no data.
+func (r *Readiness) Empty() { r.since = time.Since(origin) }
 
-// Since is since when the descriptor may have been ready as the latest call succeeded, zero where that is unknown.
+// ReadySince returns the earliest time at which the descriptor may have become ready before the latest successful call, or the zero time
+// if that is unknown.
 func (r *Readiness) Since() time.Time {
 	latest := r.latest.Load()
 	if latest == 0 {
 		return time.Time{}
 	}
-	return started.Add(time.Duration(latest))
+	return origin.Add(time.Duration(latest))
 }
--- a/internal/sysio/socketio/readiness_test.go
+++ b/internal/sysio/socketio/readiness_test.go
@@ -9,7 +9,7 @@
 	"ternbeam/internal/sysio/peek"
 )
 
-// read has a connection read what has come, of which there is something.
+// read reads from a connection on which data has arrived.
 func read(t *testing.T, c *Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 10)); n == 0 || err != nil {
@@ -17,7 +17,7 @@
 	}
 }
 
-// awaitData waits until something has come that is not read.
+// awaitData waits until the connection has unread data.
 func awaitData(t *testing.T, c *Conn) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !peek.HasData(c); time.Sleep(time.Millisecond) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// What is there before the first read may have come at any time since the connection was: as long ago as that is known.
+// Data that is there before the first read may have arrived at any time since the start of the connection, if that is known.
 func TestReadinessBeforeTheFirstWait(t *testing.T) {
 	for _, start := range []time.Time{{}, time.Now().Add(time.Second)} {
 		c, other := pair(t)
@@ -36,12 +36,12 @@
 		awaitData(t, c)
 		read(t, c)
 		if since := c.Reads().Since(); !since.Equal(start) {
-			t.Errorf("since %v, not %v", since, start)
+			t.Errorf("ready since %v, want %v", since, start)
 		}
 	}
 }
 
-// What is waited for is there since the wait was over, however long reads of it fail then.
+// After a wait, the data counts as ready since the end of the wait, however long reads fail after that.
 func TestReadinessAfterAWait(t *testing.T) {
 	c, other := pair(t)
 	c.Reads().StartAt(time.Now().Add(-time.Hour))
@@ -65,14 +65,14 @@
 	})
 	read(t, c)
 	if since, began := c.Reads().Since(), <-written; since.Before(began) || since.After(woken) {
-		t.Errorf("since %v after it was written, and %v after the wait", since.Sub(began), since.Sub(woken))
+		t.Errorf("ready since %v after the write and %v after the wait", since.Sub(began), since.Sub(woken))
 	}
 	if calls != 1+failures+1 {
 		t.Errorf("%d reads", calls)
 	}
 }
 
-// A look that found nothing counts as an earlier wait does.
+// A non-blocking read that found no data counts like an earlier wait.
 func TestReadinessAfterALook(t *testing.T) {
 	c, other := pair(t)
 	c.Reads().StartAt(time.Now().Add(-time.Hour))
@@ -83,6 +83,6 @@
 	awaitData(t, c)
 	read(t, c)
 	if since := c.Reads().Since(); since.Before(before) || since.After(after) {
-		t.Errorf("since %v after the look", since.Sub(after))
+		t.Errorf("ready since %v after the empty read", since.Sub(after))
 	}
 }
--- a/internal/sysio/socketio/socketio.go
+++ b/internal/sysio/socketio/socketio.go
@@ -1,8 +1,8 @@
-// Package socketio reads and writes stream connections in spite of system calls that fail.
+// Package socketio reads and writes stream connections and retries system calls that fail while the connection is still open.
 //
-// An error of a system call speaks of that call. Whether the connection is over is asked of the kernel, by poll(2), before an error ends
-// anything: a peer that is still connected is owed what it waits for. Where poll(2) fails it is asked again, and the call is not made meanwhile: a
-// reset is told once, and looks like an orderly end after that.
+// A failed system call does not prove that the connection has ended. Before an error is returned, the kernel is asked by poll(2) whether the
+// connection is still open, because a connected peer still waits for its data. If poll(2) fails it is repeated, and the read or write is not
+// retried meanwhile: the kernel reports a reset only once, and further calls would see an orderly end of the stream.
 package socketio
 
 import (
@@ -20,14 +20,14 @@
 	"ternbeam/internal/sysio/transient"
 )
 
-// Failure is a system call that failed on a connection that stands.
+// Failure describes a system call that failed on a connection that is still open.
 type Failure struct {
-	Call string // its name
+	Call string // name of the system call
 	Err  error
 }
 
-// Conn is a connection whose Read and Write end with an error only when the connection is over, its deadline has passed or it was closed
-// here. Several goroutines may use it, one of them reading and one writing at a time; others wait.
+// Conn is a connection whose Read and Write return an error only if the connection has ended, the deadline has passed or it was closed
+// on this side. It is safe for concurrent use; reads are serialized, and so are writes.
 type Conn struct {
 	net.Conn
 	raw     syscall.RawConn
@@ -36,7 +36,7 @@
 	writes  operation
 }
 
-// New returns a Conn over a TCP or Unix connection. Each failure that it goes on through is told to observe, which may be nil.
+// New returns a Conn over a TCP or Unix connection. It calls observe, which may be nil, for each failure that is retried.
 func New(conn net.Conn, observe func(Failure)) (*Conn, error) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -53,7 +53,7 @@
 	return c, nil
 }
 
-// Wrap returns a Conn over a TCP or Unix connection. Any other is returned as it is: it may have ways of its own to read and write.
+// Wrap returns a Conn over a TCP or Unix connection. Any other connection is returned unchanged, as it may read and write in its own way.
 func Wrap(conn net.Conn) net.Conn {
 	switch conn.(type) {
 	case *net.TCPConn, *net.UnixConn:
@@ -64,13 +64,13 @@
 	return conn
 }
 
-// SyscallConn is syscall.Conn's.
+// SyscallConn implements syscall.Conn.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) { return c.raw, nil }
 
-// Reads is the account of the connection's reads, for those that are made beside Read, and for whoever asks how long data may have waited.
+// Reads returns the Readiness of the connection's reads, for callers that read without Read or need to know how long data may have waited.
 func (c *Conn) Reads() *Readiness { return &c.reads.ready }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -82,7 +82,7 @@
 	return n, err
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c *Conn) Write(p []byte) (written int, err error) {
 	for written < len(p) && err == nil {
 		var n int
@@ -92,7 +92,7 @@
 	return written, err
 }
 
-// WriteNow writes what can be written without waiting, whatever the write deadline, and returns how many bytes that were.
+// WriteNow writes as much as possible without waiting, regardless of the write deadline, and returns the number of bytes written.
 func (c *Conn) WriteNow(p []byte) (written int) {
 	c.raw.Control(func(fd uintptr) {
 		transient.Uninterrupted(func() (failed error) {
@@ -107,12 +107,12 @@
 	return written
 }
 
-// operation is reading or writing. Its fields are reused by all calls, so that a call allocates nothing.
+// operation is the read or the write side of a Conn. Its fields are reused by all calls, so a call does not allocate.
 type operation struct {
 	name  string
 	call  func(fd int, p []byte) (int, error)
-	event int16                                 // of poll(2), which says that a call would not wait
-	wait  func(try func(fd uintptr) bool) error // calls try whenever the descriptor is ready, until it returns true
+	event int16                                 // of poll(2): set when a call would not block
+	wait  func(try func(fd uintptr) bool) error // calls try each time the descriptor becomes ready, until it returns true
 	try   func(fd uintptr) bool                 // once
 
 	mu    sync.Mutex
@@ -122,14 +122,14 @@
 	ready Readiness
 }
 
-// once makes the system call. It returns false where the descriptor is not ready.
+// once makes the system call. It returns false if the descriptor is not ready.
 func (o *operation) once(fd uintptr) (done bool) {
 	o.ready.Begin()
 	o.n, o.err = o.call(int(fd), o.data)
 	return o.ready.End(fd, o.event, o.err)
 }
 
-// run makes one call once the descriptor is ready.
+// run waits until the descriptor is ready and makes one call.
 func (o *operation) run(p []byte) (n int, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -141,7 +141,7 @@
 	return max(o.n, 0), o.err
 }
 
-// do makes one call, again for as long as it fails and the connection stands.
+// do makes one call and retries it while it fails and the connection is open.
 func (c *Conn) do(o *operation, p []byte) (n int, err error) {
 	tries := NewTries(o.name, c.observe)
 	for {
@@ -156,20 +156,20 @@
 	return n, err
 }
 
-// Tries decides how often a call on a connection is made. A Tries is for one call.
+// Tries decides whether a failed call on a connection is retried. A Tries is used for a single operation.
 type Tries struct {
 	name     string
 	observe  func(Failure)
 	failures int // in a row
 }
 
-// NewTries returns Tries for calls of some name. Each failure that they go on through is told to observe.
+// NewTries returns a Tries for the system call with this name. It calls observe, which may be nil, for each failure that is retried.
 func NewTries(name string, observe func(Failure)) Tries { return Tries{name: name, observe: observe} }
 
-// Again reports whether a call that has failed with err is to be made once more, and waits until it is.
+// Again reports whether a call that failed with err must be repeated, after waiting for the backoff time.
 func (t *Tries) Again(conn net.Conn, err error) bool {
 	t.failures++
-	if err == syscall.EAGAIN && t.failures == 1 { // something may have come just now, or the end
+	if err == syscall.EAGAIN && t.failures == 1 { // data or the end may have arrived just now
 		return true
 	}
 	if Over(conn, err) || t.failures > transient.MostFailures {
@@ -182,16 +182,17 @@
 	return true
 }
 
-// Ready reports whether a descriptor is ready for an event of poll(2), or may be: where the system does not tell, the call is tried again.
+// Ready reports whether a descriptor is ready for an event of poll(2). It also returns true if poll(2) fails, so that the call is tried again.
 func Ready(fd uintptr, event int16) bool {
 	ask := [1]unix.PollFd{{Fd: int32(fd), Events: event}}
 	ready, err := unix.Poll(ask[:], 0)
 	return ready > 0 || err != nil
 }
 
-// Over reports whether a connection is over, after a call on it has failed with err. It waits for the kernel to tell, for some seconds at the most.
+// ConnEnded reports whether a connection has ended, after a call on it failed with err. If poll(2) fails it retries for some seconds at most
+// (transient.MaxFailures) and then returns true.
 func Over(conn net.Conn, err error) bool {
-	if errno := syscall.Errno(0); !errors.As(err, &errno) { // it was closed here, or its deadline has passed
+	if errno := syscall.Errno(0); !errors.As(err, &errno) { // closed on this side, or the deadline has passed
 		return true
 	}
 	for failures := 1; failures <= transient.MostFailures; failures++ {
--- a/internal/sysio/socketio/socketio_test.go
+++ b/internal/sysio/socketio/socketio_test.go
@@ -40,7 +40,7 @@
 	return c, other.(*net.TCPConn)
 }
 
-// failing has a call fail with some errors, one after the other, before it is made.
+// failing returns a call that first fails with each of errnos in turn and is then made.
 func failing(call func(int, []byte) (int, error), errnos ...syscall.Errno) func(int, []byte) (int, error) {
 	return func(fd int, p []byte) (int, error) {
 		if len(errnos) == 0 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// openErrnos are errors that a call on a connection that stands may fail with, one after the other.
+// openErrnos returns sequences of errors with which calls may fail on an open connection.
 func openErrnos() [][]syscall.Errno {
 	all := [][]syscall.Errno{{syscall.EAGAIN, syscall.EAGAIN}, {syscall.EPIPE, syscall.EBADF}, {syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOTCONN},
 		{syscall.ENOMEM, syscall.ENOMEM, syscall.ENOMEM, syscall.ENOMEM}}
@@ -71,7 +71,7 @@
 	return all
 }
 
-// Any error of a call on a connection that stands is gone on through, by one call more for each, and reported unless it is a first EAGAIN.
+// On an open connection every error is retried with one more call, and reported unless it is a first EAGAIN.
 func TestErrorsOnAnOpenConnection(t *testing.T) {
 	for _, errnos := range openErrnos() {
 		t.Run(fmt.Sprint(errnos), func(t *testing.T) {
@@ -93,7 +93,7 @@
 				t.Errorf("%d, %v", n, err)
 			}
 			if want := len(errnos) + 1; writes != want || reads != want {
-				t.Errorf("%d writes and %d reads, not %d", writes, reads, want)
+				t.Errorf("%d writes and %d reads, want %d", writes, reads, want)
 			}
 			want := len(errnos)
 			if errnos[0] == syscall.EAGAIN {
@@ -106,7 +106,7 @@
 	}
 }
 
-// reset has the other side reset its connection, and waits until that is here. The error that tells of it stays to be returned.
+// reset resets the connection from the other side and waits until the reset has arrived. The pending socket error is not consumed.
 func reset(t *testing.T, c *Conn, other *net.TCPConn) {
 	t.Helper()
 	other.SetLinger(0)
@@ -118,7 +118,7 @@
 	}
 }
 
-// Where the connection has ended the first error ends a read or a write, whichever it is.
+// On a connection that has ended, the first error is returned, whatever it is.
 func TestErrorsOnAnEndedConnection(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EBADF, syscall.ETIMEDOUT, syscall.EIO} {
 		c, other := pair(t)
@@ -135,7 +135,7 @@
 	}
 }
 
-// A connection that ends after a call on it has failed ends the next call: two calls, and no more.
+// If the connection ends after a failed call, the next call returns the error: two calls and no more.
 func TestConnectionThatEndsAfterAnError(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EIO, syscall.EPERM, syscall.ENOMEM} {
 		for _, next := range []syscall.Errno{syscall.EPIPE, syscall.ECONNRESET} {
@@ -157,12 +157,13 @@
 	}
 }
 
-// A read ends with io.EOF where the other side has ended its sending, with the deadline where that passes, with net.ErrClosed where it is closed.
+// A read returns io.EOF after the other side has closed its sending side, the deadline error once the deadline has passed, and net.ErrClosed
+// after Close.
 func TestReadEnds(t *testing.T) {
 	c, other := pair(t)
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("at the deadline: %v", err)
+		t.Errorf("after the deadline: %v", err)
 	}
 	c.SetReadDeadline(time.Time{})
 	other.CloseWrite()
@@ -170,7 +171,7 @@
 		t.Errorf("at the end: %d, %v", n, err)
 	}
 	if n, err := c.Write([]byte("late")); n != 4 || err != nil {
-		t.Errorf("after the end of the other's sending: %d, %v", n, err)
+		t.Errorf("after the other side has closed its sending side: %d, %v", n, err)
 	}
 	c.Close()
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// Where errors don't end, a call does: after some seconds and with the error. A deadline ends it earlier.
+// A call whose errors persist returns the error after some seconds, and earlier if a deadline passes.
 func TestDeadlineEndsFailingCalls(t *testing.T) {
 	c, _ := pair(t)
 	c.writes.call = func(int, []byte) (int, error) { return -1, syscall.ENOBUFS }
@@ -189,7 +190,7 @@
 	}
 }
 
-// Short writes between errors lose and repeat no byte.
+// Short writes between errors neither lose nor repeat a byte.
 func TestWriteGoesOnBehindWhatWasWritten(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
@@ -213,7 +214,7 @@
 	}
 }
 
-// Long data goes whole through short writes and a full buffer.
+// Long data arrives complete through short writes and a full socket buffer.
 func TestShortWrites(t *testing.T) {
 	c, other := pair(t)
 	c.writes.call = func(fd int, p []byte) (int, error) { return syscall.Write(fd, p[:min(len(p), 10_000)]) }
--- a/internal/sysio/transient/transient.go
+++ b/internal/sysio/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient repeats operations that fail for a moment, as system calls do that a signal interrupts, or for which the system has no
-// memory, buffers or descriptors just then.
+// Package transient retries operations that fail temporarily, such as system calls that are interrupted by a signal or that find the system
+// short of memory, buffers or descriptors.
 package transient
 
 import (
@@ -13,39 +13,39 @@
 const (
 	firstBackoff = time.Millisecond
 	mostBackoff  = 50 * time.Millisecond
-	// MostFailures bounds the failures in a row of one operation: with Backoff between them, some 4.8 s.
+	// MaxFailures limits the consecutive failures of one operation. With Backoff between them this takes some 4.8 s.
 	MostFailures = 100
 )
 
-// Backoff is how long to wait after so many failures in a row, of which there is at least one.
+// Backoff returns how long to wait after this number of consecutive failures, which is at least 1.
 func Backoff(failures int) time.Duration {
 	return min(firstBackoff<<min(failures-1, 10), mostBackoff)
 }
 
-// Passing returns a retry function for Until, which reports whether an error is one of the system that may pass: not one of those that last.
-func Passing(lasting ...syscall.Errno) func(error) bool {
+// ErrnoExcept returns a retry function for Retry that accepts every error which wraps a syscall.Errno, except for the permanent ones given.
+func Passing(permanent ...syscall.Errno) func(error) bool {
 	return func(err error) bool {
 		errno := syscall.Errno(0)
-		return errors.As(err, &errno) && !slices.Contains(lasting, errno)
+		return errors.As(err, &errno) && !slices.Contains(permanent, errno)
 	}
 }
 
-// Always is a retry function for Until that goes on through every error.
+// Always is a retry function for Retry that accepts every error.
 func Always(error) bool { return true }
 
-// TellingFirst returns a retry function for Until that decides as another does, and tells of the first failure.
-func TellingFirst(tell func(error), retry func(error) bool) func(error) bool {
-	told := false
+// NotifyFirst returns a retry function for Retry that decides like the given one and calls notify for the first failure.
+func TellingFirst(notify func(error), retry func(error) bool) func(error) bool {
+	notified := false
 	return func(err error) bool {
-		if !told {
-			told = true
-			tell(err)
+		if !notified {
+			notified = true
+			notify(err)
 		}
 		return retry(err)
 	}
 }
 
-// Uninterrupted makes a system call, again for as long as a signal comes between.
+// RetryEINTR makes a system call and repeats it as long as it returns EINTR.
 func Uninterrupted(call func() error) error {
 	for {
 		if err := call(); err != syscall.EINTR {
@@ -54,7 +54,8 @@
 	}
 }
 
-// Until calls try until it succeeds, the retry function says that its error does not pass, or ctx ends. It returns the last error.
+// Retry calls try until it succeeds, the retry function rejects its error, or ctx is done. It waits for Backoff between the calls and returns
+// the last error.
 func Until(ctx context.Context, try func() error, retry func(error) bool) error {
 	for failures := 1; ; failures++ {
 		err := try()
--- a/internal/sysio/transient/transient_test.go
+++ b/internal/sysio/transient/transient_test.go
@@ -37,10 +37,10 @@
 }
 
 func TestTellingFirst(t *testing.T) {
-	var told []error
-	retry := TellingFirst(func(err error) { told = append(told, err) }, isENFILE)
+	var notified []error
+	retry := TellingFirst(func(err error) { notified = append(notified, err) }, isENFILE)
 	first, second := failure(syscall.ENFILE), failure(syscall.EMFILE)
-	if !retry(first) || retry(second) || len(told) != 1 || told[0] != first {
-		t.Errorf("told %v", told)
+	if !retry(first) || retry(second) || len(notified) != 1 || notified[0] != first {
+		t.Errorf("notified of %v", notified)
 	}
 }
