--- a/internal/host/successor/successor.go
+++ b/internal/host/successor/successor.go
@@ -1,5 +1,5 @@
-// Package successor carries what one process of an agent leaves to the next, and what they tell one another while both
-// live, over a Unix socket in a folder that they share. What it means is internal/decide/succession's.
+// Package takeover hands an agent's state and listeners from a running process to the process that replaces it, and carries updates between
+// the two while both run, over a Unix socket in a shared folder. The content is defined in internal/decide/handover.
 package successor
 
 import (
@@ -23,52 +23,52 @@
 )
 
 const (
-	patience = time.Second // for the whole of an attempt to claim
+	patience = time.Second // limit for one attempt to claim
 
-	// claimWithin is how long a claim may fail: a plain start is better than a late one.
-	claimWithin  = 2 * time.Second
-	mostRefusals = 5 // connections that are refused, until that counts as nobody's being there
+	// claimTimeout limits the retries of a failing claim: a start without the old state is better than a late start.
+	claimWithin = 2 * time.Second
+	maxRefusals = 5 // refused connections after which no process counts as running
 
-	sayWithin = 100 * time.Millisecond
-	mostQueue = 256 // news that may wait to be said; who does not take them is given up
-	mostLinks = 4   // processes that claim at a time
-	mostFiles = 4   // listeners that cross
+	sayWithin        = 100 * time.Millisecond // limit for sending one update
+	maxQueuedUpdates = 256                    // updates that may wait to be sent; beyond it the link is closed
+	maxLinks         = 4                      // concurrent claims and links
+	maxListeners     = 4                      // listeners that can be handed over
 )
 
-// Link is the connection between two processes that both live.
+// Link is the connection between the old and the new process while both run. Its methods are safe for concurrent use.
 type Link struct {
-	conn net.Conn
-	news chan succession.News
-	once sync.Once
-	done chan struct{}
+	conn    net.Conn
+	updates chan succession.News
+	once    sync.Once
+	done    chan struct{}
 }
 
 func newLink(c *net.UnixConn) *Link {
-	return &Link{conn: socketio.Wrap(c), news: make(chan succession.News, mostQueue), done: make(chan struct{})}
+	return &Link{conn: socketio.Wrap(c), updates: make(chan succession.News, maxQueuedUpdates), done: make(chan struct{})}
 }
 
-// Say tells the other process. It does not wait: a link that is not read ends.
+// Send queues an update for the other process. It does not block: if the queue is full the link is closed.
 func (l *Link) Say(n succession.News) {
 	select {
-	case l.news <- n:
+	case l.updates <- n:
 	default:
 		l.Close()
 	}
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() {
 	l.once.Do(func() { close(l.done); l.conn.Close() })
 }
 
-// Run says what there is to say and hears what the other says, until the link ends: one of the two is gone.
-func (l *Link) Run(hear func(succession.News)) {
+// Run sends queued updates and calls receive for each update from the other process, until the link is closed or the other process has ended.
+func (l *Link) Run(receive func(succession.News)) {
 	go func() {
 		for {
 			select {
 			case <-l.done:
 				return
-			case n := <-l.news:
+			case n := <-l.updates:
 				frame, err := succession.Frame(n)
 				if err == nil {
 					l.conn.SetWriteDeadline(time.Now().Add(sayWithin))
@@ -88,11 +88,11 @@
 		if err := read(l.conn, &n); err != nil {
 			return
 		}
-		hear(n)
+		receive(n)
 	}
 }
 
-// read reads one frame.
+// read reads one frame and decodes it.
 func read(from io.Reader, into any) error {
 	head := make([]byte, succession.HeadSize)
 	if _, err := io.ReadFull(from, head); err != nil {
@@ -109,26 +109,26 @@
 	return succession.Body(body, sum, into)
 }
 
-// hello is what a process says that claims.
+// hello is the first message of a process that claims the state.
 type hello struct {
 	Name string `json:"name"`
 }
 
-// Heir is what a process has that replaces another.
+// Result is what a successful claim yields to the new process.
 type Heir struct {
 	State     succession.State
 	Listeners []*net.TCPListener
 	Link      *Link
 }
 
-// ErrNobody says that no process is there to leave anything.
-var ErrNobody = errors.New("nobody is there")
+// ErrNoPredecessor is returned by Claim if no process is running that could hand over its state.
+var ErrNobody = errors.New("no running process to take over from")
 
-// errOtherName says that an agent of another name is there.
-var errOtherName = errors.New("what is left is another agent's")
+// errOtherName means that the running process belongs to an agent with another name.
+var errOtherName = errors.New("the running process belongs to another agent")
 
-// Claim asks the process that serves under a name for what it leaves, again for some time where that fails. Where it can't be had nothing is
-// kept of it.
+// Claim asks the running process of the agent with this name for its state and listeners, and retries for claimTimeout at most. If it returns an
+// error, all received descriptors are closed.
 func Claim(path, name string) (h *Heir, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimWithin)
 	defer cancel()
@@ -137,10 +137,10 @@
 		h, err = claimOnce(path, name)
 		return err
 	}, func(err error) bool {
-		if errors.Is(err, syscall.ECONNREFUSED) { // by a process that is gone, or by one whose queue is full
+		if errors.Is(err, syscall.ECONNREFUSED) { // the process has ended, or its accept queue is full
 			refusals++
 		}
-		return !errors.Is(err, os.ErrNotExist) && !errors.Is(err, errOtherName) && refusals < mostRefusals
+		return !errors.Is(err, os.ErrNotExist) && !errors.Is(err, errOtherName) && refusals < maxRefusals
 	})
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, fmt.Errorf("%w: %w", ErrNobody, err)
@@ -183,16 +183,16 @@
 			}
 		}
 	}()
-	// The listeners come beside the first byte, which is of no other use.
-	first, room := make([]byte, 1), make([]byte, unix.CmsgSpace(4*mostFiles))
-	n, oobn, _, _, err := conn.ReadMsgUnix(first, room)
+	// The listeners come as ancillary data of the first byte, which has no other meaning.
+	first, oob := make([]byte, 1), make([]byte, unix.CmsgSpace(4*maxListeners))
+	n, oobn, _, _, err := conn.ReadMsgUnix(first, oob)
 	if err != nil {
 		return nil, fmt.Errorf("claiming: %w", err)
 	}
 	if n != len(first) {
 		return nil, fmt.Errorf("claiming: %w", io.ErrUnexpectedEOF)
 	}
-	if files, err = received(room[:oobn]); err != nil {
+	if files, err = receivedFiles(oob[:oobn]); err != nil {
 		return nil, err
 	}
 	if err := read(h.Link.conn, &h.State); err != nil {
@@ -202,7 +202,7 @@
 		return nil, fmt.Errorf("claiming: %w: %q", errOtherName, h.State.Name)
 	}
 	if len(files) != len(h.State.Listeners) {
-		return nil, fmt.Errorf("claiming: %d listeners and %d files", len(h.State.Listeners), len(files))
+		return nil, fmt.Errorf("claiming: %d listeners in the state, %d files received", len(h.State.Listeners), len(files))
 	}
 	for i, f := range files {
 		l, err := net.FileListener(f)
@@ -212,7 +212,7 @@
 		tcp, ok := l.(*net.TCPListener)
 		if !ok || l.Addr() == nil { // getsockname(2) has failed
 			l.Close()
-			return nil, fmt.Errorf("claiming listener %s: it is a %T at %v", h.State.Listeners[i], l, l.Addr())
+			return nil, fmt.Errorf("claiming listener %s: not a TCP listener: %T at %v", h.State.Listeners[i], l, l.Addr())
 		}
 		h.Listeners = append(h.Listeners, tcp)
 	}
@@ -220,8 +220,8 @@
 	return h, nil
 }
 
-// received returns the files that came beside a message.
-func received(oob []byte) (files []*os.File, err error) {
+// received returns the files from a message's ancillary data.
+func receivedFiles(oob []byte) (files []*os.File, err error) {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, fmt.Errorf("claiming: %w", err)
@@ -239,37 +239,38 @@
 	return files, nil
 }
 
-// Offer is a process's readiness to be replaced.
+// Server hands the state of this process to processes that claim it.
 type Offer struct {
 	name   string
 	listen *net.UnixListener
 	log    *slog.Logger
-	slots  chan struct{}
+	slots  chan struct{} // holds a value for each open claim or link
 }
 
-// NewOffer takes the path over from whoever had it: the next claim comes here.
+// NewServer listens on path and replaces a socket that another process has there, so that the next claim comes to this process.
 func NewOffer(path, name string, log *slog.Logger) (*Offer, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own) // of a process that had this number before
+	os.Remove(own) // left by an earlier process with the same id
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be another's
+	l.SetUnlinkOnClose(false) // by then the path may belong to another process
 	if err := os.Rename(own, path); err != nil {
 		l.Close()
 		os.Remove(own)
 		return nil, err
 	}
-	return &Offer{name: name, listen: l, log: log, slots: make(chan struct{}, mostLinks)}, nil
+	return &Offer{name: name, listen: l, log: log, slots: make(chan struct{}, maxLinks)}, nil
 }
 
-// Close ends the offer. Links go on.
+// Close stops accepting claims. Open links are not closed.
 func (o *Offer) Close() error { return o.listen.Close() }
 
-// Serve answers claims until Close. Leave returns what is left, and is told of the link from the moment of which that
-// holds; Linked runs the link and returns when it has ended.
-func (o *Offer) Serve(leave func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
+// Serve answers claims until Close. It calls handOver for each valid claim, which returns the state and the listeners to hand over and
+// subscribes the link to all updates after that state. It then calls linked, even if the claim failed and the link is closed; linked must run
+// the link and return when it has ended.
+func (o *Offer) Serve(handOver func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
 	retry := accept.NewRetrier(o.log)
 	for {
 		conn, err := accept.Do(retry, o.listen.AcceptUnix)
@@ -286,7 +287,7 @@
 			defer func() { <-o.slots }()
 			l := newLink(conn)
 			defer l.Close()
-			if err := o.answer(conn, l, leave); err != nil {
+			if err := o.answer(conn, l, handOver); err != nil {
 				o.log.Warn("a claim was not answered", "error", err)
 			}
 			linked(l)
@@ -294,7 +295,7 @@
 	}
 }
 
-func (o *Offer) answer(conn *net.UnixConn, l *Link, leave func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
+func (o *Offer) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -306,12 +307,12 @@
 		return err
 	}
 	if claim.Name != o.name {
-		if frame, err := succession.Frame(succession.State{Name: o.name}); err == nil { // or it would try again
+		if frame, err := succession.Frame(succession.State{Name: o.name}); err == nil { // so that it does not retry
 			l.conn.Write(append([]byte{0}, frame...))
 		}
-		return fmt.Errorf("%q claims what %q leaves", claim.Name, o.name)
+		return fmt.Errorf("agent %q claims the state of agent %q", claim.Name, o.name)
 	}
-	state, listeners, err := leave(l)
+	state, listeners, err := handOver(l)
 	if err != nil {
 		return err
 	}
@@ -342,8 +343,8 @@
 	return nil
 }
 
-// duplicate returns another descriptor of a listener's socket. File would do, but its Fd makes the socket itself block, for
-// all who hold it.
+// duplicate returns a new descriptor of a listener's socket. TCPListener.File is not used because the file's Fd method sets the socket to
+// blocking mode for all processes that share it.
 func duplicate(l *net.TCPListener) (fd int, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/host/successor/successor_test.go
+++ b/internal/host/successor/successor_test.go
@@ -12,23 +12,23 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// offering is a process that can be replaced.
-type offering struct {
-	path   string
-	listen *net.TCPListener
-	links  chan *Link
-	heard  chan succession.News
-	ended  chan struct{}
+// oldProcess is a running process that hands over its listener.
+type oldProcess struct {
+	path     string
+	listen   *net.TCPListener
+	links    chan *Link
+	received chan succession.News
+	ended    chan struct{}
 }
 
-func offer(t *testing.T) *offering {
+func startOldProcess(t *testing.T) *oldProcess {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	o := &offering{path: filepath.Join(t.TempDir(), "s"), listen: l.(*net.TCPListener), links: make(chan *Link, 8), heard: make(chan succession.News, 8),
+	o := &oldProcess{path: filepath.Join(t.TempDir(), "s"), listen: l.(*net.TCPListener), links: make(chan *Link, 8), received: make(chan succession.News, 8),
 		ended: make(chan struct{}, 8)}
 	offer, err := NewOffer(o.path, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -39,15 +39,15 @@
 		return succession.State{Name: "n1", Listeners: []string{l.Addr().String()}}, []*net.TCPListener{o.listen}, nil
 	}, func(link *Link) {
 		o.links <- link
-		link.Run(func(n succession.News) { o.heard <- n })
+		link.Run(func(n succession.News) { o.received <- n })
 		o.ended <- struct{}{}
 	})
 	return o
 }
 
-// Who connects while the old process closes its listener is served by the new one, and what one is told the other hears.
+// A client that connects while the old process closes its listener is served by the new one, and updates go both ways.
 func TestClaim(t *testing.T) {
-	o := offer(t)
+	o := startOldProcess(t)
 	h, err := Claim(o.path, "n1")
 	if err != nil || len(h.Listeners) != 1 {
 		t.Fatalf("%+v, %v", h, err)
@@ -65,28 +65,28 @@
 	c.Close()
 	h.Listeners[0].Close()
 	old := <-o.links
-	heard := make(chan succession.News, 1)
+	received := make(chan succession.News, 1)
 	done := make(chan struct{})
 	go func() {
-		h.Link.Run(func(n succession.News) { heard <- n })
+		h.Link.Run(func(n succession.News) { received <- n })
 		close(done)
 	}()
 	old.Say(succession.News{Offline: "a"})
 	h.Link.Say(succession.News{Online: "b"})
-	if n := <-heard; n.Offline != "a" {
-		t.Errorf("the new process hears %+v", n)
+	if n := <-received; n.Offline != "a" {
+		t.Errorf("the new process received %+v", n)
 	}
-	if n := <-o.heard; n.Online != "b" {
-		t.Errorf("the old process hears %+v", n)
+	if n := <-o.received; n.Online != "b" {
+		t.Errorf("the old process received %+v", n)
 	}
 	h.Link.Close()
 	<-done
-	<-o.ended // the end of either is heard
+	<-o.ended // the old process notices the end
 }
 
-// Whoever claims and goes away, at any point of it, leaves the old process as it was.
+// A claim that breaks off at any point, or is invalid, does not affect the old process.
 func TestClaimsThatBreak(t *testing.T) {
-	o := offer(t)
+	o := startOldProcess(t)
 	frame, err := succession.Frame(hello{"n1"})
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	}
 	io.WriteString(c, "GET / HTTP/1.1\r\n\r\n")
 	if n, err := c.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Errorf("something else is answered")
+		t.Errorf("a message that is not a claim was answered")
 	}
 	c.Close()
 	if _, err := Claim(o.path, "n2"); err == nil || errors.Is(err, ErrNobody) {
@@ -125,15 +125,15 @@
 	}
 	defer conn.Close()
 	if _, err := o.listen.Accept(); err != nil {
-		t.Errorf("it accepts no more: %v", err)
+		t.Errorf("the listener no longer accepts: %v", err)
 	}
 }
 
-// Where nobody is, a left socket file too, or what answers says nothing that can be read, there is nothing to begin with.
+// Claim fails with ErrNoPredecessor if there is no socket file or nobody listens on it, and with another error if the answer is unreadable.
 func TestNothingToClaim(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNobody) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("no socket file: %v", err)
 	}
 	first, err := NewOffer(path, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -141,14 +141,14 @@
 	}
 	first.Close()
 	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNobody) {
-		t.Errorf("a file that was left: %v", err)
+		t.Errorf("a stale socket file: %v", err)
 	}
-	second, err := NewOffer(path, "n1", slog.New(slog.DiscardHandler)) // takes the path over
+	second, err := NewOffer(path, "n1", slog.New(slog.DiscardHandler)) // replaces the socket at the path
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Close()
-	testkit.Eventually(t, "the path is free for the next", func() bool {
+	testkit.Eventually(t, "the next process can listen and its answer is rejected", func() bool {
 		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path + ".raw", Net: "unix"})
 		if err != nil {
 			return false
