--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -17,51 +17,50 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// chunks are what calls are read into. A connection holds one only while bytes of a frame are there.
+// chunks are buffers that calls are read into. A connection holds one only while it has unprocessed bytes of a frame.
 var chunks = sync.Pool{New: func() any { b := make([]byte, 8<<10); return &b }}
 
-// client is one connection of a client. One goroutine reads it; what is answered is written by another, which lives
-// only as long as there is something to write.
+// client is one client connection. One goroutine reads calls; another, which runs only while there is something to write, writes answers.
 type client struct {
 	front *Front
 	conn  *conntrack.Conn
 
-	// What follows is the reader's.
+	// The following fields belong to the reading goroutine.
 	raw        syscall.RawConn
-	chunk      *[]byte // nil while nothing of a frame is there
-	start, end int     // of what is unread in it
+	chunk      *[]byte // nil while there are no bytes of a frame
+	start, end int     // the unprocessed part of chunk
 	fill       func(fd uintptr) bool
-	filled     error // how the last fill ended
+	fillErr    error // result of the last fill
 	encoding   thriftwire.Encoding
 
-	mu      sync.Mutex
-	room    sync.Cond // told when something was written
-	waiting []*slot   // not answered, or answered before those ahead of them; the oldest first
-	taken   int       // calls that are not answered yet, oneways included
-	unsent  []byte    // frames to be written
-	writing bool      // they are being written
-	asked   bool      // a frame has come
-	busy    bool      // so the tracker was told
-	over    bool      // no more is read
-	dead    bool      // the connection is of no use any more
+	mu        sync.Mutex
+	changed   sync.Cond // signaled when answers were written or calls finished
+	waiting   []*slot   // calls without an answer, or whose answer waits for an earlier one; oldest first
+	inFlight  int       // unanswered calls, including oneways
+	unsent    []byte    // frames to write
+	writing   bool      // the writing goroutine is running
+	called    bool      // a frame has arrived
+	busy      bool      // the tracker was told that the connection is busy
+	readEnded bool      // reading has ended
+	closed    bool      // the connection can no longer be used
 }
 
-// slot is the place of a call in the order of answers.
+// slot is the position of a call in the order of answers.
 type slot struct {
 	call  *core.Call
 	seq   int32
-	frame []byte // nil until it is answered
+	frame []byte // the answer; nil until there is one
 }
 
-// errProtocol is why a connection is closed on which nothing can be told any more.
-var errProtocol = errors.New("what comes is no Thrift, or of another encoding than before")
+// errProtocol closes a connection on which the client's messages can no longer be interpreted, so that no error can be sent either.
+var errProtocol = errors.New("not a Thrift message, or not in the connection's encoding")
 
-// errStopping is why one is closed on which nothing is under way when the agent ends.
-var errStopping = errors.New("the agent ends")
+// errStopping closes an idle connection when the agent shuts down.
+var errStopping = errors.New("the agent is shutting down")
 
 func (f *Front) open(conn *conntrack.Conn) {
 	c := &client{front: f, conn: conn}
-	c.room.L = &c.mu
+	c.changed.L = &c.mu
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
@@ -75,10 +74,10 @@
 	go c.serve()
 }
 
-// wake ends the reader's waiting.
+// wake interrupts the reader.
 func (c *client) wake() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// serve reads calls until the client leaves or may not go on.
+// serve reads calls until the client disconnects or the connection must be closed.
 func (c *client) serve() {
 	err := c.take()
 	if errors.Is(err, errStopping) {
@@ -90,51 +89,51 @@
 		c.die()
 	}
 	c.mu.Lock()
-	// What was taken before is answered; then the connection ends.
-	for !c.dead && (len(c.waiting) > 0 || c.writing) {
-		c.room.Wait()
+	// Answer the calls that were accepted before, then close the connection.
+	for !c.closed && (len(c.waiting) > 0 || c.writing) {
+		c.changed.Wait()
 	}
-	c.over, c.dead = true, true
+	c.readEnded, c.closed = true, true
 	c.mu.Unlock()
 	c.conn.Close()
 	c.front.tracker.Closed(c.conn)
 	c.leave()
 }
 
-// die ends a connection whose client is gone: nothing is owed to it any more. The client of a oneway need not stay:
-// those calls go on.
+// abort closes the connection of a client that has disconnected, and reports to the core that its unanswered calls have lost their client.
+// Oneway calls continue: their clients may disconnect.
 func (c *client) die() {
 	c.mu.Lock()
-	var owed []*core.Call
-	if !c.dead {
-		c.dead = true
+	var pending []*core.Call
+	if !c.closed {
+		c.closed = true
 		for _, s := range c.waiting {
-			if s.frame == nil && s.call != nil { // what is refused at once has no call
-				c.taken--
-				owed = append(owed, s.call)
+			if s.frame == nil && s.call != nil { // a call that is refused at once has none
+				c.inFlight--
+				pending = append(pending, s.call)
 			}
 		}
 		c.waiting, c.unsent = nil, nil
-		c.room.Broadcast()
+		c.changed.Broadcast()
 	}
 	c.mu.Unlock()
 	c.conn.Close()
-	for _, call := range owed { // not under the lock, which the core's loop may wait for
+	for _, call := range pending { // not under the lock, as the core's loop may be waiting for it
 		c.front.core.Left(call)
 	}
 }
 
-// leave forgets the client when nothing of it is under way.
+// forgetIfDone removes the client once its connection is closed and it has no calls in flight.
 func (c *client) leave() {
 	c.mu.Lock()
-	done := c.over && c.dead && c.taken == 0
+	done := c.readEnded && c.closed && c.inFlight == 0
 	c.mu.Unlock()
 	if done {
 		c.front.forget(c)
 	}
 }
 
-// take reads one frame after the other; it always ends with an error.
+// readCalls reads and handles frames in a loop. It always returns a non-nil error.
 func (c *client) take() error {
 	for {
 		message, arrival, err := c.next()
@@ -147,19 +146,19 @@
 	}
 }
 
-// begin says that a call has come. It is false where the tracker has closed the connection while it was read: its client asks
-// once more elsewhere, and it must not have its effect twice.
+// markBusy marks the connection as busy for a call that has arrived. It returns false if the tracker closed the connection while the call was being
+// read: the client will retry elsewhere, and the call must not take effect twice.
 func (c *client) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asked = true; c.busy {
+	if c.called = true; c.busy {
 		return true
 	}
 	c.busy = c.front.tracker.Busy(c.conn)
 	return c.busy
 }
 
-// message handles one. An error ends the reading.
+// handleMessage handles one message. An error ends reading.
 func (c *client) message(message []byte, arrival time.Duration) error {
 	if !c.begin() {
 		return net.ErrClosed
@@ -175,9 +174,9 @@
 		c.front.core.Malformed()
 		return errProtocol
 	}
-	method := c.front.m.Method(h.Name(message))
+	method := c.front.service.Method(h.Name(message))
 	oneway := h.Type == thriftwire.Oneway || method != nil && method.Oneway
-	read, err := c.front.m.Read(h, message)
+	read, err := c.front.service.Read(h, message)
 	var call *core.Call
 	if err == nil {
 		call, err = c.front.call(read, arrival)
@@ -185,7 +184,7 @@
 	if err != nil {
 		c.front.core.Malformed()
 		if oneway {
-			return nil // nobody could be told
+			return nil // the client waits for no answer
 		}
 		refusal := &thriftmap.Refusal{Kind: thriftwire.InternalError, Text: err.Error()}
 		errors.As(err, &refusal)
@@ -197,11 +196,11 @@
 	switch {
 	case s == nil && oneway:
 		return net.ErrClosed
-	case s == nil: // it has not come as far as the module
+	case s == nil: // too many calls in flight; the core has not seen this one
 		c.answered(c.enter(nil, h.Seq, false), read.Refused(nil, 0))
 		return nil
 	}
-	if !oneway { // whose client need not stay
+	if !oneway { // the client of a oneway may disconnect
 		call.Disconnected = c.conn.Disconnected
 	}
 	call.Answer = func(ans core.Answer) {
@@ -209,14 +208,14 @@
 			c.done()
 			return
 		}
-		c.answered(s, word(read, ans))
+		c.answered(s, encode(read, ans))
 	}
 	c.front.core.Take(call)
 	return nil
 }
 
-// word puts a final answer into a frame.
-func word(read *thriftmap.Call, ans core.Answer) []byte {
+// encode encodes a final answer as a frame.
+func encode(read *thriftmap.Call, ans core.Answer) []byte {
 	switch ans.Kind {
 	case core.Served:
 		if r, ok := ans.Reply.(*thriftmap.Reply); ok {
@@ -224,7 +223,7 @@
 		}
 	case core.Refused:
 		return read.Refused(nil, ans.After)
-	case core.Unfit: // what can't be put in another shape is the client's fault, like what can't be read
+	case core.Unfit: // a request that can't be translated is the client's fault, like one that can't be read
 		return read.Application(nil, thriftwire.ProtocolError, ans.Cause.Error())
 	case core.Duplicate:
 		return read.Failed(nil, "a call with this correlation id is under way")
@@ -232,18 +231,18 @@
 	return read.Failed(nil, "failed")
 }
 
-// enter gives a call a place in the order of answers, or nil where the client has as many under way as it may. A
-// oneway, which nobody waits for, waits for its turn instead. A nil call is one that is answered at once.
+// addCall adds a call to the order of answers. It returns nil if the client has the maximum number of calls in flight. A oneway gets no answer, so
+// it waits until there is room instead. A nil call stands for one that is answered at once.
 func (c *client) enter(call *core.Call, seq int32, oneway bool) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &slot{call: call, seq: seq}
 	if call != nil {
-		c.awaitLocked(func() bool { return oneway && c.taken >= c.front.m.MaxCalls })
-		if c.taken >= c.front.m.MaxCalls {
+		c.awaitLocked(func() bool { return oneway && c.inFlight >= c.front.service.MaxCalls })
+		if c.inFlight >= c.front.service.MaxCalls {
 			return nil
 		}
-		c.taken++
+		c.inFlight++
 	}
 	if !oneway {
 		c.waiting = append(c.waiting, s)
@@ -251,29 +250,29 @@
 	return s
 }
 
-// done counts a oneway that is over.
+// finishOneway records that a oneway has finished.
 func (c *client) done() {
 	c.mu.Lock()
-	c.taken--
-	c.room.Broadcast()
+	c.inFlight--
+	c.changed.Broadcast()
 	c.idleLocked()
 	c.mu.Unlock()
 	c.leave()
 }
 
-// answered takes an answer and sends what may be sent now: in the order of the calls or, where the client allows any,
-// in the order of those with the same sequence id, which nobody could tell apart otherwise.
+// queueAnswer stores an answer and queues all answers that can be sent now: in the order of the calls or, if the configuration allows any order,
+// in the order of calls with the same sequence id, whose answers could not be told apart otherwise.
 func (c *client) answered(s *slot, frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.closed {
 		return
 	}
 	if s.frame = frame; s.call != nil {
-		c.taken--
-		c.room.Broadcast()
+		c.inFlight--
+		c.changed.Broadcast()
 	}
-	if !c.front.m.AnyOrder {
+	if !c.front.service.AnyOrder {
 		n := 0
 		for n < len(c.waiting) && c.waiting[n].frame != nil {
 			c.unsent = append(c.unsent, c.waiting[n].frame...)
@@ -290,7 +289,7 @@
 	}
 }
 
-// sendFreeLocked sends all answers that no earlier call with the same sequence id holds back.
+// queueUnblockedLocked queues all answers that do not wait for an earlier call with the same sequence id.
 func (c *client) sendFreeLocked() {
 	kept := c.waiting[:0]
 	for _, s := range c.waiting {
@@ -308,11 +307,11 @@
 	c.waiting = kept
 }
 
-// write sends what is answered until nothing is left. A client that takes nothing for long has gone.
+// write writes queued answers until none is left. A client that does not accept data within writeTimeout counts as disconnected.
 func (c *client) write() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.unsent) > 0 && !c.dead {
+	for len(c.unsent) > 0 && !c.closed {
 		b := c.unsent
 		c.unsent = nil
 		c.mu.Unlock()
@@ -321,17 +320,17 @@
 			c.die()
 		}
 		c.mu.Lock()
-		c.room.Broadcast()
+		c.changed.Broadcast()
 	}
 	c.writing = false
-	c.room.Broadcast()
+	c.changed.Broadcast()
 	c.idleLocked()
 }
 
-// idleLocked says that nothing is under way any more, if so: the tracker may close the connection for another, and an
-// ending agent does.
+// markIdleLocked reports to the tracker that the connection is idle, if it is. The tracker may then close it to make room for another, and an agent
+// that is shutting down closes it.
 func (c *client) idleLocked() {
-	if !c.restsLocked() || c.dead || !c.busy {
+	if !c.restsLocked() || c.closed || !c.busy {
 		return
 	}
 	c.busy = false
@@ -341,24 +340,25 @@
 	}
 }
 
-// restsLocked reports whether nothing is under way.
-func (c *client) restsLocked() bool { return c.taken == 0 && len(c.waiting) == 0 && !c.writing }
+// isIdleLocked reports whether no call is in flight and no answer is waiting to be sent.
+func (c *client) restsLocked() bool { return c.inFlight == 0 && len(c.waiting) == 0 && !c.writing }
 
-// waitForRoom holds up the reading of a client that has more to be sent than it may.
+// waitForRoom blocks the reader while too many answers wait to be sent to the client.
 func (c *client) waitForRoom() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaitLocked(func() bool { return len(c.waiting) >= 2*c.front.m.MaxCalls || len(c.unsent) > mostUnsent })
-	if c.dead {
+	c.awaitLocked(func() bool { return len(c.waiting) >= 2*c.front.service.MaxCalls || len(c.unsent) > maxUnsentBytes })
+	if c.closed {
 		return net.ErrClosed
 	}
 	return nil
 }
 
-// awaitLocked has the reader wait for as long as the client has too much under way. Nothing is read meanwhile, so that the client's
-// end would not be seen: it is looked for. One that stands behind more than the kernel takes is seen when that is read.
+// waitWhileLocked blocks the reader while the client has too much in flight. As nothing is read meanwhile, a disconnect would go unnoticed, so the
+// connection is probed for one every conntrack.ProbeInterval. A disconnect behind more unread data than the kernel buffers is noticed only once
+// that data is read.
 func (c *client) awaitLocked(full func() bool) {
-	if c.dead || !full() {
+	if c.closed || !full() {
 		return
 	}
 	over := make(chan struct{})
@@ -378,13 +378,12 @@
 			}
 		}
 	}()
-	for !c.dead && full() {
-		c.room.Wait()
+	for !c.closed && full() {
+		c.changed.Wait()
 	}
 }
 
-// next reads one frame. Its length is looked at before anything is allocated for it. The arrival is the time of its
-// first byte.
+// readFrame reads one frame. It checks the length before allocating memory. arrival is the time of the frame's first byte.
 func (c *client) next() (message []byte, arrival time.Duration, err error) {
 	if err := c.waitForRoom(); err != nil {
 		return nil, 0, err
@@ -392,15 +391,15 @@
 	if err := c.await(); err != nil {
 		return nil, 0, err
 	}
-	waited := c.conn.SinceLastData() // its client counts from when it sent the call
+	waited := c.conn.SinceLastData() // the client's time limit counts from when it sent the call
 	arrival = c.front.core.Now() - waited
-	by := time.Now().Add(c.front.m.FrameTimeout)
+	by := time.Now().Add(c.front.service.FrameTimeout)
 	c.conn.SetReadDeadline(by)
 	var prefix [4]byte
 	if err := c.copy(prefix[:], by); err != nil {
 		return nil, 0, err
 	}
-	n, err := thriftwire.FrameLength(prefix, c.front.m.MaxFrame)
+	n, err := thriftwire.FrameLength(prefix, c.front.service.MaxFrame)
 	if err != nil {
 		c.front.core.Malformed()
 		return nil, 0, fmt.Errorf("%w: %w", errProtocol, err)
@@ -410,20 +409,20 @@
 	return message, arrival, err
 }
 
-// await waits for the first byte of a frame: for as long as a connection may be idle, or until the agent ends.
+// awaitFrame waits for the first byte of a frame, until the idle timeout or the shutdown of the agent.
 func (c *client) await() error {
 	for c.start == c.end {
 		ending := c.front.stopping.Load()
 		c.mu.Lock()
-		rests, fresh := c.restsLocked(), !c.asked
-		var by time.Time // the tracker closes the fresh ones at the end
+		rests, fresh := c.restsLocked(), !c.called
+		var by time.Time // at shutdown the tracker closes connections without a call
 		if rests && !ending {
-			by = time.Now().Add(c.front.m.IdleTimeout)
+			by = time.Now().Add(c.front.service.IdleTimeout)
 		}
 		c.conn.SetReadDeadline(by)
 		c.mu.Unlock()
 		if ending != c.front.stopping.Load() {
-			continue // or the deadline set above would undo the wake
+			continue // otherwise the deadline set above would cancel the effect of wake
 		}
 		if ending && rests && !fresh && peek.Silent(c.conn) {
 			return errStopping
@@ -434,14 +433,14 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
 		case rests && !ending && !c.front.stopping.Load():
-			return err // idle for too long
+			return err // idle timeout
 		}
 	}
 	return nil
 }
 
-// copy fills a buffer from what has come and what comes until some time. A client that does not go on is not told
-// from one that sends something else: what it asked before is answered.
+// copy fills a buffer with data that has been read, or that arrives until the time by. A frame that is not complete by then is a protocol error:
+// the connection is closed, after the client's earlier calls are answered.
 func (c *client) copy(to []byte, by time.Time) error {
 	for {
 		if c.chunk != nil {
@@ -458,10 +457,10 @@
 		switch err := c.more(); {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(by):
-			c.conn.SetReadDeadline(by) // the ending agent has woken it
+			c.conn.SetReadDeadline(by) // woken by the shutdown
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.front.core.Malformed()
-			return fmt.Errorf("%w: a frame that does not go on", errProtocol)
+			return fmt.Errorf("%w: timeout in the middle of a frame", errProtocol)
 		default:
 			return err
 		}
@@ -473,14 +472,14 @@
 	c.chunk, c.start, c.end = nil, 0, 0
 }
 
-// more waits for bytes and reads them into a chunk, which is empty. Errors end that only where the connection is over: a client that is there
-// is owed its answers.
+// readChunk waits for data and reads it into a new chunk. System calls that fail are retried while the connection is open, because a connected client
+// still waits for its answers.
 func (c *client) more() error {
 	tries := c.conn.ReadTries()
 	for {
 		err := c.raw.Read(c.fill)
 		if err == nil {
-			err = c.filled
+			err = c.fillErr
 		}
 		if err == nil || !tries.Again(c.conn, err) {
 			return err
@@ -488,17 +487,17 @@
 	}
 }
 
-// read is called when there may be something to read. It holds no chunk while there is not.
+// readNow is called when the descriptor may be readable. It keeps a chunk only if there was data.
 func (c *client) read(fd uintptr) bool {
 	chunk := chunks.Get().(*[]byte)
 	n, done, err := c.conn.ReadNow(fd, *chunk)
 	if n > 0 {
-		c.chunk, c.start, c.end, c.filled = chunk, 0, n, nil
+		c.chunk, c.start, c.end, c.fillErr = chunk, 0, n, nil
 		return true
 	}
 	chunks.Put(chunk)
-	if c.filled = err; err == nil {
-		c.filled = io.EOF
+	if c.fillErr = err; err == nil {
+		c.fillErr = io.EOF
 	}
 	return done
 }
--- a/internal/thrift/thriftfront/client_test.go
+++ b/internal/thrift/thriftfront/client_test.go
@@ -11,8 +11,8 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// visitor is a client's connection before a front without a core, and the listener that it came by.
-func visitor(t *testing.T, most int) (c *client, listener *conntrack.Listener) {
+// newTestClient returns a client connection of a front without a core, and the listener that accepted it.
+func newTestClient(t *testing.T, most int) (c *client, listener *conntrack.Listener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,8 +21,8 @@
 	t.Cleanup(func() { l.Close() })
 	d := conntrack.New(most)
 	listener = d.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler))
-	c = &client{front: &Front{m: &thriftmap.Map{MaxCalls: 2}, tracker: d, clients: map[*client]bool{}, left: make(chan struct{}, 1)}, conn: connect(t, listener)}
-	c.room.L = &c.mu
+	c = &client{front: &Front{service: &thriftmap.Map{MaxCalls: 2}, tracker: d, clients: map[*client]bool{}, removed: make(chan struct{}, 1)}, conn: connect(t, listener)}
+	c.changed.L = &c.mu
 	return c, listener
 }
 
@@ -41,31 +41,31 @@
 	return conn.(*conntrack.Conn)
 }
 
-// The tracker closes a connection for another client while a call has been read from it: the call is not taken, as its client, who hears
-// nothing, asks once more elsewhere. There is no core here that could take it.
+// The tracker closes a connection to make room while a call is being read from it. The call must not be accepted, because its client gets no
+// answer and retries elsewhere. The front has no core here that could accept it.
 func TestConnectionClosesAsACallIsRead(t *testing.T) {
-	c, listener := visitor(t, 1)
-	connect(t, listener) // the only place
+	c, listener := newTestClient(t, 1)
+	connect(t, listener) // takes the only place
 	var w thriftwire.Writer
 	w.Encoding = thriftwire.Binary
 	w.Head(thriftwire.Call, []byte("payOut"), []byte{0, 0, 0, 7})
 	w.Stop()
 	if err := c.message(w.Buf, 0); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("it goes on: %v", err)
+		t.Errorf("the call was accepted: %v", err)
 	}
-	if c.taken != 0 || len(c.waiting) != 0 {
-		t.Errorf("%d calls, %d answers", c.taken, len(c.waiting))
+	if c.inFlight != 0 || len(c.waiting) != 0 {
+		t.Errorf("%d calls, %d answers", c.inFlight, len(c.waiting))
 	}
 }
 
-// A client leaves, as its writer finds out, while its reader has given a call that is refused at once a place in the order of
-// answers, and not answered it yet.
+// A client disconnects, which the writer notices, after the reader has added a call that is refused at once to the order of answers and before
+// it has answered it.
 func TestClientLeavesAsACallIsRefused(t *testing.T) {
-	c, _ := visitor(t, 10)
+	c, _ := newTestClient(t, 10)
 	s := c.enter(nil, 1, false)
 	c.die()
 	c.answered(s, []byte("refused"))
-	if c.taken != 0 || len(c.waiting) != 0 || len(c.unsent) != 0 {
-		t.Errorf("%d calls, %d answers, %d bytes of a client that is gone", c.taken, len(c.waiting), len(c.unsent))
+	if c.inFlight != 0 || len(c.waiting) != 0 || len(c.unsent) != 0 {
+		t.Errorf("%d calls, %d answers, %d bytes left for a disconnected client", c.inFlight, len(c.waiting), len(c.unsent))
 	}
 }
--- a/internal/thrift/thriftfront/front.go
+++ b/internal/thrift/thriftfront/front.go
@@ -1,4 +1,4 @@
-// Package thriftfront takes calls in framed Thrift, binary or compact, and gives their final answers.
+// Package thriftfront accepts calls from clients in framed Thrift, binary or compact, and writes their final answers.
 package thriftfront
 
 import (
@@ -21,47 +21,47 @@
 )
 
 const (
-	// writeTimeout is how long a client may take none of what it is sent.
+	// writeTimeout is how long one write to a client may take.
 	writeTimeout = time.Second
-	// mostUnsent is how many bytes may wait for a client before no more of its calls are read.
-	mostUnsent = 1 << 20
+	// maxUnsentBytes is how many bytes of answers may wait for a client before the front stops reading its calls.
+	maxUnsentBytes = 1 << 20
 )
 
-// Front is the Thrift side of the agent towards its clients.
+// Front is the Thrift server that the agent's clients connect to.
 type Front struct {
-	cfg     *config.Config
-	shapes  Shapes // nil where calls have none
-	m       *thriftmap.Map
-	core    *core.Core
-	log     *slog.Logger
-	tracker *conntrack.Tracker
-	listen  *conntrack.Listener
-	idOf    string        // what the ids begin with that are given to calls without one
-	ids     atomic.Uint64 // how many were given
+	cfg         *config.Config
+	shapes      Shapes // nil if calls have no shapes
+	service     *thriftmap.Map
+	core        *core.Core
+	log         *slog.Logger
+	tracker     *conntrack.Tracker
+	listen      *conntrack.Listener
+	idPrefix    string        // prefix of the ids assigned to calls without one
+	assignedIDs atomic.Uint64 // number of ids assigned
 
 	stopping atomic.Bool
 	mu       sync.Mutex
 	clients  map[*client]bool
-	left     chan struct{} // told when one is forgotten
+	removed  chan struct{} // receives a value when a client is removed
 }
 
-// Shapes finds the shapes of calls.
+// ShapeFinder determines the shapes of calls.
 type Shapes interface {
-	// Thrift finds that of a call in an encoding. The zero Tag is that of a class without shapes; a method that is in none
-	// of its class's is an error.
-	Thrift(c *thriftmap.Call, spoken choice.Protocols) (routes.Tag, error)
+	// Thrift returns the shape of a call in an encoding. The result is the zero CallShape if the call's class has no shapes. It is an error if
+	// none of the class's shapes has the call's method.
+	Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.Tag, error)
 }
 
-// WithShapes has the Front find the shapes of calls. It is called before Serve.
+// WithShapes sets how the Front determines the shapes of calls. It must be called before Serve.
 func (f *Front) WithShapes(s Shapes) { f.shapes = s }
 
-// New returns a Front that takes the connections of a listener through a connection tracker.
+// New returns a Front that accepts connections from a listener through a connection tracker.
 func New(cfg *config.Config, m *thriftmap.Map, c *core.Core, d *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
-	return &Front{cfg: cfg, m: m, core: c, log: log, tracker: d, listen: d.Listen(l, log),
-		idOf: fmt.Sprintf("%s-%x-", cfg.Name, cfg.Seed), clients: map[*client]bool{}, left: make(chan struct{}, 1)}
+	return &Front{cfg: cfg, service: m, core: c, log: log, tracker: d, listen: d.Listen(l, log),
+		idPrefix: fmt.Sprintf("%s-%x-", cfg.Name, cfg.Seed), clients: map[*client]bool{}, removed: make(chan struct{}, 1)}
 }
 
-// Serve takes calls until Stop; it always ends with an error.
+// Serve accepts connections until Stop closes the listener. It always returns a non-nil error.
 func (f *Front) Serve() error {
 	for {
 		c, err := f.listen.Accept()
@@ -72,13 +72,14 @@
 	}
 }
 
-// Stop ends the front gently, as for HTTP: connections are accepted for a while; those on which nothing is under way
-// are closed after a while, the others when everything on them is answered; who has said nothing is not waited for.
+// Stop shuts the front down gracefully, as for HTTP: new connections are accepted for some time (plan.Accept), idle connections are closed
+// after plan.Idle, and other connections once all their calls are answered. Connections on which no call has arrived are closed after
+// conntrack.SilentGrace at the latest. Stop returns when all clients are removed, or at plan.CloseBy.
 func (f *Front) Stop(begin time.Time, plan shutdown.Schedule) {
 	by := begin.Add(plan.CloseBy)
 	end := time.NewTimer(time.Until(by))
 	defer end.Stop()
-	time.Sleep(plan.Idle) // in Thrift there is no word for a goodbye: who calls meanwhile is answered
+	time.Sleep(plan.Idle) // Thrift has no message that announces a close; calls that arrive meanwhile are answered
 	f.stopping.Store(true)
 	f.mu.Lock()
 	for c := range f.clients {
@@ -90,7 +91,7 @@
 	defer silent.Stop()
 	for f.count() > 0 {
 		select {
-		case <-f.left:
+		case <-f.removed:
 		case <-end.C:
 			f.log.Warn("Thrift connections were still open at the end", "connections", f.count())
 			return
@@ -104,31 +105,31 @@
 	return len(f.clients)
 }
 
-// forget drops a client of which nothing is under way.
+// remove removes a client that has no calls in flight.
 func (f *Front) forget(c *client) {
 	f.mu.Lock()
 	delete(f.clients, c)
 	f.mu.Unlock()
 	select {
-	case f.left <- struct{}{}:
-	default: // one that waits to be heard stands for any number
+	case f.removed <- struct{}{}:
+	default: // one pending signal is enough
 	}
 }
 
-// needs are what a server must speak to be sent a call as it is.
-var needs = map[thriftwire.Encoding]choice.Protocols{thriftwire.Binary: protocol.ThriftBinary,
+// requiredProtocol maps an encoding to the protocol that a server must speak to receive the call without translation.
+var requiredProtocol = map[thriftwire.Encoding]choice.Protocols{thriftwire.Binary: protocol.ThriftBinary,
 	thriftwire.Compact: protocol.ThriftCompact}
 
-// call turns what was read into a call for the core. An error is what the client is told.
+// call converts a call as read into one for the core. An error is a *thriftmap.Refusal to send to the client.
 func (f *Front) call(read *thriftmap.Call, arrival time.Duration) (*core.Call, error) {
 	call := &core.Call{Payload: read}
 	if call.Tenant = f.cfg.Tenant(read.Tenant); call.Tenant < 0 {
 		return nil, &thriftmap.Refusal{Kind: thriftwire.ProtocolError, Text: fmt.Sprintf("unknown tenant %q", read.Tenant)}
 	}
 	if call.ID = read.ID; call.ID == "" {
-		call.ID = fmt.Sprint(f.idOf, f.ids.Add(1))
+		call.ID = fmt.Sprint(f.idPrefix, f.assignedIDs.Add(1))
 	}
-	call.Class, call.Key, call.Again, call.Needs = read.Method.Class, read.Key, read.Again, needs[read.Head.Encoding]
+	call.Class, call.Key, call.Again, call.Needs = read.Method.Class, read.Key, read.Again, requiredProtocol[read.Head.Encoding]
 	if f.shapes != nil {
 		var err error
 		if call.Tag, err = f.shapes.Thrift(read, call.Needs); err != nil {
