--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -18,51 +18,51 @@
 	"ternbeam/internal/thrift/thriftmap"
 )
 
-// multiplexer sends several calls at a time on a connection and tells their replies apart by sequence ids of its own.
+// multiplexer sends several calls at a time on a connection and matches replies to calls by its own sequence ids.
 type multiplexer struct {
-	pool  *pool.Pool
-	most  int // bytes of a frame
-	calls int // that one connection may have under way
+	pool     *pool.Pool
+	maxFrame int // maximum frame size in bytes
+	maxCalls int // maximum calls in flight per connection
 
 	mu    sync.Mutex
-	lines map[key][]*line // those with calls under way
-	dials map[key]*dial   // those under way
+	busy  map[connKey][]*muxConn   // connections with calls in flight
+	dials map[connKey]*pendingDial // dials in progress
 }
 
-// dial is one that several calls wait for.
-type dial struct {
+// pendingDial is a dial in progress that several calls may wait for.
+type pendingDial struct {
 	ended chan struct{}
-	err   error // of the server's; nil also where only the call that dialled gave up
+	err   error // failure to connect to the server; nil also if only the call that started the dial gave up
 }
 
-// errNoLine says that no connection came up while the call had time.
-var errNoLine = errors.New("no connection in time")
+// errNoConn means that no connection was established within the call's time.
+var errNoConn = errors.New("no connection within the call's time")
 
-// key is what a line may be shared by.
-type key struct {
+// connKey identifies the calls that may share a connection.
+type connKey struct {
 	server *life.Server
 	speaks choice.Protocols
 }
 
 func newMultiplexer(p *pool.Pool, m *thriftmap.Map) *multiplexer {
-	return &multiplexer{pool: p, most: m.MaxFrame, calls: m.ServerCalls, lines: map[key][]*line{},
-		dials: map[key]*dial{}}
+	return &multiplexer{pool: p, maxFrame: m.MaxFrame, maxCalls: m.ServerCalls, busy: map[connKey][]*muxConn{},
+		dials: map[connKey]*pendingDial{}}
 }
 
-// line is a connection that carries several calls. What comes of them is life.Line's; here are the socket, its writer
-// and its reader.
-type line struct {
+// muxConn is a connection that carries several calls. The state machine of the calls is in lifecycle.MultiplexedConn; this type has the socket, its
+// writer and its reader.
+type muxConn struct {
 	m    *multiplexer
-	key  key
+	key  connKey
 	conn *pool.Conn
 
 	mu      sync.Mutex
-	life    *life.Line
+	state   *life.Line
 	writing bool
 }
 
-// ticket is one attempt on a line. Its life belongs to whoever holds the line's lock.
-type ticket struct {
+// muxAttempt is one attempt on a muxConn. Its state is protected by the mutex of the muxConn.
+type muxAttempt struct {
 	ctx  context.Context
 	at   *core.Attempt
 	call *thriftmap.Call
@@ -72,8 +72,8 @@
 
 // attempt makes one attempt.
 func (m *multiplexer) attempt(ctx context.Context, at *core.Attempt) core.Ending {
-	t := &ticket{ctx: ctx, at: at, call: at.Payload.(*thriftmap.Call), done: make(chan core.Ending, 1)}
-	l, err := m.join(ctx, t)
+	t := &muxAttempt{ctx: ctx, at: at, call: at.Payload.(*thriftmap.Call), done: make(chan core.Ending, 1)}
+	mc, err := m.join(ctx, t)
 	if err != nil {
 		return exchange.NoConnection(ctx, at, err)
 	}
@@ -81,19 +81,19 @@
 	case e := <-t.done:
 		return e
 	case <-ctx.Done():
-		return l.abandon(t)
+		return mc.abandon(t)
 	}
 }
 
-// join puts a ticket on a line to its server: one that has room, or else an idle or a new one.
-func (m *multiplexer) join(ctx context.Context, t *ticket) (*line, error) {
-	k := key{t.at.Server, t.at.Speaks}
+// join assigns an attempt to a connection to its server: a busy one that has room, or else an idle or a new one.
+func (m *multiplexer) join(ctx context.Context, t *muxAttempt) (*muxConn, error) {
+	k := connKey{t.at.Server, t.at.Speaks}
 	m.mu.Lock()
 	for {
-		for _, l := range m.lines[k] {
-			if l.enqueue(t, m.calls) {
+		for _, mc := range m.busy[k] {
+			if mc.enqueue(t, m.maxCalls) {
 				m.mu.Unlock()
-				return l, nil
+				return mc, nil
 			}
 		}
 		under := m.dials[k]
@@ -101,17 +101,17 @@
 			break
 		}
 		m.mu.Unlock()
-		select { // calls that come together share a line
+		select { // concurrent calls share a connection
 		case <-under.ended:
 		case <-ctx.Done():
-			return nil, errNoLine
+			return nil, errNoConn
 		}
 		if under.err != nil {
 			return nil, under.err
 		}
 		m.mu.Lock()
 	}
-	d := &dial{ended: make(chan struct{})}
+	d := &pendingDial{ended: make(chan struct{})}
 	m.dials[k] = d
 	m.mu.Unlock()
 	c, err := m.pool.Acquire(ctx, t.at.Server, k.speaks, &t.at.Life)
@@ -125,85 +125,85 @@
 		}
 		return nil, err
 	}
-	l, _ := c.Session.(*line)
-	if l == nil {
-		l = &line{m: m, key: k, conn: c, life: life.NewLine(time.Now())}
-		c.Session = l
-		go l.read()
+	mc, _ := c.Session.(*muxConn)
+	if mc == nil {
+		mc = &muxConn{m: m, key: k, conn: c, state: life.NewLine(time.Now())}
+		c.Session = mc
+		go mc.read()
 	}
-	if !l.enqueue(t, m.calls) { // it broke while it was idle
+	if !mc.enqueue(t, m.maxCalls) { // the connection broke while it was idle
 		m.pool.Release(c, false)
-		return nil, errNoLine
+		return nil, errNoConn
 	}
-	m.lines[k] = append(m.lines[k], l)
-	return l, nil
+	m.busy[k] = append(m.busy[k], mc)
+	return mc, nil
 }
 
-// enqueue takes a ticket, if there is room on the line.
-func (l *line) enqueue(t *ticket, most int) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	slot, err := l.life.Join(&t.at.Life, t, most)
+// enqueue adds an attempt to the connection and reports whether there was room.
+func (mc *muxConn) enqueue(t *muxAttempt, most int) bool {
+	mc.mu.Lock()
+	defer mc.mu.Unlock()
+	slot, err := mc.state.Join(&t.at.Life, t, most)
 	t.at.Heed(err)
 	if slot == nil {
 		return false
 	}
 	t.slot = slot
-	if !l.writing {
-		l.writing = true
-		go l.write()
+	if !mc.writing {
+		mc.writing = true
+		go mc.write()
 	}
 	return true
 }
 
-// batch is how many bytes are written in one go, if more than one call waits.
-const batch = 32 << 10
+// maxBatchBytes is how many bytes are written in one system call if several calls wait.
+const maxBatchBytes = 32 << 10
 
-// write sends what is queued until nothing is.
-func (l *line) write() {
+// write sends queued calls until the queue is empty.
+func (mc *muxConn) write() {
 	var buf []byte
-	var out []*ticket
-	var ends []int // of their frames in buf
+	var out []*muxAttempt
+	var ends []int // where the frames of out end in buf
 	for {
 		buf, out, ends = buf[:0], out[:0], ends[:0]
-		// A server that takes nothing holds up all calls on the line; as long as an answer may pause is long enough.
+		// A server that does not read blocks all calls on the connection, so writes have the time limit for pauses within an answer.
 		by := time.Now().Add(exchange.Stall)
-		l.mu.Lock()
-		for len(buf) < batch {
-			slot := l.life.Next()
+		mc.mu.Lock()
+		for len(buf) < maxBatchBytes {
+			slot := mc.state.Next()
 			if slot == nil {
 				break
 			}
-			t := slot.Host.(*ticket)
+			t := slot.Host.(*muxAttempt)
 			end, _ := t.ctx.Deadline()
 			before := len(buf)
 			buf = t.call.Frame(buf, slot.Seq, time.Until(end))
-			// What was right to send when it was queued may not be any more.
+			// Conditions may have changed since the call was queued.
 			if !exchange.Begin(t.ctx, t.at, len(buf)-before) {
 				buf = buf[:before]
-				l.life.Drop(slot)
+				mc.state.Drop(slot)
 				t.done <- core.Ended(t.at.Life.Result())
 				continue
 			}
-			t.at.Heed(l.life.Begun(slot, time.Now()))
+			t.at.Heed(mc.state.Begun(slot, time.Now()))
 			if w := t.at.WriteBy; !w.IsZero() && w.Before(by) {
 				by = w
 			}
 			out, ends = append(out, t), append(ends, len(buf))
 		}
 		if len(out) == 0 {
-			l.writing = false
-			l.mu.Unlock()
-			l.rest()
+			mc.writing = false
+			mc.mu.Unlock()
+			mc.releaseIfIdle()
 			return
 		}
-		l.mu.Unlock()
-		l.conn.SetWriteDeadline(by)
-		n, err := l.conn.Write(buf)
-		l.mu.Lock()
+		mc.mu.Unlock()
+		mc.conn.SetWriteDeadline(by)
+		n, err := mc.conn.Write(buf)
+		mc.mu.Lock()
 		begin := 0
 		for i, t := range out {
-			ended, problem := l.life.Wrote(t.slot, min(ends[i], max(begin, n))-begin, t.call.Method.Oneway)
+			ended, problem := mc.state.Wrote(t.slot, min(ends[i], max(begin, n))-begin, t.call.Method.Oneway)
 			begin = ends[i]
 			t.at.Heed(problem)
 			if n >= ends[i] {
@@ -213,29 +213,29 @@
 				t.done <- core.Ended(t.at.Life.Result())
 			}
 		}
-		if err != nil || l.life.Broken() { // the reader may have broken it while this was written
-			l.breakLocked(life.Broken)
+		if err != nil || mc.state.Broken() { // the reader may have failed during the write
+			mc.breakLocked(life.Broken)
 		}
-		l.mu.Unlock()
+		mc.mu.Unlock()
 	}
 }
 
-// breakLocked ends all that is on the line but what is being written.
-func (l *line) breakLocked(c life.Cause) {
-	l.conn.Close()
-	ended, err := l.life.Break(c)
+// breakLocked closes the connection and ends all calls on it, except for those that are being written.
+func (mc *muxConn) breakLocked(c life.Cause) {
+	mc.conn.Close()
+	ended, err := mc.state.Break(c)
 	for _, s := range ended {
-		t := s.Host.(*ticket)
+		t := s.Host.(*muxAttempt)
 		t.at.Heed(err)
 		t.done <- core.Ended(t.at.Life.Result())
 	}
 }
 
-// abandon ends the waiting for a ticket's reply, if it has not come meanwhile.
-func (l *line) abandon(t *ticket) core.Ending {
-	l.mu.Lock()
-	defer l.rest()
-	defer l.mu.Unlock()
+// abandon stops waiting for an attempt's reply, unless it has arrived meanwhile.
+func (mc *muxConn) abandon(t *muxAttempt) core.Ending {
+	mc.mu.Lock()
+	defer mc.releaseIfIdle()
+	defer mc.mu.Unlock()
 	select {
 	case e := <-t.done:
 		return e
@@ -245,91 +245,91 @@
 	if errors.Is(context.Cause(t.ctx), core.ErrWithdrawn) {
 		cause = life.Withdrawn
 	}
-	t.at.Heed(l.life.Abandon(t.slot, cause))
+	t.at.Heed(mc.state.Abandon(t.slot, cause))
 	return core.Ended(t.at.Life.Result())
 }
 
-// read takes replies until the connection ends.
-func (l *line) read() {
-	source := &pausing{conn: l.conn}
+// read reads replies until the connection ends.
+func (mc *muxConn) read() {
+	source := &replyReader{conn: mc.conn}
 	in := bufio.NewReaderSize(source, 4<<10)
 	for {
-		err := l.reply(in, source)
+		err := mc.reply(in, source)
 		if err == nil {
-			l.rest()
+			mc.releaseIfIdle()
 			continue
 		}
 		cause := life.Broken
 		if errors.Is(err, exchange.ErrSpoilt) || errors.Is(err, os.ErrDeadlineExceeded) {
 			cause = life.Garbled
 		}
-		l.mu.Lock()
-		l.breakLocked(cause)
-		l.mu.Unlock()
-		l.rest()
+		mc.mu.Lock()
+		mc.breakLocked(cause)
+		mc.mu.Unlock()
+		mc.releaseIfIdle()
 		return
 	}
 }
 
-// mostReply is how long a reply may take from its first byte to its last: the others on its connection wait for it.
+// maxReplyTime is how long a reply may take from its first byte to its last. The other calls on its connection wait for it.
 const mostReply = 5 * time.Second
 
-// pausing reads replies from a connection. One that has begun may pause for exchange.Stall, and must be whole after mostReply.
-type pausing struct {
-	conn    net.Conn
-	wholeBy time.Time // zero between replies
+// replyReader reads replies from a connection. A reply that has begun may pause for exchange.StallTimeout and must be complete within maxReplyTime.
+type replyReader struct {
+	conn       net.Conn
+	completeBy time.Time // zero between replies
 }
 
-// wait waits for the next reply, for any time.
-func (p *pausing) wait() {
-	p.wholeBy = time.Time{}
+// awaitNext removes the read deadline, as the next reply may take any time to begin.
+func (p *replyReader) awaitNext() {
+	p.completeBy = time.Time{}
 	p.conn.SetReadDeadline(time.Time{})
 }
 
-// begin says that a reply has begun.
-func (p *pausing) begin() {
+// begin sets the deadlines of a reply that has begun.
+func (p *replyReader) begin() {
 	now := time.Now()
-	p.wholeBy = now.Add(mostReply)
+	p.completeBy = now.Add(mostReply)
 	p.conn.SetReadDeadline(now.Add(exchange.Stall))
 }
 
-// Read reads from the connection.
-func (p *pausing) Read(b []byte) (int, error) {
+// Read implements io.Reader. It extends the read deadline while a reply arrives.
+func (p *replyReader) Read(b []byte) (int, error) {
 	n, err := p.conn.Read(b)
-	if n > 0 && !p.wholeBy.IsZero() {
+	if n > 0 && !p.completeBy.IsZero() {
 		by := time.Now().Add(exchange.Stall)
-		if p.wholeBy.Before(by) {
-			by = p.wholeBy
+		if p.completeBy.Before(by) {
+			by = p.completeBy
 		}
 		p.conn.SetReadDeadline(by)
 	}
 	return n, err
 }
 
-// reply reads one reply and gives it to the call that it answers. One that answers none, or one a second time, shows
-// that the server's sequence ids can't be trusted: everything on the line may be somebody else's.
-func (l *line) reply(in *bufio.Reader, source *pausing) error {
-	source.wait()
+// reply reads one reply and passes it to its call. A reply without a call, or a second reply to one, proves that the server's sequence ids
+// can't be trusted: any reply on the connection may belong to another call.
+func (mc *muxConn) reply(in *bufio.Reader, source *replyReader) error {
+	source.awaitNext()
 	if _, err := in.Peek(1); err != nil {
 		return err
 	}
 	source.begin()
-	h, message, err := readMessage(in, l.m.most)
+	h, message, err := readMessage(in, mc.m.maxFrame)
 	if err != nil {
 		return err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	slot, err := l.life.Reply(h.Seq, time.Now())
+	mc.mu.Lock()
+	defer mc.mu.Unlock()
+	slot, err := mc.state.Reply(h.Seq, time.Now())
 	if err != nil {
 		return fmt.Errorf("%w: %w: sequence id %d", exchange.ErrSpoilt, err, h.Seq)
 	}
-	t := slot.Host.(*ticket)
-	e, err := ending(t.call, h, message, h.Seq)
+	t := slot.Host.(*muxAttempt)
+	e, err := outcome(t.call, h, message, h.Seq)
 	if err != nil {
-		return err // this call ends with the others
+		return err // the caller breaks the connection, which ends this call too
 	}
-	ended, err := l.life.Answered(slot, e.Result)
+	ended, err := mc.state.Answered(slot, e.Result)
 	t.at.Heed(err)
 	if ended {
 		t.done <- e
@@ -337,32 +337,31 @@
 	return nil
 }
 
-// rest gives a line back to the pool when nothing is on it any more. One that carries only what is abandoned, and
-// gets nothing new, is closed.
-func (l *line) rest() {
-	m := l.m
+// releaseIfIdle returns the connection to the pool when it has no calls. A connection that has only abandoned calls, and gets no new ones, is closed.
+func (mc *muxConn) releaseIfIdle() {
+	m := mc.m
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := -1
-	for i, other := range m.lines[l.key] {
-		if other == l {
+	for i, other := range m.busy[mc.key] {
+		if other == mc {
 			at = i
 		}
 	}
 	if at < 0 {
-		return // it is idle, or gone
+		return // already idle or closed
 	}
-	l.mu.Lock()
-	rests, reuse := l.life.Rests(l.key.server.Retired())
-	rests = rests && !l.writing
-	l.mu.Unlock()
+	mc.mu.Lock()
+	rests, reuse := mc.state.Rests(mc.key.server.Retired())
+	rests = rests && !mc.writing
+	mc.mu.Unlock()
 	if !rests {
 		return
 	}
-	if lines := m.lines[l.key]; len(lines) == 1 {
-		delete(m.lines, l.key)
+	if conns := m.busy[mc.key]; len(conns) == 1 {
+		delete(m.busy, mc.key)
 	} else {
-		m.lines[l.key] = append(lines[:at:at], lines[at+1:]...)
+		m.busy[mc.key] = append(conns[:at:at], conns[at+1:]...)
 	}
-	m.pool.Release(l.conn, reuse)
+	m.pool.Release(mc.conn, reuse)
 }
--- a/internal/thrift/thriftback/serial.go
+++ b/internal/thrift/thriftback/serial.go
@@ -1,5 +1,5 @@
-// Package thriftback makes attempts at servers that speak framed Thrift: one call at a time on a connection, or several
-// where the server's entry in the list says that it takes them.
+// Package thriftback sends attempts to servers that speak framed Thrift: one call at a time per connection, or several if the server's list entry
+// says that it supports multiplexing.
 package thriftback
 
 import (
@@ -18,25 +18,25 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Transport makes attempts at Thrift servers. The payload of their calls is a *thriftmap.Call, the reply of those
-// that are served a *thriftmap.Reply, or nil for a oneway.
+// Transport sends attempts to Thrift servers. The payload of a call is a *thriftmap.Call; the reply of a served call is a *thriftmap.Reply, or nil
+// for a oneway. It is safe for concurrent use.
 type Transport struct {
 	serial *exchange.Transport
 	multi  *multiplexer
 }
 
-// New returns a Transport.
+// New returns a Transport that uses the connections of a pool.
 func New(p *pool.Pool, m *thriftmap.Map) *Transport {
 	t := &Transport{multi: newMultiplexer(p, m)}
 	var seq atomic.Int32
 	t.serial = &exchange.Transport{Pool: p, Stall: exchange.Stall, Begin: func(at *core.Attempt) exchange.Talk {
-		// An id that was not used for long, on any connection: a reply that comes late and to another fits nothing.
-		return &talk{call: at.Payload.(*thriftmap.Call), seq: seq.Add(1), most: m.MaxFrame}
+		// A sequence id that has not been used recently on any connection, so that a late reply to an earlier call matches no other call.
+		return &codec{call: at.Payload.(*thriftmap.Call), seq: seq.Add(1), maxFrame: m.MaxFrame}
 	}}
 	return t
 }
 
-// Attempt is core.Transport's.
+// Attempt implements core.Transport.
 func (t *Transport) Attempt(ctx context.Context, at *core.Attempt) core.Ending {
 	if at.Server.Multiplexed {
 		return t.multi.attempt(ctx, at)
@@ -44,35 +44,35 @@
 	return t.serial.Attempt(ctx, at)
 }
 
-// talk is one attempt on a connection of its own.
-type talk struct {
-	call *thriftmap.Call
-	seq  int32
-	most int
+// codec encodes and decodes one attempt that has a connection to itself. It implements exchange.Codec.
+type codec struct {
+	call     *thriftmap.Call
+	seq      int32
+	maxFrame int // maximum size of a reply's frame in bytes
 }
 
-// Message words the call.
-func (t *talk) Message(end time.Time) []byte {
+// Message returns the frame to send.
+func (t *codec) Message(end time.Time) []byte {
 	return t.call.Frame(make([]byte, 0, len(t.call.Message)+16), t.seq, time.Until(end))
 }
 
-// Answer reads the reply. To a oneway there is none: all that can be known is that it was written.
-func (t *talk) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
+// Answer reads the reply. A oneway has none, so its success only means that it was written.
+func (t *codec) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
 	if t.call.Method.Oneway {
 		return core.Ended(choice.OK), true, in.Sent()
 	}
 	if err := in.Begin(); err != nil {
 		return core.Ending{}, false, err
 	}
-	h, message, err := readMessage(in, t.most)
+	h, message, err := readMessage(in, t.maxFrame)
 	if err != nil {
 		return core.Ending{}, false, err
 	}
-	e, err := ending(t.call, h, message, t.seq)
+	e, err := outcome(t.call, h, message, t.seq)
 	return e, true, err
 }
 
-// readMessage reads one frame and its head. What is none is spoilt.
+// readMessage reads one frame and its head. If they are malformed the error is exchange.ErrInvalidAnswer.
 func readMessage(in io.Reader, most int) (h thriftwire.Head, message []byte, err error) {
 	if message, err = thriftwire.ReadFrame(in, most); err == nil {
 		h, err = thriftwire.ReadHead(message)
@@ -83,8 +83,8 @@
 	return h, message, err
 }
 
-// ending says what a reply means for the attempt.
-func ending(call *thriftmap.Call, h thriftwire.Head, message []byte, seq int32) (core.Ending, error) {
+// outcome converts a reply to the outcome of the attempt.
+func outcome(call *thriftmap.Call, h thriftwire.Head, message []byte, seq int32) (core.Ending, error) {
 	out, err := call.ReadReply(h, message, seq)
 	if err != nil {
 		return core.Ending{}, fmt.Errorf("%w: %w", exchange.ErrSpoilt, err)
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -33,7 +33,7 @@
 	return m
 }
 
-// transport is one over a pool of its own.
+// transport is a Transport with its own pool.
 type transport struct {
 	*Transport
 	t    testing.TB
@@ -54,7 +54,7 @@
 var encodings = map[thriftwire.Encoding]choice.Protocols{thriftwire.Binary: protocol.ThriftBinary,
 	thriftwire.Compact: protocol.ThriftCompact}
 
-// try makes one attempt, of a payOut or a note, and returns its ending.
+// try makes one attempt at a payOut or a note and returns its outcome.
 func (tr *transport) try(ctx context.Context, s *life.Server, e thriftwire.Encoding, method, id string) core.Ending {
 	return tr.Attempt(ctx, tr.attempt(s, e, method, id))
 }
@@ -117,7 +117,7 @@
 	return string(found[0].Bytes(r.Message))
 }
 
-// A reply that a server cuts off at any byte was sent for a call that may have run; its connection is not used again.
+// If a server cuts off its reply at any byte, the call counts as possibly executed and the connection is not used again.
 func TestServerCutsAtEveryByte(t *testing.T) {
 	for _, multiplexed := range []bool{false, true} {
 		for e := range encodings {
@@ -141,12 +141,12 @@
 						s.Pod().Deliveries(id))
 				}
 			}
-			testkit.Eventually(t, "no connection is kept", func() bool { return tr.open() == 0 })
+			testkit.Eventually(t, "all connections are closed", func() bool { return tr.open() == 0 })
 		}
 	}
 }
 
-// Calls that come together share a connection, and each gets its own reply, in whatever order they come.
+// Concurrent calls share a connection, and each gets its own reply, in whatever order replies arrive.
 func TestMultiplexedCallsShareAConnection(t *testing.T) {
 	s, server := start(t, standin.Options{ID: "s", Multiplexed: true, Script: func(c standin.Call) standin.Step {
 		return standin.Step{Delay: time.Duration(len(c.ID)%5) * 5 * time.Millisecond}
@@ -165,15 +165,15 @@
 	if n := s.Accepted(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
-	testkit.Eventually(t, "it is idle", func() bool { _, idle, _ := tr.pool.Count(); return idle == 1 })
-	// The other encoding gets a connection of its own.
+	testkit.Eventually(t, "the connection is idle", func() bool { _, idle, _ := tr.pool.Count(); return idle == 1 })
+	// The other encoding gets its own connection.
 	if got := tr.try(within(t, testkit.Patience), server, thriftwire.Compact, "payOut", "compact"); text(got) != "receipt of compact" || s.Accepted() != 2 {
 		t.Errorf("result %d, %d connections", got.Result, s.Accepted())
 	}
 }
 
-// A reply to nothing, or one that comes twice, ends the connection: no call may get what is another's. What was on it
-// may have run.
+// A reply without a call, or a second reply to one, breaks the connection, because no call may get another call's reply. The calls on it count as
+// possibly executed.
 func TestForeignReplies(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.WrongSeq, standin.TwoReplies, standin.Spoilt} {
 		release := make(chan struct{})
@@ -189,7 +189,7 @@
 		tr := newTransport(t, pool.Settings{})
 		waits := make(chan core.Ending, 1)
 		go func() { waits <- tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "waits") }()
-		testkit.Eventually(t, "it is under way", func() bool { return tr.open() == 1 })
+		testkit.Eventually(t, "the call is in flight", func() bool { return tr.open() == 1 })
 		odd := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "odd")
 		if want := map[bool]choice.Result{true: choice.OK, false: choice.Failed}[fault == standin.TwoReplies]; odd.Result != want {
 			t.Errorf("fault %d: result %d", fault, odd.Result)
@@ -207,8 +207,8 @@
 	}
 }
 
-// A call that is given up may have run. Its reply, when it comes late, is nobody else's; where a whole call's time
-// passes in silence the connection gets nothing new.
+// An abandoned call counts as possibly executed, and its late reply is given to no other call. If a call's whole time passes without any data,
+// the connection gets no new calls.
 func TestAbandonedCalls(t *testing.T) {
 	release := make(chan struct{})
 	s, server := start(t, standin.Options{ID: "s", Multiplexed: true, Script: func(c standin.Call) standin.Step {
@@ -221,27 +221,27 @@
 	ctx, withdraw := context.WithCancelCause(context.Background())
 	got := make(chan core.Ending, 1)
 	go func() { got <- tr.try(ctx, server, thriftwire.Binary, "payOut", "withdrawn") }()
-	testkit.Eventually(t, "it is there", func() bool { return s.Pod().Deliveries("withdrawn") == 1 })
+	testkit.Eventually(t, "the server has received the call", func() bool { return s.Pod().Deliveries("withdrawn") == 1 })
 	withdraw(core.ErrWithdrawn)
 	if e := <-got; e.Result != choice.Cancelled {
-		t.Errorf("result %d of the one that was withdrawn", e.Result)
+		t.Errorf("result %d of the canceled call", e.Result)
 	}
-	// The connection still serves others, and the late reply does not disturb it.
+	// The connection still serves other calls, which the late reply does not disturb.
 	if e := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "next"); text(e) != "receipt of next" || s.Accepted() != 1 {
 		t.Errorf("result %d, %d connections", e.Result, s.Accepted())
 	}
 	if e := tr.try(within(t, 50*time.Millisecond), server, thriftwire.Binary, "payOut", "late"); e.Result != choice.TimedOut {
-		t.Errorf("result %d of the one that was late", e.Result)
+		t.Errorf("result %d of the call that timed out", e.Result)
 	}
 	if e := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "new"); text(e) != "receipt of new" || s.Accepted() != 2 {
-		t.Errorf("after a silence: result %d, %d connections", e.Result, s.Accepted())
+		t.Errorf("after a call without any data: result %d, %d connections", e.Result, s.Accepted())
 	}
 	close(release)
-	testkit.Eventually(t, "the silent one is closed", func() bool { return tr.open() == 1 })
+	testkit.Eventually(t, "the silent connection is closed", func() bool { return tr.open() == 1 })
 }
 
-// stuck is a server that accepts and reads nothing.
-func stuck(t *testing.T) (*life.Server, <-chan net.Conn) {
+// startStuckServer starts a server that accepts connections and reads nothing.
+func startStuckServer(t *testing.T) (*life.Server, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -261,14 +261,14 @@
 	return &life.Server{ID: "s", Addr: l.Addr().String(), Multiplexed: true}, conns
 }
 
-// blocked writes nothing until it is released.
-type blocked struct {
+// blockedConn is a connection whose writes wait until gate is closed.
+type blockedConn struct {
 	net.Conn
 	gate  <-chan struct{}
 	began chan<- struct{}
 }
 
-func (b blocked) Write(p []byte) (int, error) {
+func (b blockedConn) Write(p []byte) (int, error) {
 	select {
 	case b.began <- struct{}{}:
 	default:
@@ -277,8 +277,8 @@
 	return b.Conn.Write(p)
 }
 
-// What is queued behind others on a connection has not begun: when its server drains, its time ends, it is withdrawn
-// or its call is over, nothing of it is sent, and it never ran. What is being written may run.
+// An attempt that is queued behind others on a connection is not sent, and counts as never executed, if its server drains, its time ends, it is
+// canceled or its call has finished. A call that is being written may be executed.
 func TestQueuedCallsAreNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
 		meanwhile func(tr *transport, at *core.Attempt, withdraw context.CancelCauseFunc)
@@ -295,7 +295,7 @@
 			gate, began := make(chan struct{}), make(chan struct{}, 1)
 			tr := newTransport(t, pool.Settings{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				conn, err := new(net.Dialer).DialContext(ctx, network, addr)
-				return blocked{conn, gate, began}, err
+				return blockedConn{conn, gate, began}, err
 			}})
 			first, second := make(chan core.Ending, 1), make(chan core.Ending, 1)
 			go func() { first <- tr.try(within(t, testkit.Patience), server, thriftwire.Compact, "payOut", "first") }()
@@ -303,7 +303,7 @@
 			ctx, withdraw := context.WithCancelCause(context.Background())
 			at := tr.attempt(server, thriftwire.Compact, "payOut", "second")
 			go func() { second <- tr.Attempt(ctx, at) }()
-			testkit.Eventually(t, "it is queued", func() bool { return tr.queued() == 1 })
+			testkit.Eventually(t, "the second call is queued", func() bool { return tr.queued() == 1 })
 			c.meanwhile(tr, at, withdraw)
 			if name == "withdrawn" || name == "time over" {
 				if got := <-second; got.Result != c.want {
@@ -316,10 +316,10 @@
 				t.Errorf("result %d, not %d", got.Result, c.want)
 			}
 			if got := <-first; text(got) != "receipt of first" {
-				t.Errorf("the one under way: result %d", got.Result)
+				t.Errorf("the call in flight: result %d", got.Result)
 			}
 			if n := s.Pod().Deliveries("second"); n != map[bool]int{true: 1}[c.want == choice.OK] {
-				t.Errorf("the queued one came %d times", n)
+				t.Errorf("the queued call arrived %d times", n)
 			}
 			if name == "drains" {
 				testkit.Eventually(t, "the connection is closed", func() bool { return tr.open() == 0 })
@@ -332,27 +332,27 @@
 func (tr *transport) queued() (n int) {
 	tr.multi.mu.Lock()
 	defer tr.multi.mu.Unlock()
-	for _, lines := range tr.multi.lines {
-		for _, l := range lines {
-			l.mu.Lock()
-			for _, s := range l.life.Slots() {
+	for _, conns := range tr.multi.busy {
+		for _, mc := range conns {
+			mc.mu.Lock()
+			for _, s := range mc.state.Slots() {
 				if s.Life.Stage() == life.Ready {
 					n++
 				}
 			}
-			l.mu.Unlock()
+			mc.mu.Unlock()
 		}
 	}
 	return n
 }
 
-// When a connection breaks, what was written may have run, what was not never did.
+// If a connection breaks, calls that were written count as possibly executed, and queued calls as never executed.
 func TestBreakWithCallsQueued(t *testing.T) {
-	server, conns := stuck(t)
+	server, conns := startStuckServer(t)
 	gate, began := make(chan struct{}), make(chan struct{}, 1)
 	tr := newTransport(t, pool.Settings{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, network, addr)
-		return blocked{conn, gate, began}, err
+		return blockedConn{conn, gate, began}, err
 	}})
 	results := map[string]chan core.Ending{}
 	for i, id := range []string{"writing", "queued"} {
@@ -361,23 +361,23 @@
 		if i == 0 {
 			<-began
 		} else {
-			testkit.Eventually(t, "it is queued", func() bool { return tr.queued() == 1 })
+			testkit.Eventually(t, "the second call is queued", func() bool { return tr.queued() == 1 })
 		}
 	}
 	c := <-conns
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 	if got := <-results["queued"]; got.Result != choice.ConnectFailed {
-		t.Errorf("the queued one's result %d", got.Result)
+		t.Errorf("the queued call: result %d", got.Result)
 	}
-	close(gate) // and now the write fails
+	close(gate) // now the write fails
 	if got := <-results["writing"]; got.Result != choice.ConnectFailed && got.Result != choice.Reset {
-		t.Errorf("the written one's result %d", got.Result)
+		t.Errorf("the written call: result %d", got.Result)
 	}
-	testkit.Eventually(t, "nothing is kept", func() bool { return tr.open() == 0 })
+	testkit.Eventually(t, "the connection is closed", func() bool { return tr.open() == 0 })
 }
 
-// Where no connection comes up the calls that wait for one never ran, and are told together.
+// If no connection can be established, all calls that wait for it fail together and count as never executed.
 func TestNoConnection(t *testing.T) {
 	dials := 0
 	gate := make(chan struct{})
@@ -397,7 +397,7 @@
 		}()
 	}
 	begun.Wait()
-	time.Sleep(20 * time.Millisecond) // for most of them to come to wait; none may fare otherwise if not
+	time.Sleep(20 * time.Millisecond) // so that most calls are waiting; the others must get the same result
 	close(gate)
 	for range 10 {
 		if got := <-results; got.Result != choice.ConnectFailed {
@@ -405,11 +405,11 @@
 		}
 	}
 	if open := tr.open(); open != 0 {
-		t.Errorf("%d places are kept", open)
+		t.Errorf("%d connections are still open", open)
 	}
 }
 
-// A oneway is over when its last byte is written; the connection goes on.
+// A oneway has finished when its last byte is written; the connection is used again.
 func TestOneways(t *testing.T) {
 	for _, multiplexed := range []bool{false, true} {
 		s, server := start(t, standin.Options{ID: "s", Multiplexed: multiplexed})
@@ -423,7 +423,7 @@
 			}
 		}
 		for i := range 5 {
-			testkit.Eventually(t, "the note comes", func() bool { return s.Pod().Deliveries(fmt.Sprint("n", i)) == 1 })
+			testkit.Eventually(t, "the note arrives", func() bool { return s.Pod().Deliveries(fmt.Sprint("n", i)) == 1 })
 		}
 		if s.Accepted() != 1 {
 			t.Errorf("%d connections", s.Accepted())
