--- a/internal/thrift/thriftmap/call.go
+++ b/internal/thrift/thriftmap/call.go
@@ -13,7 +13,7 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Slots of the fields in a call and in a result.
+// Indexes of a call's fields in the result of a Plan's Scan.
 const (
 	idSlot = iota
 	tenantSlot
@@ -24,6 +24,7 @@
 	argSlots
 )
 
+// Indexes of a reply's fields in the result of a Plan's Scan. The answers and then the load figures follow them.
 const (
 	successSlot = iota
 	refusedSlot
@@ -31,19 +32,19 @@
 	failedSlot
 	resultSlots
 
-	mostSlots = resultSlots + mostAnswers + 5*mostReported
+	maxSlots = resultSlots + maxAnswers + 5*maxLoadPlaces
 )
 
-// MaxText bounds a correlation id, a tenant and a key, in bytes.
+// MaxText is the maximum length of a correlation id, a tenant and a key, in bytes.
 const MaxText = 128
 
-// MaxKey bounds an idempotency key, in bytes.
+// MaxKey is the maximum length of an idempotency key, in bytes.
 const MaxKey = 4096
 
-// Method is what is known of a method.
+// Method is the configuration of a method.
 type Method struct {
 	Name   string
-	Class  int
+	Class  int // index in the settings' classes; -1 if there are no settings
 	Oneway bool
 
 	effect           choice.Effect
@@ -62,37 +63,38 @@
 	loadSlot, loads  int
 }
 
-// Call is a call that was read. It keeps the message, which must not change.
+// Call is a decoded call. It refers to the message, which must not be modified.
 type Call struct {
 	Method  *Method
 	Head    thriftwire.Head
 	Message []byte
 
-	ID     string // empty where the service has none
+	ID     string // correlation id; empty if the service has none
 	Tenant string
-	Key    string
-	Again  bool
-	Left   time.Duration // 0 where it is not said
+	Key    string        // routing key; empty if there is none
+	Again  bool          // the client says that this is a retry
+	Left   time.Duration // the client's remaining time; 0 if not given
 
-	Idempotency string // any bytes; empty where there is none
-	Unknown     int32  // the type of the application exception of a server that does not know the call's shape; 0 for none
+	Idempotency string // idempotency key, any bytes; empty if there is none
+	Unknown     int32  // type of the application exception with which a server says that it does not know the call's shape; 0 for none
 
 	left thriftwire.Field
 }
 
-// Refusal is why a call was not read: what the client is told as a TApplicationException.
+// Refusal is the error for a call that can't be accepted. It is sent to the client as a TApplicationException.
 type Refusal struct {
-	Kind int32
-	Text string
+	Kind int32  // type of the TApplicationException
+	Text string // its message
 }
 
+// Error implements error.
 func (r *Refusal) Error() string { return r.Text }
 
 func refusal(kind int32, format string, args ...any) error {
 	return &Refusal{Kind: kind, Text: fmt.Sprintf(format, args...)}
 }
 
-// Read reads a call whose head was read. Its errors are Refusals.
+// Read decodes a call, given its head. All errors are of type *Refusal.
 func (m *Map) Read(h thriftwire.Head, message []byte) (*Call, error) {
 	method := m.Method(h.Name(message))
 	switch {
@@ -100,7 +102,7 @@
 		return nil, refusal(thriftwire.InvalidType, "message type %d is no call", h.Type)
 	case method == nil:
 		return nil, refusal(thriftwire.UnknownMethod, "unknown method %q", h.Name(message))
-	case h.Type == thriftwire.Oneway && !method.Oneway: // the other way round is usual: some libraries mark no oneway
+	case h.Type == thriftwire.Oneway && !method.Oneway: // the opposite is accepted, as some libraries do not mark oneway messages
 		return nil, refusal(thriftwire.InvalidType, "method %q is not oneway", method.Name)
 	}
 	c := &Call{Method: method, Head: h, Message: message}
@@ -109,19 +111,19 @@
 		return nil, refusal(thriftwire.ProtocolError, "%v", err)
 	}
 	var err error
-	if c.ID, err = text(message, found[idSlot], "correlation id", method.hasID); err != nil {
+	if c.ID, err = textField(message, found[idSlot], "correlation id", method.hasID); err != nil {
 		return nil, err
 	}
-	if c.Tenant, err = text(message, found[tenantSlot], "tenant", method.hasTenant && method.defaultTenant == ""); err != nil {
+	if c.Tenant, err = textField(message, found[tenantSlot], "tenant", method.hasTenant && method.defaultTenant == ""); err != nil {
 		return nil, err
 	}
 	if c.Tenant == "" {
 		c.Tenant = method.defaultTenant
 	}
-	if c.Key, err = text(message, found[keySlot], "key", false); err != nil {
+	if c.Key, err = textField(message, found[keySlot], "key", false); err != nil {
 		return nil, err
 	}
-	if c.Idempotency, err = idempotency(message, found[idempotencySlot]); err != nil {
+	if c.Idempotency, err = idempotencyKey(message, found[idempotencySlot]); err != nil {
 		return nil, err
 	}
 	if method.effect == choice.Keyed && !found[idempotencySlot].Found() {
@@ -137,19 +139,19 @@
 		c.Again = f.Bits != 0
 	}
 	if c.left = found[timeSlot]; c.left.Found() {
-		if c.Left, err = duration(c.left, method.timeUnit); err != nil {
+		if c.Left, err = timeLeft(c.left, method.timeUnit); err != nil {
 			return nil, err
 		}
 	}
 	return c, nil
 }
 
-// text reads a field that is a string or an integer.
-func text(message []byte, f thriftwire.Field, what string, needed bool) (string, error) {
+// textField reads a field that is a string or an integer, and checks its length and encoding.
+func textField(message []byte, f thriftwire.Field, what string, needed bool) (string, error) {
 	if !f.Found() && needed {
 		return "", refusal(thriftwire.ProtocolError, "no %s", what)
 	}
-	s, err := raw(message, f, what)
+	s, err := rawField(message, f, what)
 	switch {
 	case err != nil:
 		return "", err
@@ -163,18 +165,18 @@
 	return s, nil
 }
 
-// idempotency reads the key of a call's repeats. Its bytes are the client's matter.
-func idempotency(message []byte, f thriftwire.Field) (string, error) {
-	s, err := raw(message, f, "idempotency key")
+// idempotencyKey reads an idempotency key. Its bytes are not interpreted.
+func idempotencyKey(message []byte, f thriftwire.Field) (string, error) {
+	s, err := rawField(message, f, "idempotency key")
 	if err == nil && len(s) > MaxKey {
 		return "", refusal(thriftwire.ProtocolError, "an idempotency key of %d bytes, %d at most", len(s), MaxKey)
 	}
 	return s, err
 }
 
-// raw is a field that is a string or an integer, as it is; empty where there is none. A field lies within a frame, whose
-// length is bounded.
-func raw(message []byte, f thriftwire.Field, what string) (string, error) {
+// rawField returns the content of a field that is a string or an integer, or an empty string if there is none. It needs no length limit, because the
+// field is part of a frame, whose length is limited.
+func rawField(message []byte, f thriftwire.Field, what string) (string, error) {
 	switch {
 	case !f.Found():
 		return "", nil
@@ -186,8 +188,8 @@
 	return string(f.Bytes(message)), nil
 }
 
-// duration reads a time that is left: more than none, and no more than can be counted.
-func duration(f thriftwire.Field, unit time.Duration) (time.Duration, error) {
+// timeLeft reads a remaining time, which must be positive. It is capped at 24 hours.
+func timeLeft(f thriftwire.Field, unit time.Duration) (time.Duration, error) {
 	if !f.Type.Integer() && f.Type != thriftwire.Double {
 		return 0, refusal(thriftwire.ProtocolError, "the time left is of type %d", f.Type)
 	}
@@ -199,8 +201,8 @@
 	return time.Duration(min(x*float64(unit), float64(longest))), nil
 }
 
-// Frame words the call for a server, as a frame: with a sequence id of the agent's own and with the time that is left
-// now. All else is as the client sent it.
+// AppendRequest appends the call as a frame for a server, with the agent's own sequence id and the time that remains now. Everything else is as
+// the client sent it.
 func (c *Call) Frame(to []byte, seq int32, left time.Duration) []byte {
 	var seqBytes, leftBytes [10]byte
 	edits := make([]thriftwire.Edit, 0, 2)
@@ -220,46 +222,46 @@
 	return thriftwire.AppendFrame(to, c.Message, edits...)
 }
 
-// Reply is a server's reply that answers a client.
+// Reply is a server's reply that is passed on to the client.
 type Reply struct {
 	Head    thriftwire.Head
 	Message []byte
 }
 
-// Outcome is what a server's reply says of an attempt.
+// Outcome is the meaning of a server's reply for an attempt.
 type Outcome struct {
 	Result choice.Result
 	Report choice.Report
 
-	ShapeUnknown bool // the server does not know the shape of the call, which never ran
+	ShapeUnknown bool // the server does not know the call's shape; the call was not executed
 }
 
-// exceptionKind is where an application exception has its type (thrift-rpc.md, "Exceptions").
+// exceptionKind finds the type of an application exception (thrift-rpc.md, "Exceptions").
 var exceptionKind, _ = thriftwire.NewPlan(4, "2")
 
-// errReply is why a message is no reply to a call.
-var errReply = errors.New("no reply to this call")
+// errReply means that a message is not a reply to the call.
+var errReply = errors.New("not a reply to this call")
 
-// ReadReply reads a server's reply to the call, which was sent with a sequence id. An error says that it is none, or
-// that nobody can tell what it says.
+// ReadReply decodes a server's reply to the call, which was sent with the sequence id seq. It returns an error if the message is not a reply to the
+// call or is malformed.
 func (c *Call) ReadReply(h thriftwire.Head, message []byte, seq int32) (Outcome, error) {
 	out := Outcome{Result: choice.Failed, Report: choice.NoReport}
 	switch {
 	case h.Encoding != c.Head.Encoding:
 		return out, fmt.Errorf("%w: %s encoding", errReply, h.Encoding)
 	case h.Seq != seq:
-		return out, fmt.Errorf("%w: sequence id %d, sent was %d", errReply, h.Seq, seq)
+		return out, fmt.Errorf("%w: sequence id %d, want %d", errReply, h.Seq, seq)
 	case string(h.Name(message)) != c.Method.Name:
 		return out, fmt.Errorf("%w: method %q", errReply, h.Name(message))
 	case h.Type != thriftwire.Reply && h.Type != thriftwire.Exception:
 		return out, fmt.Errorf("%w: message type %d", errReply, h.Type)
 	}
-	var found [mostSlots]thriftwire.Field
+	var found [maxSlots]thriftwire.Field
 	if err := c.Method.result.Scan(h, message, found[:]); err != nil {
 		return out, err
 	}
 	if h.Type == thriftwire.Exception {
-		// It may have run, whatever the exception says, but where the call's shape has a word for not being known.
+		// The call may have been executed whatever the exception says, unless it is the one that the call's shape defines for an unknown shape.
 		var kind [1]thriftwire.Field
 		if c.Unknown != 0 && exceptionKind.Scan(h, message, kind[:]) == nil && kind[0].Type == thriftwire.I32 && kind[0].Int() == int64(c.Unknown) {
 			out.Result, out.ShapeUnknown = choice.Rejected, true
@@ -268,7 +270,7 @@
 	}
 	m := c.Method
 	out.Report = m.report(found[m.loadSlot:])
-	// A void method's success is the empty struct: one byte. Any other field is an exception.
+	// The success of a void method is an empty struct, which is one byte. Any other field is an exception.
 	served := found[successSlot].Found() || m.void && h.Struct+1 == len(message)
 	for i := range m.answers {
 		served = served || found[resultSlots+i].Found()
@@ -285,7 +287,7 @@
 	return out, nil
 }
 
-// report reads the load that a reply states; figures that can't be true make it none.
+// report reads the load that a reply reports. If a figure is implausible, there is no report.
 func (m *Method) report(found []thriftwire.Field) choice.Report {
 	for i := range m.loads {
 		report, any := choice.NoReport, false
@@ -306,14 +308,14 @@
 	return choice.NoReport
 }
 
-// Served words a server's reply for the client: with the sequence id that the client sent, byte for byte.
+// AppendReply appends a server's reply as a frame for the client, with the bytes of the client's sequence id.
 func (c *Call) Served(to []byte, r *Reply) []byte {
 	return thriftwire.AppendFrame(to, r.Message, thriftwire.Edit{At: int32(r.Head.SeqAt), End: int32(r.Head.SeqEnd),
 		With: c.Head.RawSeq(c.Message)})
 }
 
-// Refused words a refusal: the declared exception with the time to come back, or an application exception for a
-// method that declares none.
+// AppendRefusal appends a refusal as a frame: the declared exception with the time after which to retry, or an application exception if the
+// method declares none.
 func (c *Call) Refused(to []byte, after time.Duration) []byte {
 	m := c.Method
 	if m.refusedField == 0 {
@@ -330,7 +332,7 @@
 	})
 }
 
-// Failed words a failure: the declared exception, or an application exception for a method that declares none.
+// AppendFailure appends a failure as a frame: the declared exception, or an application exception if the method declares none.
 func (c *Call) Failed(to []byte, reason string) []byte {
 	m := c.Method
 	if m.failedField == 0 {
@@ -347,12 +349,12 @@
 	})
 }
 
-// Application words an application exception that answers the call.
+// AppendException appends an application exception as a frame that answers the call.
 func (c *Call) Application(to []byte, kind int32, text string) []byte {
 	return Application(to, c.Head, c.Message, kind, text)
 }
 
-// Application words an application exception that answers a message whose head was read.
+// AppendException appends an application exception as a frame that answers a message with this head.
 func Application(to []byte, h thriftwire.Head, message []byte, kind int32, text string) []byte {
 	w := thriftwire.Writer{Encoding: h.Encoding}
 	w.Application(h.Name(message), h.RawSeq(message), kind, text)
--- a/internal/thrift/thriftmap/call_test.go
+++ b/internal/thrift/thriftmap/call_test.go
@@ -10,8 +10,8 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// vendor is another vendor's service: no correlation id, the time in seconds as a double, an id that is a number, the
-// fields spread over the arguments, exceptions of its own with the time to come back in seconds.
+// vendor configures another vendor's service: no correlation id, the time in seconds as a double, a numeric key, header fields spread over the
+// arguments, and its own exceptions with the retry time in seconds.
 const vendor = `
 listen = "127.0.0.1:0"
 [methods.Submit]
@@ -79,8 +79,8 @@
 	return c
 }
 
-// Another vendor's IDL fits by configuration alone, and what goes on to a server differs in the sequence id and the
-// time left only.
+// Another vendor's IDL is supported by configuration alone, and the frame for a server differs from the client's only in the sequence id and the
+// remaining time.
 func TestAnotherVendorsService(t *testing.T) {
 	m := parse(t)
 	for _, e := range encodings {
@@ -91,9 +91,9 @@
 		frame := c.Frame(nil, 5, 250*time.Millisecond)
 		on := read(t, m, frame[4:])
 		if on.Head.Seq != 5 || on.Left != 250*time.Millisecond || on.Key != c.Key {
-			t.Errorf("%v: goes on as %+v", e, on)
+			t.Errorf("%v: forwarded as %+v", e, on)
 		}
-		// With the old values put back it is the old message.
+		// Restoring the old values restores the original message.
 		back := on.Frame(nil, 77, 1500*time.Millisecond)
 		if !bytes.Equal(back[4:], c.Message) {
 			t.Errorf("%v: % x\nbecame % x", e, c.Message, back[4:])
@@ -101,7 +101,7 @@
 	}
 }
 
-// result words a reply to Submit, or to Reset.
+// result encodes a reply to Submit or Reset.
 func result(e thriftwire.Encoding, name string, kind thriftwire.MessageType, seq int32, fields func(*thriftwire.Writer)) []byte {
 	w := thriftwire.Writer{Encoding: e}
 	w.Head(kind, []byte(name), thriftwire.AppendSeq(nil, e, seq))
@@ -110,7 +110,7 @@
 	return w.Buf
 }
 
-// Only what a reply says outright counts: served, or never ran; anything else may have run.
+// A call counts as served, or as never executed, only if the reply says so explicitly. Otherwise it may have been executed.
 func TestReplies(t *testing.T) {
 	m := parse(t)
 	open := func(id int16, more ...func(*thriftwire.Writer)) func(*thriftwire.Writer) {
@@ -142,15 +142,15 @@
 			"success":                  {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(0)), choice.OK, false},
 			"answering exception":      {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(4)), choice.OK, false},
 			"refusal":                  {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(3)), choice.Failed, false},
-			"refusal that never ran":   {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(3, flag(1))), choice.Rejected, false},
-			"refusal that says no":     {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(3, flag(0))), choice.Failed, false},
+			"refusal, not executed":    {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(3, flag(1))), choice.Rejected, false},
+			"refusal, executed":        {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(3, flag(0))), choice.Failed, false},
 			"unknown exception":        {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(6)), choice.Failed, false},
-			"nothing at all":           {"Submit", result(e, "Submit", thriftwire.Reply, 5, nothing), choice.Failed, false},
+			"empty struct":             {"Submit", result(e, "Submit", thriftwire.Reply, 5, nothing), choice.Failed, false},
 			"application exception":    {"Submit", result(e, "Submit", thriftwire.Exception, 5, nothing), choice.Failed, false},
 			"shape not known":          {"Shaped", result(e, "Submit", thriftwire.Exception, 5, func(w *thriftwire.Writer) { w.Int(2, thriftwire.I32, 1) }), choice.Rejected, false},
 			"another exception":        {"Shaped", result(e, "Submit", thriftwire.Exception, 5, func(w *thriftwire.Writer) { w.Int(2, thriftwire.I32, 6) }), choice.Failed, false},
-			"of another type":          {"Shaped", result(e, "Submit", thriftwire.Exception, 5, func(w *thriftwire.Writer) { w.Int(2, thriftwire.I16, 1) }), choice.Failed, false},
-			"no shape to be unknown":   {"Submit", result(e, "Submit", thriftwire.Exception, 5, func(w *thriftwire.Writer) { w.Int(2, thriftwire.I32, 1) }), choice.Failed, false},
+			"type of another width":    {"Shaped", result(e, "Submit", thriftwire.Exception, 5, func(w *thriftwire.Writer) { w.Int(2, thriftwire.I16, 1) }), choice.Failed, false},
+			"call without a shape":     {"Submit", result(e, "Submit", thriftwire.Exception, 5, func(w *thriftwire.Writer) { w.Int(2, thriftwire.I32, 1) }), choice.Failed, false},
 			"void":                     {"Reset", result(e, "Reset", thriftwire.Reply, 5, nothing), choice.OK, false},
 			"void's unknown exception": {"Reset", result(e, "Reset", thriftwire.Reply, 5, open(2)), choice.Failed, false},
 			"other sequence id":        {"Submit", result(e, "Submit", thriftwire.Reply, 6, open(0)), 0, true},
@@ -191,7 +191,7 @@
 	}
 }
 
-// The times that a client is told are rounded up: none is sooner than the module says.
+// Retry times sent to a client are rounded up, so that none is earlier than the module requires.
 func TestRefusalRoundsUp(t *testing.T) {
 	m := parse(t)
 	for _, e := range encodings {
@@ -205,7 +205,7 @@
 		if err := plan.Scan(h, frame[4:], found[:]); err != nil || found[0].Int() != 2 || h.Seq != 77 || h.Type != thriftwire.Reply {
 			t.Errorf("%v: %+v, %v", e, found, err)
 		}
-		// A method that declares no such exception is answered another.
+		// A method that declares no exception is answered with an application exception.
 		frame = read(t, m, submit(e)).Failed(nil, "failed")
 		if h, err := thriftwire.ReadHead(frame[4:]); err != nil || h.Type != thriftwire.Exception || h.Seq != 77 {
 			t.Errorf("%v: %+v, %v", e, h, err)
--- a/internal/thrift/thriftmap/file.go
+++ b/internal/thrift/thriftmap/file.go
@@ -1,6 +1,5 @@
-// Package thriftmap says what the messages of a Thrift service mean to the agent: which class a method belongs to,
-// which fields hold what the core needs to know of a call, and how a reply says how it ended. All of that is
-// configuration, so that any IDL fits. The package does no I/O.
+// Package thriftmap interprets the messages of a Thrift service by configuration: the class of each method, the fields that hold what the core needs
+// to know about a call, and how a reply shows its outcome. It works for any IDL and does no I/O.
 package thriftmap
 
 import (
@@ -14,7 +13,7 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// file is the configuration as it is written.
+// file is the configuration file.
 type file struct {
 	Listen           string            `toml:"listen"`
 	MaxFrameBytes    *int              `toml:"max_frame_bytes"`
@@ -75,27 +74,27 @@
 	Load    *load    `toml:"load"`
 }
 
-// Map is a configuration that was read.
+// Map is a parsed configuration. It is safe for concurrent use.
 type Map struct {
-	Listen       string
-	MaxFrame     int // bytes
-	MaxCalls     int // that one client connection may have under way
-	ServerCalls  int // that one connection to a multiplexed server may have under way
-	AnyOrder     bool
-	IdleTimeout  time.Duration
-	FrameTimeout time.Duration
+	Listen       string        // address that clients connect to
+	MaxFrame     int           // maximum size of a frame in bytes
+	MaxCalls     int           // maximum calls in flight per client connection
+	ServerCalls  int           // maximum calls in flight per connection to a multiplexed server
+	AnyOrder     bool          // replies to a client may be sent in any order
+	IdleTimeout  time.Duration // after which an idle client connection is closed
+	FrameTimeout time.Duration // from the first to the last byte of a client's frame
 	methods      map[string]*Method
 }
 
-// Bounds of the figures, and what they are where the file is silent.
+// Limits and defaults of the configuration's numbers. Frame sizes are in bytes, timeouts in milliseconds.
 const (
-	leastFrame, defaultFrame, mostFrame    = 64, 64 << 10, 16 << 20
-	defaultDepth                           = 32
-	defaultCalls, mostCalls                = 64, 4096
-	defaultServerCalls, mostServerCalls    = 256, 4096
-	defaultIdle, mostIdle                  = 300_000, 86_400_000
-	defaultFrameTimeout, mostFrameTimeout  = 2500, 60_000
-	mostMethods, mostAnswers, mostReported = 1024, 16, 8
+	minFrame, defaultFrame, maxFrame      = 64, 64 << 10, 16 << 20
+	defaultDepth                          = 32
+	defaultCalls, maxCalls                = 64, 4096
+	defaultServerCalls, maxServerCalls    = 256, 4096
+	defaultIdle, maxIdle                  = 300_000, 86_400_000
+	defaultFrameTimeout, maxFrameTimeout  = 2500, 60_000
+	maxMethods, maxAnswers, maxLoadPlaces = 1024, 16, 8
 )
 
 var units = map[string]time.Duration{"": time.Millisecond, "ms": time.Millisecond, "s": time.Second,
@@ -104,20 +103,20 @@
 var integers = map[string]thriftwire.Type{"": thriftwire.I32, "i16": thriftwire.I16, "i32": thriftwire.I32,
 	"i64": thriftwire.I64}
 
-// Parse reads a configuration. Its classes are those of the settings; without any, their names are not checked. The
-// error names every problem, by line and key.
+// Parse parses a configuration. classes are those of the settings; if nil, class names are not checked. The error lists every problem with its line
+// and key.
 func Parse(text []byte, classes []choice.Class) (*Map, error) {
 	var in file
 	f := conffile.Read(text, &in)
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	number := func(key string, given *int, usual, least, most int) int {
+	number := func(key string, given *int, defaultValue, low, high int) int {
 		if given == nil {
-			return usual
+			return defaultValue
 		}
-		if *given < least || *given > most {
-			f.Problem(key, "%d, %d to %d is possible", *given, least, most)
+		if *given < low || *given > high {
+			f.Problem(key, "%d is out of range, must be %d to %d", *given, low, high)
 		}
 		return *given
 	}
@@ -125,25 +124,25 @@
 	if _, _, err := net.SplitHostPort(in.Listen); err != nil {
 		f.Problem("listen", "%v", err)
 	}
-	m.MaxFrame = number("max_frame_bytes", in.MaxFrameBytes, defaultFrame, leastFrame, mostFrame)
+	m.MaxFrame = number("max_frame_bytes", in.MaxFrameBytes, defaultFrame, minFrame, maxFrame)
 	depth := number("max_depth", in.MaxDepth, defaultDepth, 2, thriftwire.MostDepth)
-	m.MaxCalls = number("max_calls_per_connection", in.MaxCalls, defaultCalls, 1, mostCalls)
-	m.ServerCalls = number("max_calls_per_server_connection", in.MultiplexedCalls, defaultServerCalls, 1, mostServerCalls)
-	m.IdleTimeout = time.Duration(number("idle_timeout_ms", in.IdleTimeoutMS, defaultIdle, 1, mostIdle)) * time.Millisecond
+	m.MaxCalls = number("max_calls_per_connection", in.MaxCalls, defaultCalls, 1, maxCalls)
+	m.ServerCalls = number("max_calls_per_server_connection", in.MultiplexedCalls, defaultServerCalls, 1, maxServerCalls)
+	m.IdleTimeout = time.Duration(number("idle_timeout_ms", in.IdleTimeoutMS, defaultIdle, 1, maxIdle)) * time.Millisecond
 	m.FrameTimeout = time.Duration(number("frame_timeout_ms", in.FrameTimeoutMS, defaultFrameTimeout, 1,
-		mostFrameTimeout)) * time.Millisecond
+		maxFrameTimeout)) * time.Millisecond
 	switch in.Replies {
 	case "", "in-order":
 	case "any-order":
 		m.AnyOrder = true
 	default:
-		f.Problem("replies", "%q, in-order or any-order is possible", in.Replies)
+		f.Problem("replies", "%q, must be in-order or any-order", in.Replies)
 	}
 	if len(in.Methods) == 0 {
-		f.Problem("methods", "no method is named")
+		f.Problem("methods", "no method is configured")
 	}
-	if len(in.Methods) > mostMethods {
-		f.Problem("methods", "%d methods, %d at most", len(in.Methods), mostMethods)
+	if len(in.Methods) > maxMethods {
+		f.Problem("methods", "%d methods, %d at most", len(in.Methods), maxMethods)
 	}
 	if f.Err() != nil {
 		return nil, f.Err()
@@ -166,7 +165,7 @@
 	return m, nil
 }
 
-// pick returns the method's own table, or the one for all, or an empty one, and where it stands.
+// pick returns the method's own table, or else the table for all methods, or else an empty one, and the key of the table.
 func pick[T any](own, all *T, method, name string) (T, string) {
 	switch {
 	case own != nil:
@@ -178,7 +177,7 @@
 	return none, name
 }
 
-// compiler turns one method's tables into a Method.
+// compiler converts one method's tables to a Method.
 type compiler struct {
 	file                                      *conffile.File
 	method                                    string
@@ -197,12 +196,12 @@
 	m.Class = slices.IndexFunc(classes, func(class choice.Class) bool { return class.Name == c.given.Class })
 	switch {
 	case c.given.Class == "":
-		c.file.Problem(c.method+".class", "no class is named")
+		c.file.Problem(c.method+".class", "no class is given")
 	case classes != nil && m.Class < 0:
 		c.file.Problem(c.method+".class", "the settings know no class %q", c.given.Class)
 	case classes != nil:
 		if m.effect = classes[m.Class].Effect; m.effect == choice.Keyed && c.header.IdempotencyKey == "" {
-			c.file.Problem(c.headerKey+".idempotency_key", "class %q is keyed, so that %s needs one", c.given.Class, name)
+			c.file.Problem(c.headerKey+".idempotency_key", "class %q is keyed, so %s needs one", c.given.Class, name)
 		}
 	}
 	if c.header.Tenant == "" && c.header.DefaultTenant == "" {
@@ -210,14 +209,14 @@
 	}
 	var ok bool
 	if m.timeUnit, ok = units[c.header.TimeLeftUnit]; !ok {
-		c.file.Problem(c.headerKey+".time_left_unit", "%q, ns, us, ms or s is possible", c.header.TimeLeftUnit)
+		c.file.Problem(c.headerKey+".time_left_unit", "%q, must be ns, us, ms or s", c.header.TimeLeftUnit)
 	}
 	if c.given.Oneway && (c.given.Void || len(c.given.Answers) > 0 || c.given.Refused != nil || c.given.Failed != nil ||
 		c.given.Load != nil) {
-		c.file.Problem(c.method+".oneway", "there is no reply that anything could be said of")
+		c.file.Problem(c.method+".oneway", "a oneway method has no reply, so its reply can't be configured")
 	}
-	if len(c.given.Answers) > mostAnswers {
-		c.file.Problem(c.method+".answers", "%d fields, %d at most", len(c.given.Answers), mostAnswers)
+	if len(c.given.Answers) > maxAnswers {
+		c.file.Problem(c.method+".answers", "%d fields, %d at most", len(c.given.Answers), maxAnswers)
 	}
 	m.args = c.plan(c.headerKey, argSlots, c.header.CorrelationID, c.header.Tenant, c.header.Key, c.header.IdempotencyKey,
 		c.header.TimeLeft, c.header.Repeat)
@@ -232,13 +231,13 @@
 // argNames are the keys of the fields in a call, in the order of their slots.
 var argNames = [argSlots]string{"correlation_id", "tenant", "key", "idempotency_key", "time_left", "repeat"}
 
-// plan makes a plan and complains of the path at fault.
+// plan returns a plan for the paths, or nil after reporting the invalid path.
 func (c *compiler) plan(key string, slots int, paths ...string) *thriftwire.Plan {
 	p, err := thriftwire.NewPlan(c.depth, paths...)
 	if err == nil {
 		return p
 	}
-	for i, path := range paths { // which one it is
+	for i, path := range paths { // find the invalid one
 		if _, err := thriftwire.NewPlan(c.depth, path); err != nil {
 			if slots == argSlots {
 				c.file.Problem(key+"."+argNames[i], "%v", err)
@@ -252,14 +251,14 @@
 	return nil
 }
 
-// result compiles what a reply says.
+// result compiles the configuration of a method's reply.
 func (c *compiler) result(m *Method) {
 	var ok bool
 	if m.retryUnit, ok = units[c.refused.RetryAfterUnit]; !ok {
-		c.file.Problem(c.refusedKey+".retry_after_unit", "%q, ns, us, ms or s is possible", c.refused.RetryAfterUnit)
+		c.file.Problem(c.refusedKey+".retry_after_unit", "%q, must be ns, us, ms or s", c.refused.RetryAfterUnit)
 	}
 	if m.retryType, ok = integers[c.refused.RetryAfterType]; !ok {
-		c.file.Problem(c.refusedKey+".retry_after_type", "%q, i16, i32 or i64 is possible", c.refused.RetryAfterType)
+		c.file.Problem(c.refusedKey+".retry_after_type", "%q, must be i16, i32 or i64", c.refused.RetryAfterType)
 	}
 	m.refusedField, m.retryField = c.refused.Field, c.refused.RetryAfter
 	m.failedField, m.reasonField = c.failed.Field, c.failed.Reason
@@ -269,7 +268,7 @@
 			return
 		}
 		if before, ok := taken[id]; ok {
-			c.file.Problem(key, "field %d is %s already", id, before)
+			c.file.Problem(key, "field %d is already %s", id, before)
 		}
 		taken[id] = what
 	}
@@ -277,12 +276,12 @@
 	claim(m.failedField, c.failedKey+".field", "the failure")
 	for _, id := range m.answers {
 		if id == 0 {
-			c.file.Problem(c.method+".answers", "field 0 is the success anyway")
+			c.file.Problem(c.method+".answers", "field 0 is always the success")
 		}
 		claim(id, c.method+".answers", "an answer")
 	}
 	if m.refusedField == 0 && (m.retryField != 0 || c.refused.Unprocessed != "") {
-		c.file.Problem(c.refusedKey+".field", "which field of the result holds the refusal must be given")
+		c.file.Problem(c.refusedKey+".field", "the field of the result that holds the refusal is missing")
 	}
 	paths := []string{successSlot: "0", refusedSlot: fieldPath(m.refusedField), unprocessedSlot: "",
 		failedSlot: fieldPath(m.failedField)}
@@ -293,12 +292,12 @@
 		paths = append(paths, fieldPath(id))
 	}
 	m.loadSlot = len(paths)
-	if m.loads = len(c.load.At); m.loads > mostReported {
-		c.file.Problem(c.loadKey+".at", "%d places, %d at most", m.loads, mostReported)
+	if m.loads = len(c.load.At); m.loads > maxLoadPlaces {
+		c.file.Problem(c.loadKey+".at", "%d places, %d at most", m.loads, maxLoadPlaces)
 	}
 	for i, at := range c.load.At {
 		if _, err := thriftwire.NewPlan(c.depth, at); err != nil || at == "" {
-			c.file.Problem(c.loadKey+".at", "place %d, %q: it is no field", i+1, at)
+			c.file.Problem(c.loadKey+".at", "place %d, %q: not a field path", i+1, at)
 		}
 		for _, id := range []int16{c.load.Util, c.load.QPS, c.load.EPS, c.load.InFlight, c.load.Queue} {
 			if id == 0 {
@@ -320,5 +319,5 @@
 	return strconv.Itoa(int(id))
 }
 
-// Method returns what is known of a method, or nil.
+// Method returns the configuration of a method, or nil if it has none.
 func (m *Map) Method(name []byte) *Method { return m.methods[string(name)] }
--- a/internal/thrift/thriftmap/file_test.go
+++ b/internal/thrift/thriftmap/file_test.go
@@ -26,11 +26,11 @@
 		t.Errorf("%+v", r)
 	}
 	if m.Method([]byte("dance")) != nil {
-		t.Error("a method that is not named is known")
+		t.Error("found a method that is not configured")
 	}
 }
 
-// What is silent is ample, as the sample says.
+// The defaults equal the values in the sample, which the sample states.
 func TestDefaults(t *testing.T) {
 	short, err := Parse([]byte("listen = \"127.0.0.1:0\"\n[header]\ndefault_tenant = \"x\"\n[methods.f]\nclass = \"pay-out\"\n"), classes)
 	if err != nil {
@@ -43,14 +43,14 @@
 	}
 }
 
-// Every complaint names its line and key.
+// Every problem is reported with its line and key.
 func TestProblems(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`listen = "127.0.0.1:9090"`, `listen = "nowhere"`, "line 9: listen: "},
 		{`listen = "127.0.0.1:9090"`, ``, "line 1: listen: "},
 		{`listen = "127.0.0.1:9090"`, `listen = 9090`, "line 9: listen: "},
 		{`listen = "127.0.0.1:9090"`, `listen = "a:1`, "line 9: column "},
-		{`max_depth = 32`, `max_depth = 1`, "line 13: max_depth: 1, 2 to 256 is possible"},
+		{`max_depth = 32`, `max_depth = 1`, "line 13: max_depth: 1 is out of range, must be 2 to 256"},
 		{`max_depth = 32`, `max_deep = 32`, "line 13: max_deep: no such key"},
 		{`max_frame_bytes = 65536`, `max_frame_bytes = 17000000`, "line 12: max_frame_bytes: "},
 		{`max_calls_per_connection = 64`, `max_calls_per_connection = 0`, "line 14: max_calls_per_connection: "},
@@ -62,14 +62,14 @@
 		{`time_left_unit = "ms"`, `time_left_unit = "min"`, "line 31: header.time_left_unit: "},
 		{`idempotency_key = "1.4"`, ``, "line 25: header.idempotency_key: class \"refund-record\" is keyed"},
 		{`retry_after_type = "i32"`, `retry_after_type = "u8"`, "line 39: refused.retry_after_type: "},
-		{"[refused]\nfield = 1", "[refused]\nfield = 2", "failed.field: field 2 is the refusal already"},
-		{"[refused]\nfield = 1", "[refused]\nfield = 0", "refused.field: which field"},
+		{"[refused]\nfield = 1", "[refused]\nfield = 2", "failed.field: field 2 is already the refusal"},
+		{"[refused]\nfield = 1", "[refused]\nfield = 0", "refused.field: the field of the result"},
 		{`unprocessed = "2"`, `unprocessed = "x"`, "methods."},
 		{`at = ["0.2", "1.3", "2.2"]`, `at = ["0.2", "report"]`, "load.at: place 2"},
 		{`class = "pay-out"`, `class = "pay"`, `methods.payOut.class: the settings know no class "pay"`},
-		{`class = "pay-out"`, ``, "methods.payOut.class: no class is named"},
+		{`class = "pay-out"`, ``, "methods.payOut.class: no class is given"},
 		{"oneway = true", "oneway = true\nvoid = true", "methods.note.oneway: "},
-		{`class = "pay-out"`, "class = \"pay-out\"\nanswers = [1]", "methods.payOut.answers: field 1 is the refusal already"},
+		{`class = "pay-out"`, "class = \"pay-out\"\nanswers = [1]", "methods.payOut.answers: field 1 is already the refusal"},
 		{`class = "pay-out"`, "class = \"pay-out\"\nanswers = [0]", "methods.payOut.answers: field 0"},
 		{`class = "pay-out"`, "class = \"pay-out\"\nheader.tenant = \"x.1\"", "methods.payOut.header.tenant: "},
 	} {
