--- a/internal/thrift/thriftwire/bench_test.go
+++ b/internal/thrift/thriftwire/bench_test.go
@@ -11,13 +11,13 @@
 	"ternbeam/internal/lab/formapi"
 )
 
-// benchCall is a formCheck as a kiosk sends it, with a form of so many bytes.
+// benchCall returns a formCheck call as a kiosk sends it, with a form of size bytes.
 func benchCall(b *testing.B, e Encoding, size int) []byte {
 	key, left := "7f3a9c21e0b4d655", int64(4800)
 	args := &formapi.FormServiceFormCheckArgs{Header: &formapi.Header{CorrelationId: "9b1f03aa5c7e2d41", Tenant: "leith",
 		Key: &key, TimeLeftMs: &left}, Form: []byte(strings.Repeat("x", size))}
 	ctx, buf := context.Background(), thrift.NewTMemoryBuffer()
-	p := apache(e, buf)
+	p := apacheProtocol(e, buf)
 	p.WriteMessageBegin(ctx, "formCheck", thrift.CALL, 7)
 	if err := args.Write(ctx, p); err != nil {
 		b.Fatal(err)
@@ -26,8 +26,8 @@
 	return buf.Bytes()
 }
 
-// BenchmarkRead finds the agent's fields in a call: by the scanner, and as baselines by the Apache library's generated
-// reader and by its Skip, which finds nothing.
+// BenchmarkRead measures finding the agent's fields in a call with the scanner. The baselines are the Apache library's generated reader, and its
+// Skip, which extracts no fields.
 func BenchmarkRead(b *testing.B) {
 	plan := newPlan(b, 32, "1.1", "1.2", "1.3", "1.4", "1.5", "1.6")
 	for _, e := range encodings {
@@ -53,7 +53,7 @@
 				return err
 			})
 			ctx, buf := context.Background(), thrift.NewTMemoryBuffer()
-			p := apache(e, buf)
+			p := apacheProtocol(e, buf)
 			begin := func() error {
 				buf.Reset()
 				buf.Write(m)
--- a/internal/thrift/thriftwire/fuzz_test.go
+++ b/internal/thrift/thriftwire/fuzz_test.go
@@ -9,13 +9,12 @@
 	"github.com/apache/thrift/lib/go/thrift"
 )
 
-// fuzz gives a scanner messages of an encoding. It must not panic, every error must be ErrMalformed, and what it
-// takes the Apache library must take too, and end at the same byte: a looser reading here would let a message pass
-// that its server reads otherwise.
+// fuzz runs the scanner on messages in an encoding. It must not panic, and every error must be ErrMalformed. The Apache library must accept every
+// message that the scanner accepts and end at the same byte, because otherwise the agent could forward a message that a server reads differently.
 func fuzz(f *testing.F, e Encoding) {
 	for seed := range uint64(8) {
 		r := rand.New(rand.NewPCG(seed, 2))
-		f.Add(written(f, e, "formCheck", thrift.CALL, int32(seed), func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) }))
+		f.Add(writeWithApache(f, e, "formCheck", thrift.CALL, int32(seed), func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) }))
 	}
 	for _, m := range malformedMessages {
 		f.Add([]byte(m))
@@ -43,10 +42,10 @@
 		}
 		ctx, buf := context.Background(), thrift.NewTMemoryBuffer()
 		buf.Write(m)
-		p := apache(e, buf)
+		p := apacheProtocol(e, buf)
 		name, _, seq, err := p.ReadMessageBegin(ctx)
 		if err != nil || name != string(h.Name(m)) || seq != h.Seq {
-			t.Fatalf("head %q %d, and by the Apache library %q %d, %v", h.Name(m), h.Seq, name, seq, err)
+			t.Fatalf("read head %q %d, the Apache library read %q %d, %v", h.Name(m), h.Seq, name, seq, err)
 		}
 		if err := thrift.SkipDefaultDepth(ctx, p, thrift.STRUCT); err != nil || buf.Len() != 0 {
 			t.Fatalf("the Apache library: %v, %d bytes left", err, buf.Len())
--- a/internal/thrift/thriftwire/plan.go
+++ b/internal/thrift/thriftwire/plan.go
@@ -6,40 +6,41 @@
 	"strings"
 )
 
-// Plan says which fields of a message are looked for, by their numbers.
+// Plan selects the fields to look for in a message, by their field ids. It is safe for concurrent use after Strict.
 type Plan struct {
-	nodes    []node // of the structs on the way; the first is the message's own
+	nodes    []node // one for each struct on the paths; the first is the message's struct
 	slots    int
 	maxDepth int
 	strict   bool
 }
 
-// Strict has Scan refuse a message that holds fields which are not asked for, with ErrUnasked.
+// Strict makes Scan reject a message that contains fields outside the plan, with ErrUnknownField.
 func (p *Plan) Strict() { p.strict = true }
 
-// node is what is looked for in one struct. Small numbers are found at once, as nearly all are small.
+// node lists the fields to look for in one struct. Small field ids are looked up in an array, as nearly all ids are small.
 type node struct {
 	wants []want
-	small [32]uint8 // by number: the place in wants, from 1; 0 for none
+	small [32]uint8 // by field id: the index in wants plus 1; 0 for none
 }
 
+// want is a field to look for.
 type want struct {
 	id    int16
-	slot  int // where the field goes; -1 where it only holds others
-	child int // the node of what it holds; -1 for nothing
+	slot  int // index of the field in Scan's result; -1 if only fields within it are looked for
+	child int // the node for the fields within it; -1 for none
 }
 
-// mostWants bounds the fields of one struct that are looked for.
-const mostWants = 255
+// maxFields limits the fields to look for in one struct, as node.small holds indexes in a byte.
+const maxFields = 255
 
-// MostDepth bounds how deep a plan may let values nest.
+// MaxDepth is the largest nesting depth that a plan may allow.
 const MostDepth = 256
 
-// NewPlan returns a Plan for fields that are named by their paths, such as "1.4": field 4 of the struct in field 1 of
-// the message's struct. An empty path is a field that is never found. Values may nest maxDepth deep.
+// NewPlan returns a Plan for the fields with these paths. The path "1.4" means field 4 of the struct in field 1 of the message's struct. An empty
+// path stands for a field that is never found. Messages whose values nest deeper than maxDepth are malformed.
 func NewPlan(maxDepth int, paths ...string) (*Plan, error) {
 	if maxDepth < 1 || maxDepth > MostDepth {
-		return nil, fmt.Errorf("depth %d, 1 to %d is possible", maxDepth, MostDepth)
+		return nil, fmt.Errorf("depth %d is out of range, must be 1 to %d", maxDepth, MostDepth)
 	}
 	p := &Plan{nodes: make([]node, 1), slots: len(paths), maxDepth: maxDepth}
 	for slot, path := range paths {
@@ -56,18 +57,18 @@
 func (p *Plan) add(path string, slot int) error {
 	at, parts := 0, strings.Split(path, ".")
 	if len(parts) >= p.maxDepth {
-		return fmt.Errorf("deeper than %d", p.maxDepth)
+		return fmt.Errorf("deeper than the limit of %d", p.maxDepth)
 	}
 	for i, part := range parts {
 		id, err := strconv.ParseInt(part, 10, 16)
 		if err != nil {
-			return fmt.Errorf("%q is no field number", part)
+			return fmt.Errorf("%q is not a field id", part)
 		}
 		w := p.want(at, int16(id))
 		if w == nil {
 			n := &p.nodes[at]
-			if len(n.wants) == mostWants {
-				return fmt.Errorf("more than %d fields of one struct", mostWants)
+			if len(n.wants) == maxFields {
+				return fmt.Errorf("more than %d fields of one struct", maxFields)
 			}
 			n.wants = append(n.wants, want{id: int16(id), slot: -1, child: -1})
 			if id >= 0 && int(id) < len(n.small) {
@@ -77,7 +78,7 @@
 		}
 		if i == len(parts)-1 {
 			if w.slot >= 0 {
-				return fmt.Errorf("asked for twice")
+				return fmt.Errorf("given twice")
 			}
 			w.slot = slot
 			return nil
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// want returns what is looked for under a number in a node, or nil.
+// want returns the field with an id in a node, or nil if it is not looked for.
 func (p *Plan) want(at int, id int16) *want {
 	if at < 0 {
 		return nil
@@ -113,12 +114,12 @@
 	return nil
 }
 
-// Scan walks the message's struct, which must end where the message does, and fills found, which has a place for
-// each path of the plan, in their order.
+// Scan reads the message's struct, which must end where the message does, and sets found[i] to the field of the plan's path i, or to the zero Field
+// if it is absent. The length of found must be at least the number of paths. Scan allocates no memory unless it fails.
 func (p *Plan) Scan(h Head, m []byte, found []Field) error {
 	clear(found[:p.slots])
-	s := scanner{m: m, at: h.Struct, compact: h.Encoding == Compact, most: p.maxDepth, found: found, plan: p}
-	if err := s.walk(0, 1); err != nil {
+	s := scanner{m: m, at: h.Struct, compact: h.Encoding == Compact, depthLimit: p.maxDepth, found: found, plan: p}
+	if err := s.readStruct(0, 1); err != nil {
 		return err
 	}
 	if s.at != len(m) {
--- a/internal/thrift/thriftwire/thriftwire.go
+++ b/internal/thrift/thriftwire/thriftwire.go
@@ -1,7 +1,6 @@
-// Package thriftwire reads and writes Thrift messages of the strict binary and the compact protocol, as the Apache
-// Thrift documents thrift-binary-protocol.md and thrift-compact-protocol.md describe them. It walks a message once,
-// allocates nothing, finds the few fields that are asked for and leaves the rest as bytes. Every length and count in
-// a message is checked against the bytes that are there before anything is done with it.
+// Package thriftwire reads and writes Thrift messages in the strict binary and the compact protocol, as described in the Apache Thrift documents
+// thrift-binary-protocol.md and thrift-compact-protocol.md. The reader passes over a message once, without allocating memory, finds the requested
+// fields and does not decode the others. It checks every length and count against the remaining bytes before using it.
 package thriftwire
 
 import (
@@ -13,7 +12,7 @@
 	"unicode/utf8"
 )
 
-// Encoding is a protocol of Thrift's.
+// Encoding is a Thrift protocol, that is, an encoding of messages.
 type Encoding uint8
 
 // The encodings.
@@ -22,6 +21,7 @@
 	Compact
 )
 
+// String returns the encoding's name.
 func (e Encoding) String() string {
 	switch e {
 	case Binary:
@@ -32,10 +32,10 @@
 	return "unknown encoding"
 }
 
-// MessageType says what a message is.
+// MessageType is the type of a message.
 type MessageType uint8
 
-// The types of messages.
+// The message types.
 const (
 	Call      MessageType = 1
 	Reply     MessageType = 2
@@ -43,10 +43,10 @@
 	Oneway    MessageType = 4
 )
 
-// Type is the type of a value, by the binary protocol's numbers.
+// Type is the type of a value, as numbered by the binary protocol.
 type Type uint8
 
-// The types of values.
+// The value types.
 const (
 	Stop   Type = 0
 	Bool   Type = 2
@@ -55,7 +55,7 @@
 	I16    Type = 6
 	I32    Type = 8
 	I64    Type = 10
-	String Type = 11 // and binary
+	String Type = 11 // also for binary values
 	Struct Type = 12
 	Map    Type = 13
 	Set    Type = 14
@@ -63,28 +63,29 @@
 	UUID   Type = 16
 )
 
-// Kinds of application exceptions, as TApplicationException numbers them.
+// Types of application exceptions, as numbered by TApplicationException.
 const (
 	UnknownMethod = 1
-	InvalidType   = 2 // of a message
+	InvalidType   = 2 // invalid message type
 	InternalError = 6
 	ProtocolError = 7
 )
 
-// MaxName bounds a method's name, in bytes.
+// MaxName is the maximum length of a method's name, in bytes.
 const MaxName = 256
 
-// ErrMalformed is what all errors of this package are about: a message that is none.
+// ErrMalformed is wrapped by the errors for invalid messages.
 var ErrMalformed = errors.New("malformed Thrift message")
 
-// ErrUnasked says that a message holds a field that a strict Plan does not ask for.
+// ErrUnknownField means that a message contains a field that is not in a strict Plan.
 var ErrUnasked = errors.New("a field that is not known")
 
 func malformed(at int, format string, args ...any) error {
 	return fmt.Errorf("%w: byte %d: %s", ErrMalformed, at, fmt.Sprintf(format, args...))
 }
 
-// FrameLength reads the length that stands before a frame, by the framed transport (thrift-rpc.md): 4 bytes, signed.
+// FrameLength decodes the length prefix of a frame: 4 bytes, signed, in the framed transport (thrift-rpc.md). It returns an error unless the length
+// is between 1 and most.
 func FrameLength(prefix [4]byte, most int) (int, error) {
 	n := int32(binary.BigEndian.Uint32(prefix[:]))
 	switch {
@@ -96,7 +97,7 @@
 	return int(n), nil
 }
 
-// ReadFrame reads one frame. Its bound is looked at before anything is allocated.
+// ReadFrame reads one frame and returns its content. It checks the length against most before allocating memory.
 func ReadFrame(in io.Reader, most int) ([]byte, error) {
 	var prefix [4]byte
 	if _, err := io.ReadFull(in, prefix[:]); err != nil {
@@ -111,20 +112,20 @@
 	return m, err
 }
 
-// Head is what stands before a message's struct. The offsets are those in the message, without the frame's length.
+// Head is the header of a message, which precedes its struct. Offsets are relative to the message, without the frame's length prefix.
 type Head struct {
 	Encoding       Encoding
 	Type           MessageType
 	Seq            int32
-	SeqAt, SeqEnd  int // the bytes of the sequence id
-	NameAt, Struct int // where the name's bytes begin, and the struct
-	NameEnd        int
+	SeqAt, SeqEnd  int // start and end of the sequence id
+	NameAt, Struct int // start of the name, and of the struct
+	NameEnd        int // end of the name
 }
 
-// Name returns the method's name. It is part of the message.
+// Name returns the method's name as a part of the message m.
 func (h Head) Name(m []byte) []byte { return m[h.NameAt:h.NameEnd] }
 
-// RawSeq returns the sequence id as it was written.
+// RawSeq returns the encoded sequence id as a part of the message m.
 func (h Head) RawSeq(m []byte) []byte { return m[h.SeqAt:h.SeqEnd] }
 
 const (
@@ -132,7 +133,7 @@
 	compactVersion = 1
 )
 
-// ReadHead reads the head of a message of either encoding; the first byte tells which.
+// ReadHead decodes the head of a message in either encoding, which it recognizes by the first byte.
 func ReadHead(m []byte) (Head, error) {
 	s := scanner{m: m}
 	var h Head
@@ -186,26 +187,26 @@
 	return h, nil
 }
 
-// Field is a value that was found in a message.
+// Field is a value found in a message.
 type Field struct {
-	Type       Type   // Stop where it was not found
-	Start, End int32  // a string's content, or any other value as it is encoded; a compact bool has no bytes
-	Bits       uint64 // of an integer (sign-extended), a double or a bool
+	Type       Type   // Stop if the field is absent
+	Start, End int32  // range of a string's content, or of any other encoded value; empty for a bool field in the compact protocol
+	Bits       uint64 // value of an integer (sign-extended), a double (IEEE 754) or a bool (0 or 1)
 }
 
-// Found reports whether the message holds the field.
+// Found reports whether the message contains the field.
 func (f Field) Found() bool { return f.Type != Stop }
 
-// Bytes returns the content of a string.
+// Bytes returns the content of a string as a part of the message m.
 func (f Field) Bytes(m []byte) []byte { return m[f.Start:f.End] }
 
-// Int returns an integer.
+// Int returns the value of an integer field.
 func (f Field) Int() int64 { return int64(f.Bits) }
 
-// True reports whether the field is a bool that is true.
+// True reports whether the field is a bool with the value true.
 func (f Field) True() bool { return f.Type == Bool && f.Bits != 0 }
 
-// Float returns a double, or an integer as one.
+// Float returns the value of a double field, or of an integer field as a float64.
 func (f Field) Float() float64 {
 	if f.Type == Double {
 		return math.Float64frombits(f.Bits)
@@ -213,22 +214,22 @@
 	return float64(int64(f.Bits))
 }
 
-// Integer reports whether the type is one of the integers.
+// Integer reports whether the type is an integer type.
 func (t Type) Integer() bool { return t == Byte || t == I16 || t == I32 || t == I64 }
 
-// scanner walks a message.
+// scanner reads a message and keeps the position in it.
 type scanner struct {
-	m       []byte
-	at      int
-	compact bool
-	most    int // depth
-	found   []Field
-	plan    *Plan
+	m          []byte
+	at         int
+	compact    bool
+	depthLimit int // maximum nesting depth
+	found      []Field
+	plan       *Plan
 }
 
-// varint reads a variable-length number of so many bytes at most.
+// varint reads a variable-length integer of at most this number of bytes and with a value of at most most.
 func (s *scanner) varint(bytes int, most uint64) (x uint64, err error) {
-	if s.at < len(s.m) && s.m[s.at] < 0x80 { // most are short
+	if s.at < len(s.m) && s.m[s.at] < 0x80 { // fast path: most varints have one byte
 		x = uint64(s.m[s.at])
 		s.at++
 		return x, nil
@@ -257,13 +258,14 @@
 	return x, nil
 }
 
+// zigzag reads a variable-length integer in zigzag encoding.
 func (s *scanner) zigzag(bytes int, most uint64) (int64, error) {
 	x, err := s.varint(bytes, most)
 	return int64(x>>1) ^ -int64(x&1), err
 }
 
-// take passes over n bytes.
-func (s *scanner) take(n int) error {
+// skipBytes skips n bytes.
+func (s *scanner) skipBytes(n int) error {
 	if n > len(s.m)-s.at {
 		return malformed(len(s.m), "it ends in a value that began at byte %d", s.at)
 	}
@@ -271,20 +273,20 @@
 	return nil
 }
 
-// compactTypes are the types by the compact protocol's numbers; 1 and 2 are the two bools.
+// compactTypes maps the compact protocol's type ids to types; 1 and 2 are the bools true and false.
 var compactTypes = [14]Type{1: Bool, 2: Bool, 3: Byte, 4: I16, 5: I32, 6: I64, 7: Double, 8: String, 9: List, 10: Set,
 	11: Map, 12: Struct, 13: UUID}
 
-// sizes are those of values of a fixed size, and least the fewest bytes of any value, in either encoding.
+// binarySizes and compactSizes are the sizes in bytes of values with a fixed size; binaryMinSizes are the minimum sizes of all values.
 var (
-	binarySizes  = [17]int{Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, UUID: 16}
-	compactSizes = [17]int{Bool: 1, Byte: 1, Double: 8, UUID: 16}
-	binaryLeast  = [17]int{Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, UUID: 16, String: 4, Struct: 1,
+	binarySizes    = [17]int{Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, UUID: 16}
+	compactSizes   = [17]int{Bool: 1, Byte: 1, Double: 8, UUID: 16}
+	binaryMinSizes = [17]int{Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, UUID: 16, String: 4, Struct: 1,
 		Map: 6, Set: 5, List: 5}
 )
 
 func (s *scanner) binaryType(b byte) (Type, error) {
-	if int(b) < len(binaryLeast) && binaryLeast[b] > 0 {
+	if int(b) < len(binaryMinSizes) && binaryMinSizes[b] > 0 {
 		return Type(b), nil
 	}
 	return 0, malformed(s.at-1, "bad type id %d", b)
@@ -304,17 +306,17 @@
 	return binarySizes[t]
 }
 
-func (s *scanner) least(t Type) int {
+func (s *scanner) minSize(t Type) int {
 	if s.compact {
 		return max(1, compactSizes[t])
 	}
-	return binaryLeast[t]
+	return binaryMinSizes[t]
 }
 
-// skip passes over a value outside of a field's header.
+// skip skips a value that is not preceded by a field header. A bool has one byte there, also in the compact protocol.
 func (s *scanner) skip(t Type, depth int) error {
 	if n := s.size(t); n > 0 {
-		return s.take(n)
+		return s.skipBytes(n)
 	}
 	switch t {
 	case I16, I32, I64: // compact
@@ -325,21 +327,21 @@
 		if err != nil {
 			return err
 		}
-		return s.take(n)
+		return s.skipBytes(n)
 	}
-	if depth >= s.most {
-		return malformed(s.at, "nested deeper than %d", s.most)
+	if depth >= s.depthLimit {
+		return malformed(s.at, "nested deeper than %d", s.depthLimit)
 	}
 	switch t {
 	case Struct:
-		return s.walk(-1, depth+1)
+		return s.readStruct(-1, depth+1)
 	case Map:
 		return s.skipMap(depth + 1)
 	}
 	return s.skipList(depth + 1)
 }
 
-// length reads that of a string.
+// length reads the length of a string.
 func (s *scanner) length() (int, error) {
 	at := s.at
 	if s.compact {
@@ -352,7 +354,7 @@
 		}
 		return int(n), nil
 	}
-	if err := s.take(4); err != nil {
+	if err := s.skipBytes(4); err != nil {
 		return 0, err
 	}
 	n := int32(binary.BigEndian.Uint32(s.m[at:]))
@@ -362,8 +364,8 @@
 	return int(n), nil
 }
 
-// count reads how many elements a container has, which need each at least so many bytes.
-func (s *scanner) check(at int, n int64, least int) error {
+// checkCount verifies that n elements of a container, of at least least bytes each, fit in the rest of the message.
+func (s *scanner) checkCount(at int, n int64, least int) error {
 	if n < 0 || n > int64((len(s.m)-s.at)/least) {
 		return malformed(at, "a container of %d elements, %d bytes are there", n, len(s.m)-s.at)
 	}
@@ -375,7 +377,7 @@
 	var of Type
 	var n int64
 	if s.compact {
-		if err := s.take(1); err != nil {
+		if err := s.skipBytes(1); err != nil {
 			return err
 		}
 		b := s.m[at]
@@ -392,7 +394,7 @@
 			return err
 		}
 	} else {
-		if err := s.take(5); err != nil {
+		if err := s.skipBytes(5); err != nil {
 			return err
 		}
 		n = int64(int32(binary.BigEndian.Uint32(s.m[at+1:])))
@@ -402,17 +404,18 @@
 		}
 	}
 	if n == 0 {
-		return nil // an empty one may leave its type open
+		return nil // an empty list may have no element type
 	}
-	if err := s.check(at, n, s.least(of)); err != nil {
+	if err := s.checkCount(at, n, s.minSize(of)); err != nil {
 		return err
 	}
 	return s.skipAll(of, int(n), depth)
 }
 
+// skipAll skips n values of a type.
 func (s *scanner) skipAll(of Type, n, depth int) error {
 	if size := s.size(of); size > 0 {
-		return s.take(n * size)
+		return s.skipBytes(n * size)
 	}
 	for range n {
 		if err := s.skip(of, depth); err != nil {
@@ -434,7 +437,7 @@
 		if n = int64(int32(x)); n == 0 {
 			return nil
 		}
-		if err := s.take(1); err != nil {
+		if err := s.skipBytes(1); err != nil {
 			return err
 		}
 		b := s.m[s.at-1]
@@ -445,7 +448,7 @@
 			return err
 		}
 	} else {
-		if err := s.take(6); err != nil {
+		if err := s.skipBytes(6); err != nil {
 			return err
 		}
 		if n = int64(int32(binary.BigEndian.Uint32(s.m[at+2:]))); n == 0 && s.m[at] == 0 && s.m[at+1] == 0 {
@@ -458,7 +461,7 @@
 			return err
 		}
 	}
-	if err := s.check(at, n, s.least(key)+s.least(value)); err != nil {
+	if err := s.checkCount(at, n, s.minSize(key)+s.minSize(value)); err != nil {
 		return err
 	}
 	for range n {
@@ -472,9 +475,9 @@
 	return nil
 }
 
-// walk passes over a struct and notes the fields that the node of the plan asks for; -1 is none. Its depth was looked
-// at by skip, or is the plan's own.
-func (s *scanner) walk(node, depth int) error {
+// readStruct reads a struct and stores the fields that the node of the plan selects; node -1 selects none. The caller has checked the depth: skip does so,
+// and the depth of fields in the plan is limited by NewPlan.
+func (s *scanner) readStruct(node, depth int) error {
 	var last int16
 	for {
 		at := s.at
@@ -507,7 +510,7 @@
 			if t, err = s.binaryType(b); err != nil {
 				return err
 			}
-			if err = s.take(2); err != nil {
+			if err = s.skipBytes(2); err != nil {
 				return err
 			}
 			id = int16(binary.BigEndian.Uint16(s.m[at+1:]))
@@ -516,9 +519,9 @@
 		if s.plan.strict && node >= 0 && (w == nil || w.slot < 0 && t != Struct) {
 			return fmt.Errorf("byte %d: %w: number %d", at, ErrUnasked, id)
 		}
-		if s.compact && t == Bool { // the value is in the type
+		if s.compact && t == Bool { // the type id contains the value
 			if w != nil && w.slot >= 0 {
-				if err := s.note(w, id, Field{Type: Bool, Start: int32(s.at), End: int32(s.at), Bits: uint64(2 - b&15)}); err != nil {
+				if err := s.store(w, id, Field{Type: Bool, Start: int32(s.at), End: int32(s.at), Bits: uint64(2 - b&15)}); err != nil {
 					return err
 				}
 			}
@@ -527,7 +530,7 @@
 		if w == nil {
 			err = s.skip(t, depth)
 		} else {
-			err = s.field(w, id, t, depth)
+			err = s.readField(w, id, t, depth)
 		}
 		if err != nil {
 			return err
@@ -535,17 +538,17 @@
 	}
 }
 
-// field reads one that is asked for, or that holds some that are.
-func (s *scanner) field(w *want, id int16, t Type, depth int) (err error) {
+// readField reads a field that is selected by the plan or that contains selected fields.
+func (s *scanner) readField(w *want, id int16, t Type, depth int) (err error) {
 	f := Field{Type: t, Start: int32(s.at)}
 	switch {
 	case t == Struct && w.child >= 0:
-		err = s.walk(w.child, depth+1)
+		err = s.readStruct(w.child, depth+1)
 	case t == String:
 		var n int
 		if n, err = s.length(); err == nil {
 			f.Start = int32(s.at)
-			err = s.take(n)
+			err = s.skipBytes(n)
 		}
 	case s.compact && t.Integer() && t != Byte:
 		var x int64
@@ -558,7 +561,7 @@
 		return err
 	}
 	if t == String {
-		return s.note(w, id, f)
+		return s.store(w, id, f)
 	}
 	switch v := s.m[f.Start:f.End]; {
 	case t == Bool && v[0] != 0:
@@ -577,10 +580,11 @@
 	case t == I64:
 		f.Bits = binary.BigEndian.Uint64(v)
 	}
-	return s.note(w, id, f)
+	return s.store(w, id, f)
 }
 
-func (s *scanner) note(w *want, id int16, f Field) error {
+// store stores a selected field in the result.
+func (s *scanner) store(w *want, id int16, f Field) error {
 	if s.found[w.slot].Found() {
 		return malformed(int(f.Start), "field %d given twice", id)
 	}
--- a/internal/thrift/thriftwire/thriftwire_test.go
+++ b/internal/thrift/thriftwire/thriftwire_test.go
@@ -15,20 +15,20 @@
 
 var encodings = []Encoding{Binary, Compact}
 
-// apache returns the Apache library's protocol of an encoding over a buffer.
-func apache(e Encoding, buf *thrift.TMemoryBuffer) thrift.TProtocol {
+// apacheProtocol returns the Apache library's protocol of an encoding over a buffer.
+func apacheProtocol(e Encoding, buf *thrift.TMemoryBuffer) thrift.TProtocol {
 	if e == Compact {
 		return thrift.NewTCompactProtocolConf(buf, nil)
 	}
 	return thrift.NewTBinaryProtocolConf(buf, nil)
 }
 
-// written is a message as the Apache library words it; the struct's stop is written here.
-func written(t testing.TB, e Encoding, name string, kind thrift.TMessageType, seq int32,
+// writeWithApache returns a message encoded by the Apache library. fields writes the fields, without the stop field.
+func writeWithApache(t testing.TB, e Encoding, name string, kind thrift.TMessageType, seq int32,
 	fields func(ctx context.Context, p thrift.TProtocol)) []byte {
 	t.Helper()
 	ctx, buf := context.Background(), thrift.NewTMemoryBuffer()
-	p := apache(e, buf)
+	p := apacheProtocol(e, buf)
 	if err := p.WriteMessageBegin(ctx, name, kind, seq); err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	return bytes.Clone(buf.Bytes())
 }
 
-// types are all that a value may have.
+// types are all value types.
 var types = []thrift.TType{thrift.BOOL, thrift.BYTE, thrift.DOUBLE, thrift.I16, thrift.I32, thrift.I64, thrift.STRING,
 	thrift.UUID, thrift.STRUCT, thrift.MAP, thrift.SET, thrift.LIST}
 
@@ -59,7 +59,7 @@
 		if depth > 0 {
 			return r.IntN(3)
 		}
-		return r.IntN(20) // more than fit into a compact list's first byte
+		return r.IntN(20) // sometimes more than the first byte of a compact list can hold (14)
 	}
 	switch t {
 	case thrift.BOOL:
@@ -118,7 +118,7 @@
 	p.WriteFieldEnd(ctx)
 }
 
-// header writes the fields that the tests look for, among random ones.
+// header writes the fields that the tests look for, among random fields.
 func header(ctx context.Context, p thrift.TProtocol, r *rand.Rand) {
 	field(ctx, p, r, -7, types[r.IntN(len(types))], 0)
 	p.WriteFieldBegin(ctx, "", thrift.STRUCT, 1)
@@ -153,14 +153,14 @@
 	return p
 }
 
-// What the Apache library writes is read: the head, the fields wherever they stand, and the end to the byte.
+// The scanner reads messages written by the Apache library: the head, the fields at any position, and the exact end.
 func TestReadsWhatApacheWrites(t *testing.T) {
 	plan := newPlan(t, 32, "1.1", "1.5", "1.6", "1.300", "1.99", "1")
 	for _, e := range encodings {
 		for seed := range uint64(500) {
 			r := rand.New(rand.NewPCG(seed, uint64(e)))
 			seq := int32(r.Uint32())
-			m := written(t, e, "refundRecord", thrift.CALL, seq, func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) })
+			m := writeWithApache(t, e, "refundRecord", thrift.CALL, seq, func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) })
 			h, err := ReadHead(m)
 			if err != nil || h.Encoding != e || h.Type != Call || h.Seq != seq || string(h.Name(m)) != "refundRecord" {
 				t.Fatalf("%v seed %d: %+v, %v", e, seed, h, err)
@@ -175,19 +175,19 @@
 				t.Fatalf("%v seed %d: %+v", e, seed, found)
 			}
 			if e == Binary && left.End-left.Start != 4 || e == Compact && left.End-left.Start != 2 {
-				t.Fatalf("%v seed %d: the time stands at %d to %d", e, seed, left.Start, left.End)
+				t.Fatalf("%v seed %d: the time is at bytes %d to %d", e, seed, left.Start, left.End)
 			}
 		}
 	}
 }
 
-// A message that is cut off at any byte, or goes on behind its end, is malformed, whatever it holds.
+// A message that is cut off at any byte, or has bytes after its end, is malformed, whatever it contains.
 func TestCutAtEveryByte(t *testing.T) {
 	plan := newPlan(t, 32, "1.1", "1.5")
 	for _, e := range encodings {
 		for seed := range uint64(20) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			m := written(t, e, "formCheck", thrift.CALL, 7, func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) })
+			m := writeWithApache(t, e, "formCheck", thrift.CALL, 7, func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) })
 			found := make([]Field, 2)
 			for n := range m {
 				h, err := ReadHead(m[:n])
@@ -202,7 +202,7 @@
 			if h, err := ReadHead(long); err != nil {
 				t.Error(err)
 			} else if err := plan.Scan(h, long, found); !errors.Is(err, ErrMalformed) {
-				t.Errorf("a byte behind the end: %v", err)
+				t.Errorf("a byte after the end: %v", err)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 // The heads of a binary and a compact message, to which structs are added.
 const binaryHead, compactHead = "\x80\x01\x00\x01\x00\x00\x00\x01f\x00\x00\x00\x07", "\x82\x21\x07\x01f"
 
-// malformedMessages are wrong in one way each.
+// malformedMessages are each invalid in one way.
 var malformedMessages = map[string]string{
 	"nothing":                              "",
 	"one byte":                             "\x80",
@@ -263,7 +263,7 @@
 	"deep structs under a field asked for": binaryHead + "\x0c\x00\x03" + strings.Repeat("\x0c\x00\x04", 40) + strings.Repeat("\x00", 42),
 }
 
-// Every way in which a message can be wrong is told, and none makes the scanner run on or take memory.
+// Every kind of invalid message is rejected, and none makes the scanner loop or allocate memory.
 func TestMalformed(t *testing.T) {
 	for name, m := range malformedMessages {
 		t.Run(name, func(t *testing.T) {
@@ -280,7 +280,7 @@
 	}
 }
 
-// What is at the bounds is taken.
+// Messages at the limits are accepted.
 func TestAtTheBounds(t *testing.T) {
 	binary, compact := binaryHead, compactHead
 	for name, m := range map[string]string{
@@ -328,7 +328,7 @@
 	}
 }
 
-// What is written here the Apache library reads.
+// The Apache library reads messages written by Writer.
 func TestApacheReadsWhatIsWritten(t *testing.T) {
 	ctx := context.Background()
 	for _, e := range encodings {
@@ -348,7 +348,7 @@
 			w.Stop()
 			buf := thrift.NewTMemoryBuffer()
 			buf.Write(w.Buf)
-			p := apache(e, buf)
+			p := apacheProtocol(e, buf)
 			name, kind, got, err := p.ReadMessageBegin(ctx)
 			if err != nil || name != "payOut" || kind != thrift.REPLY || got != seq {
 				t.Fatalf("%v: %q %d %d, %v", e, name, kind, got, err)
@@ -406,7 +406,7 @@
 		w.Application([]byte("f"), AppendSeq(nil, e, 9), UnknownMethod, "unknown method")
 		buf := thrift.NewTMemoryBuffer()
 		buf.Write(w.Buf)
-		p := apache(e, buf)
+		p := apacheProtocol(e, buf)
 		if _, kind, seq, err := p.ReadMessageBegin(ctx); err != nil || kind != thrift.EXCEPTION || seq != 9 {
 			t.Fatal(kind, seq, err)
 		}
@@ -417,7 +417,7 @@
 	}
 }
 
-// Edits replace what they name and nothing else, whether it becomes longer or shorter.
+// Edits replace exactly their ranges, whether the result is longer or shorter.
 func TestEdits(t *testing.T) {
 	m := []byte("0123456789")
 	got := AppendFrame([]byte("x"), m, Edit{1, 3, []byte("abcd")}, Edit{5, 9, nil}, Edit{9, 9, []byte("!")})
@@ -430,7 +430,7 @@
 	plan := newPlan(t, 32, "1.1", "1.5", "1.6")
 	for _, e := range encodings {
 		r := rand.New(rand.NewPCG(1, 1))
-		m := written(t, e, "formCheck", thrift.CALL, 7, func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) })
+		m := writeWithApache(t, e, "formCheck", thrift.CALL, 7, func(ctx context.Context, p thrift.TProtocol) { header(ctx, p, r) })
 		if n := testing.AllocsPerRun(100, func() {
 			var found [3]Field
 			h, err := ReadHead(m)
--- a/internal/thrift/thriftwire/write.go
+++ b/internal/thrift/thriftwire/write.go
@@ -5,15 +5,14 @@
 	"math"
 )
 
-// Writer words a message. Its methods append to Buf.
+// Writer encodes a message. Its methods append to Buf.
 type Writer struct {
 	Buf      []byte
 	Encoding Encoding
-	last     []int16 // the last field's number in each struct that is open, for the compact protocol
+	last     []int16 // id of the last field of each open struct, for the compact protocol
 }
 
-// Head writes the head of a message and opens its struct. The sequence id is taken as it was written; it must be of
-// the same encoding.
+// Head writes the head of a message and opens its struct. rawSeq is the sequence id, already encoded in the Writer's encoding.
 func (w *Writer) Head(t MessageType, name, rawSeq []byte) {
 	if w.Encoding == Compact {
 		w.Buf = append(w.Buf, compactID, compactVersion|byte(t)<<5)
@@ -29,10 +28,11 @@
 	w.last = append(w.last[:0], 0)
 }
 
-// compactIDs are the compact protocol's numbers of the types.
+// compactIDs maps types to the compact protocol's type ids.
 var compactIDs = [17]byte{Bool: 1, Byte: 3, I16: 4, I32: 5, I64: 6, Double: 7, String: 8, List: 9, Set: 10, Map: 11,
 	Struct: 12, UUID: 13}
 
+// field writes a field header.
 func (w *Writer) field(t Type, compactID byte, id int16) {
 	if w.Encoding != Compact {
 		w.Buf = binary.BigEndian.AppendUint16(append(w.Buf, byte(t)), uint16(id))
@@ -47,25 +47,25 @@
 	*last = id
 }
 
-// Struct opens a field that is a struct; Stop closes it.
+// Struct writes the header of a struct field and opens the struct; Stop closes it.
 func (w *Writer) Struct(id int16) {
 	w.field(Struct, compactIDs[Struct], id)
 	w.last = append(w.last, 0)
 }
 
-// Stop closes a struct.
+// Stop closes the innermost open struct.
 func (w *Writer) Stop() {
 	w.Buf = append(w.Buf, 0)
 	w.last = w.last[:len(w.last)-1]
 }
 
-// Int writes an integer field of a type.
+// Int writes an integer field of type t.
 func (w *Writer) Int(id int16, t Type, x int64) {
 	w.field(t, compactIDs[t], id)
 	w.Buf = AppendInt(w.Buf, w.Encoding, t, x)
 }
 
-// Bool writes a field that is a bool. The compact protocol has the value in the field's type.
+// Bool writes a bool field. The compact protocol encodes the value in the field's type id.
 func (w *Writer) Bool(id int16, x bool) {
 	if w.Encoding == Compact {
 		compact := byte(2)
@@ -83,13 +83,13 @@
 	w.Buf = append(w.Buf, b)
 }
 
-// Double writes a field that is a double.
+// Double writes a double field.
 func (w *Writer) Double(id int16, x float64) {
 	w.field(Double, compactIDs[Double], id)
 	w.Buf = AppendDouble(w.Buf, w.Encoding, x)
 }
 
-// String writes a field that is a string.
+// String writes a string field.
 func (w *Writer) String(id int16, text string) {
 	w.field(String, compactIDs[String], id)
 	if w.Encoding == Compact {
@@ -100,7 +100,7 @@
 	w.Buf = append(w.Buf, text...)
 }
 
-// Application writes a whole TApplicationException.
+// ApplicationException writes a complete message with a TApplicationException. kind is the exception's type.
 func (w *Writer) Application(name, rawSeq []byte, kind int32, text string) {
 	w.Head(Exception, name, rawSeq)
 	w.String(1, text)
@@ -108,7 +108,7 @@
 	w.Stop()
 }
 
-// AppendInt appends an integer as a value of a type.
+// AppendInt appends the encoding of an integer of type t, without a field header.
 func AppendInt(to []byte, e Encoding, t Type, x int64) []byte {
 	switch {
 	case t == Byte:
@@ -123,7 +123,7 @@
 	return binary.BigEndian.AppendUint64(to, uint64(x))
 }
 
-// AppendDouble appends a double.
+// AppendDouble appends the encoding of a double, without a field header.
 func AppendDouble(to []byte, e Encoding, x float64) []byte {
 	if e == Compact {
 		return binary.LittleEndian.AppendUint64(to, math.Float64bits(x))
@@ -131,7 +131,7 @@
 	return binary.BigEndian.AppendUint64(to, math.Float64bits(x))
 }
 
-// AppendSeq appends a sequence id as it stands in a message's head.
+// AppendSeq appends the encoding of a sequence id in a message's head.
 func AppendSeq(to []byte, e Encoding, seq int32) []byte {
 	if e == Compact {
 		return binary.AppendUvarint(to, uint64(uint32(seq)))
@@ -139,13 +139,13 @@
 	return binary.BigEndian.AppendUint32(to, uint32(seq))
 }
 
-// Edit replaces the bytes of a message from At to End.
+// Edit replaces the bytes of a message from At up to, but not including, End by With.
 type Edit struct {
 	At, End int32
 	With    []byte
 }
 
-// AppendFrame appends a message as a frame, with edits, which stand in their order and do not overlap.
+// AppendFrame appends the message m as a frame and applies edits to it. The edits must be in order of position and must not overlap.
 func AppendFrame(to, m []byte, edits ...Edit) []byte {
 	begin := len(to)
 	to = append(to, 0, 0, 0, 0)
