--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -12,20 +12,20 @@
 	"ternbeam/internal/store"
 )
 
-// rec words a record, or the deletion of one where it has no body.
+// rec returns a record, or the deletion of one if body is empty.
 func rec(name, body string) store.Record {
 	return store.Record{Name: name, Kind: "text", Format: 1, Body: []byte(body), Gone: body == ""}
 }
 
-// story is a life of a folder: what is put there, with a new process before each part.
-type story struct {
-	first map[string][]byte // what is there before
-	set   store.Settings
-	parts [][][]store.Record
+// putSequence is a sequence of puts to a folder, with a new process at the start of each part.
+type putSequence struct {
+	initial map[string][]byte // the initial files
+	set     store.Settings
+	parts   [][][]store.Record
 }
 
-// after is what is to be there after so many puts of a story, by the texts alone.
-func (s story) after(before map[string]string, puts int) map[string]string {
+// expected returns the expected bodies by name after this number of puts.
+func (s putSequence) expected(before map[string]string, puts int) map[string]string {
 	want := maps.Clone(before)
 	for _, part := range s.parts {
 		for _, batch := range part {
@@ -42,8 +42,8 @@
 	return want
 }
 
-// play lives the story on a folder, up to its end or to the first failure. It returns how many puts were confirmed.
-func (s story) play(fs *crashfs.FS) (done int, err error) {
+// play runs the sequence on a folder, up to its end or the first failure. It returns how many puts succeeded.
+func (s putSequence) play(fs *crashfs.FS) (done int, err error) {
 	for _, part := range s.parts {
 		st, _, err := store.Open(fs, s.set)
 		if err != nil {
@@ -62,7 +62,7 @@
 	return done, nil
 }
 
-// bodies is what a folder holds.
+// bodies opens a folder and returns its records' bodies by name.
 func bodies(fs store.FS, set store.Settings) (map[string]string, store.Report, error) {
 	st, report, err := store.Open(fs, set)
 	if err != nil {
@@ -77,45 +77,45 @@
 
 func long(c string) string { return strings.Repeat(c, 300) }
 
-var plain = story{set: store.Settings{MostLog: 700}, parts: [][][]store.Record{
+var plain = putSequence{set: store.Settings{MostLog: 700}, parts: [][][]store.Record{
 	{{rec("a", "1")}, {rec("a", "2"), rec("b", long("x"))}, {rec("b", ""), rec("c", long("y"))}, {rec("c", long("z"))}, {rec("a", "3")}},
 	{{rec("d", "4")}, {rec("a", "")}},
 }}
 
-// upgraded is a folder of an older format, opened by a program that knows a newer one.
-func upgraded(t *testing.T) story {
+// upgraded returns a sequence of puts by a program with a newer format on a folder with records in an older one.
+func upgraded(t *testing.T) putSequence {
 	fs := crashfs.New()
-	if _, err := (story{parts: [][][]store.Record{{{rec("old", "a")}, {rec("older", "b")}}}}).play(fs); err != nil {
+	if _, err := (putSequence{parts: [][][]store.Record{{{rec("old", "a")}, {rec("older", "b")}}}}).play(fs); err != nil {
 		t.Fatal(err)
 	}
-	return story{first: fs.Files(), set: store.Settings{Upgrades: map[string][]store.Upgrade{"text": {
+	return putSequence{initial: fs.Files(), set: store.Settings{Upgrades: map[string][]store.Upgrade{"text": {
 		func(b []byte) ([]byte, error) { return []byte(strings.TrimSuffix(string(b), "+") + "+"), nil }}}},
 		parts: [][][]store.Record{{{{Name: "new", Kind: "text", Format: 2, Body: []byte("c+")}}}, {{{Name: "old", Kind: "text", Format: 2, Body: []byte("d+")}}}}}
 }
 
-// After a crash at any operation, whatever is left of what was not synced: all that was confirmed is there, and of a put
-// that was under way all or nothing. And the folder can be used again.
+// After a crash at any operation, whatever remains of unsynced data, all successful puts are there and an unfinished put is there completely or not
+// at all. The folder can then be used again.
 func TestCrashes(t *testing.T) {
 	upgrade := upgraded(t)
 	for name, c := range map[string]struct {
-		story
+		putSequence
 		before map[string]string
 	}{"writes and compactions": {plain, map[string]string{}}, "upgrade": {upgrade, map[string]string{"old": "a+", "older": "b+"}}} {
 		t.Run(name, func(t *testing.T) {
 			states, ops := 0, 0
 			for at := 0; ; at++ {
-				fs := crashfs.Of(c.first)
+				fs := crashfs.Of(c.initial)
 				fs.CrashAfter = at
 				done, err := c.play(fs)
 				for left := range fs.Crashes() {
 					states++
 					files := left.Files()
 					got, report, openErr := bodies(left, c.set)
-					if openErr != nil || !maps.Equal(got, c.after(c.before, done)) && !maps.Equal(got, c.after(c.before, done+1)) {
-						t.Fatalf("crash after %q, %d confirmed: %v, %v, %+v\nfiles %q", fs.Ops, done, openErr, got, report, files)
+					if openErr != nil || !maps.Equal(got, c.expected(c.before, done)) && !maps.Equal(got, c.expected(c.before, done+1)) {
+						t.Fatalf("crash after %q, %d puts succeeded: %v, %v, %+v\nfiles %q", fs.Ops, done, openErr, got, report, files)
 					}
-					if states%7 == 0 { // it is used again, by one that does not crash
-						again := story{set: c.set, parts: [][][]store.Record{{{rec("again", "!")}}}}
+					if states%7 == 0 { // use the folder again, without a crash
+						again := putSequence{set: c.set, parts: [][][]store.Record{{{rec("again", "!")}}}}
 						again.parts[0][0][0].Format = 2
 						if _, err := again.play(left); err != nil {
 							t.Fatalf("after %q: %v", fs.Ops, err)
@@ -141,13 +141,13 @@
 	}
 }
 
-// A folder whose every single byte was changed in turn, in each way of a few, or cut off there: what is read was there once, as a whole, and
-// a fault is told. For a newest snapshot that is not whole, the one before and its sealed log stand in without a loss.
+// Every single byte of a folder's files is flipped in a few ways, or the file is cut off there. The records that are read must be those after some
+// put, and the fault must be reported. If the newest snapshot is damaged, the previous one and its sealed log replace it without loss.
 func TestEveryByteFlipped(t *testing.T) {
-	for lives := 1; lives <= len(plain.parts); lives++ {
-		life := story{set: plain.set, parts: plain.parts[:lives]}
+	for processes := 1; processes <= len(plain.parts); processes++ {
+		puts := putSequence{set: plain.set, parts: plain.parts[:processes]}
 		fs := crashfs.New()
-		done, err := life.play(fs)
+		done, err := puts.play(fs)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,7 @@
 				got, report, err := bodies(crashfs.Of(cut), plain.set)
 				was := false
 				for n := 0; n <= done; n++ {
-					was = was || maps.Equal(got, life.after(map[string]string{}, n))
+					was = was || maps.Equal(got, puts.expected(map[string]string{}, n))
 				}
 				if err != nil || !was || name == newest && len(report.Dropped) == 0 {
 					t.Fatalf("%s cut off at byte %d: %v, %v, %+v", name, i, err, got, report)
@@ -179,24 +179,24 @@
 					got, report, err := bodies(crashfs.Of(bad), plain.set)
 					was := false
 					for n := 0; n <= done; n++ {
-						was = was || maps.Equal(got, life.after(map[string]string{}, n))
+						was = was || maps.Equal(got, puts.expected(map[string]string{}, n))
 					}
-					read := strings.HasSuffix(name, newest[len("snapshot"):]) // the generation before is not looked at
+					read := strings.HasSuffix(name, newest[len("snapshot"):]) // the previous generation is not read
 					if err != nil || !was || read && len(report.Dropped) == 0 {
 						t.Fatalf("byte %d of %s ^ %#x: %v, %v, %+v", i, name, mask, err, got, report)
 					}
-					if name == newest && lives == 1 && !maps.Equal(got, life.after(map[string]string{}, done)) {
-						t.Fatalf("byte %d of %s ^ %#x: the generation before does not stand in: %v", i, name, mask, got)
+					if name == newest && processes == 1 && !maps.Equal(got, puts.expected(map[string]string{}, done)) {
+						t.Fatalf("byte %d of %s ^ %#x: the previous generation does not replace it: %v", i, name, mask, got)
 					}
 				}
 			}
 		}
-		t.Logf("%d lives: %d flips in %d files", lives, flips, len(files))
+		t.Logf("%d processes: %d flips in %d files", processes, flips, len(files))
 	}
 }
 
-// The folder fills between two writes and empties again; or an operation fails, each in turn. What was confirmed before
-// stays, and a later put makes all of it survive.
+// An operation fails, each in turn; then the disk is full between two writes and has room again. Records of earlier successful puts remain, and a
+// later successful put makes all records durable.
 func TestFullAndFailing(t *testing.T) {
 	for op := 0; ; op++ {
 		failed := false
@@ -208,7 +208,7 @@
 			}
 			if n++; n == op+1 {
 				failed = true
-				return errors.New("the disk says no")
+				return errors.New("disk error")
 			}
 			return nil
 		}
@@ -249,10 +249,10 @@
 	}
 	fs.Room = 200
 	if err := st.Put(rec("b", long("b"))); err == nil {
-		t.Fatal("a full folder took a record")
+		t.Fatal("a put on a full disk succeeded")
 	}
-	if err := st.Put(rec("c", "c")); err == nil { // with b it still does not fit
-		t.Fatal("a full folder took a record")
+	if err := st.Put(rec("c", "c")); err == nil { // still no room, as b has to be written too
+		t.Fatal("a put on a full disk succeeded")
 	}
 	if got, _, err := bodies(crashfs.Of(fs.Files()), store.Settings{}); err != nil || got["a"] != "1" {
 		t.Fatalf("%v, %v", got, err)
@@ -266,7 +266,7 @@
 	}
 }
 
-// Each planted bug is found by one of the tests above.
+// Each planted bug is detected by one of the tests above.
 func TestPlantedBugs(t *testing.T) {
 	for _, bug := range []struct{ name, file, old, new string }{
 		{"log not synced", "internal/store/store.go", "if err == nil {\n\t\terr = s.log.Sync()\n\t}", ""},
--- a/internal/store/dir.go
+++ b/internal/store/dir.go
@@ -12,15 +12,15 @@
 	"github.com/gofrs/flock"
 )
 
-// lockName is the file whose lock tells who owns a folder, and which says of whom that is.
+// lockName is the lock file of a folder. It contains the identity of the owner.
 const lockName = "lock"
 
-// Dir is a folder of the system's. It must be there.
+// Dir is an existing folder of the file system. It implements FS.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// List returns the names in the folder.
+// List returns the names of the regular files in the folder.
 func (d Dir) List() (names []string, err error) {
 	entries, err := os.ReadDir(string(d))
 	for _, e := range entries {
@@ -31,7 +31,7 @@
 	return names, err
 }
 
-// Read returns a file's bytes.
+// Read returns the content of a file, which may have at most most bytes.
 func (d Dir) Read(name string, most int64) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return text, err
 }
 
-// Create opens an empty file.
+// Create creates or truncates a file and opens it for writing.
 func (d Dir) Create(name string) (File, error) {
 	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 }
@@ -56,7 +56,7 @@
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Sync makes the names in the folder survive.
+// Sync makes changes of names in the folder durable.
 func (d Dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -65,8 +65,8 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock makes the folder this process's. The system gives a lock back when its process ends, however it does; the text
-// in the file, the owner's process id and start, is left by one that did not end in order.
+// Lock locks the folder for this process. The system releases the lock when the process ends for any reason. The lock file contains the owner's
+// process id and start time while it runs, and still does if the process ended without unlocking; left is that text.
 func (d Dir) Lock() (unlock func() error, left string, err error) {
 	name := d.path(lockName)
 	lock := flock.New(name, flock.SetPermissions(0o600))
@@ -76,25 +76,27 @@
 	}
 	text, err := os.ReadFile(name)
 	if !got {
-		return nil, "", fmt.Errorf("%w: %s", ErrOwned, cut(text))
+		return nil, "", fmt.Errorf("%w: %s", ErrOwned, printable(text))
 	}
 	if err == nil {
-		err = os.WriteFile(name, []byte(self()), 0o600)
+		err = os.WriteFile(name, []byte(processIdentity()), 0o600)
 	}
 	if err != nil {
 		return nil, "", errors.Join(err, lock.Unlock())
 	}
 	unlock = func() error { return errors.Join(os.Truncate(name, 0), lock.Unlock()) }
-	return unlock, cut(text), nil
+	return unlock, printable(text), nil
 }
 
-// cut is what is shown of a text that anybody may have written.
-func cut(text []byte) string { return strings.ToValidUTF8(string(text[:min(len(text), 100)]), "?") }
+// printable shortens a text of unknown origin and makes it valid UTF-8, to show it.
+func printable(text []byte) string {
+	return strings.ToValidUTF8(string(text[:min(len(text), 100)]), "?")
+}
 
-// self names this process: a process id alone may be another's by now.
-func self() string {
+// processIdentity identifies this process by process id and start time, because process ids are reused.
+func processIdentity() string {
 	start := "unknown"
-	if stat, err := os.ReadFile("/proc/self/stat"); err == nil { // proc(5): the start is field 22, the name in () may hold blanks
+	if stat, err := os.ReadFile("/proc/self/stat"); err == nil { // proc(5): the start time is field 22; the name in () may contain spaces
 		if fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:])); len(fields) > 19 {
 			start = fields[19]
 		}
--- a/internal/store/dir_test.go
+++ b/internal/store/dir_test.go
@@ -11,9 +11,9 @@
 	"ternbeam/internal/store"
 )
 
-// The system's folder: one owner at a time, told by name, and what one that was killed left is told.
+// A folder of the file system has one owner at a time, which the error identifies, and the identity of an owner that was killed is reported.
 func TestFolder(t *testing.T) {
-	if dir := os.Getenv("TERNBEAM_TEST_OWN"); dir != "" { // the process that is killed
+	if dir := os.Getenv("TERNBEAM_TEST_OWN"); dir != "" { // the process that will be killed
 		st, _, err := store.Open(store.Dir(dir), store.Settings{})
 		if err != nil {
 			t.Fatal(err)
@@ -65,11 +65,11 @@
 		t.Error(err)
 	}
 	if _, _, err := store.Open(store.Dir(filepath.Join(dir, "none")), store.Settings{}); err == nil {
-		t.Error("a folder that is not there is opened")
+		t.Error("opened a folder that does not exist")
 	}
 }
 
-// Beyond its bounds a store takes nothing, and keeps what it has.
+// A batch that exceeds a limit is rejected, and the store keeps its records.
 func TestBounds(t *testing.T) {
 	st, _, err := store.Open(store.Dir(t.TempDir()), store.Settings{MostBytes: 100, MostRecords: 2})
 	if err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,5 @@
-// Package store keeps named records in a folder so that they survive crashes: a snapshot, and a log of what changed
-// since. One process owns a folder at a time. What the files look like and what a crash leaves of them is the matter of
-// package frames; this package makes the operations, in the order that survives.
+// Package store keeps named records in a folder durably: a snapshot, and a log of the changes since the snapshot. One process owns a folder at a
+// time. Package frames defines the file formats and recovery after a crash; this package performs the file operations in a crash-safe order.
 package store
 
 import (
@@ -14,26 +13,26 @@
 	"ternbeam/internal/store/frames"
 )
 
-// Record is a named value of a kind and a format.
+// Record is a named value with a kind and a format.
 type Record = frames.Record
 
-// FS is a folder, by the operations that a store makes on it. Names have no separators.
+// FS is the operations of a store on its folder. Names have no path separators.
 type FS interface {
-	List() ([]string, error)
-	// Read returns a file's bytes; one of more than most is an error.
+	List() ([]string, error) // names of the files
+	// Read returns the content of a file. It fails if the file has more than most bytes.
 	Read(name string, most int64) ([]byte, error)
-	// Create opens a new file for writing; an old one of the name is emptied.
+	// Create creates a file, or truncates an existing one, and opens it for writing.
 	Create(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Sync makes names that were created, renamed and removed so far survive a crash.
+	// Sync makes all creations, renames and removals so far durable.
 	Sync() error
-	// Lock makes the folder this process's, and says what the one before left of itself: nothing if it gave it back.
-	// It fails with ErrOwned where that one is alive.
+	// Lock locks the folder for this process. left identifies the previous owner if that did not unlock the folder, and is empty otherwise.
+	// It fails with ErrOwned if another process holds the lock.
 	Lock() (unlock func() error, left string, err error)
 }
 
-// File is a file that is written from its beginning on.
+// File is a file that is written sequentially.
 type File interface {
 	io.Writer
 	Sync() error
@@ -43,19 +42,19 @@
 // Errors of a store.
 var (
 	ErrOwned    = errors.New("another process owns the folder")
-	ErrTooLarge = errors.New("more than the store may hold")
+	ErrTooLarge = errors.New("larger than the store's limits")
 	ErrClosed   = errors.New("the store is closed")
 )
 
-// Upgrade turns a body of one format into one of the next.
+// Upgrade converts a body from one format to the next.
 type Upgrade func(body []byte) ([]byte, error)
 
-// Settings bound a store.
+// Settings configure a store.
 type Settings struct {
-	MostBytes   int64                // of bodies and names, over all records; 0 for 64 MiB
-	MostLog     int64                // a log beyond it and beyond what all records hold is put together in a new snapshot; 0 for 256 KiB
-	MostRecords int                  // 0 for 65,536
-	Upgrades    map[string][]Upgrade // by kind: what turns format 1 into 2, 2 into 3 and so on
+	MostBytes   int64                // maximum size of names, kinds and bodies of all records; 0 for 64 MiB
+	MostLog     int64                // size in bytes above which a log that is also larger than all records is compacted; 0 for 256 KiB
+	MostRecords int                  // maximum number of records; 0 for 65,536
+	Upgrades    map[string][]Upgrade // by kind; element i converts format i+1 to i+2
 }
 
 func (s Settings) withDefaults() Settings {
@@ -72,17 +71,17 @@
 	return s
 }
 
-// fileBound is the most that a file may hold that is read: all records, a log over its bound and what surrounds them.
-func (s Settings) fileBound() int64 { return 3*s.MostBytes + 2*s.MostLog + frames.MaxFrame }
+// maxFileSize is the maximum size in bytes of a file to read: all records, an oversized log and the framing.
+func (s Settings) maxFileSize() int64 { return 3*s.MostBytes + 2*s.MostLog + frames.MaxFrame }
 
-// Report says what was found when a store was opened.
+// Report describes what was found when a store was opened.
 type Report struct {
-	Left     string        // what the owner before left of itself, where it did not end in order
-	From     uint64        // the generation of the snapshot; 0 for none
-	Batches  int           // applied from logs
-	Records  int           // found
-	Upgraded int           // of them, brought to a newer format
-	Dropped  []frames.Drop // what was passed over, and why
+	Left     string        // identity of the previous owner, if it ended without closing the store
+	From     uint64        // generation of the snapshot; 0 for none
+	Batches  int           // number of batches applied from logs
+	Records  int           // number of records found
+	Upgraded int           // number of records converted to a newer format
+	Dropped  []frames.Drop // what was skipped, and why
 }
 
 // Store is an open store. It is not safe for concurrent use.
@@ -93,15 +92,15 @@
 	records map[string]Record
 	bytes   int64
 
-	newest  uint64 // generation that any file names
-	log     File   // of the newest generation; nil where the next write begins a new one
-	logSize int64
-	frames  int // in the log
-	logged  int // records in these
+	newest     uint64 // the highest generation in a file name
+	log        File   // log of the newest generation; nil if the next write must begin a new generation
+	logSize    int64  // in bytes
+	logFrames  int    // number of frames in the log
+	logRecords int    // number of records in these frames
 }
 
-// Open makes a folder this process's and reads what is there. What cannot be read is passed over and reported; an error
-// says that the folder itself cannot be used.
+// Open locks a folder for this process and reads its records. Unreadable data is skipped and reported; an error means that the folder itself
+// cannot be used.
 func Open(fs FS, set Settings) (*Store, Report, error) {
 	unlock, left, err := fs.Lock()
 	if err != nil {
@@ -121,7 +120,7 @@
 	return s, report, nil
 }
 
-// Peek reads a folder without owning it, as it is at some moment, for programs that only show it.
+// Peek reads the current records of a folder without locking it, for programs that only display them.
 func Peek(fs FS, set Settings) (map[string]Record, Report, error) {
 	s := &Store{set: set.withDefaults(), fs: fs}
 	got, err := s.recover()
@@ -139,11 +138,11 @@
 	if err != nil {
 		return frames.Recovered{}, fmt.Errorf("reading the folder: %w", err)
 	}
-	return frames.Recover(names, func(name string) ([]byte, error) { return s.fs.Read(name, s.set.fileBound()) }), nil
+	return frames.Recover(names, func(name string) ([]byte, error) { return s.fs.Read(name, s.set.maxFileSize()) }), nil
 }
 
-// upgrade brings records to the newest format of their kind. The next snapshot keeps them so. One that is newer than
-// this program knows stays as it is.
+// upgrade converts records to the newest format of their kind; the next snapshot stores the result. Records in a format newer than this program
+// knows are left unchanged.
 func (s *Store) upgrade(report *Report) (upgraded int) {
 	for _, name := range slices.Sorted(maps.Keys(s.records)) {
 		r := s.records[name]
@@ -172,19 +171,20 @@
 	return upgraded
 }
 
+// size is the size of a record in bytes that counts against the limits.
 func size(r Record) int64 { return int64(len(r.Name) + len(r.Kind) + len(r.Body)) }
 
-// Get returns a record. Its body must not be changed.
+// Get returns a record. Its body must not be modified.
 func (s *Store) Get(name string) (Record, bool) {
 	r, ok := s.records[name]
 	return r, ok
 }
 
-// All returns all records by their names. The map must not be changed, and holds until the next Put.
+// All returns all records by name. The map must not be modified and is valid until the next Put.
 func (s *Store) All() map[string]Record { return s.records }
 
-// Put writes records, all or none, and returns once they survive a crash. After an error of the folder's, whether they do
-// is not known; a later Put that succeeds makes them. The bodies belong to the store from then on.
+// Put writes records atomically and returns once they are durable. After an I/O error it is unknown whether they are; they become durable with the
+// next successful Put. The caller must not modify the bodies afterwards.
 func (s *Store) Put(batch ...Record) error {
 	if s.fs == nil {
 		return ErrClosed
@@ -192,7 +192,7 @@
 	if len(batch) == 0 {
 		return nil
 	}
-	if err := s.fits(batch); err != nil {
+	if err := s.checkLimits(batch); err != nil {
 		return err
 	}
 	for _, r := range batch {
@@ -205,18 +205,18 @@
 	if s.log == nil {
 		return s.Compact()
 	}
-	// The log gets every batch before a snapshot does: sealed, it stands in for a snapshot that cannot be read.
+	// Every batch goes to the log before it goes to a snapshot, so that a sealed log can replace an unreadable snapshot.
 	if err := s.append(batch); err != nil {
 		return err
 	}
 	if s.logSize > max(s.set.MostLog, s.bytes) {
-		s.Compact() // where it fails the batch is safe all the same, and the next Put tries again
+		s.Compact() // if it fails, the batch is durable nevertheless, and the next Put tries again
 	}
 	return nil
 }
 
-// fits says whether the store may hold a batch too.
-func (s *Store) fits(batch []Record) error {
+// checkLimits returns an error if a record of the batch is invalid or the store would exceed its limits.
+func (s *Store) checkLimits(batch []Record) error {
 	bytes, count := s.bytes, len(s.records)
 	last := map[string]Record{}
 	for _, r := range batch {
@@ -241,15 +241,15 @@
 		last[r.Name] = r
 	}
 	if bytes > s.set.MostBytes || count > s.set.MostRecords || len(batch) > frames.MaxRecords {
-		return fmt.Errorf("%w: %d bytes in %d records, %d and %d at most", ErrTooLarge, bytes, count, s.set.MostBytes,
+		return fmt.Errorf("%w: %d bytes in %d records, at most %d and %d are allowed", ErrTooLarge, bytes, count, s.set.MostBytes,
 			s.set.MostRecords)
 	}
 	return nil
 }
 
-// append adds a batch to the log. After a failure what is in the file is not known: nothing more is added to it.
+// append adds a batch to the log. After a failure the content of the file is unknown, so nothing more is added to it.
 func (s *Store) append(batch []Record) error {
-	f, err := frames.Batch(s.newest, s.frames, batch)
+	f, err := frames.Batch(s.newest, s.logFrames, batch)
 	if err == nil {
 		_, err = s.log.Write(f)
 	}
@@ -262,23 +262,23 @@
 		return fmt.Errorf("adding to the log: %w", err)
 	}
 	s.logSize += int64(len(f))
-	s.frames++
-	s.logged += len(batch)
+	s.logFrames++
+	s.logRecords += len(batch)
 	return nil
 }
 
-// snapshotFrame is about how many bytes a frame of a snapshot carries.
-const snapshotFrame = 64 << 10
+// snapshotFrameBytes is the approximate payload of a snapshot's frame in bytes.
+const snapshotFrameBytes = 64 << 10
 
-// Compact puts all records together in a new snapshot with an empty log. The generation before it stays, for the day on
-// which the new one cannot be read; older ones go.
+// Compact writes all records to a new snapshot with an empty log. The previous generation is kept in case the new one cannot be read; older
+// generations are removed.
 func (s *Store) Compact() (err error) {
 	if s.fs == nil {
 		return ErrClosed
 	}
 	old := s.log
 	s.log = nil
-	s.newest++ // also where it fails: what was begun under a number is not trusted to be what comes next
+	s.newest++ // also if it fails, as files that were begun under a generation must not be taken for a later attempt's
 	g := s.newest
 	defer func() {
 		if old != nil {
@@ -288,14 +288,14 @@
 			err = fmt.Errorf("writing generation %d: %w", g, err)
 		}
 	}()
-	text, err := frames.Words(g, s.records, snapshotFrame)
+	text, err := frames.Words(g, s.records, snapshotFrameBytes)
 	if err != nil {
 		return err
 	}
 	name := frames.Name(frames.Snapshot, g)
 	unfinished := name + frames.Unfinished
 	if err := s.write(unfinished, text); err != nil {
-		s.fs.Remove(unfinished) // a full folder may not keep what is of no use
+		s.fs.Remove(unfinished) // frees the space if the disk is full
 		return err
 	}
 	if err := s.fs.Rename(unfinished, name); err != nil {
@@ -316,16 +316,17 @@
 		log.Close()
 		return err
 	}
-	if old != nil { // a seal that is not there only makes a fall-back shorter
-		if seal, err := frames.End(g-1, s.frames, s.logged); err == nil {
+	if old != nil { // without the seal, a fallback to the previous generation would only lose the later logs
+		if seal, err := frames.End(g-1, s.logFrames, s.logRecords); err == nil {
 			old.Write(seal)
 		}
 	}
-	s.log, s.logSize, s.frames, s.logged = log, int64(len(head)), 0, 0
+	s.log, s.logSize, s.logFrames, s.logRecords = log, int64(len(head)), 0, 0
 	s.prune(g)
 	return nil
 }
 
+// write creates a file with this content and syncs it.
 func (s *Store) write(name string, text []byte) error {
 	f, err := s.fs.Create(name)
 	if err != nil {
@@ -337,8 +338,8 @@
 	return errors.Join(err, f.Close())
 }
 
-// prune removes what lies before the generation that precedes g, and what was never finished. What cannot be removed now
-// may be the next time; all that is to be kept is kept already.
+// prune removes the generations before the one that precedes g, and unfinished files. Errors are ignored: the next call tries again, and all files
+// to keep are already durable.
 func (s *Store) prune(g uint64) {
 	names, err := s.fs.List()
 	if err != nil {
@@ -358,7 +359,7 @@
 	}
 }
 
-// Close gives the folder back.
+// Close closes the store and unlocks its folder.
 func (s *Store) Close() error {
 	if s.fs == nil {
 		return nil
