--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -279,7 +279,7 @@
 		{"log goes on after a failed write", "internal/store/store.go", "s.log.Close()\n\t\ts.log = nil\n\t\treturn fmt.Errorf(\"adding", "return fmt.Errorf(\"adding"},
 		{"checksum not looked at", "internal/store/frames/frames.go", "!= sum(generation, number, body) {", "!= sum(generation, number, body) && false {"},
 		{"length trusted", "internal/store/frames/frames.go", "case length > len(rest)-frameHead:", "case false:"},
-		{"snapshot without its end counts", "internal/store/frames/frames.go", "if sort == Snapshot && !c.Ended {", "if false {"},
+		{"snapshot without its end counts", "internal/store/frames/frames.go", "if kind == Snapshot && !c.Ended {", "if false {"},
 		{"log counts without the one before", "internal/store/frames/recover.go", "case g != next || !sealed:", "case g != next && sealed && false:"},
 	} {
 		t.Run(bug.name, func(t *testing.T) {
--- a/internal/store/frames/frames_test.go
+++ b/internal/store/frames/frames_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// sample words a file of some batches.
-func sample(t testing.TB, sort Sort, batches ...[]Record) []byte {
+// sample encodes a complete file of batches.
+func sample(t testing.TB, kind Sort, batches ...[]Record) []byte {
 	t.Helper()
-	b, n := Head(sort, 7), 0
+	b, n := Head(kind, 7), 0
 	for i, batch := range batches {
 		f, err := Batch(7, i, batch)
 		if err != nil {
@@ -31,7 +31,7 @@
 	return []Record{{Name: name, Kind: "k", Format: 1, Body: []byte(body)}}
 }
 
-// What is written is read back; each way to spoil a file is told, by its byte.
+// An encoded file is decoded completely, and each kind of fault is reported with its position.
 func TestFaultsAreNamed(t *testing.T) {
 	batches := [][]Record{one("a", "1"), one("b", "2")}
 	good := sample(t, Snapshot, batches...)
@@ -47,45 +47,45 @@
 	huge := append(Head(Snapshot, 7), 0xff, 0xff, 0xff, 0x7f, 0, 0, 0, 0)
 	for _, c := range []struct {
 		name       string
-		sort       Sort
+		kind       Sort
 		generation uint64
 		file       []byte
 		want       string
 		batches    int
 	}{
 		{"empty", Snapshot, 7, nil, "byte 0: the file is empty", 0},
-		{"short", Snapshot, 7, good[:5], "the head is cut off", 0},
-		{"foreign", Snapshot, 7, bytes.Repeat([]byte("x"), 100), "no file of a store", 0},
-		{"newer", Snapshot, 7, other, "another version of the files: 2, this program reads 1", 0},
-		{"a log", Log, 7, good, "a file of sort", 0},
-		{"of another generation", Snapshot, 8, good, "generation 7, not 8", 0},
+		{"short", Snapshot, 7, good[:5], "the header is cut off", 0},
+		{"foreign", Snapshot, 7, bytes.Repeat([]byte("x"), 100), "not a store file", 0},
+		{"newer", Snapshot, 7, other, "unsupported file version 2, this program reads 1", 0},
+		{"a log", Log, 7, good, "file kind", 0},
+		{"of another generation", Snapshot, 8, good, "generation 7, want 8", 0},
 		{"without its end", Snapshot, 7, append(Head(Snapshot, 7), first...), "has no end", 1},
 		{"cut off", Snapshot, 7, good[:len(good)-1], "cut off", 2},
-		{"more behind", Snapshot, 7, append(bytes.Clone(good), first...), "behind the end", 2},
-		{"a frame twice", Snapshot, 7, append(append(Head(Snapshot, 7), first...), first...), "frame 1: its checksum is wrong", 1},
-		{"huge", Snapshot, 7, huge, "a length of 2147483647 bytes", 0},
+		{"more bytes", Snapshot, 7, append(bytes.Clone(good), first...), "after the end", 2},
+		{"a frame twice", Snapshot, 7, append(append(Head(Snapshot, 7), first...), first...), "frame 1: wrong checksum", 1},
+		{"huge", Snapshot, 7, huge, "length of 2147483647 bytes", 0},
 	} {
-		got := Read(c.sort, c.generation, c.file)
+		got := Read(c.kind, c.generation, c.file)
 		if got.Fault == nil || !strings.Contains(got.Fault.Error(), c.want) || len(got.Batches) != c.batches {
 			t.Errorf("%s: %v, %d batches", c.name, got.Fault, len(got.Batches))
 		}
 	}
 }
 
-// What cannot be read back is not written.
+// Records and batches that could not be decoded are not encoded.
 func TestRefused(t *testing.T) {
 	for _, r := range []Record{{}, {Name: strings.Repeat("n", MaxName+1)}, {Name: "n", Kind: strings.Repeat("k", MaxName+1)},
 		{Name: "n", Body: make([]byte, MaxFrame+1)}} {
 		if _, err := Batch(1, 0, []Record{r}); err == nil {
-			t.Errorf("%d, %d, %d bytes are taken", len(r.Name), len(r.Kind), len(r.Body))
+			t.Errorf("name of %d, kind of %d and body of %d bytes accepted", len(r.Name), len(r.Kind), len(r.Body))
 		}
 	}
 	if _, err := Batch(1, 0, make([]Record, MaxRecords+1)); err == nil {
-		t.Error("too many records are taken")
+		t.Error("too many records accepted")
 	}
 }
 
-// Names are read as they are written, and others not at all.
+// File names are parsed as they are built, and other names are rejected.
 func TestNames(t *testing.T) {
 	for _, f := range []File{{"snapshot-000000000000000a", Snapshot, 10}, {"log-ffffffffffffffff", Log, 1<<64 - 1}} {
 		if got, ok := Parse(f.Name); !ok || got != f || Name(f.Sort, f.Generation) != f.Name {
@@ -99,12 +99,12 @@
 	}
 }
 
-// Whatever bytes come, reading ends, and what it takes to be whole can be written and read again.
+// Decoding ends for any input, and batches that it accepts can be encoded again.
 func FuzzRead(f *testing.F) {
 	f.Add(sample(f, Snapshot, one("a", "1"), one("b", strings.Repeat("x", 100))))
 	f.Add(sample(f, Snapshot))
 	f.Add(Head(Snapshot, 7))
-	// A frame of the fuzzer's own text with a checksum that is right, so that it gets to what frames carry.
+	// A payload, which the fuzz target also puts into a frame with the right checksum, so that it is decoded.
 	f.Add([]byte("\xa1\x01\x81\xa5\x01aa\x02ak\x03\x01\x04A1\x05\xf5"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		framed := binary.LittleEndian.AppendUint32(Head(Snapshot, 7), uint32(len(text)))
--- a/internal/store/frames/recover.go
+++ b/internal/store/frames/recover.go
@@ -9,56 +9,56 @@
 	"strings"
 )
 
-// File is a file of a store's folder.
+// File is a file in a store's folder.
 type File struct {
 	Name       string
 	Sort       Sort
 	Generation uint64
 }
 
-// Name is that of a file.
-func Name(sort Sort, generation uint64) string {
-	return fmt.Sprintf("%s-%016x", map[Sort]string{Snapshot: "snapshot", Log: "log"}[sort], generation)
+// Name returns the name of a file.
+func Name(kind Sort, generation uint64) string {
+	return fmt.Sprintf("%s-%016x", map[Sort]string{Snapshot: "snapshot", Log: "log"}[kind], generation)
 }
 
-// Unfinished ends the names of files that are being written and do not count.
+// Unfinished is the suffix of files that are still being written. Recover ignores them.
 const Unfinished = ".unfinished"
 
-// Parse tells what a name stands for.
+// Parse parses the name of a file. ok is false for names that Name does not return.
 func Parse(name string) (f File, ok bool) {
-	sort, number, found := strings.Cut(name, "-")
+	kind, number, found := strings.Cut(name, "-")
 	generation, err := strconv.ParseUint(number, 16, 64)
 	f = File{Name: name, Generation: generation}
 	switch {
 	case !found || err != nil:
 		return f, false
-	case sort == "snapshot":
+	case kind == "snapshot":
 		f.Sort = Snapshot
-	case sort == "log":
+	case kind == "log":
 		f.Sort = Log
 	}
 	return f, f.Sort != 0 && Name(f.Sort, generation) == name
 }
 
-// Drop is something that a recovery passed over.
+// Drop is data that a recovery skipped.
 type Drop struct {
 	File  string `json:"file"`
-	Bytes int    `json:"bytes"`
+	Bytes int    `json:"bytes"` // number of bytes skipped; 0 for a whole log
 	Why   string `json:"why"`
 }
 
-// Recovered is what a folder holds.
+// Recovered is the result of a recovery.
 type Recovered struct {
 	Records map[string]Record
-	From    uint64 // the generation of the snapshot that it rests on; 0 for none
-	Newest  uint64 // the largest generation that any file names
-	Batches int    // applied from logs
+	From    uint64 // generation of the snapshot; 0 for none
+	Newest  uint64 // the highest generation in a file name
+	Batches int    // number of batches applied from logs
 	Dropped []Drop
 }
 
-// Recover puts together what a folder holds: the newest snapshot that is whole, and the logs from it on, up to the first
-// fault. A later log counts only if the one before it is there to its end: then the snapshot between them, which is not
-// whole, says no more than they do. Read gives a file's bytes.
+// Recover recovers the records of a folder from the newest intact snapshot and the logs from its generation on, up to the first fault. A later log is
+// applied only if the log before it is complete, because then the damaged snapshot between them has no other content than they have. read returns
+// the content of a file.
 func Recover(names []string, read func(name string) ([]byte, error)) Recovered {
 	got := Recovered{Records: map[string]Record{}}
 	logs, snapshots := map[uint64]File{}, []File{}
@@ -93,9 +93,9 @@
 			break
 		}
 	}
-	if got.From == 0 { // a log says only what changed since its snapshot
+	if got.From == 0 { // a log contains only the changes since its snapshot
 		for _, g := range slices.Sorted(maps.Keys(logs)) {
-			got.Dropped = append(got.Dropped, Drop{logs[g].Name, 0, "its snapshot is not there"})
+			got.Dropped = append(got.Dropped, Drop{logs[g].Name, 0, "its snapshot is missing"})
 		}
 		return got
 	}
@@ -104,7 +104,7 @@
 		switch f := logs[g]; {
 		case g < got.From:
 		case g != next || !sealed:
-			got.Dropped = append(got.Dropped, Drop{f.Name, 0, "the log before it is not there to its end"})
+			got.Dropped = append(got.Dropped, Drop{f.Name, 0, "the log before it is missing or incomplete"})
 		default:
 			c := open(f)
 			got.apply(c)
@@ -121,7 +121,7 @@
 	}
 }
 
-// Apply applies a batch to records.
+// Apply applies a batch to records by name.
 func Apply(to map[string]Record, batch []Record) {
 	for _, r := range batch {
 		if r.Gone {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Words words a snapshot of records, in the order of their names; a frame carries about so many bytes.
-func Words(generation uint64, records map[string]Record, about int) ([]byte, error) {
+// EncodeSnapshot encodes a snapshot of records in the order of their names. frameBytes is the approximate payload of a frame in bytes.
+func Words(generation uint64, records map[string]Record, frameBytes int) ([]byte, error) {
 	b, number := Head(Snapshot, generation), 0
 	var batch []Record
 	size := 0
@@ -147,7 +147,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(records)) {
 		batch = append(batch, records[name])
-		if size += len(records[name].Body); size >= about {
+		if size += len(records[name].Body); size >= frameBytes {
 			if err := flush(); err != nil {
 				return nil, err
 			}
