--- a/internal/host/successor/successor.go
+++ b/internal/host/successor/successor.go
@@ -129,12 +129,12 @@
 
 // Claim asks the running process of the agent with this name for its state and listeners, and retries for claimTimeout at most. If it returns an
 // error, all received descriptors are closed.
-func Claim(path, name string) (h *Heir, err error) {
+func Claim(path, name string) (r *Heir, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimWithin)
 	defer cancel()
 	refusals := 0
 	err = transient.Until(ctx, func() error {
-		h, err = claimOnce(path, name)
+		r, err = claimOnce(path, name)
 		return err
 	}, func(err error) bool {
 		if errors.Is(err, syscall.ECONNREFUSED) { // the process has ended, or its accept queue is full
@@ -145,7 +145,7 @@
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, fmt.Errorf("%w: %w", ErrNobody, err)
 	}
-	return h, err
+	return r, err
 }
 
 func claimOnce(path, name string) (*Heir, error) {
@@ -154,12 +154,12 @@
 		return nil, err
 	}
 	conn := c.(*net.UnixConn)
-	h, err := claim(conn, name)
+	r, err := claim(conn, name)
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
-	return h, nil
+	return r, nil
 }
 
 func claim(conn *net.UnixConn, name string) (_ *Heir, err error) {
@@ -168,8 +168,8 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Heir{Link: newLink(conn)}
-	if _, err := h.Link.conn.Write(frame); err != nil {
+	r := &Heir{Link: newLink(conn)}
+	if _, err := r.Link.conn.Write(frame); err != nil {
 		return nil, fmt.Errorf("claiming: %w", err)
 	}
 	var files []*os.File
@@ -178,7 +178,7 @@
 			f.Close()
 		}
 		if err != nil {
-			for _, l := range h.Listeners {
+			for _, l := range r.Listeners {
 				l.Close()
 			}
 		}
@@ -195,32 +195,32 @@
 	if files, err = receivedFiles(oob[:oobn]); err != nil {
 		return nil, err
 	}
-	if err := read(h.Link.conn, &h.State); err != nil {
+	if err := read(r.Link.conn, &r.State); err != nil {
 		return nil, fmt.Errorf("claiming: %w", err)
 	}
-	if h.State.Name != name {
-		return nil, fmt.Errorf("claiming: %w: %q", errOtherName, h.State.Name)
+	if r.State.Name != name {
+		return nil, fmt.Errorf("claiming: %w: %q", errOtherName, r.State.Name)
 	}
-	if len(files) != len(h.State.Listeners) {
-		return nil, fmt.Errorf("claiming: %d listeners in the state, %d files received", len(h.State.Listeners), len(files))
+	if len(files) != len(r.State.Listeners) {
+		return nil, fmt.Errorf("claiming: %d listeners in the state, %d files received", len(r.State.Listeners), len(files))
 	}
 	for i, f := range files {
 		l, err := net.FileListener(f)
 		if err != nil {
-			return nil, fmt.Errorf("claiming listener %s: %w", h.State.Listeners[i], err)
+			return nil, fmt.Errorf("claiming listener %s: %w", r.State.Listeners[i], err)
 		}
 		tcp, ok := l.(*net.TCPListener)
 		if !ok || l.Addr() == nil { // getsockname(2) has failed
 			l.Close()
-			return nil, fmt.Errorf("claiming listener %s: not a TCP listener: %T at %v", h.State.Listeners[i], l, l.Addr())
+			return nil, fmt.Errorf("claiming listener %s: not a TCP listener: %T at %v", r.State.Listeners[i], l, l.Addr())
 		}
-		h.Listeners = append(h.Listeners, tcp)
+		r.Listeners = append(r.Listeners, tcp)
 	}
 	conn.SetDeadline(time.Time{})
-	return h, nil
+	return r, nil
 }
 
-// received returns the files from a message's ancillary data.
+// receivedFiles returns the files from a message's ancillary data.
 func receivedFiles(oob []byte) (files []*os.File, err error) {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
@@ -265,37 +265,37 @@
 }
 
 // Close stops accepting claims. Open links are not closed.
-func (o *Offer) Close() error { return o.listen.Close() }
+func (s *Offer) Close() error { return s.listen.Close() }
 
 // Serve answers claims until Close. It calls handOver for each valid claim, which returns the state and the listeners to hand over and
 // subscribes the link to all updates after that state. It then calls linked, even if the claim failed and the link is closed; linked must run
 // the link and return when it has ended.
-func (o *Offer) Serve(handOver func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
-	retry := accept.NewRetrier(o.log)
+func (s *Offer) Serve(handOver func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
+	retry := accept.NewRetrier(s.log)
 	for {
-		conn, err := accept.Do(retry, o.listen.AcceptUnix)
+		conn, err := accept.Do(retry, s.listen.AcceptUnix)
 		if err != nil {
 			return
 		}
 		select {
-		case o.slots <- struct{}{}:
+		case s.slots <- struct{}{}:
 		default:
 			conn.Close()
 			continue
 		}
 		go func() {
-			defer func() { <-o.slots }()
+			defer func() { <-s.slots }()
 			l := newLink(conn)
 			defer l.Close()
-			if err := o.answer(conn, l, handOver); err != nil {
-				o.log.Warn("a claim was not answered", "error", err)
+			if err := s.answer(conn, l, handOver); err != nil {
+				s.log.Warn("a claim was not answered", "error", err)
 			}
 			linked(l)
 		}()
 	}
 }
 
-func (o *Offer) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
+func (s *Offer) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -306,11 +306,11 @@
 	if err := read(l.conn, &claim); err != nil {
 		return err
 	}
-	if claim.Name != o.name {
-		if frame, err := succession.Frame(succession.State{Name: o.name}); err == nil { // so that it does not retry
+	if claim.Name != s.name {
+		if frame, err := succession.Frame(succession.State{Name: s.name}); err == nil { // so that it does not retry
 			l.conn.Write(append([]byte{0}, frame...))
 		}
-		return fmt.Errorf("agent %q claims the state of agent %q", claim.Name, o.name)
+		return fmt.Errorf("agent %q claims the state of agent %q", claim.Name, s.name)
 	}
 	state, listeners, err := handOver(l)
 	if err != nil {
--- a/internal/store/dir.go
+++ b/internal/store/dir.go
@@ -31,16 +31,16 @@
 	return names, err
 }
 
-// Read returns the content of a file, which may have at most most bytes.
-func (d Dir) Read(name string, most int64) ([]byte, error) {
+// Read returns the content of a file, which may have at most limit bytes.
+func (d Dir) Read(name string, limit int64) ([]byte, error) {
 	f, err := os.Open(d.path(name))
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = fmt.Errorf("%s: more than %d bytes", name, most)
+	text, err := io.ReadAll(io.LimitReader(f, limit+1))
+	if err == nil && int64(len(text)) > limit {
+		err = fmt.Errorf("%s: more than %d bytes", name, limit)
 	}
 	return text, err
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,8 +19,8 @@
 // FS is the operations of a store on its folder. Names have no path separators.
 type FS interface {
 	List() ([]string, error) // names of the files
-	// Read returns the content of a file. It fails if the file has more than most bytes.
-	Read(name string, most int64) ([]byte, error)
+	// Read returns the content of a file. It fails if the file has more than limit bytes.
+	Read(name string, limit int64) ([]byte, error)
 	// Create creates a file, or truncates an existing one, and opens it for writing.
 	Create(name string) (File, error)
 	Rename(from, to string) error
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -72,49 +72,49 @@
 
 // attempt makes one attempt.
 func (m *multiplexer) attempt(ctx context.Context, at *core.Attempt) core.Ending {
-	t := &muxAttempt{ctx: ctx, at: at, call: at.Payload.(*thriftmap.Call), done: make(chan core.Ending, 1)}
-	mc, err := m.join(ctx, t)
+	a := &muxAttempt{ctx: ctx, at: at, call: at.Payload.(*thriftmap.Call), done: make(chan core.Ending, 1)}
+	mc, err := m.join(ctx, a)
 	if err != nil {
 		return exchange.NoConnection(ctx, at, err)
 	}
 	select {
-	case e := <-t.done:
+	case e := <-a.done:
 		return e
 	case <-ctx.Done():
-		return mc.abandon(t)
+		return mc.abandon(a)
 	}
 }
 
 // join assigns an attempt to a connection to its server: a busy one that has room, or else an idle or a new one.
-func (m *multiplexer) join(ctx context.Context, t *muxAttempt) (*muxConn, error) {
-	k := connKey{t.at.Server, t.at.Speaks}
+func (m *multiplexer) join(ctx context.Context, a *muxAttempt) (*muxConn, error) {
+	k := connKey{a.at.Server, a.at.Speaks}
 	m.mu.Lock()
 	for {
 		for _, mc := range m.busy[k] {
-			if mc.enqueue(t, m.maxCalls) {
+			if mc.enqueue(a, m.maxCalls) {
 				m.mu.Unlock()
 				return mc, nil
 			}
 		}
-		under := m.dials[k]
-		if under == nil {
+		pending := m.dials[k]
+		if pending == nil {
 			break
 		}
 		m.mu.Unlock()
 		select { // concurrent calls share a connection
-		case <-under.ended:
+		case <-pending.ended:
 		case <-ctx.Done():
 			return nil, errNoConn
 		}
-		if under.err != nil {
-			return nil, under.err
+		if pending.err != nil {
+			return nil, pending.err
 		}
 		m.mu.Lock()
 	}
 	d := &pendingDial{ended: make(chan struct{})}
 	m.dials[k] = d
 	m.mu.Unlock()
-	c, err := m.pool.Acquire(ctx, t.at.Server, k.speaks, &t.at.Life)
+	c, err := m.pool.Acquire(ctx, a.at.Server, k.speaks, &a.at.Life)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.dials, k)
@@ -131,7 +131,7 @@
 		c.Session = mc
 		go mc.read()
 	}
-	if !mc.enqueue(t, m.maxCalls) { // the connection broke while it was idle
+	if !mc.enqueue(a, m.maxCalls) { // the connection broke while it was idle
 		m.pool.Release(c, false)
 		return nil, errNoConn
 	}
@@ -140,15 +140,15 @@
 }
 
 // enqueue adds an attempt to the connection and reports whether there was room.
-func (mc *muxConn) enqueue(t *muxAttempt, most int) bool {
+func (mc *muxConn) enqueue(a *muxAttempt, maxCalls int) bool {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
-	slot, err := mc.state.Join(&t.at.Life, t, most)
-	t.at.Heed(err)
+	slot, err := mc.state.Join(&a.at.Life, a, maxCalls)
+	a.at.Heed(err)
 	if slot == nil {
 		return false
 	}
-	t.slot = slot
+	a.slot = slot
 	if !mc.writing {
 		mc.writing = true
 		go mc.write()
@@ -167,29 +167,29 @@
 	for {
 		buf, out, ends = buf[:0], out[:0], ends[:0]
 		// A server that does not read blocks all calls on the connection, so writes have the time limit for pauses within an answer.
-		by := time.Now().Add(exchange.Stall)
+		deadline := time.Now().Add(exchange.Stall)
 		mc.mu.Lock()
 		for len(buf) < maxBatchBytes {
 			slot := mc.state.Next()
 			if slot == nil {
 				break
 			}
-			t := slot.Host.(*muxAttempt)
-			end, _ := t.ctx.Deadline()
+			a := slot.Host.(*muxAttempt)
+			end, _ := a.ctx.Deadline()
 			before := len(buf)
-			buf = t.call.Frame(buf, slot.Seq, time.Until(end))
+			buf = a.call.Frame(buf, slot.Seq, time.Until(end))
 			// Conditions may have changed since the call was queued.
-			if !exchange.Begin(t.ctx, t.at, len(buf)-before) {
+			if !exchange.Begin(a.ctx, a.at, len(buf)-before) {
 				buf = buf[:before]
 				mc.state.Drop(slot)
-				t.done <- core.Ended(t.at.Life.Result())
+				a.done <- core.Ended(a.at.Life.Result())
 				continue
 			}
-			t.at.Heed(mc.state.Begun(slot, time.Now()))
-			if w := t.at.WriteBy; !w.IsZero() && w.Before(by) {
-				by = w
+			a.at.Heed(mc.state.Begun(slot, time.Now()))
+			if w := a.at.WriteBy; !w.IsZero() && w.Before(deadline) {
+				deadline = w
 			}
-			out, ends = append(out, t), append(ends, len(buf))
+			out, ends = append(out, a), append(ends, len(buf))
 		}
 		if len(out) == 0 {
 			mc.writing = false
@@ -198,19 +198,19 @@
 			return
 		}
 		mc.mu.Unlock()
-		mc.conn.SetWriteDeadline(by)
+		mc.conn.SetWriteDeadline(deadline)
 		n, err := mc.conn.Write(buf)
 		mc.mu.Lock()
 		begin := 0
-		for i, t := range out {
-			ended, problem := mc.state.Wrote(t.slot, min(ends[i], max(begin, n))-begin, t.call.Method.Oneway)
+		for i, a := range out {
+			ended, problem := mc.state.Wrote(a.slot, min(ends[i], max(begin, n))-begin, a.call.Method.Oneway)
 			begin = ends[i]
-			t.at.Heed(problem)
+			a.at.Heed(problem)
 			if n >= ends[i] {
-				t.at.Forwarded()
+				a.at.Forwarded()
 			}
 			if ended {
-				t.done <- core.Ended(t.at.Life.Result())
+				a.done <- core.Ended(a.at.Life.Result())
 			}
 		}
 		if err != nil || mc.state.Broken() { // the reader may have failed during the write
@@ -225,28 +225,28 @@
 	mc.conn.Close()
 	ended, err := mc.state.Break(c)
 	for _, s := range ended {
-		t := s.Host.(*muxAttempt)
-		t.at.Heed(err)
-		t.done <- core.Ended(t.at.Life.Result())
+		a := s.Host.(*muxAttempt)
+		a.at.Heed(err)
+		a.done <- core.Ended(a.at.Life.Result())
 	}
 }
 
 // abandon stops waiting for an attempt's reply, unless it has arrived meanwhile.
-func (mc *muxConn) abandon(t *muxAttempt) core.Ending {
+func (mc *muxConn) abandon(a *muxAttempt) core.Ending {
 	mc.mu.Lock()
 	defer mc.releaseIfIdle()
 	defer mc.mu.Unlock()
 	select {
-	case e := <-t.done:
+	case e := <-a.done:
 		return e
 	default:
 	}
 	cause := life.Late
-	if errors.Is(context.Cause(t.ctx), core.ErrWithdrawn) {
+	if errors.Is(context.Cause(a.ctx), core.ErrWithdrawn) {
 		cause = life.Withdrawn
 	}
-	t.at.Heed(mc.state.Abandon(t.slot, cause))
-	return core.Ended(t.at.Life.Result())
+	a.at.Heed(mc.state.Abandon(a.slot, cause))
+	return core.Ended(a.at.Life.Result())
 }
 
 // read reads replies until the connection ends.
@@ -281,27 +281,27 @@
 }
 
 // awaitNext removes the read deadline, as the next reply may take any time to begin.
-func (p *replyReader) awaitNext() {
-	p.completeBy = time.Time{}
-	p.conn.SetReadDeadline(time.Time{})
+func (r *replyReader) awaitNext() {
+	r.completeBy = time.Time{}
+	r.conn.SetReadDeadline(time.Time{})
 }
 
 // begin sets the deadlines of a reply that has begun.
-func (p *replyReader) begin() {
+func (r *replyReader) begin() {
 	now := time.Now()
-	p.completeBy = now.Add(mostReply)
-	p.conn.SetReadDeadline(now.Add(exchange.Stall))
+	r.completeBy = now.Add(mostReply)
+	r.conn.SetReadDeadline(now.Add(exchange.Stall))
 }
 
 // Read implements io.Reader. It extends the read deadline while a reply arrives.
-func (p *replyReader) Read(b []byte) (int, error) {
-	n, err := p.conn.Read(b)
-	if n > 0 && !p.completeBy.IsZero() {
-		by := time.Now().Add(exchange.Stall)
-		if p.completeBy.Before(by) {
-			by = p.completeBy
+func (r *replyReader) Read(b []byte) (int, error) {
+	n, err := r.conn.Read(b)
+	if n > 0 && !r.completeBy.IsZero() {
+		deadline := time.Now().Add(exchange.Stall)
+		if r.completeBy.Before(deadline) {
+			deadline = r.completeBy
 		}
-		p.conn.SetReadDeadline(by)
+		r.conn.SetReadDeadline(deadline)
 	}
 	return n, err
 }
@@ -324,15 +324,15 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w: sequence id %d", exchange.ErrSpoilt, err, h.Seq)
 	}
-	t := slot.Host.(*muxAttempt)
-	e, err := outcome(t.call, h, message, h.Seq)
+	a := slot.Host.(*muxAttempt)
+	e, err := outcome(a.call, h, message, h.Seq)
 	if err != nil {
 		return err // the caller breaks the connection, which ends this call too
 	}
 	ended, err := mc.state.Answered(slot, e.Result)
-	t.at.Heed(err)
+	a.at.Heed(err)
 	if ended {
-		t.done <- e
+		a.done <- e
 	}
 	return nil
 }
@@ -352,10 +352,10 @@
 		return // already idle or closed
 	}
 	mc.mu.Lock()
-	rests, reuse := mc.state.Rests(mc.key.server.Retired())
-	rests = rests && !mc.writing
+	idle, reuse := mc.state.Rests(mc.key.server.Retired())
+	idle = idle && !mc.writing
 	mc.mu.Unlock()
-	if !rests {
+	if !idle {
 		return
 	}
 	if conns := m.busy[mc.key]; len(conns) == 1 {
--- a/internal/thrift/thriftback/serial.go
+++ b/internal/thrift/thriftback/serial.go
@@ -52,29 +52,29 @@
 }
 
 // Message returns the frame to send.
-func (t *codec) Message(end time.Time) []byte {
-	return t.call.Frame(make([]byte, 0, len(t.call.Message)+16), t.seq, time.Until(end))
+func (c *codec) Message(end time.Time) []byte {
+	return c.call.Frame(make([]byte, 0, len(c.call.Message)+16), c.seq, time.Until(end))
 }
 
 // Answer reads the reply. A oneway has none, so its success only means that it was written.
-func (t *codec) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
-	if t.call.Method.Oneway {
+func (c *codec) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
+	if c.call.Method.Oneway {
 		return core.Ended(choice.OK), true, in.Sent()
 	}
 	if err := in.Begin(); err != nil {
 		return core.Ending{}, false, err
 	}
-	h, message, err := readMessage(in, t.maxFrame)
+	h, message, err := readMessage(in, c.maxFrame)
 	if err != nil {
 		return core.Ending{}, false, err
 	}
-	e, err := outcome(t.call, h, message, t.seq)
+	e, err := outcome(c.call, h, message, c.seq)
 	return e, true, err
 }
 
 // readMessage reads one frame and its head. If they are malformed the error is exchange.ErrInvalidAnswer.
-func readMessage(in io.Reader, most int) (h thriftwire.Head, message []byte, err error) {
-	if message, err = thriftwire.ReadFrame(in, most); err == nil {
+func readMessage(in io.Reader, maxFrame int) (h thriftwire.Head, message []byte, err error) {
+	if message, err = thriftwire.ReadFrame(in, maxFrame); err == nil {
 		h, err = thriftwire.ReadHead(message)
 	}
 	if errors.Is(err, thriftwire.ErrMalformed) {
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -52,10 +52,10 @@
 	frame []byte // the answer; nil until there is one
 }
 
-// errProtocol closes a connection on which the client's messages can no longer be interpreted, so that no error can be sent either.
+// errProtocol ends a connection on which the client's messages can no longer be interpreted, so that no error can be sent either.
 var errProtocol = errors.New("not a Thrift message, or not in the connection's encoding")
 
-// errStopping closes an idle connection when the agent shuts down.
+// errStopping ends an idle connection when the agent shuts down.
 var errStopping = errors.New("the agent is shutting down")
 
 func (f *Front) open(conn *conntrack.Conn) {
@@ -361,16 +361,16 @@
 	if c.closed || !full() {
 		return
 	}
-	over := make(chan struct{})
-	defer close(over)
+	done := make(chan struct{})
+	defer close(done)
 	go func() {
-		look := time.NewTicker(conntrack.ProbeInterval)
-		defer look.Stop()
+		probe := time.NewTicker(conntrack.ProbeInterval)
+		defer probe.Stop()
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
-			case <-look.C:
+			case <-probe.C:
 				if peek.HungUp(c.conn) {
 					c.die()
 					return
@@ -393,10 +393,10 @@
 	}
 	waited := c.conn.SinceLastData() // the client's time limit counts from when it sent the call
 	arrival = c.front.core.Now() - waited
-	by := time.Now().Add(c.front.service.FrameTimeout)
-	c.conn.SetReadDeadline(by)
+	deadline := time.Now().Add(c.front.service.FrameTimeout)
+	c.conn.SetReadDeadline(deadline)
 	var prefix [4]byte
-	if err := c.copy(prefix[:], by); err != nil {
+	if err := c.copy(prefix[:], deadline); err != nil {
 		return nil, 0, err
 	}
 	n, err := thriftwire.FrameLength(prefix, c.front.service.MaxFrame)
@@ -405,26 +405,26 @@
 		return nil, 0, fmt.Errorf("%w: %w", errProtocol, err)
 	}
 	message = make([]byte, n)
-	err = c.copy(message, by)
+	err = c.copy(message, deadline)
 	return message, arrival, err
 }
 
 // awaitFrame waits for the first byte of a frame, until the idle timeout or the shutdown of the agent.
 func (c *client) await() error {
 	for c.start == c.end {
-		ending := c.front.stopping.Load()
+		stopping := c.front.stopping.Load()
 		c.mu.Lock()
-		rests, fresh := c.restsLocked(), !c.called
-		var by time.Time // at shutdown the tracker closes connections without a call
-		if rests && !ending {
-			by = time.Now().Add(c.front.service.IdleTimeout)
+		idle, fresh := c.restsLocked(), !c.called
+		var deadline time.Time // at shutdown the tracker closes connections without a call
+		if idle && !stopping {
+			deadline = time.Now().Add(c.front.service.IdleTimeout)
 		}
-		c.conn.SetReadDeadline(by)
+		c.conn.SetReadDeadline(deadline)
 		c.mu.Unlock()
-		if ending != c.front.stopping.Load() {
+		if stopping != c.front.stopping.Load() {
 			continue // otherwise the deadline set above would cancel the effect of wake
 		}
-		if ending && rests && !fresh && peek.Silent(c.conn) {
+		if stopping && idle && !fresh && peek.Silent(c.conn) {
 			return errStopping
 		}
 		switch err := c.more(); {
@@ -432,16 +432,16 @@
 			return nil
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
-		case rests && !ending && !c.front.stopping.Load():
+		case idle && !stopping && !c.front.stopping.Load():
 			return err // idle timeout
 		}
 	}
 	return nil
 }
 
-// copy fills a buffer with data that has been read, or that arrives until the time by. A frame that is not complete by then is a protocol error:
+// copy fills a buffer with data that has been read, or that arrives until the deadline. A frame that is not complete then is a protocol error:
 // the connection is closed, after the client's earlier calls are answered.
-func (c *client) copy(to []byte, by time.Time) error {
+func (c *client) copy(to []byte, deadline time.Time) error {
 	for {
 		if c.chunk != nil {
 			n := copy(to, (*c.chunk)[c.start:c.end])
@@ -456,8 +456,8 @@
 		}
 		switch err := c.more(); {
 		case err == nil:
-		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(by):
-			c.conn.SetReadDeadline(by) // woken by the shutdown
+		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline):
+			c.conn.SetReadDeadline(deadline) // woken by the shutdown
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.front.core.Malformed()
 			return fmt.Errorf("%w: timeout in the middle of a frame", errProtocol)
--- a/internal/thrift/thriftmap/call.go
+++ b/internal/thrift/thriftmap/call.go
@@ -44,7 +44,7 @@
 // Method is the configuration of a method.
 type Method struct {
 	Name   string
-	Class  int // index in the settings' classes; -1 if there are no settings
+	Class  int // index in the classes given to Parse; -1 if none were given
 	Oneway bool
 
 	effect           choice.Effect
@@ -71,7 +71,7 @@
 
 	ID     string // correlation id; empty if the service has none
 	Tenant string
-	Key    string        // routing key; empty if there is none
+	Key    string        // key of the resource that the call is about; empty if there is none
 	Again  bool          // the client says that this is a retry
 	Left   time.Duration // the client's remaining time; 0 if not given
 
--- a/internal/thrift/thriftwire/thriftwire.go
+++ b/internal/thrift/thriftwire/thriftwire.go
@@ -85,25 +85,25 @@
 }
 
 // FrameLength decodes the length prefix of a frame: 4 bytes, signed, in the framed transport (thrift-rpc.md). It returns an error unless the length
-// is between 1 and most.
-func FrameLength(prefix [4]byte, most int) (int, error) {
+// is between 1 and limit.
+func FrameLength(prefix [4]byte, limit int) (int, error) {
 	n := int32(binary.BigEndian.Uint32(prefix[:]))
 	switch {
 	case n <= 0:
 		return 0, fmt.Errorf("%w: frame of length %d", ErrMalformed, n)
-	case int64(n) > int64(most):
-		return 0, fmt.Errorf("%w: frame of length %d, %d at most", ErrMalformed, n, most)
+	case int64(n) > int64(limit):
+		return 0, fmt.Errorf("%w: frame of length %d, %d at most", ErrMalformed, n, limit)
 	}
 	return int(n), nil
 }
 
-// ReadFrame reads one frame and returns its content. It checks the length against most before allocating memory.
-func ReadFrame(in io.Reader, most int) ([]byte, error) {
+// ReadFrame reads one frame and returns its content. It checks the length against limit before allocating memory.
+func ReadFrame(in io.Reader, limit int) ([]byte, error) {
 	var prefix [4]byte
 	if _, err := io.ReadFull(in, prefix[:]); err != nil {
 		return nil, err
 	}
-	n, err := FrameLength(prefix, most)
+	n, err := FrameLength(prefix, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -227,8 +227,8 @@
 	plan       *Plan
 }
 
-// varint reads a variable-length integer of at most this number of bytes and with a value of at most most.
-func (s *scanner) varint(bytes int, most uint64) (x uint64, err error) {
+// varint reads a variable-length integer of at most this number of bytes and with a value of at most limit.
+func (s *scanner) varint(bytes int, limit uint64) (x uint64, err error) {
 	if s.at < len(s.m) && s.m[s.at] < 0x80 { // fast path: most varints have one byte
 		x = uint64(s.m[s.at])
 		s.at++
@@ -252,15 +252,15 @@
 			break
 		}
 	}
-	if x > most {
-		return 0, malformed(begin, "a varint of %d, %d at most", x, most)
+	if x > limit {
+		return 0, malformed(begin, "a varint of %d, %d at most", x, limit)
 	}
 	return x, nil
 }
 
 // zigzag reads a variable-length integer in zigzag encoding.
-func (s *scanner) zigzag(bytes int, most uint64) (int64, error) {
-	x, err := s.varint(bytes, most)
+func (s *scanner) zigzag(bytes int, limit uint64) (int64, error) {
+	x, err := s.varint(bytes, limit)
 	return int64(x>>1) ^ -int64(x&1), err
 }
 
@@ -364,9 +364,9 @@
 	return int(n), nil
 }
 
-// checkCount verifies that n elements of a container, of at least least bytes each, fit in the rest of the message.
-func (s *scanner) checkCount(at int, n int64, least int) error {
-	if n < 0 || n > int64((len(s.m)-s.at)/least) {
+// checkCount verifies that n elements of a container, of at least minSize bytes each, fit in the rest of the message.
+func (s *scanner) checkCount(at int, n int64, minSize int) error {
+	if n < 0 || n > int64((len(s.m)-s.at)/minSize) {
 		return malformed(at, "a container of %d elements, %d bytes are there", n, len(s.m)-s.at)
 	}
 	return nil
