--- a/internal/decide/listing/listing.go
+++ b/internal/decide/listing/listing.go
@@ -1,6 +1,6 @@
-// Package listing decides which lists of servers are believed. Discovery that is overbooked or begins anew sends lists
-// that are empty, older than the last or name a server twice; the last good one holds then, and a drain that was told
-// binds, whatever list told it. It does no I/O and reads no clock.
+// Package listcheck decides which server lists from discovery are accepted. A discovery service that is overloaded or has
+// restarted may send lists that are empty, older than the last one, or contain a server twice. The last good list stays in
+// effect then, but drains are applied even from a list that is rejected. The package does no I/O and reads no clock.
 package listing
 
 import (
@@ -9,77 +9,79 @@
 	"ternbeam/choice"
 )
 
-// Unknown is the version where none has come from that discovery yet: another one may count otherwise.
+// UnknownVersion stands for the version if that discovery service has not sent a list yet. Versions of another service do
+// not count, as each service may number its lists differently.
 const Unknown = -1
 
 const (
-	// behindMost is how many lists in a row that are older than the last one are held to be mistakes. One more is
-	// believed: discovery has begun anew and counts from the start.
-	behindMost = 3
-	// Most is how many servers a list may name.
+	// maxOlderInRow is the number of consecutive older lists that are rejected as mistakes. The next one is accepted:
+	// discovery has restarted and numbers its lists from the start.
+	maxOlderInRow = 3
+	// MaxServers is the maximum number of servers in a list.
 	Most = 50_000
 )
 
-// Entry is what a list says of a server, as far as it matters here.
+// Entry is the part of a server's list entry that the checks need.
 type Entry struct {
 	ID      string
 	State   choice.State
-	Started int64 // any number that grows with each start of the server
+	Started int64 // any number that increases with each start of the server
 }
 
-// List is a list or a change of one.
+// List is a full list or a list of changes.
 type List struct {
 	Version int64
-	Full    bool
+	Full    bool // it contains all servers, not only changes
 	Entries []Entry
 }
 
-// Verdict says what to make of a list.
+// Verdict tells the caller what to apply of a list.
 type Verdict struct {
-	Hold     bool   // nothing of it is applied but its drains: the last good list holds
-	Reason   string // what is wrong with it, empty for nothing
-	Skip     []int  // entries that are not applied, of servers that it names again, in their order
-	Draining []int  // entries that count as draining, whatever they say; of one that is held, all that count
+	Hold     bool   // apply only its drains; the last good list stays in effect
+	Reason   string // what is wrong with it; empty if nothing is
+	Skip     []int  // indexes of entries to leave out, as another entry of the same server takes precedence; ascending
+	Draining []int  // indexes of entries to apply as draining, whatever their state; of a rejected list, apply only these
 }
 
-// Keeper judges the lists of one discovery in the order in which they come. Its zero value is not of use.
+// Checker checks the lists of one discovery service in the order in which they arrive. Create it with New. It is not safe
+// for concurrent use.
 type Keeper struct {
-	version int64
-	behind  int
-	known   map[string]Entry // by the lists that were believed
+	version    int64            // of the last accepted list
+	olderInRow int              // consecutive older lists that were rejected
+	known      map[string]Entry // servers by the accepted lists and applied drains, without those that are gone
 }
 
-// New returns a Keeper of one whose lists so far ended with a version, or Unknown.
+// New returns a Checker for a service whose last list had the given version, or UnknownVersion.
 func New(version int64) *Keeper { return &Keeper{version: version, known: map[string]Entry{}} }
 
-// Version is that of the latest list that was believed.
+// Version returns the version of the last accepted list.
 func (k *Keeper) Version() int64 { return k.version }
 
-// Judge takes a list. What is believed of it is what later ones are judged by.
+// Check checks a list. Later lists are checked against what was accepted of it.
 func (k *Keeper) Judge(l List) (v Verdict) {
-	back := k.version != Unknown && l.Version < k.version
+	older := k.version != Unknown && l.Version < k.version
 	switch {
 	case len(l.Entries) > Most:
-		return Verdict{Hold: true, Reason: fmt.Sprintf("%d servers, %d at most are taken", len(l.Entries), Most)}
+		return Verdict{Hold: true, Reason: fmt.Sprintf("%d servers, at most %d are accepted", len(l.Entries), Most)}
 	case l.Full && len(l.Entries) == 0 && len(k.known) > 0:
-		return Verdict{Hold: true, Reason: fmt.Sprintf("a whole list without a server, where %d were known", len(k.known))}
-	case back && !l.Full:
-		return Verdict{Hold: true, Reason: fmt.Sprintf("a change to version %d after version %d", l.Version, k.version), Draining: k.drains(l)}
-	case back && k.behind < behindMost:
-		k.behind++
-		return Verdict{Hold: true, Reason: fmt.Sprintf("version %d after version %d", l.Version, k.version), Draining: k.drains(l)}
-	case back:
-		v.Reason = fmt.Sprintf("version %d after version %d, believed as it comes for the %dth time", l.Version, k.version, k.behind+1)
+		return Verdict{Hold: true, Reason: fmt.Sprintf("a full list without a server, although %d were known", len(k.known))}
+	case older && !l.Full:
+		return Verdict{Hold: true, Reason: fmt.Sprintf("a change to version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
+	case older && k.olderInRow < maxOlderInRow:
+		k.olderInRow++
+		return Verdict{Hold: true, Reason: fmt.Sprintf("version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
+	case older:
+		v.Reason = fmt.Sprintf("version %d after version %d, accepted as it is the %dth older list in a row", l.Version, k.version, k.olderInRow+1)
 	}
-	k.behind, k.version = 0, l.Version
-	last := make(map[string]int, len(l.Entries)) // the entry of a server that counts
+	k.olderInRow, k.version = 0, l.Version
+	last := make(map[string]int, len(l.Entries)) // index of the entry that takes precedence, by server
 	for i, e := range l.Entries {
-		other, twice := last[e.ID]
-		if !twice || beats(e, l.Entries[other]) {
+		other, duplicate := last[e.ID]
+		if !duplicate || takesPrecedence(e, l.Entries[other]) {
 			last[e.ID] = i
 		}
-		if twice && v.Reason == "" {
-			v.Reason = fmt.Sprintf("server %q is named twice", e.ID)
+		if duplicate && v.Reason == "" {
+			v.Reason = fmt.Sprintf("server %q is listed twice", e.ID)
 		}
 	}
 	known := k.known
@@ -91,8 +93,8 @@
 			v.Skip = append(v.Skip, i)
 			continue
 		}
-		// An older list has not heard of the drain, and one that began anew has forgotten it.
-		if before, ok := k.known[e.ID]; back && ok && before.State == choice.Draining && e.State == choice.Ready && e.Started <= before.Started {
+		// An older list was made before the drain, and a restarted discovery service has lost it.
+		if prev, ok := k.known[e.ID]; older && ok && prev.State == choice.Draining && e.State == choice.Ready && e.Started <= prev.Started {
 			e.State, v.Draining = choice.Draining, append(v.Draining, i)
 		}
 		if e.State == choice.Gone {
@@ -100,26 +102,28 @@
 			continue
 		}
 		if known[e.ID] = e; len(known) > Most {
-			delete(known, e.ID) // judged by no more than the bound
+			delete(known, e.ID) // the bound holds for known servers, too
 		}
 	}
 	k.known = known
 	return v
 }
 
-// Drains takes the drains of a list of which nothing else is to count, and returns the entries that do.
+// ApplyDrains records only the drains of a list that is otherwise ignored, and returns the indexes of the entries to apply
+// as draining.
 func (k *Keeper) Drains(l List) []int {
 	if len(l.Entries) > Most {
 		return nil
 	}
-	return k.drains(l)
+	return k.recordDrains(l)
 }
 
-// drains are the entries of an older list by which a server that is sent to drains or is gone. It may be the only one to tell: discovery
-// that has begun anew counts from the start. A server that was only put back since is whole again by the next list.
-func (k *Keeper) drains(l List) (all []int) {
+// recordDrains records as draining the ready or unknown servers that an older list reports as draining or gone, and returns
+// the indexes of their entries. The list may be the only one to report this: a restarted discovery service numbers its
+// lists from the start. If the drain has only been undone since, the next list makes the server ready duplicate.
+func (k *Keeper) recordDrains(l List) (all []int) {
 	for i, e := range l.Entries {
-		if before, known := k.known[e.ID]; e.State == choice.Ready || known && (before.State != choice.Ready || e.Started < before.Started) {
+		if prev, known := k.known[e.ID]; e.State == choice.Ready || known && (prev.State != choice.Ready || e.Started < prev.Started) {
 			continue
 		}
 		all = append(all, i)
@@ -131,9 +135,9 @@
 	return all
 }
 
-// beats reports whether an entry counts and not another of the same server: that of the later start, or else the one
-// that sends less there.
-func beats(e, other Entry) bool {
+// takesPrecedence reports whether an entry is used instead of another one of the same server: that of the later start, or
+// else the one whose state gets the server fewer calls.
+func takesPrecedence(e, other Entry) bool {
 	if e.Started != other.Started {
 		return e.Started > other.Started
 	}
--- a/internal/decide/listing/listing_test.go
+++ b/internal/decide/listing/listing_test.go
@@ -10,6 +10,7 @@
 	"ternbeam/choice"
 )
 
+// ready returns entries of ready servers.
 func ready(ids ...string) (es []Entry) {
 	for _, id := range ids {
 		es = append(es, Entry{ID: id})
@@ -24,29 +25,29 @@
 		l      List
 		want   Verdict
 	}{
-		"the first, empty":           {nil, List{Version: 1, Full: true}, Verdict{}},
-		"empty after servers":        {[]List{{1, true, ready("a", "b")}}, List{Version: 2, Full: true}, Verdict{Hold: true, Reason: "a whole list without a server, where 2 were known"}},
-		"empty after all were ended": {[]List{{1, true, ready("a")}, {2, false, []Entry{{ID: "a", State: choice.Gone}}}}, List{Version: 3, Full: true}, Verdict{}},
-		"an empty change":            {[]List{{1, true, ready("a")}}, List{Version: 1}, Verdict{}},
-		"back":                       {[]List{{7, true, ready("a")}}, List{3, true, ready("a")}, Verdict{Hold: true, Reason: "version 3 after version 7"}},
-		"a change back":              {[]List{{7, true, ready("a")}}, List{3, false, ready("b")}, Verdict{Hold: true, Reason: "a change to version 3 after version 7"}},
-		"back, with a drain":         {[]List{{7, true, ready("a", "b")}}, List{3, true, []Entry{{ID: "b"}, draining}}, Verdict{Hold: true, Reason: "version 3 after version 7", Draining: []int{1}}},
-		"a change back, with a drain and an end": {[]List{{7, true, ready("a", "b")}}, List{3, false, []Entry{{ID: "b", State: choice.Gone}, draining}},
+		"empty first list":                 {nil, List{Version: 1, Full: true}, Verdict{}},
+		"empty after servers":              {[]List{{1, true, ready("a", "b")}}, List{Version: 2, Full: true}, Verdict{Hold: true, Reason: "a full list without a server, although 2 were known"}},
+		"empty after all servers are gone": {[]List{{1, true, ready("a")}, {2, false, []Entry{{ID: "a", State: choice.Gone}}}}, List{Version: 3, Full: true}, Verdict{}},
+		"an empty change":                  {[]List{{1, true, ready("a")}}, List{Version: 1}, Verdict{}},
+		"back":                             {[]List{{7, true, ready("a")}}, List{3, true, ready("a")}, Verdict{Hold: true, Reason: "version 3 after version 7"}},
+		"an older change":                  {[]List{{7, true, ready("a")}}, List{3, false, ready("b")}, Verdict{Hold: true, Reason: "a change to version 3 after version 7"}},
+		"older, with a drain":              {[]List{{7, true, ready("a", "b")}}, List{3, true, []Entry{{ID: "b"}, draining}}, Verdict{Hold: true, Reason: "version 3 after version 7", Draining: []int{1}}},
+		"an older change, with a drain and a removal": {[]List{{7, true, ready("a", "b")}}, List{3, false, []Entry{{ID: "b", State: choice.Gone}, draining}},
 			Verdict{Hold: true, Reason: "a change to version 3 after version 7", Draining: []int{0, 1}}},
-		"back, with a drain before the restart":   {[]List{{7, true, []Entry{{ID: "a", Started: 6}}}}, List{3, true, []Entry{draining}}, Verdict{Hold: true, Reason: "version 3 after version 7"}},
-		"back, with a drain, then the newer list": {[]List{{7, true, ready("a")}, {3, true, []Entry{draining}}}, List{7, true, []Entry{{ID: "a"}}}, Verdict{}},
-		"back for the fourth time": {[]List{{7, true, append(ready("b"), draining)}, {3, true, ready("a")}, {3, true, ready("a")}, {3, true, ready("a")}},
+		"older, with a drain before the restart":   {[]List{{7, true, []Entry{{ID: "a", Started: 6}}}}, List{3, true, []Entry{draining}}, Verdict{Hold: true, Reason: "version 3 after version 7"}},
+		"older, with a drain, then the newer list": {[]List{{7, true, ready("a")}, {3, true, []Entry{draining}}}, List{7, true, []Entry{{ID: "a"}}}, Verdict{}},
+		"the fourth older list": {[]List{{7, true, append(ready("b"), draining)}, {3, true, ready("a")}, {3, true, ready("a")}, {3, true, ready("a")}},
 			List{3, true, []Entry{{ID: "a", Started: 5}, {ID: "b"}}},
-			Verdict{Reason: "version 3 after version 7, believed as it comes for the 4th time", Draining: []int{0}}},
-		"back for the fourth time, restarted since": {[]List{{7, true, []Entry{draining}}, {3, true, ready("a")}, {3, true, ready("a")}, {3, true, ready("a")}},
+			Verdict{Reason: "version 3 after version 7, accepted as it is the 4th older list in a row", Draining: []int{0}}},
+		"the fourth older list, server restarted since": {[]List{{7, true, []Entry{draining}}, {3, true, ready("a")}, {3, true, ready("a")}, {3, true, ready("a")}},
 			List{3, true, []Entry{{ID: "a", Started: 6}}},
-			Verdict{Reason: "version 3 after version 7, believed as it comes for the 4th time"}},
-		"no drain any more, by a newer list": {[]List{{7, true, []Entry{draining}}}, List{8, true, []Entry{{ID: "a", Started: 5}}}, Verdict{}},
+			Verdict{Reason: "version 3 after version 7, accepted as it is the 4th older list in a row"}},
+		"drain undone by a newer list": {[]List{{7, true, []Entry{draining}}}, List{8, true, []Entry{{ID: "a", Started: 5}}}, Verdict{}},
 		"twice": {nil, List{1, true, []Entry{{ID: "a"}, {ID: "a", State: choice.Draining}, {ID: "a"}}},
-			Verdict{Reason: `server "a" is named twice`, Skip: []int{0, 2}}},
-		"twice, one restarted": {nil, List{1, true, []Entry{{ID: "a", Started: 2}, {ID: "a", State: choice.Draining, Started: 1}}},
-			Verdict{Reason: `server "a" is named twice`, Skip: []int{1}}},
-		"too many": {nil, List{1, true, make([]Entry, Most+1)}, Verdict{Hold: true, Reason: "50001 servers, 50000 at most are taken"}},
+			Verdict{Reason: `server "a" is listed twice`, Skip: []int{0, 2}}},
+		"listed twice, one entry restarted": {nil, List{1, true, []Entry{{ID: "a", Started: 2}, {ID: "a", State: choice.Draining, Started: 1}}},
+			Verdict{Reason: `server "a" is listed twice`, Skip: []int{1}}},
+		"too many servers": {nil, List{1, true, make([]Entry, Most+1)}, Verdict{Hold: true, Reason: "50001 servers, at most 50000 are accepted"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := New(Unknown)
@@ -60,9 +61,9 @@
 	}
 }
 
-// Whatever comes: of a list that is held nothing is applied but all drains of servers that did not restart since, one entry of each
-// server is applied, and a drain ends only by a list that is not older, an end or a restart. What is applied is kept here by other
-// means than the Keeper's.
+// For random lists: of a rejected list only the drains are applied, and all those of servers that have not restarted since.
+// Of an accepted list exactly one entry of each server is applied. A drain ends only by a list that is not older, a removal
+// or a restart. The test keeps the applied state independently of the Checker.
 func TestAnyLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := New(Unknown)
@@ -78,15 +79,15 @@
 			v := k.Judge(l)
 			if v.Hold {
 				if v.Reason == "" || k.Version() != at {
-					t.Fatalf("held for %q, version %d, was %d", v.Reason, k.Version(), at)
+					t.Fatalf("rejected with reason %q, version %d, was %d", v.Reason, k.Version(), at)
 				}
 				for i, e := range l.Entries {
 					b, ok := applied[e.ID]
-					binds := e.State != choice.Ready && (!ok || b.State == choice.Ready && e.Started >= b.Started)
-					if slices.Contains(v.Draining, i) != binds {
-						t.Fatalf("of a list that is held, entry %d binds: %t", i, !binds)
+					applies := e.State != choice.Ready && (!ok || b.State == choice.Ready && e.Started >= b.Started)
+					if slices.Contains(v.Draining, i) != applies {
+						t.Fatalf("rejected list: entry %d is to be applied as draining: got %t", i, !applies)
 					}
-					if binds {
+					if applies {
 						applied[e.ID] = Entry{ID: e.ID, State: choice.Draining, Started: e.Started}
 					}
 				}
@@ -112,7 +113,7 @@
 					e.State = choice.Draining
 				}
 				if b, ok := applied[e.ID]; older && ok && b.State == choice.Draining && e.State == choice.Ready && e.Started <= b.Started {
-					t.Fatalf("the drain of %s is forgotten", e.ID)
+					t.Fatalf("the drain of %s is lost", e.ID)
 				}
 				next[e.ID] = e
 			}
@@ -127,7 +128,7 @@
 				}
 			}
 			if l.Full && len(l.Entries) == 0 && len(applied) > 0 {
-				t.Fatal("an empty list ends all servers")
+				t.Fatal("an empty list removed all servers")
 			}
 			applied = next
 		}
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -1,6 +1,7 @@
-// Package membership makes one list of servers of what several sources say, with a rule for each way in which they may
-// disagree. It does no I/O and reads no clock: reports go in with the time, changes of the list come out. What a change
-// costs follows its size, not the fleet's. docs/design/membership.md has the table of rules.
+// Package membership merges the server lists of several sources into one, with a rule for each way in which the sources
+// can disagree. It does no I/O and reads no clock: callers pass in reports and the current time, and get back the changes
+// of the merged list. The cost of a change depends on its size, not on the size of the fleet.
+// docs/design/membership.md has the table of rules.
 package membership
 
 import (
@@ -13,154 +14,156 @@
 	"ternbeam/internal/decide/ledger"
 )
 
-// Rule names the row of the table that decided a server's state.
+// Rule identifies the row of the table of rules that determined a server's state.
 type Rule int
 
-// The rows.
+// The rules.
 const (
-	Agreed     Rule = iota // all that name it say the same
-	Alone                  // one source names it, the others never did
-	Drained                // a source says that it drains: no new work, whatever others say
-	Withdrawn              // a source that named it says that it is gone, or names it no more
-	LastWord               // those that name it lost their word, and nobody else has one
-	Lapsed                 // those that name it lost their word, and somebody else has one
-	Guarded                // a source named it no more together with too many others: that waits
-	Contradict             // a source named it no more while its word before still held: that waits
-	ClosedTier             // there is enough of better tiers
-	Ramping                // its tier opens, and its turn has not come
+	Agreed     Rule = iota // all sources that list the server agree
+	Alone                  // only one source lists the server, the others never did
+	Drained                // a source reports it as draining: it gets no new calls, whatever the others report
+	Withdrawn              // a source that listed it reports it as gone or no longer lists it
+	LastWord               // the sources that list it have expired, and no other source is valid either: it stays
+	Lapsed                 // the sources that list it have expired, and another source is still valid: it is removed
+	Guarded                // a source withdrew too many servers at once: the withdrawal is deferred
+	Contradict             // a source withdrew it while its previous report was still valid: the withdrawal is deferred
+	ClosedTier             // the better tiers have enough capacity, so its tier is closed
+	Ramping                // its tier is opening step by step, and its part is not admitted yet
 )
 
 var ruleNames = [...]string{"agreed", "alone", "drained", "withdrawn", "last word", "lapsed", "guarded", "contradicts itself",
 	"closed tier", "ramping"}
 
+// String returns the rule's name as it is shown to operators.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Source is a source of servers. The order of sources is that in which their facts count.
+// Source describes a source of servers. Sources are ordered by priority: each fact is taken from the first one that states it.
 type Source struct {
 	Name   string
-	Hold   time.Duration // how long its word counts once it is out of reach or its lifetime is over
-	Absent bool          // a server that a whole report does not name any more is gone
-	Guard  bool          // it may not take away too much at once
+	Hold   time.Duration // how long its last report stays valid once it is unreachable or the report has expired
+	Absent bool          // a full report withdraws the servers that it does not list
+	Guard  bool          // withdrawals of too many servers at once, and ones that contradict a valid report, are deferred
 }
 
-// Settings are what a Set is made of.
+// Settings configure a Set.
 type Settings struct {
 	Sources    []Source
-	GuardShare float64       // of the servers that a source names: so many it may take away at once
-	GuardLeast int           // so many it always may
-	GuardWait  time.Duration // after which more goes all the same
-	Forget     time.Duration // how long it is remembered that a source withdrew a server
-	OpenBelow  float64       // share of what the best tiers once had below which the next one opens
-	CloseAbove float64       // and above which it closes
-	Calm       time.Duration // for which it must have been above
-	RampStep   time.Duration // between two parts of a tier that opens
-	RampParts  int
-}
-
-// Defaults are the settings, but for the sources.
+	GuardShare float64       // share of its servers that a guarded source may withdraw at once
+	GuardLeast int           // number of servers that it may always withdraw at once
+	GuardWait  time.Duration // after which a deferred withdrawal takes effect all the same
+	Forget     time.Duration // how long a withdrawal is remembered, at least
+	OpenBelow  float64       // the next tier opens when the better ones have less than this share of the baseline weight
+	CloseAbove float64       // and closes when they have at least this share of it
+	Calm       time.Duration // for which they must have been at or above CloseAbove before the tier closes
+	RampStep   time.Duration // between admitting one part of an opening tier and the next
+	RampParts  int           // number of parts in which a tier opens
+}
+
+// Defaults are the default settings, without any sources.
 var Defaults = Settings{GuardShare: 0.5, GuardLeast: 1, GuardWait: 30 * time.Second, Forget: 10 * time.Minute, OpenBelow: 0.5,
 	CloseAbove: 0.8, Calm: 30 * time.Second, RampStep: 2 * time.Second, RampParts: 4}
 
-// Claim is what a source says of a server.
+// Claim is what one source reports about one server.
 type Claim struct {
-	Key     string   // of the server in its source
-	ID      string   // over all sources; empty where the source knows none
-	Addrs   []string // in the order in which they are to be tried
+	Key     string   // identifies the server within its source
+	ID      string   // identifies it across sources; empty if the source has no ids
+	Addrs   []string // in the order in which to try them
 	State   choice.State
-	Tiered  bool    // the source has tiers
-	Tier    int     // the least is the best
-	Weight  float64 // 0 is a weight, too
-	Details bool    // what follows is said
+	Tiered  bool    // Tier is set
+	Tier    int     // the lowest is the best
+	Weight  float64 // 0 is a valid weight
+	Details bool    // the fields below are set
 	Zone    int
 	Cell    int
 	Started time.Duration
 	Speaks  choice.Protocols
-	Multi   bool
-	Shapes  []string // class/version of those that it takes
+	Multi   bool     // it takes several calls at a time on one connection
+	Shapes  []string // class/version of the message schemas that it accepts
 }
 
-// same reports whether two claims say the same.
-func (c *Claim) same(o *Claim) bool {
+// equal reports whether two claims have the same content.
+func (c *Claim) equal(o *Claim) bool {
 	return slices.Equal(c.Addrs, o.Addrs) && slices.Equal(c.Shapes, o.Shapes) && c.Key == o.Key && c.ID == o.ID &&
 		c.State == o.State && c.Tiered == o.Tiered && c.Tier == o.Tier && c.Weight == o.Weight && c.Details == o.Details &&
 		c.Zone == o.Zone && c.Cell == o.Cell && c.Started == o.Started && c.Speaks == o.Speaks && c.Multi == o.Multi
 }
 
-// Report is what a source says at some time.
+// Report is one update from a source.
 type Report struct {
-	Source  int
-	Full    bool  // all that it knows, not only what changed
-	Version int64 // 0 where the source has none
+	Source  int   // index into Settings.Sources
+	Full    bool  // it lists all servers of the source, not only changes
+	Version int64 // 0 if the source has no versions
 	Claims  []Claim
-	Until   time.Duration // when its word lapses, on the clock of the events; 0 for never
+	Until   time.Duration // when it expires, on the clock of the `now` arguments; 0 for never
 }
 
-// Set is the servers by all sources. It is not safe for concurrent use.
+// Set holds the servers of all sources and the merged list. It is not safe for concurrent use.
 type Set struct {
-	set     Settings
-	now     time.Duration
-	sources []*source
-	byID    map[string]*member
-	byAddr  map[string]*member
-	timers  timers
-	touched []*member
-	changes []ledger.Entry
-	tiers   tiers
-	tiered  bool // a source has named a tier
-	best    int  // the best that any ever named: what a server is in of which nobody names one
-}
-
-// maxClaims bounds what one source may name.
-const maxClaims = 1 << 17
-
+	settings Settings
+	now      time.Duration
+	sources  []*source
+	byID     map[string]*member
+	byAddr   map[string]*member
+	timers   timers
+	dirty    []*member
+	changes  []ledger.Entry
+	tiers    tiers
+	hasTier  bool // a source has reported a tier
+	bestTier int  // the best tier ever reported; servers without a reported tier belong to it
+}
+
+// maxClaimsPerSource limits the number of servers of one source, withdrawn ones that are remembered included.
+const maxClaimsPerSource = 1 << 17
+
+// source is a Source with its state.
 type source struct {
 	Source
-	claims  map[string]*claim
-	version int64
-	older   time.Duration // since when it comes with an older version; 0 for not
-	until   time.Duration // when its word lapses
-	lost    time.Duration // since when it is out of reach; 0 for not
-	spoke   bool          // it ever did
-	dead    bool          // its word does not count any more
+	claims           map[string]*claim
+	version          int64
+	olderSince       time.Duration // since when it has been sending older versions; 0 if it is not
+	validUntil       time.Duration // when its last report expires; 0 for never
+	unreachableSince time.Duration // since when it is unreachable or its report has expired; 0 if neither
+	reported         bool          // it has reported at least once
+	expired          bool          // Hold has passed as well: its claims no longer support a server
 }
 
-// claim is a claim in force, or what is left of one.
+// claim is a Claim in effect, or the record of a withdrawn one.
 type claim struct {
 	Claim
-	source *source
-	member *member
-	since  time.Duration // when it was last said anew
-	leaves time.Duration // when it is taken as gone, if it is not named again; 0 for not
-	why    Rule          // it has to wait for that
-	gone   bool          // it was withdrawn; kept so that nobody else's older word brings the server back
+	source     *source
+	member     *member
+	changedAt  time.Duration // when its content last changed
+	withdrawAt time.Duration // when its deferred withdrawal takes effect unless it is reported again; 0 if none is pending
+	waitRule   Rule          // why the withdrawal is deferred
+	withdrawn  bool          // kept so that an older claim of another source does not bring the server back
 }
 
 // member is one server.
 type member struct {
-	id      string
-	claims  []*claim // by source, several of one where it has several names there
-	addrs   []string // under which it is found
-	touched bool
-	removed bool
-	view    view
-	first   time.Duration // when it was first named
-	late    bool          // after its source had spoken before: it may have just started
-	tier    *tier
-	place   int // in its tier, in the order of naming
-}
-
-// view is what is said of a member.
-type view struct {
-	entry ledger.Entry
-	known bool // it was said
-	tier  int
-	rule  Rule
-	ready bool // but for its tier
-}
-
-// New returns a Set without servers.
+	id          string
+	claims      []*claim // ordered by source; several of one source if it lists the server under several keys
+	addrs       []string // its entries in Set.byAddr
+	dirty       bool     // it is in Set.dirty
+	removed     bool
+	published   decision      // as last decided by its tier
+	firstNamed  time.Duration // when it was first reported
+	joinedLater bool          // it was not in its source's first report, so it may have just started
+	tier        *tier
+	tierSeq     int // its number in its tier, in order of arrival
+}
+
+// decision is what the merged list is to contain for a member.
+type decision struct {
+	entry     ledger.Entry
+	announced bool // the merged list contains it
+	tier      int
+	rule      Rule
+	eligible  bool // it is ready, apart from its tier
+}
+
+// New returns an empty Set.
 func New(set Settings) *Set {
-	s := &Set{set: set, byID: map[string]*member{}, byAddr: map[string]*member{}}
+	s := &Set{settings: set, byID: map[string]*member{}, byAddr: map[string]*member{}}
 	for _, src := range set.Sources {
 		s.sources = append(s.sources, &source{Source: src, claims: map[string]*claim{}})
 	}
@@ -168,56 +171,58 @@
 	return s
 }
 
-// begin opens the handling of something that has happened.
+// begin starts the handling of an event: it advances the clock, clears the changes and runs the timers that are due.
 func (s *Set) begin(now time.Duration) {
 	s.now, s.changes = max(now, s.now), s.changes[:0]
-	s.expire()
+	s.runTimers()
 }
 
-// end settles what was touched and returns the changes, which hold until the next call.
-func (s *Set) end() []ledger.Entry {
-	for i := 0; i < len(s.touched); i++ {
-		m := s.touched[i]
-		m.touched = false
-		s.settle(m)
+// finish recomputes all dirty members and returns the changes. The slice is valid until the next call.
+func (s *Set) finish() []ledger.Entry {
+	for i := 0; i < len(s.dirty); i++ {
+		m := s.dirty[i]
+		m.dirty = false
+		s.decide(m)
 	}
-	s.touched = s.touched[:0]
-	s.tiers.settle()
+	s.dirty = s.dirty[:0]
+	s.tiers.apply()
 	return s.changes
 }
 
-func (s *Set) touch(m *member) {
-	if !m.touched {
-		m.touched = true
-		s.touched = append(s.touched, m)
+// markDirty marks a member for recomputation in finish.
+func (s *Set) markDirty(m *member) {
+	if !m.dirty {
+		m.dirty = true
+		s.dirty = append(s.dirty, m)
 	}
 }
 
-// Report takes a source's word.
+// Report applies a source's update and returns the changes of the merged list, valid until the next call. Of a report with
+// an older version than the last one only the drains are applied, until such reports have kept coming for GuardWait.
 func (s *Set) Report(now time.Duration, r Report) []ledger.Entry {
 	s.begin(now)
 	src := s.sources[r.Source]
 	older := r.Version != 0 && r.Version < src.version
-	if older && src.older == 0 {
-		src.older = s.now
-	}
-	if older && s.now-src.older < s.set.GuardWait {
-		s.drains(src, r) // an older word takes nothing back and brings nothing, but what drains does
-		s.at(src.older+s.set.GuardWait, nil)
-		return s.end()
-	}
-	src.older, src.version = 0, r.Version
-	held := src.until // till when the word before holds
-	first := !src.spoke
-	src.spoke, src.lost, src.until = true, 0, r.Until
-	if src.dead {
-		src.dead = false
-		s.touchAll(src)
+	if older && src.olderSince == 0 {
+		src.olderSince = s.now
+	}
+	if older && s.now-src.olderSince < s.settings.GuardWait {
+		s.applyDrains(src, r) // withdrawals and new servers of an older report are not trusted yet
+		s.schedule(src.olderSince+s.settings.GuardWait, nil)
+		return s.finish()
+	}
+	src.olderSince, src.version = 0, r.Version
+	prevUntil := src.validUntil // until when the previous report is valid
+	firstReport := !src.reported
+	src.reported, src.unreachableSince, src.validUntil = true, 0, r.Until
+	if src.expired {
+		src.expired = false
+		s.markSourceDirty(src)
 	}
 	if r.Until > 0 {
-		s.at(r.Until, nil)
+		s.schedule(r.Until, nil)
 	}
-	var leave []*claim
+	var withdrawn []*claim
 	named := make(map[string]bool, len(r.Claims))
 	for i := range r.Claims {
 		c := &r.Claims[i]
@@ -226,51 +231,51 @@
 		}
 		named[c.Key] = true
 		if c.State == choice.Gone {
-			if old := src.claims[c.Key]; old != nil && !old.gone {
-				leave = append(leave, old)
+			if old := src.claims[c.Key]; old != nil && !old.withdrawn {
+				withdrawn = append(withdrawn, old)
 			}
 			continue
 		}
-		s.claim(src, *c, first)
+		s.applyClaim(src, *c, firstReport)
 	}
 	if r.Full && src.Absent {
 		for key, c := range src.claims {
-			if !named[key] && !c.gone {
-				leave = append(leave, c)
+			if !named[key] && !c.withdrawn {
+				withdrawn = append(withdrawn, c)
 			}
 		}
 	}
-	s.leave(src, leave, held)
-	return s.end()
+	s.withdrawClaims(src, withdrawn, prevUntil)
+	return s.finish()
 }
 
-// drains takes what a report says of drains, and nothing else.
-func (s *Set) drains(src *source, r Report) {
+// applyDrains applies only the drains of a report.
+func (s *Set) applyDrains(src *source, r Report) {
 	for _, c := range r.Claims {
 		if old := src.claims[c.Key]; old != nil && c.State == choice.Draining && old.State != choice.Draining {
-			old.State, old.since = choice.Draining, s.now
-			s.touch(old.member)
+			old.State, old.changedAt = choice.Draining, s.now
+			s.markDirty(old.member)
 		}
 	}
 }
 
-// Lost takes the news that a source is out of reach. Its word counts for a while.
+// SourceUnreachable records that a source cannot be reached. Its claims stay valid for Source.Hold.
 func (s *Set) Lost(now time.Duration, source int) []ledger.Entry {
 	s.begin(now)
-	if src := s.sources[source]; src.lost == 0 {
-		src.lost = s.now
-		s.at(s.now+src.Hold, nil)
+	if src := s.sources[source]; src.unreachableSince == 0 {
+		src.unreachableSince = s.now
+		s.schedule(s.now+src.Hold, nil)
 	}
-	return s.end()
+	return s.finish()
 }
 
-// Tick lets time pass.
+// Tick advances the clock and returns the changes that result from it.
 func (s *Set) Tick(now time.Duration) []ledger.Entry {
 	s.begin(now)
-	return s.end()
+	return s.finish()
 }
 
-// Next is when time must pass at the latest, if anything waits for it.
+// NextTimer returns when Tick has to be called next; any is false if no timer is pending.
 func (s *Set) Next() (at time.Duration, any bool) {
 	if len(s.timers) == 0 {
 		return 0, false
@@ -278,59 +283,60 @@
 	return s.timers[0].at, true
 }
 
-// claim takes what a source says of one server.
-func (s *Set) claim(src *source, c Claim, first bool) {
+// applyClaim adds or updates a source's claim about one server. firstReport tells whether it is part of the source's first report.
+func (s *Set) applyClaim(src *source, c Claim, firstReport bool) {
 	old := src.claims[c.Key]
-	if old == nil && len(src.claims) >= maxClaims {
+	if old == nil && len(src.claims) >= maxClaimsPerSource {
 		return
 	}
-	if c.Tiered && (!s.tiered || c.Tier < s.best) {
-		s.tiered, s.best = true, c.Tier
+	if c.Tiered && (!s.hasTier || c.Tier < s.bestTier) {
+		s.hasTier, s.bestTier = true, c.Tier
 		for _, o := range s.sources {
-			s.touchAll(o)
+			s.markSourceDirty(o)
 		}
 	}
 	if old != nil && old.ID == c.ID {
-		changed := old.gone || old.leaves > 0 || !old.same(&c)
-		if old.gone || !old.same(&c) {
-			old.since = s.now
+		changed := old.withdrawn || old.withdrawAt > 0 || !old.equal(&c)
+		if old.withdrawn || !old.equal(&c) {
+			old.changedAt = s.now
 		}
-		old.gone, old.leaves = false, 0
+		old.withdrawn, old.withdrawAt = false, 0
 		if addrs := old.Addrs; !slices.Equal(addrs, c.Addrs) {
 			old.Claim = c
-			s.index(old.member)
+			s.reindex(old.member)
 		}
 		old.Claim = c
 		if changed {
-			s.touch(old.member)
+			s.markDirty(old.member)
 		}
 		return
 	}
-	if old != nil { // under this key the source names another server now
-		s.drop(old)
+	if old != nil { // under this key the source now lists a different server
+		s.dropClaim(old)
 	}
-	m := s.find(src, &c)
+	m := s.findMember(src, &c)
 	if m == nil {
 		id := c.ID
 		if id == "" {
 			id = src.Name + "/" + c.Key
 		}
-		m = &member{id: id, first: s.now, late: !first}
+		m = &member{id: id, firstNamed: s.now, joinedLater: !firstReport}
 		s.byID[id] = m
 	}
-	n := &claim{Claim: c, source: src, member: m, since: s.now}
+	n := &claim{Claim: c, source: src, member: m, changedAt: s.now}
 	src.claims[c.Key] = n
 	m.claims = append(m.claims, n)
-	slices.SortStableFunc(m.claims, func(a, b *claim) int { return s.rank(a) - s.rank(b) })
-	s.index(m)
-	s.touch(m)
+	slices.SortStableFunc(m.claims, func(a, b *claim) int { return s.sourceRank(a) - s.sourceRank(b) })
+	s.reindex(m)
+	s.markDirty(m)
 }
 
-func (s *Set) rank(c *claim) int { return slices.Index(s.sources, c.source) }
+// sourceRank returns the priority of a claim's source; the lowest is the highest priority.
+func (s *Set) sourceRank(c *claim) int { return slices.Index(s.sources, c.source) }
 
-// find is the member that a claim is about: by its id, or by an address under which another source names one. Of one
-// source with ids, two ids are two servers even at one address.
-func (s *Set) find(src *source, c *Claim) *member {
+// findMember returns the member that a claim is about, or nil: it matches by id, or else by an address that another claim
+// has, too. Claims with different ids are different servers even if they share an address.
+func (s *Set) findMember(src *source, c *Claim) *member {
 	if c.ID != "" {
 		if m := s.byID[c.ID]; m != nil {
 			return m
@@ -341,17 +347,17 @@
 		if m == nil {
 			continue
 		}
-		other := func(o *claim) bool { return o.source == src && o.ID != "" && c.ID != "" && o.ID != c.ID }
-		named := func(o *claim) bool { return o.ID != "" && c.ID != "" && o.ID != c.ID }
-		if !slices.ContainsFunc(m.claims, other) && !slices.ContainsFunc(m.claims, named) {
+		otherInSource := func(o *claim) bool { return o.source == src && o.ID != "" && c.ID != "" && o.ID != c.ID }
+		otherID := func(o *claim) bool { return o.ID != "" && c.ID != "" && o.ID != c.ID }
+		if !slices.ContainsFunc(m.claims, otherInSource) && !slices.ContainsFunc(m.claims, otherID) {
 			return m
 		}
 	}
 	return nil
 }
 
-// index lets a member be found under its addresses.
-func (s *Set) index(m *member) {
+// reindex rebuilds a member's entries in byAddr. An address that belongs to another member already stays with that one.
+func (s *Set) reindex(m *member) {
 	for _, a := range m.addrs {
 		if s.byAddr[a] == m {
 			delete(s.byAddr, a)
@@ -368,139 +374,142 @@
 	}
 }
 
-// drop ends a claim for good.
-func (s *Set) drop(c *claim) {
+// dropClaim deletes a claim, withdrawn or not.
+func (s *Set) dropClaim(c *claim) {
 	m := c.member
 	delete(c.source.claims, c.Key)
 	m.claims = slices.DeleteFunc(m.claims, func(o *claim) bool { return o == c })
 	c.member = nil
-	s.index(m)
-	s.touch(m)
+	s.reindex(m)
+	s.markDirty(m)
 }
 
-// leave takes the claims that a source withdraws. Too many at once wait, but for those of which another source says the
-// same; and those that the source's word before still covers wait till that is over.
-func (s *Set) leave(src *source, all []*claim, held time.Duration) {
+// withdrawClaims handles the claims that a source withdraws. If they are too many at once, the withdrawals are deferred,
+// except for servers that another source reports as draining or gone, too. The same holds for withdrawals that contradict
+// the source's previous report, which is valid until prevUntil; they are deferred until it expires.
+func (s *Set) withdrawClaims(src *source, all []*claim, prevUntil time.Duration) {
 	if len(all) == 0 {
 		return
 	}
 	live := 0
 	for _, c := range src.claims {
-		if !c.gone {
+		if !c.withdrawn {
 			live++
 		}
 	}
-	many := src.Guard && len(all) > max(s.set.GuardLeast, int(s.set.GuardShare*float64(live)))
+	tooMany := src.Guard && len(all) > max(s.settings.GuardLeast, int(s.settings.GuardShare*float64(live)))
 	for _, c := range all {
 		switch {
-		case c.leaves > 0: // it waits already
-		case src.Guard && c.State != choice.Draining && many && !s.confirmed(c):
-			s.wait(c, s.now+s.set.GuardWait, Guarded)
-		case src.Guard && c.State != choice.Draining && held > s.now && !s.confirmed(c):
-			s.wait(c, min(held, s.now+s.set.GuardWait), Contradict)
+		case c.withdrawAt > 0: // deferred already
+		case src.Guard && c.State != choice.Draining && tooMany && !s.confirmedElsewhere(c):
+			s.deferWithdrawal(c, s.now+s.settings.GuardWait, Guarded)
+		case src.Guard && c.State != choice.Draining && prevUntil > s.now && !s.confirmedElsewhere(c):
+			s.deferWithdrawal(c, min(prevUntil, s.now+s.settings.GuardWait), Contradict)
 		default:
 			s.withdraw(c)
 		}
 	}
 }
 
-func (s *Set) wait(c *claim, until time.Duration, why Rule) {
-	c.leaves, c.why = until, why
-	s.at(until, c)
-	s.touch(c.member)
+// deferWithdrawal withdraws a claim at a later time, unless it is reported again before.
+func (s *Set) deferWithdrawal(c *claim, until time.Duration, why Rule) {
+	c.withdrawAt, c.waitRule = until, why
+	s.schedule(until, c)
+	s.markDirty(c.member)
 }
 
-// confirmed reports whether another source says of a server, too, that it drains or is gone.
-func (s *Set) confirmed(c *claim) bool {
+// confirmedElsewhere reports whether another source reports the server as draining or gone, too.
+func (s *Set) confirmedElsewhere(c *claim) bool {
 	return slices.ContainsFunc(c.member.claims, func(o *claim) bool {
-		return o.source != c.source && (o.gone || o.State == choice.Draining)
+		return o.source != c.source && (o.withdrawn || o.State == choice.Draining)
 	})
 }
 
-// withdraw takes a claim as withdrawn. Where others name the server it is remembered for a while.
+// withdraw marks a claim as withdrawn. While other sources list the server, this is remembered for a while.
 func (s *Set) withdraw(c *claim) {
-	c.gone, c.leaves, c.since = true, 0, s.now
-	s.at(s.now+s.set.Forget, c)
-	s.touch(c.member)
+	c.withdrawn, c.withdrawAt, c.changedAt = true, 0, s.now
+	s.schedule(s.now+s.settings.Forget, c)
+	s.markDirty(c.member)
 }
 
-// touchAll touches all servers that a source names.
-func (s *Set) touchAll(src *source) {
+// markSourceDirty marks all servers of a source for recomputation.
+func (s *Set) markSourceDirty(src *source) {
 	for _, c := range src.claims {
-		s.touch(c.member)
+		s.markDirty(c.member)
 	}
 }
 
-// expire does what time has brought.
-func (s *Set) expire() {
+// runTimers runs the timers that are due and expires sources.
+func (s *Set) runTimers() {
 	for len(s.timers) > 0 && s.timers[0].at <= s.now {
 		t := heap.Pop(&s.timers).(timer)
 		switch c := t.claim; {
 		case c == nil:
-		case c.member == nil: // it was dropped meanwhile
-		case c.leaves > 0 && c.leaves <= s.now:
+		case c.member == nil: // dropped in the meantime
+		case c.withdrawAt > 0 && c.withdrawAt <= s.now:
 			s.withdraw(c)
-		case c.gone && s.now-c.since >= s.set.Forget && !s.contested(c):
-			s.drop(c)
-		case c.gone:
-			s.at(s.now+s.set.Forget, c)
+		case c.withdrawn && s.now-c.changedAt >= s.settings.Forget && !s.contested(c):
+			s.dropClaim(c)
+		case c.withdrawn:
+			s.schedule(s.now+s.settings.Forget, c)
 		}
 	}
 	for _, src := range s.sources {
-		if src.until > 0 && src.until <= s.now && src.lost == 0 {
-			src.lost = src.until
-			s.at(src.lost+src.Hold, nil)
+		if src.validUntil > 0 && src.validUntil <= s.now && src.unreachableSince == 0 {
+			src.unreachableSince = src.validUntil
+			s.schedule(src.unreachableSince+src.Hold, nil)
 		}
-		if src.lost > 0 && !src.dead && s.now >= src.lost+src.Hold {
-			src.dead = true
-			for _, o := range s.sources { // whether anybody has a word may have changed for all
-				s.touchAll(o)
+		if src.unreachableSince > 0 && !src.expired && s.now >= src.unreachableSince+src.Hold {
+			src.expired = true
+			for _, o := range s.sources { // the result of anySourceValid may have changed, which affects all servers
+				s.markSourceDirty(o)
 			}
 		}
 	}
-	s.tiers.pass()
+	s.tiers.advance()
 }
 
-// contested reports whether another source still names a server as it did before it was withdrawn: its older word does not
-// bring the server back, however long that goes on.
-func (s *Set) contested(gone *claim) bool {
-	return slices.ContainsFunc(gone.member.claims, func(o *claim) bool { return !o.gone && o.since <= gone.since })
+// contested reports whether another source still has a claim about a withdrawn server that is not newer than the withdrawal.
+// Such a claim does not bring the server back, however long it stays.
+func (s *Set) contested(withdrawal *claim) bool {
+	return slices.ContainsFunc(withdrawal.member.claims, func(o *claim) bool { return !o.withdrawn && o.changedAt <= withdrawal.changedAt })
 }
 
-func (s *Set) at(at time.Duration, c *claim) { heap.Push(&s.timers, timer{at, c}) }
+// schedule sets a timer, for a claim or, with nil, for the sources and tiers.
+func (s *Set) schedule(at time.Duration, c *claim) { heap.Push(&s.timers, timer{at, c}) }
 
-// alive reports whether any source has a word that counts.
-func (s *Set) alive() bool {
-	return slices.ContainsFunc(s.sources, func(o *source) bool { return o.spoke && !o.dead })
+// anySourceValid reports whether any source has reported and not expired.
+func (s *Set) anySourceValid() bool {
+	return slices.ContainsFunc(s.sources, func(o *source) bool { return o.reported && !o.expired })
 }
 
-// settle works out what is to be said of a server.
-func (s *Set) settle(m *member) {
+// decide applies the table of rules to a member and passes the result to its tier, or removes a member without claims.
+func (s *Set) decide(m *member) {
 	if m.removed {
 		return
 	}
-	v := view{rule: Agreed}
-	var first *claim // whose facts count
+	d := decision{rule: Agreed}
+	var first *claim // the claim of highest priority that is not withdrawn
 	sources := 0
 	var last *source
 	supported, lapsed := false, false
-	gone, drains := (*claim)(nil), (*claim)(nil)
+	withdrawal, draining := (*claim)(nil), (*claim)(nil)
 	for _, c := range m.claims {
 		if c.source != last {
 			sources, last = sources+1, c.source
 		}
 		switch {
-		case c.gone:
-			if !m.named(c.source) {
-				gone = c
+		case c.withdrawn:
+			if !m.namedBy(c.source) {
+				withdrawal = c
 			}
 			continue
 		case c.State == choice.Draining:
-			drains = c
-		case c.leaves > 0:
-			v.rule = c.why
+			draining = c
+		case c.withdrawAt > 0:
+			d.rule = c.waitRule
 			supported = true
-		case c.source.dead:
+		case c.source.expired:
 			lapsed = true
 		default:
 			supported = true
@@ -509,54 +518,54 @@
 			first = c
 		}
 	}
-	if first == nil { // nobody names it
+	if first == nil { // no source lists it any more
 		for _, c := range slices.Clone(m.claims) {
-			s.drop(c)
+			s.dropClaim(c)
 		}
-		s.remove(m)
+		s.removeMember(m)
 		return
 	}
-	if v.rule == Agreed && sources == 1 && len(s.sources) > 1 {
-		v.rule = Alone
+	if d.rule == Agreed && sources == 1 && len(s.sources) > 1 {
+		d.rule = Alone
 	}
 	state := choice.Ready
 	switch {
-	case drains != nil:
-		state, v.rule = choice.Draining, Drained
-	case gone != nil && !s.newer(m, gone):
-		state, v.rule = choice.Gone, Withdrawn
+	case draining != nil:
+		state, d.rule = choice.Draining, Drained
+	case withdrawal != nil && !s.restartedSince(m, withdrawal):
+		state, d.rule = choice.Gone, Withdrawn
 	case supported:
-	case lapsed && !s.alive():
-		v.rule = LastWord
+	case lapsed && !s.anySourceValid():
+		d.rule = LastWord
 	default:
-		state, v.rule = choice.Gone, Lapsed
+		state, d.rule = choice.Gone, Lapsed
 	}
-	v.entry = s.entry(m, first, state)
-	v.tier = s.best
-	if i := slices.IndexFunc(m.claims, func(c *claim) bool { return !c.gone && c.Tiered }); i >= 0 {
-		v.tier = m.claims[i].Tier
+	d.entry = s.buildEntry(m, first, state)
+	d.tier = s.bestTier
+	if i := slices.IndexFunc(m.claims, func(c *claim) bool { return !c.withdrawn && c.Tiered }); i >= 0 {
+		d.tier = m.claims[i].Tier
 	}
-	v.ready = state == choice.Ready
-	s.tiers.place(m, v)
+	d.eligible = state == choice.Ready
+	s.tiers.update(m, d)
 }
 
-// named reports whether a source names the server, by whatever name.
-func (m *member) named(src *source) bool {
-	return slices.ContainsFunc(m.claims, func(o *claim) bool { return o.source == src && !o.gone })
+// namedBy reports whether a source lists the server under any key.
+func (m *member) namedBy(src *source) bool {
+	return slices.ContainsFunc(m.claims, func(o *claim) bool { return o.source == src && !o.withdrawn })
 }
 
-// newer reports whether somebody names the server in a later life than the one that was withdrawn.
-func (s *Set) newer(m *member, gone *claim) bool {
+// restartedSince reports whether a source lists the server with a later start time than the withdrawn claim has.
+func (s *Set) restartedSince(m *member, withdrawal *claim) bool {
 	return slices.ContainsFunc(m.claims, func(c *claim) bool {
-		return !c.gone && c.Details && gone.Details && c.Started > gone.Started
+		return !c.withdrawn && c.Details && withdrawal.Details && c.Started > withdrawal.Started
 	})
 }
 
-// entry words a server for the list: each fact from the first source that states it.
-func (s *Set) entry(m *member, first *claim, state choice.State) ledger.Entry {
+// buildEntry builds a server's entry of the merged list, taking each fact from the first source that states it.
+func (s *Set) buildEntry(m *member, first *claim, state choice.State) ledger.Entry {
 	e := ledger.Entry{Server: choice.Server{ID: m.id, State: state, Weight: first.Weight}}
 	for _, c := range m.claims {
-		if c.gone {
+		if c.withdrawn {
 			continue
 		}
 		for _, a := range c.Addrs {
@@ -566,11 +575,11 @@
 		}
 	}
 	e.Addr = e.Addrs[0]
-	if m.late { // one that no source gives a start for is taken as just started when it comes later than its source
-		e.Started = m.first
+	if m.joinedLater { // used if no source states a start time: the server is treated as just started
+		e.Started = m.firstNamed
 	}
 	for _, c := range m.claims {
-		if c.Details && !c.gone {
+		if c.Details && !c.withdrawn {
 			e.Zone, e.Cell, e.Started, e.Speaks, e.Multiplexed, e.Shapes = c.Zone, c.Cell, c.Started, c.Speaks, c.Multi, c.Shapes
 			return e
 		}
@@ -579,40 +588,42 @@
 	return e
 }
 
-// remove says that a server is gone, and forgets it.
-func (s *Set) remove(m *member) {
+// removeMember publishes that a server is gone and deletes it.
+func (s *Set) removeMember(m *member) {
 	m.removed = true
-	e := m.view.entry
+	e := m.published.entry
 	e.State = choice.Gone
-	s.say(m, e, Withdrawn, m.view.tier, false)
-	s.tiers.forget(m)
+	s.publish(m, e, Withdrawn, m.published.tier, false)
+	s.tiers.remove(m)
 	if s.byID[m.id] == m {
 		delete(s.byID, m.id)
 	}
 }
 
-// say puts what changed of a server into the changes.
-func (s *Set) say(m *member, e ledger.Entry, rule Rule, tier int, ready bool) {
-	was := m.view
-	m.view = view{entry: e, known: true, tier: tier, rule: rule, ready: ready}
-	if !was.known && e.State == choice.Gone || was.known && sameEntry(was.entry, e) {
-		m.view.known = was.known
+// publish records a member's new decision and appends its entry to the changes if it differs from the previous one.
+func (s *Set) publish(m *member, e ledger.Entry, rule Rule, tier int, ready bool) {
+	was := m.published
+	m.published = decision{entry: e, announced: true, tier: tier, rule: rule, eligible: ready}
+	if !was.announced && e.State == choice.Gone || was.announced && sameEntry(was.entry, e) {
+		m.published.announced = was.announced
 		return
 	}
-	m.view.known = e.State != choice.Gone
+	m.published.announced = e.State != choice.Gone
 	s.changes = append(s.changes, e)
 }
 
+// sameEntry reports whether two entries have the same content.
 func sameEntry(a, b ledger.Entry) bool {
 	return a.Server == b.Server && a.Addr == b.Addr && a.Multiplexed == b.Multiplexed && slices.Equal(a.Addrs, b.Addrs) && slices.Equal(a.Shapes, b.Shapes)
 }
 
-// timer is something that time brings.
+// timer is a time at which runTimers has to run.
 type timer struct {
 	at    time.Duration
-	claim *claim
+	claim *claim // to be withdrawn or dropped then; nil if the timer is for sources or tiers
 }
 
+// timers is a heap of timers, the earliest first.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
@@ -625,14 +636,14 @@
 	return last
 }
 
-// Fact is one thing that is said of a server, and who says it.
+// Fact is one fact about a server as one source states it.
 type Fact struct {
 	Name, Value, Source string
-	Age                 time.Duration
-	Counts              bool // it is what the list says
+	Age                 time.Duration // since the source's claim last changed
+	Counts              bool          // the merged list has this value
 }
 
-// View is a server as it is shown.
+// MemberView is a server of the merged list as it is shown to operators.
 type View struct {
 	ID    string
 	State choice.State
@@ -642,21 +653,21 @@
 	Facts []Fact
 }
 
-// Members lists all servers, by ids, with what each source says.
+// Members returns all servers, sorted by id, with the facts that each source states.
 func (s *Set) Members() (all []View) {
 	for _, m := range s.byID {
-		v := View{ID: m.id, State: m.view.entry.State, Tier: m.view.tier, Addrs: m.view.entry.Addrs, Rule: m.view.rule}
+		v := View{ID: m.id, State: m.published.entry.State, Tier: m.published.tier, Addrs: m.published.entry.Addrs, Rule: m.published.rule}
 		for _, c := range m.claims {
 			state := [...]string{choice.Ready: "ready", choice.Draining: "draining", choice.Gone: "gone"}[c.State]
-			if c.gone {
+			if c.withdrawn {
 				state = "withdrawn"
 			}
 			add := func(name, value string, counts bool) {
-				v.Facts = append(v.Facts, Fact{name, value, c.source.Name, s.now - c.since, counts && !c.gone})
+				v.Facts = append(v.Facts, Fact{name, value, c.source.Name, s.now - c.changedAt, counts && !c.withdrawn})
 			}
 			add("state", state, c.State == v.State)
 			add("addresses", fmt.Sprint(c.Addrs), true)
-			add("weight", fmt.Sprint(c.Weight), c.Weight == m.view.entry.Weight)
+			add("weight", fmt.Sprint(c.Weight), c.Weight == m.published.entry.Weight)
 			if c.Tiered {
 				add("tier", fmt.Sprint(c.Tier), c.Tier == v.Tier)
 			}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -21,56 +21,59 @@
 	hold = time.Minute
 )
 
-// bench drives a Set of a list and SRV records, and keeps what was said of servers, as an agent does.
-type bench struct {
+// harness drives a Set with two sources, a list and SRV records, and keeps the merged list as an agent does.
+type harness struct {
 	*Set
-	at   time.Duration
-	said map[string]ledger.Entry // that are not gone
+	at        time.Duration
+	published map[string]ledger.Entry // the entries that are not gone, by id
 }
 
-func newBench(edits ...func(*Settings)) *bench {
+func newHarness(edits ...func(*Settings)) *harness {
 	set := Defaults
 	set.Sources = []Source{{Name: "list", Hold: hold, Absent: true, Guard: true}, {Name: "srv", Hold: hold, Absent: true, Guard: true}}
 	for _, edit := range edits {
 		edit(&set)
 	}
-	return &bench{Set: New(set), at: 1000 * time.Hour, said: map[string]ledger.Entry{}}
+	return &harness{Set: New(set), at: 1000 * time.Hour, published: map[string]ledger.Entry{}}
 }
 
-// take keeps what was said.
-func (b *bench) take(changes []ledger.Entry) []ledger.Entry {
+// record applies changes to the merged list and returns a copy of them.
+func (b *harness) record(changes []ledger.Entry) []ledger.Entry {
 	for _, e := range changes {
-		if b.said[e.ID] = e; e.State == choice.Gone {
-			delete(b.said, e.ID)
+		if b.published[e.ID] = e; e.State == choice.Gone {
+			delete(b.published, e.ID)
 		}
 	}
 	return slices.Clone(changes)
 }
 
-func (b *bench) tell(source int, full bool, version int64, claims ...Claim) []ledger.Entry {
-	return b.take(b.Report(b.at, Report{Source: source, Full: full, Version: version, Claims: claims}))
+// report passes in a report of a source.
+func (b *harness) report(source int, full bool, version int64, claims ...Claim) []ledger.Entry {
+	return b.record(b.Report(b.at, Report{Source: source, Full: full, Version: version, Claims: claims}))
 }
 
-func (b *bench) pass(d time.Duration) {
+// advance lets time pass, with a Tick at each time that NextTimer returns and at the end.
+func (b *harness) advance(d time.Duration) {
 	end := b.at + d
 	for next, any := b.Next(); any && next <= end; next, any = b.Next() {
 		b.at = max(b.at, next)
-		b.take(b.Tick(b.at))
+		b.record(b.Tick(b.at))
 	}
 	b.at = end
-	b.take(b.Tick(b.at))
+	b.record(b.Tick(b.at))
 }
 
-// state is what is said of a server: "" for nothing.
-func (b *bench) state(id string) string {
-	e, ok := b.said[id]
+// state returns a server's state in the merged list, or "" if it is not in it.
+func (b *harness) state(id string) string {
+	e, ok := b.published[id]
 	if !ok {
 		return ""
 	}
 	return [...]string{choice.Ready: "ready", choice.Draining: "draining"}[e.State]
 }
 
-func (b *bench) rule(id string) Rule {
+// rule returns the rule that determined a server's state, or -1.
+func (b *harness) rule(id string) Rule {
 	for _, v := range b.Members() {
 		if v.ID == id {
 			return v.Rule
@@ -79,10 +82,11 @@
 	return -1
 }
 
+// addr returns the address of server i.
 func addr(i int) string { return fmt.Sprintf("127.0.0.1:%d", 8000+i) }
 
-// listed is an entry of the list, named one of SRV, of the same server.
-func listed(i int, edits ...func(*Claim)) Claim {
+// listClaim returns the claim of the list about server i.
+func listClaim(i int, edits ...func(*Claim)) Claim {
 	c := Claim{Key: fmt.Sprint("s", i), ID: fmt.Sprint("s", i), Addrs: []string{addr(i)}, Weight: 1, Details: true}
 	for _, e := range edits {
 		e(&c)
@@ -90,7 +94,8 @@
 	return c
 }
 
-func named(i int, edits ...func(*Claim)) Claim {
+// srvClaim returns the claim of the SRV records about server i.
+func srvClaim(i int, edits ...func(*Claim)) Claim {
 	c := Claim{Key: fmt.Sprintf("forms-%d.example.org.:8000", i), Addrs: []string{addr(i)}, Weight: 5, Tiered: true, Tier: 10}
 	for _, e := range edits {
 		e(&c)
@@ -98,182 +103,184 @@
 	return c
 }
 
-func in(state choice.State) func(*Claim) { return func(c *Claim) { c.State = state } }
-func from(t time.Duration) func(*Claim)  { return func(c *Claim) { c.Started = t } }
+func withState(state choice.State) func(*Claim) { return func(c *Claim) { c.State = state } }
+func startedAt(t time.Duration) func(*Claim)    { return func(c *Claim) { c.Started = t } }
 
-func some(word func(int, ...func(*Claim)) Claim, n int) (all []Claim) {
+// claims returns the claims about servers 0 to n-1.
+func claims(newClaim func(int, ...func(*Claim)) Claim, n int) (all []Claim) {
 	for i := range n {
-		all = append(all, word(i))
+		all = append(all, newClaim(i))
 	}
 	return all
 }
 
-// The table of rules: what sources say, and what is said of server s0 then.
+// Each row of the table of rules: reports of the sources, and the resulting state and rule of server s0.
 func TestRules(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		play  func(b *bench)
+		play  func(b *harness)
 		state string
 		rule  Rule
 	}{
-		{"both name it", func(b *bench) {}, "ready", Agreed},
-		{"the list says that it drains", func(b *bench) { b.tell(list, false, 2, listed(0, in(choice.Draining))) }, "draining", Drained},
-		{"SRV says that it drains", func(b *bench) { b.tell(srv, false, 0, named(0, in(choice.Draining))) }, "draining", Drained},
-		{"the list says that it is gone, SRV names it", func(b *bench) { b.tell(list, false, 2, listed(0, in(choice.Gone))) }, "", Withdrawn},
-		{"SRV names it no more, the list does", func(b *bench) { b.tell(srv, true, 0, some(named, 4)[1:]...) }, "", Withdrawn},
-		{"the whole list names it no more, SRV does", func(b *bench) { b.tell(list, true, 2, some(listed, 4)[1:]...) }, "", Withdrawn},
-		{"withdrawn by SRV and named by it again", func(b *bench) {
-			b.tell(srv, true, 0, some(named, 4)[1:]...)
-			b.tell(srv, true, 0, some(named, 4)...)
+		{"both list it", func(b *harness) {}, "ready", Agreed},
+		{"the list reports it as draining", func(b *harness) { b.report(list, false, 2, listClaim(0, withState(choice.Draining))) }, "draining", Drained},
+		{"SRV reports it as draining", func(b *harness) { b.report(srv, false, 0, srvClaim(0, withState(choice.Draining))) }, "draining", Drained},
+		{"the list reports it as gone, SRV lists it", func(b *harness) { b.report(list, false, 2, listClaim(0, withState(choice.Gone))) }, "", Withdrawn},
+		{"SRV no longer lists it, the list does", func(b *harness) { b.report(srv, true, 0, claims(srvClaim, 4)[1:]...) }, "", Withdrawn},
+		{"a full list no longer has it, SRV does", func(b *harness) { b.report(list, true, 2, claims(listClaim, 4)[1:]...) }, "", Withdrawn},
+		{"withdrawn by SRV and listed by it again", func(b *harness) {
+			b.report(srv, true, 0, claims(srvClaim, 4)[1:]...)
+			b.report(srv, true, 0, claims(srvClaim, 4)...)
 		}, "ready", Agreed},
-		{"gone by the list for an hour, SRV names it as before", func(b *bench) {
-			b.tell(list, false, 2, listed(0, in(choice.Gone)))
-			b.pass(time.Hour)
+		{"gone from the list for an hour, SRV lists it as before", func(b *harness) {
+			b.report(list, false, 2, listClaim(0, withState(choice.Gone)))
+			b.advance(time.Hour)
 		}, "", Withdrawn},
-		{"gone by the list, started anew", func(b *bench) {
-			b.tell(list, false, 2, listed(0, in(choice.Gone)))
-			b.tell(list, false, 3, listed(0, from(b.at)))
+		{"gone from the list, then restarted", func(b *harness) {
+			b.report(list, false, 2, listClaim(0, withState(choice.Gone)))
+			b.report(list, false, 3, listClaim(0, startedAt(b.at)))
 		}, "ready", Agreed},
-		{"drains, and the list says ready in the same life", func(b *bench) {
-			b.tell(list, false, 2, listed(0, in(choice.Draining)))
-			b.tell(list, false, 3, listed(0))
+		{"drains, and the list reports it as ready without a restart", func(b *harness) {
+			b.report(list, false, 2, listClaim(0, withState(choice.Draining)))
+			b.report(list, false, 3, listClaim(0))
 		}, "ready", Agreed},
-		{"drains by SRV, the list says ready", func(b *bench) {
-			b.tell(srv, false, 0, named(0, in(choice.Draining)))
-			b.tell(list, true, 2, some(listed, 4)...)
+		{"drains by SRV, the list reports it as ready", func(b *harness) {
+			b.report(srv, false, 0, srvClaim(0, withState(choice.Draining)))
+			b.report(list, true, 2, claims(listClaim, 4)...)
 		}, "draining", Drained},
-		{"the list is out of reach", func(b *bench) { b.take(b.Lost(b.at, list)); b.pass(hold / 2) }, "ready", Agreed},
-		{"the list is out of reach beyond its hold, SRV names it", func(b *bench) { b.take(b.Lost(b.at, list)); b.pass(2 * hold) }, "ready", Agreed},
-		{"all are out of reach", func(b *bench) {
-			b.take(b.Lost(b.at, list))
-			b.take(b.Lost(b.at, srv))
-			b.pass(time.Hour)
+		{"the list is unreachable", func(b *harness) { b.record(b.Lost(b.at, list)); b.advance(hold / 2) }, "ready", Agreed},
+		{"the list is unreachable beyond its hold, SRV lists it", func(b *harness) { b.record(b.Lost(b.at, list)); b.advance(2 * hold) }, "ready", Agreed},
+		{"all sources are unreachable", func(b *harness) {
+			b.record(b.Lost(b.at, list))
+			b.record(b.Lost(b.at, srv))
+			b.advance(time.Hour)
 		}, "ready", LastWord},
-		{"drains by the list, which is then out of reach", func(b *bench) {
-			b.tell(list, false, 2, listed(0, in(choice.Draining)))
-			b.take(b.Lost(b.at, list))
-			b.pass(time.Hour)
+		{"drains by the list, which then becomes unreachable", func(b *harness) {
+			b.report(list, false, 2, listClaim(0, withState(choice.Draining)))
+			b.record(b.Lost(b.at, list))
+			b.advance(time.Hour)
 		}, "draining", Drained},
-		{"SRV is suddenly empty", func(b *bench) { b.tell(srv, true, 0) }, "ready", Guarded},
-		{"SRV is empty for longer than the guard waits", func(b *bench) { b.tell(srv, true, 0); b.pass(Defaults.GuardWait) }, "", Withdrawn},
-		{"SRV was empty and is well again", func(b *bench) {
-			b.tell(srv, true, 0)
-			b.pass(Defaults.GuardWait / 2)
-			b.tell(srv, true, 0, some(named, 4)...)
-			b.pass(time.Hour)
+		{"SRV is suddenly empty", func(b *harness) { b.report(srv, true, 0) }, "ready", Guarded},
+		{"SRV is empty for longer than the guard waits", func(b *harness) { b.report(srv, true, 0); b.advance(Defaults.GuardWait) }, "", Withdrawn},
+		{"SRV was empty and recovers", func(b *harness) {
+			b.report(srv, true, 0)
+			b.advance(Defaults.GuardWait / 2)
+			b.report(srv, true, 0, claims(srvClaim, 4)...)
+			b.advance(time.Hour)
 		}, "ready", Agreed},
-		{"the list drains it while SRV is suddenly empty", func(b *bench) {
-			b.tell(srv, true, 0)
-			b.tell(list, false, 2, listed(0, in(choice.Draining)))
+		{"the list reports it as draining while SRV is suddenly empty", func(b *harness) {
+			b.report(srv, true, 0)
+			b.report(list, false, 2, listClaim(0, withState(choice.Draining)))
 		}, "draining", Drained},
-		{"all drain at once: the guard does not hold that up", func(b *bench) {
+		{"all drain at once: the guard does not defer that", func(b *harness) {
 			var all []Claim
 			for i := range 4 {
-				all = append(all, listed(i, in(choice.Draining)))
+				all = append(all, listClaim(i, withState(choice.Draining)))
 			}
-			b.tell(list, true, 2, all...)
+			b.report(list, true, 2, all...)
 		}, "draining", Drained},
-		{"an older list withdraws it", func(b *bench) { b.tell(list, true, -1, some(listed, 4)[1:]...) }, "ready", Agreed},
-		{"an older list drains it", func(b *bench) { b.tell(list, true, -1, listed(0, in(choice.Draining))) }, "draining", Drained},
-		{"an older list goes on for long", func(b *bench) {
-			b.tell(list, true, -1, some(listed, 4)[1:]...)
-			b.pass(Defaults.GuardWait)
-			b.tell(list, true, -1, some(listed, 4)[1:]...)
+		{"an older list withdraws it", func(b *harness) { b.report(list, true, -1, claims(listClaim, 4)[1:]...) }, "ready", Agreed},
+		{"an older list drains it", func(b *harness) { b.report(list, true, -1, listClaim(0, withState(choice.Draining))) }, "draining", Drained},
+		{"older lists keep coming for long", func(b *harness) {
+			b.report(list, true, -1, claims(listClaim, 4)[1:]...)
+			b.advance(Defaults.GuardWait)
+			b.report(list, true, -1, claims(listClaim, 4)[1:]...)
 		}, "", Withdrawn},
-		{"SRV contradicts itself within its lifetime", func(b *bench) {
-			b.take(b.Report(b.at, Report{Source: srv, Full: true, Claims: some(named, 4), Until: b.at + 20*time.Second}))
-			b.take(b.Report(b.at, Report{Source: srv, Full: true, Claims: some(named, 4)[1:], Until: b.at + 20*time.Second}))
+		{"SRV contradicts its report while that is valid", func(b *harness) {
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4), Until: b.at + 20*time.Second}))
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4)[1:], Until: b.at + 20*time.Second}))
 		}, "ready", Contradict},
-		{"and goes on till that is over", func(b *bench) {
-			b.take(b.Report(b.at, Report{Source: srv, Full: true, Claims: some(named, 4), Until: b.at + 20*time.Second}))
-			b.take(b.Report(b.at, Report{Source: srv, Full: true, Claims: some(named, 4)[1:], Until: b.at + time.Hour}))
-			b.pass(21 * time.Second)
+		{"SRV contradicts its report until that has expired", func(b *harness) {
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4), Until: b.at + 20*time.Second}))
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4)[1:], Until: b.at + time.Hour}))
+			b.advance(21 * time.Second)
 		}, "", Withdrawn},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench()
-			b.tell(list, true, 1, some(listed, 4)...)
-			b.tell(srv, true, 0, some(named, 4)...)
+			b := newHarness()
+			b.report(list, true, 1, claims(listClaim, 4)...)
+			b.report(srv, true, 0, claims(srvClaim, 4)...)
 			c.play(b)
 			if got := b.state("s0"); got != c.state || b.rule("s0") != c.rule {
-				t.Errorf("%q by %v, not %q by %v", got, b.rule("s0"), c.state, c.rule)
+				t.Errorf("state %q by rule %v, want %q by %v", got, b.rule("s0"), c.state, c.rule)
 			}
 		})
 	}
 }
 
-// Facts come from the first source that states them; names of one server are one.
+// Each fact comes from the first source that states it, and several keys of one server are one server.
 func TestFacts(t *testing.T) {
-	b := newBench()
-	b.tell(srv, true, 0, named(0), named(1), named(9))
-	b.tell(srv, true, 0, named(0), named(1), named(9), func() Claim { c := named(1); c.Key = "alias"; return c }())
-	if len(b.said) != 3 || b.state("srv/alias") != "" {
-		t.Errorf("an alias is a server of its own: %v", b.said)
+	b := newHarness()
+	b.report(srv, true, 0, srvClaim(0), srvClaim(1), srvClaim(9))
+	b.report(srv, true, 0, srvClaim(0), srvClaim(1), srvClaim(9), func() Claim { c := srvClaim(1); c.Key = "alias"; return c }())
+	if len(b.published) != 3 || b.state("srv/alias") != "" {
+		t.Errorf("an alias became a separate server: %v", b.published)
 	}
-	b.tell(list, true, 1, listed(0, func(c *Claim) { c.Weight, c.Zone, c.Started, c.Shapes = 2, 7, time.Second, []string{"a/1"} }), listed(5))
-	id := "srv/" + named(0).Key
-	if e := b.said[id]; e.Weight != 2 || e.Zone != 7 || e.Started != time.Second || e.Addr != addr(0) || !slices.Equal(e.Shapes, []string{"a/1"}) {
-		t.Errorf("a server that SRV named first: %+v", e)
+	b.report(list, true, 1, listClaim(0, func(c *Claim) { c.Weight, c.Zone, c.Started, c.Shapes = 2, 7, time.Second, []string{"a/1"} }), listClaim(5))
+	id := "srv/" + srvClaim(0).Key
+	if e := b.published[id]; e.Weight != 2 || e.Zone != 7 || e.Started != time.Second || e.Addr != addr(0) || !slices.Equal(e.Shapes, []string{"a/1"}) {
+		t.Errorf("server that SRV listed first: %+v", e)
 	}
-	b.tell(list, false, 2, listed(0, func(c *Claim) { c.Weight, c.Zone, c.Started, c.Shapes = 2, 7, time.Second, []string{"a/2"} }))
-	if e := b.said[id]; !slices.Equal(e.Shapes, []string{"a/2"}) {
-		t.Errorf("its shapes changed: %+v", e)
+	b.report(list, false, 2, listClaim(0, func(c *Claim) { c.Weight, c.Zone, c.Started, c.Shapes = 2, 7, time.Second, []string{"a/2"} }))
+	if e := b.published[id]; !slices.Equal(e.Shapes, []string{"a/2"}) {
+		t.Errorf("after a change of its shapes: %+v", e)
 	}
 	if b.state("s5") != "ready" || b.Members()[len(b.Members())-1].Tier != 10 {
-		t.Errorf("a server of which nobody names a tier is not in the best one: %+v", b.Members()[len(b.Members())-1])
+		t.Errorf("a server without a reported tier is not in the best tier: %+v", b.Members()[len(b.Members())-1])
 	}
-	if e, ok := b.said["s0"]; ok {
-		t.Errorf("it is there twice: %+v", e)
+	if e, ok := b.published["s0"]; ok {
+		t.Errorf("the server is in the merged list twice: %+v", e)
 	}
-	if b.rule("srv/"+named(9).Key) != Alone || b.state("srv/"+named(9).Key) != "ready" || b.rule("s5") != Alone {
-		t.Errorf("named by one alone: %v, %v", b.rule("srv/"+named(9).Key), b.rule("s5"))
+	if b.rule("srv/"+srvClaim(9).Key) != Alone || b.state("srv/"+srvClaim(9).Key) != "ready" || b.rule("s5") != Alone {
+		t.Errorf("listed by one source only: rules %v, %v", b.rule("srv/"+srvClaim(9).Key), b.rule("s5"))
 	}
-	b.tell(srv, true, 0, named(0), named(1), named(9)) // the alias goes, the name stays
-	if b.state("srv/"+named(1).Key) != "ready" {
-		t.Error("a server is gone with one of its names")
+	b.report(srv, true, 0, srvClaim(0), srvClaim(1), srvClaim(9)) // the alias is withdrawn, the other name stays
+	if b.state("srv/"+srvClaim(1).Key) != "ready" {
+		t.Error("a server was removed with one of its names")
 	}
-	// One that SRV names later than the others may have just started: it is spared as a cold one is.
+	// A server that SRV lists later than the others may have just started: it is treated as a cold one.
 	b.at += time.Hour
-	b.tell(srv, true, 0, named(0), named(1), named(9), named(10))
-	if e := b.said["srv/"+named(10).Key]; e.Started != b.at {
-		t.Errorf("started %v, first named %v", e.Started, b.at)
+	b.report(srv, true, 0, srvClaim(0), srvClaim(1), srvClaim(9), srvClaim(10))
+	if e := b.published["srv/"+srvClaim(10).Key]; e.Started != b.at {
+		t.Errorf("started at %v, first reported at %v", e.Started, b.at)
 	}
-	if e := b.said["srv/"+named(1).Key]; e.Started != 0 {
-		t.Errorf("one that was there from the first started %v", e.Started)
+	if e := b.published["srv/"+srvClaim(1).Key]; e.Started != 0 {
+		t.Errorf("a server of the first report started at %v, want 0", e.Started)
 	}
-	// Two ids of the list at one address are two servers.
-	b.tell(list, false, 3, listed(20), listed(21, func(c *Claim) { c.Addrs = []string{addr(20)} }))
+	// Two ids of the list with the same address are two servers.
+	b.report(list, false, 3, listClaim(20), listClaim(21, func(c *Claim) { c.Addrs = []string{addr(20)} }))
 	if b.state("s20") != "ready" || b.state("s21") != "ready" {
-		t.Error("two ids at one address are not two servers")
+		t.Error("two ids with the same address are not two servers")
 	}
 }
 
-// The platform's list alone, as it is by default: what it says is what is said, removals of all included.
+// The platform's list as the only source, which is the default: the merged list follows it, even if it removes all servers.
 func TestListAlone(t *testing.T) {
-	b := newBench(func(s *Settings) {
+	b := newHarness(func(s *Settings) {
 		s.Sources = []Source{{Name: "list", Hold: 100 * 365 * 24 * time.Hour, Absent: true}}
 	})
-	b.tell(list, true, 1, some(listed, 4)...)
-	b.take(b.Lost(b.at, list))
-	b.pass(24 * time.Hour)
-	if len(b.said) != 4 || b.rule("s0") != Agreed {
-		t.Errorf("%d servers, %v", len(b.said), b.rule("s0"))
+	b.report(list, true, 1, claims(listClaim, 4)...)
+	b.record(b.Lost(b.at, list))
+	b.advance(24 * time.Hour)
+	if len(b.published) != 4 || b.rule("s0") != Agreed {
+		t.Errorf("%d servers, rule %v", len(b.published), b.rule("s0"))
 	}
-	b.tell(list, false, 2, listed(0, in(choice.Draining)), listed(1, in(choice.Gone)))
+	b.report(list, false, 2, listClaim(0, withState(choice.Draining)), listClaim(1, withState(choice.Gone)))
 	if b.state("s0") != "draining" || b.state("s1") != "" || b.state("s2") != "ready" {
-		t.Errorf("%v", b.said)
+		t.Errorf("%v", b.published)
 	}
-	b.tell(list, true, 3)
-	if len(b.said) != 0 {
-		t.Errorf("%v", b.said)
+	b.report(list, true, 3)
+	if len(b.published) != 0 {
+		t.Errorf("%v", b.published)
 	}
 }
 
-// Tiers open when the better ones are too small, part by part, and close only once these have been enough for a while.
+// A tier opens part by part when the better ones have too little weight, and closes only after they have had enough for a
+// while.
 func TestTiers(t *testing.T) {
-	b := newBench(func(s *Settings) { s.GuardShare = 1 })
-	worse := func(i int) Claim { return named(100+i, func(c *Claim) { c.Tier = 20 }) }
-	better := func(i int) Claim { return named(i, func(c *Claim) { c.Tier = 10 }) }
+	b := newHarness(func(s *Settings) { s.GuardShare = 1 })
+	worse := func(i int) Claim { return srvClaim(100+i, func(c *Claim) { c.Tier = 20 }) }
+	better := func(i int) Claim { return srvClaim(i, func(c *Claim) { c.Tier = 10 }) }
 	tell := func(n int) {
 		var all []Claim
 		for i := range n {
@@ -282,10 +289,10 @@
 		for i := range 8 {
 			all = append(all, worse(i))
 		}
-		b.tell(srv, true, 0, all...)
+		b.report(srv, true, 0, all...)
 	}
 	ready := func() (better, worse int) {
-		for _, e := range b.said {
+		for _, e := range b.published {
 			if e.State == choice.Ready {
 				if e.Addrs[0] >= addr(100) && len(e.Addrs[0]) == len(addr(100)) {
 					worse++
@@ -299,7 +306,7 @@
 	expect := func(when string, better, worse int) {
 		t.Helper()
 		if x, y := ready(); x != better || y != worse {
-			t.Errorf("%s: %d better and %d worse ones are ready, not %d and %d", when, x, y, better, worse)
+			t.Errorf("%s: %d better and %d worse servers are ready, want %d and %d", when, x, y, better, worse)
 		}
 	}
 	tell(10)
@@ -308,130 +315,130 @@
 	expect("half of the better tier", 5, 0)
 	tell(4)
 	expect("less", 4, 2)
-	b.pass(Defaults.RampStep)
-	expect("a step later", 4, 4)
-	b.pass(3 * Defaults.RampStep)
-	expect("some steps later", 4, 8)
+	b.advance(Defaults.RampStep)
+	expect("one ramp step later", 4, 4)
+	b.advance(3 * Defaults.RampStep)
+	expect("three more ramp steps later", 4, 8)
 	tell(7)
-	b.pass(time.Minute)
-	expect("not enough to close it", 7, 8)
+	b.advance(time.Minute)
+	expect("better tier below CloseAbove", 7, 8)
 	tell(10)
-	expect("enough, just now", 10, 8)
-	b.pass(Defaults.Calm / 2)
-	expect("enough for a while", 10, 8)
-	b.pass(Defaults.Calm)
-	expect("enough for long", 10, 0)
+	expect("better tier just restored", 10, 8)
+	b.advance(Defaults.Calm / 2)
+	expect("restored for less than the close delay", 10, 8)
+	b.advance(Defaults.Calm)
+	expect("restored for longer than the close delay", 10, 0)
 	if r := b.rule("srv/" + worse(0).Key); r != ClosedTier {
-		t.Errorf("by %v", r)
+		t.Errorf("closed by rule %v", r)
 	}
 	tell(0)
-	expect("no better one, and nobody else to take the work", 0, 8)
+	expect("no better server, and no other tier open", 0, 8)
 	tell(10)
-	expect("the better ones come back", 3, 8)
-	b.pass(2 * time.Minute)
-	expect("and have been there for long", 10, 0)
+	expect("the better servers come back", 3, 8)
+	b.advance(2 * time.Minute)
+	expect("and have been back for long", 10, 0)
 }
 
-// A walk over two sources that say, drain, withdraw, lose their word and come back; an oracle of its own, by what was told
-// alone, says of each server whether it may be ready and whether it must be.
+// Random sequences in which two sources report, drain and withdraw servers, become unreachable and come back. An independent
+// oracle, based only on the reports, checks which servers may be ready and which must be.
 func TestWalks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench()
+		b := newHarness()
 		const n = 6
-		type word struct {
-			names, drains, withdrew bool
+		type reportedState struct {
+			listed, draining, withdrawn bool
 		}
-		var words [2][n]word
+		var reported [2][n]reportedState
 		version := int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			source := rapid.IntRange(0, 1).Draw(t, "source")
 			what := rapid.SampledFrom([]string{"whole", "one", "lost", "time"}).Draw(t, "what")
 			make := func(i int, state choice.State) Claim {
 				if source == list {
-					return listed(i, in(state))
+					return listClaim(i, withState(state))
 				}
-				return named(i, in(state))
+				return srvClaim(i, withState(state))
 			}
 			version++
 			switch what {
 			case "whole":
 				var claims []Claim
 				for i := range n {
-					w := &words[source][i]
+					w := &reported[source][i]
 					switch rapid.IntRange(0, 3).Draw(t, "of server") {
 					case 0:
-						w.withdrew = w.withdrew || w.names
-						w.names, w.drains = false, false
+						w.withdrawn = w.withdrawn || w.listed
+						w.listed, w.draining = false, false
 					case 1:
-						*w = word{names: true, drains: true}
+						*w = reportedState{listed: true, draining: true}
 						claims = append(claims, make(i, choice.Draining))
 					default:
-						*w = word{names: true}
+						*w = reportedState{listed: true}
 						claims = append(claims, make(i, choice.Ready))
 					}
 				}
-				b.tell(source, true, version, claims...)
+				b.report(source, true, version, claims...)
 			case "one":
 				i := rapid.IntRange(0, n-1).Draw(t, "server")
-				w := &words[source][i]
+				w := &reported[source][i]
 				switch state := rapid.SampledFrom([]choice.State{choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state"); state {
 				case choice.Gone:
-					w.withdrew = w.withdrew || w.names
-					w.names, w.drains = false, false
-					b.tell(source, false, version, make(i, state))
+					w.withdrawn = w.withdrawn || w.listed
+					w.listed, w.draining = false, false
+					b.report(source, false, version, make(i, state))
 				default:
-					*w = word{names: true, drains: state == choice.Draining}
-					b.tell(source, false, version, make(i, state))
+					*w = reportedState{listed: true, draining: state == choice.Draining}
+					b.report(source, false, version, make(i, state))
 				}
 			case "lost":
-				b.take(b.Lost(b.at, source))
+				b.record(b.Lost(b.at, source))
 			case "time":
 				b.at += time.Duration(rapid.Int64Range(0, int64(2*time.Minute)).Draw(t, "pass"))
-				b.take(b.Tick(b.at))
+				b.record(b.Tick(b.at))
 			}
 			ready := map[string]int{}
-			for id, e := range b.said {
+			for id, e := range b.published {
 				if e.State == choice.Ready {
 					ready[e.Addr]++
 					if ready[e.Addr] > 1 {
-						t.Fatalf("%s is there twice: %v", e.Addr, b.said)
+						t.Fatalf("%s is in the merged list twice: %v", e.Addr, b.published)
 					}
 				}
 				if e.ID != id {
-					t.Fatalf("%s says %s", id, e.ID)
+					t.Fatalf("entry of %s has id %s", id, e.ID)
 				}
 			}
 			for i := range n {
-				l, s := words[list][i], words[srv][i]
-				if (l.drains || s.drains) && ready[addr(i)] > 0 {
-					t.Fatalf("server %d drains by a source and is ready: %+v, %+v", i, l, s)
+				l, s := reported[list][i], reported[srv][i]
+				if (l.draining || s.draining) && ready[addr(i)] > 0 {
+					t.Fatalf("server %d is ready although a source reports it as draining: %+v, %+v", i, l, s)
 				}
-				if !l.names && !s.names && !l.withdrew && !s.withdrew && ready[addr(i)] > 0 {
-					t.Fatalf("server %d was never named and is ready", i)
+				if !l.listed && !s.listed && !l.withdrawn && !s.withdrawn && ready[addr(i)] > 0 {
+					t.Fatalf("server %d is ready although no source ever listed it", i)
 				}
-				if l.names && s.names && !l.drains && !s.drains && ready[addr(i)] == 0 {
-					t.Fatalf("server %d is ready by both and is not: %v", i, b.said)
+				if l.listed && s.listed && !l.draining && !s.draining && ready[addr(i)] == 0 {
+					t.Fatalf("server %d is not ready although both sources report it as ready: %v", i, b.published)
 				}
 			}
 		}
 	})
 }
 
-// What a change costs: 5 % of the servers change each second in both sources, told as changes by the list and as a whole by
-// SRV.
+// BenchmarkChange measures the cost of a change: each second 5 % of the servers change in one source. The list reports only
+// the changes, SRV always all of its records.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{500, 5000} {
 		for _, source := range []int{list, srv} {
 			b.Run(fmt.Sprintf("%s/%d", [...]string{"list", "srv"}[source], n), func(b *testing.B) {
-				s := newBench()
+				s := newHarness()
 				address := func(i int) []string { return []string{fmt.Sprintf("127.%d.%d.1:80", i/250, i%250)} }
 				of := func(i int) func(*Claim) { return func(c *Claim) { c.Addrs = address(i) } }
 				var l, r []Claim
 				for i := range n {
-					l, r = append(l, listed(i, of(i))), append(r, named(i, of(i)))
+					l, r = append(l, listClaim(i, of(i))), append(r, srvClaim(i, of(i)))
 				}
-				s.tell(list, true, 1, l...)
-				s.tell(srv, true, 0, r...)
+				s.report(list, true, 1, l...)
+				s.report(srv, true, 0, r...)
 				version := int64(1)
 				b.ReportAllocs()
 				changes := 0
@@ -442,7 +449,7 @@
 					for i := int(version) % 20; i < n; i += 20 {
 						weight := float64(version)
 						if source == list {
-							changed = append(changed, listed(i, of(i), func(c *Claim) { c.Weight = weight }))
+							changed = append(changed, listClaim(i, of(i), func(c *Claim) { c.Weight = weight }))
 						} else {
 							r[i].Weight = weight
 						}
@@ -460,13 +467,13 @@
 	}
 }
 
-// The view names each source's word with its age.
+// Members returns the facts of each source with their age.
 func TestView(t *testing.T) {
-	b := newBench()
-	b.tell(list, true, 1, some(listed, 2)...)
+	b := newHarness()
+	b.report(list, true, 1, claims(listClaim, 2)...)
 	b.at += time.Minute
-	b.tell(srv, true, 0, some(named, 2)...)
-	b.tell(list, false, 2, listed(1, in(choice.Draining)))
+	b.report(srv, true, 0, claims(srvClaim, 2)...)
+	b.report(list, false, 2, listClaim(1, withState(choice.Draining)))
 	all := b.Members()
 	if len(all) != 2 || all[1].State != choice.Draining || all[1].Rule != Drained {
 		t.Fatalf("%+v", all)
@@ -478,30 +485,30 @@
 		}
 	}
 	if want := map[string]time.Duration{"list 1true": time.Minute, "srv 5false": 0}; !maps.Equal(ages, want) {
-		t.Errorf("%v, want %v", ages, want)
+		t.Errorf("weights and their ages: %v, want %v", ages, want)
 	}
 }
 
-// Each planted bug is found by one of the tests above.
+// Each planted bug makes one of the tests above fail.
 func TestPlantedBugs(t *testing.T) {
 	for _, bug := range []struct{ name, old, new string }{
-		{"a drain counts by the first source only", "case c.State == choice.Draining:\n\t\t\tdrains = c", "case c.State == choice.Draining && c == m.claims[0]:\n\t\t\tdrains = c"},
-		{"a withdrawal counts only when nobody names the server", "case gone != nil && !s.newer(m, gone):", "case gone != nil && !supported:"},
-		{"an older word brings a server back in time", "s.now-c.since >= s.set.Forget && !s.contested(c)", "s.now-c.since >= s.set.Forget"},
-		{"an empty answer empties the fleet", "len(all) > max(s.set.GuardLeast, int(s.set.GuardShare*float64(live)))", "len(all) > live"},
-		{"an older list is believed", "if older && s.now-src.older < s.set.GuardWait {", "if false {"},
-		{"an older list's drain is not", "s.drains(src, r) //", "//"},
-		{"a source that lost its word counts for ever", "src.dead = true\n", "src.dead = false\n"},
-		{"names of one server are several", "return m\n\t\t}\n\t}\n\treturn nil", "return nil\n\t\t}\n\t}\n\treturn nil"},
-		{"a server goes with the first of its names", "if !m.named(c.source) {", "if true {"},
-		{"a drain is forgotten when its source is lost", "case c.State == choice.Draining:\n\t\t\tdrains = c", "case c.State == choice.Draining && !c.source.dead:\n\t\t\tdrains = c"},
+		{"a drain counts only from the first source", "case c.State == choice.Draining:\n\t\t\tdraining = c", "case c.State == choice.Draining && c == m.claims[0]:\n\t\t\tdraining = c"},
+		{"a withdrawal counts only if no source lists the server", "case withdrawal != nil && !s.restartedSince(m, withdrawal):", "case withdrawal != nil && !supported:"},
+		{"an older claim brings a server back after a while", "s.now-c.changedAt >= s.settings.Forget && !s.contested(c)", "s.now-c.changedAt >= s.settings.Forget"},
+		{"an empty answer removes the whole fleet", "len(all) > max(s.settings.GuardLeast, int(s.settings.GuardShare*float64(live)))", "len(all) > live"},
+		{"an older list is applied", "if older && s.now-src.olderSince < s.settings.GuardWait {", "if false {"},
+		{"the drain of an older list is ignored", "s.applyDrains(src, r) //", "//"},
+		{"an expired source counts for ever", "src.expired = true\n", "src.expired = false\n"},
+		{"several names of one server become several servers", "return m\n\t\t}\n\t}\n\treturn nil", "return nil\n\t\t}\n\t}\n\treturn nil"},
+		{"a server is removed with the first of its names", "if !m.namedBy(c.source) {", "if true {"},
+		{"a drain is forgotten when its source is lost", "case c.State == choice.Draining:\n\t\t\tdraining = c", "case c.State == choice.Draining && !c.source.expired:\n\t\t\tdraining = c"},
 	} {
 		t.Run(bug.name, func(t *testing.T) {
 			t.Parallel()
 			overlay := testkit.Overlay(t, "internal/decide/membership/membership.go", bug.old, bug.new)
 			out, err := testkit.GoTest(t, overlay, "./internal/decide/membership", "^(TestRules|TestFacts|TestWalks|TestListAlone)$")
 			if err == nil || strings.Contains(out, "[build failed]") {
-				t.Errorf("not found:\n%s", out)
+				t.Errorf("no test failed with this bug:\n%s", out)
 			}
 		})
 	}
--- a/internal/decide/membership/tiers.go
+++ b/internal/decide/membership/tiers.go
@@ -9,196 +9,204 @@
 	"ternbeam/choice"
 )
 
-// tiers say which servers get work by their tier: the best one, and the next while the better ones are too small by a
-// share of what they once were. A tier opens part by part, so that its servers, which have had no work, are not pushed
-// over, and closes only after the better ones have been enough for a while.
+// tiers decides which servers get calls according to their tier: those of the best tier, and those of the next one while
+// the ready weight of the better tiers is below a share of the baseline. A tier opens part by part so that its servers,
+// which have been without load, are not overloaded, and closes only after the better tiers have had enough weight for a
+// while.
 type tiers struct {
-	set    *Set
-	order  []*tier // the best first
-	by     map[int]*tier
-	want   float64 // what the best tier once had, less with time
-	since  time.Duration
-	stale  bool      // something changed
-	unsaid []*member // that were placed and not said yet
+	owner      *Set
+	sorted     []*tier // the best tier first
+	byNumber   map[int]*tier
+	baseline   float64       // the highest ready weight of the best tier, decaying with time
+	baselineAt time.Duration // when baseline was last updated
+	dirty      bool          // apply has to run
+	pending    []*member     // updated and not published yet
 }
 
+// tier is a tier with its members.
 type tier struct {
-	n       int
-	members map[*member]view // with what would be said of them
-	weight  float64          // of those that are ready
-	open    bool
-	opened  time.Duration
-	enough  time.Duration // since when the better ones are; 0 for not
-	parts   int           // that have been let in
-	next    int           // place of the next member
+	number      int
+	members     map[*member]decision // with what would be published if the tier were open
+	readyWeight float64              // sum over the eligible members
+	open        bool
+	openedAt    time.Duration
+	enoughSince time.Duration // since when the better tiers have had enough weight; 0 if they have not
+	openParts   int           // number of parts that are admitted
+	nextSeq     int           // tierSeq of the next member
 }
 
-func (t *tiers) init(s *Set) { t.set, t.by = s, map[int]*tier{} }
+// init prepares the tiers of a Set.
+func (t *tiers) init(s *Set) { t.owner, t.byNumber = s, map[int]*tier{} }
 
-// wantHalf is the time after which what the best tier once had counts half.
+// baselineHalfLife is the time in which the baseline decays to half.
 const wantHalf = time.Hour
 
-// size is what a server adds to its tier: one of weight 0 gets little work, but some.
-func size(v view) float64 {
-	if !v.ready {
+// effectiveWeight returns what a server adds to its tier's ready weight: a server of weight 0 gets few calls, but some.
+func effectiveWeight(v decision) float64 {
+	if !v.eligible {
 		return 0
 	}
 	return max(v.entry.Weight, 0.01)
 }
 
-// place takes what would be said of a server if its tier were open.
-func (t *tiers) place(m *member, v view) {
-	if m.tier != nil && m.tier.n != v.tier {
-		t.forget(m)
+// update records what is to be published about a server if its tier is open, and moves it to the tier that it is in now.
+func (t *tiers) update(m *member, v decision) {
+	if m.tier != nil && m.tier.number != v.tier {
+		t.remove(m)
 	}
-	of := t.by[v.tier]
-	if of == nil {
-		of = &tier{n: v.tier, members: map[*member]view{}}
-		t.by[v.tier] = of
-		t.order = append(t.order, of)
-		slices.SortFunc(t.order, func(a, b *tier) int { return cmp.Compare(a.n, b.n) })
+	tr := t.byNumber[v.tier]
+	if tr == nil {
+		tr = &tier{number: v.tier, members: map[*member]decision{}}
+		t.byNumber[v.tier] = tr
+		t.sorted = append(t.sorted, tr)
+		slices.SortFunc(t.sorted, func(a, b *tier) int { return cmp.Compare(a.number, b.number) })
 	}
-	was, known := of.members[m]
+	was, known := tr.members[m]
 	if !known {
-		m.tier, m.place = of, of.next
-		of.next++
+		m.tier, m.tierSeq = tr, tr.nextSeq
+		tr.nextSeq++
 	}
-	of.members[m] = v
-	of.weight += size(v) - size(was)
-	t.stale = true
-	t.unsaid = append(t.unsaid, m)
+	tr.members[m] = v
+	tr.readyWeight += effectiveWeight(v) - effectiveWeight(was)
+	t.dirty = true
+	t.pending = append(t.pending, m)
 }
 
-func (of *tier) leave(m *member) {
-	of.weight -= size(of.members[m])
-	delete(of.members, m)
+// remove deletes a member from its tier.
+func (tr *tier) remove(m *member) {
+	tr.readyWeight -= effectiveWeight(tr.members[m])
+	delete(tr.members, m)
 }
 
-// forget drops a server that is gone.
-func (t *tiers) forget(m *member) {
-	of := m.tier
-	if of == nil {
+// remove deletes a member, and its tier once that is empty.
+func (t *tiers) remove(m *member) {
+	tr := m.tier
+	if tr == nil {
 		return
 	}
 	m.tier = nil
-	t.stale = true
-	if of.leave(m); len(of.members) == 0 {
-		t.order = slices.DeleteFunc(t.order, func(o *tier) bool { return o == of })
-		delete(t.by, of.n)
+	t.dirty = true
+	if tr.remove(m); len(tr.members) == 0 {
+		t.sorted = slices.DeleteFunc(t.sorted, func(o *tier) bool { return o == tr })
+		delete(t.byNumber, tr.number)
 	}
 }
 
-// say says of a server what its tier lets it be.
-func (t *tiers) say(of *tier, m *member, v view) {
+// publish publishes a server's decision; a ready server of a tier or part that is not open is published as draining.
+func (t *tiers) publish(tr *tier, m *member, v decision) {
 	e, rule := v.entry, v.rule
 	if e.State == choice.Ready {
-		switch parts := t.set.set.RampParts; {
-		case !of.open:
+		switch parts := t.owner.settings.RampParts; {
+		case !tr.open:
 			e.State, rule = choice.Draining, ClosedTier
-		case parts > 0 && m.place%parts >= of.parts && !m.works(): // who has work keeps it, by whatever tier's name
+		case parts > 0 && m.tierSeq%parts >= tr.openParts && !m.publishedReady(): // a ready server stays ready, whatever its tier
 			e.State, rule = choice.Draining, Ramping
 		}
 	}
-	t.set.say(m, e, rule, v.tier, v.ready)
+	t.owner.publish(m, e, rule, v.tier, v.eligible)
 }
 
-// works reports whether the server was said to be ready.
-func (m *member) works() bool { return m.view.known && m.view.entry.State == choice.Ready }
+// publishedReady reports whether the server was last published as ready.
+func (m *member) publishedReady() bool {
+	return m.published.announced && m.published.entry.State == choice.Ready
+}
 
-// pass lets time pass.
-func (t *tiers) pass() {
-	ramps := func(of *tier) bool { return of.open && of.parts < t.set.set.RampParts }
-	t.stale = t.stale || len(t.order) > 1 || slices.ContainsFunc(t.order, ramps)
+// advance marks the tiers dirty if the passing of time may change them.
+func (t *tiers) advance() {
+	ramps := func(tr *tier) bool { return tr.open && tr.openParts < t.owner.settings.RampParts }
+	t.dirty = t.dirty || len(t.sorted) > 1 || slices.ContainsFunc(t.sorted, ramps)
 }
 
-// settle opens and closes tiers.
-func (t *tiers) settle() {
-	if !t.stale {
+// apply opens, closes and ramps tiers if something has changed, and then publishes the pending members.
+func (t *tiers) apply() {
+	if !t.dirty {
 		return
 	}
-	t.stale = false
-	set, now := &t.set.set, t.set.now
-	better := 0.0 // of those that are open and better
-	for i, of := range t.order {
+	t.dirty = false
+	set, now := &t.owner.settings, t.owner.now
+	betterWeight := 0.0 // ready weight of the better tiers that are open
+	for i, tr := range t.sorted {
 		if i == 0 {
-			t.want = max(t.want*math.Exp2(-float64(now-t.since)/float64(wantHalf)), of.weight)
-			t.since = now
+			t.baseline = max(t.baseline*math.Exp2(-float64(now-t.baselineAt)/float64(wantHalf)), tr.readyWeight)
+			t.baselineAt = now
 		}
 		switch {
-		case i == 0 && !of.open:
-			// Where no other tier works, to hold a part of the best back would put all work on the other part.
-			t.open(of, t.alone(of))
-		case i > 0 && !of.open && better < set.OpenBelow*t.want:
-			t.open(of, false)
-		case i > 0 && of.open && better >= set.CloseAbove*t.want:
-			if of.enough == 0 {
-				of.enough = now
-				t.set.at(now+set.Calm, nil)
+		case i == 0 && !tr.open:
+			// If no other tier is open, holding back parts of the best one would put all calls on the rest of it.
+			t.open(tr, t.onlyOpen(tr))
+		case i > 0 && !tr.open && betterWeight < set.OpenBelow*t.baseline:
+			t.open(tr, false)
+		case i > 0 && tr.open && betterWeight >= set.CloseAbove*t.baseline:
+			if tr.enoughSince == 0 {
+				tr.enoughSince = now
+				t.owner.schedule(now+set.Calm, nil)
 			}
-			if now-of.enough >= set.Calm {
-				t.close(of)
+			if now-tr.enoughSince >= set.Calm {
+				t.close(tr)
 			}
 		default:
-			of.enough = 0
+			tr.enoughSince = 0
 		}
-		t.ramp(of)
-		if of.open {
-			better += of.weight
+		t.ramp(tr)
+		if tr.open {
+			betterWeight += tr.readyWeight
 		}
 	}
-	for _, m := range t.unsaid {
+	for _, m := range t.pending {
 		if m.tier != nil {
-			t.say(m.tier, m, m.tier.members[m])
+			t.publish(m.tier, m, m.tier.members[m])
 		}
 	}
-	t.unsaid = t.unsaid[:0]
+	t.pending = t.pending[:0]
 }
 
-// alone reports whether no other tier is open.
-func (t *tiers) alone(of *tier) bool {
-	return !slices.ContainsFunc(t.order, func(o *tier) bool { return o != of && o.open })
+// onlyOpen reports whether no tier other than tr is open.
+func (t *tiers) onlyOpen(tr *tier) bool {
+	return !slices.ContainsFunc(t.sorted, func(o *tier) bool { return o != tr && o.open })
 }
 
-func (t *tiers) open(of *tier, whole bool) {
-	of.open, of.opened, of.enough, of.parts = true, t.set.now, 0, 1
+// open opens a tier, wholly or with its first part.
+func (t *tiers) open(tr *tier, whole bool) {
+	tr.open, tr.openedAt, tr.enoughSince, tr.openParts = true, t.owner.now, 0, 1
 	if whole {
-		of.parts = max(1, t.set.set.RampParts)
+		tr.openParts = max(1, t.owner.settings.RampParts)
 	}
-	if of.parts < t.set.set.RampParts {
-		t.set.at(t.set.now+t.set.set.RampStep, nil)
+	if tr.openParts < t.owner.settings.RampParts {
+		t.owner.schedule(t.owner.now+t.owner.settings.RampStep, nil)
 	}
-	t.again(of)
+	t.republish(tr)
 }
 
-func (t *tiers) close(of *tier) {
-	of.open, of.parts, of.enough = false, 0, 0
-	t.again(of)
+// close closes a tier.
+func (t *tiers) close(tr *tier) {
+	tr.open, tr.openParts, tr.enoughSince = false, 0, 0
+	t.republish(tr)
 }
 
-// ramp lets the next parts in whose time has come.
-func (t *tiers) ramp(of *tier) {
-	set := &t.set.set
-	if !of.open || of.parts >= set.RampParts || set.RampStep <= 0 {
+// ramp admits the parts of an open tier that are due.
+func (t *tiers) ramp(tr *tier) {
+	set := &t.owner.settings
+	if !tr.open || tr.openParts >= set.RampParts || set.RampStep <= 0 {
 		return
 	}
-	due := min(set.RampParts, 1+int((t.set.now-of.opened)/set.RampStep))
-	if due > of.parts {
-		of.parts = due
-		t.again(of)
+	dueParts := min(set.RampParts, 1+int((t.owner.now-tr.openedAt)/set.RampStep))
+	if dueParts > tr.openParts {
+		tr.openParts = dueParts
+		t.republish(tr)
 	}
-	if of.parts < set.RampParts {
-		t.set.at(of.opened+time.Duration(of.parts)*set.RampStep, nil)
+	if tr.openParts < set.RampParts {
+		t.owner.schedule(tr.openedAt+time.Duration(tr.openParts)*set.RampStep, nil)
 	}
 }
 
-// again says anew what its tier lets each server be.
-func (t *tiers) again(of *tier) {
-	all := make([]*member, 0, len(of.members))
-	for m := range of.members {
+// republish publishes all members of a tier, in order of arrival.
+func (t *tiers) republish(tr *tier) {
+	all := make([]*member, 0, len(tr.members))
+	for m := range tr.members {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(a.place, b.place) })
+	slices.SortFunc(all, func(a, b *member) int { return cmp.Compare(a.tierSeq, b.tierSeq) })
 	for _, m := range all {
-		t.say(of, m, of.members[m])
+		t.publish(tr, m, tr.members[m])
 	}
 }
