--- a/internal/decide/resolve/answer.go
+++ b/internal/decide/resolve/answer.go
@@ -10,40 +10,42 @@
 	"github.com/miekg/dns"
 )
 
-// Bounds of what is taken from one answer.
+// Limits on what is taken from one answer.
 const (
-	maxRecords = 1000
-	maxChain   = 8              // names that stand for names, one after the other
-	maxTTL     = 24 * time.Hour // a lifetime beyond it counts as this
-	maxNever   = 5 * time.Minute
+	maxRecords    = 1000            // records of the answer section, and of the additional section
+	maxCNAMEChain = 8               // CNAME records followed one after the other
+	maxTTL        = 24 * time.Hour  // a longer TTL is reduced to this
+	maxNever      = 5 * time.Minute // a longer negative TTL is reduced to this
 )
 
-// Question is what is asked.
+// Question is the name and record type of a DNS question.
 type Question struct {
-	Name string // in small letters, with its last dot
-	Type uint16
+	Name string // fully qualified, in lower case
+	Type uint16 // such as dns.TypeSRV
 }
 
+// String returns the name and the type.
 func (q Question) String() string { return q.Name + " " + dns.TypeToString[q.Type] }
 
-// Verdict is how an answer is to be taken.
+// Verdict classifies an answer.
 type Verdict int
 
 // The verdicts.
 const (
-	Good     Verdict = iota
-	None             // there are no such records, or no such name
-	Cut              // the answer is cut off: ask by TCP
-	Refusal          // the server does not answer this, or cannot: ask another one
-	Nonsense         // nobody can tell what it says
-	Silence          // nothing came in time; the host says so
+	Good     Verdict = iota // there are records
+	None                    // no such records, or no such name
+	Cut                     // the answer was truncated: ask again over TCP
+	Refusal                 // the server refused or failed to answer: ask another one
+	Nonsense                // the message could not be parsed or exceeds a limit
+	Silence                 // no answer arrived in time, as the caller that owns the sockets reports
 )
 
 var verdictNames = [...]string{"good", "none", "cut off", "refused", "nonsense", "silence"}
 
+// String returns the verdict's name as it is logged.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Target is an SRV record (RFC 2782).
+// Target is the content of an SRV record (RFC 2782).
 type Target struct {
 	Host     string
 	Port     uint16
@@ -51,118 +53,119 @@
 	Weight   uint16
 }
 
-// Answer is what an answer says of a question.
+// Answer is the evaluated answer to a question.
 type Answer struct {
 	Verdict Verdict
-	Why     string
-	Targets []Target
-	Addrs   []netip.Addr
-	TTL     time.Duration            // for how long it holds
-	Beside  map[string][]netip.Addr  // addresses of other names that came with it
-	Lives   map[string]time.Duration // and for how long these hold
+	Why     string                   // why the verdict is not Good; empty if it is
+	Targets []Target                 // of SRV records
+	Addrs   []netip.Addr             // of A or AAAA records
+	TTL     time.Duration            // for how long it may be used: the lowest of its records
+	Beside  map[string][]netip.Addr  // addresses of other names, from the additional section
+	Lives   map[string]time.Duration // and their TTLs
 }
 
-// ErrForeign says that a message is no answer to what was asked, and must be passed over as if it had not come.
+// ErrUnrelated is returned for a message that is not an answer to the question. The caller must ignore the message.
 var ErrForeign = errors.New("not an answer to this question")
 
-// Read reads a message that came for a question asked under an id. Answers are told by their id and question; from where
-// they came is the host's matter.
+// ParseAnswer parses a message received after a question was sent with the given id. It checks that the id and the question
+// match; checking the sender is up to the caller. Malformed answers result in a verdict; the only error is ErrUnrelated.
 func Read(wire []byte, id uint16, q Question) (Answer, error) {
 	var m dns.Msg
 	if err := m.Unpack(wire); err != nil {
 		if len(wire) >= 2 && uint16(wire[0])<<8|uint16(wire[1]) == id {
-			return Answer{Verdict: Nonsense, Why: fmt.Sprintf("unreadable: %v", err)}, nil
+			return Answer{Verdict: Nonsense, Why: fmt.Sprintf("malformed message: %v", err)}, nil
 		}
 		return Answer{}, ErrForeign
 	}
 	if m.Id != id || !m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) != 1 || m.Question[0].Qtype != q.Type ||
-		m.Question[0].Qclass != dns.ClassINET || lower(m.Question[0].Name) != q.Name {
+		m.Question[0].Qclass != dns.ClassINET || canonicalName(m.Question[0].Name) != q.Name {
 		return Answer{}, ErrForeign
 	}
 	switch {
 	case m.Truncated:
-		return Answer{Verdict: Cut, Why: "cut off"}, nil
+		return Answer{Verdict: Cut, Why: "the answer is truncated"}, nil
 	case m.Rcode == dns.RcodeNameError:
-		return Answer{Verdict: None, Why: "no such name", TTL: never(&m)}, nil
+		return Answer{Verdict: None, Why: "no such name", TTL: negativeTTL(&m)}, nil
 	case m.Rcode != dns.RcodeSuccess:
 		return Answer{Verdict: Refusal, Why: dns.RcodeToString[m.Rcode]}, nil
 	case len(m.Answer) > maxRecords || len(m.Extra) > maxRecords:
-		return Answer{Verdict: Nonsense, Why: fmt.Sprintf("%d and %d records, %d at most are taken", len(m.Answer), len(m.Extra), maxRecords)}, nil
+		return Answer{Verdict: Nonsense, Why: fmt.Sprintf("%d and %d records, at most %d are accepted", len(m.Answer), len(m.Extra), maxRecords)}, nil
 	}
-	return gather(&m, q), nil
+	return collect(&m, q), nil
 }
 
-func lower(name string) string { return strings.ToLower(dns.Fqdn(name)) }
+// canonicalName returns a name fully qualified and in lower case.
+func canonicalName(name string) string { return strings.ToLower(dns.Fqdn(name)) }
 
-// life is a record's lifetime. One with its highest bit set counts as 0 (RFC 2181, section 8).
-func life(ttl uint32) time.Duration {
+// recordTTL converts a record's TTL. A TTL with its highest bit set counts as 0 (RFC 2181, section 8).
+func recordTTL(ttl uint32) time.Duration {
 	if ttl > 1<<31-1 {
 		return 0
 	}
 	return min(time.Duration(ttl)*time.Second, maxTTL)
 }
 
-// never is how long it holds that there is nothing (RFC 2308, section 5).
-func never(m *dns.Msg) time.Duration {
+// negativeTTL returns for how long a negative answer may be cached (RFC 2308, section 5).
+func negativeTTL(m *dns.Msg) time.Duration {
 	for _, r := range m.Ns {
 		if soa, ok := r.(*dns.SOA); ok {
-			return min(life(soa.Hdr.Ttl), life(soa.Minttl), maxNever)
+			return min(recordTTL(soa.Hdr.Ttl), recordTTL(soa.Minttl), maxNever)
 		}
 	}
 	return 0
 }
 
-// gather puts together what an answer says of the question, along its chain of names.
-func gather(m *dns.Msg, q Question) Answer {
+// collect gathers the records that answer the question, following CNAME records, and the additional addresses.
+func collect(m *dns.Msg, q Question) Answer {
 	a := Answer{TTL: maxTTL, Beside: map[string][]netip.Addr{}, Lives: map[string]time.Duration{}}
 	name := q.Name
 	for hop := 0; ; hop++ {
 		next := ""
 		for _, r := range m.Answer {
 			h := r.Header()
-			if h.Class != dns.ClassINET || lower(h.Name) != name {
+			if h.Class != dns.ClassINET || canonicalName(h.Name) != name {
 				continue
 			}
 			switch r := r.(type) {
 			case *dns.CNAME:
-				next = lower(r.Target)
-				a.TTL = min(a.TTL, life(h.Ttl))
+				next = canonicalName(r.Target)
+				a.TTL = min(a.TTL, recordTTL(h.Ttl))
 			case *dns.SRV:
 				if q.Type == dns.TypeSRV {
-					a.Targets = append(a.Targets, Target{lower(r.Target), r.Port, r.Priority, r.Weight})
-					a.TTL = min(a.TTL, life(h.Ttl))
+					a.Targets = append(a.Targets, Target{canonicalName(r.Target), r.Port, r.Priority, r.Weight})
+					a.TTL = min(a.TTL, recordTTL(h.Ttl))
 				}
 			default:
-				if ip, ok := address(r); ok && h.Rrtype == q.Type {
+				if ip, ok := addressOf(r); ok && h.Rrtype == q.Type {
 					a.Addrs = append(a.Addrs, ip)
-					a.TTL = min(a.TTL, life(h.Ttl))
+					a.TTL = min(a.TTL, recordTTL(h.Ttl))
 				}
 			}
 		}
 		if next == "" || len(a.Targets)+len(a.Addrs) > 0 {
 			break
 		}
-		if name = next; hop >= maxChain {
-			return Answer{Verdict: Nonsense, Why: fmt.Sprintf("a chain of more than %d names", maxChain)}
+		if name = next; hop >= maxCNAMEChain {
+			return Answer{Verdict: Nonsense, Why: fmt.Sprintf("a chain of more than %d CNAME records", maxCNAMEChain)}
 		}
 	}
 	for _, r := range m.Extra {
-		if ip, ok := address(r); ok {
-			of, ttl := lower(r.Header().Name), life(r.Header().Ttl)
-			if old, known := a.Lives[of]; !known || ttl < old {
-				a.Lives[of] = ttl
+		if ip, ok := addressOf(r); ok {
+			owner, ttl := canonicalName(r.Header().Name), recordTTL(r.Header().Ttl)
+			if old, known := a.Lives[owner]; !known || ttl < old {
+				a.Lives[owner] = ttl
 			}
-			a.Beside[of] = append(a.Beside[of], ip)
+			a.Beside[owner] = append(a.Beside[owner], ip)
 		}
 	}
 	if len(a.Targets)+len(a.Addrs) == 0 {
-		return Answer{Verdict: None, Why: "no such records", TTL: never(m)}
+		return Answer{Verdict: None, Why: "no such records", TTL: negativeTTL(m)}
 	}
 	return a
 }
 
-// address is that of an A or AAAA record.
-func address(r dns.RR) (ip netip.Addr, ok bool) {
+// addressOf returns the address of an A or AAAA record.
+func addressOf(r dns.RR) (ip netip.Addr, ok bool) {
 	switch r := r.(type) {
 	case *dns.A:
 		ip, ok = netip.AddrFromSlice(r.A.To4())
@@ -172,7 +175,7 @@
 	return ip, ok
 }
 
-// Pack words a question as a message (RFC 1035), which allows an answer of some size (RFC 6891).
+// Pack encodes a question as a message (RFC 1035) that allows UDP answers of up to MaxUDPSize bytes (RFC 6891).
 func Pack(id uint16, q Question) ([]byte, error) {
 	m := new(dns.Msg)
 	m.Id, m.RecursionDesired = id, true
@@ -181,5 +184,5 @@
 	return m.Pack()
 }
 
-// MaxUDP is the most that an answer by UDP may hold: what passes without being broken up.
+// MaxUDPSize is the maximum size of an answer over UDP in bytes, which passes without fragmentation.
 const MaxUDP = 1232
--- a/internal/decide/resolve/resolve.go
+++ b/internal/decide/resolve/resolve.go
@@ -1,6 +1,7 @@
-// Package resolve decides what to ask of which name server and when, so that a service's servers are known from SRV
-// records: by the records' lifetimes, with jitter, backoff and a budget, however short these lifetimes are and however many
-// calls there are. It does no I/O and reads no clock; wire code is github.com/miekg/dns's.
+// Package resolve finds a service's servers by SRV records: it decides which DNS question to send to which name server and
+// when. Queries follow the TTLs of the records, with jitter, backoff and a budget, so that their rate is limited however
+// short the TTLs are, and does not depend on the number of calls. The package does no I/O and reads no clock; it leaves the
+// wire format to github.com/miekg/dns.
 package resolve
 
 import (
@@ -18,313 +19,317 @@
 	"ternbeam/internal/decide/membership"
 )
 
-// Settings say what is resolved, and how.
+// Settings configure a Resolver.
 type Settings struct {
-	Name    string        // of the SRV records, such as _forms._tcp.example.org
-	Servers int           // how many name servers there are
-	Timeout time.Duration // for an answer by UDP
-	TCP     time.Duration // for one by TCP
-	Least   time.Duration // between two times that the same is asked, whatever the lifetimes
-	Most    time.Duration
-	Stale   time.Duration // for which addresses outlive their lifetime where no one answers (RFC 8767)
-	Budget  int           // questions a minute
-	Speaks  choice.Protocols
-	IPv6    bool // ask for AAAA
-	IPv4    bool // ask for A
+	Name    string           // of the SRV records, such as _forms._tcp.example.org
+	Servers int              // number of name servers
+	Timeout time.Duration    // for an answer over UDP
+	TCP     time.Duration    // for an answer over TCP
+	Least   time.Duration    // minimum time between two queries of a question, even if the TTL is shorter
+	Most    time.Duration    // maximum time between them, even if the TTL is longer
+	Stale   time.Duration    // how long addresses are used beyond their TTL if no server answers (RFC 8767)
+	Budget  int              // queries per minute
+	Speaks  choice.Protocols // what the servers found speak
+	IPv6    bool             // ask for AAAA
+	IPv4    bool             // ask for A
 }
 
-// Defaults are the settings where none are given.
+// Defaults are the default settings.
 var Defaults = Settings{Servers: 1, Timeout: time.Second, TCP: 3 * time.Second, Least: time.Second, Most: 5 * time.Minute,
 	Stale: time.Hour, Budget: 600, IPv4: true, IPv6: true}
 
-// maxTargets bounds the names whose addresses are asked for.
+// maxTargets is the maximum number of SRV records that are used.
 const maxTargets = 5000
 
-// Ask is a question that is to be asked now.
+// Query is a question to be sent now.
 type Ask struct {
-	Number  uint64 // tells it from others
-	Server  int
+	Number  uint64 // identifies the query
+	Server  int    // index of the name server
 	TCP     bool
 	Timeout time.Duration
 	Question
 }
 
-// Word is what the records say now, for the membership: whole, and until when it holds.
+// Snapshot holds the servers by the current records, for the membership.
 type Word struct {
-	Claims []membership.Claim
-	Until  time.Duration
+	Claims []membership.Claim // about all servers
+	Until  time.Duration      // when the SRV records expire
 }
 
-// Resolver is one service's. It is not safe for concurrent use.
+// Resolver resolves the SRV records of one service. It is not safe for concurrent use.
 type Resolver struct {
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	root    Question
-	state   map[Question]*state
-	out     map[uint64]*state
-	number  uint64
-	tokens  float64
-	filled  time.Duration
-	waiting queue // questions that are not out
-	pending int   // questions of which nothing came yet, not even that nobody answers
-	fresh   bool  // something came since the last word
-	last    *Word // that was told
-	lost    bool  // that nobody answers was told
-	tell    bool  // that it is to be told
+	settings       Settings
+	rng            *rand.Rand
+	now            time.Duration
+	root           Question // the one for the SRV records
+	questions      map[Question]*questionState
+	inFlight       map[uint64]*questionState // by the query's number
+	lastNumber     uint64
+	tokens         float64       // queries that the budget allows now
+	refilledAt     time.Duration // when tokens was last refilled
+	scheduled      queue         // questions that are not in flight
+	unresolved     int           // number of questions that are not resolved yet, see questionState
+	changed        bool          // a question was resolved since the last update
+	lastTaken      *Word         // the last one that TakeUpdate returned
+	unreachable    bool          // no server answers for the SRV records, and this was or will be reported
+	unreachableDue bool          // it is to be reported by TakeUpdate
 }
 
-// state is what is known of a question.
-type state struct {
-	q       Question
-	known   bool // an answer ever came
-	targets []Target
-	addrs   []netip.Addr
-	expires time.Duration
-	next    time.Duration // when it is asked again
-	asked   uint64        // the question that is out; 0 for none
-	server  int           // to be asked, or asked
-	tried   int           // servers that failed in a row
-	rounds  int           // in which all failed, in a row
-	place   int           // among those that wait; -1 for not
-	heard   bool          // something came of it, if only that nobody answers
+// questionState is the state of a question.
+type questionState struct {
+	question      Question
+	answered      bool // it has been answered at least once
+	targets       []Target
+	addrs         []netip.Addr
+	expires       time.Duration
+	nextAt        time.Duration // when to ask it next
+	inFlight      uint64        // number of the query in flight; 0 if none is
+	server        int           // index of the server to ask next, or asked now
+	failedServers int           // servers that failed in this round
+	failedRounds  int           // consecutive rounds in which all servers failed
+	heapIndex     int           // in Resolver.scheduled; -1 if it is not in there
+	resolved      bool          // it was answered, or a round failed on all servers
 }
 
-// New returns a Resolver.
+// New returns a Resolver. The seed is that of the jitter and the choice of servers.
 func New(set Settings, seed uint64) *Resolver {
-	r := &Resolver{set: set, rng: rand.New(rand.NewPCG(seed, 3)), root: Question{lower(set.Name), dns.TypeSRV},
-		state: map[Question]*state{}, out: map[uint64]*state{}, tokens: float64(set.Budget) / 4}
-	r.want(r.root)
+	r := &Resolver{settings: set, rng: rand.New(rand.NewPCG(seed, 3)), root: Question{canonicalName(set.Name), dns.TypeSRV},
+		questions: map[Question]*questionState{}, inFlight: map[uint64]*questionState{}, tokens: float64(set.Budget) / 4}
+	r.track(r.root)
 	return r
 }
 
-// want has a question asked from now on.
-func (r *Resolver) want(q Question) *state {
-	s := r.state[q]
+// track returns the state of a question; a new question is scheduled at once.
+func (r *Resolver) track(q Question) *questionState {
+	s := r.questions[q]
 	if s == nil {
-		s = &state{q: q, place: -1}
-		if r.set.Servers > 1 {
-			s.server = r.rng.IntN(r.set.Servers)
+		s = &questionState{question: q, heapIndex: -1}
+		if r.settings.Servers > 1 {
+			s.server = r.rng.IntN(r.settings.Servers)
 		}
-		r.state[q] = s
-		r.pending++
-		r.wait(s, r.now)
+		r.questions[q] = s
+		r.unresolved++
+		r.schedule(s, r.now)
 	}
 	return s
 }
 
-// heard notes that something came of a question.
-func (r *Resolver) heard(s *state) {
-	if !s.heard {
-		s.heard = true
-		r.pending--
+// markResolved records that a question was answered, or that no server answered it.
+func (r *Resolver) markResolved(s *questionState) {
+	if !s.resolved {
+		s.resolved = true
+		r.unresolved--
 	}
-	r.fresh = true
+	r.changed = true
 }
 
-// Due lists the questions that are to be asked now, and says when to come again: then, or after an answer. What
-// was due the longest goes first.
-func (r *Resolver) Due(now time.Duration) (asks []Ask, again time.Duration) {
-	r.pass(now)
-	again = r.now + r.set.Most
-	for len(r.waiting) > 0 {
-		s := r.waiting[0]
-		if s.next > r.now {
-			return asks, min(again, s.next)
+// Due returns the queries to be sent now, the longest overdue first, and when to call it again: then, or after an answer.
+func (r *Resolver) Due(now time.Duration) (queries []Ask, again time.Duration) {
+	r.advance(now)
+	again = r.now + r.settings.Most
+	for len(r.scheduled) > 0 {
+		s := r.scheduled[0]
+		if s.nextAt > r.now {
+			return queries, min(again, s.nextAt)
 		}
 		if r.tokens < 1 {
-			return asks, r.now + time.Duration((1-r.tokens)*float64(time.Minute)/float64(r.set.Budget)) + 1
+			return queries, r.now + time.Duration((1-r.tokens)*float64(time.Minute)/float64(r.settings.Budget)) + 1
 		}
-		heap.Pop(&r.waiting)
-		asks = append(asks, r.ask(s, false))
+		heap.Pop(&r.scheduled)
+		queries = append(queries, r.send(s, false))
 	}
-	return asks, again
+	return queries, again
 }
 
-// queue holds the questions that wait for their time.
-type queue []*state
+// queue is a heap of questions by the time at which they are due.
+type queue []*questionState
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
 	a, b := q[i], q[j]
-	return cmp.Or(cmp.Compare(a.next, b.next), cmp.Compare(b.q.Type, a.q.Type), cmp.Compare(a.q.Name, b.q.Name)) < 0 // SRV first
+	return cmp.Or(cmp.Compare(a.nextAt, b.nextAt), cmp.Compare(b.question.Type, a.question.Type), cmp.Compare(a.question.Name, b.question.Name)) < 0 // SRV first
 }
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 func (q *queue) Push(x any) {
-	s := x.(*state)
-	s.place = len(*q)
+	s := x.(*questionState)
+	s.heapIndex = len(*q)
 	*q = append(*q, s)
 }
 func (q *queue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
-	last.place = -1
+	last.heapIndex = -1
 	return last
 }
 
-// wait has a question wait for its time.
-func (r *Resolver) wait(s *state, until time.Duration) {
-	if s.next = until; s.place >= 0 {
-		heap.Fix(&r.waiting, s.place)
-	} else if s.asked == 0 {
-		heap.Push(&r.waiting, s)
+// schedule sets the time at which a question is due, and queues it unless a query of it is in flight.
+func (r *Resolver) schedule(s *questionState, at time.Duration) {
+	if s.nextAt = at; s.heapIndex >= 0 {
+		heap.Fix(&r.scheduled, s.heapIndex)
+	} else if s.inFlight == 0 {
+		heap.Push(&r.scheduled, s)
 	}
 }
 
-func (r *Resolver) pass(now time.Duration) {
+// advance advances the clock and refills the budget, which allows bursts of a quarter of a minute's queries.
+func (r *Resolver) advance(now time.Duration) {
 	r.now = max(r.now, now)
-	if r.filled == 0 {
-		r.filled = r.now
+	if r.refilledAt == 0 {
+		r.refilledAt = r.now
 	}
-	r.tokens = min(float64(r.set.Budget)/4, r.tokens+float64(r.set.Budget)*(r.now-r.filled).Minutes())
-	r.filled = r.now
+	r.tokens = min(float64(r.settings.Budget)/4, r.tokens+float64(r.settings.Budget)*(r.now-r.refilledAt).Minutes())
+	r.refilledAt = r.now
 }
 
-func (r *Resolver) ask(s *state, tcp bool) Ask {
-	r.number++
+// send returns a query of a question and records it as in flight.
+func (r *Resolver) send(s *questionState, tcp bool) Ask {
+	r.lastNumber++
 	r.tokens--
-	s.asked = r.number
-	r.out[r.number] = s
-	a := Ask{Number: r.number, Server: s.server, TCP: tcp, Timeout: r.set.Timeout, Question: s.q}
+	s.inFlight = r.lastNumber
+	r.inFlight[r.lastNumber] = s
+	a := Ask{Number: r.lastNumber, Server: s.server, TCP: tcp, Timeout: r.settings.Timeout, Question: s.question}
 	if tcp {
-		a.Timeout = r.set.TCP
+		a.Timeout = r.settings.TCP
 	}
 	return a
 }
 
-// Answered takes what came of a question, and returns one that is to be asked at once, if any.
+// HandleAnswer records the outcome of a query and returns a query to be sent at once, if any: over TCP if the answer was
+// truncated, or to the next server if this one failed.
 func (r *Resolver) Answered(now time.Duration, number uint64, tcp bool, a Answer) (more []Ask) {
-	r.pass(now)
-	s := r.out[number]
+	r.advance(now)
+	s := r.inFlight[number]
 	if s == nil {
 		return nil
 	}
-	delete(r.out, number)
-	s.asked = 0
-	if r.state[s.q] != s {
-		return nil // it is not wanted any more
+	delete(r.inFlight, number)
+	s.inFlight = 0
+	if r.questions[s.question] != s {
+		return nil // its question is no longer tracked
 	}
 	switch {
 	case a.Verdict == Cut && !tcp:
-		return []Ask{r.ask(s, true)}
+		return []Ask{r.send(s, true)}
 	case a.Verdict == Good || a.Verdict == None:
-		r.learn(s, a)
+		r.store(s, a)
 		return nil
 	}
-	s.tried++
-	if s.server = (s.server + 1) % max(1, r.set.Servers); s.tried < r.set.Servers && r.tokens >= 1 {
-		return []Ask{r.ask(s, false)}
+	s.failedServers++
+	if s.server = (s.server + 1) % max(1, r.settings.Servers); s.failedServers < r.settings.Servers && r.tokens >= 1 {
+		return []Ask{r.send(s, false)}
 	}
-	r.heard(s)
-	s.tried = 0
-	s.rounds++
-	r.wait(s, r.now+r.jitter(min(r.set.Least<<min(s.rounds-1, 16), r.set.Most)))
-	if s.q == r.root && !r.lost && (!s.known || r.now >= s.expires) {
-		r.lost, r.tell = true, true
+	r.markResolved(s)
+	s.failedServers = 0
+	s.failedRounds++
+	r.schedule(s, r.now+r.jitter(min(r.settings.Least<<min(s.failedRounds-1, 16), r.settings.Most)))
+	if s.question == r.root && !r.unreachable && (!s.answered || r.now >= s.expires) {
+		r.unreachable, r.unreachableDue = true, true
 	}
 	return nil
 }
 
-// jitter is a time from three quarters of one to the whole of it.
+// jitter returns a random duration from 75 % to 100 % of d.
 func (r *Resolver) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + r.rng.Float64()/4))
 }
 
-// learn takes an answer.
-func (r *Resolver) learn(s *state, a Answer) {
-	r.heard(s)
-	s.known, s.tried, s.rounds = true, 0, 0
+// store records an answer and schedules the next query of its question.
+func (r *Resolver) store(s *questionState, a Answer) {
+	r.markResolved(s)
+	s.answered, s.failedServers, s.failedRounds = true, 0, 0
 	s.targets, s.addrs = a.Targets, a.Addrs
-	ttl := min(max(a.TTL, r.set.Least), r.set.Most)
-	s.expires = r.now + max(a.TTL, r.set.Least)
-	r.wait(s, r.now+max(r.set.Least, r.jitter(ttl)))
-	if s.q == r.root {
-		r.lost = false
-		r.targets(s, a)
+	ttl := min(max(a.TTL, r.settings.Least), r.settings.Most)
+	s.expires = r.now + max(a.TTL, r.settings.Least)
+	r.schedule(s, r.now+max(r.settings.Least, r.jitter(ttl)))
+	if s.question == r.root {
+		r.unreachable = false
+		r.trackTargets(s, a)
 	}
 }
 
-// targets wants the addresses of what SRV names, but for those that came with it.
-func (r *Resolver) targets(root *state, a Answer) {
+// trackTargets tracks the address questions of the hosts in SRV records, and uses the addresses that came in the additional
+// section instead of asking. Questions that are no longer needed are dropped.
+func (r *Resolver) trackTargets(root *questionState, a Answer) {
 	wanted := map[Question]bool{r.root: true}
 	for i, t := range root.targets {
-		if i >= maxTargets || t.Host == "." { // "not here"
+		if i >= maxTargets || t.Host == "." { // means that the service is not available (RFC 2782)
 			continue
 		}
-		for _, kind := range r.kinds() {
-			q := Question{t.Host, kind}
+		for _, recordType := range r.recordTypes() {
+			q := Question{t.Host, recordType}
 			wanted[q] = true
-			if beside := of(a.Beside[t.Host], kind); len(beside) > 0 {
-				s := r.want(q)
-				r.heard(s)
-				s.known, s.addrs, s.tried, s.rounds = true, beside, 0, 0
-				ttl := min(max(a.Lives[t.Host], r.set.Least), r.set.Most)
-				s.expires = r.now + max(a.Lives[t.Host], r.set.Least)
-				r.wait(s, r.now+max(r.set.Least, r.jitter(ttl)))
+			if additional := ofType(a.Beside[t.Host], recordType); len(additional) > 0 {
+				s := r.track(q)
+				r.markResolved(s)
+				s.answered, s.addrs, s.failedServers, s.failedRounds = true, additional, 0, 0
+				ttl := min(max(a.Lives[t.Host], r.settings.Least), r.settings.Most)
+				s.expires = r.now + max(a.Lives[t.Host], r.settings.Least)
+				r.schedule(s, r.now+max(r.settings.Least, r.jitter(ttl)))
 			} else {
-				r.want(q)
+				r.track(q)
 			}
 		}
 	}
-	for q := range r.state {
+	for q := range r.questions {
 		if !wanted[q] {
-			s := r.state[q]
-			if !s.heard {
-				r.pending--
+			s := r.questions[q]
+			if !s.resolved {
+				r.unresolved--
 			}
-			if s.place >= 0 {
-				heap.Remove(&r.waiting, s.place)
+			if s.heapIndex >= 0 {
+				heap.Remove(&r.scheduled, s.heapIndex)
 			}
-			delete(r.state, q)
+			delete(r.questions, q)
 		}
 	}
 }
 
-func (r *Resolver) kinds() (kinds []uint16) {
-	if r.set.IPv6 {
-		kinds = append(kinds, dns.TypeAAAA)
+// recordTypes returns the types of address records to ask for.
+func (r *Resolver) recordTypes() (types []uint16) {
+	if r.settings.IPv6 {
+		types = append(types, dns.TypeAAAA)
 	}
-	if r.set.IPv4 {
-		kinds = append(kinds, dns.TypeA)
+	if r.settings.IPv4 {
+		types = append(types, dns.TypeA)
 	}
-	return kinds
+	return types
 }
 
-// of are the addresses of one kind.
-func of(all []netip.Addr, kind uint16) (some []netip.Addr) {
+// ofType returns the addresses of one record type.
+func ofType(all []netip.Addr, recordType uint16) (matching []netip.Addr) {
 	for _, ip := range all {
-		if ip.Is4() == (kind == dns.TypeA) {
-			some = append(some, ip)
+		if ip.Is4() == (recordType == dns.TypeA) {
+			matching = append(matching, ip)
 		}
 	}
-	return some
+	return matching
 }
 
-// word words what is known: nil while it is not known of every name whether it has addresses, and where names have none at
-// all, which says nothing of servers.
-func (r *Resolver) word() *Word {
-	root := r.state[r.root]
-	if !root.known || r.pending > 0 {
+// snapshot returns the servers by the current records. It returns nil while a question is not resolved, and if the records
+// have hosts but none of them has an address, which is no evidence that there are no servers.
+func (r *Resolver) snapshot() *Word {
+	root := r.questions[r.root]
+	if !root.answered || r.unresolved > 0 {
 		return nil
 	}
 	w := &Word{Until: root.expires}
 	seen := map[string]bool{}
-	here := false
+	available := false
 	for i, t := range root.targets {
 		if i >= maxTargets || t.Host == "." {
 			continue
 		}
-		here = true
-		c := membership.Claim{Key: fmt.Sprintf("%s:%d", t.Host, t.Port), Tiered: true, Tier: int(t.Priority), Weight: float64(t.Weight), Speaks: r.set.Speaks}
+		available = true
+		c := membership.Claim{Key: fmt.Sprintf("%s:%d", t.Host, t.Port), Tiered: true, Tier: int(t.Priority), Weight: float64(t.Weight), Speaks: r.settings.Speaks}
 		if seen[c.Key] {
-			continue // of two records for one place the first counts
+			continue // the first of two records with the same host and port is used
 		}
 		seen[c.Key] = true
-		for _, kind := range r.kinds() {
-			if s := r.state[Question{t.Host, kind}]; s != nil && s.known && r.now < s.expires+r.set.Stale {
+		for _, recordType := range r.recordTypes() {
+			if s := r.questions[Question{t.Host, recordType}]; s != nil && s.answered && r.now < s.expires+r.settings.Stale {
 				for _, ip := range s.addrs {
 					c.Addrs = append(c.Addrs, netip.AddrPortFrom(ip, t.Port).String())
 				}
@@ -334,27 +339,28 @@
 			w.Claims = append(w.Claims, c)
 		}
 	}
-	if here && len(w.Claims) == 0 {
+	if available && len(w.Claims) == 0 {
 		return nil
 	}
 	return w
 }
 
-// Told returns what is to be told since the last time: the records' word, if it is another one or holds for longer, and
-// whether nobody answers.
-func (r *Resolver) Told() (word *Word, lost bool) {
-	lost, r.tell = r.tell, false
-	if !r.fresh {
-		return nil, lost
+// TakeUpdate returns what has changed since its last call: a snapshot if its content or expiry is new, else nil, and whether
+// the name servers have become unreachable, which it reports once.
+func (r *Resolver) Told() (update *Word, unreachable bool) {
+	unreachable, r.unreachableDue = r.unreachableDue, false
+	if !r.changed {
+		return nil, unreachable
 	}
-	r.fresh = false
-	if word = r.word(); word == nil || r.last != nil && word.Until == r.last.Until && slices.EqualFunc(word.Claims, r.last.Claims, same) {
-		return nil, lost
+	r.changed = false
+	if update = r.snapshot(); update == nil || r.lastTaken != nil && update.Until == r.lastTaken.Until && slices.EqualFunc(update.Claims, r.lastTaken.Claims, sameClaim) {
+		return nil, unreachable
 	}
-	r.last = word
-	return word, lost
+	r.lastTaken = update
+	return update, unreachable
 }
 
-func same(a, b membership.Claim) bool {
+// sameClaim compares the fields of two claims that depend on the records.
+func sameClaim(a, b membership.Claim) bool {
 	return a.Key == b.Key && a.Tier == b.Tier && a.Weight == b.Weight && slices.Equal(a.Addrs, b.Addrs)
 }
--- a/internal/decide/resolve/resolve_test.go
+++ b/internal/decide/resolve/resolve_test.go
@@ -18,7 +18,8 @@
 
 var root = Question{service, dns.TypeSRV}
 
-// answer words an answer to a question from records in the form of a zone file.
+// answer encodes an answer to a question. Records are in zone file format; "+" puts one into the additional section, "^" into
+// the authority section.
 func answer(t testing.TB, id uint16, q Question, rcode int, records ...string) []byte {
 	t.Helper()
 	m := new(dns.Msg)
@@ -62,20 +63,20 @@
 		ttl     time.Duration
 	}{
 		{"two records", answer(t, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.", service+" 60 SRV 1 0 80 b.example.org."), Good, 2, 30 * time.Second},
-		{"an alias", answer(t, 7, root, 0, service+" 10 CNAME _x.example.org.", "_x.example.org. 60 SRV 1 2 80 a.example.org."), Good, 1, 10 * time.Second},
-		{"a lifetime of 0", answer(t, 7, root, 0, service+" 0 SRV 1 2 80 a.example.org."), Good, 1, 0},
-		{"a lifetime of 2^31", answer(t, 7, root, 0, service+" 2147483648 SRV 1 2 80 a.example.org."), Good, 1, 0},
-		{"a lifetime of 2^31-1", answer(t, 7, root, 0, service+" 2147483647 SRV 1 2 80 a.example.org."), Good, 1, maxTTL},
-		{"of another name", answer(t, 7, root, 0, "other.example.org. 30 SRV 1 2 80 a.example.org."), None, 0, 0},
-		{"nothing, for a while", answer(t, 7, root, 0, "^example.org. 90 SOA a. b. 1 2 3 4 60"), None, 0, time.Minute},
+		{"a CNAME", answer(t, 7, root, 0, service+" 10 CNAME _x.example.org.", "_x.example.org. 60 SRV 1 2 80 a.example.org."), Good, 1, 10 * time.Second},
+		{"a TTL of 0", answer(t, 7, root, 0, service+" 0 SRV 1 2 80 a.example.org."), Good, 1, 0},
+		{"a TTL of 2^31", answer(t, 7, root, 0, service+" 2147483648 SRV 1 2 80 a.example.org."), Good, 1, 0},
+		{"a TTL of 2^31-1", answer(t, 7, root, 0, service+" 2147483647 SRV 1 2 80 a.example.org."), Good, 1, maxTTL},
+		{"records of another name", answer(t, 7, root, 0, "other.example.org. 30 SRV 1 2 80 a.example.org."), None, 0, 0},
+		{"no records, with a negative TTL", answer(t, 7, root, 0, "^example.org. 90 SOA a. b. 1 2 3 4 60"), None, 0, time.Minute},
 		{"no such name", answer(t, 7, root, dns.RcodeNameError, "^example.org. 90 SOA a. b. 1 2 3 4 86400"), None, 0, 90 * time.Second},
 		{"refused", answer(t, 7, root, dns.RcodeRefused), Refusal, 0, 0},
 		{"server failure", answer(t, 7, root, dns.RcodeServerFailure), Refusal, 0, 0},
-		{"a long chain", answer(t, 7, root, 0, chain...), Nonsense, 0, 0},
-		{"a loop", answer(t, 7, root, 0, service+" 60 CNAME n.example.org.", "n.example.org. 60 CNAME "+service), Nonsense, 0, 0},
-		{"too many", answer(t, 7, root, 0, many...), Nonsense, 0, 0},
+		{"a long chain of CNAMEs", answer(t, 7, root, 0, chain...), Nonsense, 0, 0},
+		{"a loop of CNAMEs", answer(t, 7, root, 0, service+" 60 CNAME n.example.org.", "n.example.org. 60 CNAME "+service), Nonsense, 0, 0},
+		{"too many records", answer(t, 7, root, 0, many...), Nonsense, 0, 0},
 		{"half a message", answer(t, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.")[:60], Nonsense, 0, 0},
-		{"a name that points at itself", append(answer(t, 7, root, 0)[:12], 0xc0, 12, 0, 33, 0, 1), Nonsense, 0, 0},
+		{"a compressed name that points at itself", append(answer(t, 7, root, 0)[:12], 0xc0, 12, 0, 33, 0, 1), Nonsense, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := Read(c.wire, 7, root)
@@ -87,7 +88,7 @@
 	cut := answer(t, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.")
 	cut[2] |= 2
 	if got, err := Read(cut, 7, root); err != nil || got.Verdict != Cut {
-		t.Errorf("cut off: %v, %+v", err, got)
+		t.Errorf("truncated answer: %v, %+v", err, got)
 	}
 	question := answer(t, 7, root, 0)
 	question[2] &^= 0x80
@@ -99,20 +100,20 @@
 	}
 	upper := answer(t, 7, Question{strings.ToUpper(service), dns.TypeSRV}, 0, strings.ToUpper(service)+" 30 SRV 1 2 80 A.example.org.")
 	if got, err := Read(upper, 7, root); err != nil || len(got.Targets) != 1 || got.Targets[0].Host != "a.example.org." {
-		t.Errorf("capital letters: %v, %+v", err, got)
+		t.Errorf("upper case: %v, %+v", err, got)
 	}
 }
 
-// world answers a Resolver's questions in virtual time from a zone, and counts them.
+// world answers a Resolver's queries from a zone in virtual time, and records queries and updates.
 type world struct {
-	t     *testing.T
-	r     *Resolver
-	at    time.Duration
-	zone  func(a Ask) Answer
-	asked []Ask
-	word  *Word
-	words int
-	lost  int
+	t           *testing.T
+	r           *Resolver
+	at          time.Duration
+	zone        func(a Ask) Answer
+	queries     []Ask
+	snapshot    *Word
+	updates     int
+	unreachable int
 }
 
 func newWorld(t *testing.T, set Settings, zone func(Ask) Answer) *world {
@@ -120,24 +121,24 @@
 	return &world{t: t, r: New(set, 1), at: time.Hour, zone: zone}
 }
 
-// run lets time pass; answers come at once.
+// run lets time pass; queries are answered at once.
 func (w *world) run(d time.Duration) {
 	for end := w.at + d; ; {
-		asks, again := w.r.Due(w.at)
-		for len(asks) > 0 {
-			a := asks[0]
-			w.asked = append(w.asked, a)
-			if asks = append(asks[1:], w.r.Answered(w.at, a.Number, a.TCP, w.zone(a))...); len(asks) == 0 {
-				asks, again = w.r.Due(w.at) // what is to be asked may follow from an answer
+		due, again := w.r.Due(w.at)
+		for len(due) > 0 {
+			a := due[0]
+			w.queries = append(w.queries, a)
+			if due = append(due[1:], w.r.Answered(w.at, a.Number, a.TCP, w.zone(a))...); len(due) == 0 {
+				due, again = w.r.Due(w.at) // answers may have made more questions due
 			}
 		}
-		word, lost := w.r.Told()
-		if word != nil {
-			w.word = word
-			w.words++
+		snapshot, unreachable := w.r.Told()
+		if snapshot != nil {
+			w.snapshot = snapshot
+			w.updates++
 		}
-		if lost {
-			w.lost++
+		if unreachable {
+			w.unreachable++
 		}
 		if again <= w.at {
 			again = w.at + 1
@@ -152,7 +153,7 @@
 
 var ip = netip.MustParseAddr
 
-// zone has two servers; what comes of each question may be changed.
+// zone returns a function that answers queries for a zone with two servers.
 func zone(ttl time.Duration) func(Ask) Answer {
 	return func(a Ask) Answer {
 		switch {
@@ -174,34 +175,35 @@
 	w.run(0)
 	want := []membership.Claim{{Key: "a.example.org.:80", Addrs: []string{"[::1]:80", "127.0.0.1:80"}, Tiered: true, Tier: 1},
 		{Key: "b.example.org.:81", Addrs: []string{"127.0.0.2:81"}, Tiered: true, Tier: 2, Weight: 9}}
-	if w.word == nil || !slices.EqualFunc(w.word.Claims, want, func(a, b membership.Claim) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) ||
-		w.word.Until != time.Hour+time.Minute {
-		t.Errorf("%+v", w.word)
+	if w.snapshot == nil || !slices.EqualFunc(w.snapshot.Claims, want, func(a, b membership.Claim) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) ||
+		w.snapshot.Until != time.Hour+time.Minute {
+		t.Errorf("%+v", w.snapshot)
 	}
-	if w.asked[0].Question != root || len(w.asked) != 5 {
-		t.Errorf("asked %v", w.asked)
+	if w.queries[0].Question != root || len(w.queries) != 5 {
+		t.Errorf("asked %v", w.queries)
 	}
 }
 
-// How often it asks follows the lifetimes, within bounds, and never the number of calls, of which it knows nothing.
+// The rate of queries follows the TTLs, within limits. It cannot depend on the number of calls, which the Resolver does not
+// know.
 func TestHowOftenItAsks(t *testing.T) {
 	for name, c := range map[string]struct {
 		ttl         time.Duration
-		least, most int // times that the records are asked for in 10 min
-	}{"a lifetime of 0": {0, 590, 620}, "of 10 s": {10 * time.Second, 60, 81}, "of a day": {24 * time.Hour, 2, 4}} {
+		least, most int // queries of the SRV records in 10 min
+	}{"a TTL of 0": {0, 590, 620}, "a TTL of 10 s": {10 * time.Second, 60, 81}, "a TTL of a day": {24 * time.Hour, 2, 4}} {
 		t.Run(name, func(t *testing.T) {
 			set := Defaults
 			set.Budget = 1_000_000
 			w := newWorld(t, set, zone(c.ttl))
 			w.run(10 * time.Minute)
 			n := 0
-			for _, a := range w.asked {
+			for _, a := range w.queries {
 				if a.Question == root {
 					n++
 				}
 			}
 			if n < c.least || n > c.most {
-				t.Errorf("%d times", n)
+				t.Errorf("%d queries of the SRV records", n)
 			}
 		})
 	}
@@ -209,56 +211,56 @@
 	set.Budget = 60
 	w := newWorld(t, set, zone(0))
 	w.run(10 * time.Minute)
-	if n := len(w.asked); n > 60*10+15 || n < 500 {
-		t.Errorf("%d questions in 10 min with a budget of 60 a minute", n)
+	if n := len(w.queries); n > 60*10+15 || n < 500 {
+		t.Errorf("%d queries in 10 min with a budget of 60 per minute", n)
 	}
 }
 
-// Name servers that fail: the next one is asked, later and later; addresses are kept beyond their lifetimes for a while; it
-// is told once that nobody answers, and all is well again when one does.
+// If name servers fail, the next one is asked, with backoff after each round. Addresses are kept beyond their TTL for a while,
+// the failure is reported once, and updates resume when a server answers again.
 func TestNobodyAnswers(t *testing.T) {
 	for _, verdict := range []Verdict{Silence, Refusal, Nonsense} {
 		t.Run(verdict.String(), func(t *testing.T) {
 			set := Defaults
 			set.Servers = 2
-			well, up := zone(10*time.Second), true
+			healthy, up := zone(10*time.Second), true
 			w := newWorld(t, set, func(a Ask) Answer {
 				if up {
-					return well(a)
+					return healthy(a)
 				}
 				return Answer{Verdict: verdict}
 			})
 			w.run(0)
-			first := w.words
+			first := w.updates
 			up = false
-			w.asked = nil
+			w.queries = nil
 			w.run(10 * time.Minute)
 			servers := map[int]int{}
-			for _, a := range w.asked {
+			for _, a := range w.queries {
 				if a.Question == root {
 					servers[a.Server]++
 				}
 			}
-			if w.lost != 1 || w.words > first+8 || servers[0] < 5 || servers[1] < 5 || servers[0] > 30 {
-				t.Errorf("told %d times that nobody answers, %d words, asked %v", w.lost, w.words-first, servers)
+			if w.unreachable != 1 || w.updates > first+8 || servers[0] < 5 || servers[1] < 5 || servers[0] > 30 {
+				t.Errorf("reported as unreachable %d times, %d updates, queries by server %v", w.unreachable, w.updates-first, servers)
 			}
-			if w.word == nil || len(w.word.Claims) != 2 || w.word.Until > time.Hour+10*time.Second {
-				t.Errorf("%+v", w.word)
+			if w.snapshot == nil || len(w.snapshot.Claims) != 2 || w.snapshot.Until > time.Hour+10*time.Second {
+				t.Errorf("%+v", w.snapshot)
 			}
 			up = true
 			w.run(10 * time.Minute)
-			if w.word.Until < w.at || len(w.word.Claims) != 2 {
-				t.Errorf("well again: %+v at %v", w.word, w.at)
+			if w.snapshot.Until < w.at || len(w.snapshot.Claims) != 2 {
+				t.Errorf("after recovery: %+v at %v", w.snapshot, w.at)
 			}
 		})
 	}
 }
 
-// A cut off answer is asked for by TCP, once; what fails there is the next server's.
+// A truncated answer is asked for over TCP once; if that fails, the next server is asked.
 func TestCutOff(t *testing.T) {
 	set := Defaults
 	set.Servers = 2
-	well := zone(time.Minute)
+	healthy := zone(time.Minute)
 	first := -1
 	w := newWorld(t, set, func(a Ask) Answer {
 		if a.Question == root && first < 0 {
@@ -270,30 +272,30 @@
 		case a.Question == root && a.Server == first:
 			return Answer{Verdict: Silence}
 		}
-		return well(a)
+		return healthy(a)
 	})
 	w.run(0)
-	if len(w.asked) < 3 || w.asked[0].TCP || !w.asked[1].TCP || w.asked[1].Server != first || w.asked[2].TCP || w.asked[2].Server == first ||
-		w.asked[1].Timeout != set.TCP || w.word == nil {
-		t.Errorf("asked %+v", w.asked)
+	if len(w.queries) < 3 || w.queries[0].TCP || !w.queries[1].TCP || w.queries[1].Server != first || w.queries[2].TCP || w.queries[2].Server == first ||
+		w.queries[1].Timeout != set.TCP || w.snapshot == nil {
+		t.Errorf("asked %+v", w.queries)
 	}
 }
 
-// What SRV may say: not here, nothing, names without addresses, one place twice.
+// Unusual SRV records: a service that is not available, no records, hosts without addresses, a host and port twice.
 func TestOddRecords(t *testing.T) {
 	for name, c := range map[string]struct {
 		targets []Target
-		claims  int // -1 for no word
+		claims  int // -1 for no update
 	}{
-		"not here":            {[]Target{{".", 0, 0, 0}}, 0},
-		"one place twice":     {[]Target{{"a.example.org.", 80, 1, 0}, {"a.example.org.", 80, 2, 0}}, 1},
-		"two ports":           {[]Target{{"a.example.org.", 80, 1, 0}, {"a.example.org.", 81, 1, 0}}, 2},
-		"no addresses":        {[]Target{{"none.example.org.", 80, 1, 0}}, -1},
-		"one without address": {[]Target{{"none.example.org.", 80, 1, 0}, {"a.example.org.", 80, 1, 0}}, 1},
-		"nothing at all":      {nil, 0},
+		"not available":            {[]Target{{".", 0, 0, 0}}, 0},
+		"a host and port twice":    {[]Target{{"a.example.org.", 80, 1, 0}, {"a.example.org.", 80, 2, 0}}, 1},
+		"two ports":                {[]Target{{"a.example.org.", 80, 1, 0}, {"a.example.org.", 81, 1, 0}}, 2},
+		"a host without address":   {[]Target{{"none.example.org.", 80, 1, 0}}, -1},
+		"one host without address": {[]Target{{"none.example.org.", 80, 1, 0}, {"a.example.org.", 80, 1, 0}}, 1},
+		"no records":               {nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			well := zone(time.Minute)
+			healthy := zone(time.Minute)
 			w := newWorld(t, Defaults, func(a Ask) Answer {
 				switch {
 				case a.Question == root && c.targets == nil:
@@ -303,18 +305,18 @@
 				case strings.HasPrefix(a.Name, "none."):
 					return Answer{Verdict: None}
 				}
-				return well(a)
+				return healthy(a)
 			})
 			w.run(0)
 			switch {
-			case c.claims < 0 && w.word != nil, c.claims >= 0 && (w.word == nil || len(w.word.Claims) != c.claims):
-				t.Errorf("%+v", w.word)
+			case c.claims < 0 && w.snapshot != nil, c.claims >= 0 && (w.snapshot == nil || len(w.snapshot.Claims) != c.claims):
+				t.Errorf("%+v", w.snapshot)
 			}
 		})
 	}
 }
 
-// 4,000 records cost 4,000 names within the budget, and no more is asked than that allows.
+// 4,000 records need queries for the addresses of 4,000 names. Their rate stays within the budget.
 func TestManyRecords(t *testing.T) {
 	w := newWorld(t, Defaults, nil)
 	var targets []Target
@@ -328,12 +330,12 @@
 		return Answer{TTL: time.Hour, Addrs: []netip.Addr{ip("127.0.0.1")}}
 	}
 	w.run(5 * time.Minute)
-	if n := len(w.asked); n > Defaults.Budget*5+Defaults.Budget/4 || n < Defaults.Budget*4 {
-		t.Errorf("%d questions in 5 min", n)
+	if n := len(w.queries); n > Defaults.Budget*5+Defaults.Budget/4 || n < Defaults.Budget*4 {
+		t.Errorf("%d queries in 5 min", n)
 	}
 }
 
-// Whatever bytes come, reading ends, and what is taken is within bounds.
+// ParseAnswer terminates for any input, and its result is within the limits.
 func FuzzRead(f *testing.F) {
 	f.Add(answer(f, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.", "+a.example.org. 5 A 127.0.0.1", "+a.example.org. 5 AAAA ::1"))
 	f.Add(answer(f, 7, root, 0, service+" 60 CNAME n.example.org.", "n.example.org. 60 CNAME "+service))
