--- a/internal/decide/addresses/addresses.go
+++ b/internal/decide/addresses/addresses.go
@@ -1,6 +1,6 @@
-// Package addresses decides how a server that has several addresses is dialled: which address first, when the next one
-// beside it (in the manner of RFC 8305), and how long one that failed is put last. Only dials race: a race has one winner
-// and closes every other connection. It does no I/O and reads no clock.
+// Package addresses decides how to dial a server that has several addresses: which address to try first, when to try the
+// next one in parallel (similar to Happy Eyeballs, RFC 8305), and for how long a failed address is tried last. Only dials
+// race: one connection wins, and the caller closes all others. The package does no I/O and reads no clock.
 package addresses
 
 import (
@@ -11,20 +11,21 @@
 	"time"
 )
 
-// Kind is a kind of address.
+// Kind classifies an address.
 type Kind int
 
 // The kinds.
 const (
-	Unix Kind = iota
+	Unix Kind = iota // path of a Unix socket
 	IPv6
-	IPv4
-	Name // that is resolved by the system
+	IPv4 // including IPv4-mapped IPv6 addresses
+	Name // a host name, resolved by the system
 )
 
+// unixPrefix precedes the path of a Unix socket in an address.
 const unixPrefix = "unix:"
 
-// Of is the kind of an address, and how it is dialled.
+// Parse returns the kind of an address, and the network and target to pass to net.Dialer.
 func Of(addr string) (kind Kind, network, target string) {
 	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		return Unix, "unix", path
@@ -39,100 +40,103 @@
 	return IPv6, "tcp", addr
 }
 
-// IsUnix reports whether an address is the path of a Unix socket.
+// IsUnix reports whether an address is that of a Unix socket.
 func IsUnix(addr string) bool { return strings.HasPrefix(addr, unixPrefix) }
 
-// Settings say how addresses are tried.
+// Settings configure a History and its races.
 type Settings struct {
-	Order     []Kind        // the kinds, the best first; those that are not named come last
-	Delay     time.Duration // after which the next address is tried beside one that has not connected yet
-	Avoid     time.Duration // for which an address that failed is put last; it doubles with each further failure
-	MostAvoid time.Duration
-	Remember  time.Duration // for which the address that worked last goes first
-	Most      int           // dials of one race at a time
+	Order     []Kind        // preferred kinds, the best first; kinds not listed come last
+	Delay     time.Duration // after which the next address is dialled in parallel if none has connected yet
+	Avoid     time.Duration // for which a failed address is tried last; doubles with each further failure
+	MostAvoid time.Duration // maximum of that
+	Remember  time.Duration // for which the address that connected last is tried first
+	Most      int           // maximum number of parallel dials of one race
 }
 
-// Defaults are the settings where none are given; the delay is RFC 8305's (section 5).
+// Defaults are the default settings. The delay is the one that RFC 8305, section 5, recommends.
 var Defaults = Settings{Order: []Kind{Unix, IPv6, IPv4}, Delay: 250 * time.Millisecond, Avoid: time.Second,
 	MostAvoid: time.Minute, Remember: 10 * time.Minute, Most: 3}
 
-// Book remembers how addresses fared. It is not safe for concurrent use.
+// History records which addresses connected and which failed. It is not safe for concurrent use.
 type Book struct {
-	set   Settings
-	known map[string]*record // by address
+	settings Settings
+	records  map[string]*record // by address
 }
 
+// record is the history of one address.
 type record struct {
-	worked time.Duration // when it connected last; 0 for never
-	fails  int           // since then
-	until  time.Duration // it is put last till then
+	connectedAt time.Duration // when it last connected; 0 for never, or if it has failed since
+	failures    int           // consecutive failures
+	avoidUntil  time.Duration // it is tried last until then
 }
 
-// maxKnown bounds what is remembered.
-const maxKnown = 1 << 16
+// maxRecords limits the number of addresses in a History.
+const maxRecords = 1 << 16
 
-// NewBook returns a Book that knows nothing.
-func NewBook(set Settings) *Book { return &Book{set: set, known: map[string]*record{}} }
+// NewHistory returns an empty History.
+func NewBook(set Settings) *Book { return &Book{settings: set, records: map[string]*record{}} }
 
-// Worked notes that an address connected.
-func (b *Book) Worked(now time.Duration, addr string) {
-	r := b.record(now, addr)
-	r.worked, r.fails, r.until = now, 0, 0
+// RecordSuccess records that an address connected.
+func (h *Book) Worked(now time.Duration, addr string) {
+	r := h.record(now, addr)
+	r.connectedAt, r.failures, r.avoidUntil = now, 0, 0
 }
 
-// Failed notes that an address did not connect.
-func (b *Book) Failed(now time.Duration, addr string) {
-	r := b.record(now, addr)
-	wait := b.set.Avoid << min(r.fails, 20)
-	if wait > b.set.MostAvoid || wait <= 0 {
-		wait = b.set.MostAvoid
+// RecordFailure records that an address did not connect.
+func (h *Book) Failed(now time.Duration, addr string) {
+	r := h.record(now, addr)
+	wait := h.settings.Avoid << min(r.failures, 20)
+	if wait > h.settings.MostAvoid || wait <= 0 {
+		wait = h.settings.MostAvoid
 	}
-	r.fails++
-	r.worked, r.until = 0, now+wait
+	r.failures++
+	r.connectedAt, r.avoidUntil = 0, now+wait
 }
 
-func (b *Book) record(now time.Duration, addr string) *record {
-	r := b.known[addr]
+// record returns the record of an address, and creates it if there is none.
+func (h *Book) record(now time.Duration, addr string) *record {
+	r := h.records[addr]
 	if r == nil {
-		if len(b.known) >= maxKnown {
-			b.sweep(now)
+		if len(h.records) >= maxRecords {
+			h.sweep(now)
 		}
 		r = new(record)
-		b.known[addr] = r
+		h.records[addr] = r
 	}
 	return r
 }
 
-// sweep forgets what says nothing any more, or everything where that is not enough.
-func (b *Book) sweep(now time.Duration) {
-	for addr, r := range b.known {
-		if now >= r.until && now-r.worked >= b.set.Remember {
-			delete(b.known, addr)
+// sweep deletes the records that no longer have an effect, or all records if that does not make room.
+func (h *Book) sweep(now time.Duration) {
+	for addr, r := range h.records {
+		if now >= r.avoidUntil && now-r.connectedAt >= h.settings.Remember {
+			delete(h.records, addr)
 		}
 	}
-	if len(b.known) >= maxKnown {
-		clear(b.known)
+	if len(h.records) >= maxRecords {
+		clear(h.records)
 	}
 }
 
-// Order lists addresses as they are to be tried: the one that worked last, then by kinds, then those that failed lately,
-// the one that is avoided the shortest first. None is left out: where all failed, all are tried.
-func (b *Book) Order(now time.Duration, addrs []string) []string {
+// Sorted returns the addresses in the order in which to try them: the one that connected last, then the others by kind, then
+// those that failed recently, the one that is avoided for the shortest time first. No address is left out: if all of them
+// failed, all are tried.
+func (h *Book) Order(now time.Duration, addrs []string) []string {
 	all := slices.Clone(addrs)
-	rank := func(addr string) (avoided bool, until, worked time.Duration, kind int) {
+	rank := func(addr string) (avoided bool, until, connectedAt time.Duration, kind int) {
 		k, _, _ := Of(addr)
-		if kind = slices.Index(b.set.Order, k); kind < 0 {
-			kind = len(b.set.Order) + int(k)
+		if kind = slices.Index(h.settings.Order, k); kind < 0 {
+			kind = len(h.settings.Order) + int(k)
 		}
-		if r := b.known[addr]; r != nil {
-			if now < r.until {
-				return true, r.until, 0, kind
+		if r := h.records[addr]; r != nil {
+			if now < r.avoidUntil {
+				return true, r.avoidUntil, 0, kind
 			}
-			if r.worked > 0 && now-r.worked < b.set.Remember {
-				worked = r.worked
+			if r.connectedAt > 0 && now-r.connectedAt < h.settings.Remember {
+				connectedAt = r.connectedAt
 			}
 		}
-		return false, 0, worked, kind
+		return false, 0, connectedAt, kind
 	}
 	slices.SortStableFunc(all, func(x, y string) int {
 		ax, ux, wx, kx := rank(x)
@@ -150,102 +154,103 @@
 	return all
 }
 
-// Best returns the address that connected last and is remembered; empty for none.
-func (b *Book) Best(now time.Duration, addrs []string) (best string) {
+// LastConnected returns the address that connected last, if that is not longer ago than Settings.Remember; else "".
+func (h *Book) Best(now time.Duration, addrs []string) (best string) {
 	latest := time.Duration(0)
 	for _, addr := range addrs {
-		if r := b.known[addr]; r != nil && r.worked > latest && now-r.worked < b.set.Remember {
-			best, latest = addr, r.worked
+		if r := h.records[addr]; r != nil && r.connectedAt > latest && now-r.connectedAt < h.settings.Remember {
+			best, latest = addr, r.connectedAt
 		}
 	}
 	return best
 }
 
-// Race is the dialling of one connection. It is not safe for concurrent use.
+// Race is the dialling of one connection over several addresses. It is not safe for concurrent use.
 type Race struct {
-	book  *Book
-	addrs []string // in their order
-	next  int      // the first that was not tried
-	out   []string // that are being dialled
-	due   time.Duration
-	won   bool
+	history *Book
+	addrs   []string      // in the order in which to try them
+	next    int           // index of the first address not tried yet
+	dialing []string      // addresses being dialled
+	nextAt  time.Duration // when the next address may be dialled in parallel
+	won     bool          // a dial has connected
 }
 
-// Race begins a race over a server's addresses.
-func (b *Book) Race(now time.Duration, addrs []string) *Race {
-	return &Race{book: b, addrs: b.Order(now, addrs), due: now}
+// NewRace starts a race over a server's addresses.
+func (h *Book) Race(now time.Duration, addrs []string) *Race {
+	return &Race{history: h, addrs: h.Order(now, addrs), nextAt: now}
 }
 
-// Start lists the addresses to be dialled now: the first at once, the next one when those before it have failed, or have
-// not connected for a while. Room is how many further dials there may be at a time beside the first.
+// Start returns the addresses to be dialled now: the first one at once, the next one when those before it have failed or have
+// not connected within Settings.Delay. room is the number of parallel dials that are allowed in addition to the first.
 func (r *Race) Start(now time.Duration, room int) (dial []string) {
-	for !r.won && r.next < len(r.addrs) && (len(r.out) == 0 || now >= r.due && len(r.out) < min(r.book.set.Most, 1+room)) {
+	for !r.won && r.next < len(r.addrs) && (len(r.dialing) == 0 || now >= r.nextAt && len(r.dialing) < min(r.history.settings.Most, 1+room)) {
 		addr := r.addrs[r.next]
 		r.next++
-		r.out = append(r.out, addr)
-		r.due = now + r.book.set.Delay
+		r.dialing = append(r.dialing, addr)
+		r.nextAt = now + r.history.settings.Delay
 		dial = append(dial, addr)
 	}
 	return dial
 }
 
-// Due is when Start may have more, if it may.
+// NextStart returns when Start may return more addresses; any is false if there will be none.
 func (r *Race) Due() (at time.Duration, any bool) {
-	return r.due, !r.won && r.next < len(r.addrs)
+	return r.nextAt, !r.won && r.next < len(r.addrs)
 }
 
-// Connected takes the news that a dial connected, and reports whether it is the winner. One that is not must be closed.
+// Connected records that a dial connected, and reports whether it wins the race. The caller must close a connection that
+// does not.
 func (r *Race) Connected(now time.Duration, addr string) (wins bool) {
-	r.end(addr)
-	r.book.Worked(now, addr)
+	r.removeDialing(addr)
+	r.history.Worked(now, addr)
 	wins = !r.won
 	r.won = true
 	return wins
 }
 
-// Failed takes the news that a dial failed by itself, and reports whether the race is lost: none is left.
+// Failed records that a dial failed by itself, and reports whether the race is lost: no address is left.
 func (r *Race) Failed(now time.Duration, addr string) (lost bool) {
-	r.end(addr)
-	r.book.Failed(now, addr)
-	return !r.won && len(r.out) == 0 && r.next >= len(r.addrs)
+	r.removeDialing(addr)
+	r.history.Failed(now, addr)
+	return !r.won && len(r.dialing) == 0 && r.next >= len(r.addrs)
 }
 
-// GaveUp says that the time is over: what has not connected by then counts as failed, as far as it was tried for as long as
-// the next one waits for.
+// TimedOut ends the race because its time is over. The addresses still being dialled are recorded as failed.
 func (r *Race) GaveUp(now time.Duration) {
-	for _, addr := range r.out {
-		r.book.Failed(now, addr)
+	for _, addr := range r.dialing {
+		r.history.Failed(now, addr)
 	}
-	r.out, r.next = nil, len(r.addrs)
+	r.dialing, r.next = nil, len(r.addrs)
 }
 
-func (r *Race) end(addr string) {
-	if i := slices.Index(r.out, addr); i >= 0 {
-		r.out = slices.Delete(r.out, i, i+1)
+// removeDialing removes an address from those being dialled.
+func (r *Race) removeDialing(addr string) {
+	if i := slices.Index(r.dialing, addr); i >= 0 {
+		r.dialing = slices.Delete(r.dialing, i, i+1)
 	}
 }
 
-// Copies are how an explorer tries what may come next from one state, several times.
+// Copies let a model checker try several continuations of one state.
 
-// Copy returns an equal Book.
-func (b *Book) Copy() *Book {
-	twin := &Book{set: b.set, known: make(map[string]*record, len(b.known))}
-	for addr, r := range b.known {
+// Copy returns an equal History.
+func (h *Book) Copy() *Book {
+	twin := &Book{settings: h.settings, records: make(map[string]*record, len(h.records))}
+	for addr, r := range h.records {
 		same := *r
-		twin.known[addr] = &same
+		twin.records[addr] = &same
 	}
 	return twin
 }
 
-// Copy returns an equal Race over an equal Book; nil is its own.
+// Copy returns an equal Race that uses the given History, a copy of its own. The copy of a nil Race is nil.
 func (r *Race) Copy(book *Book) *Race {
 	if r == nil {
 		return nil
 	}
 	twin := *r
-	twin.book, twin.out = book, slices.Clone(r.out)
+	twin.history, twin.dialing = book, slices.Clone(r.dialing)
 	return &twin
 }
 
-// Out lists the addresses that are being dialled, in the order in which that was begun.
-func (r *Race) Out() []string { return r.out }
+// Dialing returns the addresses being dialled, in the order in which their dials were started.
+func (r *Race) Out() []string { return r.dialing }
--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -27,14 +27,15 @@
 	}
 }
 
-// The order: what worked last, then kinds, then what failed lately, the shortest avoided first; none is left out.
+// The order: the address that connected last, then by kind, then those that failed recently, the one avoided for the shortest
+// time first. No address is left out.
 func TestOrder(t *testing.T) {
 	all := []string{name, four, six, unix}
 	b := NewBook(Defaults)
 	at := func(when time.Duration, want ...string) {
 		t.Helper()
 		if got := b.Order(when, all); !slices.Equal(got, want) {
-			t.Errorf("at %v: %q, not %q", when, got, want)
+			t.Errorf("at %v: %q, want %q", when, got, want)
 		}
 	}
 	at(0, unix, six, four, name)
@@ -42,9 +43,9 @@
 	at(time.Second, four, unix, six, name)
 	b.Failed(2*time.Second, four)
 	at(2*time.Second, unix, six, name, four)
-	at(3*time.Second, unix, six, four, name) // avoided for a second
+	at(3*time.Second, unix, six, four, name) // it was avoided for a second
 	b.Failed(3*time.Second, four)
-	at(4900*time.Millisecond, unix, six, name, four) // for two now
+	at(4900*time.Millisecond, unix, six, name, four) // now for two seconds
 	b.Failed(4*time.Second, unix)
 	b.Failed(4*time.Second, unix)
 	at(4900*time.Millisecond, six, name, four, unix)
@@ -58,14 +59,14 @@
 	at(2*time.Minute+Defaults.Remember, unix, six, four, name)
 }
 
-// The next address is dialled when the one before fails, or after the delay, or never while there is no room.
+// The next address is dialled when the one before fails, or after the delay, but not while there is no room.
 func TestRace(t *testing.T) {
 	const delay = 250 * time.Millisecond
 	begin := func() *Race { return NewBook(Defaults).Race(0, []string{four, six, unix}) }
 	start := func(r *Race, now time.Duration, room int, want ...string) {
 		t.Helper()
 		if got := r.Start(now, room); !slices.Equal(got, want) {
-			t.Errorf("at %v with room for %d: %q, not %q", now, room, got, want)
+			t.Errorf("at %v with room for %d: %q, want %q", now, room, got, want)
 		}
 	}
 	r := begin()
@@ -74,20 +75,20 @@
 	start(r, delay, 9, six)
 	start(r, delay, 9)
 	if !r.Connected(300*time.Millisecond, six) || r.Connected(301*time.Millisecond, unix) {
-		t.Error("not the first to connect wins")
+		t.Error("the first dial to connect did not win, or the second one did")
 	}
 	start(r, time.Hour, 9)
 
 	r = begin()
 	start(r, 0, 9, unix)
 	if r.Failed(time.Millisecond, unix) {
-		t.Error("lost with two addresses left")
+		t.Error("race lost although two addresses are left")
 	}
 	start(r, time.Millisecond, 9, six) // at once
 	r.Failed(2*time.Millisecond, six)
 	start(r, 2*time.Millisecond, 9, four)
 	if !r.Failed(3*time.Millisecond, four) {
-		t.Error("not lost with none left")
+		t.Error("race not lost although no address is left")
 	}
 
 	r = begin()
@@ -96,13 +97,13 @@
 	start(r, time.Hour, 1, six)
 	r.GaveUp(2 * time.Hour)
 	start(r, 3*time.Hour, 9)
-	if got := r.book.Order(2*time.Hour, []string{unix, six, four}); !slices.Equal(got, []string{four, unix, six}) {
-		t.Errorf("those that hung are not put last: %q", got)
+	if got := r.history.Order(2*time.Hour, []string{unix, six, four}); !slices.Equal(got, []string{four, unix, six}) {
+		t.Errorf("addresses that did not connect in time are not last: %q", got)
 	}
 }
 
-// Whatever happens: each address is dialled once at most, the first at once, never more at a time than there is room for,
-// and there is one winner.
+// For random outcomes: each address is dialled at most once, the first one at once, never more in parallel than there is room
+// for, and there is at most one winner.
 func TestRaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook(Defaults)
@@ -110,36 +111,36 @@
 		now := time.Duration(0)
 		for range 3 {
 			r := b.Race(now, all)
-			out, dialled := map[string]bool{}, map[string]bool{}
+			dialing, dialled := map[string]bool{}, map[string]bool{}
 			wins, over := 0, false
 			for range rapid.IntRange(0, 20).Draw(t, "steps") {
 				room := rapid.IntRange(-1, 3).Draw(t, "room")
-				before := len(out)
+				before := len(dialing)
 				for _, a := range r.Start(now, room) {
 					if dialled[a] || over {
-						t.Fatalf("%s is dialled again, or after the end", a)
+						t.Fatalf("%s is dialled twice, or after the end of the race", a)
 					}
-					dialled[a], out[a] = true, true
+					dialled[a], dialing[a] = true, true
 				}
-				if len(out) > max(1, before, min(Defaults.Most, 1+room)) {
-					t.Fatalf("%d at a time with room for %d", len(out), room)
+				if len(dialing) > max(1, before, min(Defaults.Most, 1+room)) {
+					t.Fatalf("%d parallel dials with room for %d", len(dialing), room)
 				}
 				if len(dialled) == 0 {
-					t.Fatal("the first is not dialled at once")
+					t.Fatal("the first address is not dialled at once")
 				}
-				for a := range out {
+				for a := range dialing {
 					switch rapid.IntRange(0, 3).Draw(t, "of "+a) {
 					case 0:
-						delete(out, a)
+						delete(dialing, a)
 						if r.Connected(now, a) {
 							wins++
 							over = true
 						}
 					case 1:
-						delete(out, a)
+						delete(dialing, a)
 						lost := r.Failed(now, a)
-						if lost != (!over && len(out) == 0 && len(dialled) == len(all)) {
-							t.Fatalf("lost %t with %d out of %d", lost, len(out), len(all)-len(dialled))
+						if lost != (!over && len(dialing) == 0 && len(dialled) == len(all)) {
+							t.Fatalf("lost is %t with %d addresses being dialled and %d not tried", lost, len(dialing), len(all)-len(dialled))
 						}
 						over = over || lost
 					}
@@ -151,7 +152,7 @@
 			}
 		}
 		if got := b.Order(now, all); len(got) != len(all) {
-			t.Fatalf("%q of %q", got, all)
+			t.Fatalf("order is %q, want all of %q", got, all)
 		}
 	})
 }
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -41,7 +41,7 @@
 	{"withdrawal not carried out", "internal/decide/ledger/ledger.go", "if call != nil && act.Attempt < len(call.attempts) && call.attempts[act.Attempt] != nil {", "if false {", "withdrawn"},
 	{"retired server's attempts are sent", "internal/decide/life/attempt.go", "case now.Retired:\n\t\ta.end(choice.ConnectFailed)", "case false:", "changes"},
 	{"every dial that succeeds wins", "internal/decide/addresses/addresses.go", "wins = !r.won", "wins = true", "races"},
-	{"race lost while a dial is out", "internal/decide/addresses/addresses.go", "return !r.won && len(r.out) == 0 && r.next >= len(r.addrs)", "return false", "races"},
+	{"race lost while a dial is out", "internal/decide/addresses/addresses.go", "return !r.won && len(r.dialing) == 0 && r.next >= len(r.addrs)", "return false", "races"},
 	{"server that is out by hand is sent to", "internal/decide/operators/operators.go", "if w.Out(s.ID) && s.State == choice.Ready {", "if false {", "by-hand"},
 	{"word of the operators is kept and not carried out", "internal/decide/ledger/operators.go", "\tif listed {\n", "\tif false {\n", "back"},
 	{"list's word undoes the operators'", "internal/decide/ledger/ledger.go", "\t\te.Server = l.word.Counts(e.Server)\n", "\t\tif len(entries) == 0 || !l.word.Out(e.ID) || full || e.Started != 0 {\n\t\t\te.Server = l.word.Counts(e.Server)\n\t\t}\n", "by-hand"},
