--- a/internal/decide/routes/routes.go
+++ b/internal/decide/routes/routes.go
@@ -1,9 +1,10 @@
-// Package routes decides which servers can take a call that is worded in some shape, and in which shape each is sent it:
-// as it came where the server takes that, translated where the table has a way to a shape that it takes. It stands in
-// front of the decision module, which draws among the servers that can: a shape is a capability there, like a protocol.
+// Package routes decides which servers can take a call whose message has a certain shape (version of a message schema), and
+// in which shape each of them is sent it: unchanged if the server accepts the call's shape, else translated if the table has
+// a translation to a shape that the server accepts. It runs before the decision module, which selects among the capable
+// servers: to the module, a shape is a capability, like a protocol.
 //
-// What a server takes is what its entry in the list says, less what it has said not to know. It does no I/O and reads no
-// clock.
+// A server accepts the shapes that its entry in the server list states, except those that it has rejected as unknown. The
+// package does no I/O and reads no clock.
 package routes
 
 import (
@@ -16,167 +17,172 @@
 	"ternbeam/choice"
 )
 
-// Shape is a version of a class's messages in one protocol.
+// Shape is a version of the message schema of a class of calls, in one protocol family.
 type Shape struct {
-	Name    string
-	Version string           // with its class, as the list names it: class/version
-	Speaks  choice.Protocols // a server speaks one of them at least to be sent it
+	Name    string           // unique in its table
+	Version string           // class/version, as in the server list
+	Speaks  choice.Protocols // a server must speak at least one of them to be sent this shape
 }
 
-// Way is how a call reaches a server.
+// Route describes how a call is sent to a server.
 type Way struct {
-	To       *Shape // in which it is sent
-	Protocol choice.Protocols
-	Plan     any // that translates it; nil where it is sent as it came
+	To       *Shape           // shape in which the call is sent
+	Protocol choice.Protocols // over which it is sent, one bit
+	Plan     any              // translation plan; nil if the call is sent unchanged
 }
 
-// link is a way from one shape to another.
-type link struct {
-	to   int
+// translation is a translation from one shape to another.
+type translation struct {
+	to   int // index of the target shape
 	plan any
 }
 
-// Table is what shapes there are and which become which. It does not change: calls keep the one that they began with.
+// Table holds the shapes and the translations between them. It does not change once it is in use: a call keeps the table
+// that it started with.
 type Table struct {
-	shapes []Shape
-	links  [][]link
+	shapes       []Shape
+	translations [][]translation // by the index of the source shape, in order of preference
 }
 
-// NewTable returns a Table over shapes, none of which has a way to another yet.
+// NewTable returns a Table with shapes and no translations.
 func NewTable(shapes []Shape) *Table {
-	return &Table{shapes: shapes, links: make([][]link, len(shapes))}
+	return &Table{shapes: shapes, translations: make([][]translation, len(shapes))}
 }
 
-// Link adds a way. Of several from one shape the first that fits a server is taken.
+// AddTranslation adds a translation between two shapes, by name. If a shape has several, the first one whose target a server
+// accepts is used. An error is returned if a shape does not exist.
 func (t *Table) Link(from, to string, plan any) error {
 	f, o := t.Index(from), t.Index(to)
 	if f < 0 || o < 0 {
 		return fmt.Errorf("routes: no shape %q or %q", from, to)
 	}
-	t.links[f] = append(t.links[f], link{o, plan})
+	t.translations[f] = append(t.translations[f], translation{o, plan})
 	return nil
 }
 
-// Index is the place of a shape in the table, or -1.
+// Index returns the index of a shape in the table, or -1.
 func (t *Table) Index(name string) int {
 	return slices.IndexFunc(t.shapes, func(s Shape) bool { return s.Name == name })
 }
 
-// Tag says in which shape a call came. The zero Tag is that of a call without one.
+// CallShape is the shape in which a call was received. The zero value stands for a call without a shape.
 type Tag struct {
-	Table *Table
-	Shape int
-	// Spoken is the protocol that the client speaks, one bit: sent as it came, a call needs a server that speaks it.
+	Table *Table // the one in use when the call was received
+	Shape int    // index in Table
+	// Protocol is the client's protocol, one bit. To be sent unchanged, the call needs a server that speaks it.
 	Spoken choice.Protocols
 }
 
-// Set reports whether the call has a shape.
+// IsSet reports whether the call has a shape.
 func (t Tag) Set() bool { return t.Table != nil }
 
-// Settings bound what is learned.
+// Settings configure for how long rejections are remembered.
 type Settings struct {
-	Forget     time.Duration // how long a server that does not know a shape is not sent it, at first
-	MostForget time.Duration // it doubles up to this
+	Forget     time.Duration // how long a server is not sent a shape after it has rejected it for the first time
+	MostForget time.Duration // maximum of that, which doubles with each further rejection
 }
 
-// mark is what a server has said not to know.
-type mark struct {
+// rejection records that a server has rejected a version as unknown.
+type rejection struct {
 	version string
-	until   time.Duration
-	wait    time.Duration // of the next time
+	until   time.Duration // the version is not sent until then; 0 if it may be sent again
+	wait    time.Duration // for which the next rejection counts
 }
 
-// server is what is known of one.
+// server is the state of a server.
 type server struct {
-	listed   choice.Server // as the list has it
-	versions []string
-	marks    []mark // one for each version at the most
+	listed     choice.Server // its entry in the server list
+	versions   []string      // class/version of the shapes in its entry
+	rejections []rejection   // at most one per version
 }
 
-// Bounds of what the list may say of a server, and of the capabilities of a process's life.
+// Limits on the versions of a server, and the layout of the capability bits, which are assigned once per process.
 const (
-	MostVersions = 64
-	firstBit     = 16 // those before are the protocols'
-	mostBits     = 64 - firstBit
-	nobody       = 1 << (firstBit - 1) // what no server can: a need of 0 would be one that all fulfil
+	MostVersions = 64 // versions per server; further ones are ignored
+	firstBit     = 16 // the bits below are protocols
+	maxBits      = 64 - firstBit
+	noServer     = 1 << (firstBit - 1) // a bit that no server has: a need of 0 would be met by all of them
 )
 
-// ErrBits says that a new table has shapes that no capability is left for.
-var ErrBits = errors.New("routes: shapes beyond the 24 that an agent may see in its life, restart it")
+// ErrTooManyShapes is returned if no capability bits are left for the shapes of a new table. Each pair of version and protocol
+// takes two of the 48 bits, and keeps them until the process ends.
+var ErrBits = errors.New("routes: more than 24 pairs of shape version and protocol since the agent was started, restart it")
 
-// capability is what a bit stands for: taking a shape in a protocol, as it comes or translated.
+// capability is what a bit stands for: that a server can take calls of a version and protocol, unchanged or translated.
 type capability struct {
-	version string
-	spoken  choice.Protocols
-	exact   bool
+	version      string
+	protocol     choice.Protocols
+	untranslated bool // the server takes them unchanged; if false, in either way
 }
 
-// Routes is what is known of all servers. It is not safe for concurrent use.
+// Router holds the table in use and the state of all servers. It is not safe for concurrent use.
 type Routes struct {
-	set     Settings
-	table   *Table
-	bits    map[capability]choice.Protocols
-	servers map[string]*server
+	settings Settings
+	table    *Table
+	bits     map[capability]choice.Protocols
+	servers  map[string]*server
 }
 
-// New returns a Routes that knows no server.
+// New returns a Router without servers. It returns ErrTooManyShapes if the table has too many shapes.
 func New(set Settings, t *Table) (*Routes, error) {
-	r := &Routes{set: set, bits: map[capability]choice.Protocols{}, servers: map[string]*server{}}
-	return r, r.allot(t)
+	r := &Routes{settings: set, bits: map[capability]choice.Protocols{}, servers: map[string]*server{}}
+	return r, r.assignBits(t)
 }
 
-// protocols are the single ones of a set.
-func protocols(set choice.Protocols) (all []choice.Protocols) {
+// splitProtocols returns the protocols of a set, one bit each.
+func splitProtocols(set choice.Protocols) (all []choice.Protocols) {
 	for ; set != 0; set &= set - 1 {
 		all = append(all, set&-set)
 	}
 	return all
 }
 
-// allot takes a table and gives bits to what is new in it. They keep their meaning for good: calls that are out were given
-// some before.
-func (r *Routes) allot(t *Table) error {
-	var fresh []capability
+// assignBits sets the table and assigns bits to its new capabilities. Bits never change their meaning, as calls in flight
+// refer to the ones assigned before.
+func (r *Routes) assignBits(t *Table) error {
+	var added []capability
 	seen := map[capability]bool{}
 	for _, s := range t.shapes {
-		for _, spoken := range protocols(s.Speaks) {
-			for _, exact := range []bool{false, true} {
-				c := capability{s.Version, spoken, exact}
+		for _, proto := range splitProtocols(s.Speaks) {
+			for _, untranslated := range []bool{false, true} {
+				c := capability{s.Version, proto, untranslated}
 				if r.bits[c] == 0 && !seen[c] {
-					fresh, seen[c] = append(fresh, c), true
+					added, seen[c] = append(added, c), true
 				}
 			}
 		}
 	}
-	if len(r.bits)+len(fresh) > mostBits {
+	if len(r.bits)+len(added) > maxBits {
 		return ErrBits
 	}
-	for _, c := range fresh {
+	for _, c := range added {
 		r.bits[c] = 1 << (firstBit + len(r.bits))
 	}
 	r.table = t
 	return nil
 }
 
-// Replace takes another table and returns what the module must be told of servers.
+// ReplaceTable sets another table and returns the servers whose capabilities have changed, for the module. On error the old
+// table stays in use.
 func (r *Routes) Replace(t *Table) ([]choice.Server, error) {
-	before := r.all()
-	if err := r.allot(t); err != nil {
+	before := r.advertiseAll()
+	if err := r.assignBits(t); err != nil {
 		return nil, err
 	}
-	return r.changed(before), nil
+	return r.changedSince(before), nil
 }
 
-// Needs is what the module must ask of a server for a call: all that can take it, or only those that take it as it came.
-func (r *Routes) Needs(t Tag, exact bool) choice.Protocols {
-	if bit := r.bits[capability{t.Table.shapes[t.Shape].Version, t.Spoken, exact}]; bit != 0 {
+// Needs returns the capability that a server must have for a call: to take it in any way, or, with untranslated, to take it
+// unchanged.
+func (r *Routes) Needs(t Tag, untranslated bool) choice.Protocols {
+	if bit := r.bits[capability{t.Table.shapes[t.Shape].Version, t.Spoken, untranslated}]; bit != 0 {
 		return bit
 	}
-	return nobody
+	return noServer
 }
 
-// Listed takes what the list says of a server and returns what the module is told of it. A restart, another protocol and
-// another word of the list on its shapes end what was learned of it.
+// UpdateServer records a server's entry in the server list and returns the server with its capabilities, for the module. If
+// the server has restarted, or its protocols or shapes have changed, its rejections are forgotten.
 func (r *Routes) Listed(s choice.Server, versions []string) choice.Server {
 	if s.State == choice.Gone {
 		r.Gone(s.ID)
@@ -191,153 +197,155 @@
 		r.servers[s.ID] = old
 	}
 	old.listed = s
-	return r.told(old)
+	return r.advertise(old)
 }
 
-// Gone forgets a server.
+// RemoveServer deletes a server.
 func (r *Routes) Gone(id string) { delete(r.servers, id) }
 
-// told is what the module is told of a server.
-func (r *Routes) told(s *server) choice.Server {
+// advertise returns a server with its capabilities, as the module is to see it.
+func (r *Routes) advertise(s *server) choice.Server {
 	out := s.listed
 	for i := range r.table.shapes {
 		shape := &r.table.shapes[i]
-		takes, linked := r.takes(s, shape), r.linked(s, i)
-		for _, spoken := range protocols(shape.Speaks) {
-			exact := takes && s.listed.Speaks&spoken != 0
-			if exact {
-				out.Speaks |= r.bits[capability{shape.Version, spoken, true}]
+		accepted, translatable := r.accepts(s, shape), r.translatable(s, i)
+		for _, proto := range splitProtocols(shape.Speaks) {
+			untranslated := accepted && s.listed.Speaks&proto != 0
+			if untranslated {
+				out.Speaks |= r.bits[capability{shape.Version, proto, true}]
 			}
-			if exact || linked {
-				out.Speaks |= r.bits[capability{shape.Version, spoken, false}]
+			if untranslated || translatable {
+				out.Speaks |= r.bits[capability{shape.Version, proto, false}]
 			}
 		}
 	}
 	return out
 }
 
-// linked reports whether a call of a shape can be translated for a server.
-func (r *Routes) linked(s *server, shape int) bool {
-	return slices.ContainsFunc(r.table.links[shape], func(l link) bool { return r.takes(s, &r.table.shapes[l.to]) })
+// translatable reports whether a call of a shape can be translated for a server.
+func (r *Routes) translatable(s *server, shape int) bool {
+	return slices.ContainsFunc(r.table.translations[shape], func(tr translation) bool { return r.accepts(s, &r.table.shapes[tr.to]) })
 }
 
-// takes reports whether a server takes a shape: the list says so and it has not said otherwise. One that has said not to
-// know what the list says of it was rolled back, or forward: it looks at what it gets, so that it can be tried with other
-// versions of the class. It will say so again where it does not know them.
-func (r *Routes) takes(s *server, shape *Shape) bool {
-	if shape.Speaks&s.listed.Speaks == 0 || s.marked(shape.Version) {
+// accepts reports whether a server accepts a shape: its entry lists the version, and the server has not rejected it. A server
+// that has rejected all versions of the class in its entry was rolled back, or forward. As it checks what it receives, it can
+// be sent other versions of the class, too; it rejects those that it does not know.
+func (r *Routes) accepts(s *server, shape *Shape) bool {
+	if shape.Speaks&s.listed.Speaks == 0 || s.rejects(shape.Version) {
 		return false
 	}
 	if slices.Contains(s.versions, shape.Version) {
 		return true
 	}
-	of := class(shape.Version)
-	said := false
+	class := className(shape.Version)
+	rejected := false
 	for _, v := range s.versions {
-		if class(v) == of {
-			if said = true; !s.marked(v) {
+		if className(v) == class {
+			if rejected = true; !s.rejects(v) {
 				return false
 			}
 		}
 	}
-	return said
+	return rejected
 }
 
-func (s *server) marked(version string) bool {
-	return slices.ContainsFunc(s.marks, func(m mark) bool { return m.version == version && m.until > 0 })
+// rejects reports whether a server is not to be sent a version, as it has rejected it.
+func (s *server) rejects(version string) bool {
+	return slices.ContainsFunc(s.rejections, func(d rejection) bool { return d.version == version && d.until > 0 })
 }
 
-// class is that of a version.
-func class(version string) string {
+// className returns the class of a version.
+func className(version string) string {
 	name, _, _ := strings.Cut(version, "/")
 	return name
 }
 
-// Way is how a call reaches a server at present. Calls of an older table keep to that one's ways.
+// Route returns how a call is to be sent to a server at present; false if the server cannot take it. A call uses the
+// translations of the table that it started with.
 func (r *Routes) Way(t Tag, id string) (Way, bool) {
 	s := r.servers[id]
 	if s == nil {
 		return Way{}, false
 	}
 	own := &t.Table.shapes[t.Shape]
-	if s.listed.Speaks&t.Spoken != 0 && r.takes(s, own) {
+	if s.listed.Speaks&t.Spoken != 0 && r.accepts(s, own) {
 		return Way{To: own, Protocol: t.Spoken}, true
 	}
-	for _, l := range t.Table.links[t.Shape] {
-		to := &t.Table.shapes[l.to]
-		if r.takes(s, to) {
+	for _, tr := range t.Table.translations[t.Shape] {
+		to := &t.Table.shapes[tr.to]
+		if r.accepts(s, to) {
 			speaks := to.Speaks & s.listed.Speaks
 			if same := speaks & t.Spoken; same != 0 {
 				speaks = same
 			}
-			return Way{To: to, Protocol: speaks & -speaks, Plan: l.plan}, true
+			return Way{To: to, Protocol: speaks & -speaks, Plan: tr.plan}, true
 		}
 	}
 	return Way{}, false
 }
 
-// AsItCame reports whether any server takes a call as it came.
+// AnyUntranslated reports whether any ready server takes a call unchanged.
 func (r *Routes) AsItCame(t Tag) bool {
 	needs := r.Needs(t, true)
 	for _, s := range r.servers {
-		if s.listed.State == choice.Ready && needs&^r.told(s).Speaks == 0 {
+		if s.listed.State == choice.Ready && needs&^r.advertise(s).Speaks == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Unknown takes a server's word that it does not know a shape, as one that started then. It returns what the module must
-// be told.
+// MarkUnknown records that a server, started at the given time, has rejected a version as unknown. It returns the server if its
+// capabilities have changed, for the module.
 func (r *Routes) Unknown(now time.Duration, id string, started time.Duration, version string) []choice.Server {
 	s := r.servers[id]
 	if s == nil || s.listed.Started != started {
-		return nil // of an earlier life
+		return nil // the rejection is from before a restart
 	}
-	before := r.told(s)
-	at := slices.IndexFunc(s.marks, func(m mark) bool { return m.version == version })
+	before := r.advertise(s)
+	at := slices.IndexFunc(s.rejections, func(d rejection) bool { return d.version == version })
 	if at < 0 {
-		if len(s.marks) == MostVersions {
+		if len(s.rejections) == MostVersions {
 			return nil
 		}
-		s.marks = append(s.marks, mark{version: version, wait: r.set.Forget})
-		at = len(s.marks) - 1
+		s.rejections = append(s.rejections, rejection{version: version, wait: r.settings.Forget})
+		at = len(s.rejections) - 1
 	}
-	m := &s.marks[at]
-	if m.until > 0 {
-		return nil // known already: calls were on their way
+	d := &s.rejections[at]
+	if d.until > 0 {
+		return nil // already recorded: this call was in flight then
 	}
-	m.until, m.wait = now+m.wait, min(2*m.wait, r.set.MostForget)
-	if after := r.told(s); after != before {
+	d.until, d.wait = now+d.wait, min(2*d.wait, r.settings.MostForget)
+	if after := r.advertise(s); after != before {
 		return []choice.Server{after}
 	}
 	return nil
 }
 
-// Knew takes a served answer: the server knows the shape. One that knew it of late and says otherwise is not held to an
-// old wait.
+// MarkKnown records that a server has served a call of a version. If the server rejects the version again later, the time for
+// which that counts starts from Settings.Forget again.
 func (r *Routes) Knew(id string, version string) {
 	s := r.servers[id]
-	if s == nil || len(s.marks) == 0 {
+	if s == nil || len(s.rejections) == 0 {
 		return
 	}
-	s.marks = slices.DeleteFunc(s.marks, func(m mark) bool { return m.version == version && m.until == 0 })
+	s.rejections = slices.DeleteFunc(s.rejections, func(d rejection) bool { return d.version == version && d.until == 0 })
 }
 
-// Expire forgets what is due and returns what the module must be told.
+// Expire ends the rejections that are due and returns the servers whose capabilities have changed, for the module.
 func (r *Routes) Expire(now time.Duration) (changed []choice.Server) {
 	for _, s := range r.servers {
 		before, due := choice.Server{}, false
-		for i := range s.marks {
-			if m := &s.marks[i]; m.until > 0 && m.until <= now {
+		for i := range s.rejections {
+			if d := &s.rejections[i]; d.until > 0 && d.until <= now {
 				if !due {
-					before, due = r.told(s), true
+					before, due = r.advertise(s), true
 				}
-				m.until = 0
+				d.until = 0
 			}
 		}
 		if due {
-			if after := r.told(s); after != before {
+			if after := r.advertise(s); after != before {
 				changed = append(changed, after)
 			}
 		}
@@ -346,29 +354,31 @@
 	return changed
 }
 
-// Next is when something is due to be forgotten; false where nothing is.
+// NextExpiry returns when Expire has to be called next; any is false if no rejection is in effect.
 func (r *Routes) Next() (at time.Duration, any bool) {
 	for _, s := range r.servers {
-		for _, m := range s.marks {
-			if m.until > 0 && (!any || m.until < at) {
-				at, any = m.until, true
+		for _, d := range s.rejections {
+			if d.until > 0 && (!any || d.until < at) {
+				at, any = d.until, true
 			}
 		}
 	}
 	return at, any
 }
 
-func (r *Routes) all() map[string]choice.Server {
-	told := make(map[string]choice.Server, len(r.servers))
+// advertiseAll returns all servers with their capabilities, by id.
+func (r *Routes) advertiseAll() map[string]choice.Server {
+	servers := make(map[string]choice.Server, len(r.servers))
 	for id, s := range r.servers {
-		told[id] = r.told(s)
+		servers[id] = r.advertise(s)
 	}
-	return told
+	return servers
 }
 
-func (r *Routes) changed(before map[string]choice.Server) (changed []choice.Server) {
+// changedSince returns the servers whose capabilities differ from those in before, sorted by id.
+func (r *Routes) changedSince(before map[string]choice.Server) (changed []choice.Server) {
 	for id, s := range r.servers {
-		if now := r.told(s); now != before[id] {
+		if now := r.advertise(s); now != before[id] {
 			changed = append(changed, now)
 		}
 	}
@@ -376,4 +386,5 @@
 	return changed
 }
 
+// byID compares servers by id.
 func byID(a, b choice.Server) int { return strings.Compare(a.ID, b.ID) }
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -21,7 +21,8 @@
 	thrift = binary | compact
 )
 
-// table has versions 1 and 2 of a class in either protocol, ways from the old to the new, and a version 1 of another.
+// table returns a table with versions 1 and 2 of a class in both protocols, translations from the old to the new one, and a
+// version 1 of another class.
 func table(t interface{ Fatal(...any) }) *Table {
 	tab := NewTable([]Shape{{"old", "a/1", http}, {"new", "a/2", http}, {"old-thrift", "a/1", thrift}, {"new-thrift", "a/2", thrift}, {"other", "b/1", http}})
 	for _, l := range [][2]string{{"old", "new"}, {"old-thrift", "new-thrift"}, {"old", "new-thrift"}, {"old-thrift", "new"}} {
@@ -32,6 +33,7 @@
 	return tab
 }
 
+// routes returns a Router over a table.
 func routes(t interface{ Fatal(...any) }, tab *Table) *Routes {
 	r, err := New(Settings{Forget: firstForget, MostForget: mostForget}, tab)
 	if err != nil {
@@ -40,9 +42,10 @@
 	return r
 }
 
+// tag returns the CallShape of a call in a shape, from a client that speaks a protocol.
 func (t *Table) tag(name string, spoken choice.Protocols) Tag { return Tag{t, t.Index(name), spoken} }
 
-// Which way a call goes, by what it came in and what the server takes.
+// How a call is sent, by the shape in which it was received and what the server accepts.
 func TestWays(t *testing.T) {
 	tab := table(t)
 	for _, c := range []struct {
@@ -56,7 +59,7 @@
 		{"old", http, http, []string{"a/1"}, "as it came", http},
 		{"old", http, http, []string{"a/2"}, "old to new", http},
 		{"old", http, http, []string{"a/2", "a/1"}, "as it came", http},
-		{"old", http, thrift, []string{"a/1"}, "none", 0}, // the same version in another protocol has no mapping here
+		{"old", http, thrift, []string{"a/1"}, "none", 0}, // there is no translation to the same version in another protocol
 		{"old", http, thrift, []string{"a/2"}, "old to new-thrift", binary},
 		{"old", http, compact, []string{"a/2"}, "old to new-thrift", compact},
 		{"old", http, http, []string{"a/3"}, "none", 0},
@@ -64,7 +67,7 @@
 		{"old", http, http, []string{"b/1"}, "none", 0},
 		{"new", http, http, []string{"a/1"}, "none", 0},
 		{"old-thrift", compact, thrift, []string{"a/1"}, "as it came", compact},
-		{"old-thrift", compact, binary, []string{"a/1"}, "none", 0}, // the other encoding has none either
+		{"old-thrift", compact, binary, []string{"a/1"}, "none", 0}, // nor to another encoding
 		{"old-thrift", compact, binary, []string{"a/2"}, "old-thrift to new-thrift", binary},
 		{"old-thrift", compact, thrift, []string{"a/2"}, "old-thrift to new-thrift", compact},
 		{"old-thrift", binary, http, []string{"a/2"}, "old-thrift to new", http},
@@ -81,19 +84,19 @@
 			}
 		}
 		if got != c.want || ok && way.Protocol != c.protocol {
-			t.Errorf("%s over %b to a server that takes %q over %b: %s over %b", c.from, c.spoken, c.versions, c.speaks, got, way.Protocol)
+			t.Errorf("%s over %b to a server that accepts %q over %b: %s over %b", c.from, c.spoken, c.versions, c.speaks, got, way.Protocol)
 		}
 		if can := r.Needs(tag, false)&^told.Speaks == 0; can != ok {
-			t.Errorf("%s to %q: the module is told %t", c.from, c.versions, can)
+			t.Errorf("%s to %q: the server has the capability: %t", c.from, c.versions, can)
 		}
 		if exact := r.Needs(tag, true)&^told.Speaks == 0; exact != (ok && way.Plan == nil) {
-			t.Errorf("%s to %q: the module is told that it takes it as it came: %t", c.from, c.versions, exact)
+			t.Errorf("%s to %q: the server has the capability to take it unchanged: %t", c.from, c.versions, exact)
 		}
 	}
 }
 
-// What a server says not to know is not sent to it for a while, longer each time; other versions are tried then, and only
-// then; a restart, or another word of the list, ends it.
+// A version that a server rejects is not sent to it for a while, which gets longer with each rejection. Only then other
+// versions are tried. A restart or a change of the server's list entry ends this.
 func TestDrift(t *testing.T) {
 	tab := table(t)
 	r := routes(t, tab)
@@ -111,39 +114,39 @@
 		t.Fatal(got)
 	}
 	if changed := r.Unknown(10, "s", 4, "a/2"); changed != nil || plan() != "old to new" {
-		t.Errorf("the word of an earlier process counts: %v", changed)
+		t.Errorf("a rejection from before a restart counts: %v", changed)
 	}
 	if changed := r.Unknown(10, "s", 5, "a/2"); len(changed) != 1 || plan() != nil {
 		t.Fatalf("%v, %v", changed, plan())
 	}
 	if changed := r.Unknown(11, "s", 5, "a/2"); changed != nil {
-		t.Errorf("told twice: %v", changed)
+		t.Errorf("change reported twice: %v", changed)
 	}
 	if changed := r.Unknown(12, "s", 5, "a/1"); len(changed) != 1 || plan() != "none" {
-		t.Errorf("it knows none: %v, %v", changed, plan())
+		t.Errorf("after it has rejected both versions: %v, %v", changed, plan())
 	}
 	for i, until := range []time.Duration{10 + time.Second, 0, 0, 0} {
 		at, any := r.Next()
 		if !any || i == 0 && at != until {
-			t.Fatalf("next is %v, %t", at, any)
+			t.Fatalf("next expiry is %v, %t", at, any)
 		}
 		if changed := r.Expire(at - 1); changed != nil {
-			t.Errorf("forgotten too early: %v", changed)
+			t.Errorf("expired too early: %v", changed)
 		}
 		r.Expire(at + 2)
 		if plan() != "old to new" {
-			t.Fatalf("after %d: %v", i, plan())
+			t.Fatalf("after expiry %d: %v", i, plan())
 		}
 		began := at + 2
 		r.Unknown(began, "s", 5, "a/2")
 		next, _ := r.Next()
 		if want := []time.Duration{2 * time.Second, 4 * time.Second, 4 * time.Second, 4 * time.Second}[i]; next-began != want {
-			t.Errorf("time %d it is kept for %v, not %v", i+2, next-began, want)
+			t.Errorf("rejection %d counts for %v, want %v", i+2, next-began, want)
 		}
 	}
-	r.Listed(s, []string{"a/2"}) // the same word changes nothing
+	r.Listed(s, []string{"a/2"}) // an unchanged entry has no effect
 	if plan() == "old to new" {
-		t.Error("the list's old word counts anew")
+		t.Error("an unchanged list entry ended the rejection")
 	}
 	restarted := s
 	restarted.Started = 6
@@ -154,15 +157,15 @@
 	r.Unknown(10, "s", 6, "a/2")
 	r.Listed(restarted, []string{"a/1"})
 	if _, any := r.Next(); any || plan() != nil {
-		t.Errorf("after another word of the list: %v", plan())
+		t.Errorf("after a change of its list entry: %v", plan())
 	}
 	r.Listed(choice.Server{ID: "s", State: choice.Gone}, nil)
 	if plan() != "none" {
-		t.Errorf("after it has gone: %v", plan())
+		t.Errorf("after it was removed: %v", plan())
 	}
 }
 
-// A server that served a version again is not held to the wait that an earlier time has earned.
+// If a server has served a version again, a later rejection counts for the initial time, not the doubled one.
 func TestKnewEndsTheDoubling(t *testing.T) {
 	tab := table(t)
 	r := routes(t, tab)
@@ -172,12 +175,12 @@
 	r.Knew("s", "a/2")
 	r.Unknown(time.Second, "s", 0, "a/2")
 	if at, _ := r.Next(); at != 2*time.Second {
-		t.Errorf("kept until %v", at)
+		t.Errorf("rejection counts until %v", at)
 	}
 }
 
-// Bits keep their meaning over tables; calls of the old table keep its ways; too many shapes are an error that changes
-// nothing.
+// Bits keep their meaning when the table is replaced. Calls of the old table keep its translations. Too many shapes are an
+// error, and the old table stays in use.
 func TestTablesChange(t *testing.T) {
 	one := table(t)
 	r := routes(t, one)
@@ -192,13 +195,13 @@
 		t.Fatal(err)
 	}
 	if got := r.Needs(two.tag("old", http), false); got != needs {
-		t.Errorf("the bit was %b and is %b", needs, got)
+		t.Errorf("the bit was %b and is now %b", needs, got)
 	}
 	if way, ok := r.Way(tag, "s"); !ok || way.Plan != "old to new" {
-		t.Errorf("a call of the old table goes by %v", way.Plan)
+		t.Errorf("a call of the old table is sent with plan %v", way.Plan)
 	}
 	if way, ok := r.Way(two.tag("old", http), "s"); !ok || way.Plan != "another" {
-		t.Errorf("a call of the new one by %v", way.Plan)
+		t.Errorf("a call of the new table is sent with plan %v", way.Plan)
 	}
 	var many []Shape
 	for i := range 30 {
@@ -208,57 +211,58 @@
 		t.Errorf("%v", err)
 	}
 	if way, ok := r.Way(two.tag("old", http), "s"); !ok || way.Plan != "another" {
-		t.Errorf("after the error by %v", way.Plan)
+		t.Errorf("after the error a call is sent with plan %v", way.Plan)
 	}
 	unseen := NewTable([]Shape{{"x", "x/1", http}})
 	if needs := r.Needs(unseen.tag("x", http), false); needs == 0 || needs&r.Listed(choice.Server{ID: "s", Speaks: http | thrift}, []string{"x/1"}).Speaks != 0 {
-		t.Errorf("a shape that was never laid out needs %b, which servers have", needs)
+		t.Errorf("a shape of a table never in use needs %b, which servers have", needs)
 	}
 }
 
-// denial is until when a server that has said not to know a version is not sent it, and for how long where it says so again after that.
-type denial struct{ until, wait time.Duration }
+// expectedRejection is until when a server is not sent a version that it has rejected, and for how long if it rejects it again
+// after that.
+type expectedRejection struct{ until, wait time.Duration }
 
-// again is the denial after the server has said so once more. While it holds that is of calls that were on their way.
-func (d denial) again(now time.Duration) denial {
+// again returns the expectedRejection after another rejection. A rejection while one is in effect is of a call that was in flight.
+func (d expectedRejection) again(now time.Duration) expectedRejection {
 	if d.until > now {
 		return d
 	}
 	wait := max(d.wait, firstForget)
-	return denial{now + wait, min(2*wait, mostForget)}
+	return expectedRejection{now + wait, min(2*wait, mostForget)}
 }
 
-// How long shapes that a server does not know are remembered in these tests, at first and at the most.
+// How long rejections are remembered in these tests, initially and at most.
 const (
 	firstForget = time.Second
 	mostForget  = 4 * time.Second
 )
 
-// Whatever happens, the module is told what the ways are: a server has the bit of a shape if and only if there is a way to
-// it, it is told of each change, and no way goes to what a server has said not to know, unless that is forgotten.
+// For random events, the module knows how calls can be sent: a server has the capability of a shape if and only if there is a
+// route to it, each change is reported, and no call is sent in a version that the server has rejected, until that expires.
 func TestWalk(t *testing.T) {
-	const rounds = 40 // few walks come to the end of a wait that has been doubled
+	const rounds = 40 // few walks reach the end of a doubled wait
 	for range rounds {
 		rapid.Check(t, walk)
 	}
 }
 
-// walk is one walk of TestWalk.
+// walk is one random walk of TestWalk.
 func walk(t *rapid.T) {
 	tab := table(t)
 	r := routes(t, tab)
-	told := map[string]choice.Server{}
-	type word struct{ id, version string }
-	unknown := map[word]denial{}
+	servers := map[string]choice.Server{}
+	type serverVersion struct{ id, version string }
+	unknown := map[serverVersion]expectedRejection{}
 	speaks := map[string]choice.Protocols{}
 	listed := map[string][]string{}
 	forgetServer := func(id string) {
-		maps.DeleteFunc(unknown, func(w word, _ denial) bool { return w.id == id })
+		maps.DeleteFunc(unknown, func(sv serverVersion, _ expectedRejection) bool { return sv.id == id })
 	}
 	now := time.Duration(0)
-	tell := func(changed []choice.Server) {
+	apply := func(changed []choice.Server) {
 		for _, s := range changed {
-			told[s.ID] = s
+			servers[s.ID] = s
 		}
 	}
 	ids, versions := []string{"s", "t"}, []string{"a/1", "a/2", "b/1", "z/9"}
@@ -268,48 +272,48 @@
 		case 0:
 			s := choice.Server{ID: id, Speaks: rapid.SampledFrom([]choice.Protocols{http, thrift, compact}).Draw(t, "speaks"), Started: now}
 			takes := rapid.SliceOfNDistinct(rapid.SampledFrom(versions), 0, 3, rapid.ID).Draw(t, "versions")
-			if before, known := told[id]; !known || before.Started != now || speaks[id] != s.Speaks || !slices.Equal(listed[id], takes) {
+			if before, known := servers[id]; !known || before.Started != now || speaks[id] != s.Speaks || !slices.Equal(listed[id], takes) {
 				forgetServer(id)
 			}
-			told[id], speaks[id], listed[id] = r.Listed(s, takes), s.Speaks, takes
+			servers[id], speaks[id], listed[id] = r.Listed(s, takes), s.Speaks, takes
 		case 1:
 			r.Gone(id)
-			delete(told, id)
+			delete(servers, id)
 			forgetServer(id)
 		case 2:
 			s, known := r.servers[id]
 			version := rapid.SampledFrom(versions).Draw(t, "version")
 			if known {
-				unknown[word{id, version}] = unknown[word{id, version}].again(now)
-				tell(r.Unknown(now, id, s.listed.Started, version))
+				unknown[serverVersion{id, version}] = unknown[serverVersion{id, version}].again(now)
+				apply(r.Unknown(now, id, s.listed.Started, version))
 			}
 		case 3:
 			now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
-			tell(r.Expire(now))
+			apply(r.Expire(now))
 		case 4:
 			version := rapid.SampledFrom(versions).Draw(t, "version")
 			r.Knew(id, version)
-			if unknown[word{id, version}].until <= now {
-				delete(unknown, word{id, version})
+			if unknown[serverVersion{id, version}].until <= now {
+				delete(unknown, serverVersion{id, version})
 			}
 		}
 		for i := range tab.shapes {
-			for _, spoken := range protocols(tab.shapes[i].Speaks) {
+			for _, spoken := range splitProtocols(tab.shapes[i].Speaks) {
 				tag := Tag{tab, i, spoken}
 				for _, id := range ids {
 					way, ok := r.Way(tag, id)
-					s, known := told[id]
+					s, known := servers[id]
 					if bit := known && r.Needs(tag, false)&^s.Speaks == 0; bit != ok {
-						t.Fatalf("%s to %s: the module is told %t, there is a way: %t", tab.shapes[i].Name, id, bit, ok)
+						t.Fatalf("%s to %s: has the capability: %t, has a route: %t", tab.shapes[i].Name, id, bit, ok)
 					}
 					if !ok {
 						continue
 					}
 					if way.Protocol&speaks[id] == 0 || way.Protocol&(way.Protocol-1) != 0 {
-						t.Fatalf("%s to %s over %b, which it does not speak", tab.shapes[i].Name, id, way.Protocol)
+						t.Fatalf("%s is sent to %s over %b, which it does not speak", tab.shapes[i].Name, id, way.Protocol)
 					}
-					if unknown[word{id, way.To.Version}].until > now {
-						t.Fatalf("%s goes to %s as %s, which it does not know", tab.shapes[i].Name, id, way.To.Name)
+					if unknown[serverVersion{id, way.To.Version}].until > now {
+						t.Fatalf("%s is sent to %s as %s, which it has rejected", tab.shapes[i].Name, id, way.To.Name)
 					}
 				}
 			}
@@ -317,7 +321,7 @@
 	}
 }
 
-// BenchmarkWay is what a call asks of the routes.
+// BenchmarkWay measures what a call costs in the Router.
 func BenchmarkWay(b *testing.B) {
 	tab := table(b)
 	r := routes(b, tab)
@@ -326,12 +330,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := r.Way(tag, "s"); !ok || r.Needs(tag, false) == 0 {
-			b.Fatal("no way")
+			b.Fatal("no route")
 		}
 	}
 }
 
-// BenchmarkListed is what a change of the list costs a server.
+// BenchmarkListed measures the cost of updating a server from the list.
 func BenchmarkListed(b *testing.B) {
 	r := routes(b, table(b))
 	s := choice.Server{ID: "s", Speaks: http}
