--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -602,10 +602,10 @@
 
 // publish records a member's new decision and appends its entry to the changes if it differs from the previous one.
 func (s *Set) publish(m *member, e ledger.Entry, rule Rule, tier int, ready bool) {
-	was := m.published
+	prev := m.published
 	m.published = decision{entry: e, announced: true, tier: tier, rule: rule, eligible: ready}
-	if !was.announced && e.State == choice.Gone || was.announced && sameEntry(was.entry, e) {
-		m.published.announced = was.announced
+	if !prev.announced && e.State == choice.Gone || prev.announced && sameEntry(prev.entry, e) {
+		m.published.announced = prev.announced
 		return
 	}
 	m.published.announced = e.State != choice.Gone
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -281,7 +281,7 @@
 	b := newHarness(func(s *Settings) { s.GuardShare = 1 })
 	worse := func(i int) Claim { return srvClaim(100+i, func(c *Claim) { c.Tier = 20 }) }
 	better := func(i int) Claim { return srvClaim(i, func(c *Claim) { c.Tier = 10 }) }
-	tell := func(n int) {
+	report := func(n int) {
 		var all []Claim
 		for i := range n {
 			all = append(all, better(i))
@@ -309,20 +309,20 @@
 			t.Errorf("%s: %d better and %d worse servers are ready, want %d and %d", when, x, y, better, worse)
 		}
 	}
-	tell(10)
+	report(10)
 	expect("at first", 10, 0)
-	tell(5)
+	report(5)
 	expect("half of the better tier", 5, 0)
-	tell(4)
+	report(4)
 	expect("less", 4, 2)
 	b.advance(Defaults.RampStep)
 	expect("one ramp step later", 4, 4)
 	b.advance(3 * Defaults.RampStep)
 	expect("three more ramp steps later", 4, 8)
-	tell(7)
+	report(7)
 	b.advance(time.Minute)
 	expect("better tier below CloseAbove", 7, 8)
-	tell(10)
+	report(10)
 	expect("better tier just restored", 10, 8)
 	b.advance(Defaults.Calm / 2)
 	expect("restored for less than the close delay", 10, 8)
@@ -331,9 +331,9 @@
 	if r := b.rule("srv/" + worse(0).Key); r != ClosedTier {
 		t.Errorf("closed by rule %v", r)
 	}
-	tell(0)
-	expect("no better server, and no other tier open", 0, 8)
-	tell(10)
+	report(0)
+	expect("no better server left, the worse tier is the only one", 0, 8)
+	report(10)
 	expect("the better servers come back", 3, 8)
 	b.advance(2 * time.Minute)
 	expect("and have been back for long", 10, 0)
--- a/internal/decide/membership/tiers.go
+++ b/internal/decide/membership/tiers.go
@@ -61,13 +61,13 @@
 		t.sorted = append(t.sorted, tr)
 		slices.SortFunc(t.sorted, func(a, b *tier) int { return cmp.Compare(a.number, b.number) })
 	}
-	was, known := tr.members[m]
+	prev, known := tr.members[m]
 	if !known {
 		m.tier, m.tierSeq = tr, tr.nextSeq
 		tr.nextSeq++
 	}
 	tr.members[m] = v
-	tr.readyWeight += effectiveWeight(v) - effectiveWeight(was)
+	tr.readyWeight += effectiveWeight(v) - effectiveWeight(prev)
 	t.dirty = true
 	t.pending = append(t.pending, m)
 }
@@ -99,7 +99,7 @@
 		switch parts := t.owner.settings.RampParts; {
 		case !tr.open:
 			e.State, rule = choice.Draining, ClosedTier
-		case parts > 0 && m.tierSeq%parts >= tr.openParts && !m.publishedReady(): // a ready server stays ready, whatever its tier
+		case parts > 0 && m.tierSeq%parts >= tr.openParts && !m.publishedReady(): // a server that gets calls keeps them
 			e.State, rule = choice.Draining, Ramping
 		}
 	}
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -75,7 +75,7 @@
 	} {
 		r := routes(t, tab)
 		tag := tab.tag(c.from, c.spoken)
-		told := r.Listed(choice.Server{ID: "s", Speaks: c.speaks}, c.versions)
+		listed := r.Listed(choice.Server{ID: "s", Speaks: c.speaks}, c.versions)
 		way, ok := r.Way(tag, "s")
 		got := "none"
 		if ok {
@@ -86,10 +86,10 @@
 		if got != c.want || ok && way.Protocol != c.protocol {
 			t.Errorf("%s over %b to a server that accepts %q over %b: %s over %b", c.from, c.spoken, c.versions, c.speaks, got, way.Protocol)
 		}
-		if can := r.Needs(tag, false)&^told.Speaks == 0; can != ok {
+		if can := r.Needs(tag, false)&^listed.Speaks == 0; can != ok {
 			t.Errorf("%s to %q: the server has the capability: %t", c.from, c.versions, can)
 		}
-		if exact := r.Needs(tag, true)&^told.Speaks == 0; exact != (ok && way.Plan == nil) {
+		if exact := r.Needs(tag, true)&^listed.Speaks == 0; exact != (ok && way.Plan == nil) {
 			t.Errorf("%s to %q: the server has the capability to take it unchanged: %t", c.from, c.versions, exact)
 		}
 	}
