--- a/internal/settings/conffile/conffile.go
+++ b/internal/settings/conffile/conffile.go
@@ -1,4 +1,4 @@
-// Package conffile reads configuration files in TOML so that every complaint names its line and key.
+// Package conffile reads configuration files in TOML and reports every problem with its line and key.
 package conffile
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// File is a file that was read, and what is wrong with it.
+// File collects the problems of a file that was read. It is not safe for concurrent use.
 type File struct {
-	lines    map[string]int // by key
+	lines    map[string]int // of keys and tables, see findLines
 	problems []problem
 }
 
@@ -25,40 +25,41 @@
 	text string
 }
 
-// Read reads a text into a struct. Keys that the struct does not have are problems, as are values of other types.
+// Read decodes a text into a struct. Keys that the struct does not have are problems, and so are values of other types.
 func Read(text []byte, into any) *File {
-	f := &File{lines: lines(text)}
+	f := &File{lines: findLines(text)}
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := d.Decode(into)
 	var strict *toml.StrictMissingError
-	var broken *toml.DecodeError
+	var decodeErr *toml.DecodeError
 	switch {
 	case errors.As(err, &strict):
 		for _, e := range strict.Errors {
 			row, _ := e.Position()
 			f.problems = append(f.problems, problem{row, fmt.Sprintf("%s: no such key", strings.Join(e.Key(), "."))})
 		}
-	case errors.As(err, &broken):
-		row, column := broken.Position()
-		key := strings.Join(broken.Key(), ".")
+	case errors.As(err, &decodeErr):
+		row, column := decodeErr.Position()
+		key := strings.Join(decodeErr.Key(), ".")
 		if key == "" {
 			key = fmt.Sprintf("column %d", column)
 		}
-		f.problems = append(f.problems, problem{row, fmt.Sprintf("%s: %v", key, broken)})
+		f.problems = append(f.problems, problem{row, fmt.Sprintf("%s: %v", key, decodeErr)})
 	case err != nil:
 		f.problems = append(f.problems, problem{1, err.Error()})
 	}
 	return f
 }
 
-// lines finds the line of every key and table. Of a table in an array it is found by its number too, as in step.0.name; by
-// the name alone it is that of the last. A text that is no TOML has those before the first fault.
-func lines(text []byte) map[string]int {
+// findLines returns the line of every key and table. A table in an array is found by its index, as in step.0.name; without
+// an index, the last table of the array is found. Of a text that is not valid TOML only the keys before the first syntax error
+// are found.
+func findLines(text []byte) map[string]int {
 	at := map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
-	var table, place []string
-	arrays := map[string]int{} // how many tables an array has so far
+	var table, indexed []string // the current table's name, without and with the indices of arrays
+	arrays := map[string]int{}  // the number of tables that an array has so far
 	for p.NextExpression() {
 		e := p.Expression()
 		var key []string
@@ -72,20 +73,20 @@
 		}
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table, place = key, nil
+			table, indexed = key, nil
 			for i, name := range key {
-				place = append(place, name)
-				array := strings.Join(place, ".")
+				indexed = append(indexed, name)
+				array := strings.Join(indexed, ".")
 				if e.Kind == unstable.ArrayTable && i == len(key)-1 {
 					arrays[array]++
 				}
 				if n := arrays[array]; n > 0 {
-					place = append(place, strconv.Itoa(n-1))
+					indexed = append(indexed, strconv.Itoa(n-1))
 				}
 			}
-			at[strings.Join(place, ".")] = line
+			at[strings.Join(indexed, ".")] = line
 		case unstable.KeyValue:
-			at[strings.Join(append(slices.Clone(place), key...), ".")] = line
+			at[strings.Join(append(slices.Clone(indexed), key...), ".")] = line
 			key = append(slices.Clone(table), key...)
 		}
 		at[strings.Join(key, ".")] = line
@@ -93,8 +94,8 @@
 	return at
 }
 
-// Problem notes what is wrong with a key. One that the file does not have stands at the line of the table that
-// should have it.
+// Problem records a problem with a key. If the file does not have the key, the problem has the line of the table that
+// should contain it.
 func (f *File) Problem(key, format string, args ...any) {
 	line, at := 1, key
 	for at != "" {
@@ -105,44 +106,44 @@
 		at = at[:max(0, strings.LastIndexByte(at, '.'))]
 	}
 	p := problem{line, fmt.Sprintf("%s: %s", key, fmt.Sprintf(format, args...))}
-	if !slices.Contains(f.problems, p) { // a table that several others share is at fault once
+	if !slices.Contains(f.problems, p) { // a table that is checked several times has its problem once
 		f.problems = append(f.problems, p)
 	}
 }
 
-// Number sets a figure that the file gives, if it lies within bounds; one that does not is a problem.
-func (f *File) Number(key string, given *float64, least, most float64, set func(float64)) {
+// Number passes the value of a key to set, if the file has the key. A value out of bounds, or NaN, is a problem.
+func (f *File) Number(key string, given *float64, lowest, highest float64, set func(float64)) {
 	switch {
 	case given == nil:
-	case !(*given >= least && *given <= most):
-		f.Problem(key, "must be from %v to %v", least, most)
+	case !(*given >= lowest && *given <= highest):
+		f.Problem(key, "must be from %v to %v", lowest, highest)
 	default:
 		set(*given)
 	}
 }
 
-// Share is Number for a figure that is kept as it is.
-func (f *File) Share(key string, given *float64, least, most float64, into *float64) {
-	f.Number(key, given, least, most, func(x float64) { *into = x })
+// Float is Number for a value that is stored as it is.
+func (f *File) Share(key string, given *float64, lowest, highest float64, into *float64) {
+	f.Number(key, given, lowest, highest, func(x float64) { *into = x })
 }
 
-// Span is Number for a length of time in some unit.
-func (f *File) Span(key string, given *float64, unit time.Duration, least, most float64, into *time.Duration) {
-	f.Number(key, given, least, most, func(x float64) { *into = time.Duration(x * float64(unit)) })
+// Duration is Number for a duration that the file gives in a unit. The bounds are in the same unit.
+func (f *File) Span(key string, given *float64, unit time.Duration, lowest, highest float64, into *time.Duration) {
+	f.Number(key, given, lowest, highest, func(x float64) { *into = time.Duration(x * float64(unit)) })
 }
 
-// Count is Number for a whole figure.
-func (f *File) Count(key string, given *int, least, most int, into *int) {
+// Int is Number for an integer.
+func (f *File) Count(key string, given *int, lowest, highest int, into *int) {
 	switch {
 	case given == nil:
-	case *given < least || *given > most:
-		f.Problem(key, "must be from %d to %d", least, most)
+	case *given < lowest || *given > highest:
+		f.Problem(key, "must be from %d to %d", lowest, highest)
 	default:
 		*into = *given
 	}
 }
 
-// Err returns all problems, by their lines, or nil.
+// Err returns all problems, joined in the order of their lines, or nil.
 func (f *File) Err() error {
 	slices.SortStableFunc(f.problems, func(a, b problem) int { return a.line - b.line })
 	var all []error
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what the platform tells an agent at its start.
+// Package config reads the configuration file that the platform gives an agent at start-up.
 package config
 
 import (
@@ -18,41 +18,42 @@
 	"ternbeam/internal/settings/wire"
 )
 
-// Limits are what the platform grants the agent.
+// Limits are the resources that the platform grants the agent.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int64   `json:"memory_mb"` // MiB
+	Sockets  int     `json:"sockets"`   // open file descriptors
 }
 
-// HeapLimit is how many bytes the runtime may hold before it collects harder: the rest is for what it does not count.
+// HeapLimit returns the soft memory limit of the Go runtime in bytes: 60 % of the memory. The rest is for memory that
+// the runtime does not count.
 func (l Limits) HeapLimit() int64 { return l.MemoryMB << 20 * 6 / 10 }
 
-// Config is all that an agent is told at its start.
+// Config is an agent's configuration: the file, with some of its addresses overridden by the environment.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Ops       string // the second address, for those who run the agent; empty for none
+	Ops       string // address of the operators' listener; empty for none
 	Limits    Limits
 
-	Path   string // of the file that it was read from
+	Path   string // of the file that the configuration was read from
 	Seed   uint64
-	Known  discovery.List
-	Module choice.Settings // as the simulator's adapter reads them
-	Asking asking.Settings // how the list is asked for
-	Peers  Peers           // where other agents are reached, where talk among them is allowed
-	Fields []string        // the figures in a load report
+	Known  discovery.List  // the list of servers at start-up
+	Module choice.Settings // parsed by the same code as in the simulator's adapter
+	Asking asking.Settings // when the list is requested from the discovery service
+	Peers  Peers           // addresses for the exchange of lists between agents
+	Fields []string        // names of the figures in a load report, in their order
 	Host   HostSettings
 }
 
-// Peers are the addresses of the agents that front the same servers.
+// Peers holds the addresses of the agents that front the same servers.
 type Peers struct {
-	Listen string   // where this one listens for them; empty where there is no talk
-	All    []string // by their places
+	Listen string   // this agent's own address; empty where agents exchange no lists
+	All    []string // of all agents, by their index
 }
 
-// HostSettings are those of the settings that bind the host and do not concern the module.
+// HostSettings is the part of the settings that concerns the host and not the choice module.
 type HostSettings struct {
 	Classes []struct {
 		Name     string
@@ -66,8 +67,8 @@
 	Zones   []string
 }
 
-// Load reads the file that NODE_CONFIG names. Addresses in the environment go before those in the file, as
-// it is at the start.
+// Load reads the file that NODE_CONFIG names. The name and the addresses in the environment take precedence over those
+// in the file.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -94,8 +95,8 @@
 	return cfg, nil
 }
 
-// NewDiscovery reads the file again and returns the address of discovery that it holds now. The environment is as
-// old as the process and has no say in it; nothing else in the file can change while the agent runs.
+// NewDiscovery reads the file again and returns its current discovery address. It ignores the environment, which is as
+// old as the process. Nothing else in the file can change while the agent runs.
 func (c *Config) NewDiscovery() (string, error) {
 	text, err := os.ReadFile(c.Path)
 	if err != nil {
@@ -106,15 +107,15 @@
 		return "", err
 	}
 	if fresh.Discovery == "" {
-		return "", errors.New("no discovery")
+		return "", errors.New("discovery is missing")
 	}
 	return fresh.Discovery, nil
 }
 
-// errSettings is what is wrong with the settings.
+// errSettings marks the errors that concern the settings object.
 var errSettings = errors.New("settings")
 
-// Parse reads a configuration.
+// Parse parses a configuration. WithPosition adds the line and the key to its errors.
 func Parse(text []byte) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Ops, Seed string
@@ -128,14 +129,14 @@
 		return nil, err
 	}
 	if len(file.Settings) == 0 {
-		return nil, fmt.Errorf("%w: there are none", errSettings)
+		return nil, fmt.Errorf("%w: missing", errSettings)
 	}
 	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Ops: file.Ops,
 		Limits: file.Limits, Known: file.Known, Peers: Peers{file.PeerListen, file.Peers}}
 	cfg.Known.Full = true
 	var err error
 	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		h := fnv.New64a() // any text will do as a seed
+		h := fnv.New64a() // any text is a valid seed
 		h.Write([]byte(file.Seed))
 		cfg.Seed = h.Sum64()
 	}
@@ -162,27 +163,30 @@
 		cfg.Limits.Sockets = 1024
 	}
 	if cfg.Limits.Sockets < LeastSockets {
-		return nil, fmt.Errorf("limits: %d sockets are too few, %d are needed", cfg.Limits.Sockets, LeastSockets)
+		return nil, fmt.Errorf("limits: %d sockets are too few, at least %d are needed", cfg.Limits.Sockets, LeastSockets)
 	}
 	return cfg, nil
 }
 
-// LeastSockets is the smallest limit on descriptors under which an agent can work.
+// MinSockets is the smallest limit on file descriptors with which an agent can run.
 const LeastSockets = 64
 
-// Descriptors that are neither clients' nor backends': the listener's two, calls to discovery (asking.MostPending), the poller, standard
-// streams, the second one of a connection that is being accepted and one connection more while another closes.
-const spareSockets = 26 + asking.MostPending
+// reservedSockets is the number of descriptors that are used for neither clients nor backends: the listener's two, calls to
+// discovery (pacing.MaxPending), the poller, the standard streams, the second descriptor of a connection that is being
+// accepted, and one more connection while another one closes.
+const reservedSockets = 26 + asking.MostPending
 
-// ClientSockets and BackendSockets share out the descriptors. Clients hold a third at most for requests; the rest
-// of theirs is for those that are idle or have said nothing yet.
+// ClientSockets returns the number of descriptors for client connections. At most a third of all descriptors is used for
+// connections with requests; the rest of the clients' share is for those that are idle or have sent nothing yet.
 func (c *Config) ClientSockets() int { return c.Limits.Sockets * 2 / 5 }
+
+// BackendSockets returns the number of descriptors for connections to backends.
 func (c *Config) BackendSockets() int {
-	return c.Limits.Sockets - spareSockets - c.ClientSockets() - c.OpsSockets()
+	return c.Limits.Sockets - reservedSockets - c.ClientSockets() - c.OpsSockets()
 }
 
-// OpsSockets are the descriptors for callers at the second address: enough for some that say nothing, beside those that
-// ask all day.
+// OpsSockets returns the number of descriptors for connections to the operators' listener. It leaves room for some silent
+// connections beside those of regular pollers.
 func (c *Config) OpsSockets() int {
 	if c.Ops == "" {
 		return 0
@@ -190,12 +194,11 @@
 	return min(32, c.Limits.Sockets/8)
 }
 
-// Long reports whether bodies may be longer than 64 KiB and come in every form that HTTP/1.1 has. The platform's pages
-// bound and word them more narrowly where there is no second address; there, one that breaks that is spoilt, and another
-// server can be asked at once.
+// AllowsLongBodies reports whether bodies may be longer than 64 KiB and use every framing of HTTP/1.1. Without an operators'
+// listener the platform's rules are stricter: an answer that violates them is invalid, and another server can be tried at once.
 func (c *Config) Long() bool { return c.Ops != "" }
 
-// ConnectTimeout bounds the dial of a backend.
+// ConnectTimeout returns the timeout for dialing a backend.
 func (c *Config) ConnectTimeout() time.Duration {
 	if ns := c.Host.Ceilings.ConnectTimeoutNs; ns > 0 {
 		return time.Duration(ns)
@@ -203,8 +206,8 @@
 	return time.Second
 }
 
-// IdleFor is how long an idle connection to a backend may still be used. A backend closes one after
-// ConnIdleNs; a request written just then would be reset, so the agent drops it well before.
+// IdleTimeout returns how long an idle connection to a backend may be reused. A backend closes it after ConnIdleNs; a
+// request written at that moment would be reset, so the agent closes the connection well before.
 func (c *Config) IdleFor() time.Duration {
 	if ns := c.Host.Ceilings.ConnIdleNs; ns > 0 {
 		return time.Duration(ns) * 4 / 5
@@ -212,7 +215,7 @@
 	return 10 * time.Second
 }
 
-// LongestDeadline is the longest that a client may wait for an answer.
+// MaxDeadline returns the longest time that a client may wait for an answer.
 func (c *Config) LongestDeadline() (longest time.Duration) {
 	for _, class := range c.Module.Classes {
 		longest = max(longest, class.Deadline)
@@ -220,12 +223,12 @@
 	return longest
 }
 
-// Class returns the position of a class, or -1.
+// ClassIndex returns the index of a class, or -1.
 func (c *Config) Class(name string) int {
 	return slices.IndexFunc(c.Module.Classes, func(class choice.Class) bool { return class.Name == name })
 }
 
-// Tenant returns the position of a tenant, or -1. Where there are none, any is the first.
+// TenantIndex returns the index of a tenant, or -1. Without configured tenants it returns 0 for any name.
 func (c *Config) Tenant(name string) int {
 	if len(c.Host.Tenants) == 0 {
 		return 0
--- a/internal/settings/config/where.go
+++ b/internal/settings/config/where.go
@@ -11,26 +11,26 @@
 	"ternbeam/internal/settings/wire"
 )
 
-// Where adds to an error of Parse's the line and the key that it is about, as far as that can be told.
+// WithPosition adds to an error of Parse the line and the key that it concerns, as far as they are known.
 func Where(text []byte, err error) error {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	var keyed *wire.KeyError
-	lines, settings := walk(text)
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
+	var keyErr *wire.KeyError
+	lines, settings := locateKeys(text)
 	switch {
-	case errors.As(err, &syntax):
-		return fmt.Errorf("line %d: %w", lineAt(text, syntax.Offset), err)
-	case errors.As(err, &kind):
-		offset, key := kind.Offset, kind.Field
+	case errors.As(err, &syntaxErr):
+		return fmt.Errorf("line %d: %w", lineAt(text, syntaxErr.Offset), err)
+	case errors.As(err, &typeErr):
+		offset, key := typeErr.Offset, typeErr.Field
 		if errors.Is(err, errSettings) {
 			offset, key = offset+settings, "settings."+key
 		}
 		return fmt.Errorf("line %d: %s: %w", lineAt(text, offset), key, err)
-	case errors.As(err, &keyed):
-		key := "settings." + keyed.Key
-		return fmt.Errorf("line %d: %s: %w", lines.of(key), key, err)
+	case errors.As(err, &keyErr):
+		key := "settings." + keyErr.Key
+		return fmt.Errorf("line %d: %s: %w", lines.find(key), key, err)
 	case errors.Is(err, errSettings):
-		return fmt.Errorf("line %d: settings: %w", lines.of("settings"), err)
+		return fmt.Errorf("line %d: settings: %w", lines.find("settings"), err)
 	}
 	return fmt.Errorf("line 1: %w", err)
 }
@@ -39,11 +39,11 @@
 	return 1 + bytes.Count(text[:max(0, min(offset, int64(len(text))))], []byte("\n"))
 }
 
-// keyLines are the lines of keys, such as settings.Classes.0.Effect.
+// keyLines maps keys, such as settings.Classes.0.Effect, to their lines.
 type keyLines map[string]int
 
-// of returns the line of a key or, if it is not there, of what should hold it.
-func (l keyLines) of(key string) int {
+// find returns the line of a key or, if the key is absent, of the nearest parent that is present.
+func (l keyLines) find(key string) int {
 	for {
 		if line := l[key]; line > 0 || key == "" {
 			return max(1, line)
@@ -52,8 +52,8 @@
 	}
 }
 
-// walk finds the lines of all keys, and where the value of settings begins.
-func walk(text []byte) (lines keyLines, settings int64) {
+// locateKeys returns the lines of all keys, and the offset at which the value of settings begins.
+func locateKeys(text []byte) (lines keyLines, settings int64) {
 	lines = keyLines{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	var value func(path string)
@@ -65,7 +65,7 @@
 		}
 		lines[path] = lineAt(text, d.InputOffset())
 		if path == "settings" {
-			colon := bytes.IndexByte(text[begin:], ':') // the key's end is where the decoder stands
+			colon := bytes.IndexByte(text[begin:], ':') // begin is the end of the key
 			settings = begin + int64(colon) + 1
 		}
 		join := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
--- a/internal/settings/peerconf/peerconf.go
+++ b/internal/settings/peerconf/peerconf.go
@@ -1,4 +1,5 @@
-// Package peerconf reads how an agent talks with the others that front the same servers.
+// Package peerconf reads the file that says how agents that front the same servers exchange their lists (see
+// deploy/peers.toml).
 package peerconf
 
 import (
@@ -20,7 +21,7 @@
 	} `toml:"lists"`
 }
 
-// Parse reads such a file. An error holds every problem, by line and key.
+// Parse parses such a file. The error joins all problems, each with its line and key.
 func Parse(text []byte) (*sharing.Settings, error) {
 	var in file
 	src := conffile.Read(text, &in)
@@ -33,7 +34,7 @@
 	src.Span("lists.stale_s", l.StaleS, time.Second, 1, 600, &s.Stale)
 	src.Span("lists.calm_s", l.CalmS, time.Second, 1, 600, &s.Calm)
 	if s.Stale < 4*s.Round {
-		src.Problem("lists.stale_s", "must be four rounds or more")
+		src.Problem("lists.stale_s", "must be at least four times round_ms")
 	}
 	if err := src.Err(); err != nil {
 		return nil, err
--- a/internal/settings/sourceconf/sourceconf.go
+++ b/internal/settings/sourceconf/sourceconf.go
@@ -1,4 +1,4 @@
-// Package sourceconf reads where an agent's servers come from.
+// Package sourceconf reads the file that says where an agent's servers come from (see deploy/sources.toml).
 package sourceconf
 
 import (
@@ -15,25 +15,25 @@
 	"ternbeam/internal/settings/conffile"
 )
 
-// DNS is a source that asks name servers.
+// DNS is a source that queries name servers for SRV records.
 type DNS struct {
-	Name    string
-	Servers []string
-	Hold    time.Duration
+	Name    string        // of the SRV records
+	Servers []string      // name servers, as address and port
+	Hold    time.Duration // how long its facts count after they expire; 0 for no limit
 	Resolve resolve.Settings
 }
 
-// Config is what such a file says.
+// Config is the content of such a file.
 type Config struct {
-	ListHold   time.Duration
+	ListHold   time.Duration // how long the list's facts count once it is unreachable; 0 for no limit
 	DNS        []DNS
-	Membership membership.Settings // without the sources
+	Membership membership.Settings // its sources are not set
 	Addresses  addresses.Settings
 }
 
 const (
-	maxSources = 4
-	maxServers = 8
+	maxSources     = 4 // DNS tables
+	maxNameServers = 8 // of one source
 )
 
 type file struct {
@@ -78,9 +78,9 @@
 	IPv4         *bool    `toml:"ipv4"`
 }
 
-var kinds = map[string]addresses.Kind{"unix": addresses.Unix, "ipv6": addresses.IPv6, "ipv4": addresses.IPv4, "name": addresses.Name}
+var addressKinds = map[string]addresses.Kind{"unix": addresses.Unix, "ipv6": addresses.IPv6, "ipv4": addresses.IPv4, "name": addresses.Name}
 
-// Parse reads such a file. An error holds every problem, by line and key.
+// Parse parses such a file. The error joins all problems, each with its line and key.
 func Parse(text []byte) (*Config, error) {
 	var f file
 	src := conffile.Read(text, &f)
@@ -102,9 +102,9 @@
 	if d.Order != nil {
 		a.Order = nil
 		for i, name := range d.Order {
-			kind, ok := kinds[name]
+			kind, ok := addressKinds[name]
 			if !ok {
-				src.Problem("addresses.order", "entry %d: %q is none of unix, ipv6, ipv4, name", i+1, name)
+				src.Problem("addresses.order", "entry %d: %q is not one of unix, ipv6, ipv4, name", i+1, name)
 			}
 			a.Order = append(a.Order, kind)
 		}
@@ -118,7 +118,7 @@
 		src.Problem("addresses.most_avoid_s", "must not be below avoid_s")
 	}
 	if len(f.DNS) > maxSources {
-		src.Problem("dns", "%d tables, %d at most are allowed", len(f.DNS), maxSources)
+		src.Problem("dns", "%d tables, at most %d are allowed", len(f.DNS), maxSources)
 	}
 	for i := range f.DNS {
 		c.DNS = append(c.DNS, readDNS(src, i, &f.DNS[i]))
@@ -135,22 +135,22 @@
 		src.Problem("dns."+key, "table %d: %s", i+1, fmt.Sprintf(format, args...))
 	}
 	if labels, ok := dns.IsDomainName(t.Name); !ok || labels < 2 {
-		problem("name", "%q is no name of SRV records", t.Name)
+		problem("name", "%q is not a name of SRV records", t.Name)
 	}
-	if len(t.Servers) < 1 || len(t.Servers) > maxServers {
-		problem("servers", "must be 1 to %d", maxServers)
+	if len(t.Servers) < 1 || len(t.Servers) > maxNameServers {
+		problem("servers", "must be 1 to %d addresses", maxNameServers)
 	}
 	for _, s := range t.Servers {
 		if _, err := netip.ParseAddrPort(s); err != nil {
-			problem("servers", "%q is no address with a port", s)
+			problem("servers", "%q is not an address with a port", s)
 		}
 	}
-	speaks, err := protocol.Parse(t.Protocol)
+	protocols, err := protocol.Parse(t.Protocol)
 	if err != nil {
 		problem("protocol", "%v", err)
 	}
 	s := &d.Resolve
-	s.Name, s.Speaks = t.Name, speaks
+	s.Name, s.Speaks = t.Name, protocols
 	src.Span("dns.hold_s", t.HoldS, time.Second, 0, 86_400, &d.Hold)
 	src.Span("dns.timeout_ms", t.TimeoutMS, time.Millisecond, 10, 30_000, &s.Timeout)
 	src.Span("dns.tcp_timeout_ms", t.TCPTimeoutMS, time.Millisecond, 10, 30_000, &s.TCP)
--- a/internal/settings/stateconf/stateconf.go
+++ b/internal/settings/stateconf/stateconf.go
@@ -1,4 +1,4 @@
-// Package stateconf reads where and how an agent keeps what it has learned.
+// Package stateconf reads the file that says where and how an agent persists what it has learned (see deploy/state.toml).
 package stateconf
 
 import (
@@ -10,23 +10,23 @@
 	"ternbeam/internal/settings/conffile"
 )
 
-// Config is what such a file says.
+// Config is the content of such a file.
 type Config struct {
 	Folder    string
-	Load      time.Duration // how long a start waits for the folder
-	End       time.Duration // for the last write of an agent that ends
-	MostBytes int64         // of all that is kept
+	Load      time.Duration // the longest time that a start waits for the folder
+	End       time.Duration // the longest time for the last write at shutdown
+	MostBytes int64         // limit on the size of all files together
 	Keeping   keeping.Settings
 	Aging     aging.Settings
 }
 
-// Default is the configuration of a folder about which nothing else is said.
+// Default returns the configuration with a folder and the defaults for all else.
 func Default(folder string) Config {
 	return Config{Folder: folder, Load: 200 * time.Millisecond, End: 300 * time.Millisecond, MostBytes: 64 << 20,
 		Keeping: keeping.Defaults, Aging: aging.Defaults}
 }
 
-// file is the form of the file. What is absent has its default.
+// file is the layout of the file. A key that is absent has its default.
 type file struct {
 	Folder  string   `toml:"folder"`
 	LoadMS  *float64 `toml:"load_ms"`
@@ -57,7 +57,7 @@
 	} `toml:"bounds"`
 }
 
-// Parse reads such a file. An error holds every problem, by line and key.
+// Parse parses such a file. The error joins all problems, each with its line and key.
 func Parse(text []byte) (Config, error) {
 	var f file
 	src := conffile.Read(text, &f)
--- a/internal/settings/wire/decode.go
+++ b/internal/settings/wire/decode.go
@@ -1,4 +1,5 @@
-// Package wire reads the simulator's lines and prints the replies. It decides nothing.
+// Package wire implements the simulator's line protocol: it decodes its messages, encodes the replies and parses the settings
+// object, which the real agent has in its configuration too. It makes no decisions.
 package wire
 
 import (
@@ -14,17 +15,17 @@
 	"ternbeam/choice"
 )
 
-// Kind says what a Message is.
+// Kind is the kind of a Message.
 type Kind int
 
 // The kinds of messages.
 const (
 	Turn        Kind = iota // a batch begins at Now
 	YourTurn                // a batch ends; the reply is due
-	Launch                  // an instance begins, with Settings and Seed
-	Killed                  // an instance is gone
-	Event                   // an instance has an event
-	Unavailable             // the list can't be had by an instance, or its subscription broke
+	Launch                  // an instance starts, with Settings and Seed
+	Killed                  // an instance has ended
+	Event                   // an event for an instance
+	Unavailable             // the list of servers is unavailable to an instance, or its subscription failed
 )
 
 // Message is one decoded line.
@@ -35,31 +36,31 @@
 	Settings Settings
 	Seed     uint64
 	Event    choice.Event
-	Restored bool // of a list: it was there at the start
+	Restored bool // of a list: it is the one that the instance had at its start
 }
 
-// lists is how many numbered lists there are at a time.
-const lists = 16
+// maxLists is the number of list buffers: Buffer is from 0 to maxLists-1.
+const maxLists = 16
 
-// Decoder reads messages.
+// Decoder decodes messages. It is not safe for concurrent use.
 type Decoder struct {
-	in        *bufio.Reader
-	long      []byte
-	line      int
-	inTurn    bool
-	parser    fastjson.Parser
-	rows      [lists][]choice.Server
-	instances map[string][]string // each one's report fields
-	names     map[string]string   // ids that come again and again, to keep one copy
-	bad       error               // the first fault in the line at hand
+	in           *bufio.Reader
+	longLine     []byte
+	line         int
+	inTurn       bool
+	parser       fastjson.Parser
+	lists        [maxLists][]choice.Server
+	reportFields map[string][]string // names of the figures in load reports, by running instance
+	interned     map[string]string   // one copy of each repeated id
+	firstErr     error               // the first error in the current line
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), instances: map[string][]string{}, names: map[string]string{}}
+	return &Decoder{in: bufio.NewReaderSize(r, 1<<20), reportFields: map[string][]string{}, interned: map[string]string{}}
 }
 
-// Next returns the next message, or io.EOF at the end of the input. Other errors name the line and the fault.
+// Next returns the next message, or io.EOF at the end of the input. All other errors begin with the line number.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		text, err := d.read()
@@ -82,28 +83,28 @@
 	}
 }
 
-// read returns the next line without its end, however long it is.
+// read returns the next line without its line end. There is no limit on its length.
 func (d *Decoder) read() ([]byte, error) {
-	d.long = d.long[:0]
+	d.longLine = d.longLine[:0]
 	for {
 		part, err := d.in.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			d.long = append(d.long, part...)
+			d.longLine = append(d.longLine, part...)
 			continue
 		}
-		if err != nil && (err != io.EOF || len(part)+len(d.long) == 0) {
+		if err != nil && (err != io.EOF || len(part)+len(d.longLine) == 0) {
 			return nil, err
 		}
 		d.line++
-		if len(d.long) > 0 {
-			part = append(d.long, part...)
-			d.long = part
+		if len(d.longLine) > 0 {
+			part = append(d.longLine, part...)
+			d.longLine = part
 		}
 		return bytes.TrimSpace(part), nil
 	}
 }
 
-// decode decodes one line; skip says that it holds no message of its own.
+// decode decodes one line. skip reports that the line yields no Message.
 func (d *Decoder) decode(text []byte) (m Message, skip bool, err error) {
 	v, err := d.parser.ParseBytes(text)
 	if err != nil {
@@ -112,7 +113,7 @@
 	if v.Type() != fastjson.TypeObject {
 		return m, false, errors.New("not an object")
 	}
-	d.bad = nil
+	d.firstErr = nil
 	kind := d.bytes(v, "type")
 	switch string(kind) {
 	case "Turn":
@@ -120,7 +121,7 @@
 			return m, false, errors.New("a Turn inside a Turn: YourTurn is missing")
 		}
 		d.inTurn = true
-		return Message{Kind: Turn, Now: d.time(v, "WallNs")}, false, d.bad
+		return Message{Kind: Turn, Now: d.time(v, "WallNs")}, false, d.firstErr
 	case "YourTurn":
 		if !d.inTurn {
 			return m, false, errors.New("YourTurn without a Turn")
@@ -134,8 +135,8 @@
 	switch string(kind) {
 	case "Census":
 		d.census(v)
-		return m, true, d.bad
-	case "Message": // from another instance: the module tells them nothing and has no use for it
+		return m, true, d.firstErr
+	case "Message": // from another instance: instances send each other nothing, so it is ignored
 		return m, true, nil
 	}
 	m.Instance = d.name(v, "I")
@@ -143,7 +144,7 @@
 	case "Launch":
 		m.Kind, m.Seed = Launch, d.uint(v, "Seed")
 		m.Settings = d.launch(m.Instance, v.Get("BootInfo"))
-		return m, false, d.bad
+		return m, false, d.firstErr
 	case "Killed":
 		m.Kind = Killed
 	case "Members":
@@ -154,7 +155,7 @@
 	default:
 		m.Kind = Event
 	}
-	fields, ok := d.instances[m.Instance]
+	fields, ok := d.reportFields[m.Instance]
 	if !ok {
 		return m, false, fmt.Errorf("instance %q was never launched", m.Instance)
 	}
@@ -162,9 +163,9 @@
 	case Event:
 		m.Event = d.event(string(kind), v, fields)
 	case Killed:
-		delete(d.instances, m.Instance)
+		delete(d.reportFields, m.Instance)
 	}
-	return m, false, d.bad
+	return m, false, d.firstErr
 }
 
 func (d *Decoder) event(kind string, v *fastjson.Value, fields []string) choice.Event {
@@ -187,7 +188,7 @@
 	case "TimeoutFired":
 		return choice.TimerFired{Token: d.uint(v, "Handle")}
 	}
-	d.fault("unknown type %q", kind)
+	d.fail("unknown type %q", kind)
 	return nil
 }
 
@@ -196,22 +197,22 @@
 	switch form {
 	case "update", "replace", "restored":
 	default:
-		d.fault("unknown Form %q", form)
+		d.fail("unknown Form %q", form)
 	}
 	n := d.int(v, "Buffer")
-	if n < 0 || n >= lists || d.rows[n] == nil {
-		d.fault("unknown list number %d", n)
+	if n < 0 || n >= maxLists || d.lists[n] == nil {
+		d.fail("unknown list number %d", n)
 		return nil
 	}
-	return choice.ServerList{Full: form != "update", Servers: d.rows[n]}
+	return choice.ServerList{Full: form != "update", Servers: d.lists[n]}
 }
 
-// census keeps a numbered list. Each gets rows of its own, since events decoded before may still refer to the
-// rows that had the number.
+// census stores a list in its buffer. Each list gets a new slice, since events decoded earlier may still refer to the
+// previous list of the same number.
 func (d *Decoder) census(v *fastjson.Value) {
 	n := d.int(v, "Buffer")
-	if n < 0 || n >= lists {
-		d.fault("list number %d is not from 0 to %d", n, lists-1)
+	if n < 0 || n >= maxLists {
+		d.fail("list number %d is not from 0 to %d", n, maxLists-1)
 		return
 	}
 	rows := []choice.Server{}
@@ -226,11 +227,11 @@
 		case "gone":
 			s.State = choice.Gone
 		default:
-			d.fault("unknown Mode %q", mode)
+			d.fail("unknown Mode %q", mode)
 		}
 		rows = append(rows, s)
 	}
-	d.rows[n] = rows
+	d.lists[n] = rows
 }
 
 var results = map[int]choice.Result{10: choice.OK, 20: choice.Failed, 30: choice.Rejected, 40: choice.TimedOut,
@@ -240,7 +241,7 @@
 	n := d.int(v, "Result")
 	r, ok := results[n]
 	if !ok {
-		d.fault("unknown Result %d", n)
+		d.fail("unknown Result %d", n)
 	}
 	return r
 }
@@ -250,7 +251,7 @@
 	for i, e := range d.array(v, "Usage") {
 		x, err := e.Float64()
 		if err != nil {
-			d.fault("Usage: %v", err)
+			d.fail("Usage: %v", err)
 		}
 		if i >= len(fields) {
 			break
@@ -260,9 +261,9 @@
 	return r
 }
 
-func (d *Decoder) fault(format string, args ...any) {
-	if d.bad == nil {
-		d.bad = fmt.Errorf(format, args...)
+func (d *Decoder) fail(format string, args ...any) {
+	if d.firstErr == nil {
+		d.firstErr = fmt.Errorf(format, args...)
 	}
 }
 
@@ -275,12 +276,12 @@
 	return f
 }
 
-// field converts a field of v; an absent one is the zero value.
+// field converts a field of v; an absent one yields the zero value.
 func field[T any](d *Decoder, v *fastjson.Value, key string, convert func(*fastjson.Value) (T, error)) (t T) {
 	if f := d.get(v, key); f != nil {
 		var err error
 		if t, err = convert(f); err != nil {
-			d.fault("%s: %v", key, err)
+			d.fail("%s: %v", key, err)
 		}
 	}
 	return t
@@ -316,26 +317,26 @@
 
 func (d *Decoder) str(v *fastjson.Value, key string) string { return string(d.bytes(v, key)) }
 
-// name is str for the ids of servers and instances, of which there are few.
+// name is str for the ids of servers and instances: there are few of them, so their strings are interned.
 func (d *Decoder) name(v *fastjson.Value, key string) string {
 	text := d.bytes(v, key)
-	s, ok := d.names[string(text)]
+	s, ok := d.interned[string(text)]
 	if !ok {
 		s = string(text)
-		d.names[s] = s
+		d.interned[s] = s
 	}
 	return s
 }
 
 func (d *Decoder) launch(instance string, v *fastjson.Value) Settings {
 	if v == nil || v.Type() != fastjson.TypeObject {
-		d.fault("Launch without BootInfo")
+		d.fail("Launch without BootInfo")
 		return Settings{}
 	}
 	set, err := ParseSettings(v.MarshalTo(nil))
 	if err != nil {
-		d.fault("BootInfo: %v", err)
+		d.fail("BootInfo: %v", err)
 	}
-	d.instances[instance] = set.Fields
+	d.reportFields[instance] = set.Fields
 	return set
 }
--- a/internal/settings/wire/settings.go
+++ b/internal/settings/wire/settings.go
@@ -9,7 +9,7 @@
 	"ternbeam/choice"
 )
 
-// bootInfo is the start-up object of an instance, as far as the module has a use for it.
+// bootInfo is the part of an instance's settings object that the choice module uses.
 type bootInfo struct {
 	Balancers int
 	Classes   []struct {
@@ -36,19 +36,19 @@
 	Me, Zone   int
 }
 
-// Settings are what the object says.
+// Settings is the parsed settings object.
 type Settings struct {
 	Module choice.Settings
 	List   List
 	Fields []string // the names of the figures in a load report, in their order
 }
 
-// List is what it says of how the list of servers is asked for. It has the form of asking.Settings.
+// Pacing says when the list of servers is requested. Its fields are those of pacing.Settings, to which it is converted.
 type List struct {
-	Shared     bool
-	Agents, Me int
-	MustAsk    time.Duration
-	Grace      time.Duration
+	Shared     bool          // one service serves the list to all agents
+	Agents, Me int           // the number of agents, and this one's index
+	MustAsk    time.Duration // the longest time without a request for the list; 0 for no bound
+	Grace      time.Duration // how long after the notice of a drain a server may still be sent calls; 0 if not given
 }
 
 var (
@@ -56,7 +56,8 @@
 	groups  = []string{choice.GroupAll: "all", choice.GroupZone: "zone", choice.GroupCell: "cell"}
 )
 
-// ParseSettings reads the settings object of an instance. The simulator's adapter and the real agent both read it here.
+// ParseSettings parses the settings object of an instance, for the simulator's adapter as well as for the real agent. An
+// error is a *KeyError or one of encoding/json.
 func ParseSettings(data []byte) (Settings, error) {
 	var boot bootInfo
 	if err := json.Unmarshal(data, &boot); err != nil {
@@ -67,24 +68,24 @@
 		Agents: boot.Balancers, Me: boot.Me, MustAsk: time.Duration(boot.Rules.MustAskInNs), Grace: time.Duration(boot.Rules.DrainGraceNs)}}, err
 }
 
-// KeyError is what is wrong with one key of the settings, such as Classes.0.Effect.
+// KeyError is an error in the value of one key of the settings.
 type KeyError struct {
-	Key string
+	Key string // such as Classes.0.Effect
 	Err error
 }
 
 func (e *KeyError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the error without its key.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// Sane reports whether a figure of a load report can be true.
+// PlausibleFigure reports whether a figure of a load report is plausible: from 0 to 1e6, and not NaN.
 func Sane(x float64) bool {
-	const most = 1e6           // more than any can be
-	return x >= 0 && x <= most // and no NaN
+	const maxFigure = 1e6           // more than any real figure
+	return x >= 0 && x <= maxFigure // false for NaN
 }
 
-// SetField puts a named figure into a load report; names that the module has no use for are passed over.
+// SetField sets the figure of a load report that has the given name; it ignores names that the choice module does not use.
 func SetField(r *choice.Report, name string, x float64) {
 	switch name {
 	case "util":
--- a/internal/settings/wire/wire_test.go
+++ b/internal/settings/wire/wire_test.go
@@ -21,7 +21,7 @@
 
 const launch = `{"type":"Launch","I":"agent_1","Seed":9223372036854775807,"BootInfo":` + boot + `}`
 
-// read decodes lines inside a turn.
+// read decodes lines within one turn.
 func read(t *testing.T, lines ...string) ([]Message, error) {
 	t.Helper()
 	text := "{\"type\":\"Turn\",\"WallNs\":5}\n" + strings.Join(lines, "\n") + "\n{\"type\":\"YourTurn\"}\n"
@@ -60,11 +60,11 @@
 		m.Settings.List != (List{Shared: true, Agents: 3, Me: 2, MustAsk: 7}) {
 		t.Errorf("launch: %+v", m)
 	}
-	half := choice.NoReport
-	half.Util, half.Rate = 0.5, 70
+	report := choice.NoReport
+	report.Util, report.Rate = 0.5, 70
 	want := []choice.Event{
 		choice.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, Again: true},
-		choice.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: choice.Rejected, Took: 8, Report: half},
+		choice.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: choice.Rejected, Took: 8, Report: report},
 		choice.Outcome{Request: "bb39", Server: "10.0.0.1:1", Closed: true, Report: choice.NoReport},
 		choice.ClientGone{Request: "bb39"},
 		choice.Streaming{Request: "bb39", Attempt: 1},
@@ -78,7 +78,7 @@
 		}
 	}
 	if last := got[len(got)-1]; last.Kind != Unavailable || last.Event != nil {
-		t.Errorf("%+v for a list that can't be had", last)
+		t.Errorf("%+v for an unavailable list", last)
 	}
 }
 
@@ -91,7 +91,7 @@
 	return string(b)
 }
 
-// A list number may be given to a new list later in the batch: each reference holds what it named then.
+// A list number may be reused for a new list later in the batch: an earlier event keeps the list that it referred to.
 func TestRecycledList(t *testing.T) {
 	got, err := read(t, launch,
 		`{"type":"Census","Buffer":15,"RowsIn":[{"Backend":"a:1","Mode":"ready","Units":1.5,"CameUpNs":6,"Pack":2}]}`,
@@ -159,7 +159,7 @@
 	pad := strings.Repeat("x", 3<<20)
 	got, err := read(t, launch, `{"type":"Dropped","I":"agent_1","Tid":"`+pad+`"}`)
 	if err != nil || got[1].Event.(choice.ClientGone).Request != pad {
-		t.Errorf("a line of megabytes: %v", err)
+		t.Errorf("a line of 3 MiB: %v", err)
 	}
 }
 
@@ -196,19 +196,19 @@
 		for {
 			m, err := d.Next()
 			if err != nil {
-				return // an error or the end, never a panic
+				return // an error or io.EOF, never a panic
 			}
 			if m.Kind == Event && m.Event == nil {
-				t.Fatal("an event without content and without an error")
+				t.Fatal("an Event message without an event and without an error")
 			}
 		}
 	})
 }
 
-// BenchmarkDecode and BenchmarkDecodeStandard compare this decoder with encoding/json on the commonest line.
+// BenchmarkDecode and BenchmarkDecodeStandard compare this decoder with encoding/json on the most frequent line.
 func BenchmarkDecode(b *testing.B) {
 	d := NewDecoder(strings.NewReader(""))
-	d.inTurn, d.instances["agent_1"] = true, []string{"util", "qps"}
+	d.inTurn, d.reportFields["agent_1"] = true, []string{"util", "qps"}
 	for b.Loop() {
 		if _, _, err := d.decode([]byte(answer)); err != nil {
 			b.Fatal(err)
