--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -1,6 +1,6 @@
-// Package bridge carries calls between shapes and protocols: it tells the fronts in which shape a call came, and stands
-// between the core and the transports where an attempt's way has a translation. What is decided, which shape a server is
-// sent, is the routes'; what becomes of a message the translator's.
+// Package bridge connects the translator to the core: it determines the shape of each call for the fronts, and wraps the
+// transports to translate the attempts whose route requires it. Package routes decides which shape a server is sent; package
+// translate converts the messages.
 package bridge
 
 import (
@@ -24,93 +24,94 @@
 	"ternbeam/internal/translate"
 )
 
-// Bridge holds the shapes that are in use.
+// Bridge holds the set of shapes in use. It is safe for concurrent use.
 type Bridge struct {
 	cfg     *config.Config
 	service *thriftmap.Map // nil where Thrift is off
-	now     atomic.Pointer[edition]
+	current atomic.Pointer[snapshot]
 }
 
-// edition is a file of shapes as it was read at one time.
-type edition struct {
+// snapshot is a set of shapes with the routing table built from it. It is not changed after its construction.
+type snapshot struct {
 	set   *translate.Set
 	table *routes.Table
-	at    map[*translate.Shape]int // in the table
+	index map[*translate.Shape]int // of the shapes in the table
 }
 
-// New returns a Bridge over a set of shapes. Without a Thrift service those in Thrift are left out.
+// New returns a Bridge over a set of shapes. Without a Thrift service (nil) the set's Thrift shapes are ignored.
 func New(set *translate.Set, cfg *config.Config, service *thriftmap.Map) (*Bridge, error) {
 	b := &Bridge{cfg: cfg, service: service}
-	e, err := b.edition(set)
+	s, err := b.newSnapshot(set)
 	if err != nil {
 		return nil, err
 	}
-	b.now.Store(e)
+	b.current.Store(s)
 	return b, nil
 }
 
-// Routes returns what decides where calls may go, with nothing learned yet.
+// NewRouter returns a router over the current table that has learned nothing yet.
 func (b *Bridge) Routes() (*routes.Routes, error) {
-	e := b.now.Load()
-	return routes.New(routes.Settings{Forget: e.set.Forget, MostForget: e.set.MostForget}, e.table)
+	s := b.current.Load()
+	return routes.New(routes.Settings{Forget: s.set.Forget, MostForget: s.set.MostForget}, s.table)
 }
 
-// Replace takes another set. The loop must know its table first: use tells it. After an error all stays as it was.
+// Replace replaces the set of shapes. The event loop must have the new table before any call refers to it, so use is called
+// first to install it there. After an error the previous set stays in use.
 func (b *Bridge) Replace(set *translate.Set, use func(*routes.Table) error) error {
-	e, err := b.edition(set)
+	s, err := b.newSnapshot(set)
 	if err != nil {
 		return err
 	}
-	if err := use(e.table); err != nil {
+	if err := use(s.table); err != nil {
 		return err
 	}
-	b.now.Store(e)
+	b.current.Store(s)
 	return nil
 }
 
-// edition lays out a set for the routes, and holds it against the classes and the Thrift service.
-func (b *Bridge) edition(set *translate.Set) (*edition, error) {
+// newSnapshot checks a set against the classes and the Thrift service, and builds its routing table.
+func (b *Bridge) newSnapshot(set *translate.Set) (*snapshot, error) {
 	var shapes []routes.Shape
-	var faults []error
-	at := map[*translate.Shape]int{}
+	var errs []error
+	index := map[*translate.Shape]int{}
 	for _, name := range slices.Sorted(maps.Keys(set.Shapes)) {
 		s := set.Shapes[name]
 		class := b.cfg.Class(s.Class)
 		if class < 0 {
-			faults = append(faults, fmt.Errorf("shape %s: the settings know no class %q", name, s.Class))
+			errs = append(errs, fmt.Errorf("shape %s: the settings have no class %q", name, s.Class))
 			continue
 		}
-		speaks := protocol.HTTP
+		protocols := protocol.HTTP
 		if s.Protocol == "thrift" {
 			if b.service == nil {
 				continue
 			}
-			speaks = protocol.ThriftBinary | protocol.ThriftCompact
+			protocols = protocol.ThriftBinary | protocol.ThriftCompact
 			switch m := b.service.Method([]byte(s.Method())); {
 			case m == nil:
-				faults = append(faults, fmt.Errorf("shape %s: the Thrift service has no method %q", name, s.Method()))
+				errs = append(errs, fmt.Errorf("shape %s: the Thrift service has no method %q", name, s.Method()))
 			case m.Class != class:
-				faults = append(faults, fmt.Errorf("shape %s: the Thrift service has %q in another class", name, s.Method()))
+				errs = append(errs, fmt.Errorf("shape %s: the Thrift service has method %q in another class", name, s.Method()))
 			case m.Oneway:
-				faults = append(faults, fmt.Errorf("shape %s: %q is oneway, which has no shape", name, s.Method()))
+				errs = append(errs, fmt.Errorf("shape %s: method %q is oneway, and a oneway method can have no shape", name, s.Method()))
 			}
 		}
-		at[s] = len(shapes)
-		shapes = append(shapes, routes.Shape{Name: name, Version: s.Class + "/" + s.Version, Speaks: speaks})
+		index[s] = len(shapes)
+		shapes = append(shapes, routes.Shape{Name: name, Version: s.Class + "/" + s.Version, Speaks: protocols})
 	}
-	if len(faults) > 0 {
-		return nil, errors.Join(faults...)
+	if len(errs) > 0 {
+		return nil, errors.Join(errs...)
 	}
 	table := routes.NewTable(shapes)
-	// A call stays in its client's protocol where it can, and loses nothing where it need not: else in the file's order.
+	// Lossless translations come first, those within the client's protocol before all others; else the order is that of the file.
 	for _, pass := range []func(*translate.Plan) bool{
 		func(p *translate.Plan) bool { return p.From.Protocol == p.To.Protocol && len(p.Loses()) == 0 },
 		func(p *translate.Plan) bool { return p.From.Protocol != p.To.Protocol && len(p.Loses()) == 0 },
 		func(p *translate.Plan) bool { return len(p.Loses()) > 0 },
 	} {
 		for _, p := range set.Plans {
-			_, from := at[p.From]
-			_, to := at[p.To]
+			_, from := index[p.From]
+			_, to := index[p.To]
 			if pass(p) && from && to {
 				if err := table.Link(p.From.Name, p.To.Name, p); err != nil {
 					return nil, err
@@ -118,112 +119,117 @@
 			}
 		}
 	}
-	return &edition{set, table, at}, nil
+	return &snapshot{set, table, index}, nil
 }
 
-// ErrShape says that a call is in none of the shapes of its class.
+// ErrUnknownShape is returned for a call whose class has shapes, none of which the call matches.
 var ErrShape = errors.New("in none of the shapes of its class")
 
-// HTTP finds the shape of a request, and adds to it what a transport must know of that.
+// HTTP determines the shape of a request of a class, and sets the fields of the request that a transport needs for it. keyLast
+// reports whether the last segment of the path is the call's key. The tag is zero for a class without shapes. The error wraps
+// ErrUnknownShape.
 func (b *Bridge) HTTP(class string, r *httpmsg.Request) (tag routes.Tag, keyLast bool, err error) {
-	e := b.now.Load()
-	s := e.set.HTTP(class, r.Method, r.URL.EscapedPath())
+	active := b.current.Load()
+	s := active.set.HTTP(class, r.Method, r.URL.EscapedPath())
 	if s == nil {
-		if e.set.Class(class) {
+		if active.set.Class(class) {
 			err = fmt.Errorf("%s %s: %w", r.Method, r.URL.Path, ErrShape)
 		}
 		return tag, true, err
 	}
-	dress(r, s)
-	return routes.Tag{Table: e.table, Shape: e.at[s], Spoken: protocol.HTTP}, s.KeyLast(), nil
+	applyShape(r, s)
+	return routes.Tag{Table: active.table, Shape: active.index[s], Spoken: protocol.HTTP}, s.KeyLast(), nil
 }
 
-// dress adds to a request what its shape asks of a transport.
-func dress(r *httpmsg.Request, s *translate.Shape) {
+// applyShape sets the fields of a request that tell a transport about its shape.
+func applyShape(r *httpmsg.Request, s *translate.Shape) {
 	r.Unknown, r.Pass, r.Wanted = s.Unknown, s.RequestHeaders(), s.ReplyHeaders()
 }
 
-// Thrift finds the shape of a call, and adds to it what a transport must know of that.
-func (b *Bridge) Thrift(c *thriftmap.Call, spoken choice.Protocols) (routes.Tag, error) {
-	e := b.now.Load()
-	s := e.set.Thrift(c.Method.Name) // in use, as the service has it
+// Thrift determines the shape of a call in an encoding, and sets the field of the call that a transport needs for it. The tag
+// is zero for a class without shapes. The error wraps ErrUnknownShape.
+func (b *Bridge) Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.Tag, error) {
+	active := b.current.Load()
+	s := active.set.Thrift(c.Method.Name) // in the table: the service has the method
 	if s == nil {
-		if e.set.Class(b.cfg.Module.Classes[c.Method.Class].Name) {
+		if active.set.Class(b.cfg.Module.Classes[c.Method.Class].Name) {
 			return routes.Tag{}, fmt.Errorf("method %q: %w", c.Method.Name, ErrShape)
 		}
 		return routes.Tag{}, nil
 	}
 	c.Unknown = int32(s.Unknown)
-	return routes.Tag{Table: e.table, Shape: e.at[s], Spoken: spoken}, nil
+	return routes.Tag{Table: active.table, Shape: active.index[s], Spoken: encoding}, nil
 }
 
-// Over returns a transport that translates, where an attempt's way says so, over one that speaks with servers.
+// Wrap returns a transport that translates the attempts whose route has a translation and passes all attempts on to t.
 func (b *Bridge) Over(t core.Transport) core.Transport { return transport{b, t} }
 
 type transport struct {
 	bridge *Bridge
-	under  core.Transport
+	next   core.Transport
 }
 
-// Attempt is core.Transport's.
-func (t transport) Attempt(ctx context.Context, at *core.Attempt) core.Ending {
-	plan, ok := at.Way.Plan.(*translate.Plan)
+// Attempt implements core.Transport.
+func (t transport) Attempt(ctx context.Context, attempt *core.Attempt) core.Ending {
+	plan, ok := attempt.Way.Plan.(*translate.Plan)
 	if !ok {
-		return t.under.Attempt(ctx, at)
+		return t.next.Attempt(ctx, attempt)
 	}
-	payload, err := t.bridge.request(ctx, at, plan)
+	payload, err := t.bridge.translateRequest(ctx, attempt, plan)
 	if err != nil {
-		e := core.Ended(choice.NotSent)
-		e.Unfit = err
-		return e
+		outcome := core.Ended(choice.NotSent)
+		outcome.Unfit = err
+		return outcome
 	}
-	at.Payload = payload
-	e := t.under.Attempt(ctx, at)
-	if e.Result == choice.OK {
-		e.Reply, e.Untold = t.bridge.reply(at, plan, e.Reply)
+	attempt.Payload = payload
+	outcome := t.next.Attempt(ctx, attempt)
+	if outcome.Result == choice.OK {
+		outcome.Reply, outcome.Untold = t.bridge.translateReply(attempt, plan, outcome.Reply)
 	}
-	return e
+	return outcome
 }
 
-// encodings are those of the protocols.
+// encodings maps the Thrift protocols to their encodings.
 var encodings = map[choice.Protocols]thriftwire.Encoding{protocol.ThriftBinary: thriftwire.Binary,
 	protocol.ThriftCompact: thriftwire.Compact}
 
-// request words a call in the shape that its server takes.
-func (b *Bridge) request(ctx context.Context, at *core.Attempt, plan *translate.Plan) (any, error) {
+// translateRequest translates the payload of an attempt into the shape that its server takes. The texts of its errors are sent
+// to the client.
+func (b *Bridge) translateRequest(ctx context.Context, attempt *core.Attempt, plan *translate.Plan) (any, error) {
 	in := &translate.Message{}
-	words := translate.Words{Encoding: encodings[at.Speaks], Envelope: translate.Envelope{ID: at.Call.ID, Repeat: at.Call.Again,
+	opts := translate.Words{Encoding: encodings[attempt.Speaks], Envelope: translate.Envelope{ID: attempt.Call.ID, Repeat: attempt.Call.Again,
 		Left: time.Second}}
-	if end, ok := ctx.Deadline(); ok {
-		words.Envelope.Left = time.Until(end)
+	if deadline, ok := ctx.Deadline(); ok {
+		opts.Envelope.Left = time.Until(deadline)
 	}
-	var head http.Header
-	switch p := at.Call.Payload.(type) {
+	var header http.Header
+	switch p := attempt.Call.Payload.(type) {
 	case *httpmsg.Request:
-		head = p.Header
+		header = p.Header
 		in.Method, in.Target, in.Body = p.Method, p.URL.RequestURI(), p.Body
 		for _, name := range p.Pass {
-			for _, value := range head[name] {
+			for _, value := range header[name] {
 				in.Header = append(in.Header, translate.Header{Name: name, Value: value})
 			}
 		}
-		words.Envelope.Tenant, words.Envelope.Idempotency = head.Get("X-Account"), head.Get("Idempotency-Key")
+		opts.Envelope.Tenant, opts.Envelope.Idempotency = header.Get("X-Account"), header.Get("Idempotency-Key")
 	case *thriftmap.Call:
 		in.Thrift = p.Message
-		words.Envelope.Tenant, words.Envelope.Idempotency = p.Tenant, p.Idempotency
+		opts.Envelope.Tenant, opts.Envelope.Idempotency = p.Tenant, p.Idempotency
 	}
-	out, err := plan.Request(in, words)
+	out, err := plan.Request(in, opts)
 	if err != nil {
 		return nil, err
 	}
 	if plan.To.Protocol == "thrift" {
-		return b.thriftCall(out, plan, words.Envelope)
+		return b.newThriftCall(out, plan, opts.Envelope)
 	}
-	return httpRequest(out, plan, head)
+	return newHTTPRequest(out, plan, header)
 }
 
-// httpRequest is a request as its transport takes it.
-func httpRequest(m *translate.Message, plan *translate.Plan, head http.Header) (any, error) {
+// newHTTPRequest converts a translated message into the payload of the HTTP transport. header is that of the client's
+// request, or nil where the client speaks Thrift.
+func newHTTPRequest(m *translate.Message, plan *translate.Plan, header http.Header) (any, error) {
 	if len(m.Body) > httpmsg.MaxBody {
 		return nil, fmt.Errorf("a body of %d bytes, %d at most", len(m.Body), httpmsg.MaxBody)
 	}
@@ -231,17 +237,18 @@
 	for _, h := range m.Header {
 		r.Fields = append(r.Fields, [2]string{h.Name, h.Value})
 	}
-	for _, name := range [...]string{"X-Weight-Hint", "X-Facts"} { // the client's own word on its call, in any shape
-		for _, v := range head[name] {
+	for _, name := range [...]string{"X-Weight-Hint", "X-Facts"} { // hints by the client about its call, independent of the shape
+		for _, v := range header[name] {
 			r.Fields = append(r.Fields, [2]string{name, v})
 		}
 	}
-	dress(r, plan.To)
+	applyShape(r, plan.To)
 	return r, nil
 }
 
-// thriftCall is a call as its transport takes it. What the service's file finds in it must be what was written.
-func (b *Bridge) thriftCall(m *translate.Message, plan *translate.Plan, wrote translate.Envelope) (any, error) {
+// newThriftCall converts a translated message into the payload of the Thrift transport. It reads the message by the Thrift
+// service's file and fails unless that yields the envelope that was written.
+func (b *Bridge) newThriftCall(m *translate.Message, plan *translate.Plan, written translate.Envelope) (any, error) {
 	if len(m.Thrift) > b.service.MaxFrame {
 		return nil, fmt.Errorf("a frame of %d bytes, %d at most", len(m.Thrift), b.service.MaxFrame)
 	}
@@ -253,15 +260,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("the Thrift service can't read it: %w", err)
 	}
-	if c.ID != wrote.ID || c.Tenant != wrote.Tenant || c.Idempotency != wrote.Idempotency || c.Again != wrote.Repeat || c.Left <= 0 {
+	if c.ID != written.ID || c.Tenant != written.Tenant || c.Idempotency != written.Idempotency || c.Again != written.Repeat || c.Left <= 0 {
 		return nil, fmt.Errorf("the envelope of shape %s is not where the Thrift service has it", plan.To.Name)
 	}
 	c.Unknown = int32(plan.To.Unknown)
 	return c, nil
 }
 
-// reply words a server's answer in the client's shape. An error is no word on whether the call has run: it has.
-func (b *Bridge) reply(at *core.Attempt, plan *translate.Plan, answer any) (any, error) {
+// translateReply translates a server's answer into the client's shape. An error does not mean that the call has not run: it
+// has.
+func (b *Bridge) translateReply(attempt *core.Attempt, plan *translate.Plan, answer any) (any, error) {
 	in := &translate.Message{}
 	switch r := answer.(type) {
 	case *httpmsg.Reply:
@@ -272,11 +280,11 @@
 	case *thriftmap.Reply:
 		in.Thrift = r.Message
 	}
-	var words translate.Words
-	if c, ok := at.Call.Payload.(*thriftmap.Call); ok {
-		words.Encoding = c.Head.Encoding
+	var opts translate.Words
+	if c, ok := attempt.Call.Payload.(*thriftmap.Call); ok {
+		opts.Encoding = c.Head.Encoding
 	}
-	out, err := plan.Reply(in, words)
+	out, err := plan.Reply(in, opts)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/translate/bench_test.go
+++ b/internal/translate/bench_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// BenchmarkRequest is what a translation costs, from JSON and from a form, beside encoding/json reading the same JSON into
-// a struct and writing it again, and beside the same through maps.
+// BenchmarkRequest measures a translation from a form to JSON and from JSON to a form, and for comparison a round trip of the
+// same JSON through encoding/json with a struct and with maps.
 func BenchmarkRequest(b *testing.B) {
 	set := sample(b)
 	p, back := set.Plan("refund-record-1", "refund-record-2"), set.Plan("refund-record-2", "refund-record-1")
 	old := oldRequest(oldBody)
-	made, err := p.Request(old, words)
+	made, err := p.Request(old, options)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -25,8 +25,8 @@
 			}
 		})
 	}
-	run("form-to-json", func() error { _, err := p.Request(old, words); return err })
-	run("json-to-form", func() error { _, err := back.Request(made, words); return err })
+	run("form-to-json", func() error { _, err := p.Request(old, options); return err })
+	run("json-to-form", func() error { _, err := back.Request(made, options); return err })
 	run("encoding-json-struct", func() error {
 		var into struct {
 			Amount struct {
--- a/internal/translate/fates.go
+++ b/internal/translate/fates.go
@@ -4,46 +4,47 @@
 	"strconv"
 )
 
-// Fate is what becomes of a field, for whoever looks into a mapping.
+// FieldTrace shows how one field of a message was converted, for the inspection of mappings.
 type Fate struct {
-	From, Was   string // a field that was read and its value; empty for what is made from nothing
-	To, Becomes string // a field that is written and its value; empty for what is dropped or must be absent
+	From, Was   string // the source field and its value, or a list of them; empty for a constant
+	To, Becomes string // the target field and its value; empty for a source field that is dropped or must be absent
 }
 
-// Fates says what becomes of each field of a message, as far as it can be read. The error is the translation's refusal.
+// Trace translates a request or a reply and returns the conversion of each field, as far as the message could be read. The
+// error is the translation's *Refusal.
 func (p *Plan) Fates(m *Message, reply bool) ([]Fate, error) {
 	c := &p.request
 	if reply {
 		c = &p.reply
 	}
-	r := c.open()
-	defer r.close()
+	ws := c.newWorkspace()
+	defer ws.close()
 	var refusal *Refusal
 	if reply {
-		refusal = p.readReply(m, r)
+		refusal = p.readReply(m, ws)
 	} else {
-		refusal = p.readRequest(m, r)
+		refusal = p.readRequest(m, ws)
 	}
 	if refusal == nil {
-		refusal = c.convert(r.src, r.dst)
+		refusal = c.convert(ws.src, ws.dst)
 	}
 	var fates []Fate
-	told := map[int]bool{}
+	used := map[int]bool{}
 	for i := range c.ops {
 		o := &c.ops[i]
-		f := Fate{To: o.to.name, Becomes: o.to.show(r.dst[o.dst])}
+		f := Fate{To: o.to.name, Becomes: o.to.display(ws.dst[o.dst])}
 		for n, src := range o.src {
-			told[src] = true
+			used[src] = true
 			if n > 0 {
 				f.From, f.Was = f.From+", ", f.Was+", "
 			}
-			f.From, f.Was = f.From+c.src.fields[src].name, f.Was+c.src.fields[src].show(r.src[src])
+			f.From, f.Was = f.From+c.src.fields[src].name, f.Was+c.src.fields[src].display(ws.src[src])
 		}
 		fates = append(fates, f)
 	}
 	for i, f := range c.src.fields {
-		if !told[i] && f.envelope == noEnvelope {
-			fates = append(fates, Fate{From: f.name, Was: f.show(r.src[i])})
+		if !used[i] && f.envelope == noEnvelope {
+			fates = append(fates, Fate{From: f.name, Was: f.display(ws.src[i])})
 		}
 	}
 	if refusal != nil {
@@ -52,8 +53,8 @@
 	return fates, nil
 }
 
-// show is a value as a reader sees it; a dash for none.
-func (f *field) show(v value) string {
+// display formats a value for people; an absent value is a dash.
+func (f *field) display(v value) string {
 	if !v.set {
 		return "-"
 	}
--- a/internal/translate/http.go
+++ b/internal/translate/http.go
@@ -18,68 +18,68 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Message is a request or a reply, as far as shapes speak of it: in HTTP/1.1, or in Thrift.
+// Message contains the parts of a request or a reply that shapes describe, in HTTP/1.1 or in Thrift.
 type Message struct {
-	Method string // of a request in HTTP
-	Target string // of a request in HTTP: its path and query, as they stand in it
+	Method string // of an HTTP request
+	Target string // of an HTTP request: its path and query, still escaped
 	Header []Header
 	Body   []byte
-	Thrift []byte // a whole message of Thrift's, without its frame; the rest is empty then
+	Thrift []byte // a Thrift message without its frame; all other fields are empty then
 }
 
-// Envelope is what goes with a call whatever its shape.
+// Envelope is the data that accompanies a call whatever its shape.
 type Envelope struct {
 	ID, Tenant  string
-	Idempotency string // any bytes
-	Left        time.Duration
-	Repeat      bool
+	Idempotency string        // the idempotency key: any bytes; empty for none
+	Left        time.Duration // until the call's deadline
+	Repeat      bool          // the client has sent the call before
 }
 
-// Words say how a translation is worded.
+// WriteOptions are the parts of a translated message that its source does not determine.
 type Words struct {
-	Encoding thriftwire.Encoding // of a message in Thrift
+	Encoding thriftwire.Encoding // of a Thrift message
 	Envelope Envelope            // of a request
 }
 
-// Header is a field of a head.
+// Header is a header field.
 type Header struct{ Name, Value string }
 
-// mostDepth is how deep a JSON body may nest.
-const mostDepth = 64
+// maxDepth is the maximum nesting depth of a JSON value that no field declares, and of a Thrift message.
+const maxDepth = 64
 
-// node is a JSON object of a message, or a member that is a field.
+// node is a node in the tree of a message's fields: a field, or an object (in Thrift a struct) that contains fields.
 type node struct {
 	name    string
 	id      int16  // in Thrift
-	quoted  []byte // the name as it is written, with a colon
-	field   int    // -1 for an object
+	quoted  []byte // the name as a JSON string, followed by a colon
+	field   int    // index of the field; -1 for an object
 	members []*node
 }
 
-// nest arranges the fields of a place as they nest, members by their names or numbers.
+// nest builds the tree of the fields of a place, with the members sorted by id and name.
 func (m *message) nest(in place) *node {
 	root := &node{field: -1}
 	for i, f := range m.fields {
 		if f.place != in {
 			continue
 		}
-		at := root
+		parent := root
 		for depth, name := range f.path {
-			n := at.member(name)
+			n := parent.member(name)
 			if n == nil {
 				n = &node{name: name, field: -1}
 				if id, err := strconv.ParseInt(name, 10, 16); in == inThrift && err == nil {
 					n.id = int16(id)
 				}
-				if quoted, err := jsontext.AppendQuote(nil, name); err == nil { // TOML is UTF-8
+				if quoted, err := jsontext.AppendQuote(nil, name); err == nil { // it does not fail: TOML is UTF-8
 					n.quoted = append(quoted, ':')
 				}
-				at.members = append(at.members, n)
+				parent.members = append(parent.members, n)
 			}
 			if depth == len(f.path)-1 {
 				n.field = i
 			}
-			at = n
+			parent = n
 		}
 	}
 	root.sort()
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// quotedMember finds a member by its name as it is usually written.
+// quotedMember finds a member by its quoted name without escapes.
 func (n *node) quotedMember(name []byte) *node {
 	for _, m := range n.members {
 		if len(m.quoted) == len(name)+1 && bytes.Equal(m.quoted[:len(name)], name) {
@@ -114,109 +114,109 @@
 	return nil
 }
 
-// reading is what is kept between messages: decoders and the values of fields.
-type reading struct {
+// workspace holds the decoder, the values and the buffers of a translation. It is reused for later messages.
+type workspace struct {
 	in       bytes.Reader
 	decoder  *jsontext.Decoder
 	src, dst []value
 	found    []thriftwire.Field
-	kept     []member
-	text     []byte // what the values of src refer to, as far as it is not in the message
-	scratch  []byte
+	unknown  []unknownMember
+	text     []byte // unescaped texts, to which the values of src refer
+	scratch  []byte // the text of one field
 }
 
-// hold keeps a text for as long as the message is read.
-func (r *reading) hold(s string) []byte {
-	begin := len(r.text)
-	r.text = append(r.text, s...)
-	return r.text[begin:len(r.text):len(r.text)]
+// storeText copies a text into the workspace.
+func (ws *workspace) storeText(s string) []byte {
+	begin := len(ws.text)
+	ws.text = append(ws.text, s...)
+	return ws.text[begin:len(ws.text):len(ws.text)]
 }
 
-// member is one that no field names, as it stands in the body.
-type member struct{ name, text []byte }
+// unknownMember is a JSON member that no field declares, with its unquoted name and the unchanged text of its value.
+type unknownMember struct{ name, text []byte }
 
-// mostKept is how many bytes of room a reading keeps for the next message.
-const mostKept = 64 << 10
+// maxReusedText is the largest text buffer, in bytes, that a workspace keeps for the next message.
+const maxReusedText = 64 << 10
 
-var readings = sync.Pool{New: func() any { return &reading{decoder: jsontext.NewDecoder(bytes.NewReader(nil))} }}
+var workspaces = sync.Pool{New: func() any { return &workspace{decoder: jsontext.NewDecoder(bytes.NewReader(nil))} }}
 
-func (c *conversion) open() *reading {
-	r := readings.Get().(*reading)
-	r.src, r.dst = room(r.src, len(c.src.fields)), room(r.dst, len(c.dst.fields))
-	r.kept, r.text = r.kept[:0], r.text[:0]
-	return r
+func (c *conversion) newWorkspace() *workspace {
+	ws := workspaces.Get().(*workspace)
+	ws.src, ws.dst = resized(ws.src, len(c.src.fields)), resized(ws.dst, len(c.dst.fields))
+	ws.unknown, ws.text = ws.unknown[:0], ws.text[:0]
+	return ws
 }
 
-func room(have []value, n int) []value {
-	have = slices.Grow(have[:0], n)[:n]
-	clear(have)
-	return have
+func resized(values []value, n int) []value {
+	values = slices.Grow(values[:0], n)[:n]
+	clear(values)
+	return values
 }
 
-// close keeps what may be used again, and nothing of the message.
-func (r *reading) close() {
-	clear(r.src)
-	clear(r.dst)
-	clear(r.kept)
-	if cap(r.text) > mostKept {
-		r.text = nil
+// close returns the workspace to the pool, without references to the message.
+func (ws *workspace) close() {
+	clear(ws.src)
+	clear(ws.dst)
+	clear(ws.unknown)
+	if cap(ws.text) > maxReusedText {
+		ws.text = nil
 	}
-	readings.Put(r)
+	workspaces.Put(ws)
 }
 
-// Request translates a request. What it returns shares no memory with what it was given, and needs none of it.
-func (p *Plan) Request(m *Message, words Words) (*Message, error) {
-	r := p.request.open()
-	defer r.close()
-	if refusal := p.readRequest(m, r); refusal != nil {
+// Request translates a request. The result shares no memory with m. The error is a *Refusal.
+func (p *Plan) Request(m *Message, opts Words) (*Message, error) {
+	ws := p.request.newWorkspace()
+	defer ws.close()
+	if refusal := p.readRequest(m, ws); refusal != nil {
 		return nil, refusal
 	}
-	if refusal := p.request.convert(r.src, r.dst); refusal != nil {
+	if refusal := p.request.convert(ws.src, ws.dst); refusal != nil {
 		return nil, refusal
 	}
 	out := &Message{}
-	if refusal := p.writeRequest(out, words, r); refusal != nil {
+	if refusal := p.writeRequest(out, opts, ws); refusal != nil {
 		return nil, refusal
 	}
 	return out, nil
 }
 
-func (p *Plan) readRequest(m *Message, r *reading) *Refusal {
+func (p *Plan) readRequest(m *Message, ws *workspace) *Refusal {
 	if p.From.Protocol == "thrift" {
-		return p.request.readThrift(thriftwire.Call, p.From.method, m.Thrift, r)
+		return p.request.readThrift(thriftwire.Call, p.From.method, m.Thrift, ws)
 	}
 	if m.Method != p.From.method {
 		return &Refusal{Malformed, "", fmt.Sprintf("a %s, not a %s", m.Method, p.From.method)}
 	}
 	path, query, _ := strings.Cut(m.Target, "?")
-	if refusal := p.From.readPath(path, r); refusal != nil {
+	if refusal := p.From.readPath(path, ws); refusal != nil {
 		return refusal
 	}
-	if refusal := p.request.src.readPairs(inQuery, query, r); refusal != nil {
+	if refusal := p.request.src.readPairs(inQuery, query, ws); refusal != nil {
 		return refusal
 	}
-	return p.request.read(m, r)
+	return p.request.read(m, ws)
 }
 
-func (p *Plan) writeRequest(out *Message, words Words, r *reading) (refusal *Refusal) {
+func (p *Plan) writeRequest(out *Message, opts Words, ws *workspace) (refusal *Refusal) {
 	if p.To.Protocol == "thrift" {
-		words.Envelope.fill(p.request.dst, r.dst)
-		out.Thrift, refusal = p.request.writeThrift(thriftwire.Call, p.To.method, words.Encoding, r)
+		opts.Envelope.fill(p.request.dst, ws.dst)
+		out.Thrift, refusal = p.request.writeThrift(thriftwire.Call, p.To.method, opts.Encoding, ws)
 		return refusal
 	}
 	out.Method = p.To.method
-	target, refusal := p.To.appendTarget(nil, r)
+	target, refusal := p.To.appendTarget(nil, ws)
 	if refusal != nil {
 		return refusal
 	}
 	out.Target = string(target)
-	if out.Header, refusal = words.Envelope.headers(p.To.Class); refusal != nil {
+	if out.Header, refusal = opts.Envelope.headers(p.To.Class); refusal != nil {
 		return refusal
 	}
-	return p.request.write(out, r)
+	return p.request.write(out, ws)
 }
 
-// headers are those of a call's envelope in HTTP. The time that is left is worded when the call is sent.
+// headers returns the HTTP headers of the envelope. X-Time-Left is not among them: it is written when the call is sent.
 func (e *Envelope) headers(class string) ([]Header, *Refusal) {
 	all := make([]Header, 0, 8)
 	all = append(all, Header{"X-Correlation-Id", e.ID}, Header{"X-Service-Class", class}, Header{"X-Account", e.Tenant})
@@ -227,15 +227,15 @@
 		all = append(all, Header{"X-Repeat", "1"})
 	}
 	for _, h := range all {
-		if why := unfit(h.Value); why != "" {
+		if why := invalidHeader(h.Value); why != "" {
 			return nil, &Refusal{OutOfRange, "", h.Name + ": " + why}
 		}
 	}
 	return all, nil
 }
 
-// unfit says why a text can't be the value of a header (RFC 9110, section 5.5).
-func unfit(text string) string {
+// invalidHeader returns the reason why a text can't be the value of a header (RFC 9110, section 5.5), or "".
+func invalidHeader(text string) string {
 	for i := range len(text) {
 		if b := text[i]; b < ' ' && b != '\t' || b == 0x7f {
 			return fmt.Sprintf("byte %d can't stand in a header", i)
@@ -247,22 +247,23 @@
 	return ""
 }
 
-// Reply translates a reply back.
-func (p *Plan) Reply(m *Message, words Words) (*Message, error) {
-	r := p.reply.open()
-	defer r.close()
-	refusal := p.readReply(m, r)
+// Reply translates the reply of a server in the shape To into the shape From. The result shares no memory with m. The error
+// is a *Refusal.
+func (p *Plan) Reply(m *Message, opts Words) (*Message, error) {
+	ws := p.reply.newWorkspace()
+	defer ws.close()
+	refusal := p.readReply(m, ws)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if refusal := p.reply.convert(r.src, r.dst); refusal != nil {
+	if refusal := p.reply.convert(ws.src, ws.dst); refusal != nil {
 		return nil, refusal
 	}
 	out := &Message{}
 	if p.From.Protocol == "thrift" {
-		out.Thrift, refusal = p.reply.writeThrift(thriftwire.Reply, p.From.method, words.Encoding, r)
+		out.Thrift, refusal = p.reply.writeThrift(thriftwire.Reply, p.From.method, opts.Encoding, ws)
 	} else {
-		refusal = p.reply.write(out, r)
+		refusal = p.reply.write(out, ws)
 	}
 	if refusal != nil {
 		return nil, refusal
@@ -270,15 +271,15 @@
 	return out, nil
 }
 
-func (p *Plan) readReply(m *Message, r *reading) *Refusal {
+func (p *Plan) readReply(m *Message, ws *workspace) *Refusal {
 	if p.To.Protocol == "thrift" {
-		return p.reply.readThrift(thriftwire.Reply, p.To.method, m.Thrift, r)
+		return p.reply.readThrift(thriftwire.Reply, p.To.method, m.Thrift, ws)
 	}
-	return p.reply.read(m, r)
+	return p.reply.read(m, ws)
 }
 
 // readPath reads the fields of a path.
-func (s *Shape) readPath(path string, r *reading) *Refusal {
+func (s *Shape) readPath(path string, ws *workspace) *Refusal {
 	rest, rooted := strings.CutPrefix(path, "/")
 	if !rooted {
 		return &Refusal{Malformed, "", "a path that begins with no slash"}
@@ -299,17 +300,17 @@
 		if err != nil {
 			return seg.field.refuse(Malformed, "%v", err)
 		}
-		v, refusal := seg.field.parse(r.hold(text))
+		v, refusal := seg.field.parse(ws.storeText(text))
 		if refusal != nil {
 			return refusal
 		}
-		r.src[seg.at] = v
+		ws.src[seg.index] = v
 	}
 	return nil
 }
 
-// readPairs reads the fields of a query or a form (WHATWG URL, section 5.1: names and values joined by = and &).
-func (m *message) readPairs(p place, text string, r *reading) *Refusal {
+// readPairs reads the fields of a query or a form (WHATWG URL, section 5.1: pairs name=value, separated by &).
+func (m *message) readPairs(p place, text string, ws *workspace) *Refusal {
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, "&")
@@ -332,14 +333,14 @@
 		if err != nil {
 			return m.fields[i].refuse(Malformed, "%v", err)
 		}
-		if refusal := m.set(i, r.hold(value), r.src); refusal != nil {
+		if refusal := m.set(i, ws.storeText(value), ws.src); refusal != nil {
 			return refusal
 		}
 	}
 	return nil
 }
 
-// set reads a field that must not have been there before.
+// set parses a field and stores its value. A field that is set already is malformed.
 func (m *message) set(i int, text []byte, to []value) *Refusal {
 	if to[i].set {
 		return m.fields[i].refuse(Malformed, "it is given twice")
@@ -349,47 +350,47 @@
 	return refusal
 }
 
-// read reads the head's fields and the body, and sees whether all is there that must be.
-func (c *conversion) read(m *Message, r *reading) *Refusal {
-	if len(m.Body) > c.src.most {
-		return tooLong(len(m.Body), c.src.most)
+// read reads the fields of the headers and the body, and checks that all fields are present that are not optional.
+func (c *conversion) read(m *Message, ws *workspace) *Refusal {
+	if len(m.Body) > c.src.maxBody {
+		return tooLong(len(m.Body), c.src.maxBody)
 	}
 	for _, h := range m.Header {
 		i := slices.IndexFunc(c.src.fields, func(f *field) bool { return f.place == inHeader && strings.EqualFold(f.at, h.Name) })
 		if i >= 0 {
-			if refusal := c.src.set(i, r.hold(h.Value), r.src); refusal != nil {
+			if refusal := c.src.set(i, ws.storeText(h.Value), ws.src); refusal != nil {
 				return refusal
 			}
 		}
 	}
 	switch {
 	case c.src.has(inForm):
-		if refusal := c.src.readPairs(inForm, string(m.Body), r); refusal != nil {
+		if refusal := c.src.readPairs(inForm, string(m.Body), ws); refusal != nil {
 			return refusal
 		}
 	case c.src.has(inJSON):
-		if refusal := c.readJSON(m.Body, r); refusal != nil {
+		if refusal := c.readJSON(m.Body, ws); refusal != nil {
 			return refusal
 		}
 	case len(m.Body) > 0 && c.src.unknown == "refuse":
 		return &Refusal{Forbidden, "", "a body, and no field is in one"}
 	}
 	for i, f := range c.src.fields {
-		if !f.optional && !r.src[i].set {
+		if !f.optional && !ws.src[i].set {
 			return f.refuse(Missing, "it is needed")
 		}
 	}
 	return nil
 }
 
-// readJSON reads a body: one object (RFC 8259), in UTF-8, no member given twice.
-func (c *conversion) readJSON(body []byte, r *reading) *Refusal {
-	r.in.Reset(body)
-	r.decoder.Reset(&r.in)
-	if refusal := c.readObject(c.src.json, r, 0); refusal != nil {
+// readJSON reads a body: one JSON object (RFC 8259) in UTF-8 without duplicate members.
+func (c *conversion) readJSON(body []byte, ws *workspace) *Refusal {
+	ws.in.Reset(body)
+	ws.decoder.Reset(&ws.in)
+	if refusal := c.readObject(c.src.json, ws, 0); refusal != nil {
 		return refusal
 	}
-	if _, err := r.decoder.ReadToken(); !errors.Is(err, io.EOF) {
+	if _, err := ws.decoder.ReadToken(); !errors.Is(err, io.EOF) {
 		return &Refusal{Malformed, "", "bytes behind the body's end"}
 	}
 	return nil
@@ -399,73 +400,73 @@
 	return &Refusal{TooLarge, "", fmt.Sprintf("a body of %d bytes, at most %d are possible", n, most)}
 }
 
-func broken(err error) *Refusal { return &Refusal{Malformed, "", err.Error()} }
+func malformed(err error) *Refusal { return &Refusal{Malformed, "", err.Error()} }
 
-func (c *conversion) readObject(n *node, r *reading, depth int) *Refusal {
-	if r.decoder.PeekKind() != '{' {
-		if _, err := r.decoder.ReadToken(); err != nil {
-			return broken(err)
+func (c *conversion) readObject(n *node, ws *workspace, depth int) *Refusal {
+	if ws.decoder.PeekKind() != '{' {
+		if _, err := ws.decoder.ReadToken(); err != nil {
+			return malformed(err)
 		}
 		return &Refusal{Malformed, n.name, "no JSON object"}
 	}
-	if _, err := r.decoder.ReadToken(); err != nil {
-		return broken(err)
+	if _, err := ws.decoder.ReadToken(); err != nil {
+		return malformed(err)
 	}
-	for r.decoder.PeekKind() != '}' {
-		name, err := r.decoder.ReadValue()
+	for ws.decoder.PeekKind() != '}' {
+		name, err := ws.decoder.ReadValue()
 		if err != nil {
-			return broken(err)
+			return malformed(err)
 		}
 		m, plain := n.quotedMember(name), []byte(nil)
-		if m == nil { // none that is known, or one with escapes
+		if m == nil { // an undeclared member, or a name with escapes
 			if plain, err = jsontext.AppendUnquote(nil, name); err != nil {
-				return broken(err)
+				return malformed(err)
 			}
 			m = n.member(string(plain))
 		}
 		switch {
 		case m == nil:
-			if refusal := c.readUnknown(n, string(plain), r, depth); refusal != nil {
+			if refusal := c.readUnknown(n, string(plain), ws, depth); refusal != nil {
 				return refusal
 			}
 		case m.field < 0:
-			if refusal := c.readObject(m, r, depth+1); refusal != nil {
+			if refusal := c.readObject(m, ws, depth+1); refusal != nil {
 				return refusal
 			}
 		default:
-			if refusal := c.readMember(m.field, r); refusal != nil {
+			if refusal := c.readMember(m.field, ws); refusal != nil {
 				return refusal
 			}
 		}
 	}
-	if _, err := r.decoder.ReadToken(); err != nil {
-		return broken(err)
+	if _, err := ws.decoder.ReadToken(); err != nil {
+		return malformed(err)
 	}
 	return nil
 }
 
-func (c *conversion) readUnknown(n *node, name string, r *reading, depth int) *Refusal {
+func (c *conversion) readUnknown(n *node, name string, ws *workspace, depth int) *Refusal {
 	if c.src.unknown == "refuse" {
 		return &Refusal{Forbidden, n.name, fmt.Sprintf("no field is called %q", clip([]byte(name)))}
 	}
-	text, err := r.decoder.ReadValue()
+	text, err := ws.decoder.ReadValue()
 	if err != nil {
-		return broken(err)
+		return malformed(err)
 	}
-	if deep(text) > mostDepth {
-		return &Refusal{TooLarge, n.name, fmt.Sprintf("it nests more than %d deep", mostDepth)}
+	if nestingDepth(text) > maxDepth {
+		return &Refusal{TooLarge, n.name, fmt.Sprintf("it nests more than %d deep", maxDepth)}
 	}
 	if c.src.unknown == "keep" {
 		if depth > 0 {
 			return &Refusal{Forbidden, n.name, fmt.Sprintf("no field is called %q, and only members of the body itself can be kept", clip([]byte(name)))}
 		}
-		r.kept = append(r.kept, member{[]byte(name), bytes.Clone(text)})
+		ws.unknown = append(ws.unknown, unknownMember{[]byte(name), bytes.Clone(text)})
 	}
 	return nil
 }
 
-// deep is how deep a value nests.
-func deep(text []byte) (most int) {
+// nestingDepth returns the nesting depth of a JSON value.
+func nestingDepth(text []byte) (most int) {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -484,16 +485,16 @@
 	return most
 }
 
-// readMember reads a field. Null is as if it were absent.
-func (c *conversion) readMember(i int, r *reading) *Refusal {
+// readMember reads the value of a field. Null counts as absent.
+func (c *conversion) readMember(i int, ws *workspace) *Refusal {
 	f := c.src.fields[i]
-	kind := r.decoder.PeekKind()
+	kind := ws.decoder.PeekKind()
 	if kind == '{' || kind == '[' {
 		return f.refuse(Malformed, "neither a text, a number nor a bool")
 	}
-	raw, err := r.decoder.ReadValue() // holds until the next
+	raw, err := ws.decoder.ReadValue() // valid until the next read
 	if err != nil {
-		return broken(err)
+		return malformed(err)
 	}
 	wanted := jsontext.Kind('"')
 	switch {
@@ -503,25 +504,25 @@
 		if kind == 't' || kind == 'f' {
 			wanted = kind
 		}
-	case f.number():
+	case f.isJSONNumber():
 		wanted = '0'
 	}
 	if kind != wanted {
-		return f.refuse(Malformed, "a %v in place of %s", kind, f.wants())
+		return f.refuse(Malformed, "a %v in place of %s", kind, f.jsonTypeName())
 	}
-	begin := len(r.text)
+	begin := len(ws.text)
 	if kind == '"' {
-		if r.text, err = jsontext.AppendUnquote(r.text, raw); err != nil {
-			return broken(err)
+		if ws.text, err = jsontext.AppendUnquote(ws.text, raw); err != nil {
+			return malformed(err)
 		}
 	} else {
-		r.text = append(r.text, raw...)
+		ws.text = append(ws.text, raw...)
 	}
-	return c.src.set(i, r.text[begin:len(r.text):len(r.text)], r.src)
+	return c.src.set(i, ws.text[begin:len(ws.text):len(ws.text)], ws.src)
 }
 
-// number reports whether JSON has the field as a number.
-func (f *field) number() bool {
+// isJSONNumber reports whether the field is a number in JSON.
+func (f *field) isJSONNumber() bool {
 	switch f.Type {
 	case Int, Decimal:
 		return !f.quoted
@@ -533,25 +534,25 @@
 	return false
 }
 
-func (f *field) wants() string {
+func (f *field) jsonTypeName() string {
 	switch {
 	case f.Type == Bool:
 		return "a bool"
-	case f.number():
+	case f.isJSONNumber():
 		return "a number"
 	}
 	return "a text"
 }
 
-// appendTarget writes the path and the query of a request.
-func (s *Shape) appendTarget(to []byte, r *reading) ([]byte, *Refusal) {
+// appendTarget appends the path and the query of a request.
+func (s *Shape) appendTarget(to []byte, ws *workspace) ([]byte, *Refusal) {
 	for _, seg := range s.path {
 		to = append(to, '/')
 		if seg.field == nil {
 			to = append(to, seg.text...)
 			continue
 		}
-		text, refusal := seg.field.append(nil, r.dst[seg.at])
+		text, refusal := seg.field.append(nil, ws.dst[seg.index])
 		if refusal != nil {
 			return to, refusal
 		}
@@ -560,20 +561,20 @@
 		}
 		to = append(to, url.PathEscape(string(text))...)
 	}
-	return s.request.appendPairs(to, inQuery, '?', r)
+	return s.request.appendPairs(to, inQuery, '?', ws)
 }
 
-// appendPairs writes the fields of a query or a form.
-func (m *message) appendPairs(to []byte, p place, before byte, r *reading) ([]byte, *Refusal) {
+// appendPairs appends the fields of a query or a form. before is the byte before the first pair; 0 for none.
+func (m *message) appendPairs(to []byte, p place, before byte, ws *workspace) ([]byte, *Refusal) {
 	for i, f := range m.fields {
-		if f.place != p || !r.dst[i].set {
+		if f.place != p || !ws.dst[i].set {
 			continue
 		}
-		text, refusal := f.append(r.scratch[:0], r.dst[i])
+		text, refusal := f.append(ws.scratch[:0], ws.dst[i])
 		if refusal != nil {
 			return to, refusal
 		}
-		r.scratch = text
+		ws.scratch = text
 		if before != 0 {
 			to = append(to, before)
 		}
@@ -583,20 +584,20 @@
 	return to, nil
 }
 
-// write writes the head's fields and the body.
-func (c *conversion) write(out *Message, r *reading) (refusal *Refusal) {
+// write writes the headers and the body.
+func (c *conversion) write(out *Message, ws *workspace) (refusal *Refusal) {
 	m := c.dst
 	for i, f := range c.dst.fields {
 		switch {
-		case !r.dst[i].set && !f.optional:
+		case !ws.dst[i].set && !f.optional:
 			return f.refuse(Missing, "it is needed")
-		case f.place == inHeader && r.dst[i].set:
-			text, refusal := f.append(r.scratch[:0], r.dst[i])
+		case f.place == inHeader && ws.dst[i].set:
+			text, refusal := f.append(ws.scratch[:0], ws.dst[i])
 			if refusal != nil {
 				return refusal
 			}
-			r.scratch = text
-			if why := unfit(string(text)); why != "" {
+			ws.scratch = text
+			if why := invalidHeader(string(text)); why != "" {
 				return f.refuse(OutOfRange, "%s", why)
 			}
 			out.Header = append(out.Header, Header{f.at, string(text)})
@@ -604,24 +605,24 @@
 	}
 	switch {
 	case c.dst.has(inForm):
-		out.Body, refusal = c.dst.appendPairs(make([]byte, 0, roomFor(m, r)), inForm, 0, r)
+		out.Body, refusal = c.dst.appendPairs(make([]byte, 0, estimatedSize(m, ws)), inForm, 0, ws)
 		out.Header = append(out.Header, Header{"Content-Type", "application/x-www-form-urlencoded"})
 	case c.dst.has(inJSON):
-		out.Body, refusal = c.appendObject(make([]byte, 0, roomFor(m, r)), c.dst.json, r)
+		out.Body, refusal = c.appendObject(make([]byte, 0, estimatedSize(m, ws)), c.dst.json, ws)
 		out.Header = append(out.Header, Header{"Content-Type", "application/json"})
 	}
-	if refusal == nil && len(out.Body) > c.dst.most {
-		refusal = tooLong(len(out.Body), c.dst.most)
+	if refusal == nil && len(out.Body) > c.dst.maxBody {
+		refusal = tooLong(len(out.Body), c.dst.maxBody)
 	}
 	return refusal
 }
 
-// roomFor is about how much a body takes.
-func roomFor(m *message, r *reading) int { return 2*len(r.text) + 32*len(m.fields) }
+// estimatedSize returns the estimated size of a body in bytes.
+func estimatedSize(m *message, ws *workspace) int { return 2*len(ws.text) + 32*len(m.fields) }
 
 const upperHex = "0123456789ABCDEF"
 
-// appendEscaped writes a text as a query or a form has it, as url.QueryEscape does but without a copy.
+// appendEscaped appends a text escaped for a query or a form, like url.QueryEscape but without a copy.
 func appendEscaped(to, text []byte) []byte {
 	for _, b := range text {
 		switch {
@@ -636,7 +637,7 @@
 	return to
 }
 
-// any reports whether something of an object is there.
+// any reports whether the node, or any node below it, has a value.
 func (n *node) any(from []value) bool {
 	if n.field >= 0 {
 		return from[n.field].set
@@ -644,7 +645,7 @@
 	return slices.ContainsFunc(n.members, func(m *node) bool { return m.any(from) })
 }
 
-func (c *conversion) appendObject(to []byte, n *node, r *reading) ([]byte, *Refusal) {
+func (c *conversion) appendObject(to []byte, n *node, ws *workspace) ([]byte, *Refusal) {
 	to = append(to, '{')
 	begin := len(to)
 	next := func(name []byte) {
@@ -654,28 +655,28 @@
 		to = append(to, name...)
 	}
 	for _, m := range n.members {
-		if !m.any(r.dst) {
+		if !m.any(ws.dst) {
 			continue
 		}
 		next(m.quoted)
 		var refusal *Refusal
 		if m.field < 0 {
-			to, refusal = c.appendObject(to, m, r)
+			to, refusal = c.appendObject(to, m, ws)
 		} else {
-			to, refusal = c.dst.fields[m.field].appendMember(to, r.dst[m.field], r)
+			to, refusal = c.dst.fields[m.field].appendMember(to, ws.dst[m.field], ws)
 		}
 		if refusal != nil {
 			return to, refusal
 		}
 	}
 	if n == c.dst.json {
-		for _, k := range r.kept {
+		for _, k := range ws.unknown {
 			if n.member(string(k.name)) != nil {
 				return to, &Refusal{Forbidden, string(clip(k.name)), "what is kept has the name of a field"}
 			}
 			name, err := jsontext.AppendQuote(nil, k.name)
 			if err != nil {
-				return to, broken(err)
+				return to, malformed(err)
 			}
 			next(append(name, ':'))
 			to = append(to, k.text...)
@@ -684,15 +685,15 @@
 	return append(to, '}'), nil
 }
 
-func (f *field) appendMember(to []byte, v value, r *reading) ([]byte, *Refusal) {
-	if f.Type == Bool || f.number() {
+func (f *field) appendMember(to []byte, v value, ws *workspace) ([]byte, *Refusal) {
+	if f.Type == Bool || f.isJSONNumber() {
 		return f.append(to, v)
 	}
-	text, refusal := f.append(r.scratch[:0], v)
+	text, refusal := f.append(ws.scratch[:0], v)
 	if refusal != nil {
 		return to, refusal
 	}
-	r.scratch = text
+	ws.scratch = text
 	to, err := jsontext.AppendQuote(to, text)
 	if err != nil {
 		return to, f.refuse(OutOfRange, "%v", err)
--- a/internal/translate/mapping.go
+++ b/internal/translate/mapping.go
@@ -12,63 +12,63 @@
 	"ternbeam/internal/settings/conffile"
 )
 
-// Set is what a file of shapes and mappings was compiled into.
+// Set is a compiled file of shapes and mappings. It is read-only and safe for concurrent use.
 type Set struct {
-	Shapes     map[string]*Shape
-	Plans      []*Plan       // by the names of their mappings, then as these name the shapes
-	Forget     time.Duration // how long a server that does not know a shape is not sent it, at first
-	MostForget time.Duration // and at the most
+	Shapes     map[string]*Shape // by name
+	Plans      []*Plan           // sorted by mapping; within a mapping in the order of its from and to
+	Forget     time.Duration     // how long a server is not sent a shape that it did not know; doubled each time
+	MostForget time.Duration     // upper bound of the doubled Forget
 
-	byClass  map[string][]*Shape // in HTTP, and an empty list where they are in Thrift only
-	byMethod map[string]*Shape   // in Thrift
+	byClass  map[string][]*Shape // the HTTP shapes of each class; empty for a class with Thrift shapes only
+	byMethod map[string]*Shape   // the Thrift shapes
 }
 
-// Bounds and defaults of these.
+// Bounds and defaults of a file.
 const (
 	defaultForget     = 5 * time.Second
 	defaultMostForget = 80 * time.Second
-	leastForgetS      = 0.1
-	mostForgetS       = 3600
-	mostMostForgetS   = 86400
-	mostShapes        = 64
+	minForgetS        = 0.1   // of drift.forget_s and drift.most_forget_s, in seconds
+	maxForgetS        = 3600  // of drift.forget_s, in seconds
+	maxMostForgetS    = 86400 // of drift.most_forget_s, in seconds
+	maxShapes         = 64    // also the limit on mappings
 )
 
-// Plan translates the messages of one shape into those of another: requests there, replies back.
+// Plan translates requests of one shape into another, and the replies back. It is safe for concurrent use.
 type Plan struct {
-	Name     string
-	From, To *Shape
+	Name     string // of its mapping
+	From, To *Shape // of requests: the client's and the server's
 	request  conversion
 	reply    conversion
 }
 
-// conversion makes the fields of one message out of those of another.
+// conversion computes the fields of one message from those of another.
 type conversion struct {
 	src, dst *message
 	ops      []op
-	absent   []int // fields of src that must not be there
-	loses    []string
+	absent   []int    // indices of the fields of src that must be absent
+	losses   []string // what is not carried over
 }
 
-// op makes one field.
+// op computes one field.
 type op struct {
-	dst    int
-	src    []int // one, or those that are joined
-	become func(op *op, v value) (value, string)
-	preset value // in place of one that is absent; or the constant, where there is no src
-	with   []byte
-	part   int // of a split, counted from 0
-	parts  int
-	factor int64 // of a number, over 10^shift
-	shift  int
-	values []int64 // by the source's
-	from   *field
-	to     *field
+	dst       int                                   // index of the field
+	src       []int                                 // indices of its source, or of all sources of a join; empty for a constant
+	convert   func(op *op, v value) (value, string) // the string is the reason why a value cannot be converted
+	constant  value                                 // of a field without a source, or the default where the source is absent
+	separator []byte                                // of a join or a split
+	part      int                                   // of a split, from 0; -1 for none
+	parts     int                                   // the number of parts of a split
+	factor    int64                                 // of a number; the result is value * factor / 10^shift
+	shift     int
+	values    []int64 // the index of the target's value for each value of the source; -1 refuses it
+	from      *field  // nil for a constant or a join
+	to        *field
 }
 
-// mostEnds bounds the shapes that a mapping names on either side.
-const mostEnds = 16
+// maxShapesPerSide is the maximum number of shapes in from and in to of a mapping.
+const maxShapesPerSide = 16
 
-// Compile reads a file. All that is wrong in it is told, by line and key.
+// Compile compiles a file. The error joins all problems of the file, each with its line and key.
 func Compile(text []byte) (*Set, error) {
 	var t fileText
 	c := compiler{file: conffile.Read(text, &t), shapes: map[string]*Shape{}}
@@ -76,19 +76,19 @@
 		return nil, err
 	}
 	set := &Set{Shapes: c.shapes, Forget: defaultForget, MostForget: defaultMostForget}
-	c.file.Span("drift.forget_s", t.Drift.ForgetS, time.Second, leastForgetS, mostForgetS, &set.Forget)
-	c.file.Span("drift.most_forget_s", t.Drift.MostForgetS, time.Second, leastForgetS, mostMostForgetS, &set.MostForget)
+	c.file.Span("drift.forget_s", t.Drift.ForgetS, time.Second, minForgetS, maxForgetS, &set.Forget)
+	c.file.Span("drift.most_forget_s", t.Drift.MostForgetS, time.Second, minForgetS, maxMostForgetS, &set.MostForget)
 	if set.MostForget < set.Forget {
-		c.file.Problem("drift.most_forget_s", "less than forget_s")
+		c.file.Problem("drift.most_forget_s", "must not be below forget_s")
 	}
-	if len(t.Shapes) > mostShapes || len(t.Mappings) > mostShapes {
-		c.file.Problem("shapes", "%d shapes and %d mappings, %d of each at most", len(t.Shapes), len(t.Mappings), mostShapes)
+	if len(t.Shapes) > maxShapes || len(t.Mappings) > maxShapes {
+		c.file.Problem("shapes", "%d shapes and %d mappings, at most %d of each are allowed", len(t.Shapes), len(t.Mappings), maxShapes)
 		return nil, c.file.Err()
 	}
 	for _, name := range sortedKeys(t.Shapes) {
 		c.shapes[name] = c.shape(name, t.Shapes[name])
 	}
-	c.ambiguous()
+	c.checkAmbiguous()
 	set.byClass, set.byMethod = map[string][]*Shape{}, map[string]*Shape{}
 	for _, s := range set.Shapes {
 		if s.Protocol == "thrift" {
@@ -104,15 +104,15 @@
 	taken := map[[2]*Shape]string{}
 	for _, p := range set.Plans {
 		if other := taken[[2]*Shape{p.From, p.To}]; other != "" {
-			c.file.Problem("mappings."+p.Name, "%s is mapped to %s by %s already", p.From.Name, p.To.Name, other)
+			c.file.Problem("mappings."+p.Name, "%s is already mapped to %s by %s", p.From.Name, p.To.Name, other)
 		}
 		taken[[2]*Shape{p.From, p.To}] = p.Name
 	}
 	return set, c.file.Err()
 }
 
-// ambiguous looks for shapes that could not be told apart.
-func (c *compiler) ambiguous() {
+// checkAmbiguous reports shapes that a call cannot be assigned to unambiguously.
+func (c *compiler) checkAmbiguous() {
 	names := sortedKeys(c.shapes)
 	for i, name := range names {
 		s := c.shapes[name]
@@ -121,17 +121,17 @@
 			switch {
 			case s.Protocol != o.Protocol:
 			case s.Class == o.Class && s.Version == o.Version:
-				c.file.Problem("shapes."+name+".version", "%s is version %s of %s in %s too", before, s.Version, s.Class, s.Protocol)
+				c.file.Problem("shapes."+name+".version", "shape %s is also version %s of %s in %s", before, s.Version, s.Class, s.Protocol)
 			case s.Protocol == "thrift" && s.method == o.method:
-				c.file.Problem("shapes."+name+".method", "%s has it too: calls could not be told apart", before)
+				c.file.Problem("shapes."+name+".method", "ambiguous: shape %s has the same method", before)
 			case s.Protocol == "http" && s.Class == o.Class && s.method == o.method && s.overlaps(o):
-				c.file.Problem("shapes."+name+".path", "that of %s matches the same paths: calls could not be told apart", before)
+				c.file.Problem("shapes."+name+".path", "ambiguous: the path of shape %s matches the same requests", before)
 			}
 		}
 	}
 }
 
-// overlaps reports whether a path may fit both shapes.
+// overlaps reports whether some path matches both shapes.
 func (s *Shape) overlaps(o *Shape) bool {
 	if len(s.path) != len(o.path) {
 		return false
@@ -144,22 +144,22 @@
 	return true
 }
 
-// Loses says what a plan does not carry over, by the fields of the shapes. A plan that loses nothing refuses what it
-// can't carry over.
-func (p *Plan) Loses() []string { return slices.Concat(p.request.loses, p.reply.loses) }
+// Losses describes what the plan does not carry over, field by field. A lossless plan refuses every message that it cannot
+// convert exactly.
+func (p *Plan) Loses() []string { return slices.Concat(p.request.losses, p.reply.losses) }
 
-// mappings compiles a table of rules for each pair of shapes that it is for: shapes of one version in several protocols
-// name their fields alike.
+// mappings compiles a mapping into a plan for each pair of its shapes: the shapes of one version in several protocols have
+// fields of the same names.
 func (c *compiler) mappings(name string, t *mappingText) (plans []*Plan) {
 	key := "mappings." + name
-	ends := map[string][]string{"from": t.From, "to": t.To}
-	for _, what := range sortedKeys(ends) {
-		if len(ends[what]) == 0 || len(ends[what]) > mostEnds {
-			c.file.Problem(key+"."+what, "%d shapes, 1 to %d are possible", len(ends[what]), mostEnds)
+	sides := map[string][]string{"from": t.From, "to": t.To}
+	for _, side := range sortedKeys(sides) {
+		if len(sides[side]) == 0 || len(sides[side]) > maxShapesPerSide {
+			c.file.Problem(key+"."+side, "%d shapes, 1 to %d are allowed", len(sides[side]), maxShapesPerSide)
 		}
-		for _, shape := range ends[what] {
+		for _, shape := range sides[side] {
 			if c.shapes[shape] == nil {
-				c.file.Problem(key+"."+what, "no shape is called %q", shape)
+				c.file.Problem(key+"."+side, "there is no shape %q", shape)
 			}
 		}
 	}
@@ -177,44 +177,44 @@
 	key := "mappings." + name
 	p := &Plan{Name: name, From: from, To: to}
 	if from.Class != to.Class {
-		c.file.Problem(key+".to", "%s is a %s, %s a %s", from.Name, from.Class, to.Name, to.Class)
+		c.file.Problem(key+".to", "%s is of class %s, %s of class %s", from.Name, from.Class, to.Name, to.Class)
 	}
 	p.request = c.conversion(key, "request", &p.From.request, &p.To.request, t.Request, t.Drop.Request, t.Absent.Request, t.Omit.Request)
 	p.reply = c.conversion(key, "reply", &p.To.reply, &p.From.reply, t.Reply, t.Drop.Reply, t.Absent.Reply, t.Omit.Reply)
-	if loses := p.Loses(); t.Lossless && len(loses) > 0 {
-		for _, l := range loses {
-			c.file.Problem(key+".lossless", "it loses: %s", l)
+	if losses := p.Loses(); t.Lossless && len(losses) > 0 {
+		for _, loss := range losses {
+			c.file.Problem(key+".lossless", "the mapping loses: %s", loss)
 		}
 	}
 	return p
 }
 
-func (c *compiler) conversion(key, what string, src, dst *message, rules map[string]*ruleText, drop, absent, omit []string) conversion {
+func (c *compiler) conversion(key, kind string, src, dst *message, rules map[string]*ruleText, drop, absent, omit []string) conversion {
 	v := conversion{src: src, dst: dst}
-	used := map[string]string{} // by what a field of the source is accounted for
-	account := func(at, name, by string) *field {
+	used := map[string]string{} // source fields: mapped, dropped or absent
+	use := func(at, name, as string) *field {
 		f := src.byName[name]
 		if f == nil {
-			c.file.Problem(at, "the %s that is read has no field %q", what, name)
+			c.file.Problem(at, "the source %s has no field %q", kind, name)
 			return nil
 		}
-		if had := used[name]; had != "" && (had != by || by != "mapped") {
-			c.file.Problem(at, "%s is %s and %s", name, had, by)
+		if before := used[name]; before != "" && (before != as || as != "mapped") {
+			c.file.Problem(at, "field %s is both %s and %s", name, before, as)
 		}
-		used[name] = by
+		used[name] = as
 		return f
 	}
-	key += "." // what follows is the key of a table
+	key += "." // the key of a table follows
 	for _, name := range drop {
-		f := account(key+"drop."+what, name, "dropped")
-		if f != nil && (f.optional || f.Type != Enum || len(f.values) > 1) { // one that can hold one value says nothing
-			v.loses = append(v.loses, fmt.Sprintf("%s %s: dropped", what, name))
+		f := use(key+"drop."+kind, name, "dropped")
+		if f != nil && (f.optional || f.Type != Enum || len(f.values) > 1) { // a field with only one possible value carries no information
+			v.losses = append(v.losses, fmt.Sprintf("%s %s: dropped", kind, name))
 		}
 	}
 	for _, name := range absent {
-		if f := account(key+"absent."+what, name, "absent"); f != nil {
+		if f := use(key+"absent."+kind, name, "absent"); f != nil {
 			if !f.optional {
-				c.file.Problem(key+"absent."+what, "%s must be absent and is not optional", name)
+				c.file.Problem(key+"absent."+kind, "field %s must be absent but is not optional", name)
 			}
 			v.absent = append(v.absent, slices.Index(src.fields, f))
 		}
@@ -222,26 +222,26 @@
 	for _, name := range omit {
 		switch f := dst.byName[name]; {
 		case f == nil:
-			c.file.Problem(key+"omit."+what, "the %s that is written has no field %q", what, name)
+			c.file.Problem(key+"omit."+kind, "the target %s has no field %q", kind, name)
 		case !f.optional:
-			c.file.Problem(key+"omit."+what, "%s is not optional", name)
+			c.file.Problem(key+"omit."+kind, "field %s is not optional", name)
 		case rules[name] != nil:
-			c.file.Problem(key+"omit."+what, "%s has a rule", name)
+			c.file.Problem(key+"omit."+kind, "field %s has a rule", name)
 		}
 	}
 	for _, name := range sortedKeys(rules) {
 		if dst.byName[name] == nil {
-			c.file.Problem(key+what+"."+name, "the %s that is written has no such field", what)
+			c.file.Problem(key+kind+"."+name, "the target %s has no such field", kind)
 			continue
 		}
-		v.ops = append(v.ops, c.rule(key+what+"."+name, what, &v, dst.byName[name], rules[name], account))
+		v.ops = append(v.ops, c.rule(key+kind+"."+name, kind, &v, dst.byName[name], rules[name], use))
 	}
 	for i, f := range dst.fields {
 		if f.envelope != noEnvelope {
 			continue
 		}
 		if rules[f.name] == nil && !slices.Contains(omit, f.name) {
-			c.file.Problem(key+what, "nothing is said of %s, which is written: a rule, or omit", f.name)
+			c.file.Problem(key+kind, "target field %s has neither a rule nor an entry in omit", f.name)
 		}
 		for j := range v.ops {
 			if v.ops[j].to == f {
@@ -251,126 +251,126 @@
 	}
 	for _, f := range src.fields {
 		if used[f.name] == "" && f.envelope == noEnvelope {
-			c.file.Problem(key+what, "nothing is said of %s, which is read: a rule, drop or absent", f.name)
+			c.file.Problem(key+kind, "source field %s is in no rule, and neither in drop nor in absent", f.name)
 		}
 	}
-	c.splits(key+what, v.ops)
+	c.checkSplits(key+kind, v.ops)
 	switch {
 	case src.unknown == "drop":
-		v.loses = append(v.loses, what+": members that no field names")
+		v.losses = append(v.losses, kind+": members that no field declares")
 	case src.unknown == "keep" && (dst.unknown != "keep" || !dst.has(inJSON)):
-		c.file.Problem(key+what, "what no field names is to be kept, and what is written can't hold it")
+		c.file.Problem(key+kind, "the source keeps members that no field declares, but the target has no JSON body with unknown = \"keep\"")
 	}
 	return v
 }
 
-// splits sees to it that all parts of a field that is split are taken, each once.
-func (c *compiler) splits(key string, ops []op) {
+// checkSplits checks that every part of a field that is split is used exactly once, and counts the parts.
+func (c *compiler) checkSplits(key string, ops []op) {
 	for i := range ops {
 		o := &ops[i]
 		if o.part < 0 {
 			continue
 		}
-		taken := map[int]bool{}
+		used := map[int]bool{}
 		for j := range ops {
-			if other := &ops[j]; other.part >= 0 && other.from == o.from && bytes.Equal(other.with, o.with) {
-				if taken[other.part] && i == j {
-					c.file.Problem(key+"."+o.to.name, "part %d is taken twice", o.part+1)
+			if other := &ops[j]; other.part >= 0 && other.from == o.from && bytes.Equal(other.separator, o.separator) {
+				if used[other.part] && i == j {
+					c.file.Problem(key+"."+o.to.name, "part %d is used twice", o.part+1)
 				}
-				taken[other.part] = true
+				used[other.part] = true
 				o.parts = max(o.parts, other.part+1)
 			}
 		}
-		if len(taken) < o.parts {
-			c.file.Problem(key+"."+o.to.name, "of %d parts %d are taken", o.parts, len(taken))
+		if len(used) < o.parts {
+			c.file.Problem(key+"."+o.to.name, "of %d parts only %d are used", o.parts, len(used))
 		}
 	}
 }
 
-// rule compiles how one field is made.
-func (c *compiler) rule(key, what string, v *conversion, to *field, t *ruleText, account func(at, name, by string) *field) op {
+// rule compiles the rule of one field.
+func (c *compiler) rule(key, kind string, v *conversion, to *field, t *ruleText, use func(at, name, as string) *field) op {
 	o := op{to: to, part: -1}
-	ways := 0
+	sources := 0
 	for _, set := range []bool{t.From != "", t.Value != nil, len(t.Join) > 0} {
 		if set {
-			ways++
+			sources++
 		}
 	}
-	if ways != 1 {
-		c.file.Problem(key, "one of from, value and join is needed")
+	if sources != 1 {
+		c.file.Problem(key, "exactly one of from, value and join is needed")
 		return o
 	}
-	preset := func(what string, text *string) {
+	constant := func(attr string, text *string) {
 		if text != nil {
 			got, refusal := to.parse([]byte(*text))
-			if o.preset = got; refusal != nil {
-				c.file.Problem(key+"."+what, "%v", refusal)
+			if o.constant = got; refusal != nil {
+				c.file.Problem(key+"."+attr, "%v", refusal)
 			}
 		}
 	}
-	preset("value", t.Value)
+	constant("value", t.Value)
 	if t.Value != nil {
 		return o
 	}
 	if len(t.Join) > 0 {
-		c.join(key, &o, v, t, account)
+		c.join(key, &o, v, t, use)
 		return o
 	}
-	f := account(key+".from", t.From, "mapped")
+	f := use(key+".from", t.From, "mapped")
 	if f == nil {
 		return o
 	}
 	o.from, o.src = f, []int{slices.Index(v.src.fields, f)}
-	switch preset("default", t.Default); {
+	switch constant("default", t.Default); {
 	case t.Default != nil && !f.optional:
-		c.file.Problem(key+".default", "%s is never absent", f.name)
+		c.file.Problem(key+".default", "field %s is never absent", f.name)
 	case t.Default != nil:
-		v.loses = append(v.loses, fmt.Sprintf("%s %s: whether it was absent", what, f.name))
+		v.losses = append(v.losses, fmt.Sprintf("%s %s: whether it was absent", kind, f.name))
 	case f.optional && !to.optional:
-		c.file.Problem(key, "%s is optional and %s is not: a default is needed", f.name, to.name)
+		c.file.Problem(key, "field %s is optional and %s is not: a default is needed", f.name, to.name)
 	}
 	if t.Split != "" {
 		if f.Type != Text || to.Type != Text || t.Part < 1 || t.Part > 16 {
-			c.file.Problem(key+".split", "texts are split into texts, and part is 1 to 16")
+			c.file.Problem(key+".split", "only a text can be split, into texts; part is from 1 to 16")
 		}
-		o.with, o.part, o.become = []byte(t.Split), t.Part-1, (*op).split
+		o.separator, o.part, o.convert = []byte(t.Split), t.Part-1, (*op).split
 		return o
 	}
-	c.convert(key, what, &o, v, t)
+	c.convert(key, kind, &o, v, t)
 	return o
 }
 
-func (c *compiler) join(key string, o *op, v *conversion, t *ruleText, account func(at, name, by string) *field) {
+func (c *compiler) join(key string, o *op, v *conversion, t *ruleText, use func(at, name, as string) *field) {
 	if t.With == "" || o.to.Type != Text {
-		c.file.Problem(key+".join", "texts are joined into a text, with some text between")
+		c.file.Problem(key+".join", "only texts can be joined, into a text; with is the separator and must not be empty")
 	}
 	for _, name := range t.Join {
-		f := account(key+".join", name, "mapped")
+		f := use(key+".join", name, "mapped")
 		if f == nil {
 			continue
 		}
 		if f.Type != Text || f.optional {
-			c.file.Problem(key+".join", "%s is no text, or optional", name)
+			c.file.Problem(key+".join", "field %s is not a text, or optional", name)
 		}
 		o.src = append(o.src, slices.Index(v.src.fields, f))
 	}
-	o.with = []byte(t.With)
+	o.separator = []byte(t.With)
 }
 
-// convert finds how a value of one field becomes one of another.
-func (c *compiler) convert(key, what string, o *op, v *conversion, t *ruleText) {
+// convert selects the conversion between the types of two fields.
+func (c *compiler) convert(key, kind string, o *op, v *conversion, t *ruleText) {
 	from, to := o.from, o.to
 	number := func(f *field) bool { return f.Type == Int || f.Type == Decimal }
-	named := func(f *field) bool { return f.Type == Enum || f.Type == Bool }
+	enumerated := func(f *field) bool { return f.Type == Enum || f.Type == Bool }
 	if t.Times != "" && !(number(from) && number(to)) {
-		c.file.Problem(key+".times", "only a number has a unit")
+		c.file.Problem(key+".times", "only a number can be multiplied")
 	}
-	if len(t.Values) > 0 && !(named(from) && named(to)) {
-		c.file.Problem(key+".values", "only an enum or a bool has values")
+	if len(t.Values) > 0 && !(enumerated(from) && enumerated(to)) {
+		c.file.Problem(key+".values", "only the values of an enum or a bool can be mapped")
 	}
 	switch {
 	case number(from) && number(to):
-		o.factor, o.become = 1, (*op).scale
+		o.factor, o.convert = 1, (*op).scale
 		o.shift = from.scale - to.scale
 		if t.Times != "" {
 			text := []byte(t.Times)
@@ -378,74 +378,75 @@
 			if dot := bytes.IndexByte(text, '.'); dot >= 0 {
 				places = len(text) - dot - 1
 			}
-			n, err := parseDecimal(text, min(places, mostDecimals))
+			n, err := parseDecimal(text, min(places, maxDecimals))
 			if o.factor = n; err != nil || n == 0 {
-				c.file.Problem(key+".times", "%q is no number, or 0", t.Times)
+				c.file.Problem(key+".times", "%q is not a number, or 0", t.Times)
 			}
 			o.shift += places
 		}
-	case named(from) && named(to):
-		c.values(key, what, o, v, t)
+	case enumerated(from) && enumerated(to):
+		c.values(key, kind, o, v, t)
 	case from.Type == to.Type, from.Type == Text && to.Type == Bytes:
-		o.become = (*op).same
+		o.convert = (*op).identity
 	case from.Type == Bytes && to.Type == Text:
-		o.become = (*op).text
+		o.convert = (*op).bytesToText
 	case from.Type == Text && to.Type == Enum:
-		o.become = (*op).name
+		o.convert = (*op).textToEnum
 	case from.Type == Enum && to.Type == Text:
-		o.become = (*op).word
+		o.convert = (*op).enumToText
 	default:
-		c.file.Problem(key, "%s is %v, and can't become %s, which is %v", from.name, from.Type, to.name, to.Type)
+		c.file.Problem(key, "%s of type %v can't be converted to %s of type %v", from.name, from.Type, to.name, to.Type)
 	}
 }
 
-// names are the values of an enum or a bool.
-func names(f *field) []string {
+// valueNames returns the values of an enum or a bool.
+func valueNames(f *field) []string {
 	if f.Type == Bool {
 		return []string{"false", "true"}
 	}
 	return f.values
 }
 
-// values compiles which value becomes which. Those of equal names need not be said; one that becomes "" is refused.
-func (c *compiler) values(key, what string, o *op, v *conversion, t *ruleText) {
-	o.become = (*op).pick
+// values compiles the mapping between the values of two enums or bools. A value without an entry is mapped to the one of the
+// same name; a value that is mapped to "" is refused.
+func (c *compiler) values(key, kind string, o *op, v *conversion, t *ruleText) {
+	o.convert = (*op).mapValue
 	for _, name := range sortedKeys(t.Values) {
-		if !slices.Contains(names(o.from), name) {
+		if !slices.Contains(valueNames(o.from), name) {
 			c.file.Problem(key+".values", "%s has no value %q", o.from.name, name)
 		}
 	}
-	taken := map[int64]string{}
-	for _, name := range names(o.from) {
-		to, said := t.Values[name]
-		if !said {
+	sources := map[int64]string{} // by index of the target's value
+	for _, name := range valueNames(o.from) {
+		to, given := t.Values[name]
+		if !given {
 			to = name
 		}
-		at := int64(slices.Index(names(o.to), to))
+		index := int64(slices.Index(valueNames(o.to), to))
 		switch {
-		case at < 0 && to != "":
+		case index < 0 && to != "":
 			c.file.Problem(key+".values", "%s has no value %q for %q; \"\" refuses it", o.to.name, to, name)
-		case at >= 0 && taken[at] != "":
-			v.loses = append(v.loses, fmt.Sprintf("%s %s: whether it was %s or %s", what, o.from.name, taken[at], name))
-		case at >= 0:
-			taken[at] = name
+		case index >= 0 && sources[index] != "":
+			v.losses = append(v.losses, fmt.Sprintf("%s %s: whether it was %s or %s", kind, o.from.name, sources[index], name))
+		case index >= 0:
+			sources[index] = name
 		}
-		o.values = append(o.values, at)
+		o.values = append(o.values, index)
 	}
 }
 
-// What a value becomes. A reason is why it can't.
+// The conversions of values. A non-empty string is the reason why a value cannot be converted.
 
-func (o *op) same(v value) (value, string) { return v, "" }
+func (o *op) identity(v value) (value, string) { return v, "" }
 
-func (o *op) text(v value) (value, string) {
+func (o *op) bytesToText(v value) (value, string) {
 	if !utf8.Valid(v.text) {
 		return v, "not valid UTF-8"
 	}
 	return v, ""
 }
 
-func (o *op) name(v value) (value, string) {
+func (o *op) textToEnum(v value) (value, string) {
 	v.num = int64(slices.Index(o.to.values, string(v.text)))
 	if v.num < 0 {
 		return v, fmt.Sprintf("%q is none of the values of %s", clip(v.text), o.to.name)
@@ -453,17 +454,17 @@
 	return v, ""
 }
 
-func (o *op) word(v value) (value, string) {
+func (o *op) enumToText(v value) (value, string) {
 	v.text = []byte(o.from.values[v.num])
 	return v, ""
 }
 
-func (o *op) pick(v value) (value, string) {
-	at := o.values[v.num]
-	if at < 0 {
-		return v, fmt.Sprintf("%s has nothing for %q", o.to.name, names(o.from)[v.num])
+func (o *op) mapValue(v value) (value, string) {
+	index := o.values[v.num]
+	if index < 0 {
+		return v, fmt.Sprintf("%s has nothing for %q", o.to.name, valueNames(o.from)[v.num])
 	}
-	v.num = at
+	v.num = index
 	return v, ""
 }
 
@@ -479,7 +480,7 @@
 	return v, ""
 }
 
-// multiply returns a product, if 64 bits hold it.
+// multiply returns a product, and whether it fits 64 bits.
 func multiply(a, b int64) (int64, bool) {
 	abs := func(x int64) uint64 {
 		if x < 0 {
@@ -499,18 +500,18 @@
 }
 
 func (o *op) split(v value) (value, string) {
-	if n := bytes.Count(v.text, o.with) + 1; n != o.parts {
+	if n := bytes.Count(v.text, o.separator) + 1; n != o.parts {
 		return v, fmt.Sprintf("it has %d parts and not %d", n, o.parts)
 	}
 	rest := v.text
 	for range o.part {
-		_, rest, _ = bytes.Cut(rest, o.with)
+		_, rest, _ = bytes.Cut(rest, o.separator)
 	}
-	v.text, _, _ = bytes.Cut(rest, o.with)
+	v.text, _, _ = bytes.Cut(rest, o.separator)
 	return v, ""
 }
 
-// convert makes the fields of a message. All that it takes of memory is what joined texts need.
+// convert computes the fields of a message. It allocates memory only for joined texts.
 func (c *conversion) convert(src, dst []value) *Refusal {
 	for _, i := range c.absent {
 		if src[i].set {
@@ -521,17 +522,17 @@
 		o := &c.ops[i]
 		switch {
 		case len(o.src) == 0:
-			dst[o.dst] = o.preset
+			dst[o.dst] = o.constant
 		case o.from == nil:
-			joined, refusal := c.joined(o, src)
+			joined, refusal := c.join(o, src)
 			if refusal != nil {
 				return refusal
 			}
 			dst[o.dst] = joined
 		case !src[o.src[0]].set:
-			dst[o.dst] = o.preset
+			dst[o.dst] = o.constant
 		default:
-			v, reason := o.become(o, src[o.src[0]])
+			v, reason := o.convert(o, src[o.src[0]])
 			if reason != "" {
 				return o.from.refuse(OutOfRange, "%s", reason)
 			}
@@ -546,25 +547,25 @@
 	return nil
 }
 
-func (c *conversion) joined(o *op, src []value) (value, *Refusal) {
+func (c *conversion) join(o *op, src []value) (value, *Refusal) {
 	size := 0
 	for _, i := range o.src {
-		if bytes.Contains(src[i].text, o.with) { // or nobody could part them again
-			return value{}, c.src.fields[i].refuse(OutOfRange, "it contains %q", o.with)
+		if bytes.Contains(src[i].text, o.separator) { // the joined text could not be split again
+			return value{}, c.src.fields[i].refuse(OutOfRange, "it contains %q", o.separator)
 		}
-		size += len(src[i].text) + len(o.with)
+		size += len(src[i].text) + len(o.separator)
 	}
 	text := make([]byte, 0, size)
 	for n, i := range o.src {
 		if n > 0 {
-			text = append(text, o.with...)
+			text = append(text, o.separator...)
 		}
 		text = append(text, src[i].text...)
 	}
 	return value{set: true, text: text}, nil
 }
 
-// Plan returns the one from one shape to another, or nil.
+// Plan returns the plan from one shape to another, or nil.
 func (s *Set) Plan(from, to string) *Plan {
 	for _, p := range s.Plans {
 		if p.From.Name == from && p.To.Name == to {
@@ -574,18 +575,18 @@
 	return nil
 }
 
-// HTTP returns the shape of a class in which a request in HTTP is worded, by its method and path, or nil.
+// HTTPShape returns the shape of an HTTP request of a class, by its method and its escaped path, or nil.
 func (s *Set) HTTP(class, method, path string) *Shape {
 	for _, shape := range s.byClass[class] {
-		if shape.method == method && shape.fits(path) {
+		if shape.method == method && shape.matches(path) {
 			return shape
 		}
 	}
 	return nil
 }
 
-// fits reports whether a path, as it stands in a request, is of the shape's form.
-func (s *Shape) fits(path string) bool {
+// matches reports whether an escaped path has the form of the shape's path.
+func (s *Shape) matches(path string) bool {
 	rest, rooted := strings.CutPrefix(path, "/")
 	for i, seg := range s.path {
 		part, after, more := strings.Cut(rest, "/")
@@ -597,23 +598,24 @@
 	return rooted
 }
 
-// Thrift returns the shape in which a call of a method is worded, or nil.
+// ThriftShape returns the shape of the calls of a Thrift method, or nil.
 func (s *Set) Thrift(method string) *Shape { return s.byMethod[method] }
 
-// Class reports whether any shape is of a class.
+// HasClass reports whether a class has any shapes.
 func (s *Set) Class(name string) bool {
 	_, any := s.byClass[name]
 	return any
 }
 
-// Method is the method of a shape's requests.
+// Method returns the HTTP or Thrift method of the shape's requests.
 func (s *Shape) Method() string { return s.method }
 
-// KeyLast reports whether a path of the shape ends in what the call is about.
+// EndsInKey reports whether the shape's path ends in a field, which then is the call's key.
 func (s *Shape) KeyLast() bool { return len(s.path) > 0 && s.path[len(s.path)-1].field != nil }
 
-// RequestHeaders are the headers of a request in HTTP that the shape speaks of, in canonical form. They are only read.
-func (s *Shape) RequestHeaders() []string { return s.request.names }
+// RequestHeaders returns the names of the headers of an HTTP request that are fields of the shape, in canonical form. The
+// caller must not modify them.
+func (s *Shape) RequestHeaders() []string { return s.request.headers }
 
-// ReplyHeaders are those of a reply.
-func (s *Shape) ReplyHeaders() []string { return s.reply.names }
+// ReplyHeaders returns those of a reply.
+func (s *Shape) ReplyHeaders() []string { return s.reply.headers }
--- a/internal/translate/shape.go
+++ b/internal/translate/shape.go
@@ -1,5 +1,7 @@
-// Package translate turns messages of one shape into another, by a mapping that is declared in a file, checked and
-// compiled once. It does no I/O: bytes and a plan go in, bytes or a typed refusal come out.
+// Package translate converts messages of one shape (a version of a request and its reply) into another, by mappings that are
+// declared in a file and compiled once. It does no I/O. A message that cannot be converted exactly yields a *Refusal.
+//
+// The texts of refusals are sent to clients.
 package translate
 
 import (
@@ -11,40 +13,40 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // zones must mean the same on every host
+	_ "time/tzdata" // the same time zone data on every host
 
 	"ternbeam/internal/settings/conffile"
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Bounds of what a file may declare.
+// Bounds and defaults of what a file may declare.
 const (
-	mostFields  = 256     // of a message
-	mostName    = 64      // bytes of a name
-	mostBody    = 1 << 24 // bytes of a message
-	defaultBody = 64 << 10
-	mostText    = 64 << 10 // bytes of a field, where it says nothing of its own
+	maxFields      = 256      // of a message
+	maxName        = 64       // bytes of a name
+	maxBody        = 1 << 24  // bytes of a message
+	defaultMaxBody = 64 << 10 // bytes of a message
+	maxText        = 64 << 10 // bytes of a text or bytes field without a max of its own
 )
 
-// envelope is what every message of a protocol carries for the agent, whatever its shape. In HTTP it has headers of its
-// own; in Thrift a shape says where.
+// envelope identifies a field that every message of a protocol carries for the agent, whatever its shape. In HTTP the
+// envelope has fixed headers; in Thrift each shape declares where its fields are.
 type envelope int
 
 const (
 	envelopeID envelope = iota
 	envelopeTenant
 	envelopeIdempotency
-	envelopeLeft
+	envelopeTimeLeft
 	envelopeRepeat
-	envelopeLoad // of replies; any number
-	noEnvelope
+	envelopeLoad // in replies; a shape may have several
+	noEnvelope   // a field of the shape itself
 )
 
-// ownHeaders are those of the envelope in HTTP, and those that frame a message: no shape may name them.
-var ownHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "Idempotency-Key", "X-Repeat",
+// reservedHeaders are the headers of the envelope in HTTP, and those that frame a message. No shape may declare them.
+var reservedHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "Idempotency-Key", "X-Repeat",
 	"X-Unprocessed", "X-Backend-Load", "Retry-After", "Content-Type", "Content-Length", "Transfer-Encoding", "Connection", "Host"}
 
-// place is where in a message a field is.
+// place is the part of a message that contains a field.
 type place uint8
 
 const (
@@ -64,55 +66,57 @@
 	Type
 	name     string
 	place    place
-	at       string   // in its place: a name, or the names of nested JSON objects with points between
-	path     []string // of those
+	at       string   // name or dotted path in its place, such as amount.pence in JSON or 1.3 in Thrift
+	path     []string // the parts of at
 	optional bool
-	quoted   bool // a number that JSON has as a string
-	min, max int64
-	scale    int
-	values   []string
-	form     string
-	layout   string
-	zone     *time.Location
-	escaped  string          // its name in a query or a form
+	quoted   bool            // a number that is a string in JSON
+	min, max int64           // bounds: bytes of a text, or the value of a number, times 10^scale for a decimal
+	scale    int             // of a decimal: its number of decimals
+	values   []string        // of an enum
+	form     string          // of an instant
+	layout   string          // of a date, as in package time; empty for days since 1970
+	zone     *time.Location  // of an instant in the form local
+	escaped  string          // its escaped name in a query or a form
 	wire     thriftwire.Type // in Thrift
 	numbers  []int64         // of an enum's values, in Thrift
 	envelope envelope
 }
 
-// message is what a shape says of a request or a reply.
+// message describes a request or a reply of a shape.
 type message struct {
-	fields  []*field // by name
-	names   []string // of its headers, in canonical form
-	byName  map[string]*field
-	json    *node // its JSON fields as they nest
-	thrift  *node // and its Thrift fields
-	scan    *thriftwire.Plan
-	unknown string // JSON members that no field names: refuse, drop or keep
-	most    int    // bytes of a body
+	fields   []*field // by name, then the envelope's
+	headers  []string // names of its headers, in canonical form
+	byName   map[string]*field
+	json     *node            // the tree of its JSON fields
+	thrift   *node            // the tree of its Thrift fields
+	scanPlan *thriftwire.Plan // finds all fields of a Thrift message in one pass
+	unknown  string           // what is done with members that no field declares: refuse, drop or keep
+	maxBody  int              // bytes of a body, or of a Thrift message
 }
 
 // Shape is a version of a class's request and reply.
 type Shape struct {
 	Name     string
 	Class    string
-	Version  string // as servers' entries in the list name it
+	Version  string // as in the servers' entries in the list
 	Protocol string // http or thrift
-	Unknown  int    // what a server answers that does not know the shape, see its file; 0 where none says so
-	method   string
-	path     []segment
-	request  message
-	reply    message
+	// UnknownShapeCode is the HTTP status, or the type of the TApplicationException, with which a server answers that does not
+	// know the shape; 0 if there is none.
+	Unknown int
+	method  string
+	path    []segment
+	request message
+	reply   message
 }
 
-// segment is a part of a path between slashes: a text, or a field.
+// segment is a part of a path between slashes: a fixed text, or a field.
 type segment struct {
 	text  string
-	field *field
-	at    int // the field's place among those of the request
+	field *field // nil for a fixed text
+	index int    // of the field in the request's fields
 }
 
-// The file.
+// The layout of the file.
 type (
 	fileText struct {
 		Shapes   map[string]*shapeText   `toml:"shapes"`
@@ -195,7 +199,7 @@
 	}
 )
 
-// compiler reads a file.
+// compiler compiles a file.
 type compiler struct {
 	file   *conffile.File
 	shapes map[string]*Shape
@@ -205,12 +209,12 @@
 func (c *compiler) shape(name string, t *shapeText) *Shape {
 	key := "shapes." + name
 	s := &Shape{Name: name, Class: t.Class, Version: t.Version, Protocol: t.Protocol, Unknown: t.Unknowns, method: t.Method}
-	if len(name) > mostName {
-		c.file.Problem(key, "a name of more than %d bytes", mostName)
+	if len(name) > maxName {
+		c.file.Problem(key, "the name is longer than %d bytes", maxName)
 	}
-	for what, text := range map[string]string{"class": t.Class, "version": t.Version} {
-		if text == "" || len(text) > mostName || strings.ContainsAny(text, "/ ") {
-			c.file.Problem(key+"."+what, "%q: a name of 1 to %d bytes without slashes and spaces is needed", text, mostName)
+	for attr, text := range map[string]string{"class": t.Class, "version": t.Version} {
+		if text == "" || len(text) > maxName || strings.ContainsAny(text, "/ ") {
+			c.file.Problem(key+"."+attr, "%q is not a name of 1 to %d bytes without slashes and spaces", text, maxName)
 		}
 	}
 	s.request = c.message(key+".request", t.Request, t.Unknown.Request, t.Most.Request, key)
@@ -221,44 +225,44 @@
 	case "thrift":
 		c.thrift(key, s, t)
 	default:
-		c.file.Problem(key+".protocol", "%q, http and thrift are possible", t.Protocol)
+		c.file.Problem(key+".protocol", "%q is neither http nor thrift", t.Protocol)
 	}
-	for what, m := range map[string]*message{"request": &s.request, "reply": &s.reply} {
+	for kind, m := range map[string]*message{"request": &s.request, "reply": &s.reply} {
 		for _, f := range m.fields {
 			if (f.place == inThrift) != (t.Protocol == "thrift") {
-				c.file.Problem(key+"."+what+"."+f.name+".at", "a message in %s has no such place", t.Protocol)
+				c.file.Problem(key+"."+kind+"."+f.name+".at", "a message in %s has no such place", t.Protocol)
 			}
-			if f.place == inHeader && slices.ContainsFunc(ownHeaders, func(own string) bool { return strings.EqualFold(own, f.at) }) {
-				c.file.Problem(key+"."+what+"."+f.name+".at", "the agent carries %s itself, whatever the shape", f.at)
+			if f.place == inHeader && slices.ContainsFunc(reservedHeaders, func(name string) bool { return strings.EqualFold(name, f.at) }) {
+				c.file.Problem(key+"."+kind+"."+f.name+".at", "header %s is reserved: the agent sets it itself", f.at)
 			}
 		}
-		m.tree(c, key+"."+what, t.Protocol)
+		m.buildTrees(c, key+"."+kind, t.Protocol)
 	}
 	return s
 }
 
-// http compiles what only shapes in HTTP have.
+// http compiles the parts that only HTTP shapes have.
 func (c *compiler) http(key string, s *Shape, t *shapeText) {
 	if t.Method != "GET" && t.Method != "POST" && t.Method != "PUT" {
-		c.file.Problem(key+".method", "%q, one of GET, POST and PUT is needed", t.Method)
+		c.file.Problem(key+".method", "%q is not one of GET, POST and PUT", t.Method)
 	}
-	c.pathOf(key, s, t.Path)
+	c.compilePath(key, s, t.Path)
 	for _, f := range s.reply.fields {
 		if f.place == inPath || f.place == inQuery || f.place == inForm {
 			c.file.Problem(key+".reply."+f.name+".at", "a reply has no such place")
 		}
 	}
 	if s.request.has(inJSON) && s.request.has(inForm) {
-		c.file.Problem(key+".request", "a body is JSON or a form, not both")
+		c.file.Problem(key+".request", "a body is either JSON or a form, not both")
 	}
 	if s.method == "GET" && (s.request.has(inJSON) || s.request.has(inForm)) {
 		c.file.Problem(key+".method", "a GET has no body")
 	}
 	if t.Unknowns != 0 && (t.Unknowns < 400 || t.Unknowns > 599) {
-		c.file.Problem(key+".shape_unknown", "%d, a status from 400 to 599 is possible", t.Unknowns)
+		c.file.Problem(key+".shape_unknown", "%d is not a status from 400 to 599", t.Unknowns)
 	}
 	if e := t.Envelope; e.ID+e.Tenant+e.Idempotency+e.Left+e.Repeat != "" || len(e.Load) > 0 {
-		c.file.Problem(key+".envelope", "in HTTP it has headers of its own")
+		c.file.Problem(key+".envelope", "an HTTP shape has none: its envelope has fixed headers")
 	}
 }
 
@@ -266,10 +270,10 @@
 	return slices.ContainsFunc(m.fields, func(f *field) bool { return f.place == p })
 }
 
-// pathOf compiles a shape's path: parts between slashes, each a text or a field in braces.
-func (c *compiler) pathOf(key string, s *Shape, path string) {
+// compilePath compiles a shape's path: segments between slashes, each a fixed text or a field in braces.
+func (c *compiler) compilePath(key string, s *Shape, path string) {
 	if !strings.HasPrefix(path, "/") {
-		c.file.Problem(key+".path", "%q, it must begin with a slash", path)
+		c.file.Problem(key+".path", "%q does not begin with a slash", path)
 		return
 	}
 	used := map[*field]bool{}
@@ -277,7 +281,7 @@
 		name, braced := strings.CutPrefix(part, "{")
 		if !braced {
 			if strings.ContainsAny(part, "{}?#% ") {
-				c.file.Problem(key+".path", "%q is neither a plain text nor a field in braces", part)
+				c.file.Problem(key+".path", "%q is neither a fixed text nor a field in braces", part)
 			}
 			s.path = append(s.path, segment{text: part})
 			continue
@@ -285,14 +289,14 @@
 		name, closed := strings.CutSuffix(name, "}")
 		at := slices.IndexFunc(s.request.fields, func(f *field) bool { return f.place == inPath && f.at == name })
 		if !closed || at < 0 {
-			c.file.Problem(key+".path", "%q: no field is at path:%s", part, name)
+			c.file.Problem(key+".path", "%q: no field has at = \"path:%s\"", part, name)
 			continue
 		}
 		if f := s.request.fields[at]; used[f] || f.optional {
-			c.file.Problem(key+".path", "%q: a field of a path stands there once, and is not optional", part)
+			c.file.Problem(key+".path", "%q: a field of a path must appear there once, and must not be optional", part)
 		} else {
 			used[f] = true
-			s.path = append(s.path, segment{field: f, at: at})
+			s.path = append(s.path, segment{field: f, index: at})
 		}
 	}
 	for _, f := range s.request.fields {
@@ -303,25 +307,25 @@
 }
 
 // message compiles the fields of a request or a reply.
-func (c *compiler) message(key string, fields map[string]*fieldText, unknown string, most int, shape string) message {
-	m := message{byName: map[string]*field{}, unknown: cmp.Or(unknown, "refuse"), most: cmp.Or(most, defaultBody)}
-	if len(fields) > mostFields {
-		c.file.Problem(key, "%d fields, at most %d are possible", len(fields), mostFields)
+func (c *compiler) message(key string, fields map[string]*fieldText, unknown string, limit int, shape string) message {
+	m := message{byName: map[string]*field{}, unknown: cmp.Or(unknown, "refuse"), maxBody: cmp.Or(limit, defaultMaxBody)}
+	if len(fields) > maxFields {
+		c.file.Problem(key, "%d fields, at most %d are allowed", len(fields), maxFields)
 	}
 	if !slices.Contains([]string{"refuse", "drop", "keep"}, m.unknown) {
-		c.file.Problem(shape+".unknown", "%q, one of refuse, drop and keep is possible", unknown)
+		c.file.Problem(shape+".unknown", "%q is not one of refuse, drop and keep", unknown)
 	}
-	if m.most < 1 || m.most > mostBody {
-		c.file.Problem(shape+".max_body_bytes", "%d, 1 to %d is possible", most, mostBody)
+	if m.maxBody < 1 || m.maxBody > maxBody {
+		c.file.Problem(shape+".max_body_bytes", "%d is not from 1 to %d", limit, maxBody)
 	}
 	for _, name := range sortedKeys(fields) {
 		f := c.field(key+"."+name, name, fields[name])
 		for _, other := range m.fields {
 			if f.place == other.place && (f.at == other.at || f.place == inHeader && strings.EqualFold(f.at, other.at)) {
-				c.file.Problem(key+"."+name+".at", "%s is there too", other.name)
+				c.file.Problem(key+"."+name+".at", "field %s is in the same place", other.name)
 			}
-			if f.place == other.place && (f.place == inJSON || f.place == inThrift) && f.around(other) {
-				c.file.Problem(key+"."+name+".at", "it can't be in %s, or that in it", other.name)
+			if f.place == other.place && (f.place == inJSON || f.place == inThrift) && f.nestedWith(other) {
+				c.file.Problem(key+"."+name+".at", "one of this field and %s contains the other", other.name)
 			}
 		}
 		m.fields = append(m.fields, f)
@@ -330,12 +334,12 @@
 	return m
 }
 
-// tree arranges the fields as they nest.
-func (m *message) tree(c *compiler, key, protocol string) {
+// buildTrees builds the trees of the fields, the list of headers and, in Thrift, the scan plan.
+func (m *message) buildTrees(c *compiler, key, protocol string) {
 	m.json = m.nest(inJSON)
 	for _, f := range m.fields {
 		if f.place == inHeader {
-			m.names = append(m.names, f.at)
+			m.headers = append(m.headers, f.at)
 		}
 	}
 	if protocol != "thrift" {
@@ -346,21 +350,21 @@
 	for _, f := range m.fields {
 		paths = append(paths, f.at)
 	}
-	plan, err := thriftwire.NewPlan(mostDepth, paths...)
+	plan, err := thriftwire.NewPlan(maxDepth, paths...)
 	if err != nil {
 		c.file.Problem(key, "%v", err)
 	}
-	if m.scan = plan; plan != nil && m.unknown == "refuse" {
+	if m.scanPlan = plan; plan != nil && m.unknown == "refuse" {
 		plan.Strict()
 	}
 }
 
-// around reports whether one field is a member of the other.
-func (f *field) around(other *field) bool {
+// nestedWith reports whether one of two fields contains the other.
+func (f *field) nestedWith(other *field) bool {
 	return strings.HasPrefix(f.at, other.at+".") || strings.HasPrefix(other.at, f.at+".")
 }
 
-// sortedKeys are the keys of a table, so that what is said of it has an order.
+// sortedKeys returns the sorted keys of a table, so that results and problems have a defined order.
 func sortedKeys[T any](table map[string]T) []string {
 	keys := make([]string, 0, len(table))
 	for k := range table {
@@ -373,24 +377,24 @@
 // field compiles one field.
 func (c *compiler) field(key, name string, t *fieldText) *field {
 	f := &field{name: name, optional: t.Optional, quoted: t.Quoted, form: t.Form, envelope: noEnvelope}
-	where, at, _ := strings.Cut(t.At, ":")
+	prefix, at, _ := strings.Cut(t.At, ":")
 	var known bool
-	if f.place, known = placeNames[where]; !known || at == "" {
-		c.file.Problem(key+".at", "%q, one of path:, query:, header:, json:, form: and thrift: with a name is needed", t.At)
+	if f.place, known = placeNames[prefix]; !known || at == "" {
+		c.file.Problem(key+".at", "%q is not one of path:, query:, header:, json:, form: and thrift: with a name", t.At)
 	}
 	if f.place == inHeader {
 		at = textproto.CanonicalMIMEHeaderKey(at)
 	}
 	f.at, f.path, f.escaped = at, strings.Split(at, "."), url.QueryEscape(at)
 	if f.place == inJSON && slices.Contains(f.path, "") {
-		c.file.Problem(key+".at", "%q: a name of a JSON member is empty", t.At)
+		c.file.Problem(key+".at", "%q: the name of a JSON member is empty", t.At)
 	}
 	if f.Type, known = typeNames[t.Type]; !known {
-		c.file.Problem(key+".type", "%q, one of %s is possible", t.Type, strings.Join(sortedKeys(typeNames), ", "))
+		c.file.Problem(key+".type", "%q is not one of %s", t.Type, strings.Join(sortedKeys(typeNames), ", "))
 	}
-	only := func(set bool, what string, types ...Type) {
+	only := func(set bool, attr string, types ...Type) {
 		if set && !slices.Contains(types, f.Type) {
-			c.file.Problem(key+"."+what, "a %v has none", f.Type)
+			c.file.Problem(key+"."+attr, "a field of type %v has none", f.Type)
 		}
 	}
 	only(t.Scale != 0, "scale", Decimal)
@@ -400,22 +404,22 @@
 	only(t.Quoted, "quoted", Int, Decimal)
 	only(t.Min != "", "min", Text, Bytes, Int, Decimal)
 	only(t.Max != "", "max", Text, Bytes, Int, Decimal)
-	if f.scale = t.Scale; f.scale < 0 || f.scale > mostDecimals {
-		c.file.Problem(key+".scale", "%d, 0 to %d is possible", t.Scale, mostDecimals)
+	if f.scale = t.Scale; f.scale < 0 || f.scale > maxDecimals {
+		c.file.Problem(key+".scale", "%d is not from 0 to %d", t.Scale, maxDecimals)
 		f.scale = 0
 	}
 	f.min, f.max = math.MinInt64, math.MaxInt64
 	if f.Type == Text || f.Type == Bytes {
-		f.min, f.max = 0, mostText
+		f.min, f.max = 0, maxText
 	}
-	for what, bound := range map[string]struct {
+	for attr, bound := range map[string]struct {
 		text string
 		to   *int64
 	}{"min": {t.Min, &f.min}, "max": {t.Max, &f.max}} {
 		if bound.text != "" {
 			n, err := parseDecimal([]byte(bound.text), f.scale)
 			if *bound.to = n; err != nil {
-				c.file.Problem(key+"."+what, "%q: %v", bound.text, err)
+				c.file.Problem(key+"."+attr, "%q: %v", bound.text, err)
 			}
 		}
 	}
@@ -425,7 +429,7 @@
 	if f.values = t.Values; f.Type == Enum {
 		sorted := slices.Sorted(slices.Values(t.Values))
 		if len(sorted) == 0 || len(slices.Compact(sorted)) < len(t.Values) {
-			c.file.Problem(key+".values", "an enum needs some, each once")
+			c.file.Problem(key+".values", "an enum needs at least one value, and each only once")
 		}
 	}
 	c.timeForm(key, f, t)
@@ -433,7 +437,7 @@
 	return f
 }
 
-// timeForm compiles how a date or an instant is written.
+// timeForm compiles the form of a date or an instant.
 func (c *compiler) timeForm(key string, f *field, t *fieldText) {
 	var err error
 	switch {
@@ -442,15 +446,15 @@
 			"yyyymmdd": "20060102", "unix-days": ""}
 		layout, known := layouts[t.Form]
 		if f.layout = layout; !known {
-			c.file.Problem(key+".form", "%q, one of %s is possible", t.Form, strings.Join(sortedKeys(layouts)[1:], ", "))
+			c.file.Problem(key+".form", "%q is not one of %s", t.Form, strings.Join(sortedKeys(layouts)[1:], ", "))
 		}
 	case f.Type != Instant:
 	case !slices.Contains([]string{"", "rfc3339", "unix-s", "unix-ms", "local"}, t.Form):
-		c.file.Problem(key+".form", "%q, one of rfc3339, unix-s, unix-ms and local is possible", t.Form)
+		c.file.Problem(key+".form", "%q is not one of rfc3339, unix-s, unix-ms and local", t.Form)
 	case t.Form == "local" && t.Zone == "":
-		c.file.Problem(key+".zone", "a local time needs one")
+		c.file.Problem(key+".zone", "a local time needs a zone")
 	case t.Form != "local" && t.Zone != "":
-		c.file.Problem(key+".zone", "only a local time has one")
+		c.file.Problem(key+".zone", "only a local time has a zone")
 	case t.Zone != "":
 		if f.zone, err = time.LoadLocation(t.Zone); err != nil {
 			c.file.Problem(key+".zone", "%q: %v", t.Zone, fmt.Errorf("no such zone: %w", err))
--- a/internal/translate/thrift.go
+++ b/internal/translate/thrift.go
@@ -9,106 +9,106 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// wires are the types of integers in Thrift.
-var wires = map[string]thriftwire.Type{"byte": thriftwire.Byte, "i16": thriftwire.I16, "i32": thriftwire.I32,
+// integerTypes are the integer types of Thrift, by their names in the file.
+var integerTypes = map[string]thriftwire.Type{"byte": thriftwire.Byte, "i16": thriftwire.I16, "i32": thriftwire.I32,
 	"i64": thriftwire.I64}
 
-// thrift compiles what only shapes in Thrift have.
+// thrift compiles the parts that only Thrift shapes have.
 func (c *compiler) thrift(key string, s *Shape, t *shapeText) {
 	if t.Method == "" || len(t.Method) > thriftwire.MaxName {
-		c.file.Problem(key+".method", "the name of a method, of 1 to %d bytes, is needed", thriftwire.MaxName)
+		c.file.Problem(key+".method", "the name of a method must have 1 to %d bytes", thriftwire.MaxName)
 	}
 	if t.Path != "" {
-		c.file.Problem(key+".path", "a message in Thrift has none")
+		c.file.Problem(key+".path", "a Thrift shape has no path")
 	}
 	if t.Unknowns < 0 || t.Unknowns > 255 {
-		c.file.Problem(key+".shape_unknown", "%d, a type of TApplicationException from 1 to 255 is possible", t.Unknowns)
+		c.file.Problem(key+".shape_unknown", "%d is not a type of TApplicationException from 1 to 255", t.Unknowns)
 	}
-	for what, m := range map[string]*message{"request": &s.request, "reply": &s.reply} {
+	for kind, m := range map[string]*message{"request": &s.request, "reply": &s.reply} {
 		if m.unknown == "keep" {
-			c.file.Problem(key+".unknown."+what, "fields that no field names can't be kept in Thrift")
+			c.file.Problem(key+".unknown."+kind, "undeclared fields can't be kept in Thrift")
 		}
 	}
 	for _, f := range s.reply.fields {
 		if f.place == inThrift && f.path[0] != "0" {
-			c.file.Problem(key+".reply."+f.name+".at", "%q: a reply that serves is in field 0 of the result", f.at)
+			c.file.Problem(key+".reply."+f.name+".at", "%q: the reply of a successful call is in field 0 of the result", f.at)
 		}
 	}
-	for at, what := range map[envelope]struct{ key, path string }{
+	for as, entry := range map[envelope]struct{ key, path string }{
 		envelopeID: {"id", t.Envelope.ID}, envelopeTenant: {"tenant", t.Envelope.Tenant},
-		envelopeIdempotency: {"idempotency_key", t.Envelope.Idempotency}, envelopeLeft: {"time_left_ms", t.Envelope.Left},
+		envelopeIdempotency: {"idempotency_key", t.Envelope.Idempotency}, envelopeTimeLeft: {"time_left_ms", t.Envelope.Left},
 		envelopeRepeat: {"repeat", t.Envelope.Repeat},
 	} {
-		if what.path == "" && (at == envelopeID || at == envelopeTenant || at == envelopeLeft) {
-			c.file.Problem(key+".envelope."+what.key, "it is needed")
+		if entry.path == "" && (as == envelopeID || as == envelopeTenant || as == envelopeTimeLeft) {
+			c.file.Problem(key+".envelope."+entry.key, "is required")
 		}
-		c.carry(key+".envelope."+what.key, &s.request, what.path, at)
+		c.addEnvelopeField(key+".envelope."+entry.key, &s.request, entry.path, as)
 	}
 	for _, path := range t.Envelope.Load {
-		c.carry(key+".envelope.load", &s.reply, path, envelopeLoad)
+		c.addEnvelopeField(key+".envelope.load", &s.reply, path, envelopeLoad)
 	}
 }
 
-// carry adds a field of the envelope to a message. Conversions pass it over.
-func (c *compiler) carry(key string, m *message, path string, as envelope) {
+// addEnvelopeField adds a field of the envelope to a message. Conversions ignore it.
+func (c *compiler) addEnvelopeField(key string, m *message, path string, as envelope) {
 	if path == "" {
 		return
 	}
 	f := &field{name: "the envelope's " + path, place: inThrift, at: path, path: strings.Split(path, "."), optional: true,
 		envelope: as, wire: thriftwire.String}
 	switch as {
-	case envelopeLeft:
+	case envelopeTimeLeft:
 		f.wire = thriftwire.I64
 	case envelopeRepeat:
 		f.wire = thriftwire.Bool
 	}
-	c.numbered(key, f)
+	c.checkFieldIDs(key, f)
 	for _, other := range m.fields {
-		if f.at == other.at || f.around(other) {
-			c.file.Problem(key, "%q: %s is there, in it or around it", path, other.name)
+		if f.at == other.at || f.nestedWith(other) {
+			c.file.Problem(key, "%q: overlaps with %s", path, other.name)
 		}
 	}
 	m.fields = append(m.fields, f)
 }
 
-// numbered checks the path of a field in Thrift.
-func (c *compiler) numbered(key string, f *field) {
+// checkFieldIDs checks that the path of a Thrift field consists of field ids.
+func (c *compiler) checkFieldIDs(key string, f *field) {
 	for _, part := range f.path {
 		if id, err := strconv.ParseInt(part, 10, 16); err != nil || id < 0 || strconv.Itoa(int(id)) != part {
-			c.file.Problem(key, "%q: %q is no number of a field, from 0 to 32767", f.at, part)
+			c.file.Problem(key, "%q: %q is not a field id from 0 to 32767", f.at, part)
 		}
 	}
 }
 
-// wire compiles of which type a field is in Thrift.
+// wire compiles the Thrift type of a field.
 func (c *compiler) wire(key string, f *field, t *fieldText) {
 	if f.place != inThrift {
 		if t.Wire != "" {
-			c.file.Problem(key+".wire", "only a field in Thrift has one")
+			c.file.Problem(key+".wire", "only a Thrift field has a wire type")
 		}
 		if len(t.Numbers) > 0 {
-			c.file.Problem(key+".numbers", "only an enum in Thrift has some")
+			c.file.Problem(key+".numbers", "only an enum in Thrift has numbers")
 		}
 		return
 	}
-	c.numbered(key+".at", f)
+	c.checkFieldIDs(key+".at", f)
 	if t.Quoted {
-		c.file.Problem(key+".quoted", "a decimal in Thrift is a string where it has no wire")
+		c.file.Problem(key+".quoted", "not for Thrift, where a decimal without a wire type is a string")
 	}
-	whole := f.Type == Int || f.Type == Decimal && t.Wire != "" || f.Type == Enum && len(t.Numbers) > 0 ||
+	integer := f.Type == Int || f.Type == Decimal && t.Wire != "" || f.Type == Enum && len(t.Numbers) > 0 ||
 		f.Type == Date && f.layout == "" || f.Type == Instant && strings.HasPrefix(f.form, "unix-")
 	switch {
-	case whole && t.Wire == "":
+	case integer && t.Wire == "":
 		if f.wire = thriftwire.I64; f.Type == Enum || f.Type == Date {
 			f.wire = thriftwire.I32
 		}
-	case whole:
+	case integer:
 		known := false
-		if f.wire, known = wires[t.Wire]; !known {
-			c.file.Problem(key+".wire", "%q, one of %s is possible", t.Wire, strings.Join(sortedKeys(wires), ", "))
+		if f.wire, known = integerTypes[t.Wire]; !known {
+			c.file.Problem(key+".wire", "%q is not one of %s", t.Wire, strings.Join(sortedKeys(integerTypes), ", "))
 		}
 	case t.Wire != "":
-		c.file.Problem(key+".wire", "a %v that is no number has none", f.Type)
+		c.file.Problem(key+".wire", "a field of type %v that is not a number has no wire type", f.Type)
 	case f.Type == Bool:
 		f.wire = thriftwire.Bool
 	default:
@@ -119,18 +119,18 @@
 	}
 	sorted := slices.Sorted(slices.Values(t.Numbers))
 	if f.Type != Enum || len(t.Numbers) != len(f.values) || len(slices.Compact(sorted)) < len(t.Numbers) {
-		c.file.Problem(key+".numbers", "an enum has as many as values, each once")
+		c.file.Problem(key+".numbers", "an enum needs one number for each value, and each only once")
 	}
 	for _, n := range t.Numbers {
-		if !fits(f.wire, n) {
-			c.file.Problem(key+".numbers", "%d is beyond its wire", n)
+		if !fitsType(f.wire, n) {
+			c.file.Problem(key+".numbers", "%d is out of the range of the wire type", n)
 		}
 	}
 	f.numbers = t.Numbers
 }
 
-// fits reports whether a type holds a number.
-func fits(t thriftwire.Type, n int64) bool {
+// fitsType reports whether a number is in the range of an integer type.
+func fitsType(t thriftwire.Type, n int64) bool {
 	switch t {
 	case thriftwire.Byte:
 		return n == int64(int8(n))
@@ -142,26 +142,26 @@
 	return true
 }
 
-// readThrift reads the fields of a message in Thrift.
-func (c *conversion) readThrift(kind thriftwire.MessageType, method string, m []byte, r *reading) *Refusal {
-	if len(m) > c.src.most {
-		return tooLong(len(m), c.src.most)
+// readThrift reads the fields of a Thrift message.
+func (c *conversion) readThrift(kind thriftwire.MessageType, method string, m []byte, ws *workspace) *Refusal {
+	if len(m) > c.src.maxBody {
+		return tooLong(len(m), c.src.maxBody)
 	}
 	h, err := thriftwire.ReadHead(m)
 	switch {
 	case err != nil:
-		return broken(err)
+		return malformed(err)
 	case h.Type != kind || string(h.Name(m)) != method:
 		return &Refusal{Malformed, "", "no message of " + method}
 	}
-	r.found = slices.Grow(r.found[:0], len(c.src.fields))[:len(c.src.fields)]
-	if err := c.src.scan.Scan(h, m, r.found); errors.Is(err, thriftwire.ErrUnasked) {
+	ws.found = slices.Grow(ws.found[:0], len(c.src.fields))[:len(c.src.fields)]
+	if err := c.src.scanPlan.Scan(h, m, ws.found); errors.Is(err, thriftwire.ErrUnasked) {
 		return &Refusal{Forbidden, "", err.Error()}
 	} else if err != nil {
-		return broken(err)
+		return malformed(err)
 	}
 	for i, f := range c.src.fields {
-		found := r.found[i]
+		found := ws.found[i]
 		switch {
 		case f.envelope != noEnvelope:
 			continue
@@ -174,9 +174,9 @@
 		}
 		var refusal *Refusal
 		if f.wire == thriftwire.String {
-			r.src[i], refusal = f.parse(found.Bytes(m))
+			ws.src[i], refusal = f.parse(found.Bytes(m))
 		} else {
-			r.src[i], refusal = f.number64(found.Int())
+			ws.src[i], refusal = f.fromInt(found.Int())
 		}
 		if refusal != nil {
 			return refusal
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// number64 is the value of a field that is a number or a bool in Thrift.
-func (f *field) number64(n int64) (value, *Refusal) {
+// fromInt returns the value of a field that is an integer or a bool in Thrift.
+func (f *field) fromInt(n int64) (value, *Refusal) {
 	v := value{set: true, num: n}
 	switch f.Type {
 	case Enum:
@@ -194,8 +194,8 @@
 			return v, f.refuse(OutOfRange, "%d is none of its values", n)
 		}
 	case Date:
-		if n < leastDay || n > mostDay {
-			return v, f.refuse(OutOfRange, "%d: %v", n, errYears)
+		if n < minDay || n > maxDay {
+			return v, f.refuse(OutOfRange, "%d: %v", n, errYearRange)
 		}
 	case Instant:
 		if f.form == "unix-s" {
@@ -204,14 +204,14 @@
 				return v, f.refuse(OutOfRange, "%d: beyond 64 bits", n)
 			}
 		}
-		if v.num < leastDay*dayInMS || v.num >= (mostDay+1)*dayInMS {
-			return v, f.refuse(OutOfRange, "%d: %v", n, errYears)
+		if v.num < minDay*dayInMS || v.num >= (maxDay+1)*dayInMS {
+			return v, f.refuse(OutOfRange, "%d: %v", n, errYearRange)
 		}
 	}
 	return v, f.check(v)
 }
 
-// fill sets the fields of an envelope.
+// fill sets the envelope's fields of a request.
 func (e *Envelope) fill(m *message, to []value) {
 	text := func(s string) value { return value{set: s != "", text: []byte(s)} }
 	for i, f := range m.fields {
@@ -222,7 +222,7 @@
 			to[i] = text(e.Tenant)
 		case envelopeIdempotency:
 			to[i] = text(e.Idempotency)
-		case envelopeLeft:
+		case envelopeTimeLeft:
 			to[i] = value{set: true, num: max(1, e.Left.Milliseconds())}
 		case envelopeRepeat:
 			to[i] = value{set: e.Repeat, num: 1}
@@ -230,26 +230,26 @@
 	}
 }
 
-// writeThrift words a message in Thrift. Its sequence id is 0.
-func (c *conversion) writeThrift(kind thriftwire.MessageType, method string, e thriftwire.Encoding, r *reading) ([]byte, *Refusal) {
+// writeThrift writes a Thrift message with the sequence id 0.
+func (c *conversion) writeThrift(kind thriftwire.MessageType, method string, e thriftwire.Encoding, ws *workspace) ([]byte, *Refusal) {
 	for i, f := range c.dst.fields {
-		if !r.dst[i].set && !f.optional {
+		if !ws.dst[i].set && !f.optional {
 			return nil, f.refuse(Missing, "it is needed")
 		}
 	}
 	w := thriftwire.Writer{Encoding: e, Buf: make([]byte, 0, 256)}
 	w.Head(kind, []byte(method), thriftwire.AppendSeq(nil, e, 0))
-	if refusal := c.appendStruct(&w, c.dst.thrift, r.dst, kind == thriftwire.Reply); refusal != nil {
+	if refusal := c.appendStruct(&w, c.dst.thrift, ws.dst, kind == thriftwire.Reply); refusal != nil {
 		return nil, refusal
 	}
 	w.Stop()
-	if len(w.Buf) > c.dst.most {
-		return nil, tooLong(len(w.Buf), c.dst.most)
+	if len(w.Buf) > c.dst.maxBody {
+		return nil, tooLong(len(w.Buf), c.dst.maxBody)
 	}
 	return w.Buf, nil
 }
 
-// appendStruct writes the members of a struct. That of a reply's result is there even if it is empty.
+// appendStruct writes the members of a struct. Structs without any value are left out, except field 0 of a reply's result.
 func (c *conversion) appendStruct(w *thriftwire.Writer, n *node, from []value, result bool) *Refusal {
 	for _, m := range n.members {
 		switch {
@@ -298,7 +298,7 @@
 		}
 		n /= 1000
 	}
-	if !fits(f.wire, n) {
+	if !fitsType(f.wire, n) {
 		return f.refuse(OutOfRange, "%d is beyond what its type holds", n)
 	}
 	w.Int(id, f.wire, n)
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -16,8 +16,8 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// words are those of calls whose key is k-1.
-var words = Words{Encoding: thriftwire.Binary, Envelope: Envelope{ID: "id-1", Tenant: "oban", Idempotency: "k-1", Left: time.Second}}
+// options are those of a call whose idempotency key is k-1.
+var options = Words{Encoding: thriftwire.Binary, Envelope: Envelope{ID: "id-1", Tenant: "oban", Idempotency: "k-1", Left: time.Second}}
 
 func sample(t testing.TB) *Set {
 	t.Helper()
@@ -36,11 +36,11 @@
 
 const oldBody = "amount=12.5&bought=29%2F02%2F2024&goods=J&first=%C3%89lise&last=MacLeod&memo=a+%26+b"
 
-// The old request in the new shape, and back; the reply back in the old one.
+// A request of the old shape is translated into the new one and back, and a reply of the new shape into the old one.
 func TestSample(t *testing.T) {
 	set := sample(t)
 	p, back := set.Plan("refund-record-1", "refund-record-2"), set.Plan("refund-record-2", "refund-record-1")
-	got, err := p.Request(oldRequest(oldBody), words)
+	got, err := p.Request(oldRequest(oldBody), options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		got.Header[3] != (Header{"Idempotency-Key", "k-1"}) {
 		t.Errorf("%+v\n%s", got, got.Body)
 	}
-	again, err := back.Request(got, words)
+	again, err := back.Request(got, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,18 +58,18 @@
 		"amount=12.50&bought=29%2F02%2F2024&first=%C3%89lise&goods=J&last=MacLeod&memo=a+%26+b" {
 		t.Errorf("%+v\n%s", again, again.Body)
 	}
-	reply, err := p.Reply(&Message{Body: []byte(`{"state":"pending","receipt":"R\u002d9"}`)}, words)
+	reply, err := p.Reply(&Message{Body: []byte(`{"state":"pending","receipt":"R\u002d9"}`)}, options)
 	if err != nil || len(reply.Header) != 2 || reply.Header[0] != (Header{"X-Paid", "false"}) ||
 		reply.Header[1] != (Header{"X-Receipt", "R-9"}) || len(reply.Body) > 0 {
 		t.Errorf("%+v, %v", reply, err)
 	}
 }
 
-// What can't be translated is refused, with the field and why.
+// A message that can't be translated is refused, with the kind of the refusal and the field.
 func TestRefusals(t *testing.T) {
 	set := sample(t)
 	p, back := set.Plan("refund-record-1", "refund-record-2"), set.Plan("refund-record-2", "refund-record-1")
-	with := func(old, new string) *Message { return oldRequest(strings.Replace(oldBody, old, new, 1)) }
+	form := func(old, new string) *Message { return oldRequest(strings.Replace(oldBody, old, new, 1)) }
 	newBody := `{"amount":{"currency":"GBP","pence":1250},"bought":"2024-02-29","form":{"id":"a"},"goods":"watch","traveller":"a|b"}`
 	json := func(old, new string) *Message {
 		return &Message{Method: "POST", Target: "/v2/refunds",
@@ -81,23 +81,23 @@
 		kind  Kind
 		field string
 	}{
-		"half a penny":              {p, with("12.5", "0.005"), OutOfRange, "amount"},
-		"too much":                  {p, with("12.5", "1000000000000000"), OutOfRange, "amount"},
-		"beyond 64 bits":            {p, with("12.5", "99999999999999999999"), OutOfRange, "amount"},
-		"negative zero":             {p, with("12.5", "-0"), OutOfRange, "amount"}, // as 0 is
-		"no amount":                 {p, with("12.5", "much"), Malformed, "amount"},
-		"no day":                    {p, with("29%2F02%2F2024", "29%2F02%2F2023"), Malformed, "bought"},
-		"another form of day":       {p, with("29%2F02%2F2024", "1%2F2%2F2024"), Malformed, "bought"},
-		"unknown value":             {p, with("goods=J", "goods=X"), OutOfRange, "goods"},
-		"missing":                   {p, with("goods=J&", ""), Missing, "goods"},
-		"given twice":               {p, with("goods=J", "goods=J&goods=J"), Malformed, "goods"},
-		"unknown field":             {p, with("goods=J", "goods=J&more=1"), Forbidden, ""},
-		"not UTF-8":                 {p, with("MacLeod", "%FF"), Malformed, "last"},
-		"what parts the joined":     {p, with("MacLeod", "Mac%7CLeod"), OutOfRange, "last"},
+		"half a penny":              {p, form("12.5", "0.005"), OutOfRange, "amount"},
+		"too much":                  {p, form("12.5", "1000000000000000"), OutOfRange, "amount"},
+		"beyond 64 bits":            {p, form("12.5", "99999999999999999999"), OutOfRange, "amount"},
+		"negative zero":             {p, form("12.5", "-0"), OutOfRange, "amount"}, // as 0 is
+		"no amount":                 {p, form("12.5", "much"), Malformed, "amount"},
+		"no day":                    {p, form("29%2F02%2F2024", "29%2F02%2F2023"), Malformed, "bought"},
+		"another form of day":       {p, form("29%2F02%2F2024", "1%2F2%2F2024"), Malformed, "bought"},
+		"unknown value":             {p, form("goods=J", "goods=X"), OutOfRange, "goods"},
+		"missing":                   {p, form("goods=J&", ""), Missing, "goods"},
+		"given twice":               {p, form("goods=J", "goods=J&goods=J"), Malformed, "goods"},
+		"unknown field":             {p, form("goods=J", "goods=J&more=1"), Forbidden, ""},
+		"not UTF-8":                 {p, form("MacLeod", "%FF"), Malformed, "last"},
+		"what parts the joined":     {p, form("MacLeod", "Mac%7CLeod"), OutOfRange, "last"},
 		"another path":              {p, &Message{Method: "POST", Target: "/refund-record"}, Malformed, ""},
 		"longer path":               {p, &Message{Method: "POST", Target: oldTarget + "/x"}, Malformed, ""},
 		"another method":            {p, &Message{Method: "GET", Target: oldTarget}, Malformed, ""},
-		"long body":                 {p, oldRequest("memo=" + strings.Repeat("a", defaultBody)), TooLarge, ""},
+		"long body":                 {p, oldRequest("memo=" + strings.Repeat("a", defaultMaxBody)), TooLarge, ""},
 		"duplicate member":          {back, json(`"goods"`, `"goods":"watch","goods"`), Malformed, ""},
 		"duplicate by escape":       {back, json(`"goods"`, `"g\u006fods":"watch","goods"`), Malformed, ""},
 		"number beyond 2^53":        {back, json("1250", "9007199254740993"), OutOfRange, "pence"},
@@ -117,7 +117,7 @@
 		"path that would be lost":   {back, json(`"id":"a"`, `"id":".."`), OutOfRange, "form"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := c.plan.Request(c.m, words)
+			got, err := c.plan.Request(c.m, options)
 			var r *Refusal
 			if !errors.As(err, &r) || r.Kind != c.kind || r.Field != c.field {
 				t.Errorf("%+v, %v", got, err)
@@ -126,7 +126,7 @@
 	}
 }
 
-// Whatever the key's bytes, they are the same after any translation, or it is refused.
+// Every idempotency key is the same after each translation, byte for byte, or the call is refused.
 func TestKeysSurvive(t *testing.T) {
 	set := sample(t)
 	r := rand.New(rand.NewPCG(1, 0))
@@ -144,9 +144,9 @@
 			if p.From.Name != "refund-record-1" {
 				continue
 			}
-			w := words
-			w.Envelope.Idempotency = key
-			there, err := p.Request(oldRequest(oldBody), w)
+			opts := options
+			opts.Envelope.Idempotency = key
+			there, err := p.Request(oldRequest(oldBody), opts)
 			switch {
 			case p.To.Protocol == "thrift":
 				var found [1]thriftwire.Field
@@ -167,8 +167,8 @@
 	}
 }
 
-// What is generated for a mapping that claims to lose nothing comes back as it was, through each pair of protocols and
-// either encoding of Thrift.
+// A random message of a lossless mapping is unchanged after a round trip, for each pair of protocols and both encodings of
+// Thrift.
 func TestRoundTrips(t *testing.T) {
 	set := sample(t)
 	for _, p := range set.Plans {
@@ -184,28 +184,28 @@
 
 func roundTrips(t *testing.T, p, back *Plan, encoding thriftwire.Encoding) {
 	r := rand.New(rand.NewPCG(2, uint64(encoding)))
-	words := words
-	words.Encoding = encoding
+	options := options
+	options.Encoding = encoding
 	refused := 0
 	const tries = 500
 	for range tries {
-		values := &reading{dst: make([]value, len(p.From.request.fields))}
+		values := &workspace{dst: make([]value, len(p.From.request.fields))}
 		for i, f := range p.From.request.fields {
 			if f.envelope == noEnvelope && (!f.optional || r.IntN(2) == 0) {
-				values.dst[i] = any1(r, f)
+				values.dst[i] = randomValue(r, f)
 			}
 		}
 		m := &Message{}
-		if refusal := back.writeRequest(m, words, values); refusal != nil {
-			refused++ // "." in a path
+		if refusal := back.writeRequest(m, options, values); refusal != nil {
+			refused++ // "." or ".." in a path
 			continue
 		}
-		there, err := p.Request(m, words)
+		there, err := p.Request(m, options)
 		if err != nil {
-			refused++ // what joins texts, a value that the other side lacks
+			refused++ // a separator in a joined text, or a value that the other shape lacks
 			continue
 		}
-		again, err := back.Request(there, words)
+		again, err := back.Request(there, options)
 		if err != nil || !reflect.DeepEqual(m, again) {
 			t.Fatalf("%+v\nbecame %+v\nand %+v, %v", m, there, again, err)
 		}
@@ -215,12 +215,12 @@
 	}
 }
 
-// any1 is any value of a field.
-func any1(r *rand.Rand, f *field) value {
+// randomValue returns a random value of a field.
+func randomValue(r *rand.Rand, f *field) value {
 	v := value{set: true}
 	switch f.Type {
 	case Text, Bytes:
-		if f.name == "traveller" { // what splits it
+		if f.name == "traveller" { // with the separator at which it is split
 			v.text = []byte("a|")
 		}
 		n := max(int(f.min), 1) + r.IntN(12)
@@ -238,12 +238,12 @@
 	case Enum:
 		v.num = r.Int64N(int64(len(f.values)))
 	case Date:
-		v.num = leastDay + r.Int64N(mostDay-leastDay)
+		v.num = minDay + r.Int64N(maxDay-minDay)
 	}
 	return v
 }
 
-// Decimal numbers are exact or refused.
+// Decimal numbers are parsed exactly or refused.
 func TestDecimals(t *testing.T) {
 	for _, c := range []struct {
 		text  string
@@ -256,9 +256,9 @@
 		{"1.5e0", 0, 0, errDecimals}, {"15e-1", 1, 15, nil}, {"1e-400", 2, 0, errDecimals}, {"0e-400", 2, 0, nil},
 		{"0e30000", 2, 0, nil}, {"1e30000", 2, 0, errRange}, {"1e99999", 2, 0, errRange}, {"9223372036854775807", 0, math.MaxInt64, nil},
 		{"9223372036854775808", 0, 0, errRange}, {"-9223372036854775807", 0, -math.MaxInt64, nil}, {"00012", 0, 12, nil},
-		{"", 0, 0, errDigits}, {"-", 0, 0, errDigits}, {".5", 1, 0, errDigits}, {"5.", 1, 0, errDigits}, {"1.2.3", 4, 0, errDigits},
-		{"+1", 0, 0, errDigits}, {"1e", 0, 0, errDigits}, {"0x10", 0, 0, errDigits}, {"1_000", 0, 0, errDigits}, {" 1", 0, 0, errDigits},
-		{"NaN", 0, 0, errDigits}, {"9007199254740993", 0, 9007199254740993, nil},
+		{"", 0, 0, errNotDecimal}, {"-", 0, 0, errNotDecimal}, {".5", 1, 0, errNotDecimal}, {"5.", 1, 0, errNotDecimal}, {"1.2.3", 4, 0, errNotDecimal},
+		{"+1", 0, 0, errNotDecimal}, {"1e", 0, 0, errNotDecimal}, {"0x10", 0, 0, errNotDecimal}, {"1_000", 0, 0, errNotDecimal}, {" 1", 0, 0, errNotDecimal},
+		{"NaN", 0, 0, errNotDecimal}, {"9007199254740993", 0, 9007199254740993, nil},
 	} {
 		got, err := parseDecimal([]byte(c.text), c.scale)
 		if got != c.want || !errors.Is(err, c.err) || (err != nil) != (c.err != nil) {
@@ -267,18 +267,18 @@
 	}
 	r := rand.New(rand.NewPCG(3, 0))
 	for range 20000 {
-		n, scale := int64(r.Uint64())>>r.IntN(64), r.IntN(mostDecimals+1)
+		n, scale := int64(r.Uint64())>>r.IntN(64), r.IntN(maxDecimals+1)
 		if n == math.MinInt64 {
 			continue
 		}
 		text := appendDecimal(nil, n, scale)
 		if got, err := parseDecimal(text, scale); got != n || err != nil {
-			t.Fatalf("%d over 10^%d is %s, and read %d, %v", n, scale, text, got, err)
+			t.Fatalf("%d over 10^%d is written as %s and read as %d, %v", n, scale, text, got, err)
 		}
 	}
 }
 
-// A local time that came twice or never, as the clocks were changed, is refused; all others come back.
+// A local time that occurred twice or never, because the clocks were changed, is refused; all others survive a round trip.
 func TestClocks(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/London")
 	if err != nil {
@@ -296,54 +296,54 @@
 		}
 		if err == nil {
 			if got := time.UnixMilli(ms).UTC().Format(time.RFC3339); got != want {
-				t.Errorf("%s is %s, not %s", text, got, want)
+				t.Errorf("%s is %s, want %s", text, got, want)
 			}
 			if back, err := appendInstant(nil, ms, f); string(back) != text || err != nil {
-				t.Errorf("%s came back as %s, %v", text, back, err)
+				t.Errorf("%s became %s after a round trip, %v", text, back, err)
 			}
 		}
 	}
 	twice := time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC).UnixMilli()
 	if text, err := appendInstant(nil, twice, f); err == nil {
-		t.Errorf("an instant whose local time came twice is written %s", text)
+		t.Errorf("an instant whose local time occurred twice is written as %s", text)
 	}
 }
 
-// What is wrong in a file is told by line and key, all of it at once.
+// Problems of a file are reported with their lines.
 func TestFileProblems(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"nothing said of a field read":    {`memo = { from = "memo" }` + "\n\n[mappings.refund-record-1-to-2.reply]", "\n[mappings.refund-record-1-to-2.reply]", "nothing is said of memo, which is read"},
-		"nothing said of a field written": {`omit = { request = ["channel"] }`, "", "nothing is said of channel, which is written"},
-		"mapped and dropped":              {`omit = { request = ["channel"] }`, `omit = { request = ["channel"] }` + "\ndrop = { request = [\"memo\"] }", "memo is"},
-		"loses and says not":              {`values = { W = "watch", J = "jewellery"`, `values = { W = "watch", J = "watch"`, "it loses: request goods: whether it was W or J"},
+		"nothing said of a field read":    {`memo = { from = "memo" }` + "\n\n[mappings.refund-record-1-to-2.reply]", "\n[mappings.refund-record-1-to-2.reply]", "source field memo is in no rule, and neither in drop nor in absent"},
+		"nothing said of a field written": {`omit = { request = ["channel"] }`, "", "target field channel has neither a rule nor an entry in omit"},
+		"mapped and dropped":              {`omit = { request = ["channel"] }`, `omit = { request = ["channel"] }` + "\ndrop = { request = [\"memo\"] }", "field memo is both dropped and mapped"},
+		"loses and says not":              {`values = { W = "watch", J = "jewellery"`, `values = { W = "watch", J = "watch"`, "the mapping loses: request goods: whether it was W or J"},
 		"no such value":                   {`O = "other"`, `O = "others"`, `goods has no value "others"`},
-		"no such shape":                   {`to = ["refund-record-2",`, `to = ["refund-record-3",`, `no shape is called "refund-record-3"`},
+		"no such shape":                   {`to = ["refund-record-2",`, `to = ["refund-record-3",`, `there is no shape "refund-record-3"`},
 		"no such field":                   {`pence = { from = "amount"`, `pence = { from = "sum"`, `has no field "sum"`},
-		"types that don't fit":            {`bought = { from = "bought" }`, `bought = { from = "memo" }`, "can't become bought"},
+		"types that don't fit":            {`bought = { from = "bought" }`, `bought = { from = "memo" }`, "memo of type text can't be converted to bought"},
 		"optional to needed":              {`form = { from = "form" }`, `form = { from = "memo" }`, "a default is needed"},
 		"no such type":                    {`type = "bool"`, `type = "boolean"`, `"boolean"`},
 		"no such place":                   {`at = "header:X-Paid"`, `at = "trailer:X-Paid"`, `"trailer:X-Paid"`},
-		"two in one place":                {`at = "form:last"`, `at = "form:first"`, "first is there too"},
-		"member of a field":               {`at = "json:bought"`, `at = "json:form.id.day"`, "it can't be in bought, or that in it"},
+		"two in one place":                {`at = "form:last"`, `at = "form:first"`, "field first is in the same place"},
+		"member of a field":               {`at = "json:bought"`, `at = "json:form.id.day"`, "one of this field and bought contains the other"},
 		"path without its field":          {`/refund-record/{form}`, `/refund-record/x`, "the path has no {form}"},
 		"unknown key":                     {`lossless = true`, `losless = true`, "no such key"},
 		"constant that is none":           {`value = "GBP"`, `value = "EUR"`, `"EUR" is none of its values`},
-		"numbers for a text":              {`type = "date", form = "unix-days"`, `type = "text", numbers = [1]`, "an enum has as many as values"},
-		"wire for a text":                 {`at = "thrift:2.5", type = "text"`, `at = "thrift:2.5", type = "text", wire = "i32"`, "that is no number has none"},
+		"numbers for a text":              {`type = "date", form = "unix-days"`, `type = "text", numbers = [1]`, "an enum needs one number for each value"},
+		"wire for a text":                 {`at = "thrift:2.5", type = "text"`, `at = "thrift:2.5", type = "text", wire = "i32"`, "that is not a number has no wire type"},
 		"no wire":                         {`at = "thrift:2.1", type = "int"`, `at = "thrift:2.1", type = "int", wire = "u64"`, `"u64"`},
-		"no number of a field":            {`at = "thrift:2.5"`, `at = "thrift:2.x"`, `"x" is no number`},
-		"on the envelope":                 {`at = "thrift:2.5"`, `at = "thrift:1.4"`, "is there"},
+		"no number of a field":            {`at = "thrift:2.5"`, `at = "thrift:2.x"`, `"x" is not a field id`},
+		"on the envelope":                 {`at = "thrift:2.5"`, `at = "thrift:1.4"`, "overlaps with"},
 		"no envelope":                     {`id = "1.1"` + "\n", "", "envelope.id"},
 		"thrift in http":                  {`at = "json:bought"`, `at = "thrift:9"`, "has no such place"},
-		"own header":                      {`at = "header:X-Paid"`, `at = "header:idempotency-key"`, "the agent carries"},
-		"the same method":                 {`method = "recordRefund"`, `method = "refund"`, "could not be told apart"},
-		"the same path":                   {`path = "/v2/refunds"`, `path = "/refund-record/x"`, "could not be told apart"},
+		"own header":                      {`at = "header:X-Paid"`, `at = "header:idempotency-key"`, "header Idempotency-Key is reserved"},
+		"the same method":                 {`method = "recordRefund"`, `method = "refund"`, "has the same method"},
+		"the same path":                   {`path = "/v2/refunds"`, `path = "/refund-record/x"`, "matches the same requests"},
 		"the same version":                {`version = "2"` + "\n" + `protocol = "http"`, `version = "1"` + "\n" + `protocol = "http"`, "version 1 of refund-record in http"},
-		"mapped twice":                    {`from = ["refund-record-1", "refund-record-1-thrift"]`, `from = ["refund-record-1", "refund-record-1"]`, "is mapped to refund-record-2 by"},
+		"mapped twice":                    {`from = ["refund-record-1", "refund-record-1-thrift"]`, `from = ["refund-record-1", "refund-record-1"]`, "is already mapped to refund-record-2 by"},
 		"status that is none":             {"shape_unknown = 415", "shape_unknown = 200", "400 to 599"},
 		"forgotten at once":               {"forget_s = 5.0", "forget_s = 0.0", "0.1 to 3600"},
-		"part taken twice":                {`part = 2`, `part = 1`, "taken twice"},
-		"part left":                       {`part = 2`, `part = 3`, "of 3 parts 2 are taken"},
+		"part taken twice":                {`part = 2`, `part = 1`, "used twice"},
+		"part left":                       {`part = 2`, `part = 3`, "of 3 parts only 2 are used"},
 		"bound that is none":              {`min = "0.01"`, `min = "0.001"`, "more decimals"},
 		"form that is none":               {`form = "iso"`, `form = "us"`, `"us"`},
 		"reply in a path":                 {`at = "json:receipt"`, `at = "query:receipt"`, "a reply has no such place"},
@@ -368,30 +368,31 @@
 		set, err := Compile(text)
 		if err == nil {
 			for _, p := range set.Plans {
-				p.Request(oldRequest(oldBody), words)
+				p.Request(oldRequest(oldBody), options)
 			}
 		}
 	})
 }
 
-// Whatever comes, it is translated or refused; what is translated there comes back, or is refused by the other shape.
+// FuzzRequest translates any HTTP request: it is translated or refused. A translated one survives the way back and forth
+// unchanged, unless the old shape refuses it.
 func FuzzRequest(f *testing.F) {
 	set := sample(f)
 	p, back := set.Plan("refund-record-1", "refund-record-2"), set.Plan("refund-record-2", "refund-record-1")
 	f.Add(oldTarget, "k", oldBody)
 	f.Add("/refund-record/%zz", "", "amount=1e5&&=&x")
 	f.Fuzz(func(t *testing.T, target, key, body string) {
-		words := words
-		words.Envelope.Idempotency = key
+		options := options
+		options.Envelope.Idempotency = key
 		m := &Message{Method: "POST", Target: target, Body: []byte(body)}
-		there, err := p.Request(m, words)
+		there, err := p.Request(m, options)
 		if err != nil {
 			return
 		}
 		if key != "" && there.Header[3].Value != key {
 			t.Errorf("key %q became %q", key, there.Header[3].Value)
 		}
-		again, err := back.Request(there, words)
+		again, err := back.Request(there, options)
 		if err != nil {
 			var r *Refusal
 			if errors.As(err, &r) && r.Field == "form" { // "." and ".."
@@ -399,57 +400,58 @@
 			}
 			t.Fatalf("%s: %v", there.Body, err)
 		}
-		third, err := p.Request(again, words)
+		third, err := p.Request(again, options)
 		if err != nil || !bytes.Equal(third.Body, there.Body) {
 			t.Fatalf("%s became %s, %v", there.Body, third.Body, err)
 		}
 	})
 }
 
-// FuzzThrift takes any message in Thrift: it is translated or refused, and what is translated comes back.
+// FuzzThrift translates any Thrift message: it is translated or refused. A translated one survives the way back and forth
+// unchanged.
 func FuzzThrift(f *testing.F) {
 	set := sample(f)
 	p, back := set.Plan("refund-record-1-thrift", "refund-record-2-thrift"), set.Plan("refund-record-2-thrift", "refund-record-1-thrift")
 	for _, e := range []thriftwire.Encoding{thriftwire.Binary, thriftwire.Compact} {
-		words := words
-		words.Encoding = e
+		options := options
+		options.Encoding = e
 		old, err := set.Plan("refund-record-2", "refund-record-1-thrift").Request(&Message{Method: "POST", Target: "/v2/refunds",
-			Body: []byte(`{"amount":{"currency":"GBP","pence":1},"bought":"2024-02-29","form":{"id":"a"},"goods":"watch","traveller":"a|b"}`)}, words)
+			Body: []byte(`{"amount":{"currency":"GBP","pence":1},"bought":"2024-02-29","form":{"id":"a"},"goods":"watch","traveller":"a|b"}`)}, options)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(old.Thrift)
 	}
 	f.Fuzz(func(t *testing.T, message []byte) {
-		there, err := p.Request(&Message{Thrift: message}, words)
+		there, err := p.Request(&Message{Thrift: message}, options)
 		if err != nil {
 			return
 		}
-		again, err := back.Request(there, words)
+		again, err := back.Request(there, options)
 		if err != nil {
 			t.Fatalf("%x became %x: %v", message, there.Thrift, err)
 		}
-		third, err := p.Request(again, words)
+		third, err := p.Request(again, options)
 		if err != nil || !bytes.Equal(third.Thrift, there.Thrift) {
 			t.Fatalf("%x became %x, %v", there.Thrift, third.Thrift, err)
 		}
 	})
 }
 
-// FuzzJSON is the same from the other side.
+// FuzzJSON translates any JSON request of the new shape: it is translated or refused.
 func FuzzJSON(f *testing.F) {
 	set := sample(f)
 	back := set.Plan("refund-record-2", "refund-record-1")
 	f.Add([]byte(`{"amount":{"currency":"GBP","pence":1},"bought":"2024-02-29","form":{"id":"a"},"goods":"watch","traveller":"a|b"}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		m := &Message{Method: "POST", Target: "/v2/refunds", Header: []Header{{"Idempotency-Key", "k"}}, Body: body}
-		if there, err := back.Request(m, words); err == nil && len(there.Body) == 0 {
-			t.Error("nothing came of it")
+		if there, err := back.Request(m, options); err == nil && len(there.Body) == 0 {
+			t.Error("the translation has no body")
 		}
 	})
 }
 
-// The library reads the year 0, which no form of ours can write.
+// Years are from 1 to 9999; package time would accept the year 0.
 func TestYears(t *testing.T) {
 	date, rfc3339, zoned := &field{Type: Date, layout: "02/01/2006"}, &field{Type: Instant}, &field{Type: Instant, form: "local", zone: time.UTC}
 	for _, c := range []struct {
@@ -467,7 +469,7 @@
 	}
 }
 
-// Escaping is the library's.
+// appendEscaped escapes as url.QueryEscape does.
 func TestEscaping(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 0))
 	for range 2000 {
@@ -476,12 +478,12 @@
 			text[i] = byte(r.IntN(256))
 		}
 		if got, want := string(appendEscaped(nil, text)), url.QueryEscape(string(text)); got != want {
-			t.Fatalf("%q is %s, by net/url %s", text, got, want)
+			t.Fatalf("%q is escaped as %s, by net/url as %s", text, got, want)
 		}
 	}
 }
 
-// small is a mapping of one class with the fields that a test is about.
+// small returns the plan of a mapping between two shapes with the given request fields and rules.
 func small(t *testing.T, old, new, rules string) *Plan {
 	t.Helper()
 	set, err := Compile([]byte("[shapes.a]\nclass = \"c\"\nversion = \"1\"\nprotocol = \"http\"\nmethod = \"POST\"\npath = \"/a\"\n[shapes.a.request]\n" + old +
@@ -493,11 +495,11 @@
 	return set.Plan("a", "b")
 }
 
-// What a value becomes where the sides differ: exactly that, or a refusal.
+// A value is converted exactly between fields of different types, units or forms, or refused.
 func TestConversions(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, new, rules string
-		body, want      string // a refusal's kind where it begins with !
+		body, want      string // the kind of the refusal if want begins with !
 		loses           string
 	}{
 		"pounds to whole pounds": {`x = { at = "form:x", type = "decimal", scale = 2 }`, `x = { at = "json:x", type = "int" }`,
@@ -526,9 +528,9 @@
 		t.Run(name, func(t *testing.T) {
 			p := small(t, c.old, c.new, c.rules)
 			if got := strings.Join(p.Loses(), "; "); got != c.loses {
-				t.Errorf("it loses %q, not %q", got, c.loses)
+				t.Errorf("the mapping loses %q, want %q", got, c.loses)
 			}
-			out, err := p.Request(&Message{Method: "POST", Target: "/a", Body: []byte(c.body)}, words)
+			out, err := p.Request(&Message{Method: "POST", Target: "/a", Body: []byte(c.body)}, options)
 			var r *Refusal
 			switch {
 			case strings.HasPrefix(c.want, "!"):
--- a/internal/translate/value.go
+++ b/internal/translate/value.go
@@ -11,19 +11,19 @@
 	"unicode/utf8"
 )
 
-// Type is what a field holds.
+// Type is the type of a field.
 type Type uint8
 
-// The types of fields. Amounts are never floats.
+// The types of fields. There is no floating-point type: amounts are exact.
 const (
 	Text    Type = iota // valid UTF-8
-	Bytes               // any; base64 (RFC 4648, section 4) where the place holds text
+	Bytes               // any bytes; in base64 (RFC 4648, section 4) everywhere but in Thrift
 	Int                 // 64 bits, signed
 	Decimal             // 64 bits, signed, with a fixed number of decimals
-	Bool                //
+	Bool                // true or false
 	Enum                // one of a list of texts
-	Date                // a day of the Gregorian calendar
-	Instant             // a millisecond
+	Date                // a day of the Gregorian calendar, in the years 1 to 9999
+	Instant             // a point in time in milliseconds, in the years 1 to 9999
 )
 
 var typeNames = map[string]Type{"text": Text, "bytes": Bytes, "int": Int, "decimal": Decimal, "bool": Bool, "enum": Enum,
@@ -38,33 +38,33 @@
 	return fmt.Sprintf("type %d", uint8(t))
 }
 
-// value is what a field of a message holds.
+// value is the value of a field.
 type value struct {
-	set  bool
-	num  int64  // an Int; a Decimal times 10^scale; 1 for true; an Enum's place; days or milliseconds since 1970
+	set  bool   // false for an absent field
+	num  int64  // an Int; a Decimal times 10^scale; 1 for true; the index of an Enum's value; days or milliseconds since 1970
 	text []byte // of a Text or Bytes
 }
 
-// Kind is why a message is refused.
+// Kind classifies refusals.
 type Kind uint8
 
 // The kinds of refusals.
 const (
-	Malformed  Kind = iota // it does not have the shape's form
-	Missing                // a field that must be there is not
-	OutOfRange             // a value is beyond what either shape holds
-	Forbidden              // a field is there that must be absent, or none knows
-	TooLarge               // the message is, or its translation would be
+	Malformed  Kind = iota // the message does not have the form of its shape
+	Missing                // a field that is not optional is absent
+	OutOfRange             // a value is out of the range of either shape
+	Forbidden              // a field that must be absent is present, or a member is not declared by any field
+	TooLarge               // the message or its translation is too large
 )
 
 var kindNames = [...]string{"malformed", "missing", "out of range", "forbidden", "too large"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Refusal says why a message can't be translated.
+// Refusal is the error of a message that can't be translated. Its text is sent to clients.
 type Refusal struct {
 	Kind   Kind
-	Field  string // of the shape that was read or written; empty for the whole message
+	Field  string // of the source or the target shape; empty for the whole message
 	Reason string
 }
 
@@ -76,22 +76,22 @@
 }
 
 var (
-	errDigits   = errors.New("not a decimal number")
-	errDecimals = errors.New("more decimals than the field holds")
-	errRange    = errors.New("beyond 64 bits")
+	errNotDecimal = errors.New("not a decimal number")
+	errDecimals   = errors.New("more decimals than the field holds")
+	errRange      = errors.New("beyond 64 bits")
 )
 
-// mostDecimals is how many decimals a field may have: 10^18 still fits 64 bits.
-const mostDecimals = 18
+// maxDecimals is the maximum number of decimals of a field: 10^18 still fits 64 bits.
+const maxDecimals = 18
 
-// parseDecimal reads a decimal number as JSON has it (RFC 8259, section 6), with any number of leading zeros, and
-// returns it times 10^scale. It is exact or fails: a digit that does not fit is not rounded off.
+// parseDecimal parses a decimal number as in JSON (RFC 8259, section 6), but with any number of leading zeros, and returns
+// it times 10^scale. The result is exact: it fails where digits would have to be rounded off.
 func parseDecimal(b []byte, scale int) (int64, error) {
 	negative := len(b) > 0 && b[0] == '-'
 	if negative {
 		b = b[1:]
 	}
-	digits, point, exponent := b, -1, 0
+	digits, point, exponent := b, -1, 0 // point is the index of the decimal point
 	for i, c := range b {
 		if c == 'e' || c == 'E' {
 			digits = b[:i]
@@ -100,7 +100,7 @@
 				if errors.Is(err, strconv.ErrRange) {
 					return 0, errRange
 				}
-				return 0, errDigits
+				return 0, errNotDecimal
 			}
 			exponent = int(n)
 			break
@@ -108,24 +108,24 @@
 		if c == '.' && point < 0 {
 			point = i
 		} else if c < '0' || c > '9' {
-			return 0, errDigits
+			return 0, errNotDecimal
 		}
 	}
-	whole := len(digits) // how many digits stand before the point
+	whole := len(digits) // the number of digits before the point
 	if point >= 0 {
 		whole = point
 	}
 	if whole == 0 || point == len(digits)-1 && point >= 0 {
-		return 0, errDigits
+		return 0, errNotDecimal
 	}
 	n := uint64(0)
-	after := whole + exponent + scale // digits that count, the point left out
+	significant := whole + exponent + scale // the number of digits of the result
 	seen := 0
 	for i, c := range digits {
 		if i == point {
 			continue
 		}
-		if seen++; seen > after {
+		if seen++; seen > significant {
 			if c != '0' {
 				return 0, errDecimals
 			}
@@ -136,7 +136,7 @@
 		}
 		n = n*10 + uint64(c-'0')
 	}
-	for ; seen < after && n != 0; seen++ {
+	for ; seen < significant && n != 0; seen++ {
 		if n > math.MaxInt64/10 {
 			return 0, errRange
 		}
@@ -148,14 +148,14 @@
 	return int64(n), nil
 }
 
-// appendDecimal writes n over 10^scale, with all its decimals.
+// appendDecimal appends n / 10^scale, with all scale decimals.
 func appendDecimal(to []byte, n int64, scale int) []byte {
-	var room [24]byte
+	var buf [24]byte
 	u := uint64(n)
 	if n < 0 {
 		to, u = append(to, '-'), -u
 	}
-	digits := strconv.AppendUint(room[:0], u, 10)
+	digits := strconv.AppendUint(buf[:0], u, 10)
 	whole := len(digits) - scale
 	if whole > 0 {
 		to = append(to, digits[:whole]...)
@@ -172,7 +172,7 @@
 	return append(to, digits[max(0, whole):]...)
 }
 
-// rescale turns n over 10^from into a number over 10^to, exactly.
+// rescale converts n from a scale of 10^from to one of 10^to. It fails where the result would not be exact.
 func rescale(n int64, from, to int) (int64, error) {
 	for ; from < to; from++ {
 		if n > math.MaxInt64/10 || n < math.MinInt64/10 {
@@ -189,30 +189,30 @@
 	return n, nil
 }
 
-// Dates and instants as text.
+// Layouts and bounds of dates and instants. Days are counted from 1970-01-01.
 const (
-	isoDate  = "2006-01-02"
-	local    = "2006-01-02T15:04:05"
-	dayInMS  = 24 * 60 * 60 * 1000
-	leastDay = -719162 // 0001-01-01
-	mostDay  = 2932896 // 9999-12-31
+	isoDate     = "2006-01-02"
+	localLayout = "2006-01-02T15:04:05"
+	dayInMS     = 24 * 60 * 60 * 1000
+	minDay      = -719162 // 0001-01-01
+	maxDay      = 2932896 // 9999-12-31
 )
 
 func parseDate(b []byte, layout string) (int64, error) {
 	if layout == "" {
 		days, err := parseDecimal(b, 0)
-		if err == nil && (days < leastDay || days > mostDay) {
-			err = errYears
+		if err == nil && (days < minDay || days > maxDay) {
+			err = errYearRange
 		}
 		return days, err
 	}
 	t, err := time.Parse(layout, string(b))
-	var room [32]byte
-	if err != nil || !bytes.Equal(t.AppendFormat(room[:0], layout), b) { // the library takes some other forms too
+	var buf [32]byte
+	if err != nil || !bytes.Equal(t.AppendFormat(buf[:0], layout), b) { // package time accepts some other forms too
 		return 0, fmt.Errorf("not a date like %s", layout)
 	}
-	if t.Year() < 1 { // the library knows a year 0
-		return 0, errYears
+	if t.Year() < 1 { // package time accepts the year 0
+		return 0, errYearRange
 	}
 	return t.Unix() / (24 * 60 * 60), nil
 }
@@ -224,13 +224,13 @@
 	return time.Unix(days*24*60*60, 0).UTC().AppendFormat(to, layout)
 }
 
-// errYears says that a date or an instant is not in what all forms hold.
-var errYears = errors.New("beyond the years 1 to 9999")
+// errYearRange is the error of a date or an instant outside the years that every form can represent.
+var errYearRange = errors.New("beyond the years 1 to 9999")
 
-// errClocks says that the clocks were changed: a time came twice, or never.
-var errClocks = errors.New("came twice or never, as the clocks were changed")
+// errClockChange is the error of a local time that occurred twice or never, because of a change to or from daylight saving time.
+var errClockChange = errors.New("came twice or never, as the clocks were changed")
 
-// parseInstant reads an instant. A local time must be one that came exactly once.
+// parseInstant parses an instant and returns milliseconds since 1970. A local time must be one that occurred exactly once.
 func parseInstant(b []byte, f *field) (int64, error) {
 	switch f.form {
 	case "unix-s", "unix-ms":
@@ -239,26 +239,26 @@
 			scale = 3
 		}
 		n, err := parseDecimal(b, scale)
-		if err == nil && (n < leastDay*dayInMS || n >= (mostDay+1)*dayInMS) {
-			err = errYears
+		if err == nil && (n < minDay*dayInMS || n >= (maxDay+1)*dayInMS) {
+			err = errYearRange
 		}
 		return n, err
 	case "local":
-		t, err := time.Parse(local, string(b))
-		if err != nil || t.Format(local) != string(b) {
-			return 0, fmt.Errorf("not a time like %s", local)
+		t, err := time.Parse(localLayout, string(b))
+		if err != nil || t.Format(localLayout) != string(b) {
+			return 0, fmt.Errorf("not a time like %s", localLayout)
 		}
 		if t.Year() < 1 {
-			return 0, errYears
+			return 0, errYearRange
 		}
-		return instantOf(t, f.zone)
+		return instantOfLocal(t, f.zone)
 	}
 	t, err := time.Parse(time.RFC3339, string(b))
 	if err != nil || len(b) < 20 || b[10] != 'T' {
 		return 0, errors.New("not a time as RFC 3339 has it")
 	}
-	if ms := t.UnixMilli(); ms < leastDay*dayInMS || ms >= (mostDay+1)*dayInMS {
-		return 0, errYears
+	if ms := t.UnixMilli(); ms < minDay*dayInMS || ms >= (maxDay+1)*dayInMS {
+		return 0, errYearRange
 	}
 	if t.Nanosecond()%1e6 != 0 {
 		return 0, errors.New("finer than a millisecond")
@@ -266,30 +266,31 @@
 	return t.UnixMilli(), nil
 }
 
-// instantOf finds the instant at which the clocks of a zone showed a time.
-func instantOf(shown time.Time, zone *time.Location) (int64, error) {
+// instantOfLocal returns the instant, in milliseconds since 1970, at which the local time of a zone was the given one.
+func instantOfLocal(local time.Time, zone *time.Location) (int64, error) {
 	var found []int64
-	// A zone's clocks are at most 15 hours off, and change by no more than a day.
-	for _, at := range []int64{-26 * 3600, 26 * 3600} {
-		_, offset := time.Unix(shown.Unix()+at, 0).In(zone).Zone()
-		t := shown.Unix() - int64(offset)
-		if showsAt(t, zone) == shown.Unix() && (len(found) == 0 || found[0] != t) {
+	// A zone's offset from UTC is at most 15 hours, and changes by no more than a day: the offsets 26 hours before and after
+	// are the candidates.
+	for _, delta := range []int64{-26 * 3600, 26 * 3600} {
+		_, offset := time.Unix(local.Unix()+delta, 0).In(zone).Zone()
+		t := local.Unix() - int64(offset)
+		if localSeconds(t, zone) == local.Unix() && (len(found) == 0 || found[0] != t) {
 			found = append(found, t)
 		}
 	}
 	if len(found) != 1 {
-		return 0, errClocks
+		return 0, errClockChange
 	}
 	return found[0] * 1000, nil
 }
 
-// showsAt is what the clocks of a zone show at an instant, as seconds since 1970 on them.
-func showsAt(t int64, zone *time.Location) int64 {
+// localSeconds returns the local time of a zone at an instant, both as seconds since 1970.
+func localSeconds(t int64, zone *time.Location) int64 {
 	_, offset := time.Unix(t, 0).In(zone).Zone()
 	return t + int64(offset)
 }
 
-// appendInstant writes an instant. One that a form can't hold, or whose local time came twice, is an error.
+// appendInstant appends an instant. It fails if the field's form is too coarse for it, or if its local time is ambiguous.
 func appendInstant(to []byte, ms int64, f *field) ([]byte, error) {
 	t := time.UnixMilli(ms)
 	switch f.form {
@@ -304,16 +305,16 @@
 		if ms%1000 != 0 {
 			return to, errors.New("finer than a second")
 		}
-		shown := time.Unix(showsAt(ms/1000, f.zone), 0).UTC()
-		if back, err := instantOf(shown, f.zone); err != nil || back != ms {
-			return to, errClocks
+		local := time.Unix(localSeconds(ms/1000, f.zone), 0).UTC()
+		if back, err := instantOfLocal(local, f.zone); err != nil || back != ms {
+			return to, errClockChange
 		}
-		return shown.AppendFormat(to, local), nil
+		return local.AppendFormat(to, localLayout), nil
 	}
 	return t.UTC().AppendFormat(to, "2006-01-02T15:04:05.999Z07:00"), nil
 }
 
-// parse reads a field from its text.
+// parse parses the text of a field, and checks the field's bounds.
 func (f *field) parse(b []byte) (value, *Refusal) {
 	v := value{set: true}
 	var err error
@@ -357,7 +358,7 @@
 		v.num, err = parseInstant(b, f)
 	}
 	switch {
-	case errors.Is(err, errRange) || errors.Is(err, errDecimals) || errors.Is(err, errClocks) || errors.Is(err, errYears):
+	case errors.Is(err, errRange) || errors.Is(err, errDecimals) || errors.Is(err, errClockChange) || errors.Is(err, errYearRange):
 		return v, f.refuse(OutOfRange, "%q is %v", clip(b), err)
 	case err != nil:
 		return v, f.refuse(Malformed, "%q: %v", clip(b), err)
@@ -365,10 +366,10 @@
 	return v, f.check(v)
 }
 
-// clip keeps what is told of a value short.
+// clip shortens a value for an error message.
 func clip(b []byte) []byte { return b[:min(len(b), 40)] }
 
-// check holds a value against the field's bounds.
+// check checks a value against the field's bounds.
 func (f *field) check(v value) *Refusal {
 	switch f.Type {
 	case Text, Bytes:
@@ -388,7 +389,7 @@
 	return &Refusal{Kind: k, Field: f.name, Reason: fmt.Sprintf(format, args...)}
 }
 
-// append writes a field as text.
+// append appends the text of a field.
 func (f *field) append(to []byte, v value) ([]byte, *Refusal) {
 	switch f.Type {
 	case Text:
