--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -193,7 +193,7 @@
 var encodings = map[choice.Protocols]thriftwire.Encoding{protocol.ThriftBinary: thriftwire.Binary,
 	protocol.ThriftCompact: thriftwire.Compact}
 
-// translateRequest translates the payload of an attempt into the shape that its server takes. The texts of its errors are sent
+// translateRequest translates the payload of an attempt into the shape that its server accepts. The texts of its errors are sent
 // to the client.
 func (b *Bridge) translateRequest(ctx context.Context, attempt *core.Attempt, plan *translate.Plan) (any, error) {
 	in := &translate.Message{}
@@ -228,7 +228,7 @@
 }
 
 // newHTTPRequest converts a translated message into the payload of the HTTP transport. header is that of the client's
-// request, or nil where the client speaks Thrift.
+// request, or nil if the client uses Thrift.
 func newHTTPRequest(m *translate.Message, plan *translate.Plan, header http.Header) (any, error) {
 	if len(m.Body) > httpmsg.MaxBody {
 		return nil, fmt.Errorf("a body of %d bytes, %d at most", len(m.Body), httpmsg.MaxBody)
--- a/internal/settings/wire/decode.go
+++ b/internal/settings/wire/decode.go
@@ -31,12 +31,12 @@
 // Message is one decoded line.
 type Message struct {
 	Kind     Kind
-	Now      time.Duration
-	Instance string
-	Settings Settings
-	Seed     uint64
-	Event    choice.Event
-	Restored bool // of a list: it is the one that the instance had at its start
+	Now      time.Duration // of Turn
+	Instance string        // of all kinds but Turn and YourTurn
+	Settings Settings      // of Launch
+	Seed     uint64        // of Launch
+	Event    choice.Event  // of Event
+	Restored bool          // of a list: it is the one that the instance had at its start
 }
 
 // maxLists is the number of list buffers: Buffer is from 0 to maxLists-1.
--- a/internal/settings/wire/settings.go
+++ b/internal/settings/wire/settings.go
@@ -74,6 +74,7 @@
 	Err error
 }
 
+// Error returns the text of the error without its key.
 func (e *KeyError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the error without its key.
--- a/internal/translate/bench_test.go
+++ b/internal/translate/bench_test.go
@@ -11,7 +11,7 @@
 	set := sample(b)
 	p, back := set.Plan("refund-record-1", "refund-record-2"), set.Plan("refund-record-2", "refund-record-1")
 	old := oldRequest(oldBody)
-	made, err := p.Request(old, options)
+	translated, err := p.Request(old, options)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 		})
 	}
 	run("form-to-json", func() error { _, err := p.Request(old, options); return err })
-	run("json-to-form", func() error { _, err := back.Request(made, options); return err })
+	run("json-to-form", func() error { _, err := back.Request(translated, options); return err })
 	run("encoding-json-struct", func() error {
 		var into struct {
 			Amount struct {
@@ -41,7 +41,7 @@
 			Memo      string `json:"memo"`
 			Traveller string `json:"traveller"`
 		}
-		if err := json.Unmarshal(made.Body, &into); err != nil {
+		if err := json.Unmarshal(translated.Body, &into); err != nil {
 			return err
 		}
 		_, err := json.Marshal(&into)
@@ -49,7 +49,7 @@
 	})
 	run("encoding-json-map", func() error {
 		var into map[string]any
-		if err := json.Unmarshal(made.Body, &into); err != nil {
+		if err := json.Unmarshal(translated.Body, &into); err != nil {
 			return err
 		}
 		_, err := json.Marshal(into)
--- a/internal/translate/http.go
+++ b/internal/translate/http.go
@@ -396,8 +396,8 @@
 	return nil
 }
 
-func tooLong(n, most int) *Refusal {
-	return &Refusal{TooLarge, "", fmt.Sprintf("a body of %d bytes, at most %d are possible", n, most)}
+func tooLong(n, limit int) *Refusal {
+	return &Refusal{TooLarge, "", fmt.Sprintf("a body of %d bytes, at most %d are possible", n, limit)}
 }
 
 func malformed(err error) *Refusal { return &Refusal{Malformed, "", err.Error()} }
@@ -466,7 +466,7 @@
 }
 
 // nestingDepth returns the nesting depth of a JSON value.
-func nestingDepth(text []byte) (most int) {
+func nestingDepth(text []byte) (deepest int) {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -477,12 +477,12 @@
 		case quoted:
 		case c == '{' || c == '[':
 			depth++
-			most = max(most, depth)
+			deepest = max(deepest, depth)
 		case c == '}' || c == ']':
 			depth--
 		}
 	}
-	return most
+	return deepest
 }
 
 // readMember reads the value of a field. Null counts as absent.
@@ -496,18 +496,18 @@
 	if err != nil {
 		return malformed(err)
 	}
-	wanted := jsontext.Kind('"')
+	expected := jsontext.Kind('"')
 	switch {
 	case kind == 'n':
 		return nil
 	case f.Type == Bool:
 		if kind == 't' || kind == 'f' {
-			wanted = kind
+			expected = kind
 		}
 	case f.isJSONNumber():
-		wanted = '0'
+		expected = '0'
 	}
-	if kind != wanted {
+	if kind != expected {
 		return f.refuse(Malformed, "a %v in place of %s", kind, f.jsonTypeName())
 	}
 	begin := len(ws.text)
--- a/internal/translate/mapping.go
+++ b/internal/translate/mapping.go
@@ -101,12 +101,12 @@
 	for _, name := range sortedKeys(t.Mappings) {
 		set.Plans = append(set.Plans, c.mappings(name, t.Mappings[name])...)
 	}
-	taken := map[[2]*Shape]string{}
+	mappedBy := map[[2]*Shape]string{}
 	for _, p := range set.Plans {
-		if other := taken[[2]*Shape{p.From, p.To}]; other != "" {
+		if other := mappedBy[[2]*Shape{p.From, p.To}]; other != "" {
 			c.file.Problem("mappings."+p.Name, "%s is already mapped to %s by %s", p.From.Name, p.To.Name, other)
 		}
-		taken[[2]*Shape{p.From, p.To}] = p.Name
+		mappedBy[[2]*Shape{p.From, p.To}] = p.Name
 	}
 	return set, c.file.Err()
 }
@@ -350,7 +350,7 @@
 			continue
 		}
 		if f.Type != Text || f.optional {
-			c.file.Problem(key+".join", "field %s is not a text, or optional", name)
+			c.file.Problem(key+".join", "field %s must be a text that is not optional", name)
 		}
 		o.src = append(o.src, slices.Index(v.src.fields, f))
 	}
@@ -380,7 +380,7 @@
 			}
 			n, err := parseDecimal(text, min(places, maxDecimals))
 			if o.factor = n; err != nil || n == 0 {
-				c.file.Problem(key+".times", "%q is not a number, or 0", t.Times)
+				c.file.Problem(key+".times", "%q is not a number other than 0", t.Times)
 			}
 			o.shift += places
 		}
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -81,40 +81,40 @@
 		kind  Kind
 		field string
 	}{
-		"half a penny":              {p, form("12.5", "0.005"), OutOfRange, "amount"},
-		"too much":                  {p, form("12.5", "1000000000000000"), OutOfRange, "amount"},
-		"beyond 64 bits":            {p, form("12.5", "99999999999999999999"), OutOfRange, "amount"},
-		"negative zero":             {p, form("12.5", "-0"), OutOfRange, "amount"}, // as 0 is
-		"no amount":                 {p, form("12.5", "much"), Malformed, "amount"},
-		"no day":                    {p, form("29%2F02%2F2024", "29%2F02%2F2023"), Malformed, "bought"},
-		"another form of day":       {p, form("29%2F02%2F2024", "1%2F2%2F2024"), Malformed, "bought"},
-		"unknown value":             {p, form("goods=J", "goods=X"), OutOfRange, "goods"},
-		"missing":                   {p, form("goods=J&", ""), Missing, "goods"},
-		"given twice":               {p, form("goods=J", "goods=J&goods=J"), Malformed, "goods"},
-		"unknown field":             {p, form("goods=J", "goods=J&more=1"), Forbidden, ""},
-		"not UTF-8":                 {p, form("MacLeod", "%FF"), Malformed, "last"},
-		"what parts the joined":     {p, form("MacLeod", "Mac%7CLeod"), OutOfRange, "last"},
-		"another path":              {p, &Message{Method: "POST", Target: "/refund-record"}, Malformed, ""},
-		"longer path":               {p, &Message{Method: "POST", Target: oldTarget + "/x"}, Malformed, ""},
-		"another method":            {p, &Message{Method: "GET", Target: oldTarget}, Malformed, ""},
-		"long body":                 {p, oldRequest("memo=" + strings.Repeat("a", defaultMaxBody)), TooLarge, ""},
-		"duplicate member":          {back, json(`"goods"`, `"goods":"watch","goods"`), Malformed, ""},
-		"duplicate by escape":       {back, json(`"goods"`, `"g\u006fods":"watch","goods"`), Malformed, ""},
-		"number beyond 2^53":        {back, json("1250", "9007199254740993"), OutOfRange, "pence"},
-		"part of a penny":           {back, json("1250", "1250.5"), OutOfRange, "pence"},
-		"number as text":            {back, json("1250", `"1250"`), Malformed, "pence"},
-		"object in place of a text": {back, json(`"watch"`, "{}"), Malformed, "goods"},
-		"text in place of object":   {back, json(`{"id":"a"}`, `"a"`), Malformed, "form"},
-		"null":                      {back, json(`"watch"`, "null"), Missing, "goods"},
-		"value that is refused":     {back, json("watch", "fuel"), OutOfRange, "goods"},
-		"must be absent":            {back, json(`"goods"`, `"channel":"web","goods"`), Forbidden, "channel"},
-		"three parts":               {back, json("a|b", "a|b|c"), OutOfRange, "traveller"},
-		"lone surrogate":            {back, json("a|b", `a|\ud800`), Malformed, ""},
-		"invalid UTF-8 in JSON":     {back, json("a|b", "a|\xff"), Malformed, ""},
-		"more behind":               {back, json(`"a|b"}`, `"a|b"}{}`), Malformed, ""},
-		"cut short":                 {back, json(`"a|b"}`, `"a|b"`), Malformed, ""},
-		"no object":                 {back, json(newBody, `[]`), Malformed, ""},
-		"path that would be lost":   {back, json(`"id":"a"`, `"id":".."`), OutOfRange, "form"},
+		"half a penny":               {p, form("12.5", "0.005"), OutOfRange, "amount"},
+		"too much":                   {p, form("12.5", "1000000000000000"), OutOfRange, "amount"},
+		"beyond 64 bits":             {p, form("12.5", "99999999999999999999"), OutOfRange, "amount"},
+		"negative zero":              {p, form("12.5", "-0"), OutOfRange, "amount"}, // as 0 is
+		"no amount":                  {p, form("12.5", "much"), Malformed, "amount"},
+		"day that does not exist":    {p, form("29%2F02%2F2024", "29%2F02%2F2023"), Malformed, "bought"},
+		"date in another form":       {p, form("29%2F02%2F2024", "1%2F2%2F2024"), Malformed, "bought"},
+		"unknown value":              {p, form("goods=J", "goods=X"), OutOfRange, "goods"},
+		"missing":                    {p, form("goods=J&", ""), Missing, "goods"},
+		"given twice":                {p, form("goods=J", "goods=J&goods=J"), Malformed, "goods"},
+		"unknown field":              {p, form("goods=J", "goods=J&more=1"), Forbidden, ""},
+		"not UTF-8":                  {p, form("MacLeod", "%FF"), Malformed, "last"},
+		"separator in a joined text": {p, form("MacLeod", "Mac%7CLeod"), OutOfRange, "last"},
+		"shorter path":               {p, &Message{Method: "POST", Target: "/refund-record"}, Malformed, ""},
+		"longer path":                {p, &Message{Method: "POST", Target: oldTarget + "/x"}, Malformed, ""},
+		"another method":             {p, &Message{Method: "GET", Target: oldTarget}, Malformed, ""},
+		"body too long":              {p, oldRequest("memo=" + strings.Repeat("a", defaultMaxBody)), TooLarge, ""},
+		"duplicate member":           {back, json(`"goods"`, `"goods":"watch","goods"`), Malformed, ""},
+		"duplicate by escape":        {back, json(`"goods"`, `"g\u006fods":"watch","goods"`), Malformed, ""},
+		"number beyond 2^53":         {back, json("1250", "9007199254740993"), OutOfRange, "pence"},
+		"part of a penny":            {back, json("1250", "1250.5"), OutOfRange, "pence"},
+		"number as text":             {back, json("1250", `"1250"`), Malformed, "pence"},
+		"object in place of a text":  {back, json(`"watch"`, "{}"), Malformed, "goods"},
+		"text in place of object":    {back, json(`{"id":"a"}`, `"a"`), Malformed, "form"},
+		"null":                       {back, json(`"watch"`, "null"), Missing, "goods"},
+		"value that is refused":      {back, json("watch", "fuel"), OutOfRange, "goods"},
+		"must be absent":             {back, json(`"goods"`, `"channel":"web","goods"`), Forbidden, "channel"},
+		"three parts":                {back, json("a|b", "a|b|c"), OutOfRange, "traveller"},
+		"lone surrogate":             {back, json("a|b", `a|\ud800`), Malformed, ""},
+		"invalid UTF-8 in JSON":      {back, json("a|b", "a|\xff"), Malformed, ""},
+		"bytes after the body":       {back, json(`"a|b"}`, `"a|b"}{}`), Malformed, ""},
+		"truncated body":             {back, json(`"a|b"}`, `"a|b"`), Malformed, ""},
+		"no object":                  {back, json(newBody, `[]`), Malformed, ""},
+		"field that is .. in a path": {back, json(`"id":"a"`, `"id":".."`), OutOfRange, "form"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := c.plan.Request(c.m, options)
@@ -312,41 +312,41 @@
 // Problems of a file are reported with their lines.
 func TestFileProblems(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, want string }{
-		"nothing said of a field read":    {`memo = { from = "memo" }` + "\n\n[mappings.refund-record-1-to-2.reply]", "\n[mappings.refund-record-1-to-2.reply]", "source field memo is in no rule, and neither in drop nor in absent"},
-		"nothing said of a field written": {`omit = { request = ["channel"] }`, "", "target field channel has neither a rule nor an entry in omit"},
-		"mapped and dropped":              {`omit = { request = ["channel"] }`, `omit = { request = ["channel"] }` + "\ndrop = { request = [\"memo\"] }", "field memo is both dropped and mapped"},
-		"loses and says not":              {`values = { W = "watch", J = "jewellery"`, `values = { W = "watch", J = "watch"`, "the mapping loses: request goods: whether it was W or J"},
-		"no such value":                   {`O = "other"`, `O = "others"`, `goods has no value "others"`},
-		"no such shape":                   {`to = ["refund-record-2",`, `to = ["refund-record-3",`, `there is no shape "refund-record-3"`},
-		"no such field":                   {`pence = { from = "amount"`, `pence = { from = "sum"`, `has no field "sum"`},
-		"types that don't fit":            {`bought = { from = "bought" }`, `bought = { from = "memo" }`, "memo of type text can't be converted to bought"},
-		"optional to needed":              {`form = { from = "form" }`, `form = { from = "memo" }`, "a default is needed"},
-		"no such type":                    {`type = "bool"`, `type = "boolean"`, `"boolean"`},
-		"no such place":                   {`at = "header:X-Paid"`, `at = "trailer:X-Paid"`, `"trailer:X-Paid"`},
-		"two in one place":                {`at = "form:last"`, `at = "form:first"`, "field first is in the same place"},
-		"member of a field":               {`at = "json:bought"`, `at = "json:form.id.day"`, "one of this field and bought contains the other"},
-		"path without its field":          {`/refund-record/{form}`, `/refund-record/x`, "the path has no {form}"},
-		"unknown key":                     {`lossless = true`, `losless = true`, "no such key"},
-		"constant that is none":           {`value = "GBP"`, `value = "EUR"`, `"EUR" is none of its values`},
-		"numbers for a text":              {`type = "date", form = "unix-days"`, `type = "text", numbers = [1]`, "an enum needs one number for each value"},
-		"wire for a text":                 {`at = "thrift:2.5", type = "text"`, `at = "thrift:2.5", type = "text", wire = "i32"`, "that is not a number has no wire type"},
-		"no wire":                         {`at = "thrift:2.1", type = "int"`, `at = "thrift:2.1", type = "int", wire = "u64"`, `"u64"`},
-		"no number of a field":            {`at = "thrift:2.5"`, `at = "thrift:2.x"`, `"x" is not a field id`},
-		"on the envelope":                 {`at = "thrift:2.5"`, `at = "thrift:1.4"`, "overlaps with"},
-		"no envelope":                     {`id = "1.1"` + "\n", "", "envelope.id"},
-		"thrift in http":                  {`at = "json:bought"`, `at = "thrift:9"`, "has no such place"},
-		"own header":                      {`at = "header:X-Paid"`, `at = "header:idempotency-key"`, "header Idempotency-Key is reserved"},
-		"the same method":                 {`method = "recordRefund"`, `method = "refund"`, "has the same method"},
-		"the same path":                   {`path = "/v2/refunds"`, `path = "/refund-record/x"`, "matches the same requests"},
-		"the same version":                {`version = "2"` + "\n" + `protocol = "http"`, `version = "1"` + "\n" + `protocol = "http"`, "version 1 of refund-record in http"},
-		"mapped twice":                    {`from = ["refund-record-1", "refund-record-1-thrift"]`, `from = ["refund-record-1", "refund-record-1"]`, "is already mapped to refund-record-2 by"},
-		"status that is none":             {"shape_unknown = 415", "shape_unknown = 200", "400 to 599"},
-		"forgotten at once":               {"forget_s = 5.0", "forget_s = 0.0", "0.1 to 3600"},
-		"part taken twice":                {`part = 2`, `part = 1`, "used twice"},
-		"part left":                       {`part = 2`, `part = 3`, "of 3 parts only 2 are used"},
-		"bound that is none":              {`min = "0.01"`, `min = "0.001"`, "more decimals"},
-		"form that is none":               {`form = "iso"`, `form = "us"`, `"us"`},
-		"reply in a path":                 {`at = "json:receipt"`, `at = "query:receipt"`, "a reply has no such place"},
+		"source field without a rule": {`memo = { from = "memo" }` + "\n\n[mappings.refund-record-1-to-2.reply]", "\n[mappings.refund-record-1-to-2.reply]", "source field memo is in no rule, and neither in drop nor in absent"},
+		"target field without a rule": {`omit = { request = ["channel"] }`, "", "target field channel has neither a rule nor an entry in omit"},
+		"mapped and dropped":          {`omit = { request = ["channel"] }`, `omit = { request = ["channel"] }` + "\ndrop = { request = [\"memo\"] }", "field memo is both dropped and mapped"},
+		"lossless mapping that loses": {`values = { W = "watch", J = "jewellery"`, `values = { W = "watch", J = "watch"`, "the mapping loses: request goods: whether it was W or J"},
+		"no such value":               {`O = "other"`, `O = "others"`, `goods has no value "others"`},
+		"no such shape":               {`to = ["refund-record-2",`, `to = ["refund-record-3",`, `there is no shape "refund-record-3"`},
+		"no such field":               {`pence = { from = "amount"`, `pence = { from = "sum"`, `has no field "sum"`},
+		"incompatible types":          {`bought = { from = "bought" }`, `bought = { from = "memo" }`, "memo of type text can't be converted to bought"},
+		"optional to required":        {`form = { from = "form" }`, `form = { from = "memo" }`, "a default is needed"},
+		"no such type":                {`type = "bool"`, `type = "boolean"`, `"boolean"`},
+		"no such place":               {`at = "header:X-Paid"`, `at = "trailer:X-Paid"`, `"trailer:X-Paid"`},
+		"two fields in one place":     {`at = "form:last"`, `at = "form:first"`, "field first is in the same place"},
+		"member of a field":           {`at = "json:bought"`, `at = "json:form.id.day"`, "one of this field and bought contains the other"},
+		"path without its field":      {`/refund-record/{form}`, `/refund-record/x`, "the path has no {form}"},
+		"unknown key":                 {`lossless = true`, `losless = true`, "no such key"},
+		"invalid constant":            {`value = "GBP"`, `value = "EUR"`, `"EUR" is none of its values`},
+		"numbers for a text":          {`type = "date", form = "unix-days"`, `type = "text", numbers = [1]`, "an enum needs one number for each value"},
+		"wire type for a text":        {`at = "thrift:2.5", type = "text"`, `at = "thrift:2.5", type = "text", wire = "i32"`, "that is not a number has no wire type"},
+		"unknown wire type":           {`at = "thrift:2.1", type = "int"`, `at = "thrift:2.1", type = "int", wire = "u64"`, `"u64"`},
+		"path without a field id":     {`at = "thrift:2.5"`, `at = "thrift:2.x"`, `"x" is not a field id`},
+		"overlap with the envelope":   {`at = "thrift:2.5"`, `at = "thrift:1.4"`, "overlaps with"},
+		"missing envelope field":      {`id = "1.1"` + "\n", "", "envelope.id"},
+		"thrift in http":              {`at = "json:bought"`, `at = "thrift:9"`, "has no such place"},
+		"reserved header":             {`at = "header:X-Paid"`, `at = "header:idempotency-key"`, "header Idempotency-Key is reserved"},
+		"the same method":             {`method = "recordRefund"`, `method = "refund"`, "has the same method"},
+		"the same path":               {`path = "/v2/refunds"`, `path = "/refund-record/x"`, "matches the same requests"},
+		"the same version":            {`version = "2"` + "\n" + `protocol = "http"`, `version = "1"` + "\n" + `protocol = "http"`, "version 1 of refund-record in http"},
+		"mapped twice":                {`from = ["refund-record-1", "refund-record-1-thrift"]`, `from = ["refund-record-1", "refund-record-1"]`, "is already mapped to refund-record-2 by"},
+		"invalid status":              {"shape_unknown = 415", "shape_unknown = 200", "400 to 599"},
+		"forget_s of 0":               {"forget_s = 5.0", "forget_s = 0.0", "0.1 to 3600"},
+		"part used twice":             {`part = 2`, `part = 1`, "used twice"},
+		"unused part":                 {`part = 2`, `part = 3`, "of 3 parts only 2 are used"},
+		"invalid bound":               {`min = "0.01"`, `min = "0.001"`, "more decimals"},
+		"unknown form":                {`form = "iso"`, `form = "us"`, `"us"`},
+		"reply in a path":             {`at = "json:receipt"`, `at = "query:receipt"`, "a reply has no such place"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(deploy.Translate, c.old, c.new, 1)
@@ -374,8 +374,8 @@
 	})
 }
 
-// FuzzRequest translates any HTTP request: it is translated or refused. A translated one survives the way back and forth
-// unchanged, unless the old shape refuses it.
+// FuzzRequest translates any HTTP request: it is translated or refused. A translated request is the
+// same after a further translation back and forth, unless the old shape refuses it.
 func FuzzRequest(f *testing.F) {
 	set := sample(f)
 	p, back := set.Plan("refund-record-1", "refund-record-2"), set.Plan("refund-record-2", "refund-record-1")
@@ -407,8 +407,8 @@
 	})
 }
 
-// FuzzThrift translates any Thrift message: it is translated or refused. A translated one survives the way back and forth
-// unchanged.
+// FuzzThrift translates any Thrift message: it is translated or refused. A translated message is the
+// same after a further translation back and forth.
 func FuzzThrift(f *testing.F) {
 	set := sample(f)
 	p, back := set.Plan("refund-record-1-thrift", "refund-record-2-thrift"), set.Plan("refund-record-2-thrift", "refund-record-1-thrift")
@@ -504,26 +504,26 @@
 	}{
 		"pounds to whole pounds": {`x = { at = "form:x", type = "decimal", scale = 2 }`, `x = { at = "json:x", type = "int" }`,
 			"[mappings.m.request]\nx = { from = \"x\" }", "x=12.00", `{"x":12}`, ""},
-		"and not rounded": {`x = { at = "form:x", type = "decimal", scale = 2 }`, `x = { at = "json:x", type = "int" }`,
+		"no rounding": {`x = { at = "form:x", type = "decimal", scale = 2 }`, `x = { at = "json:x", type = "int" }`,
 			"[mappings.m.request]\nx = { from = \"x\" }", "x=12.50", "!out of range", ""},
-		"beyond 64 bits by its unit": {`x = { at = "form:x", type = "int" }`, `x = { at = "json:x", type = "int" }`,
+		"beyond 64 bits when multiplied": {`x = { at = "form:x", type = "int" }`, `x = { at = "json:x", type = "int" }`,
 			"[mappings.m.request]\nx = { from = \"x\", times = \"1000\" }", "x=9223372036854775807", "!out of range", ""},
 		"grams to kilograms": {`x = { at = "form:x", type = "int" }`, `x = { at = "json:x", type = "decimal", scale = 3 }`,
 			"[mappings.m.request]\nx = { from = \"x\", times = \"0.001\" }", "x=1", `{"x":0.001}`, ""},
 		"beyond 2^53, as a text": {`x = { at = "form:x", type = "int" }`, `x = { at = "json:x", type = "int", quoted = true }`,
 			"[mappings.m.request]\nx = { from = \"x\" }", "x=9007199254740993", `{"x":"9007199254740993"}`, ""},
-		"optional to needed, by a default": {`x = { at = "form:x", type = "text", optional = true }`, `x = { at = "json:x", type = "text" }`,
+		"optional to required, with a default": {`x = { at = "form:x", type = "text", optional = true }`, `x = { at = "json:x", type = "text" }`,
 			"[mappings.m.request]\nx = { from = \"x\", default = \"d\" }", "", `{"x":"d"}`, "request x: whether it was absent"},
-		"and given": {`x = { at = "form:x", type = "text", optional = true }`, `x = { at = "json:x", type = "text" }`,
+		"default not used": {`x = { at = "form:x", type = "text", optional = true }`, `x = { at = "json:x", type = "text" }`,
 			"[mappings.m.request]\nx = { from = \"x\", default = \"d\" }", "x=", `{"x":""}`, "request x: whether it was absent"},
 		"only on the old side": {`x = { at = "form:x", type = "text" }`, "", "drop = { request = [\"x\"] }", "x=1", "", "request x: dropped"},
 		"only on the new side": {"", `x = { at = "json:x", type = "bool" }`, "[mappings.m.request]\nx = { value = \"true\" }", "", `{"x":true}`, ""},
-		"an instant as the clocks went back": {`x = { at = "form:x", type = "instant", form = "local", zone = "Europe/London" }`, `x = { at = "json:x", type = "instant", form = "unix-s" }`,
+		"an instant when the clocks go back": {`x = { at = "form:x", type = "instant", form = "local", zone = "Europe/London" }`, `x = { at = "json:x", type = "instant", form = "unix-s" }`,
 			"[mappings.m.request]\nx = { from = \"x\" }", "x=2026-10-25T01:30:00", "!out of range", ""},
 		"an instant between zones": {`x = { at = "form:x", type = "instant", form = "local", zone = "Europe/London" }`, `x = { at = "json:x", type = "instant", form = "local", zone = "America/New_York" }`,
 			"[mappings.m.request]\nx = { from = \"x\" }", "x=2026-07-01T12:00:00", `{"x":"2026-07-01T07:00:00"}`, ""},
-		"bytes":                  {`x = { at = "form:x", type = "bytes" }`, `x = { at = "json:x", type = "text" }`, "[mappings.m.request]\nx = { from = \"x\" }", "x=w6k%3D", `{"x":"é"}`, ""},
-		"bytes that are no text": {`x = { at = "form:x", type = "bytes" }`, `x = { at = "json:x", type = "text" }`, "[mappings.m.request]\nx = { from = \"x\" }", "x=%2Fw%3D%3D", "!out of range", ""},
+		"bytes":                    {`x = { at = "form:x", type = "bytes" }`, `x = { at = "json:x", type = "text" }`, "[mappings.m.request]\nx = { from = \"x\" }", "x=w6k%3D", `{"x":"é"}`, ""},
+		"bytes that are not UTF-8": {`x = { at = "form:x", type = "bytes" }`, `x = { at = "json:x", type = "text" }`, "[mappings.m.request]\nx = { from = \"x\" }", "x=%2Fw%3D%3D", "!out of range", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := small(t, c.old, c.new, c.rules)
--- a/internal/translate/value.go
+++ b/internal/translate/value.go
@@ -29,6 +29,7 @@
 var typeNames = map[string]Type{"text": Text, "bytes": Bytes, "int": Int, "decimal": Decimal, "bool": Bool, "enum": Enum,
 	"date": Date, "instant": Instant}
 
+// String returns the name of the type in the file.
 func (t Type) String() string {
 	for name, other := range typeNames {
 		if other == t {
@@ -59,6 +60,7 @@
 
 var kindNames = [...]string{"malformed", "missing", "out of range", "forbidden", "too large"}
 
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
 // Refusal is the error of a message that can't be translated. Its text is sent to clients.
@@ -68,6 +70,7 @@
 	Reason string
 }
 
+// Error returns the field, the kind and the reason.
 func (r *Refusal) Error() string {
 	if r.Field == "" {
 		return fmt.Sprintf("%v: %s", r.Kind, r.Reason)
