--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -15,9 +15,9 @@
 	"ternbeam/internal/decide/life"
 )
 
-// Every ordering of a small world, to the end: no property is broken.
+// Explores every ordering of each small world completely: no property is violated.
 func TestSmallWorlds(t *testing.T) {
-	var all Report // what is taken over all worlds
+	var all Report // steps taken in all worlds
 	for name, cfg := range Worlds {
 		t.Run(name, func(t *testing.T) {
 			r := Explore(cfg, 1<<20)
@@ -34,39 +34,38 @@
 			t.Logf("%d states, %d transitions, depth %d, %d ends, %v", r.States, r.Transitions, r.Depth, r.Ends, r.Took)
 		})
 	}
-	if never := all.Untaken(); len(never) > 0 {
-		t.Errorf("never taken: %q", never)
+	if untaken := all.Untaken(); len(untaken) > 0 {
+		t.Errorf("steps never taken: %q", untaken)
 	}
 }
 
-// What an attempt came to, and a call: its answers, its runs and whether its client left, once nothing more can come of
-// it.
-func outcomes(w *world, to map[string]bool) {
-	for _, t := range w.tries {
+// outcomes adds the results of ended attempts and of finished calls: their answers, their runs and whether the client
+// disconnected.
+func outcomes(w *world, found map[string]bool) {
+	for _, t := range w.attempts {
 		if t.Life.Stage() == life.Ended {
-			to[fmt.Sprint(t.call, t.Number, t.Server.ID, t.Life.Result(), t.ran, t.unsent)] = true
+			found[fmt.Sprint(t.call, t.Number, t.Server.ID, t.Life.Result(), t.mayHaveRun, t.notSent)] = true
 		}
 	}
 	for i, c := range w.calls {
-		live := slices.ContainsFunc(w.tries, func(t *try) bool { return t.call == i })
-		if !live && c.asked && c.life.Over() && !w.ledger.Knows(c.life) {
+		live := slices.ContainsFunc(w.attempts, func(t *attempt) bool { return t.call == i })
+		if !live && c.arrived && c.tracked.Over() && !w.tracker.Knows(c.tracked) {
 			runs := make([]string, len(c.runs))
 			for i, r := range c.runs {
-				if runs[i] = r.server; c.effect == choice.Keyed { // of others no rule looks at the time
+				if runs[i] = r.server; c.effect == choice.Keyed { // for others no property checks the time
 					runs[i] += " " + (r.at - start).String()
 				}
 			}
-			slices.Sort(runs)            // those of one moment come in any order
-			if c.effect == choice.Safe { // no rule looks at them
+			slices.Sort(runs)            // runs at the same time are in any order
+			if c.effect == choice.Safe { // no property checks them
 				runs = nil
 			}
-			to[fmt.Sprint(i, c.answers, c.left, runs)] = true
+			found[fmt.Sprint(i, c.answers, c.disconnected, runs)] = true
 		}
 	}
 }
 
-// With every order of steps that do not touch one another, and states told apart to the last bit, calls come to the
-// same as without.
+// With every order of independent steps and exact state keys, the same outcomes are found as with the reduction.
 func TestReductionLosesNothing(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"one call":          {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Lists: 1, Leaves: 1, Cells: 2},
@@ -89,7 +88,7 @@
 				x := newExplorer(&cfg)
 				var mu sync.Mutex
 				all := map[string]bool{}
-				x.look = func(w *world) {
+				x.onState = func(w *world) {
 					mu.Lock()
 					defer mu.Unlock()
 					outcomes(w, all)
@@ -101,12 +100,12 @@
 			}
 			for o := range found[1] {
 				if !found[0][o] {
-					t.Errorf("lost: %s", o)
+					t.Errorf("not found with the reduction: %s", o)
 				}
 			}
 			for o := range found[0] {
 				if !found[1][o] {
-					t.Errorf("in no order: %s", o)
+					t.Errorf("found only with the reduction: %s", o)
 				}
 			}
 			t.Logf("%d outcomes; %d states, %d with every order", len(found[1]), reports[0].States, reports[1].States)
@@ -114,7 +113,7 @@
 	}
 }
 
-// Two states that are taken for one lead to the same ones.
+// Two states with the same key lead to the same states.
 func TestStatesTakenForOneGoOnAlike(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"two calls":   {Servers: 2, Calls: []choice.Effect{choice.Safe, choice.Unsafe}, Attempts: 2, Places: 4},
@@ -126,28 +125,28 @@
 			t.Parallel()
 			x := newExplorer(&cfg)
 			var mu sync.Mutex
-			next := map[string]string{} // where the first state of a key leads to
+			next := map[string]string{} // successors of the first state with each key
 			pairs := 0
-			x.look = func(w *world) {
-				// Where connections abound, what is idle is in no key, and spares a dial.
-				key := string(w.key(nil, false)) + fmt.Sprint(len(w.book.Idle()), w.chance.asked)
+			x.onState = func(w *world) {
+				// With spare places, idle connections are not part of the key; they only save a dial.
+				key := string(w.key(nil, false)) + fmt.Sprint(len(w.pool.Idle()), w.chance.drawn)
 				if w.fault != "" {
 					return
 				}
-				var leads []string
-				for s, to := range w.copy().successors() {
-					if to.goOn(nil); len(w.book.Idle()) == 0 || !w.wide() {
-						leads = append(leads, fmt.Sprint(s.Kind, s.Most, string(to.key(nil, false))))
+				var succs []string
+				for s, succ := range w.copy().successors() {
+					if succ.applyForced(nil); len(w.pool.Idle()) == 0 || !w.hasSparePlaces() {
+						succs = append(succs, fmt.Sprint(s.Kind, s.Most, string(succ.key(nil, false))))
 					}
 				}
-				slices.Sort(leads)
-				all := strings.Join(slices.Compact(leads), "\n")
+				slices.Sort(succs)
+				all := strings.Join(slices.Compact(succs), "\n")
 				mu.Lock()
 				defer mu.Unlock()
 				if first, known := next[key]; !known {
 					next[key] = all
 				} else if pairs++; first != all {
-					t.Errorf("two states of one key go on otherwise: %.2000q, %.2000q", first, all)
+					t.Errorf("two states with the same key have different successors: %.2000q, %.2000q", first, all)
 				}
 			}
 			r := x.run(1 << 21)
@@ -159,7 +158,7 @@
 	}
 }
 
-// A copy is equal to what it was made of, goes on as that does, and leaves it alone.
+// A copy of a world has the same state, behaves like the original, and does not share state with it.
 func TestCopies(t *testing.T) {
 	for name, cfg := range Worlds {
 		t.Run(name, func(t *testing.T) {
@@ -167,7 +166,7 @@
 			for seed := range uint64(50) {
 				r := rand.New(rand.NewPCG(seed, 0))
 				w := root.copy()
-				var story []Step
+				var trace []Step
 				for {
 					all := w.enabled()
 					if len(all) == 0 {
@@ -175,56 +174,56 @@
 					}
 					s := all[r.IntN(len(all))]
 					s.Most = r.IntN(2) == 0
-					story = append(story, s)
-					before, twin := string(w.key(nil, true)), w.copy()
-					if got := string(twin.key(nil, true)); got != before {
-						t.Fatalf("seed %d: a copy differs after %v", seed, story)
+					trace = append(trace, s)
+					before, dup := string(w.key(nil, true)), w.copy()
+					if got := string(dup.key(nil, true)); got != before {
+						t.Fatalf("seed %d: a copy differs after %v", seed, trace)
 					}
 					for _, other := range all {
-						w.copy().take(other)
+						w.copy().apply(other)
 					}
 					if got := string(w.key(nil, true)); got != before {
-						t.Fatalf("seed %d: what a copy does is seen in the original, after %v", seed, story)
+						t.Fatalf("seed %d: a step of a copy changed the original, after %v", seed, trace)
 					}
-					w = twin
-					w.take(s)
+					w = dup
+					w.apply(s)
 				}
 				again := root.copy()
-				for _, s := range story {
-					again.enabled() // drops timers that nobody heeds
-					again.take(s)
+				for _, s := range trace {
+					again.enabled() // drops timers that the balancer ignores
+					again.apply(s)
 				}
 				again.enabled()
 				if string(again.key(nil, true)) != string(w.key(nil, true)) {
-					t.Fatalf("seed %d: copied from step to step it ended otherwise than played: %v", seed, story)
+					t.Fatalf("seed %d: copied at each step, the world ended in another state than when played: %v", seed, trace)
 				}
 			}
 		})
 	}
 }
 
-// Found by exploring: a repeat that was right when it was ordered waited for its connection, or to be written, until
-// the first attempt's window was over, and ran a second time.
+// Guards against a bug that the explorer found: a retry that was allowed when the balancer ordered it waited for its
+// connection, or to be written, until the first attempt's deduplication window had passed, and the call ran twice.
 func TestKeyedRepeatIsWrittenWithinItsWindow(t *testing.T) {
 	cfg := Worlds["keyed"]
 	before := []Step{{Kind: Ask}, {Kind: Acquire}, {Kind: DialSucceeds}, {Kind: Send}, {Kind: WriteAll}, {Kind: AnswerError},
 		{Kind: Return}, {Kind: Take}, {Kind: Acquire, N: 1}}
-	for name, rest := range map[string][]Step{
+	for name, after := range map[string][]Step{
 		"while it is written": {{Kind: Send, N: 1}, {Kind: Rest, N: 1}, {Kind: Time}, {Kind: Rest, N: 1}, {Kind: Time},
 			{Kind: WriteAll, N: 1}},
 		"while it waits to be sent": {{Kind: Rest, N: 1}, {Kind: Time}, {Kind: Time}, {Kind: Send, N: 1}, {Kind: WriteAll, N: 1}},
 	} {
-		story := slices.Concat(before, rest)
-		if _, err := Replay(cfg, story[:len(story)-1], io.Discard); err != nil {
+		trace := slices.Concat(before, after)
+		if _, err := Replay(cfg, trace[:len(trace)-1], io.Discard); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if _, err := Replay(cfg, story, io.Discard); err == nil {
-			t.Errorf("%s: its last byte may be written after the window", name)
+		if _, err := Replay(cfg, trace, io.Discard); err == nil {
+			t.Errorf("%s: the last byte can be written after the deduplication window", name)
 		}
 	}
 }
 
-// A story that is told and read again is the same, and what is no story is an error.
+// A trace that is encoded and decoded is unchanged, and decoding an invalid one is an error.
 func TestStoriesAreKept(t *testing.T) {
 	cfg, steps := Worlds["keyed"], []Step{{Kind: Ask, Most: true}, {Kind: Acquire}, {Kind: DialFails}, {Kind: Take}}
 	text, err := Tell(cfg, "none", steps)
@@ -241,6 +240,6 @@
 		}
 	}
 	if _, err := Replay(cfg, []Step{{Kind: Take}}, io.Discard); err == nil {
-		t.Error("an impossible step is played")
+		t.Error("a step that is not possible was played")
 	}
 }
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -11,95 +11,98 @@
 
 // The steps of an attempt's host, as internal/host/pool and internal/host/exchange take them.
 
-// wide reports whether there is always a place for one more connection. Then attempts touch one another only by idle
-// connections to the same server.
-func (w *world) wide() bool { return !w.cfg.Lines && w.cfg.Places >= len(w.cfg.Calls)*w.cfg.Attempts }
+// hasSparePlaces reports whether there is always a place for one more connection. Then attempts affect one another only
+// through idle connections to the same server.
+func (w *world) hasSparePlaces() bool {
+	return !w.cfg.Lines && w.cfg.Places >= len(w.cfg.Calls)*w.cfg.Attempts
+}
 
-// wakeBook ends the rest of those whose next step depends on what has changed in the book: the idle connections to a
-// server, or where places are scarce anything. Who asks for a connection wakes those that give one back.
-func (w *world) wakeBook(s *life.Server, idle bool) {
-	for _, t := range w.tries {
-		gives := t.Life.Stage() == life.Ended && t.conn != nil
-		asks := t.Life.Stage() == life.Placing
-		if !w.wide() && (gives || asks) || t.Server == s && (gives || asks && idle) {
-			t.rests = false
+// resumeAfterPoolChange resumes the paused attempts whose next step depends on a change in the pool: of the idle
+// connections to a server, or, if places are scarce, of anything. An attempt that asks for a connection resumes those
+// that release one.
+func (w *world) resumeAfterPoolChange(s *life.Server, idle bool) {
+	for _, t := range w.attempts {
+		releases := t.Life.Stage() == life.Ended && t.conn != nil
+		acquires := t.Life.Stage() == life.Placing
+		if !w.hasSparePlaces() && (releases || acquires) || t.Server == s && (releases || acquires && idle) {
+			t.paused = false
 		}
 	}
 }
 
-// wakeCall ends the rest of those that wait to be sent for a call.
-func (w *world) wakeCall(i int) {
-	for _, t := range w.tries {
+// resumeReady resumes the paused attempts of a call that are ready to be sent.
+func (w *world) resumeReady(i int) {
+	for _, t := range w.attempts {
 		if t.call == i && t.Life.Stage() == life.Ready {
-			t.rests = false
+			t.paused = false
 		}
 	}
 }
 
-// acquire takes an idle connection, if it is silent, or asks for a new one.
-func (w *world) acquire(t *try) {
-	lent := false
-	for c := w.book.Lend(t.Server, t.Call.Needs, nil); c != nil; c = w.book.Lend(t.Server, t.Call.Needs, nil) {
-		lent = true
-		if !c.Host.(*on).foreign {
+// acquire takes an idle connection without stray bytes, or reserves a new one.
+func (w *world) acquire(t *attempt) {
+	tookIdle := false
+	for c := w.pool.Lend(t.Server, t.Call.Needs, nil); c != nil; c = w.pool.Lend(t.Server, t.Call.Needs, nil) {
+		tookIdle = true
+		if !c.Host.(*connData).strayBytes {
 			t.Heed(t.Life.Connect())
 			w.carry(t, c)
-			w.wakeBook(t.Server, true)
+			w.resumeAfterPoolChange(t.Server, true)
 			return
 		}
 		t.Heed(c.Spoil())
-		if w.giveBack(c) {
-			w.violate("a connection with foreign bytes is kept")
+		if w.releaseConn(c) {
+			w.violate("a connection with stray bytes is kept in the pool")
 			return
 		}
 	}
-	c, evicted := w.book.Claim(t.Server, t.Call.Needs)
+	c, evicted := w.pool.Claim(t.Server, t.Call.Needs)
 	if evicted != nil {
-		evicted.Host.(*on).by = -1
+		evicted.Host.(*connData).attempt = -1
 	}
 	t.conn = c
 	if c.State() == life.Dialled {
 		w.dial(t)
 	}
-	w.wakeBook(t.Server, lent)
+	w.resumeAfterPoolChange(t.Server, tookIdle)
 }
 
-// granted lets the host of an attempt whose connection got a place dial.
-func (w *world) granted(c *life.Conn) {
-	for _, t := range w.tries {
+// placeGranted starts the dial of the attempt whose queued connection got a place.
+func (w *world) placeGranted(c *life.Conn) {
+	for _, t := range w.attempts {
 		if c != nil && t.conn == c && t.Life.Stage() == life.Placing {
 			w.dial(t)
-			t.rests = false
+			t.paused = false
 		}
 	}
 }
 
-// dial begins to dial: one address, or where there are two a race.
-func (w *world) dial(t *try) {
+// dial starts to dial one address, or a race if the server has two.
+func (w *world) dial(t *attempt) {
 	t.Heed(t.Life.Dial())
 	if w.cfg.Races {
-		t.race = w.addrs.Race(w.now, w.addrsOf(t.Server.ID))
-		t.race.Start(w.now, w.room())
+		t.race = w.dialHistory.Race(w.now, w.addrsOf(t.Server.ID))
+		t.race.Start(w.now, w.spareDials())
 	}
 }
 
-// addrsOf are the addresses of a server.
+// addrsOf returns the addresses of a server.
 func (w *world) addrsOf(id string) []string {
 	return []string{"127.0.0.1:1 of " + id, "127.0.0.1:2 of " + id}
 }
 
-// room is how many dials there may be beside the first of each race.
-func (w *world) room() int {
-	open, _, _ := w.book.Count()
+// spareDials returns how many dials are allowed in addition to the first one of each race.
+func (w *world) spareDials() int {
+	open, _, _ := w.pool.Count()
 	return w.cfg.Places - open
 }
 
-// raceOptions are what a race may come to, beside what its first dial does.
-func (w *world) raceOptions(t *try) (all []Kind) {
+// raceOptions returns the possible steps of a race, except those of its first dial.
+func (w *world) raceOptions(t *attempt) (all []Kind) {
 	if t.race == nil {
 		return nil
 	}
-	if _, more := t.race.Due(); more && len(t.race.Out()) <= w.room() {
+	if _, more := t.race.Due(); more && len(t.race.Out()) <= w.spareDials() {
 		all = append(all, DialNext)
 	}
 	if len(t.race.Out()) > 1 {
@@ -108,31 +111,34 @@
 	return all
 }
 
-// dialMore dials what the race says by some time.
-func (w *world) dialMore(t *try, by time.Duration) { t.race.Start(max(by, w.now), w.room()) }
+// startDials starts the dials that the race schedules until the given time.
+func (w *world) startDials(t *attempt, by time.Duration) {
+	t.race.Start(max(by, w.now), w.spareDials())
+}
 
-// connected says that one of an attempt's dials succeeded. A connection that does not win is closed at once.
-func (w *world) connected(t *try, n int) {
+// dialSucceeded reports the success of one of an attempt's dials. A connection that does not win the race is closed at
+// once.
+func (w *world) dialSucceeded(t *attempt, n int) {
 	if t.race == nil || t.race.Connected(w.now, t.race.Out()[n]) {
-		w.opened(t)
+		w.connOpened(t)
 	}
 }
 
-// dialFailed says that one of an attempt's dials failed.
-func (w *world) dialFailed(t *try, n int) {
+// dialFailed reports the failure of one of an attempt's dials.
+func (w *world) dialFailed(t *attempt, n int) {
 	if t.race == nil || t.race.Failed(w.now, t.race.Out()[n]) {
 		w.fail(t, life.Broken)
 		return
 	}
-	w.dialMore(t, w.now)
+	w.startDials(t, w.now)
 	if len(t.race.Out()) == 0 {
-		w.violate("attempt %d dials nothing, and its race is not lost", t.n)
+		w.violate("attempt %d has no dial in progress, and its race has not failed", t.index)
 	}
 }
 
-// idle is the idle connection that an attempt would get, or nil.
-func (w *world) idle(t *try) (last *life.Conn) {
-	for _, c := range w.book.Idle() {
+// idleConn returns the idle connection that an attempt would get, or nil.
+func (w *world) idleConn(t *attempt) (last *life.Conn) {
+	for _, c := range w.pool.Idle() {
 		if c.Server == t.Server && c.Speaks == t.Call.Needs {
 			last = c
 		}
@@ -140,90 +146,90 @@
 	return last
 }
 
-// carry lets a connection carry an attempt.
-func (w *world) carry(t *try, c *life.Conn) {
-	what := c.Host.(*on)
-	if what.by >= 0 {
-		w.violate("a connection carries attempts %d and %d", what.by, t.n)
+// carry assigns a connection to an attempt.
+func (w *world) carry(t *attempt, c *life.Conn) {
+	data := c.Host.(*connData)
+	if data.attempt >= 0 {
+		w.violate("a connection carries attempts %d and %d", data.attempt, t.index)
 	}
-	if what.foreign {
-		w.violate("attempt %d uses a connection with foreign bytes", t.n)
+	if data.strayBytes {
+		w.violate("attempt %d uses a connection with stray bytes", t.index)
 	}
-	t.conn, what.by = c, t.n
+	t.conn, data.attempt = c, t.index
 }
 
-func (w *world) giveBack(c *life.Conn) (kept bool) {
-	c.Host.(*on).by = -1
-	kept, next, err := w.book.Return(c)
+func (w *world) releaseConn(c *life.Conn) (kept bool) {
+	c.Host.(*connData).attempt = -1
+	kept, next, err := w.pool.Return(c)
 	if err != nil {
 		w.violate("%v", err)
 	}
-	w.granted(next)
+	w.placeGranted(next)
 	return kept
 }
 
-// opened says that the dial of an attempt succeeded.
-func (w *world) opened(t *try) {
+// connOpened continues an attempt whose dial succeeded.
+func (w *world) connOpened(t *attempt) {
 	t.Heed(t.Life.Connect())
-	t.Heed(w.book.Open(t.conn, &on{by: -1, to: w.process(t.Server.ID)}))
+	t.Heed(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
 	w.carry(t, t.conn)
 }
 
-// nowFor is what holds for an attempt that would be sent, by what the world knows.
-func (w *world) nowFor(t *try) life.Now {
-	return life.Now{Withdrawn: t.withdrawn, Late: w.now >= t.End || t.SendBy != 0 && w.now >= t.SendBy,
+// conditionsFor returns the conditions under which an attempt would be sent now.
+func (w *world) conditionsFor(t *attempt) life.Now {
+	return life.Now{Withdrawn: t.hostCanceled, Late: w.now >= t.End || t.SendBy != 0 && w.now >= t.SendBy,
 		Over: t.Call.Over(), Retired: t.Server.Retired()}
 }
 
-// send asks whether the attempt may be sent, and begins.
-func (w *world) send(t *try) {
-	now := w.nowFor(t)
-	ok, err := t.Life.Begin(size, now)
+// send checks whether the attempt may still be sent, and starts sending.
+func (w *world) send(t *attempt) {
+	now := w.conditionsFor(t)
+	ok, err := t.Life.Begin(messageSize, now)
 	t.Heed(err)
 	if !ok {
-		t.unsent = true
+		t.notSent = true
 		w.checkEnding(t)
 		return
 	}
 	w.checkSend(t)
 }
 
-// write says that so many bytes are written.
-func (w *world) write(t *try, n int) {
+// write reports that n bytes were written.
+func (w *world) write(t *attempt, n int) {
 	t.Heed(t.Life.Wrote(n))
-	if n == size {
-		w.run(t)
+	if n == messageSize {
+		w.recordRun(t)
 	}
 }
 
-// run says that the server may run the call from now on.
-func (w *world) run(t *try) {
-	t.ran = true
-	c := w.of(t)
-	c.runs = append(c.runs, run{t.n, t.Server.ID, t.cell, w.now})
+// recordRun records that the server may execute the call from now on.
+func (w *world) recordRun(t *attempt) {
+	t.mayHaveRun = true
+	c := w.callOf(t)
+	c.runs = append(c.runs, run{t.index, t.Server.ID, t.cell, w.now})
 	w.checkRun(c)
 }
 
 // answer ends an attempt with its server's answer.
-func (w *world) answer(t *try, r choice.Result) {
+func (w *world) answer(t *attempt, r choice.Result) {
 	t.Heed(t.Life.Read())
 	t.Heed(t.Life.Answer(r))
-	if r == choice.Rejected && t.ran {
-		w.unrun(t)
+	if r == choice.Rejected && t.mayHaveRun {
+		w.undoRun(t)
 	}
 	w.checkEnding(t)
 }
 
-// fail ends an attempt without an answer; its connection is not used again.
-func (w *world) fail(t *try, cause life.Cause) {
+// fail ends an attempt without an answer; its connection is not reused.
+func (w *world) fail(t *attempt, cause life.Cause) {
 	t.Heed(t.Life.Fail(cause))
 	w.spoil(t)
 	w.checkEnding(t)
 }
 
-// spoil says that an attempt's connection must not be used again. Where places abound nobody sees when it is closed,
-// so that it is at once.
-func (w *world) spoil(t *try) {
+// spoil marks an attempt's connection as not reusable. If there are always spare places, the time of closing makes no
+// difference, and it is closed at once.
+func (w *world) spoil(t *attempt) {
 	if t.conn == nil {
 		return
 	}
@@ -231,36 +237,36 @@
 	case life.InUse, life.Retiring:
 		t.Heed(t.conn.Spoil())
 	}
-	if w.wide() && !w.cfg.plain() {
-		w.returned(t)
+	if w.hasSparePlaces() && !w.cfg.allOrders() {
+		w.releaseAttemptConn(t)
 	}
 }
 
-// returned gives an attempt's connection back to the book.
-func (w *world) returned(t *try) {
+// releaseAttemptConn releases an attempt's connection to the pool.
+func (w *world) releaseAttemptConn(t *attempt) {
 	c := t.conn
 	t.conn = nil
 	switch c.State() {
 	case life.Queued, life.Dialled:
-		next, err := w.book.GiveUp(c)
+		next, err := w.pool.GiveUp(c)
 		t.Heed(err)
-		w.granted(next)
-		if !w.wide() {
-			w.wakeBook(c.Server, false)
+		w.placeGranted(next)
+		if !w.hasSparePlaces() {
+			w.resumeAfterPoolChange(c.Server, false)
 		}
 	default:
-		if kept := w.giveBack(c); kept || !w.wide() {
-			w.wakeBook(c.Server, kept)
+		if kept := w.releaseConn(c); kept || !w.hasSparePlaces() {
+			w.resumeAfterPoolChange(c.Server, kept)
 		}
 	}
 }
 
-// takeEnd lets the loop take an attempt's end.
-func (w *world) takeEnd(t *try) {
-	w.tries = slices.DeleteFunc(w.tries, func(o *try) bool { return o == t })
+// takeEnd lets the core's loop process the end of an attempt.
+func (w *world) takeEnd(t *attempt) {
+	w.attempts = slices.DeleteFunc(w.attempts, func(o *attempt) bool { return o == t })
 	e := ledger.Ended(t.Life.Result())
 	if e.Result == choice.OK {
 		e.Reply = t.Attempt
 	}
-	w.do(w.ledger.Ended(w.now, t.Attempt, e))
+	w.execute(w.tracker.Ended(w.now, t.Attempt, e))
 }
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -8,156 +8,157 @@
 	"ternbeam/internal/decide/life"
 )
 
-// key is a fingerprint of the state: all that what comes next depends on, and what the properties look at. An exact one
-// holds the module to the last bit, the other one what it can still heed.
-func (w *world) key(to []byte, exact bool) []byte {
+// key appends an encoding of the state: everything that later steps depend on and that the properties check. An exact
+// key includes the balancer's whole state, the other one only the part that can still affect its decisions.
+func (w *world) key(dst []byte, exact bool) []byte {
 	num := func(all ...int) {
 		for _, x := range all {
-			to = binary.AppendVarint(to, int64(x))
+			dst = binary.AppendVarint(dst, int64(x))
 		}
 	}
 	flag := func(all ...bool) {
 		for _, x := range all {
 			if x {
-				to = append(to, 1)
+				dst = append(dst, 1)
 			} else {
-				to = append(to, 0)
+				dst = append(dst, 0)
 			}
 		}
 	}
-	asks := 0
+	unsentCalls := 0
 	for _, c := range w.calls {
-		if !c.asked && w.now == start {
-			asks++
+		if !c.arrived && w.now == start {
+			unsentCalls++
 		}
 	}
-	num(int(w.now-start), w.lists, w.words, w.leaves, asks, w.ledger.Passing())
+	num(int(w.now-start), w.listChanges, w.operatorChanges, w.disconnects, unsentCalls, w.tracker.Passing())
 	switch {
 	case exact:
-		to = w.module.Fingerprint(to)
-	case w.open() || asks > 0: // or there is nothing left that it could decide
-		to = w.module.Outlook(to, choice.Ahead{Now: w.now, Requests: asks, Looks: w.cfg.Past != NoPast})
+		dst = w.balancer.Fingerprint(dst)
+	case w.hasOpenCalls() || unsentCalls > 0: // else the balancer has nothing left to decide
+		dst = w.balancer.Outlook(dst, choice.Ahead{Now: w.now, Requests: unsentCalls, Looks: w.cfg.Past != NoPast})
 	}
 	timers := make([]int, 0, 8)
 	for _, t := range w.timers {
-		if w.module.Heeds(t.token) {
+		if w.balancer.Heeds(t.token) {
 			timers = append(timers, int(t.at-start))
 		}
 	}
 	slices.Sort(timers)
 	num(timers...)
 	for i, s := range w.servers {
-		num(int(s.State), int(s.Started), w.moves[i], w.lives[i])
-		flag(w.out[i])
+		num(int(s.State), int(s.Started), w.moves[i], w.offlineRestarts[i])
+		flag(w.offline[i])
 	}
 	server := func(s *life.Server) {
-		to = append(append(to, s.ID...), 0)
+		dst = append(append(dst, s.ID...), 0)
 		num(int(s.Started))
 		flag(s.Retired())
 	}
 	live := make([]int, len(w.calls))
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		live[t.call]++
 	}
 	for i, c := range w.calls {
-		flag(c.asked, c.left, c.life.Over(), w.ledger.Knows(c.life))
+		flag(c.arrived, c.disconnected, c.tracked.Over(), w.tracker.Knows(c.tracked))
 		num(len(c.answers))
-		if !exact && len(c.answers)+live[i] > 0 && live[i] == 0 && !w.ledger.Knows(c.life) {
-			continue // nothing more can come of it
+		if !exact && len(c.answers)+live[i] > 0 && live[i] == 0 && !w.tracker.Knows(c.tracked) {
+			continue // no more steps for it
 		}
-		num(c.attempts)
+		num(c.attemptCount)
 		for _, a := range c.answers {
 			num(int(a))
 		}
 		switch {
 		case exact || c.effect == choice.Keyed:
 			for _, r := range c.runs {
-				to = append(append(to, r.server...), 0)
+				dst = append(append(dst, r.server...), 0)
 				num(int(r.at - start))
 			}
-		case c.effect == choice.Unsafe: // of safe ones no property looks at the runs, of these at whether there is one
+		case c.effect == choice.Unsafe: // properties check only whether an unsafe call has runs, and not the runs of a safe one
 			num(len(c.runs))
 		}
 	}
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		a := t.Life
 		stage := a.Stage()
 		switch {
-		case !exact && t.hangs && stage == life.Writing && t.SendBy == 0:
-			stage = life.Dialling // it ends as that would
+		case !exact && t.hung && stage == life.Writing && t.SendBy == 0:
+			stage = life.Dialling // it ends as a dial would
 		case stage == life.Ended:
 			r := a.Result()
-			if !exact && asks == 0 && w.cfg.Past == NoPast {
-				r = meaning(r)
+			if !exact && unsentCalls == 0 && w.cfg.Past == NoPast {
+				r = canonicalResult(r)
 			}
 			num(int(r))
 		}
 		num(t.call, t.Number, int(stage), int(t.SendBy))
 		server(t.Server)
-		flag(t.withdrawn && stage != life.Ended, t.taken && stage != life.Ended, t.ran, a.CanHaveRun(), t.hangs, t.rests, t.waits, t.begins, t.passes, t.dropped)
-		if t.conn != nil && (exact || !w.wide()) {
-			num(int(t.conn.State()), slices.Index(w.book.Queue(), t.conn))
+		flag(t.hostCanceled && stage != life.Ended, t.balancerCanceled && stage != life.Ended, t.mayHaveRun, a.CanHaveRun(),
+			t.hung, t.paused, t.awaitsDial, t.relayPending, t.relayStarted, t.replyDropped)
+		if t.conn != nil && (exact || !w.hasSparePlaces()) {
+			num(int(t.conn.State()), slices.Index(w.pool.Queue(), t.conn))
 		}
 	}
 	if w.cfg.Races {
 		for _, s := range w.servers {
-			for _, addr := range w.addrs.Order(w.now, w.addrsOf(s.ID)) {
-				to = append(append(to, addr...), 0)
+			for _, addr := range w.dialHistory.Order(w.now, w.addrsOf(s.ID)) {
+				dst = append(append(dst, addr...), 0)
 			}
 		}
-		for _, t := range w.tries {
+		for _, t := range w.attempts {
 			if t.race == nil {
 				continue
 			}
 			_, more := t.race.Due()
 			flag(more)
 			for _, addr := range t.race.Out() {
-				to = append(append(to, addr...), 0)
+				dst = append(append(dst, addr...), 0)
 			}
-			num(len(t.race.Out()), t.sent)
+			num(len(t.race.Out()), t.sendCount)
 		}
 	}
-	for _, c := range w.book.Idle() { // there is none in code that keeps its word
-		if p := c.Host.(*on).to; p != w.process(c.Server.ID) && !c.Server.Retired() {
-			num(p.server, int(p.started), p.moves, p.lives)
+	for _, c := range w.pool.Idle() { // correct code has no such idle connection
+		if p := c.Host.(*connData).peer; p != w.currentProcess(c.Server.ID) && !c.Server.Retired() {
+			num(p.server, int(p.started), p.moves, p.offlineRestarts)
 		}
 	}
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		if c := t.conn; c != nil && c.Host != nil {
-			p := c.Host.(*on).to
-			num(int(p.started), p.moves, p.lives)
+			p := c.Host.(*connData).peer
+			num(int(p.started), p.moves, p.offlineRestarts)
 		}
 	}
-	for _, l := range w.lines {
-		p := l.conn.Host.(*on).to
-		num(int(p.started), p.moves, p.lives)
-		num(int(l.conn.State()), len(l.out))
+	for _, l := range w.muxConns {
+		p := l.conn.Host.(*connData).peer
+		num(int(p.started), p.moves, p.offlineRestarts)
+		num(int(l.conn.State()), len(l.writing))
 		server(l.conn.Server)
 		number := func(s *life.Slot) int {
-			return slices.IndexFunc(w.tries, func(t *try) bool { return t.Attempt == s.Host })
+			return slices.IndexFunc(w.attempts, func(t *attempt) bool { return t.Attempt == s.Host })
 		}
-		to = l.life.Fingerprint(to, number)
-		for _, s := range l.out {
+		dst = l.state.Fingerprint(dst, number)
+		for _, s := range l.writing {
 			num(int(s.Seq))
 		}
 	}
-	if w.wide() && !exact {
-		return to // an idle connection spares a dial that might as well succeed, or fail, or hang
+	if w.hasSparePlaces() && !exact {
+		return dst // an idle connection only saves a dial, which may succeed, fail or hang in any case
 	}
-	idle := w.book.Idle()
+	idle := w.pool.Idle()
 	num(len(idle))
 	for _, c := range idle {
 		server(c.Server)
-		flag(c.Host.(*on).foreign)
+		flag(c.Host.(*connData).strayBytes)
 	}
-	open, _, waiting := w.book.Count()
+	open, _, waiting := w.pool.Count()
 	num(open, waiting)
-	return to
+	return dst
 }
 
-// meaning is one result for all that mean the same to a module that neither looks at health nor has anything more to
-// admit while calls are open.
-func meaning(r choice.Result) choice.Result {
+// canonicalResult returns one result for all those that a balancer does not distinguish if it neither evaluates health
+// nor admits another call while calls are open.
+func canonicalResult(r choice.Result) choice.Result {
 	switch r {
 	case choice.Rejected:
 		return choice.ConnectFailed // never ran
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -9,26 +9,26 @@
 	"ternbeam/internal/decide/life"
 )
 
-// Lines carry several attempts at a time. Their host's steps are those of internal/thrift/thriftback's multiplexer: what
-// happens to one attempt ends others, so that every order of steps is tried.
+// Multiplexed connections carry several attempts at a time. The steps of their host are those of the multiplexer in
+// internal/thrift/thriftback. Here the end of one attempt can end others, so every order of steps is tried.
 
-// perLine is how many attempts one line may carry.
-const perLine = 3
+// maxAttemptsPerMuxConn limits the attempts that a multiplexed connection carries at a time.
+const maxAttemptsPerMuxConn = 3
 
-// line is a connection that carries several attempts.
-type line struct {
-	conn *life.Conn
-	life *life.Line
-	out  []*life.Slot // that are being written, in their order
+// muxConn is a connection that carries several attempts.
+type muxConn struct {
+	conn    *life.Conn
+	state   *life.Line
+	writing []*life.Slot // slots being written, in order
 }
 
-// clock is the world's time as lines take it.
+// clock returns the world's time as a time.Time.
 func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.now) }
 
-// lineOf is the line on which an attempt has a place, and the place, or nil.
-func (w *world) lineOf(t *try) (*line, *life.Slot) {
-	for _, l := range w.lines {
-		for _, s := range l.life.Slots() {
+// slotOf returns the multiplexed connection that carries an attempt and the attempt's slot on it, or nil.
+func (w *world) slotOf(t *attempt) (*muxConn, *life.Slot) {
+	for _, l := range w.muxConns {
+		for _, s := range l.state.Slots() {
 			if s.Host == t.Attempt {
 				return l, s
 			}
@@ -37,9 +37,9 @@
 	return nil, nil
 }
 
-// tryOn is the attempt that has a place, or nil for one that the loop has taken the end of.
-func (w *world) tryOn(s *life.Slot) *try {
-	for _, t := range w.tries {
+// attemptOf returns the attempt in a slot, or nil if the loop has already processed its end.
+func (w *world) attemptOf(s *life.Slot) *attempt {
+	for _, t := range w.attempts {
 		if t.Attempt == s.Host {
 			return t
 		}
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// dials returns the attempt that dials the server of another one, or nil.
-func (w *world) dials(t *try) *try {
-	for _, o := range w.tries {
+// otherDialing returns another attempt that is dialing the same server, or nil.
+func (w *world) otherDialing(t *attempt) *attempt {
+	for _, o := range w.attempts {
 		if o != t && o.Server == t.Server && o.conn != nil && o.Life.Stage() <= life.Dialling {
 			return o
 		}
@@ -57,36 +57,37 @@
 	return nil
 }
 
-// joins reports whether a line in use would take an attempt.
-func (w *world) joins(t *try) bool {
-	return slices.ContainsFunc(w.lines, func(l *line) bool {
-		_, reuse := l.life.Rests(false)
-		return l.conn.Server == t.Server && l.conn.State() != life.Idle && reuse && len(l.life.Slots()) < perLine
+// canJoin reports whether a multiplexed connection in use has a free slot for an attempt.
+func (w *world) canJoin(t *attempt) bool {
+	return slices.ContainsFunc(w.muxConns, func(l *muxConn) bool {
+		_, reuse := l.state.Rests(false)
+		return l.conn.Server == t.Server && l.conn.State() != life.Idle && reuse && len(l.state.Slots()) < maxAttemptsPerMuxConn
 	})
 }
 
-// lineOptions are the steps that an attempt's host, its network or its server may take now.
-func (w *world) lineOptions(t *try) (all []Kind) {
+// muxOptions returns the steps that an attempt's host, its network or its server may take now, if connections are
+// multiplexed.
+func (w *world) muxOptions(t *attempt) (all []Kind) {
 	stage := t.Life.Stage()
-	l, s := w.lineOf(t)
+	l, s := w.slotOf(t)
 	switch {
 	case stage == life.Ended:
 		return nil
 	case stage >= life.Ready && l == nil:
-		w.violate("attempt %d has lost its place on its line", t.n)
+		w.violate("attempt %d has lost its slot on its connection", t.index)
 		return nil
-	case t.withdrawn && (stage != life.Placing || t.waits):
+	case t.hostCanceled && (stage != life.Placing || t.awaitsDial):
 		all = append(all, Withdraw)
-	case w.now >= t.End && (stage != life.Placing || t.waits):
+	case w.now >= t.End && (stage != life.Placing || t.awaitsDial):
 		all = append(all, TimeOut)
 	}
 	switch stage {
 	case life.Placing:
 		switch {
-		case t.conn != nil: // it waits for a place
+		case t.conn != nil: // waits for a place in the pool
 			all = append(all, NoPlace)
-		case t.waits: // for another's dial
-		case w.joins(t) || w.dials(t) != nil || w.idle(t) == nil:
+		case t.awaitsDial: // no step until the other attempt's dial ends
+		case w.canJoin(t) || w.otherDialing(t) != nil || w.idleConn(t) == nil:
 			all = append(all, Acquire)
 		default:
 			all = append(all, Acquire, AcquireSpoken, AcquireClosed)
@@ -94,7 +95,7 @@
 	case life.Dialling:
 		all = append(all, DialSucceeds, DialFails)
 	case life.Ready:
-		for _, o := range l.life.Slots() { // in their turn
+		for _, o := range l.state.Slots() { // in the order of sending
 			if o.Life.Stage() == life.Ready {
 				if o == s {
 					all = append(all, Send)
@@ -113,20 +114,20 @@
 	return all
 }
 
-// lineSteps are what happens to lines, whoever is on them.
-func (w *world) lineSteps() (all []Step) {
-	for i, l := range w.lines {
-		if w.givenUp(l) != nil {
+// muxConnSteps returns the steps of multiplexed connections that belong to no single attempt.
+func (w *world) muxConnSteps() (all []Step) {
+	for i, l := range w.muxConns {
+		if w.abandonedSlot(l) != nil {
 			all = append(all, Step{Kind: ReplyLate, N: uint8(i)})
 		}
 		inTime := true
-		for _, s := range l.out {
+		for _, s := range l.writing {
 			by := s.Host.(*ledger.Attempt).SendBy
 			inTime = inTime && (by == 0 || w.now < by)
 		}
-		if len(l.out) > 0 {
+		if len(l.writing) > 0 {
 			all = append(all, Step{Kind: WriteFails, N: uint8(i)})
-			if inTime { // or the write's deadline is over
+			if inTime { // after the write deadline the write cannot complete
 				all = append(all, Step{Kind: WriteTold, N: uint8(i)})
 			}
 		}
@@ -134,274 +135,274 @@
 	return all
 }
 
-// givenUp is the first place on a line whose attempt was given up and is written, or nil.
-func (w *world) givenUp(l *line) *life.Slot {
-	for _, s := range l.life.Slots() {
-		if s.Life.Stage() == life.Ended && !slices.Contains(l.out, s) {
+// abandonedSlot returns the first slot of a connection whose attempt was written and then abandoned, or nil.
+func (w *world) abandonedSlot(l *muxConn) *life.Slot {
+	for _, s := range l.state.Slots() {
+		if s.Life.Stage() == life.Ended && !slices.Contains(l.writing, s) {
 			return s
 		}
 	}
 	return nil
 }
 
-// takeLine takes a step of a line.
-func (w *world) takeLine(l *line, k Kind) {
+// applyToMuxConn applies a step of a multiplexed connection.
+func (w *world) applyToMuxConn(l *muxConn, k Kind) {
 	switch k {
 	case ReplyLate:
-		w.reply(l, w.givenUp(l).Seq, nil, choice.OK)
+		w.deliverReply(l, w.abandonedSlot(l).Seq, nil, choice.OK)
 	case WriteTold, WriteFails:
-		w.flushed(l, l.out[0], k)
+		w.writeEnded(l, l.writing[0], k)
 	}
-	w.restLines()
+	w.releaseUnusedMuxConns()
 }
 
-// takeOnLine takes a step of an attempt's host, its network or its server.
-func (w *world) takeOnLine(t *try, k Kind) {
-	l, s := w.lineOf(t)
+// applyMux applies a step of an attempt on a multiplexed connection: of its host, its network or its server.
+func (w *world) applyMux(t *attempt, k Kind) {
+	l, s := w.slotOf(t)
 	switch k {
 	case AcquireSpoken, AcquireClosed:
-		c := w.idle(t)
+		c := w.idleConn(t)
 		if k == AcquireSpoken {
-			t.Heed(w.book.Lend(c.Server, c.Speaks, nil).Spoil())
-			w.giveBack(c)
+			t.Heed(w.pool.Lend(c.Server, c.Speaks, nil).Spoil())
+			w.releaseConn(c)
 		} else {
-			next, err := w.book.Drop(c)
+			next, err := w.pool.Drop(c)
 			t.Heed(err)
-			w.granted(next)
+			w.placeGranted(next)
 		}
-		w.dropLine(c)
+		w.removeMuxConn(c)
 		fallthrough
 	case Acquire:
 		w.join(t)
 	case NoPlace:
-		w.endDial(t, life.NoPlace)
+		w.failUnconnected(t, life.NoPlace)
 	case DialSucceeds:
 		t.Heed(t.Life.Connect())
-		t.Heed(w.book.Open(t.conn, &on{by: -1, to: w.process(t.Server.ID)}))
-		l = &line{conn: t.conn, life: life.NewLine(w.clock())}
+		t.Heed(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
+		l = &muxConn{conn: t.conn, state: life.NewLine(w.clock())}
 		t.conn = nil
-		w.lines = append(w.lines, l)
-		w.enter(l, t)
+		w.muxConns = append(w.muxConns, l)
+		w.joinConn(l, t)
 		w.dialEnded(t, false)
 	case DialFails:
-		w.endDial(t, life.Broken)
+		w.failUnconnected(t, life.Broken)
 		w.dialEnded(t, true)
 	case Send:
-		if next := l.life.Next(); next != s {
-			w.violate("attempt %d is sent out of its turn", t.n)
+		if next := l.state.Next(); next != s {
+			w.violate("attempt %d is sent out of order", t.index)
 		}
 		if w.send(t); t.Life.Stage() == life.Ended {
-			l.life.Drop(s)
+			l.state.Drop(s)
 		} else {
-			t.Heed(l.life.Begun(s, w.clock()))
-			w.run(t) // from here on nobody can tell
-			l.out = append(l.out, s)
+			t.Heed(l.state.Begun(s, w.clock()))
+			w.recordRun(t) // from here on the attempt may have run
+			l.writing = append(l.writing, s)
 		}
 	case WriteCut:
-		w.flushed(l, s, k)
+		w.writeEnded(l, s, k)
 	case AnswerOK, AnswerError, AnswerEarlyError, AnswerReject, AnswerEarly, AnswerTwice:
 		r := map[Kind]choice.Result{AnswerError: choice.Failed, AnswerEarlyError: choice.Failed,
 			AnswerReject: choice.Rejected, AnswerEarly: choice.Rejected}[k] // else OK
-		w.reply(l, s.Seq, t, r)
+		w.deliverReply(l, s.Seq, t, r)
 		if k == AnswerTwice {
-			w.reply(l, s.Seq, t, r)
+			w.deliverReply(l, s.Seq, t, r)
 		}
 	case AnswerGarbled:
-		w.breakLine(l, life.Garbled)
+		w.breakMuxConn(l, life.Garbled)
 	case Reset:
-		w.breakLine(l, life.Broken)
+		w.breakMuxConn(l, life.Broken)
 	case Withdraw, TimeOut:
 		cause := life.Withdrawn
 		if k == TimeOut {
 			cause = life.Late
 		}
-		if l == nil { // no connection has come up
+		if l == nil { // no connection was established
 			if k == TimeOut {
 				cause = life.Broken
 			}
-			w.endDial(t, cause)
+			w.failUnconnected(t, cause)
 			w.dialEnded(t, false)
 			break
 		}
-		t.Heed(l.life.Abandon(s, cause))
+		t.Heed(l.state.Abandon(s, cause))
 		w.checkEnding(t)
 	}
-	w.restLines()
+	w.releaseUnusedMuxConns()
 }
 
-// join puts an attempt on a line: one that has room, or else an idle or a new one.
-func (w *world) join(t *try) {
-	for _, l := range w.lines {
-		if l.conn.Server == t.Server && l.conn.State() != life.Idle && w.enter(l, t) {
+// join assigns an attempt to a multiplexed connection: one in use with a free slot, else an idle or a new one.
+func (w *world) join(t *attempt) {
+	for _, l := range w.muxConns {
+		if l.conn.Server == t.Server && l.conn.State() != life.Idle && w.joinConn(l, t) {
 			return
 		}
 	}
-	if w.dials(t) != nil {
-		t.waits = true
+	if w.otherDialing(t) != nil {
+		t.awaitsDial = true
 		return
 	}
-	if c := w.book.Lend(t.Server, t.Call.Needs, nil); c != nil {
+	if c := w.pool.Lend(t.Server, t.Call.Needs, nil); c != nil {
 		t.Heed(t.Life.Connect())
-		for _, l := range w.lines {
-			if l.conn == c && !w.enter(l, t) {
-				w.violate("an idle line takes nothing")
+		for _, l := range w.muxConns {
+			if l.conn == c && !w.joinConn(l, t) {
+				w.violate("an idle multiplexed connection accepts no attempt")
 			}
 		}
 		return
 	}
-	c, evicted := w.book.Claim(t.Server, t.Call.Needs)
+	c, evicted := w.pool.Claim(t.Server, t.Call.Needs)
 	if evicted != nil {
-		w.dropLine(evicted)
+		w.removeMuxConn(evicted)
 	}
 	if t.conn = c; c.State() == life.Dialled {
 		t.Heed(t.Life.Dial())
 	}
 }
 
-func (w *world) enter(l *line, t *try) bool {
-	s, err := l.life.Join(&t.Life, t.Attempt, perLine)
+func (w *world) joinConn(l *muxConn, t *attempt) bool {
+	s, err := l.state.Join(&t.Life, t.Attempt, maxAttemptsPerMuxConn)
 	t.Heed(err)
 	return s != nil
 }
 
-// dialEnded lets those go on that waited for a dial: if the server refused it, that is their end too.
-func (w *world) dialEnded(t *try, refused bool) {
-	for _, o := range w.tries {
-		if o.waits && o.Server == t.Server {
-			if o.waits = false; refused {
-				w.endDial(o, life.Broken)
+// dialEnded resumes the attempts that waited for another attempt's dial. If the server refused it, they fail too.
+func (w *world) dialEnded(t *attempt, refused bool) {
+	for _, o := range w.attempts {
+		if o.awaitsDial && o.Server == t.Server {
+			if o.awaitsDial = false; refused {
+				w.failUnconnected(o, life.Broken)
 			}
 		}
 	}
 }
 
-// endDial ends an attempt that has no connection.
-func (w *world) endDial(t *try, cause life.Cause) {
-	t.waits = false
+// failUnconnected ends an attempt that has no connection.
+func (w *world) failUnconnected(t *attempt, cause life.Cause) {
+	t.awaitsDial = false
 	t.Heed(t.Life.Fail(cause))
 	if t.conn != nil {
-		next, err := w.book.GiveUp(t.conn)
+		next, err := w.pool.GiveUp(t.conn)
 		t.conn = nil
 		t.Heed(err)
-		w.granted(next)
+		w.placeGranted(next)
 	}
 	w.checkEnding(t)
 }
 
-// flushed ends a write: whole, or what comes before an attempt whole, it itself in part or not at all, and what comes
-// after it not at all.
-func (w *world) flushed(l *line, last *life.Slot, k Kind) {
-	n := size
-	for _, s := range l.out {
+// writeEnded ends a write. Either all of it was written, or all attempts before last were written completely, last
+// partly or not at all, and the attempts after it not at all.
+func (w *world) writeEnded(l *muxConn, last *life.Slot, k Kind) {
+	n := messageSize
+	for _, s := range l.writing {
 		if s == last && k != WriteTold {
-			n = map[Kind]int{WriteCut: size - 1}[k]
+			n = map[Kind]int{WriteCut: messageSize - 1}[k]
 		}
-		t := w.tryOn(s)
-		if n < size && t != nil && t.Life.Stage() != life.Ended { // the server has not got it
-			w.unrun(t)
+		t := w.attemptOf(s)
+		if n < messageSize && t != nil && t.Life.Stage() != life.Ended { // the server has not received it
+			w.undoRun(t)
 		}
-		ended, err := l.life.Wrote(s, n, false)
+		ended, err := l.state.Wrote(s, n, false)
 		if err != nil {
 			w.violate("%v", err)
 		}
 		if ended {
-			w.endedOnLine(s)
+			w.slotEnded(s)
 		}
 		if s == last && k != WriteTold {
 			n = 0
 		}
 	}
-	l.out = nil
-	if k != WriteTold || l.life.Broken() {
-		w.breakLine(l, life.Broken)
+	l.writing = nil
+	if k != WriteTold || l.state.Broken() {
+		w.breakMuxConn(l, life.Broken)
 	}
 }
 
-// unrun takes back that an attempt may have run.
-func (w *world) unrun(t *try) {
-	t.ran = false
-	c := w.of(t)
-	c.runs = slices.DeleteFunc(c.runs, func(r run) bool { return r.by == t.n })
+// undoRun reverts recordRun: the attempt has not run.
+func (w *world) undoRun(t *attempt) {
+	t.mayHaveRun = false
+	c := w.callOf(t)
+	c.runs = slices.DeleteFunc(c.runs, func(r run) bool { return r.attempt == t.index })
 }
 
-// reply lets a reply to some sequence id come, which is meant for an attempt.
-func (w *world) reply(l *line, seq int32, meant *try, r choice.Result) {
-	s, err := l.life.Reply(seq, w.clock())
+// deliverReply delivers a reply with the given sequence id. intended is the attempt that the server replies to, or nil.
+func (w *world) deliverReply(l *muxConn, seq int32, intended *attempt, r choice.Result) {
+	s, err := l.state.Reply(seq, w.clock())
 	if err != nil {
-		w.breakLine(l, life.Garbled)
+		w.breakMuxConn(l, life.Garbled)
 		return
 	}
-	if meant != nil && s.Host != meant.Attempt {
-		w.violate("the reply to attempt %d is taken for another's", meant.n)
+	if intended != nil && s.Host != intended.Attempt {
+		w.violate("the reply to attempt %d is assigned to another attempt", intended.index)
 	}
-	if r == choice.Rejected && meant != nil {
-		w.unrun(meant)
+	if r == choice.Rejected && intended != nil {
+		w.undoRun(intended)
 	}
-	ended, err := l.life.Answered(s, r)
+	ended, err := l.state.Answered(s, r)
 	if err != nil {
 		w.violate("%v", err)
 	}
 	if ended {
-		w.endedOnLine(s)
+		w.slotEnded(s)
 	}
 }
 
-func (w *world) endedOnLine(s *life.Slot) {
-	if t := w.tryOn(s); t == nil {
-		w.violate("an attempt ends that the loop has taken the end of")
+func (w *world) slotEnded(s *life.Slot) {
+	if t := w.attemptOf(s); t == nil {
+		w.violate("an attempt ends a second time, after the loop has processed its end")
 	} else {
 		w.checkEnding(t)
 	}
 }
 
-func (w *world) breakLine(l *line, c life.Cause) {
-	ended, err := l.life.Break(c)
+func (w *world) breakMuxConn(l *muxConn, c life.Cause) {
+	ended, err := l.state.Break(c)
 	if err != nil {
 		w.violate("%v", err)
 	}
 	for _, s := range ended {
-		w.endedOnLine(s)
+		w.slotEnded(s)
 	}
 }
 
-// restLines gives the lines back on which nothing is any more.
-func (w *world) restLines() {
-	for _, l := range slices.Clone(w.lines) {
-		rests, reuse := l.life.Rests(l.conn.Server.Retired())
-		if !rests || len(l.out) > 0 || l.conn.State() == life.Idle {
+// releaseUnusedMuxConns releases the multiplexed connections that carry nothing any more.
+func (w *world) releaseUnusedMuxConns() {
+	for _, l := range slices.Clone(w.muxConns) {
+		release, reuse := l.state.Rests(l.conn.Server.Retired())
+		if !release || len(l.writing) > 0 || l.conn.State() == life.Idle {
 			continue
 		}
-		if slices.ContainsFunc(l.life.Slots(), func(s *life.Slot) bool { return s.Life.Stage() != life.Ended }) {
-			w.violate("a line is given back that carries an attempt")
+		if slices.ContainsFunc(l.state.Slots(), func(s *life.Slot) bool { return s.Life.Stage() != life.Ended }) {
+			w.violate("a multiplexed connection that carries an attempt is released")
 		}
 		if !reuse {
 			if err := l.conn.Spoil(); err != nil {
 				w.violate("%v", err)
 			}
 		}
-		if !w.giveBack(l.conn) {
-			w.dropLine(l.conn)
+		if !w.releaseConn(l.conn) {
+			w.removeMuxConn(l.conn)
 		}
 	}
 }
 
-// dropLine forgets a line whose connection is closed.
-func (w *world) dropLine(c *life.Conn) {
-	w.lines = slices.DeleteFunc(w.lines, func(l *line) bool { return l.conn == c })
+// removeMuxConn removes a multiplexed connection that was closed.
+func (w *world) removeMuxConn(c *life.Conn) {
+	w.muxConns = slices.DeleteFunc(w.muxConns, func(l *muxConn) bool { return l.conn == c })
 }
 
-// copyLines returns equal lines.
-func (w *world) copyLines(twins *ledger.Twins, conns *life.Twins[life.Conn]) (all []*line) {
-	for _, l := range w.lines {
-		slots := life.Twins[life.Slot]{Fill: func(s, twin *life.Slot) {
-			at := twins.Attempts.Of(s.Host.(*ledger.Attempt))
-			s.CopyTo(twin, &at.Life, at)
+// copyMuxConns returns deep copies of the multiplexed connections.
+func (w *world) copyMuxConns(copies *ledger.Twins, conns *life.Twins[life.Conn]) (all []*muxConn) {
+	for _, l := range w.muxConns {
+		slots := life.Twins[life.Slot]{Fill: func(s, dst *life.Slot) {
+			at := copies.Attempts.Of(s.Host.(*ledger.Attempt))
+			s.CopyTo(dst, &at.Life, at)
 		}}
-		same := &line{conn: conns.Of(l.conn), life: l.life.Copy(&slots)}
-		for _, s := range l.out {
-			same.out = append(same.out, slots.Of(s))
+		dup := &muxConn{conn: conns.Of(l.conn), state: l.state.Copy(&slots)}
+		for _, s := range l.writing {
+			dup.writing = append(dup.writing, slots.Of(s))
 		}
-		all = append(all, same)
+		all = append(all, dup)
 	}
 	return all
 }
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -9,12 +9,12 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// planted are bugs, each a single change of the code that runs, and the world in which it shows.
+// planted lists bugs, each a single change of the production code, and the world in which the explorer finds it.
 var planted = []struct{ name, file, old, new, world string }{
 	{"told as never run after the last byte", "internal/decide/life/attempt.go", "case !a.CanHaveRun():", "case true:", "unsafe"},
 	{"refused after a reset", "choice/choice.go", "} else if r.mayRefuse() {", "} else if true {", "unsafe"},
 	{"answered twice as the reply meets the deadline", "internal/decide/ledger/ledger.go", "if call == nil || call.over.Load() {", "if call == nil {", "unsafe"},
-	{"connection used again with bytes behind the answer", "internal/lab/explore/host.go", "if !c.Host.(*on).foreign {", "if true {", "one-place"},
+	{"connection used again with bytes behind the answer", "internal/lab/explore/host.go", "if !c.Host.(*connData).strayBytes {", "if true {", "one-place"},
 	{"connection kept whose server sent a second answer", "internal/decide/life/conn.go", "if c.State() == InUse && len(b.queue) == 0 && b.open <= b.most {", "if c.State() != Closed && len(b.queue) == 0 {", "one-place"},
 	{"sent to a server after its drain", "internal/decide/life/attempt.go", "case now.Retired:", "case now.Retired && now.Late:", "unsafe"},
 	{"window not looked at when a repeat is written", "choice/choice.go", "first != nil && r.class.Effect == Keyed {", "first != nil && r.class.Effect == Unsafe {", "keyed"},
@@ -50,9 +50,9 @@
 	{"answered after its client left", "internal/decide/ledger/ledger.go", "\tl.stats.Gone++\n\tl.end(call)\n", "\tl.stats.Gone++\n", "unsafe"},
 }
 
-// Each planted bug is found. The program is built from the sources with the one change laid over them.
+// The explorer finds each planted bug. The program is built from the sources with an overlay that has only that change.
 func TestPlantedBugs(t *testing.T) {
-	told := regexp.MustCompile(`(\d+) states(?s:.*\n)(\d+) steps: (.*)`)
+	output := regexp.MustCompile(`(\d+) states(?s:.*\n)(\d+) steps: (.*)`)
 	for _, bug := range planted {
 		t.Run(bug.name, func(t *testing.T) {
 			t.Parallel()
@@ -64,9 +64,9 @@
 				t.Fatalf("%v\n%s", err, out)
 			}
 			out, err := exec.CommandContext(t.Context(), program, "run", "--world", bug.world, "--most", "200000").CombinedOutput()
-			found := told.FindSubmatch(out)
+			found := output.FindSubmatch(out)
 			if err == nil || found == nil {
-				t.Fatalf("not found: %v\n%s", err, out)
+				t.Fatalf("bug not found: %v\n%s", err, out)
 			}
 			t.Logf("%s steps, %s states: %s", found[2], found[1], found[3])
 		})
--- a/internal/lab/explore/search.go
+++ b/internal/lab/explore/search.go
@@ -12,105 +12,105 @@
 	"time"
 )
 
-// Report is what an exploration found.
+// Report is the result of an exploration.
 type Report struct {
-	States      int
-	Transitions int
-	Depth       int
+	States      int // distinct states reached
+	Transitions int // steps tried
+	Depth       int // levels of the breadth-first search
 	Ends        int // states in which nothing more can happen
 	Took        time.Duration
-	Complete    bool       // not cut by the bound on states
-	Steps       [kinds]int // how often each kind of step was taken
-	Fault       string     // the first property found not to hold
-	Story       []Step     // the shortest way there
+	Complete    bool           // not ended by the limit on states
+	Steps       [kindCount]int // how often each kind of step was taken
+	Fault       string         // the first violated property, or empty
+	Story       []Step         // a shortest trace to it
 }
 
-// print is a fingerprint of a state.
-type print [2]uint64
+// fingerprint identifies a state.
+type fingerprint [2]uint64
 
-// node is a state that was reached: by a step from another one.
+// node is a reached state: its parent and the step from there.
 type node struct {
 	parent int32
 	step   Step
 }
 
-// child is a state that a step leads to.
+// child is a state that a step leads to, new or known.
 type child struct {
-	parent     int32
-	step       Step
-	print      print
-	fault      string
-	end, never bool
+	parent      int32
+	step        Step
+	fingerprint fingerprint
+	fault       string
+	end, stuck  bool
 }
 
-// part is how many states are gone through between two times that what was found is put together.
-const part = 1 << 14
+// chunkSize is the number of states that are expanded before their results are merged.
+const chunkSize = 1 << 14
 
-// Explore goes through every ordering, breadth first, so that the first story found is a shortest one. A state is kept
-// as its story, which is played anew, on the code that runs; what may follow is tried on copies of it. States that were
-// reached before, by whatever story, are not gone through again. It stops at a fault, or at so many states.
-func Explore(cfg Config, most int) Report { return newExplorer(&cfg).run(most) }
+// Explore tries every ordering of events, breadth first, so that the first trace found is a shortest one. A state is
+// stored as its trace, which is replayed on the production code; its successors are tried on copies. States that were
+// reached before, by any trace, are not expanded again. It stops at a violated property, or at maxStates states.
+func Explore(cfg Config, maxStates int) Report { return newExplorer(&cfg).run(maxStates) }
 
 func newExplorer(cfg *Config) *explorer {
-	x := &explorer{cfg: cfg, begin: time.Now(), nodes: []node{{parent: -1}}, seen: map[print]struct{}{},
+	x := &explorer{cfg: cfg, started: time.Now(), nodes: []node{{parent: -1}}, seen: map[fingerprint]struct{}{},
 		seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}, root: newWorld(cfg)}
-	x.seen[x.print(x.root)] = struct{}{}
+	x.seen[x.fingerprint(x.root)] = struct{}{}
 	x.report.Complete = true
 	return x
 }
 
-func (x *explorer) run(most int) Report {
+func (x *explorer) run(maxStates int) Report {
 	level := []int32{0}
 	for ; len(level) > 0; x.report.Depth++ {
-		var below []int32
-		for some := range slices.Chunk(level, part) {
-			for _, found := range x.follow(some) {
+		var next []int32
+		for chunk := range slices.Chunk(level, chunkSize) {
+			for _, found := range x.expand(chunk) {
 				for _, c := range found {
-					if x.enter(c) {
-						below = append(below, int32(len(x.nodes)-1))
+					if x.record(c) {
+						next = append(next, int32(len(x.nodes)-1))
 					}
 				}
 			}
 			if x.report.Fault != "" {
 				return x.done()
 			}
-			if len(x.nodes) >= most {
+			if len(x.nodes) >= maxStates {
 				x.report.Complete = false
 				return x.done()
 			}
 		}
-		level = below
+		level = next
 	}
 	return x.done()
 }
 
 type explorer struct {
-	cfg    *Config
-	root   *world
-	begin  time.Time
-	nodes  []node
-	seen   map[print]struct{}
-	seeds  [2]maphash.Seed
-	report Report
-	look   func(*world) // at each state that is reached, where not nil; workers call it at the same time
+	cfg     *Config
+	root    *world
+	started time.Time
+	nodes   []node
+	seen    map[fingerprint]struct{}
+	seeds   [2]maphash.Seed
+	report  Report
+	onState func(*world) // called at each reached state if not nil, by several workers concurrently
 }
 
 func (x *explorer) done() Report {
-	x.report.States, x.report.Took = len(x.nodes), time.Since(x.begin)
+	x.report.States, x.report.Took = len(x.nodes), time.Since(x.started)
 	return x.report
 }
 
-func (x *explorer) print(w *world) (p print) {
-	var room [1 << 10]byte
-	key := w.key(room[:0], x.cfg.plain())
+func (x *explorer) fingerprint(w *world) (p fingerprint) {
+	var buf [1 << 10]byte
+	key := w.key(buf[:0], x.cfg.allOrders())
 	for i := range p {
 		p[i] = maphash.Bytes(x.seeds[i], key)
 	}
 	return p
 }
 
-// story is the way to a state, without the steps that had to come.
-func (x *explorer) story(n int32) (steps []Step) {
+// traceTo returns the trace to a state, without forced steps.
+func (x *explorer) traceTo(n int32) (steps []Step) {
 	for ; x.nodes[n].parent >= 0; n = x.nodes[n].parent {
 		steps = append(steps, x.nodes[n].step)
 	}
@@ -118,49 +118,48 @@
 	return steps
 }
 
-// whole puts the steps into a story that had to come.
-func (x *explorer) whole(story []Step) (all []Step) {
+// withForcedSteps adds the forced steps to a trace.
+func (x *explorer) withForcedSteps(trace []Step) (all []Step) {
 	w := x.root.copy()
-	for _, s := range story {
+	for _, s := range trace {
 		all = append(all, s)
-		w.take(s)
-		w.goOn(func(s Step) { all = append(all, s) })
+		w.apply(s)
+		w.applyForced(func(s Step) { all = append(all, s) })
 	}
 	return all
 }
 
-// enter takes up what was found, and reports whether it is new and goes on.
-func (x *explorer) enter(c child) bool {
+// record adds a found state to the report, and reports whether it is new and has to be expanded.
+func (x *explorer) record(c child) bool {
 	r := &x.report
 	r.Transitions++
 	if r.Fault != "" {
 		return false
 	}
 	if c.fault != "" {
-		r.Fault, r.Story = c.fault, x.whole(append(x.story(c.parent), c.step))
+		r.Fault, r.Story = c.fault, x.withForcedSteps(append(x.traceTo(c.parent), c.step))
 		return false
 	}
-	if _, known := x.seen[c.print]; known {
+	if _, known := x.seen[c.fingerprint]; known {
 		return false
 	}
-	x.seen[c.print] = struct{}{}
+	x.seen[c.fingerprint] = struct{}{}
 	x.nodes = append(x.nodes, node{c.parent, c.step})
 	if c.end {
 		r.Ends++
 	}
-	return !c.end && !c.never
+	return !c.end && !c.stuck
 }
 
-// follow finds what the steps from some states lead to. Several workers share them; what they found is in the order of
-// the states.
-func (x *explorer) follow(states []int32) [][]child {
+// expand returns the successors of each of the given states, in their order. Several workers share the states.
+func (x *explorer) expand(states []int32) [][]child {
 	found := make([][]child, len(states))
-	var at atomic.Int64
+	var next atomic.Int64
 	var workers sync.WaitGroup
 	var mu sync.Mutex
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			var taken [kinds]int
+			var taken [kindCount]int
 			defer func() {
 				mu.Lock()
 				defer mu.Unlock()
@@ -168,22 +167,22 @@
 					x.report.Steps[k] += n
 				}
 			}()
-			for i := int(at.Add(1)) - 1; i < len(states); i = int(at.Add(1)) - 1 {
+			for i := int(next.Add(1)) - 1; i < len(states); i = int(next.Add(1)) - 1 {
 				w := x.root.copy()
-				for _, s := range x.story(states[i]) {
-					w.take(s)
-					w.goOn(nil)
+				for _, s := range x.traceTo(states[i]) {
+					w.apply(s)
+					w.applyForced(nil)
 				}
-				for step, next := range w.successors() {
+				for step, succ := range w.successors() {
 					taken[step.Kind]++
-					next.goOn(func(s Step) { taken[s.Kind]++ })
-					if x.look != nil {
-						x.look(next)
+					succ.applyForced(func(s Step) { taken[s.Kind]++ })
+					if x.onState != nil {
+						x.onState(succ)
 					}
-					c := child{parent: states[i], step: step, print: x.print(next), fault: next.fault}
-					if next.fault == "" && len(next.enabled()) == 0 {
-						c.end, c.never = next.ended()
-						c.fault = next.fault
+					c := child{parent: states[i], step: step, fingerprint: x.fingerprint(succ), fault: succ.fault}
+					if succ.fault == "" && len(succ.enabled()) == 0 {
+						c.end, c.stuck = succ.atEnd()
+						c.fault = succ.fault
 					}
 					found[i] = append(found[i], c)
 				}
@@ -194,36 +193,37 @@
 	return found
 }
 
-// goOn takes the steps that must come next, where there is only one.
-func (w *world) goOn(told func(Step)) {
+// applyForced applies forced steps: as long as only one step is possible and the balancer draws nothing in it. It calls
+// onStep for each, if not nil.
+func (w *world) applyForced(onStep func(Step)) {
 	for w.fault == "" {
 		all := w.enabled()
-		if len(all) != 1 || all[0].Kind.draws() {
+		if len(all) != 1 || all[0].Kind.mayDraw() {
 			return
 		}
-		w.take(all[0])
-		if told != nil {
-			told(all[0])
+		w.apply(all[0])
+		if onStep != nil {
+			onStep(all[0])
 		}
 	}
 }
 
-// successors are the worlds that the steps from this one lead to; the last may be this one itself. Where the module draws, chance gives the least or the
-// most.
+// successors iterates over the possible steps and the worlds that they lead to; the last world may be w itself. If the
+// balancer draws random numbers in a step, the step is tried with the least and with the greatest values.
 func (w *world) successors() iter.Seq2[Step, *world] {
 	return func(yield func(Step, *world) bool) {
 		steps := w.enabled()
 		for i, s := range steps {
 			for {
 				next := w
-				if i < len(steps)-1 || s.Kind.draws() && !s.Most { // or this one is needed no more
+				if i < len(steps)-1 || s.Kind.mayDraw() && !s.Most { // else w itself is no longer needed
 					next = w.copy()
 				}
-				next.take(s)
+				next.apply(s)
 				if !yield(s, next) {
 					return
 				}
-				if s.Most || !s.Kind.draws() || !next.chance.asked {
+				if s.Most || !s.Kind.mayDraw() || !next.chance.drawn {
 					break
 				}
 				s.Most = true
@@ -232,40 +232,42 @@
 	}
 }
 
-// ended looks at a state from which no step leads. If somebody rests for what does not come, no schedule is like that:
-// the one in which it goes on is another state.
-func (w *world) ended() (end, never bool) {
-	if slices.ContainsFunc(w.tries, func(t *try) bool { return t.rests }) {
+// atEnd checks a state without possible steps. If an attempt is paused for something that never happens, no real
+// schedule ends there: the one in which it continues is another state.
+func (w *world) atEnd() (end, stuck bool) {
+	if slices.ContainsFunc(w.attempts, func(t *attempt) bool { return t.paused }) {
 		return false, true
 	}
 	w.checkEnd()
 	return true, false
 }
 
-// Replay plays a story step by step, and says which property does not hold at its end, if one does not. A step that is
-// not possible is an error.
-func Replay(cfg Config, story []Step, out io.Writer) (fault string, err error) {
+// Replay plays a trace step by step, writes the steps to out, and returns the violated property, if there is one. A step
+// that is not possible is an error.
+func Replay(cfg Config, trace []Step, out io.Writer) (fault string, err error) {
 	w := newWorld(&cfg)
-	for i, s := range story {
+	for i, s := range trace {
 		if !slices.Contains(w.enabled(), Step{Kind: s.Kind, N: s.N}) {
-			return "", fmt.Errorf("step %d: %v: it is not possible there", i+1, s)
+			return "", fmt.Errorf("step %d: %v: not possible in this state", i+1, s)
 		}
-		w.take(s)
-		fmt.Fprintf(out, "%3d. %5.0f ms  %v\n", i+1, w.since(), s)
+		w.apply(s)
+		fmt.Fprintf(out, "%3d. %5.0f ms  %v\n", i+1, w.elapsedMS(), s)
 		if w.fault != "" {
 			return w.fault, nil
 		}
 	}
 	if len(w.enabled()) == 0 {
-		w.ended()
+		w.atEnd()
 	}
 	return w.fault, nil
 }
 
-// Coverage returns how many kinds of steps were taken, of how many.
-func (r *Report) Coverage() (taken, all int) { return int(kinds) - len(r.Untaken()), int(kinds) }
+// Coverage returns how many kinds of steps were taken, and how many there are.
+func (r *Report) Coverage() (taken, all int) {
+	return int(kindCount) - len(r.Untaken()), int(kindCount)
+}
 
-// Untaken lists the kinds of steps that were never taken.
+// Untaken returns the kinds of steps that were never taken.
 func (r *Report) Untaken() (names []string) {
 	for k, n := range r.Steps {
 		if n == 0 {
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -9,65 +9,65 @@
 	"ternbeam/internal/decide/life"
 )
 
-// Kind is what happens in a step.
+// StepKind says what happens in a step.
 type Kind uint8
 
-// The kinds of steps.
+// The values of StepKind.
 const (
-	Ask              Kind = iota // a client asks; N is the call
-	Leave                        // a client leaves; N is the call
-	Drain                        // the list says that a server drains; N is the server
-	Restart                      // it says that a server has restarted at its address
-	Gone                         // it says that a server is gone
-	Missing                      // the whole list comes, and a server is not in it
-	Moves                        // it says that a server has another address
-	TakenOut                     // the operators take a server out
-	PutBack                      // they put it back, after a restart that the list has not heard of
-	Time                         // time passes to the next moment at which something is due
-	Fire                         // the loop takes the next timer that is due
-	Take                         // the loop takes the end of an attempt, which is N from here on
-	TakeBegun                    // the loop takes that its answer begins to be passed on
-	Acquire                      // it asks for a connection
-	AcquireSpoken                // the same, and the server has spoken unasked on the idle one that it would get
-	AcquireClosed                // the same, and that one was idle for too long, or its server has closed it
-	NoPlace                      // it gives up waiting for a place
+	Ask              Kind = iota // a client sends a call; N is the call
+	Leave                        // a client disconnects; N is the call
+	Drain                        // the list reports that a server drains; N is the server, up to PutOnline
+	Restart                      // the list reports that a server has restarted at its address
+	Gone                         // the list reports that a server was removed
+	Missing                      // a full list arrives that lacks a server
+	Moves                        // the list reports another address of a server
+	TakenOut                     // the operators take a server offline
+	PutBack                      // they put it back online, after a restart that the list has not reported
+	Time                         // time advances to the next moment that makes a difference
+	Fire                         // the loop fires the next timer that is due
+	Take                         // the loop processes the end of an attempt; N is the attempt from here on
+	TakeBegun                    // the loop processes that the relay of its answer has started
+	Acquire                      // the attempt asks for a connection
+	AcquireSpoken                // the same; the idle connection that it would get has received unsolicited bytes
+	AcquireClosed                // the same; that connection was idle for too long or closed by its server
+	NoPlace                      // it stops waiting for a place in the pool
 	DialSucceeds                 // its dial succeeds
 	DialFails                    // its dial fails
-	DialNext                     // the dial takes long, and the next address is dialled beside it
-	SecondSucceeds               // the dial that was begun second succeeds
-	SecondFails                  // it fails
+	DialNext                     // its dial takes long, and the next address is dialed in parallel
+	SecondSucceeds               // the dial that was started second succeeds
+	SecondFails                  // that dial fails
 	LoserConnects                // a dial succeeds after another one has
-	Send                         // it is sent, if that is still right
+	Send                         // it is sent, if the check before sending allows it
 	WriteAll                     // its last byte is written
 	WriteNone                    // the connection breaks before any byte is written
-	WriteCut                     // the same, before the last byte
-	WriteUnsure                  // the connection breaks, and nobody can tell how much was written
-	AnswerEarly                  // the server turns it away before all is written
+	WriteCut                     // the same, before the last byte is written
+	WriteUnsure                  // the connection breaks, and it is unknown how much was written
+	AnswerEarly                  // the server rejects it before all is written
 	AnswerEarlyError             // the server answers with an error before all is written
 	AnswerOK                     // the server serves it
 	AnswerError                  // the server answers with an error
-	AnswerReject                 // the server turns it away
-	AnswerTwice                  // the server serves it, and sends the reply a second time
-	AnswerGarbled                // nobody can tell what the server answers
-	AnswerBegins                 // the server's answer is long, and begins to be passed on
-	AnswerEnds                   // it ends whole
+	AnswerReject                 // the server rejects it
+	AnswerTwice                  // the server serves it and sends the reply twice
+	AnswerGarbled                // the server's answer cannot be parsed
+	AnswerBegins                 // the server's answer is long, and its relay to the client starts
+	AnswerEnds                   // that answer is complete
 	AnswerBreaks                 // the server breaks it off
-	Reset                        // the connection breaks after the last byte
-	Hang                         // nothing more comes by the network
-	Rest                         // its host takes no step until something changes
-	Return                       // its connection is given back
-	Withdraw                     // its host sees that it was withdrawn
-	TimeOut                      // its host sees that its time is over
-	ReplyLate                    // a reply comes to what was given up; N is the line from here on
-	WriteTold                    // what is being written on it is written whole
-	WriteFails                   // of that nothing is
-	kinds
+	Reset                        // the connection breaks after the last byte was written
+	Hang                         // no more network events for it
+	Rest                         // its host pauses until something that it depends on changes
+	Return                       // its connection is released
+	Withdraw                     // its host processes the cancellation
+	TimeOut                      // its host processes that its deadline has passed
+	ReplyLate                    // a reply to an abandoned attempt arrives; N is the multiplexed connection from here on
+	WriteTold                    // the write in progress on it completes
+	WriteFails                   // the connection breaks before anything of that write is sent
+	kindCount
 )
 
-// draws reports whether the module may draw in such a step.
-func (k Kind) draws() bool { return k == Ask || k == Fire || k == Take }
+// mayDraw reports whether the balancer may draw random numbers in such a step.
+func (k Kind) mayDraw() bool { return k == Ask || k == Fire || k == Take }
 
-var kindNames = [kinds]string{"asks", "leaves", "drains", "restarts", "is gone", "is missing from the whole list", "moves",
+var kindNames = [kindCount]string{"asks", "leaves", "drains", "restarts", "is gone", "is missing from the whole list", "moves",
 	"is taken out", "is put back",
 	"time passes",
 	"the loop fires a timer", "is over for the loop", "begins to be passed on for the loop", "asks for a connection",
@@ -81,65 +81,65 @@
 	"hangs", "rests", "gives its connection back", "is seen to be withdrawn", "is out of time",
 	"gets a reply to what was given up", "has written all", "breaks before it has written anything"}
 
-// Step is one step: what happens, to what, and what chance gives where the module draws.
+// Step is one event.
 type Step struct {
 	Kind Kind
-	N    uint8
-	Most bool
+	N    uint8 // index of the call, server, attempt or multiplexed connection, depending on Kind
+	Most bool  // random draws of the balancer return the greatest value, else the least
 }
 
-// String tells the step in words.
+// String describes the step in words.
 func (s Step) String() string {
-	luck := ""
+	draw := ""
 	if s.Most {
-		luck = ", chance gives the most"
+		draw = ", chance gives the most"
 	}
 	switch {
 	case s.Kind <= Leave:
-		return fmt.Sprintf("the client of call %d %s%s", s.N, kindNames[s.Kind], luck)
+		return fmt.Sprintf("the client of call %d %s%s", s.N, kindNames[s.Kind], draw)
 	case s.Kind == TakenOut || s.Kind == PutBack:
 		return fmt.Sprintf("the operators: server %d %s", s.N, kindNames[s.Kind])
 	case s.Kind <= Moves:
 		return fmt.Sprintf("the list says: server %d %s", s.N, kindNames[s.Kind])
 	case s.Kind <= Fire:
-		return kindNames[s.Kind] + luck
+		return kindNames[s.Kind] + draw
 	}
 	if s.Kind >= ReplyLate {
 		return fmt.Sprintf("line %d %s", s.N, kindNames[s.Kind])
 	}
-	return fmt.Sprintf("attempt %d %s%s", s.N, kindNames[s.Kind], luck)
+	return fmt.Sprintf("attempt %d %s%s", s.N, kindNames[s.Kind], draw)
 }
 
-// enabled lists the steps that may come next, chance aside.
+// enabled returns the steps that are possible next, without their variants by random draws.
 func (w *world) enabled() (all []Step) {
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		kinds := w.options(t)
 		for _, k := range kinds {
-			all = append(all, Step{Kind: k, N: uint8(t.n)})
+			all = append(all, Step{Kind: k, N: uint8(t.index)})
 		}
-		if len(kinds) > 0 && !w.cfg.plain() { // what the others do now, they may as well do afterwards
+		if len(kinds) > 0 && !w.cfg.allOrders() { // reduction: the steps of the others may as well follow later
 			return all
 		}
 	}
-	return append(append(all, w.lineSteps()...), w.loopSteps()...)
+	return append(append(all, w.muxConnSteps()...), w.loopSteps()...)
 }
 
-// loopSteps are the steps of the loop, of the clock and of those outside that speak to the loop.
+// loopSteps returns the possible steps of the core's loop, the clock, clients, the list and the operators.
 func (w *world) loopSteps() (all []Step) {
 	add := func(k Kind, n int) { all = append(all, Step{Kind: k, N: uint8(n)}) }
 	for i, c := range w.calls {
-		if !c.asked && w.now == start {
+		if !c.arrived && w.now == start {
 			add(Ask, i)
-			break // calls of one kind differ in nothing but their names; those of others are asked in this order
+			break // calls of one effect differ only in their names; others arrive in this order
 		}
 	}
 	for i, c := range w.calls {
-		if c.asked && !c.left && len(c.answers) == 0 && w.leaves < w.cfg.Leaves {
+		if c.arrived && !c.disconnected && len(c.answers) == 0 && w.disconnects < w.cfg.Leaves {
 			add(Leave, i)
 		}
 	}
 	for i, s := range w.servers {
-		if w.lists < w.cfg.Lists && s.State == choice.Ready {
+		if w.listChanges < w.cfg.Lists && s.State == choice.Ready {
 			add(Drain, i)
 			add(Restart, i)
 			add(Gone, i)
@@ -151,104 +151,104 @@
 	}
 	for i, s := range w.servers {
 		switch {
-		case w.words >= w.cfg.Words || s.State == choice.Gone:
-		case w.out[i]:
+		case w.operatorChanges >= w.cfg.Words || s.State == choice.Gone:
+		case w.offline[i]:
 			add(PutBack, i)
 		default:
 			add(TakenOut, i)
 		}
 	}
-	under := false
-	for _, t := range w.tries {
+	inFlight := false
+	for _, t := range w.attempts {
 		switch {
-		case t.begins: // it was posted before its end
-			add(TakeBegun, t.n)
+		case t.relayPending: // it is queued ahead of the attempt's end
+			add(TakeBegun, t.index)
 		case t.Life.Stage() == life.Ended && t.conn == nil:
-			add(Take, t.n)
+			add(Take, t.index)
 		}
-		under = true
+		inFlight = true
 	}
-	for len(w.timers) > 0 { // what no one heeds any more is no step
-		i := w.due(w.now)
-		if i < 0 || w.module.Heeds(w.timers[i].token) {
+	for len(w.timers) > 0 { // timers that the balancer ignores are no steps
+		i := w.nextTimer(w.now)
+		if i < 0 || w.balancer.Heeds(w.timers[i].token) {
 			break
 		}
-		w.pop(i)
+		w.removeTimer(i)
 	}
-	if w.due(w.now) >= 0 {
+	if w.nextTimer(w.now) >= 0 {
 		add(Fire, 0)
-	} else if (under || w.open()) && w.next() > 0 {
+	} else if (inFlight || w.hasOpenCalls()) && w.nextMoment() > 0 {
 		add(Time, 0)
 	}
 	return all
 }
 
-// options are the steps that an attempt's host, its network or its server may take now. One that rests takes none.
-// Where it may rest, that is one of them.
-func (w *world) options(t *try) []Kind {
+// options returns the steps that an attempt's host, its network or its server may take now. There are none for a paused
+// attempt. If the host may pause, that is one of the steps.
+func (w *world) options(t *attempt) []Kind {
 	if w.cfg.Lines {
-		return w.lineOptions(t)
+		return w.muxOptions(t)
 	}
-	if t.rests && !w.cfg.plain() {
+	if t.paused && !w.cfg.allOrders() {
 		return nil
 	}
 	var all []Kind
-	rest := func(may bool) []Kind {
-		if may && len(all) > 0 && !w.cfg.plain() {
+	orPause := func(may bool) []Kind {
+		if may && len(all) > 0 && !w.cfg.allOrders() {
 			all = append(all, Rest)
 		}
 		return all
 	}
-	hang := func() []Kind {
-		if !w.cfg.plain() {
+	orHang := func() []Kind {
+		if !w.cfg.allOrders() {
 			all = append(all, Hang)
 		}
 		return all
 	}
-	if t.hangs || w.cfg.plain() { // what ends a wait for the network
+	if t.hung || w.cfg.allOrders() { // what ends a wait for the network
 		switch stage := t.Life.Stage(); {
 		case stage != life.Dialling && stage != life.Writing && stage != life.Waiting:
-		case t.withdrawn:
+		case t.hostCanceled:
 			all = append(all, Withdraw)
 		case stage == life.Writing && t.SendBy != 0 && w.now >= t.SendBy:
-			all = append(all, WriteCut) // the time to write it is over
+			all = append(all, WriteCut) // the write deadline has passed
 		case w.now >= t.End:
 			all = append(all, TimeOut)
 		}
-		if t.hangs && t.Life.Stage() != life.Ended {
+		if t.hung && t.Life.Stage() != life.Ended {
 			return all
 		}
 	}
 	switch t.Life.Stage() {
 	case life.Placing:
 		switch {
-		case t.conn != nil: // it waits for a place
+		case t.conn != nil: // waits for a place in the pool
 			all = append(all, NoPlace)
-		case w.idle(t) != nil:
+		case w.idleConn(t) != nil:
 			all = append(all, Acquire, AcquireSpoken, AcquireClosed)
 		default:
 			all = append(all, Acquire)
 		}
-		return rest(!w.wide() && (t.conn == nil || w.now < t.End))
+		return orPause(!w.hasSparePlaces() && (t.conn == nil || w.now < t.End))
 	case life.Dialling:
 		all = append(all, DialSucceeds, DialFails)
 		all = append(all, w.raceOptions(t)...)
-		return hang()
+		return orHang()
 	case life.Ready:
 		all = append(all, Send)
 		if t.race != nil && len(t.race.Out()) > 0 {
 			all = append(all, LoserConnects)
 		}
-		return rest(!t.withdrawn && w.now < t.End)
+		return orPause(!t.hostCanceled && w.now < t.End)
 	case life.Writing:
-		if t.SendBy == 0 || w.now < t.SendBy { // or the write's deadline is over
+		if t.SendBy == 0 || w.now < t.SendBy { // after the write deadline these are impossible
 			all = append(all, WriteAll, WriteUnsure, AnswerEarlyError)
 		}
 		all = append(all, WriteNone, WriteCut, AnswerEarly)
-		if w.of(t).effect == choice.Keyed { // it matters when it is written
-			rest(w.now < t.End)
+		if w.callOf(t).effect == choice.Keyed { // the time of writing matters
+			orPause(w.now < t.End)
 		}
-		return hang()
+		return orHang()
 	case life.Waiting:
 		all = append(all, AnswerOK, AnswerError, AnswerReject, AnswerTwice, AnswerGarbled, Reset)
 		if w.cfg.Streams {
@@ -257,42 +257,42 @@
 		if t.race != nil && len(t.race.Out()) > 0 {
 			all = append(all, LoserConnects)
 		}
-		return hang()
+		return orHang()
 	case life.Reading:
 		return append(all, AnswerEnds, AnswerBreaks)
 	}
 	if t.conn != nil {
 		all = append(all, Return)
 	}
-	return rest(!w.wide())
+	return orPause(!w.hasSparePlaces())
 }
 
-// take takes one step.
-func (w *world) take(s Step) {
+// apply applies one step to the world.
+func (w *world) apply(s Step) {
 	w.chance.most = s.Most
 	if s.Kind < Take {
-		w.takeOutside(s)
+		w.applyOutside(s)
 		return
 	}
 	if s.Kind >= ReplyLate {
-		w.takeLine(w.lines[s.N], s.Kind)
+		w.applyToMuxConn(w.muxConns[s.N], s.Kind)
 		return
 	}
-	t := w.try(int(s.N))
+	t := w.attemptByIndex(int(s.N))
 	if w.cfg.Lines && s.Kind != Take {
-		w.takeOnLine(t, s.Kind)
+		w.applyMux(t, s.Kind)
 		return
 	}
 	switch s.Kind {
 	case Take:
 		w.takeEnd(t)
 	case TakeBegun:
-		t.begins = false
-		w.do(w.ledger.Begun(w.now, t.Attempt, ledger.Ending{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
+		t.relayPending = false
+		w.execute(w.tracker.Begun(w.now, t.Attempt, ledger.Ending{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
 		w.checkBegun(t)
 	case AnswerBegins:
 		t.Heed(t.Life.Read())
-		t.begins, t.passes = true, true
+		t.relayPending, t.relayStarted = true, true
 	case AnswerEnds:
 		t.Heed(t.Life.Answer(choice.OK))
 		w.checkEnding(t)
@@ -301,41 +301,41 @@
 	case Acquire:
 		w.acquire(t)
 	case AcquireSpoken:
-		w.idle(t).Host.(*on).foreign = true
+		w.idleConn(t).Host.(*connData).strayBytes = true
 		w.acquire(t)
 	case AcquireClosed:
-		next, err := w.book.Drop(w.idle(t))
+		next, err := w.pool.Drop(w.idleConn(t))
 		t.Heed(err)
-		w.granted(next)
-		w.wakeBook(t.Server, true)
+		w.placeGranted(next)
+		w.resumeAfterPoolChange(t.Server, true)
 		w.acquire(t)
 	case NoPlace:
 		w.fail(t, life.NoPlace)
 	case DialSucceeds:
-		w.connected(t, 0)
+		w.dialSucceeded(t, 0)
 	case DialFails:
 		w.dialFailed(t, 0)
 	case DialNext:
 		due, _ := t.race.Due()
-		w.dialMore(t, due)
+		w.startDials(t, due)
 	case SecondSucceeds:
-		w.connected(t, 1)
+		w.dialSucceeded(t, 1)
 	case SecondFails:
 		w.dialFailed(t, 1)
 	case LoserConnects:
-		w.connected(t, 0)
+		w.dialSucceeded(t, 0)
 	case Send:
 		w.send(t)
 	case WriteAll:
-		w.write(t, size)
+		w.write(t, messageSize)
 	case WriteNone:
 		w.fail(t, life.Broken)
 	case WriteCut:
-		w.write(t, size-1)
+		w.write(t, messageSize-1)
 		w.fail(t, life.Broken)
 	case WriteUnsure:
 		t.Heed(t.Life.Unsure())
-		w.run(t)
+		w.recordRun(t)
 		w.fail(t, life.Broken)
 	case AnswerOK:
 		w.answer(t, choice.OK)
@@ -344,16 +344,16 @@
 	case AnswerReject:
 		w.answer(t, choice.Rejected)
 	case AnswerTwice:
-		t.conn.Host.(*on).foreign = true // with the answer: it is seen before the connection is given back
+		t.conn.Host.(*connData).strayBytes = true // received with the answer, so noticed before the connection is released
 		w.answer(t, choice.OK)
 		w.spoil(t)
 	case AnswerEarly:
-		w.write(t, size-1)
+		w.write(t, messageSize-1)
 		w.answer(t, choice.Rejected)
 		w.spoil(t)
 	case AnswerEarlyError:
 		w.write(t, 1)
-		w.run(t) // for all that anybody knows
+		w.recordRun(t) // it may have run
 		w.answer(t, choice.Failed)
 		w.spoil(t)
 	case AnswerGarbled:
@@ -362,36 +362,36 @@
 	case Reset:
 		w.fail(t, life.Broken)
 	case Hang:
-		t.hangs = true
+		t.hung = true
 	case Rest:
-		t.rests = true
+		t.paused = true
 	case Return:
-		w.returned(t)
+		w.releaseAttemptConn(t)
 	case Withdraw:
 		w.fail(t, life.Withdrawn)
 	case TimeOut:
 		cause := life.Late
 		if t.Life.Stage() == life.Dialling {
-			cause = life.Broken // as the dial tells it
+			cause = life.Broken // as reported by the dial
 		}
 		w.fail(t, cause)
 	}
 }
 
-// takeOutside takes a step of the loop, the clock, a client or the list.
-func (w *world) takeOutside(s Step) {
+// applyOutside applies a step of the loop, the clock, a client, the list or the operators.
+func (w *world) applyOutside(s Step) {
 	switch s.Kind {
 	case Ask:
 		c := w.calls[s.N]
-		c.asked, c.life.Deadline = true, start+deadline
-		w.do(w.ledger.Arrived(w.now, c.life))
+		c.arrived, c.tracked.Deadline = true, start+deadline
+		w.execute(w.tracker.Arrived(w.now, c.tracked))
 	case Leave:
-		w.leaves++
-		w.calls[s.N].left = true
-		w.do(w.ledger.Left(w.now, w.calls[s.N].life))
-		w.wakeCall(int(s.N))
+		w.disconnects++
+		w.calls[s.N].disconnected = true
+		w.execute(w.tracker.Left(w.now, w.calls[s.N].tracked))
+		w.resumeReady(int(s.N))
 	case Drain, Restart, Gone, Missing, Moves:
-		w.lists++
+		w.listChanges++
 		e := &w.servers[s.N]
 		switch s.Kind {
 		case Drain:
@@ -403,61 +403,61 @@
 			var others []ledger.Entry
 			for i, o := range w.servers {
 				if o.State == choice.Ready {
-					others = append(others, w.entry(i))
+					others = append(others, w.listEntry(i))
 				}
 			}
-			w.do(w.ledger.List(w.now, true, others))
+			w.execute(w.tracker.List(w.now, true, others))
 			return
 		case Moves:
 			w.moves[s.N]++
 		case Restart:
 			e.Started = start
 		}
-		w.do(w.ledger.List(w.now, false, []ledger.Entry{w.entry(int(s.N))}))
+		w.execute(w.tracker.List(w.now, false, []ledger.Entry{w.listEntry(int(s.N))}))
 	case TakenOut, PutBack:
-		w.words++
-		w.out[s.N] = s.Kind == TakenOut
-		say := w.ledger.Offline
+		w.operatorChanges++
+		w.offline[s.N] = s.Kind == TakenOut
+		override := w.tracker.Offline
 		if s.Kind == PutBack {
-			say = w.ledger.Online
-			w.lives[s.N]++
+			override = w.tracker.Online
+			w.offlineRestarts[s.N]++
 		}
-		orders, known := say(w.now, w.servers[s.N].ID)
+		commands, known := override(w.now, w.servers[s.N].ID)
 		if !known {
-			w.violate("the word on server %d is turned away", s.N)
+			w.violate("the operators' command for server %d is rejected", s.N)
 		}
-		w.do(orders)
+		w.execute(commands)
 	case Time:
-		w.now = w.next()
-		w.wakeByTime()
+		w.now = w.nextMoment()
+		w.resumeByTime()
 	case Fire:
-		w.do(w.ledger.Fired(w.now, w.pop(w.due(w.now)).token))
+		w.execute(w.tracker.Fired(w.now, w.removeTimer(w.nextTimer(w.now)).token))
 	}
 }
 
-// entry words a server as the list does.
-func (w *world) entry(i int) ledger.Entry {
+// listEntry returns a server's entry in the list.
+func (w *world) listEntry(i int) ledger.Entry {
 	return ledger.Entry{Server: w.servers[i], Addr: fmt.Sprint(w.servers[i].ID, " at ", w.moves[i])}
 }
 
-// wakeByTime ends the rest of those for which the time makes a difference: a keyed call that is being written, and what
-// may no longer be sent.
-func (w *world) wakeByTime() {
-	for _, t := range w.tries {
+// resumeByTime resumes the paused attempts for which the time makes a difference: those of keyed calls that are being
+// written, those that may no longer be sent, and those that wait for a place.
+func (w *world) resumeByTime() {
+	for _, t := range w.attempts {
 		switch t.Life.Stage() {
 		case life.Ready:
-			if w.nowFor(t).Late {
-				t.rests = false
+			if w.conditionsFor(t).Late {
+				t.paused = false
 			}
 		case life.Writing:
-			t.rests = false
+			t.paused = false
 		case life.Placing:
 			if t.conn != nil {
-				t.rests = false
+				t.paused = false
 			}
 		}
 	}
 }
 
-// since is the time since the world began.
-func (w *world) since() float64 { return float64(w.now-start) / float64(time.Millisecond) }
+// elapsedMS returns the time since the exploration began, in milliseconds.
+func (w *world) elapsedMS() float64 { return float64(w.now-start) / float64(time.Millisecond) }
--- a/internal/lab/explore/story.go
+++ b/internal/lab/explore/story.go
@@ -9,21 +9,21 @@
 	"ternbeam/internal/decide/ledger"
 )
 
-// Story is a story as it is kept in a file.
+// TraceFile is a trace as stored in a file.
 type Story struct {
 	World Config
-	Fault string `json:",omitempty"` // that it ends with
+	Fault string `json:",omitempty"` // the property that is violated at the end
 	Steps []Telling
 }
 
-// Telling is a step in words.
+// TraceStep is a step as stored in a file.
 type Telling struct {
-	What string
+	What string // name of the step's kind
 	N    int
 	Most bool `json:",omitempty"`
 }
 
-// Tell words a story for a file.
+// EncodeTrace encodes a trace for a file, as JSON.
 func Tell(cfg Config, fault string, steps []Step) ([]byte, error) {
 	s := Story{World: cfg, Fault: fault}
 	for _, step := range steps {
@@ -32,115 +32,117 @@
 	return json.MarshalIndent(s, "", "  ")
 }
 
-// Read reads a story from a file.
+// DecodeTrace decodes a trace from the content of a file.
 func Read(text []byte) (Config, []Step, error) {
 	var s Story
 	if err := json.Unmarshal(text, &s); err != nil {
 		return Config{}, nil, err
 	}
-	if err := s.World.check(); err != nil {
+	if err := s.World.validate(); err != nil {
 		return Config{}, nil, err
 	}
 	var steps []Step
 	for i, t := range s.Steps {
 		kind := slices.Index(kindNames[:], t.What)
 		if kind < 0 || t.N < 0 || t.N > 255 {
-			return Config{}, nil, fmt.Errorf("step %d: %q of %d is no step", i+1, t.What, t.N)
+			return Config{}, nil, fmt.Errorf("step %d: %q with N %d is not a valid step", i+1, t.What, t.N)
 		}
 		steps = append(steps, Step{Kind: Kind(kind), N: uint8(t.N), Most: t.Most})
 	}
 	return s.World, steps, nil
 }
 
-// Event is a step of a story as those outside see it.
+// Event is a step of a trace with the call, attempt and server that it concerns.
 type Event struct {
 	Step
-	Call    int // whose client or attempt it is
-	Attempt int // its number among those of the call
-	Server  int // that the attempt is made at
+	Call    int // the call whose client or attempt takes the step
+	Attempt int // number of the attempt within its call
+	Server  int // server of the attempt
 }
 
-// Fate is what a story comes to for a call.
+// CallOutcome is the outcome of a call at the end of a trace.
 type Fate struct {
 	Effect choice.Effect
-	Asked  bool
-	Left   bool
-	Answer ledger.Kind // of one that was asked and whose client has not left
-	Runs   int         // how often it may have run
+	Asked  bool        // its client has sent it
+	Left   bool        // its client has disconnected
+	Answer ledger.Kind // if Asked and not Left
+	Runs   int         // how often a server may have executed it
 }
 
-// Play plays a story and returns what those outside see of it. It must be one to the end that breaks no property.
-func Play(cfg Config, story []Step) (events []Event, fates []Fate, err error) {
+// Play plays a trace and returns its events and the outcomes of the calls. The trace must lead to an end state and
+// violate no property.
+func Play(cfg Config, trace []Step) (events []Event, outcomes []Fate, err error) {
 	w := newWorld(&cfg)
-	for i, s := range story {
+	for i, s := range trace {
 		if !slices.Contains(w.enabled(), Step{Kind: s.Kind, N: s.N}) {
-			return nil, nil, fmt.Errorf("step %d: %v: it is not possible there", i+1, s)
+			return nil, nil, fmt.Errorf("step %d: %v: not possible in this state", i+1, s)
 		}
 		e := Event{Step: s, Call: int(s.N)}
 		if s.Kind >= Take {
-			t := w.try(int(s.N))
+			t := w.attemptByIndex(int(s.N))
 			e.Call, e.Attempt = t.call, t.Number
 			e.Server = slices.IndexFunc(w.servers, func(o choice.Server) bool { return o.ID == t.Server.ID })
 		}
 		events = append(events, e)
-		w.take(s)
+		w.apply(s)
 	}
 	if more := w.enabled(); len(more) > 0 {
-		return nil, nil, fmt.Errorf("it does not end: %v may follow", more[0])
+		return nil, nil, fmt.Errorf("the trace is not complete: %v is possible next", more[0])
 	}
-	if w.ended(); w.fault != "" {
-		return nil, nil, fmt.Errorf("it breaks a property: %s", w.fault)
+	if w.atEnd(); w.fault != "" {
+		return nil, nil, fmt.Errorf("the trace violates a property: %s", w.fault)
 	}
 	for _, c := range w.calls {
-		f := Fate{Effect: c.effect, Asked: c.asked, Left: c.left, Runs: len(c.runs)}
+		f := Fate{Effect: c.effect, Asked: c.arrived, Left: c.disconnected, Runs: len(c.runs)}
 		if len(c.answers) > 0 {
 			f.Answer = c.answers[0]
 		}
-		fates = append(fates, f)
+		outcomes = append(outcomes, f)
 	}
-	return events, fates, nil
+	return events, outcomes, nil
 }
 
-// Stories calls yield with each story of a small world to its end in which only some kinds of steps are taken.
+// ForEachTrace calls yield with each trace of a small world to its end that consists only of the given kinds of steps,
+// until yield returns false.
 func Stories(cfg Config, kinds []Kind, yield func([]Step) bool) {
-	newWorld(&cfg).stories(kinds, nil, yield)
+	newWorld(&cfg).forEachTrace(kinds, nil, yield)
 }
 
-func (w *world) stories(kinds []Kind, story []Step, yield func([]Step) bool) (goOn bool) {
+func (w *world) forEachTrace(kinds []Kind, trace []Step, yield func([]Step) bool) (goOn bool) {
 	if len(w.enabled()) == 0 {
-		if end, _ := w.ended(); end {
-			return yield(slices.Clone(story))
+		if end, _ := w.atEnd(); end {
+			return yield(slices.Clone(trace))
 		}
 		return true
 	}
 	for s, next := range w.successors() {
-		if slices.Contains(kinds, s.Kind) && !next.stories(kinds, append(story, s), yield) {
+		if slices.Contains(kinds, s.Kind) && !next.forEachTrace(kinds, append(trace, s), yield) {
 			return false
 		}
 	}
 	return true
 }
 
-// plain reports whether every order of steps is tried.
-func (c *Config) plain() bool { return c.Plain || c.Lines }
+// allOrders reports whether every order of steps is tried, without reduction.
+func (c *Config) allOrders() bool { return c.Plain || c.Lines }
 
-// check says what is wrong with the size of a world.
-func (c Config) check() error {
+// validate returns an error if the size of the world is out of range.
+func (c Config) validate() error {
 	for name, n := range map[string]int{"servers": c.Servers, "calls": len(c.Calls), "attempts": c.Attempts, "places": c.Places} {
 		if n < 1 || n > 8 {
-			return fmt.Errorf("%d %s, 1 to 8 are possible", n, name)
+			return fmt.Errorf("%d %s: must be 1 to 8", n, name)
 		}
 	}
 	for _, e := range c.Calls {
 		if e < choice.Safe || e > choice.Unsafe {
-			return fmt.Errorf("effect %d, 0 to 2 is possible", e)
+			return fmt.Errorf("effect %d: must be 0 to 2", e)
 		}
 	}
 	return nil
 }
 
-// Worlds are those that are gone through in tests, by name. Where each call has a place for each of its attempts,
-// connections that are kept make no difference; the others tell them apart.
+// Worlds holds the worlds that the tests explore, by name. If there is a place for each attempt of each call, kept
+// connections are not part of a state's key; in the other worlds they are.
 var Worlds = map[string]Config{
 	"unsafe":      {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Lists: 1, Leaves: 1, Cells: 2},
 	"keyed":       {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Lists: 1, Leaves: 1, Cells: 2},
--- a/internal/lab/explore/world.go
+++ b/internal/lab/explore/world.go
@@ -1,6 +1,7 @@
-// Package explore tries every ordering of what can happen to a few calls at a few servers, on the code that runs in
-// service: the decision module, the ledger of calls, the lives of attempts and the book of connections. It plays their
-// host and everything outside: the clock, clients, the list, the network and servers.
+// Package explore is a model checker: it tries every ordering of the events in a small world of a few calls and a few
+// servers. It runs the production code of the balancer, the call tracker, the state machines of attempts and the
+// connection pool state, and simulates their host and everything outside: the clock, clients, the server list, the
+// network and servers.
 package explore
 
 import (
@@ -16,106 +17,106 @@
 	"ternbeam/internal/decide/life"
 )
 
-// Config says how large the world is.
+// Config sets the size of the world and the events that may happen in it.
 type Config struct {
 	Servers  int
 	Calls    []choice.Effect // the effect of each call's class
-	Attempts int             // the most that one call may have
-	Places   int             // for connections
-	Lists    int             // how many changes of the list may come
-	Words    int             `json:",omitempty"` // how many words of the operators may come
-	Streams  bool            `json:",omitempty"` // answers may begin to be passed on
-	More     bool            `json:",omitempty"` // servers may be missing from the whole list, or move
-	Leaves   int             // how many clients may leave
-	Cells    int             // over which the servers are spread
+	Attempts int             // maximum attempts per call
+	Places   int             // maximum open connections
+	Lists    int             // maximum changes of the server list
+	Words    int             `json:",omitempty"` // maximum operator commands (offline, online)
+	Streams  bool            `json:",omitempty"` // answers may be relayed before they are complete
+	More     bool            `json:",omitempty"` // servers may be missing from a full list, or change their address
+	Leaves   int             // maximum clients that disconnect
+	Cells    int             // number of cells that the servers are spread over
 	Past     Past            `json:",omitempty"`
 	Races    bool            `json:",omitempty"` // each server has two addresses
-	Lines    bool            `json:",omitempty"` // a connection carries several calls at a time
-	Plain    bool            `json:",omitempty"` // every order of steps that do not touch one another is tried, too
+	Lines    bool            `json:",omitempty"` // connections are multiplexed: each carries several calls at a time
+	Plain    bool            `json:",omitempty"` // no reduction: independent steps are tried in every order, too
 }
 
-// Past is what the module has lived through before the world begins.
+// Past is the history that the balancer has when the exploration begins.
 type Past string
 
-// The pasts. But for none, the module looks at health while calls are open.
+// The values of Past. With any but NoPast the balancer evaluates health while calls are open.
 const (
 	NoPast Past = ""
-	Losing Past = "losing" // servers lost some calls: late ones are copied
-	Quick  Past = "quick"  // servers were so quick that late calls are withdrawn from them
+	Losing Past = "losing" // servers lost some calls: late attempts get a parallel attempt
+	Quick  Past = "quick"  // servers answered so quickly that late attempts are canceled
 
-	// What an earlier agent is said to have known, as bad as it can be.
-	Ill    Past = "ill"    // every server fails, one is out and due to be tried, all was lost and took no time
-	Out    Past = "out"    // one is out for good, the others have no capacity, all took for ever
-	Absurd Past = "absurd" // figures that are none, servers that are none, other starts
+	// Extreme states restored from an earlier agent.
+	Ill    Past = "ill"    // all servers fail, one is ejected and due for a trial, all calls were lost and took no time
+	Out    Past = "out"    // one server is ejected for good, the others have no capacity, all calls took forever
+	Absurd Past = "absurd" // invalid figures, unknown servers, other start times
 )
 
-// memories are what the module is told for such pasts.
-var memories = map[Past]choice.Memory{
-	Ill: remembered(choice.ServerMemory{Failing: 1, Ejected: true, Rate: 1e30, Trust: 1}, choice.ClassMemory{Usual: 1, Least: 1, Trust: 1}, 1),
-	Out: remembered(choice.ServerMemory{Failing: 1, Ejected: true, Trial: math.MaxInt64, Rate: 1e-30, Use: 1, Trust: 1},
+// pastMemories holds the state that the balancer restores for such pasts.
+var pastMemories = map[Past]choice.Memory{
+	Ill: newMemory(choice.ServerMemory{Failing: 1, Ejected: true, Rate: 1e30, Trust: 1}, choice.ClassMemory{Usual: 1, Least: 1, Trust: 1}, 1),
+	Out: newMemory(choice.ServerMemory{Failing: 1, Ejected: true, Trial: math.MaxInt64, Rate: 1e-30, Use: 1, Trust: 1},
 		choice.ClassMemory{Usual: math.MaxInt64, Least: math.MaxInt64, Trust: 1}, 0),
-	Absurd: remembered(choice.ServerMemory{Started: 1, Failing: math.NaN(), Ejected: true, Trial: math.MinInt64, Rate: math.Inf(1), Use: -1,
+	Absurd: newMemory(choice.ServerMemory{Started: 1, Failing: math.NaN(), Ejected: true, Trial: math.MinInt64, Rate: math.Inf(1), Use: -1,
 		Trust: math.NaN()}, choice.ClassMemory{Usual: math.MinInt64, Least: math.MaxInt64, Trust: math.Inf(-1)}, math.NaN()),
 }
 
-// remembered says the same of every server and class, and of some that are not there.
-func remembered(s choice.ServerMemory, c choice.ClassMemory, share float64) choice.Memory {
+// newMemory returns a state with the same figures for every server and class, including some that do not exist.
+func newMemory(s choice.ServerMemory, c choice.ClassMemory, share float64) choice.Memory {
 	m := choice.Memory{Served: share * 1e9, Lost: share, ColdBad: share, ColdSeen: share * 100}
 	for i := range 8 {
 		s.ID, c.Name = fmt.Sprint("server ", i), fmt.Sprint(choice.Effect(i))
 		m.Servers, m.Classes = append(m.Servers, s), append(m.Classes, c)
-		s.Started = 0 // it holds for the start of all but the first
+		s.Started = 0 // matches the start time of the servers; only the first entry keeps another one
 	}
 	return m
 }
 
-// The times of the world.
+// Times in the world, and the size of a message.
 const (
-	start    = time.Minute
-	window   = 60 * time.Millisecond // of keyed calls
-	deadline = 100 * time.Millisecond
-	aim      = 1600 * time.Millisecond // the first look at health comes after all is over
-	nearAim  = 400 * time.Millisecond  // the looks come every 50 ms
-	size     = 3                       // bytes of a message
+	start       = time.Minute
+	window      = 60 * time.Millisecond // deduplication window of keyed calls
+	deadline    = 100 * time.Millisecond
+	aim         = 1600 * time.Millisecond // the first health evaluation comes after all calls have ended
+	nearAim     = 400 * time.Millisecond  // health is evaluated every 50 ms
+	messageSize = 3                       // bytes
 )
 
-// chance is a source that gives the least or the most that chance can give, whichever the step says.
-type chance struct {
+// drawSource is a random source that returns the least or the greatest value, as the step requires.
+type drawSource struct {
 	most  bool
-	asked bool
+	drawn bool
 }
 
-func (c *chance) Uint64() uint64 {
-	c.asked = true
+func (c *drawSource) Uint64() uint64 {
+	c.drawn = true
 	if c.most {
 		return 1<<64 - 1
 	}
 	return 0
 }
 
-// world is one state of the world.
+// world is one state of the explored system.
 type world struct {
-	cfg     *Config
-	set     choice.Settings
-	now     time.Duration
-	chance  *chance
-	ledger  *ledger.Ledger
-	module  *choice.Balancer
-	book    *life.Book
-	addrs   *addresses.Book
-	lines   []*line // whose connections are in use or idle
-	timers  []timer
-	calls   []*call
-	servers []choice.Server // as the list has told of them: the world's own memory, which nobody else changes
-	moves   []int           // how often each has moved to another address, by the list
-	out     []bool          // which are out by hand, and how often each was restarted while it was: the world's own memory, too
-	lives   []int
-	words   int
-	tries   []*try // attempts that the loop has not taken the end of, by their calls: in what order they were begun is a matter of names
-	begun   int    // attempts
-	lists   int
-	leaves  int
-	fault   string // the first property that does not hold
+	cfg             *Config
+	settings        choice.Settings
+	now             time.Duration
+	chance          *drawSource
+	tracker         *ledger.Ledger
+	balancer        *choice.Balancer
+	pool            *life.Book
+	dialHistory     *addresses.Book
+	muxConns        []*muxConn // in use or idle
+	timers          []timer
+	calls           []*call
+	servers         []choice.Server // as in the list; kept by the world itself, independent of the code under test
+	moves           []int           // how often the list has changed each server's address
+	offline         []bool          // taken offline by operators; kept by the world itself, too
+	offlineRestarts []int           // how often each server was restarted while it was offline
+	operatorChanges int
+	attempts        []*attempt // attempts whose end the loop has not processed, sorted by call: their start order is irrelevant
+	attemptsStarted int
+	listChanges     int
+	disconnects     int
+	fault           string // the first violated property
 }
 
 type timer struct {
@@ -123,93 +124,94 @@
 	token uint64
 }
 
-// call is a call as its client and the servers see it.
+// call is a call as observed by its client and the servers.
 type call struct {
-	life     *ledger.Call
-	effect   choice.Effect
-	asked    bool
-	left     bool
-	answers  []ledger.Kind
-	runs     []run
-	attempts int
+	tracked      *ledger.Call
+	effect       choice.Effect
+	arrived      bool
+	disconnected bool
+	answers      []ledger.Kind
+	runs         []run
+	attemptCount int
 }
 
-// run is one time that a server may have run a call.
+// run records that a server may have executed a call.
 type run struct {
-	by     int // the attempt
-	server string
-	cell   int
-	at     time.Duration
+	attempt int // index of the attempt
+	server  string
+	cell    int
+	at      time.Duration
 }
 
-// try is an attempt as its host sees it.
-type try struct {
+// attempt is an attempt as its host sees it.
+type attempt struct {
 	*ledger.Attempt
-	n         int // among all
-	call      int
-	cell      int
-	conn      *life.Conn      // that it waits for or has
-	withdrawn bool            // its host has been told
-	taken     bool            // the module has withdrawn it
-	race      *addresses.Race // its dials, where servers have several addresses
-	sent      int             // on how many connections it was begun
-	ran       bool            // its server may have run it, and has not said otherwise
-	unsent    bool            // it ended when it was to be sent
-	waits     bool            // for another's dial
-	hangs     bool            // nothing more comes by the network
-	begins    bool            // its answer has begun, and the loop does not know yet
-	passes    bool            // its answer has begun
-	dropped   bool            // nobody took that
-	rests     bool            // its host takes no step until something changes that it depends on
+	index            int             // among all attempts of the world
+	call             int             // index of its call
+	cell             int             // of its server
+	conn             *life.Conn      // that it waits for or uses
+	hostCanceled     bool            // its host was notified of the cancellation
+	balancerCanceled bool            // the balancer has ordered the cancellation
+	race             *addresses.Race // its dials, if servers have several addresses
+	sendCount        int             // number of connections on which sending was started
+	mayHaveRun       bool            // its server may have executed it, and has not rejected it
+	notSent          bool            // it ended at the check before sending
+	awaitsDial       bool            // waits for a dial that another attempt started
+	hung             bool            // no more network events for it
+	relayPending     bool            // the relay of its answer has started; the loop has not yet processed that
+	relayStarted     bool            // the relay of its answer has started
+	replyDropped     bool            // the loop discarded its reply
+	paused           bool            // its host takes no step until something that it depends on changes
 }
 
-// on is what is on a connection.
-type on struct {
-	foreign bool    // bytes that nobody asked for
-	by      int     // the attempt that it carries, or -1
-	to      process // at its other end
+// connData is the simulated state of a connection.
+type connData struct {
+	strayBytes bool    // unsolicited bytes were received
+	attempt    int     // index of the attempt that it carries, or -1
+	peer       process // the process at its other end
 }
 
-// process is one life of a server at one address, as the list told of it when a connection to it came up.
+// process identifies one run of a server at one address, as listed when a connection to it was established.
 type process struct {
-	server  int
-	started time.Duration
-	moves   int
-	lives   int // restarts while it was out by hand
+	server          int
+	started         time.Duration
+	moves           int // address changes in the list
+	offlineRestarts int // restarts while it was taken offline by operators
 }
 
-// process is the one that a server is now, by all that the list has told.
-func (w *world) process(id string) process {
+// currentProcess returns the process that a server is now, according to the list and the operators.
+func (w *world) currentProcess(id string) process {
 	i := slices.IndexFunc(w.servers, func(s choice.Server) bool { return s.ID == id })
-	return process{i, w.servers[i].Started, w.moves[i], w.lives[i]}
+	return process{i, w.servers[i].Started, w.moves[i], w.offlineRestarts[i]}
 }
 
-// watched is the module as the ledger has it: what it withdraws is noted, whatever the ledger makes of that.
-type watched struct {
+// cancelObserver is the balancer as the call tracker sees it. It records which attempts the balancer cancels,
+// independently of how the tracker handles that.
+type cancelObserver struct {
 	*choice.Balancer
 	w *world
 }
 
-// Handle hands an event on and looks at what is ordered.
-func (m watched) Handle(now time.Duration, ev choice.Event) []choice.Action {
+// Handle passes an event to the balancer and records the cancellations that it orders.
+func (m cancelObserver) Handle(now time.Duration, ev choice.Event) []choice.Action {
 	actions := m.Balancer.Handle(now, ev)
 	for _, a := range actions {
 		if a.Kind != choice.Cancel {
 			continue
 		}
-		for _, t := range m.w.tries {
+		for _, t := range m.w.attempts {
 			if t.Call.ID == a.Request && t.Number == a.Attempt {
-				t.taken, t.rests = true, false
+				t.balancerCanceled, t.paused = true, false
 			}
 		}
 	}
 	return actions
 }
 
-// newWorld returns the world before anything has happened.
+// newWorld returns the initial state of the world.
 func newWorld(cfg *Config) *world {
-	w := &world{cfg: cfg, now: start, chance: &chance{}}
-	w.set = choice.Settings{Balancers: 1, Tick: time.Millisecond, MaxAttempts: cfg.Attempts, CanCancel: true,
+	w := &world{cfg: cfg, now: start, chance: &drawSource{}}
+	w.settings = choice.Settings{Balancers: 1, Tick: time.Millisecond, MaxAttempts: cfg.Attempts, CanCancel: true,
 		ParallelCopies: cfg.Past == Losing}
 	effects := []choice.Effect{choice.Safe, choice.Keyed, choice.Unsafe}
 	for _, e := range effects {
@@ -220,68 +222,67 @@
 		if e == choice.Keyed {
 			c.Group, c.Window = choice.GroupCell, window
 		}
-		w.set.Classes = append(w.set.Classes, c)
+		w.settings.Classes = append(w.settings.Classes, c)
 	}
 	var err error
-	if w.module, err = choice.NewWithSource(w.set, w.chance); err != nil {
-		panic(err) // of plain values
+	if w.balancer, err = choice.NewWithSource(w.settings, w.chance); err != nil {
+		panic(err) // the settings are constants and valid
 	}
-	w.ledger = ledger.New(w.books(), watched{w.module, w})
-	w.book, w.addrs = life.NewBook(cfg.Places), addresses.NewBook(addresses.Defaults)
+	w.tracker = ledger.New(w.trackerSettings(), cancelObserver{w.balancer, w})
+	w.pool, w.dialHistory = life.NewBook(cfg.Places), addresses.NewBook(addresses.Defaults)
 	var entries []ledger.Entry
 	for i := range cfg.Servers {
 		s := choice.Server{ID: fmt.Sprint("server ", i), Cell: i % max(1, cfg.Cells)}
 		w.servers, w.moves = append(w.servers, s), append(w.moves, 0)
-		w.out, w.lives = append(w.out, false), append(w.lives, 0)
-		entries = append(entries, w.entry(i))
+		w.offline, w.offlineRestarts = append(w.offline, false), append(w.offlineRestarts, 0)
+		entries = append(entries, w.listEntry(i))
 	}
 	if cfg.Past != NoPast {
-		w.now = start - time.Second // looks come every 50 ms from then on
+		w.now = start - time.Second // from then on health is evaluated every 50 ms
 	}
-	w.do(w.ledger.Start(w.now))
-	w.do(w.ledger.List(w.now, true, entries))
-	w.live(cfg.Past)
-	if m, ok := memories[cfg.Past]; ok {
-		w.fireBy(start)
-		w.module.Recall(start, m)
+	w.execute(w.tracker.Start(w.now))
+	w.execute(w.tracker.List(w.now, true, entries))
+	w.runPast(cfg.Past)
+	if m, ok := pastMemories[cfg.Past]; ok {
+		w.fireUntil(start)
+		w.balancer.Recall(start, m)
 	}
 	w.now = start
 	for i, e := range cfg.Calls {
 		c := &call{effect: e}
-		c.life = &ledger.Call{Request: choice.Request{ID: fmt.Sprint("call ", i), Class: slices.Index(effects, e)}}
+		c.tracked = &ledger.Call{Request: choice.Request{ID: fmt.Sprint("call ", i), Class: slices.Index(effects, e)}}
 		w.calls = append(w.calls, c)
 	}
 	return w
 }
 
-// books are the ledger's settings.
-func (w *world) books() ledger.Settings {
+// trackerSettings returns the settings of the call tracker.
+func (w *world) trackerSettings() ledger.Settings {
 	return ledger.Settings{MaxAttempts: w.cfg.Attempts, Carries: func(choice.Protocols) bool { return true },
 		Illegal: func(err error) { w.violate("%v", err) }}
 }
 
-// live lets the module live through its past: calls that are served, and some that are lost by a server which answers
-// others.
-func (w *world) live(past Past) {
-	var pace time.Duration
+// runPast gives the balancer its past: calls that are served, and one that is lost by a server which answers others.
+func (w *world) runPast(past Past) {
+	var callTime time.Duration
 	switch past {
 	case Losing:
-		pace = 10 * time.Millisecond
+		callTime = 10 * time.Millisecond
 	case Quick:
-		pace = time.Millisecond
+		callTime = time.Millisecond
 	default:
 		return
 	}
 	var lost *ledger.Attempt
 	for n := 0; ; n++ {
 		at := w.now + time.Millisecond
-		last := at+deadline >= start // of those that end before the world begins
-		w.fireBy(at)
+		last := at+deadline >= start // a call from here on would not end before the exploration begins
+		w.fireUntil(at)
 		if w.now = at; last {
 			break
 		}
-		c := &ledger.Call{Request: choice.Request{ID: fmt.Sprint("before ", n), Class: n % len(w.set.Classes), Deadline: at + deadline}}
-		for _, o := range w.keepTimers(w.ledger.Arrived(at, c)) {
+		c := &ledger.Call{Request: choice.Request{ID: fmt.Sprint("before ", n), Class: n % len(w.settings.Classes), Deadline: at + deadline}}
+		for _, o := range w.setTimers(w.tracker.Arrived(at, c)) {
 			if o.Kind != ledger.Begin {
 				continue
 			}
@@ -289,33 +290,33 @@
 				lost = o.Attempt
 				continue
 			}
-			w.keepTimers(w.ledger.Ended(at+pace, o.Attempt, ledger.Ended(choice.OK)))
+			w.setTimers(w.tracker.Ended(at+callTime, o.Attempt, ledger.Ended(choice.OK)))
 		}
 	}
 	if lost != nil {
-		w.keepTimers(w.ledger.Ended(w.now, lost, ledger.Ended(choice.TimedOut)))
+		w.setTimers(w.tracker.Ended(w.now, lost, ledger.Ended(choice.TimedOut)))
 	}
-	w.fireBy(start) // those of calls that are over, and a look that finds nothing
+	w.fireUntil(start) // timers of ended calls, and a health evaluation without findings
 }
 
-// fireBy fires what is due by some time, in the past.
-func (w *world) fireBy(at time.Duration) {
-	for i := w.due(at); i >= 0; i = w.due(at) {
-		t := w.pop(i)
-		w.keepTimers(w.ledger.Fired(t.at, t.token))
+// fireUntil fires the timers that are due at the given time or before, while the past is played.
+func (w *world) fireUntil(at time.Duration) {
+	for i := w.nextTimer(at); i >= 0; i = w.nextTimer(at) {
+		t := w.removeTimer(i)
+		w.setTimers(w.tracker.Fired(t.at, t.token))
 	}
 }
 
-// pop takes a timer off the list.
-func (w *world) pop(i int) timer {
+// removeTimer removes a timer from the pending ones and returns it.
+func (w *world) removeTimer(i int) timer {
 	t := w.timers[i]
 	w.timers = slices.Delete(w.timers, i, i+1)
 	return t
 }
 
-// keepTimers sets the timers that are ordered, and returns what else is.
-func (w *world) keepTimers(orders []ledger.Order) (others []ledger.Order) {
-	for _, o := range orders {
+// setTimers carries out the commands that set timers, and returns the others.
+func (w *world) setTimers(commands []ledger.Order) (others []ledger.Order) {
+	for _, o := range commands {
 		if o.Kind == ledger.SetTimer {
 			w.timers = append(w.timers, timer{o.At, o.Token})
 		} else {
@@ -325,39 +326,40 @@
 	return others
 }
 
-// copy returns an equal world.
+// copy returns a deep copy of the world.
 func (w *world) copy() *world {
-	twins := ledger.NewTwins()
-	c := &world{cfg: w.cfg, set: w.set, now: w.now, chance: &chance{}, timers: slices.Clone(w.timers),
-		servers: slices.Clone(w.servers), moves: slices.Clone(w.moves), out: slices.Clone(w.out), lives: slices.Clone(w.lives), words: w.words,
-		begun: w.begun, lists: w.lists, leaves: w.leaves, fault: w.fault}
-	c.module = w.module.Copy(c.chance)
-	c.ledger = w.ledger.Copy(c.books(), watched{c.module, c}, twins)
-	conns := life.Twins[life.Conn]{Fill: func(o, twin *life.Conn) {
+	copies := ledger.NewTwins()
+	c := &world{cfg: w.cfg, settings: w.settings, now: w.now, chance: &drawSource{}, timers: slices.Clone(w.timers),
+		servers: slices.Clone(w.servers), moves: slices.Clone(w.moves), offline: slices.Clone(w.offline),
+		offlineRestarts: slices.Clone(w.offlineRestarts), operatorChanges: w.operatorChanges,
+		attemptsStarted: w.attemptsStarted, listChanges: w.listChanges, disconnects: w.disconnects, fault: w.fault}
+	c.balancer = w.balancer.Copy(c.chance)
+	c.tracker = w.tracker.Copy(c.trackerSettings(), cancelObserver{c.balancer, c}, copies)
+	conns := life.Twins[life.Conn]{Fill: func(o, dst *life.Conn) {
 		var host any
-		if what, ok := o.Host.(*on); ok {
-			same := *what
-			host = &same
+		if data, ok := o.Host.(*connData); ok {
+			dup := *data
+			host = &dup
 		}
-		o.CopyTo(twin, &twins.Servers, host)
+		o.CopyTo(dst, &copies.Servers, host)
 	}}
-	c.book, c.addrs = w.book.Copy(&conns, &twins.Servers), w.addrs.Copy()
+	c.pool, c.dialHistory = w.pool.Copy(&conns, &copies.Servers), w.dialHistory.Copy()
 	c.calls = make([]*call, len(w.calls))
 	for i, k := range w.calls {
-		same := *k
-		same.life = twins.Calls.Of(k.life)
-		same.answers, same.runs = slices.Clone(k.answers), slices.Clone(k.runs)
-		c.calls[i] = &same
+		dup := *k
+		dup.tracked = copies.Calls.Of(k.tracked)
+		dup.answers, dup.runs = slices.Clone(k.answers), slices.Clone(k.runs)
+		c.calls[i] = &dup
 	}
-	c.tries = make([]*try, len(w.tries))
-	for i, t := range w.tries {
-		same := *t
-		same.Attempt = twins.Attempts.Of(t.Attempt)
-		same.Illegal = func(err error) { c.violate("%v", err) }
-		same.conn, same.race = conns.Of(t.conn), t.race.Copy(c.addrs)
-		c.tries[i] = &same
+	c.attempts = make([]*attempt, len(w.attempts))
+	for i, t := range w.attempts {
+		dup := *t
+		dup.Attempt = copies.Attempts.Of(t.Attempt)
+		dup.Illegal = func(err error) { c.violate("%v", err) }
+		dup.conn, dup.race = conns.Of(t.conn), t.race.Copy(c.dialHistory)
+		c.attempts[i] = &dup
 	}
-	c.lines = w.copyLines(twins, &conns)
+	c.muxConns = w.copyMuxConns(copies, &conns)
 	return c
 }
 
@@ -367,84 +369,84 @@
 	}
 }
 
-// do carries out the ledger's orders, as the core does.
-func (w *world) do(orders []ledger.Order) {
-	for _, o := range orders {
+// execute carries out the tracker's commands, as the core does.
+func (w *world) execute(commands []ledger.Order) {
+	for _, o := range commands {
 		switch o.Kind {
 		case ledger.SetTimer:
 			w.timers = append(w.timers, timer{o.At, o.Token})
 		case ledger.Begin:
-			w.begin(o.Attempt)
+			w.startAttempt(o.Attempt)
 		case ledger.Withdraw:
-			for _, t := range w.tries {
+			for _, t := range w.attempts {
 				if t.Attempt == o.Attempt {
-					t.withdrawn, t.rests = true, false
+					t.hostCanceled, t.paused = true, false
 				}
 			}
 		case ledger.Reply:
 			for i, c := range w.calls {
-				if c.life == o.Call {
-					w.answered(c, o.Answer)
-					w.wakeCall(i)
+				if c.tracked == o.Call {
+					w.checkAnswer(c, o.Answer)
+					w.resumeReady(i)
 				}
 			}
 		case ledger.Discard:
-			for _, t := range w.tries {
+			for _, t := range w.attempts {
 				if t.Attempt == o.Reply {
-					t.dropped = true
+					t.replyDropped = true
 				}
 			}
 		case ledger.Retire:
-			closed, _ := w.book.Retire(o.Server)
+			closed, _ := w.pool.Retire(o.Server)
 			for _, c := range closed {
-				c.Host.(*on).by = -1
-				w.dropLine(c)
+				c.Host.(*connData).attempt = -1
+				w.removeMuxConn(c)
 			}
-			for _, t := range w.tries {
+			for _, t := range w.attempts {
 				if t.Server == o.Server && t.Life.Stage() == life.Ready {
-					t.rests = false
+					t.paused = false
 				}
 			}
 			if len(closed) > 0 {
-				w.wakeBook(o.Server, true)
+				w.resumeAfterPoolChange(o.Server, true)
 			}
 		}
 	}
 }
 
-func (w *world) begin(at *ledger.Attempt) {
-	t := &try{Attempt: at, n: w.begun, call: slices.IndexFunc(w.calls, func(c *call) bool { return c.life == at.Call })}
-	w.begun++
+func (w *world) startAttempt(at *ledger.Attempt) {
+	t := &attempt{Attempt: at, index: w.attemptsStarted, call: slices.IndexFunc(w.calls, func(c *call) bool { return c.tracked == at.Call })}
+	w.attemptsStarted++
 	for _, s := range w.servers {
 		if s.ID == at.Server.ID {
 			t.cell = s.Cell
 		}
 	}
-	w.tries = append(w.tries, t)
-	slices.SortFunc(w.tries, func(a, b *try) int { return cmp.Or(a.call-b.call, a.Number-b.Number) })
+	w.attempts = append(w.attempts, t)
+	slices.SortFunc(w.attempts, func(a, b *attempt) int { return cmp.Or(a.call-b.call, a.Number-b.Number) })
 	w.checkBegin(t)
 }
 
-// try returns an attempt by its number, or nil.
-func (w *world) try(n int) *try {
-	for _, t := range w.tries {
-		if t.n == n {
+// attemptByIndex returns the attempt with the given index, or nil.
+func (w *world) attemptByIndex(n int) *attempt {
+	for _, t := range w.attempts {
+		if t.index == n {
 			return t
 		}
 	}
 	return nil
 }
 
-func (w *world) of(t *try) *call { return w.calls[t.call] }
+func (w *world) callOf(t *attempt) *call { return w.calls[t.call] }
 
-// open reports whether a call waits for its answer.
-func (w *world) open() bool {
-	open, _ := w.ledger.Count()
+// hasOpenCalls reports whether a call waits for its answer.
+func (w *world) hasOpenCalls() bool {
+	open, _ := w.tracker.Count()
 	return open > 0
 }
 
-// due is the timer that is to be fired next by some time, or -1.
-func (w *world) due(by time.Duration) int {
+// nextTimer returns the index of the earliest timer that is due at the given time or before, or -1.
+func (w *world) nextTimer(by time.Duration) int {
 	best := -1
 	for i, t := range w.timers {
 		if t.at <= by && (best < 0 || t.at < w.timers[best].at) {
@@ -454,9 +456,9 @@
 	return best
 }
 
-// next is the next moment that matters: the midst of a keyed call's window and its end, where there is such a call, a
-// look at health, and the deadline.
-func (w *world) next() time.Duration {
+// nextMoment returns the next time that makes a difference: the middle and the end of the deduplication window if there
+// is a keyed call, a health evaluation, and the deadline.
+func (w *world) nextMoment() time.Duration {
 	next := time.Duration(0)
 	add := func(at time.Duration) {
 		if at > w.now && (next == 0 || at < next) {
