--- a/internal/lab/drive/drive.go
+++ b/internal/lab/drive/drive.go
@@ -1,6 +1,6 @@
-// Package drive plays a story of the explorer against a real agent on loopback sockets: kiosks ask and leave, scripted
-// servers answer and a list changes in the story's order, and what comes of each call is held against what the story
-// says. Where sockets don't allow an ordering to be forced it says so.
+// Package drive plays a trace of the explorer against a real agent on loopback sockets. Kiosks send calls and disconnect,
+// scripted servers answer and a list changes in the order of the trace, and the outcome of each call is compared with
+// that in the trace. If an ordering cannot be forced with sockets, it returns ErrNotForceable.
 package drive
 
 import (
@@ -20,79 +20,79 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// ErrNotForced says that sockets don't allow an order to be forced.
-var ErrNotForced = errors.New("sockets don't force this")
+// ErrNotForceable is returned if the order of a trace cannot be forced with sockets.
+var ErrNotForced = errors.New("the order cannot be forced with sockets")
 
-// errOtherwise says that the module drew otherwise than in the story: another seed may do.
-var errOtherwise = errors.New("the module drew otherwise")
+// errOtherDraw means that the balancer drew other random numbers than in the trace. Another seed may help.
+var errOtherDraw = errors.New("the balancer drew other random numbers than in the trace")
 
-// Options say how a story is driven.
+// Options control how a trace is driven.
 type Options struct {
 	Protocol    string // http, thrift-binary or thrift-compact
 	Multiplexed bool
 	Deadline    time.Duration // of every call
-	Patience    time.Duration // how long the agent may take for a step
-	Seeds       int           // to try until the module draws as in the story
+	Patience    time.Duration // limit for each step of the agent
+	Seeds       int           // maximum seeds to try until the balancer draws as in the trace
 }
 
-// Story drives a story. It returns nil if the agent did as it says.
-func Story(ctx context.Context, cfg explore.Config, story []explore.Step, o Options) error {
-	events, fates, err := explore.Play(cfg, story)
+// Run drives a trace. It returns nil if the agent behaved as in the trace.
+func Story(ctx context.Context, cfg explore.Config, trace []explore.Step, o Options) error {
+	events, outcomes, err := explore.Play(cfg, trace)
 	if err != nil {
 		return err
 	}
-	plan, err := newPlan(cfg, events)
+	plan, err := planFaults(cfg, events)
 	if err != nil {
 		return err
 	}
 	for seed := range o.Seeds {
-		if err = once(ctx, cfg, events, fates, plan, o, seed); !errors.Is(err, errOtherwise) {
+		if err = driveOnce(ctx, cfg, events, outcomes, plan, o, seed); !errors.Is(err, errOtherDraw) {
 			return err
 		}
 	}
-	return fmt.Errorf("%w: with none of %d seeds: %w", ErrNotForced, o.Seeds, err)
+	return fmt.Errorf("%w: tried %d seeds: %w", ErrNotForced, o.Seeds, err)
 }
 
-// Possible reports whether sockets can force the order of a story, as an ErrNotForced if they can't.
-func Possible(cfg explore.Config, story []explore.Step) error {
-	events, _, err := explore.Play(cfg, story)
+// CheckForceable returns ErrNotForceable if the order of a trace cannot be forced with sockets.
+func Possible(cfg explore.Config, trace []explore.Step) error {
+	events, _, err := explore.Play(cfg, trace)
 	if err == nil {
-		_, err = newPlan(cfg, events)
+		_, err = planFaults(cfg, events)
 	}
 	return err
 }
 
-// attempt is an attempt by its call and number.
-type attempt struct{ call, number int }
+// attemptID identifies an attempt by its call and its number within the call.
+type attemptID struct{ call, number int }
 
-// faults are what the servers do for the fates of an attempt that they have got.
+// faults maps the outcomes of an attempt that a server has received to the faults of the stand-in servers.
 var faults = map[explore.Kind]standin.Fault{explore.AnswerOK: standin.None, explore.AnswerError: standin.Error,
 	explore.AnswerReject: standin.Reject, explore.AnswerTwice: standin.TwoReplies, explore.AnswerGarbled: standin.Spoilt,
 	explore.Reset: standin.ResetBefore, explore.Hang: standin.Silence}
 
-// free are steps that come of themselves, or whose place in the order nobody outside sees.
-var free = []explore.Kind{explore.Acquire, explore.DialSucceeds, explore.Send, explore.Return, explore.TimeOut, explore.Fire}
+// unforcedKinds are steps that happen without being forced, or whose position in the order is not observable from outside.
+var unforcedKinds = []explore.Kind{explore.Acquire, explore.DialSucceeds, explore.Send, explore.Return, explore.TimeOut, explore.Fire}
 
-// Kinds are the kinds of steps that stories may be driven with.
+// StepKinds returns the kinds of steps that a trace to be driven may contain.
 func Kinds() []explore.Kind {
 	kinds := append([]explore.Kind{explore.Ask, explore.Leave, explore.Drain, explore.Gone, explore.Time, explore.Take,
-		explore.WriteAll}, free...)
+		explore.WriteAll}, unforcedKinds...)
 	for k := range faults {
 		kinds = append(kinds, k)
 	}
 	return kinds
 }
 
-// newPlan finds what each attempt's server is to do, and whether the order can be forced.
-func newPlan(cfg explore.Config, events []explore.Event) (map[attempt]standin.Fault, error) {
-	plan := map[attempt]standin.Fault{}
-	written := map[attempt]bool{}
+// planFaults returns the fault of the server for each attempt, or ErrNotForceable if the order cannot be forced.
+func planFaults(cfg explore.Config, events []explore.Event) (map[attemptID]standin.Fault, error) {
+	plan := map[attemptID]standin.Fault{}
+	written := map[attemptID]bool{}
 	if cfg.Past != explore.NoPast {
-		return nil, fmt.Errorf("%w: a module with a past", ErrNotForced)
+		return nil, fmt.Errorf("%w: the balancer has a past", ErrNotForced)
 	}
-	late := false
+	timePassed := false
 	for i, e := range events {
-		at := attempt{e.Call, e.Attempt}
+		at := attemptID{e.Call, e.Attempt}
 		fault, answers := faults[e.Kind]
 		switch {
 		case e.Kind == explore.WriteAll:
@@ -100,94 +100,94 @@
 		case answers && written[at]:
 			plan[at] = fault
 		case e.Kind == explore.Time:
-			late = true
-		case e.Kind == explore.Take && late:
+			timePassed = true
+		case e.Kind == explore.Take && timePassed:
 			if plan[at] != standin.Silence {
-				return nil, fmt.Errorf("step %d: %w: %v, when time has passed", i+1, ErrNotForced, e.Step)
+				return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForced, e.Step)
 			}
 		case e.Kind <= explore.Drain || e.Kind == explore.Gone || e.Kind == explore.Take:
-			if late {
-				return nil, fmt.Errorf("step %d: %w: %v, when time has passed", i+1, ErrNotForced, e.Step)
+			if timePassed {
+				return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForced, e.Step)
 			}
-		case !slices.Contains(free, e.Kind):
+		case !slices.Contains(unforcedKinds, e.Kind):
 			return nil, fmt.Errorf("step %d: %w: %v", i+1, ErrNotForced, e.Step)
 		}
-		if e.Kind == explore.Send && late {
-			return nil, fmt.Errorf("step %d: %w: %v, when time has passed", i+1, ErrNotForced, e.Step)
+		if e.Kind == explore.Send && timePassed {
+			return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForced, e.Step)
 		}
 	}
 	return plan, nil
 }
 
-// stage is an agent between stand-ins, on which a story is played once.
-type stage struct {
-	o       Options
-	plan    map[attempt]standin.Fault
-	agent   *agent.Agent
-	list    *standin.List
-	kiosk   standin.Kiosk
-	servers []*standin.Server
-	answers []chan standin.Answer // by call
-	leave   []chan struct{}
+// harness runs an agent between stand-ins, for a single run of a trace.
+type harness struct {
+	options    Options
+	plan       map[attemptID]standin.Fault
+	agent      *agent.Agent
+	list       *standin.List
+	kiosk      standin.Kiosk
+	servers    []*standin.Server
+	answers    []chan standin.Answer // to the kiosk, by call
+	disconnect []chan struct{}       // closed to let the client disconnect, by call
 
-	mu       sync.Mutex
-	release  map[attempt]chan struct{} // closed when an attempt's server is to answer
-	got      map[attempt]int           // which server got it
-	attempts []int                     // that came, by call
-	changed  chan struct{}             // told when one came
-	bound    map[int]int               // servers by those of the story
+	mu         sync.Mutex
+	release    map[attemptID]chan struct{} // closed to let an attempt's server answer
+	receivedBy map[attemptID]int           // the server that received the attempt
+	received   []int                       // number of attempts received by servers, by call
+	changed    chan struct{}               // receives a value when a server receives an attempt
+	serverOf   map[int]int                 // started server by server of the trace
 }
 
-// methods are what kiosks ask for the effects of the story's calls.
+// methods maps the effects of the trace's calls to the methods that kiosks call.
 var methods = map[choice.Effect]standin.Method{choice.Safe: standin.Check, choice.Keyed: standin.Record, choice.Unsafe: standin.Pay}
 
-// once drives the story once.
-func once(ctx context.Context, cfg explore.Config, events []explore.Event, fates []explore.Fate, plan map[attempt]standin.Fault,
+// driveOnce drives the trace with one seed.
+func driveOnce(ctx context.Context, cfg explore.Config, events []explore.Event, outcomes []explore.Fate, plan map[attemptID]standin.Fault,
 	o Options, seed int) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &stage{o: o, plan: plan, release: map[attempt]chan struct{}{}, got: map[attempt]int{}, bound: map[int]int{},
-		attempts: make([]int, len(fates)), changed: make(chan struct{}, 1)}
-	for range fates {
-		s.answers, s.leave = append(s.answers, make(chan standin.Answer, 1)), append(s.leave, make(chan struct{}))
+	s := &harness{options: o, plan: plan, release: map[attemptID]chan struct{}{}, receivedBy: map[attemptID]int{}, serverOf: map[int]int{},
+		received: make([]int, len(outcomes)), changed: make(chan struct{}, 1)}
+	for range outcomes {
+		s.answers, s.disconnect = append(s.answers, make(chan standin.Answer, 1)), append(s.disconnect, make(chan struct{}))
 	}
 	for _, e := range events {
-		if s.release[attempt{e.Call, e.Attempt}] == nil {
-			s.release[attempt{e.Call, e.Attempt}] = make(chan struct{})
+		if s.release[attemptID{e.Call, e.Attempt}] == nil {
+			s.release[attemptID{e.Call, e.Attempt}] = make(chan struct{})
 		}
 	}
 	defer s.close()
-	if err := s.open(ctx, cfg, seed); err != nil {
+	if err := s.start(ctx, cfg, seed); err != nil {
 		return err
 	}
 	results := 0
 	for i, e := range events {
-		if err := s.step(ctx, e, fates, &results); err != nil {
+		if err := s.step(ctx, e, outcomes, &results); err != nil {
 			return fmt.Errorf("step %d: %v: %w", i+1, e.Step, err)
 		}
 	}
-	return s.compare(ctx, fates)
+	return s.compare(ctx, outcomes)
 }
 
-// open starts the servers, the list, the agent and a kiosk.
-func (s *stage) open(ctx context.Context, cfg explore.Config, seed int) error {
+// start starts the servers, the list, the agent and a kiosk.
+func (s *harness) start(ctx context.Context, cfg explore.Config, seed int) error {
 	list, err := standin.NewList()
 	if err != nil {
 		return err
 	}
 	s.list = list
 	for i := range cfg.Servers {
-		server, err := standin.Start(standin.Options{ID: fmt.Sprint("server-", i), Protocol: s.o.Protocol, Cell: i % max(1, cfg.Cells),
-			Multiplexed: s.o.Multiplexed, Script: func(c standin.Call) standin.Step { return s.arrived(i, c) }, NoLoad: true})
+		server, err := standin.Start(standin.Options{ID: fmt.Sprint("server-", i), Protocol: s.options.Protocol, Cell: i % max(1, cfg.Cells),
+			Multiplexed: s.options.Multiplexed, Script: func(c standin.Call) standin.Step { return s.scriptStep(i, c) }, NoLoad: true})
 		if err != nil {
 			return err
 		}
 		s.servers = append(s.servers, server)
 		list.Tell(server.Entry())
 	}
-	p := standin.Platform{Discovery: list.Addr(), Known: list.Full(), Deadline: s.o.Deadline, Aim: 16 * s.o.Deadline,
-		Window: 2 * s.o.Deadline, MostTries: cfg.Attempts, Cancel: true, Listen: "127.0.0.1:0"}
-	p.Known.Version = 0 // so that the watch has something to say, and the agent is ready at once
+	p := standin.Platform{Discovery: list.Addr(), Known: list.Full(), Deadline: s.options.Deadline, Aim: 16 * s.options.Deadline,
+		Window: 2 * s.options.Deadline, MostTries: cfg.Attempts, Cancel: true, Listen: "127.0.0.1:0"}
+	p.Known.Version = 0 // older than the list, so that the watch delivers an update and the agent is ready at once
 	conf, service, err := p.Load()
 	if err != nil {
 		return err
@@ -196,13 +196,13 @@
 	if s.agent, err = agent.New(conf, service, slog.New(slog.DiscardHandler)); err != nil {
 		return err
 	}
-	at, err := s.agent.Listen()
+	addrs, err := s.agent.Listen()
 	if err != nil {
 		return err
 	}
-	addr := at[0]
-	if s.o.Protocol != "http" {
-		addr = at[1]
+	addr := addrs[0]
+	if s.options.Protocol != "http" {
+		addr = addrs[1]
 	}
 	go s.agent.Run(ctx, nil)
 	select {
@@ -210,12 +210,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	s.kiosk, err = standin.NewKiosk(s.o.Protocol, addr)
+	s.kiosk, err = standin.NewKiosk(s.options.Protocol, addr)
 	return err
 }
 
-// close ends what open has started, as far as it came.
-func (s *stage) close() {
+// close stops everything that start has started, also if start failed.
+func (s *harness) close() {
 	for _, server := range s.servers {
 		server.Close()
 	}
@@ -227,15 +227,15 @@
 	}
 }
 
-// arrived says what a server does with a call: what the story says of the attempt, at the time at which it says so.
-func (s *stage) arrived(server int, c standin.Call) standin.Step {
+// scriptStep returns what a server does with a call: the fault of the attempt in the trace, once it is released.
+func (s *harness) scriptStep(server int, c standin.Call) standin.Step {
 	var call int
 	fmt.Sscanf(c.ID, "call-%d", &call)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := attempt{call, s.attempts[call]}
-	s.attempts[call]++
-	s.got[at] = server
+	at := attemptID{call, s.received[call]}
+	s.received[call]++
+	s.receivedBy[at] = server
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -243,9 +243,9 @@
 	return standin.Step{Fault: s.plan[at], Until: s.release[at]}
 }
 
-// until waits for something that the agent or a server is to do.
-func (s *stage) until(ctx context.Context, what string, holds func() (bool, error)) error {
-	end := time.NewTimer(s.o.Patience)
+// waitUntil waits until a condition holds, which the agent or a server brings about.
+func (s *harness) waitUntil(ctx context.Context, condition string, holds func() (bool, error)) error {
+	end := time.NewTimer(s.options.Patience)
 	defer end.Stop()
 	for {
 		if ok, err := holds(); ok || err != nil {
@@ -253,62 +253,62 @@
 		}
 		select {
 		case <-s.changed:
-		case <-time.After(200 * time.Microsecond): // the agent is asked what it holds; it tells nobody
+		case <-time.After(200 * time.Microsecond): // the agent sends no notifications, so its state is polled
 		case <-end.C:
-			return fmt.Errorf("in %v not seen: %s", s.o.Patience, what)
+			return fmt.Errorf("not observed within %v: %s", s.options.Patience, condition)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// bind says which server stands for one of the story's: which is drawn first is chance.
-func (s *stage) bind(story, server int) error {
-	if have, known := s.bound[story]; known {
+// bindServer assigns a started server to one of the trace: which one the balancer draws first is random.
+func (s *harness) bindServer(traced, server int) error {
+	if have, known := s.serverOf[traced]; known {
 		if have != server {
-			return errOtherwise
+			return errOtherDraw
 		}
 		return nil
 	}
-	for _, other := range s.bound {
+	for _, other := range s.serverOf {
 		if other == server {
-			return errOtherwise
+			return errOtherDraw
 		}
 	}
-	s.bound[story] = server
+	s.serverOf[traced] = server
 	return nil
 }
 
-// step lets one step of the story happen, and waits until the agent has taken it in.
-func (s *stage) step(ctx context.Context, e explore.Event, fates []explore.Fate, results *int) error {
-	at := attempt{e.Call, e.Attempt}
+// step makes one step of the trace happen, and waits until the agent has processed it.
+func (s *harness) step(ctx context.Context, e explore.Event, outcomes []explore.Fate, results *int) error {
+	at := attemptID{e.Call, e.Attempt}
 	switch e.Kind {
 	case explore.Ask:
-		a := standin.Ask{Method: methods[fates[e.Call].Effect], ID: fmt.Sprint("call-", e.Call), Tenant: standin.Tenants[0],
-			Key: "form", Left: s.o.Deadline, Leave: s.leave[e.Call]}
+		a := standin.Ask{Method: methods[outcomes[e.Call].Effect], ID: fmt.Sprint("call-", e.Call), Tenant: standin.Tenants[0],
+			Key: "form", Left: s.options.Deadline, Leave: s.disconnect[e.Call]}
 		if a.Method == standin.Record {
 			a.Idempotency = "once-" + a.ID
 		}
 		before := s.agent.Snapshot().Stats.Requests
 		go func() { s.answers[e.Call] <- s.kiosk.Ask(a) }()
-		return s.until(ctx, "the agent takes the call", func() (bool, error) {
+		return s.waitUntil(ctx, "the agent receives the call", func() (bool, error) {
 			return s.agent.Snapshot().Stats.Requests > before, nil
 		})
 	case explore.WriteAll:
 		server := -1
-		if err := s.until(ctx, "a server gets the attempt", func() (bool, error) {
+		if err := s.waitUntil(ctx, "a server receives the attempt", func() (bool, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			got, ok := s.got[at]
+			got, ok := s.receivedBy[at]
 			if !ok && len(s.answers[e.Call]) > 0 {
-				return false, errOtherwise // it was turned away
+				return false, errOtherDraw // the call was refused
 			}
 			server = got
 			return ok, nil
 		}); err != nil {
 			return err
 		}
-		return s.bind(e.Server, server)
+		return s.bindServer(e.Server, server)
 	case explore.Take:
 		if s.plan[at] != standin.Silence {
 			s.mu.Lock()
@@ -316,29 +316,29 @@
 			s.mu.Unlock()
 		}
 		*results++
-		return s.until(ctx, "the loop takes the end", func() (bool, error) {
+		return s.waitUntil(ctx, "the loop processes the end of the attempt", func() (bool, error) {
 			n := 0
-			for _, of := range s.agent.Snapshot().Stats.Results {
-				n += of
+			for _, count := range s.agent.Snapshot().Stats.Results {
+				n += count
 			}
 			return n >= *results, nil
 		})
 	case explore.Leave:
 		before := s.agent.Snapshot().Stats.Gone
-		close(s.leave[e.Call])
-		return s.until(ctx, "the client has left", func() (bool, error) { return s.agent.Snapshot().Stats.Gone > before, nil })
+		close(s.disconnect[e.Call])
+		return s.waitUntil(ctx, "the client has disconnected", func() (bool, error) { return s.agent.Snapshot().Stats.Gone > before, nil })
 	case explore.Drain, explore.Gone:
-		return s.change(ctx, e)
+		return s.changeList(ctx, e)
 	}
 	return nil
 }
 
-// change lets the list say something of a server.
-func (s *stage) change(ctx context.Context, e explore.Event) error {
-	server, known := s.bound[e.Call]
+// changeList lets the list report a server as draining or removed.
+func (s *harness) changeList(ctx context.Context, e explore.Event) error {
+	server, known := s.serverOf[e.Call]
 	for i := 0; !known; i++ {
 		server = i
-		known = s.bind(e.Call, i) == nil
+		known = s.bindServer(e.Call, i) == nil
 	}
 	entry := s.servers[server].Entry()
 	entry.State = "terminating"
@@ -346,39 +346,39 @@
 		entry.State = "terminated"
 	}
 	s.list.Tell(entry)
-	return s.until(ctx, "the agent knows the list", func() (bool, error) {
+	return s.waitUntil(ctx, "the agent has received the list", func() (bool, error) {
 		return !slices.Contains(s.agent.Snapshot().Servers, entry.ID), nil
 	})
 }
 
-// compare holds what came of the calls against the story.
-func (s *stage) compare(ctx context.Context, fates []explore.Fate) error {
-	var wrong []string
-	for i, f := range fates {
+// compare compares the outcomes of the calls with those of the trace.
+func (s *harness) compare(ctx context.Context, outcomes []explore.Fate) error {
+	var mismatches []string
+	for i, f := range outcomes {
 		if !f.Asked || f.Left {
 			continue
 		}
 		select {
 		case got := <-s.answers[i]:
-			if want := kinds[f.Answer]; got.Kind != want {
-				wrong = append(wrong, fmt.Sprintf("call %d was %v, not %v (%v)", i, got.Kind, want, got.Err))
+			if want := answerKinds[f.Answer]; got.Kind != want {
+				mismatches = append(mismatches, fmt.Sprintf("call %d was %v, not %v (%v)", i, got.Kind, want, got.Err))
 			}
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	if err := s.until(ctx, "the agent is at rest", func() (bool, error) { return s.agent.Snapshot().Held == 0, nil }); err != nil {
+	if err := s.waitUntil(ctx, "the agent is idle", func() (bool, error) { return s.agent.Snapshot().Held == 0, nil }); err != nil {
 		return err
 	}
-	wanted := make([]int, len(fates))
+	wanted := make([]int, len(outcomes))
 	for at := range s.plan {
 		wanted[at.call]++
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, f := range fates {
-		if s.attempts[i] != wanted[i] {
-			wrong = append(wrong, fmt.Sprintf("servers got call %d %d times, not %d", i, s.attempts[i], wanted[i]))
+	for i, f := range outcomes {
+		if s.received[i] != wanted[i] {
+			mismatches = append(mismatches, fmt.Sprintf("servers received call %d %d times, not %d", i, s.received[i], wanted[i]))
 		}
 		if f.Effect == choice.Unsafe {
 			effects := 0
@@ -386,17 +386,18 @@
 				effects += server.Pod().Effects(fmt.Sprint("call-", i))
 			}
 			if effects != f.Runs {
-				wrong = append(wrong, fmt.Sprintf("call %d had its effect %d times, not %d", i, effects, f.Runs))
+				mismatches = append(mismatches, fmt.Sprintf("call %d took effect %d times, not %d", i, effects, f.Runs))
 			}
 		}
 	}
 	if n := s.agent.Illegal(); n > 0 {
-		wrong = append(wrong, fmt.Sprintf("%d illegal steps", n))
+		mismatches = append(mismatches, fmt.Sprintf("%d illegal state transitions", n))
 	}
-	if len(wrong) > 0 {
-		return errors.New(strings.Join(wrong, "; "))
+	if len(mismatches) > 0 {
+		return errors.New(strings.Join(mismatches, "; "))
 	}
 	return nil
 }
 
-var kinds = map[ledger.Kind]standin.Kind{ledger.Served: standin.Served, ledger.Refused: standin.Refused, ledger.Failed: standin.Failed}
+// answerKinds maps the answers of the trace to those that kiosks observe.
+var answerKinds = map[ledger.Kind]standin.Kind{ledger.Served: standin.Served, ledger.Refused: standin.Refused, ledger.Failed: standin.Failed}
--- a/internal/lab/drive/drive_test.go
+++ b/internal/lab/drive/drive_test.go
@@ -11,11 +11,12 @@
 	"ternbeam/internal/lab/explore"
 )
 
-// The agent does on sockets what the stories of small worlds say, on every protocol.
+// On sockets, and with every protocol, the agent behaves as in the traces of small worlds.
 func TestStoriesOnSockets(t *testing.T) {
-	// Stories go on while an agent's deadline runs: so many at a time leave each its time on a slow machine, too.
+	// The agent's deadline runs while a trace is driven. This limit on concurrent traces leaves each enough time, even on a
+	// slow machine.
 	slots := make(chan struct{}, 6)
-	const some = 12 // of each world's stories that can be forced, spread evenly
+	const maxTraces = 12 // traces driven of those of each world that can be forced, evenly spread
 	worlds := map[string]explore.Config{
 		"safe, a change":  {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 2, Lists: 1, Cells: 2},
 		"unsafe, a leave": {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Leaves: 1, Cells: 2},
@@ -23,51 +24,51 @@
 		"keyed, two pods": {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Lists: 1, Cells: 2},
 		"two":             {Servers: 2, Calls: []choice.Effect{choice.Unsafe, choice.Safe}, Attempts: 1, Places: 2},
 	}
-	speeches := []Options{{Protocol: "http"}, {Protocol: "thrift-binary"}, {Protocol: "thrift-compact", Multiplexed: true}}
+	protocols := []Options{{Protocol: "http"}, {Protocol: "thrift-binary"}, {Protocol: "thrift-compact", Multiplexed: true}}
 	for name, cfg := range worlds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var can [][]explore.Step
-			explore.Stories(cfg, Kinds(), func(story []explore.Step) bool {
-				err := Possible(cfg, story)
+			var forceable [][]explore.Step
+			explore.Stories(cfg, Kinds(), func(trace []explore.Step) bool {
+				err := Possible(cfg, trace)
 				if err == nil {
-					can = append(can, story)
+					forceable = append(forceable, trace)
 				} else if !errors.Is(err, ErrNotForced) {
 					t.Fatal(err)
 				}
 				return true
 			})
-			var stories [][]explore.Step
-			for i := 0; i < len(can); i += (len(can) + some - 1) / some {
-				stories = append(stories, can[i])
+			var traces [][]explore.Step
+			for i := 0; i < len(forceable); i += (len(forceable) + maxTraces - 1) / maxTraces {
+				traces = append(traces, forceable[i])
 			}
-			for _, sp := range speeches {
-				if name == "two" && sp.Multiplexed {
-					continue // what ends one call's connection ends the other's
+			for _, o := range protocols {
+				if name == "two" && o.Multiplexed {
+					continue // what breaks the connection for one call also breaks it for the other
 				}
-				sp.Deadline, sp.Patience, sp.Seeds = 2*time.Second, 10*time.Second, 16
-				t.Run(sp.Protocol, func(t *testing.T) {
+				o.Deadline, o.Patience, o.Seeds = 2*time.Second, 10*time.Second, 16
+				t.Run(o.Protocol, func(t *testing.T) {
 					t.Parallel()
-					var driven, otherwise atomic.Int32
+					var driven, otherDraws atomic.Int32
 					var all sync.WaitGroup
-					for _, story := range stories {
+					for _, trace := range traces {
 						slots <- struct{}{}
 						all.Go(func() {
 							defer func() { <-slots }()
-							switch err := Story(t.Context(), cfg, story, sp); {
+							switch err := Story(t.Context(), cfg, trace, o); {
 							case errors.Is(err, ErrNotForced):
-								otherwise.Add(1)
+								otherDraws.Add(1)
 							case err != nil:
-								t.Errorf("%v: %v", story, err)
+								t.Errorf("%v: %v", trace, err)
 							default:
 								driven.Add(1)
 							}
 						})
 					}
 					all.Wait()
-					t.Logf("%d of %d stories driven, the module drew otherwise in %d", driven.Load(), len(can), otherwise.Load())
-					if int(driven.Load()) < len(stories)/4 || driven.Load() == 0 {
-						t.Errorf("only %d of %d stories driven", driven.Load(), len(stories))
+					t.Logf("%d of %d traces driven; the balancer drew other random numbers in %d", driven.Load(), len(forceable), otherDraws.Load())
+					if int(driven.Load()) < len(traces)/4 || driven.Load() == 0 {
+						t.Errorf("only %d of %d traces driven", driven.Load(), len(traces))
 					}
 				})
 			}
