--- a/cmd/ternbeam-explore/main.go
+++ b/cmd/ternbeam-explore/main.go
@@ -1,5 +1,5 @@
-// Command ternbeam-explore tries every ordering of what can happen to a few calls at a few servers, on the code that
-// runs in service, and tells the shortest story that breaks a property. See docs/ops/explore.md.
+// Command ternbeam-explore tries every ordering of the events in a small world of a few calls and a few servers, on the
+// production code, and prints the shortest trace that violates a property. See docs/ops/explore.md.
 package main
 
 import (
@@ -21,24 +21,24 @@
 
 type commands struct {
 	Run     runCommand     `cmd:"" help:"Explore a world."`
-	Replay  replayCommand  `cmd:"" help:"Play a story from a file, step by step."`
-	Stories storiesCommand `cmd:"" help:"Write the stories of a world that sockets can force, each into a file."`
-	Drive   driveCommand   `cmd:"" help:"Play a story from a file against a real agent on loopback sockets."`
+	Replay  replayCommand  `cmd:"" help:"Replay a trace from a file, step by step."`
+	Stories storiesCommand `cmd:"" help:"Write the traces of a world whose order can be forced with sockets, each into a file."`
+	Drive   driveCommand   `cmd:"" help:"Play a trace from a file against a real agent on loopback sockets."`
 }
 
 type runCommand struct {
-	World    string   `help:"A world by name, one of those that tests go through; the other flags are not heeded then."`
-	Servers  int      `default:"2" help:"Servers."`
-	Calls    []string `default:"safe,keyed,unsafe" help:"The effects of the calls."`
-	Attempts int      `default:"2" help:"The most attempts of a call."`
-	Places   int      `default:"2" help:"Places for connections."`
-	Lists    int      `default:"1" help:"Changes of the list."`
-	Leaves   int      `default:"1" help:"Clients that may leave."`
-	Cells    int      `default:"2" help:"Groups of servers that drop one another's repeats."`
-	Lines    bool     `help:"A connection carries several calls at a time."`
-	Past     string   `default:"" enum:",losing,quick,ill,out,absurd" help:"What the module has lived through: servers that lost calls (late ones are copied), or quick ones (late ones are withdrawn); or what it is told to remember, as bad as it can be: all ill, all out, absurd figures."`
-	Most     int      `default:"20000000" help:"States at which to stop."`
-	Save     string   `help:"Save the story of a fault in this file." placeholder:"FILE"`
+	World    string   `help:"Name of a predefined world, one of those that the tests explore. The other flags that describe a world are ignored then."`
+	Servers  int      `default:"2" help:"Number of servers."`
+	Calls    []string `default:"safe,keyed,unsafe" help:"Effects of the calls."`
+	Attempts int      `default:"2" help:"Maximum attempts per call."`
+	Places   int      `default:"2" help:"Maximum open connections."`
+	Lists    int      `default:"1" help:"Maximum changes of the server list."`
+	Leaves   int      `default:"1" help:"Maximum clients that disconnect."`
+	Cells    int      `default:"2" help:"Number of cells: groups of servers that deduplicate calls among themselves."`
+	Lines    bool     `help:"Multiplexed connections: each carries several calls at a time."`
+	Past     string   `default:"" enum:",losing,quick,ill,out,absurd" help:"History of the balancer: servers that lost calls (late attempts get a parallel one) or quick servers (late attempts are canceled); or an extreme restored state: all servers failing (ill), ejected or without capacity (out), invalid figures (absurd)."`
+	Most     int      `default:"20000000" help:"Maximum number of states, at which the exploration stops."`
+	Save     string   `help:"Save the trace to a violated property in this file." placeholder:"FILE"`
 }
 
 var effects = []string{choice.Safe: "safe", choice.Keyed: "keyed", choice.Unsafe: "unsafe"}
@@ -47,7 +47,7 @@
 	if r.World != "" {
 		cfg, ok := explore.Worlds[r.World]
 		if !ok {
-			return cfg, fmt.Errorf("no world is called %q", r.World)
+			return cfg, fmt.Errorf("unknown world %q", r.World)
 		}
 		return cfg, nil
 	}
@@ -56,23 +56,23 @@
 	for _, name := range r.Calls {
 		e := slices.Index(effects, name)
 		if e < 0 {
-			return cfg, fmt.Errorf("no effect is called %q", name)
+			return cfg, fmt.Errorf("unknown effect %q", name)
 		}
 		cfg.Calls = append(cfg.Calls, choice.Effect(e))
 	}
 	return cfg, nil
 }
 
-// errFault is the end of a run that found a fault.
-var errFault = errors.New("a property does not hold")
+// errViolation is returned by commands that found a violated property.
+var errViolation = errors.New("a property is violated")
 
-// Run explores.
+// Run explores a world and prints the result.
 func (r *runCommand) Run() error {
 	cfg, err := r.config()
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(400) // it makes much that is soon gone
+	debug.SetGCPercent(400) // most allocations are short-lived
 	report := explore.Explore(cfg, r.Most)
 	fmt.Printf("%d states, %d transitions, depth %d, %d ends, complete %t, in %v\n", report.States, report.Transitions,
 		report.Depth, report.Ends, report.Complete, report.Took.Round(1e6))
@@ -98,14 +98,14 @@
 			return err
 		}
 	}
-	return errFault
+	return errViolation
 }
 
 type replayCommand struct {
-	File string `arg:"" help:"A story that run saved."`
+	File string `arg:"" help:"A trace saved by run."`
 }
 
-func read(file string) (explore.Config, []explore.Step, error) {
+func readTrace(file string) (explore.Config, []explore.Step, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return explore.Config{}, nil, err
@@ -117,39 +117,39 @@
 	return cfg, steps, err
 }
 
-// Run plays a story.
+// Run replays a trace.
 func (r *replayCommand) Run() error {
-	cfg, steps, err := read(r.File)
+	cfg, steps, err := readTrace(r.File)
 	if err != nil {
 		return err
 	}
 	fault, err := explore.Replay(cfg, steps, os.Stdout)
 	if err == nil && fault != "" {
 		fmt.Println(fault)
-		err = errFault
+		err = errViolation
 	}
 	return err
 }
 
 type storiesCommand struct {
 	runCommand
-	Into string `arg:"" type:"existingdir" help:"The folder for them."`
-	Max  int    `default:"1000" help:"The most to be written."`
+	Into string `arg:"" type:"existingdir" help:"Folder for the files."`
+	Max  int    `default:"1000" help:"Maximum number of traces."`
 }
 
-// Run writes stories.
+// Run writes traces.
 func (s *storiesCommand) Run() error {
 	cfg, err := s.config()
 	if err != nil {
 		return err
 	}
 	n := 0
-	explore.Stories(cfg, drive.Kinds(), func(story []explore.Step) bool {
-		if drive.Possible(cfg, story) != nil {
+	explore.Stories(cfg, drive.Kinds(), func(trace []explore.Step) bool {
+		if drive.Possible(cfg, trace) != nil {
 			return true
 		}
 		var text []byte
-		if text, err = explore.Tell(cfg, "", story); err == nil {
+		if text, err = explore.Tell(cfg, "", trace); err == nil {
 			n++
 			err = os.WriteFile(filepath.Join(s.Into, fmt.Sprintf("%04d.json", n)), text, 0o644)
 		}
@@ -160,29 +160,29 @@
 }
 
 type driveCommand struct {
-	File        string        `arg:"" help:"A story to its end that breaks no property, as stories writes them."`
-	Protocol    string        `default:"http" enum:"http,thrift-binary,thrift-compact" help:"What kiosks and servers speak."`
-	Multiplexed bool          `help:"Servers take several calls at a time on a connection (Thrift)."`
-	Deadline    time.Duration `default:"1s" help:"Of every call."`
+	File        string        `arg:"" help:"A complete trace that violates no property, as written by the stories command."`
+	Protocol    string        `default:"http" enum:"http,thrift-binary,thrift-compact" help:"Protocol of kiosks and servers."`
+	Multiplexed bool          `help:"Multiplexed connections to servers (Thrift)."`
+	Deadline    time.Duration `default:"1s" help:"Deadline of every call."`
 }
 
-// Run drives a story.
+// Run drives a trace.
 func (d *driveCommand) Run() error {
-	cfg, steps, err := read(d.File)
+	cfg, steps, err := readTrace(d.File)
 	if err != nil {
 		return err
 	}
 	err = drive.Story(context.Background(), cfg, steps, drive.Options{Protocol: d.Protocol, Multiplexed: d.Multiplexed,
 		Deadline: d.Deadline, Patience: 10 * time.Second, Seeds: 16})
 	if err == nil {
-		fmt.Println("the agent does as the story says")
+		fmt.Println("the agent behaved as in the trace")
 	}
 	return err
 }
 
 func main() {
 	var c commands
-	k := kong.Parse(&c, kong.Name("ternbeam-explore"), kong.Description("Try every ordering of a small world."))
+	k := kong.Parse(&c, kong.Name("ternbeam-explore"), kong.Description("Try every ordering of the events in a small world."))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ternbeam-explore:", err)
 		os.Exit(1)
