--- a/cmd/ternbeam-lab/main.go
+++ b/cmd/ternbeam-lab/main.go
@@ -1,4 +1,4 @@
-// Command ternbeam-lab makes experiments in virtual time.
+// Command ternbeam-lab runs experiments with agents and servers, most of them in virtual time.
 package main
 
 import (
@@ -16,14 +16,14 @@
 )
 
 type commands struct {
-	Restart restartCommand `cmd:"" help:"What an agent loses after a restart, with what it remembers and without."`
-	Rollout rolloutCommand `cmd:"" help:"A rolling deploy from an old shape to a new one and back, on sockets, with a hang on the way."`
-	Crowd   crowdCommand   `cmd:"" help:"How even the calls of servers are from many agents, and what those get that have fallen silent."`
-	Outage  outageCommand  `cmd:"" help:"What an agent loses while its list is down and the fleet is replaced, with SRV records and without."`
+	Restart restartCommand `cmd:"" help:"Measure what an agent loses after a restart, with and without its stored learned state."`
+	Rollout rolloutCommand `cmd:"" help:"Run a rolling deploy from an old shape to a new one and back, on sockets, with a server that hangs on the way."`
+	Crowd   crowdCommand   `cmd:"" help:"Measure how evenly many agents distribute calls over servers, and how many attempts servers receive that do not answer."`
+	Outage  outageCommand  `cmd:"" help:"Measure what an agent loses while its list service is down and all servers are replaced, with and without SRV records."`
 }
 
 func main() {
-	ctx := kong.Parse(new(commands), kong.Description("Experiments in virtual time."), kong.UsageOnError())
+	ctx := kong.Parse(new(commands), kong.Description("Runs experiments with agents and servers."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ternbeam-lab:", err)
 		os.Exit(1)
@@ -31,15 +31,15 @@
 }
 
 type rolloutCommand struct {
-	Servers int           `default:"8" help:"Servers."`
-	Rate    float64       `default:"600" help:"Calls a second."`
-	Every   time.Duration `default:"1s" help:"A server is replaced."`
+	Servers int           `default:"8" help:"Number of servers."`
+	Rate    float64       `default:"600" help:"Calls per second."`
+	Every   time.Duration `default:"1s" help:"Interval between replacements of servers."`
 	Seed    uint64        `default:"1"`
 }
 
-// Run compares.
+// Run measures rollouts between pairs of protocols and prints a table.
 func (c *rolloutCommand) Run() error {
-	plain := rollout.Settings{Servers: c.Servers, Rate: c.Rate, Every: c.Every, Hang: 4 * time.Second, Service: 30 * time.Millisecond, Seed: c.Seed}
+	base := rollout.Settings{Servers: c.Servers, Rate: c.Rate, Every: c.Every, Hang: 4 * time.Second, Service: 30 * time.Millisecond, Seed: c.Seed}
 	var sets []rollout.Settings
 	for _, v := range []struct {
 		name             string
@@ -50,7 +50,7 @@
 		{"binary to compact", "thrift-binary", "thrift-binary", "thrift-compact", false, false},
 		{"HTTP, list stale on the way back", "http", "http", "http", false, true},
 		{"binary to compact, list stale", "thrift-binary", "thrift-binary", "thrift-compact", false, true}} {
-		s := plain
+		s := base
 		s.Name, s.Client, s.Old, s.New, s.Plain, s.Stale = v.name, v.client, v.old, v.new, v.plain, v.stale
 		sets = append(sets, s)
 	}
@@ -66,21 +66,21 @@
 }
 
 type crowdCommand struct {
-	Agents  []int         `default:"60,300,500" help:"So many agents, one fleet after the other."`
-	Servers int           `default:"100" help:"Servers."`
-	Rate    float64       `default:"900" help:"Calls a second of all agents."`
-	Use     float64       `default:"0.45" help:"Of the servers, if all are well."`
-	Unequal float64       `help:"Spread of the agents' parts of the calls: the standard deviation of their logarithms."`
-	Reports bool          `help:"Servers state their load."`
-	Unknown bool          `help:"The agents know no place."`
-	Silent  float64       `default:"0.2" help:"Share of the servers that falls silent."`
-	Warm    time.Duration `default:"28s" help:"Before."`
-	For     time.Duration `default:"20s" help:"For so long."`
-	After   time.Duration `default:"10s" help:"After it."`
+	Agents  []int         `default:"60,300,500" help:"Numbers of agents, each measured in turn."`
+	Servers int           `default:"100" help:"Number of servers."`
+	Rate    float64       `default:"900" help:"Calls per second, all agents together."`
+	Use     float64       `default:"0.45" help:"Utilization of the servers while all are healthy."`
+	Unequal float64       `help:"Inequality of the agents' shares of the calls: the standard deviation of the shares' logarithms."`
+	Reports bool          `help:"Servers report their load."`
+	Unknown bool          `help:"Agents do not know their rank among all agents."`
+	Silent  float64       `default:"0.2" help:"Share of the servers that stop answering."`
+	Warm    time.Duration `default:"28s" help:"Time before they stop answering."`
+	For     time.Duration `default:"20s" help:"How long they do not answer."`
+	After   time.Duration `default:"10s" help:"Time measured after they answer again."`
 	Seed    uint64        `default:"1"`
 }
 
-// Run measures.
+// Run measures fleets of each size and prints their figures.
 func (c *crowdCommand) Run() error {
 	for _, agents := range c.Agents {
 		f := crowd.Fleet{Agents: agents, Servers: c.Servers, Rate: c.Rate, Use: c.Use, Unequal: c.Unequal, Reports: c.Reports, Silent: c.Silent,
@@ -99,10 +99,10 @@
 
 type outageCommand struct {
 	Seeds int     `default:"20" help:"Seeds for each variant."`
-	Rate  float64 `default:"100" help:"Calls a second."`
+	Rate  float64 `default:"100" help:"Calls per second."`
 }
 
-// Run compares.
+// Run compares outages with and without SRV records and prints a table.
 func (c *outageCommand) Run() error {
 	rows, err := outage.Compare(c.Rate, c.Seeds)
 	if err != nil {
@@ -113,18 +113,18 @@
 
 type restartCommand struct {
 	Seeds int    `default:"30" help:"Seeds for each variant."`
-	Wrong int    `default:"300" help:"Files that say what is not so."`
-	Plots string `help:"Write a plot for each traffic into this folder." placeholder:"FOLDER"`
+	Wrong int    `default:"300" help:"Seeds for the comparison with wrong stored state."`
+	Plots string `help:"Write a plot for each rate of calls into this folder." placeholder:"FOLDER"`
 }
 
-// Run compares.
+// Run compares ways to restart at several rates of calls and prints a table for each.
 func (c *restartCommand) Run() error {
 	for _, traffic := range []struct {
 		name    string
 		rate    float64
 		reports bool
 	}{{"quiet", 20, true}, {"steady", 100, true}, {"busy", 400, true}, {"unreported", 20, false}} {
-		fmt.Printf("%s: %v calls a second, reports %t\n", traffic.name, traffic.rate, traffic.reports)
+		fmt.Printf("%s: %v calls per second, load reports %t\n", traffic.name, traffic.rate, traffic.reports)
 		rows, err := restart.Compare(traffic.rate, traffic.reports, restart.Variants, c.Seeds)
 		if err != nil {
 			return err
@@ -139,7 +139,7 @@
 		}
 		if c.Plots != "" {
 			name := filepath.Join(c.Plots, "restart-"+traffic.name+".svg")
-			if err := restart.Plot(restart.Panel{Title: fmt.Sprintf("%v calls a second, 12 servers: 2 slow, 1 silent", traffic.rate), Rows: rows}, name); err != nil {
+			if err := restart.Plot(restart.Panel{Title: fmt.Sprintf("%v calls per second, 12 servers: 2 slow, 1 silent", traffic.rate), Rows: rows}, name); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -1,5 +1,6 @@
-// Package crowd measures in virtual time how the choices of many agents add up at the servers: how even their calls are, and what
-// servers get that have fallen silent. The agents know nothing of one another but their number and places.
+// Package crowd measures, in virtual time, the combined load that many agents put on the servers: how evenly their calls are
+// distributed, and how many attempts unresponsive servers receive. All that agents know of one another is how many there are and
+// their own rank among them.
 package crowd
 
 import (
@@ -16,47 +17,47 @@
 	"ternbeam/internal/lab/spread"
 )
 
-// Fleet is what is measured.
+// Fleet configures a measurement.
 type Fleet struct {
 	Agents, Servers int
-	Rate            float64       // calls a second of all agents
-	Unequal         float64       // spread of their parts: the standard deviation of their logarithms
-	Use             float64       // of the servers by these calls, if all are well
-	Keyed           float64       // share of the calls that have a key
-	Reports         bool          // answers say the server's load
-	Silent          float64       // so many of the servers, as a share, answer nothing
-	Warm            time.Duration // before they do
-	For             time.Duration // for so long
-	After           time.Duration // and then go on for so long
+	Rate            float64       // calls per second, all agents together
+	Unequal         float64       // inequality of the agents' shares of the calls: standard deviation of the shares' logarithms
+	Use             float64       // utilization of the servers by these calls while all are healthy
+	Keyed           float64       // share of the calls that are of the keyed class
+	Reports         bool          // answers report the server's load
+	Silent          float64       // share of the servers that stop answering
+	Warm            time.Duration // time before they stop answering
+	For             time.Duration // how long they do not answer
+	After           time.Duration // time measured after they answer again
 	Seed            uint64
-	Place           func(agent int) (me, agents int) // what agents believe; nil for the truth
+	Place           func(agent int) (me, agents int) // rank and number of agents that an agent believes; nil for the true ones
 }
 
-// Result is what became of it. Shares of calls are of those that came in the span.
+// Result holds the figures of a measurement.
 type Result struct {
-	spread.Spread           // of calls at servers, while all were well
-	Silent          []int   // attempts at silent servers, by the second
-	Back            []int   // and at the same ones after it, by the second
-	Trials          float64 // at a silent server in a second, from the fifth second on
-	Calls           int     // from the first silence on
-	Refused, Failed int
-	P50, P99        time.Duration // to an answer, all the time
+	spread.Spread                 // of the calls at servers, while all were healthy
+	Silent          []int         // attempts at silent servers, by second
+	Back            []int         // attempts at the same servers after they answer again, by second
+	Trials          float64       // attempts per second at each silent server, after the first 5 s
+	Calls           int           // calls since servers stopped answering
+	Refused, Failed int           // of these calls
+	P50, P99        time.Duration // time to the answer of served calls, both before and after servers stop answering
 }
 
 const (
 	service = 50 * time.Millisecond // mean work of a call
-	cores   = 1                     // of a server
-	settle  = 3 * time.Second       // not measured at first
+	cores   = 1                     // cores of a server
+	settle  = 3 * time.Second       // initial time that is not measured
 )
 
-// Measure plays a fleet.
+// Measure simulates a fleet. It returns an error if a figure of f is out of range.
 func Measure(f Fleet) (Result, error) {
 	if f.Agents < 1 || f.Servers < 1 || !(f.Rate > 0) || !(f.Use > 0) || f.Warm <= settle || f.For < 0 || f.After < 0 || f.Silent < 0 || f.Silent > 1 || f.Keyed < 0 || f.Keyed > 1 {
-		return Result{}, errors.New("a fleet needs agents, servers, a rate and a use above 0, shares from 0 to 1, and a time before the silence above 3 s")
+		return Result{}, errors.New("a fleet needs agents, servers, a rate and a utilization above 0, shares from 0 to 1, and more than 3 s before servers fall silent")
 	}
 	speed := f.Rate / float64(f.Servers) / f.Use * service.Seconds() / cores
-	class := func(name string, effect choice.Effect, worth float64) choice.Class {
-		return choice.Class{Name: name, Effect: effect, Window: 2 * time.Second, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: worth}
+	class := func(name string, effect choice.Effect, value float64) choice.Class {
+		return choice.Class{Name: name, Effect: effect, Window: 2 * time.Second, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: value}
 	}
 	cfg := sim.Config{Agents: f.Agents, Rate: f.Rate, Reports: f.Reports, Seed: f.Seed, Network: time.Millisecond, Place: f.Place,
 		Mix: []float64{1 - f.Keyed, f.Keyed}, Work: []time.Duration{service, service},
@@ -69,43 +70,43 @@
 	for i := range f.Servers {
 		cfg.Servers = append(cfg.Servers, sim.Server{ID: fmt.Sprint("forms-", i), Cores: cores, Speed: speed})
 	}
-	bad := map[string]bool{}
+	silenced := map[string]bool{}
 	for _, i := range rng.Perm(f.Servers)[:int(f.Silent*float64(f.Servers))] {
-		bad[cfg.Servers[i].ID] = true
+		silenced[cfg.Servers[i].ID] = true
 	}
-	falls, mends := sim.Base+f.Warm, sim.Base+f.Warm+f.For
-	end := mends + f.After
+	silentFrom, silentUntil := sim.Base+f.Warm, sim.Base+f.Warm+f.For
+	end := silentUntil + f.After
 	calls := map[string]int{}
 	r := Result{Silent: make([]int, seconds(f.For)), Back: make([]int, seconds(f.After))}
 	cfg.Got = func(at time.Duration, _ int, server string) {
 		switch {
-		case at >= sim.Base+settle && at < falls:
+		case at >= sim.Base+settle && at < silentFrom:
 			calls[server]++
-		case bad[server] && at >= falls && at < mends:
-			r.Silent[int((at-falls)/time.Second)]++
-		case bad[server] && at >= mends && at < end:
-			r.Back[int((at-mends)/time.Second)]++
+		case silenced[server] && at >= silentFrom && at < silentUntil:
+			r.Silent[int((at-silentFrom)/time.Second)]++
+		case silenced[server] && at >= silentUntil && at < end:
+			r.Back[int((at-silentUntil)/time.Second)]++
 		}
 	}
 	w, err := sim.New(cfg)
 	if err != nil {
 		return r, err
 	}
-	mute := func(silent bool) {
-		for id := range bad {
+	setSilent := func(silent bool) {
+		for id := range silenced {
 			w.Mute(id, silent)
 		}
 	}
-	w.At(falls, func() { mute(true) })
-	w.At(mends, func() { mute(false) })
+	w.At(silentFrom, func() { setSilent(true) })
+	w.At(silentUntil, func() { setSilent(false) })
 	w.RunUntil(end + 3*time.Second)
 	r.Spread = spread.Of(f.Servers, calls)
-	var took []time.Duration
+	var latencies []time.Duration
 	for _, c := range w.Calls() {
 		if c.At >= end {
 			break
 		}
-		if c.At >= falls {
+		if c.At >= silentFrom {
 			r.Calls++
 			switch c.Kind {
 			case ledger.Refused:
@@ -115,20 +116,22 @@
 			}
 		}
 		if c.At >= sim.Base+settle && c.Kind == ledger.Served {
-			took = append(took, c.Answered-c.At)
+			latencies = append(latencies, c.Answered-c.At)
 		}
 	}
-	if len(took) > 0 {
-		slices.Sort(took)
-		r.P50, r.P99 = took[len(took)/2], took[len(took)*99/100]
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		r.P50, r.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 	}
-	r.Trials = spread.Tried(r.Silent, len(bad))
+	r.Trials = spread.Tried(r.Silent, len(silenced))
 	return r, nil
 }
 
+// seconds returns a duration in seconds, rounded up.
 func seconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
 
+// String returns the figures as text for people.
 func (r Result) String() string {
-	return fmt.Sprintf("calls at a server %.0f, largest %.2f of it, variation %.3f, by chance %.3f; answers after %v, 99 in 100 %v\nsilent %v, %.2f a second at each; back %v; of %d calls %d refused, %d failed",
+	return fmt.Sprintf("calls per server %.0f, largest/mean %.2f, variation %.3f, by chance %.3f; latency p50 %v, p99 %v\nattempts at silent servers by second %v, %.2f per second at each; after they answer again %v; of %d calls %d refused, %d failed",
 		r.Mean, r.Largest/r.Mean, r.Variation, r.Chance, r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond), r.Silent, r.Trials, r.Back, r.Calls, r.Refused, r.Failed)
 }
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// fleet is 60 agents before 30 servers, which are half busy.
-func fleet() Fleet {
+// testFleet returns 60 agents and 30 servers at 45 % utilization.
+func testFleet() Fleet {
 	return Fleet{Agents: 60, Servers: 30, Rate: 300, Use: 0.45, Warm: 15 * time.Second, Seed: 1}
 }
 
-// Servers that stay silent are met by each agent once or so and then tried at a pace that does not depend on how many agents there are;
-// when they answer again they have their calls again.
+// Servers that stay silent receive about one attempt from each agent, and then attempts at a rate that does not depend on the number
+// of agents. When they answer again, they receive their share of the calls again.
 func TestSilentServersAreTriedInTurns(t *testing.T) {
 	for _, agents := range []int{20, 60, 240} {
-		f := fleet()
+		f := testFleet()
 		f.Agents, f.Reports, f.Silent, f.For, f.After = agents, true, 0.2, 20*time.Second, 10*time.Second
 		r, err := Measure(f)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%d agents: %v", agents, r)
-		if late := r.Silent[len(r.Silent)-5:]; sum(late) > 6*5*7/2 { // turns make 1.7 a second, and some agents still meet them first
-			t.Errorf("%d agents: 6 silent servers get %v in the last seconds", agents, late)
+		if late := r.Silent[len(r.Silent)-5:]; sum(late) > 6*5*7/2 { // taking turns makes 1.7 attempts per second; some agents still try them for the first time
+			t.Errorf("%d agents: 6 silent servers receive %v attempts in the last 5 seconds", agents, late)
 		}
 		if r.Calls < 8000 || r.Refused+r.Failed > r.Calls/20 {
-			t.Errorf("%d agents: of %d calls %d are refused and %d failed", agents, r.Calls, r.Refused, r.Failed)
+			t.Errorf("%d agents: of %d calls, %d refused and %d failed", agents, r.Calls, r.Refused, r.Failed)
 		}
-		if back := sum(r.Back[5:]); back < 60*5*7/10 || back > 60*5*13/10 { // 60 a second is their part
-			t.Errorf("%d agents: servers that answer again get %v", agents, r.Back)
+		if back := sum(r.Back[5:]); back < 60*5*7/10 || back > 60*5*13/10 { // their share is 60 per second
+			t.Errorf("%d agents: servers that answer again receive %v calls by second", agents, r.Back)
 		}
 	}
 }
 
-// What servers get without saying their load is nearly as even as single calls by chance would be, and evener than from agents that
-// know no place.
+// Without load reports, calls are distributed nearly as evenly as if each call picked a server at random, and more evenly than by
+// agents that do not know their rank.
 func TestCallsAreEven(t *testing.T) {
-	f := fleet()
+	f := testFleet()
 	r, err := Measure(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Place = func(int) (me, agents int) { return -1, f.Agents }
-	chance, err := Measure(f)
+	unranked, err := Measure(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%v\nby chance: %v", r, chance)
-	if r.Variation > 1.6*r.Chance || chance.Variation < 1.2*r.Variation {
-		t.Errorf("calls vary by %.3f, without places by %.3f, single calls by %.3f", r.Variation, chance.Variation, r.Chance)
+	t.Logf("%v\nwithout ranks: %v", r, unranked)
+	if r.Variation > 1.6*r.Chance || unranked.Variation < 1.2*r.Variation {
+		t.Errorf("variation of the calls is %.3f, without ranks %.3f, of random picks %.3f", r.Variation, unranked.Variation, r.Chance)
 	}
-	if again, _ := Measure(f); !reflect.DeepEqual(again, chance) {
-		t.Error("two plays of one seed differ")
+	if again, _ := Measure(f); !reflect.DeepEqual(again, unranked) {
+		t.Error("two runs with the same seed differ")
 	}
 }
 
 func TestFleetsThatCantBe(t *testing.T) {
 	for _, f := range []Fleet{{}, {Agents: 1, Servers: 1, Rate: 1, Use: 1}, {Agents: 1, Servers: 1, Rate: 1, Use: 1, Warm: time.Minute, Silent: 2}} {
 		if _, err := Measure(f); err == nil {
-			t.Errorf("%+v is measured", f)
+			t.Errorf("no error for %+v", f)
 		}
 	}
 }
--- a/internal/lab/outage/outage.go
+++ b/internal/lab/outage/outage.go
@@ -1,5 +1,5 @@
-// Package outage measures what an agent loses while its list is out of reach and the fleet behind it is replaced, with SRV
-// records as a further source and without, in virtual time.
+// Package outage measures, in virtual time, how much value an agent loses while its list service is unreachable and all
+// servers are replaced, with and without SRV records as a second source.
 package outage
 
 import (
@@ -14,14 +14,15 @@
 )
 
 const (
-	warm   = 10 * time.Second
-	down   = 60 * time.Second // of the list
-	every  = 4 * time.Second  // a server is replaced
-	expiry = 5 * time.Second  // lifetime of the records: the agent sees them so late at most
-	grace  = 6 * time.Second  // the old server goes so long after the records name the new one
+	warm   = 10 * time.Second // before the list service fails
+	down   = 60 * time.Second // duration of the list service's outage
+	every  = 4 * time.Second  // interval between replacements of servers
+	expiry = 5 * time.Second  // TTL of the records: the agent sees changes at most this late
+	grace  = 6 * time.Second  // time from the records naming a new server to the end of the old one
 )
 
-// Lost plays a day and returns the share of the worth lost while the list is down.
+// LostShare simulates one outage and returns the share of the value that is lost while the list service is down. records says
+// whether the agent has the SRV records too.
 func Lost(rate float64, records bool, seed uint64) (float64, error) {
 	cfg := restart.World(rate, true, seed)
 	cfg.Told = true
@@ -32,38 +33,38 @@
 	if err != nil {
 		return 0, err
 	}
-	set := membership.Defaults
-	set.Sources = []membership.Source{{Name: "list", Hold: 30 * time.Second, Absent: true, Guard: records}}
+	settings := membership.Defaults
+	settings.Sources = []membership.Source{{Name: "list", Hold: 30 * time.Second, Absent: true, Guard: records}}
 	if records {
-		set.Sources = append(set.Sources, membership.Source{Name: "srv", Hold: 5 * time.Minute, Absent: true, Guard: true})
+		settings.Sources = append(settings.Sources, membership.Source{Name: "srv", Hold: 5 * time.Minute, Absent: true, Guard: true})
 	}
-	all := membership.New(set)
-	tell := func(changes []ledger.Entry) { w.Tell(append([]ledger.Entry(nil), changes...)) }
-	current := make([]string, len(cfg.Servers)) // the servers that there are, by place
+	members := membership.New(settings)
+	update := func(changes []ledger.Entry) { w.Tell(append([]ledger.Entry(nil), changes...)) }
+	current := make([]string, len(cfg.Servers)) // ids of the running servers, by position
 	var listed []membership.Claim
 	for i, s := range cfg.Servers {
 		current[i] = s.ID
 		listed = append(listed, membership.Claim{Key: s.ID, ID: s.ID, Addrs: []string{s.ID}, Weight: 1, Details: true})
 	}
-	tell(all.Report(w.Now(), membership.Report{Full: true, Version: 1, Claims: listed}))
-	ask := func() {
+	update(members.Report(w.Now(), membership.Report{Full: true, Version: 1, Claims: listed}))
+	queryRecords := func() {
 		var named []membership.Claim
 		for _, id := range current {
 			named = append(named, membership.Claim{Key: id, Addrs: []string{id}, Weight: 1})
 		}
-		tell(all.Report(w.Now(), membership.Report{Source: 1, Full: true, Claims: named, Until: w.Now() + expiry}))
+		update(members.Report(w.Now(), membership.Report{Source: 1, Full: true, Claims: named, Until: w.Now() + expiry}))
 	}
 	begin, end := sim.Base+warm, sim.Base+warm+down
 	if records {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		for at := sim.Base; at < end; at += time.Duration((0.75 + rng.Float64()/4) * float64(expiry)) {
-			w.At(at, ask)
+			w.At(at, queryRecords)
 		}
 	}
 	for at := sim.Base; at < end; at += time.Second {
-		w.At(at, func() { tell(all.Tick(w.Now())) })
+		w.At(at, func() { update(members.Tick(w.Now())) })
 	}
-	w.At(begin, func() { tell(all.Lost(w.Now(), 0)) })
+	w.At(begin, func() { update(members.Lost(w.Now(), 0)) })
 	for i := range current {
 		w.At(begin+time.Duration(i+1)*every, func() {
 			old, fresh := current[i], fmt.Sprintf("fresh-%02d", i)
@@ -76,7 +77,7 @@
 	return w.Lost(begin, end), nil
 }
 
-// Compare plays seeds with the records and without.
+// Compare simulates outages with seeds from 1 to seeds, with and without the records, and returns a row for each variant.
 func Compare(rate float64, seeds int) ([]restart.Row, error) {
 	var rows []restart.Row
 	for _, v := range []struct {
--- a/internal/lab/restart/plot.go
+++ b/internal/lab/restart/plot.go
@@ -8,24 +8,24 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Panel is a set of rows under a title.
+// Panel is a titled set of rows that Plot draws in one diagram.
 type Panel struct {
 	Title string
 	Rows  []Row
 }
 
-// points are the means of rows with their intervals.
+// points adapts rows to plotter.XYer and plotter.YErrorer: their means with confidence intervals, in percent.
 type points []Row
 
 func (p points) Len() int                         { return len(p) }
 func (p points) XY(i int) (x, y float64)          { return float64(i), 100 * p[i].Mean }
 func (p points) YError(i int) (low, high float64) { return 100 * p[i].Interval, 100 * p[i].Interval }
 
-// Plot draws a panel: each seed a dot, means with their intervals.
+// Plot draws a panel into a file: the loss of each seed as a dot, and the means with their confidence intervals.
 func Plot(panel Panel, file string) error {
 	p := plot.New()
 	p.Title.Text = panel.Title
-	p.Y.Label.Text = "worth lost in the 10 s after the restart, %"
+	p.Y.Label.Text = "value lost in the 10 s after the restart, %"
 	p.Y.Min = 0
 	var names []string
 	var dots plotter.XYs
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -1,4 +1,5 @@
-// Package restart measures what an agent loses after a restart, with what it remembers and without, in virtual time.
+// Package restart measures, in virtual time, how much value an agent loses after a restart, with and without its stored learned
+// state.
 package restart
 
 import (
@@ -20,7 +21,7 @@
 	"ternbeam/internal/lab/sim"
 )
 
-// World is that of the experiment: twelve servers of which two are slow and one is silent.
+// WorldConfig returns the configuration of the experiment: twelve servers, of which two are slow and one is silent.
 func World(rate float64, reports bool, seed uint64) sim.Config {
 	cfg := sim.Config{Rate: rate, Reports: reports, Seed: seed, Network: time.Millisecond, Mix: []float64{0.6, 0.3, 0.1},
 		Work: []time.Duration{20 * time.Millisecond, 30 * time.Millisecond, 40 * time.Millisecond},
@@ -42,76 +43,79 @@
 }
 
 const (
-	warm     = 30 * time.Second // of the first agent
-	measured = 10 * time.Second // of the next one
-	drained  = time.Second      // till all calls of that time have ended
+	warm     = 30 * time.Second // run time of the first agent
+	measured = 10 * time.Second // measured time of its successor
+	drained  = time.Second      // after it, until all its calls have ended
 )
 
-// Variant is a way to restart: what the next agent is given of what the first one knew.
+// Variant is a way to restart: what of the first agent's learned state its successor starts with.
 type Variant struct {
 	Name string
-	Past func(kept learned.State, seed uint64) *aging.Past // nil for nothing
-	Stay bool                                              // there is no restart
+	Past func(stored learned.State, seed uint64) *aging.Past // nil to start without
+	Stay bool                                                // no restart
 }
 
-// aged is what was kept so long ago.
-func aged(age time.Duration) func(learned.State, uint64) *aging.Past {
-	return func(kept learned.State, _ uint64) *aging.Past { return aging.New(aging.Defaults, older(kept, age)) }
+// storedFor returns a Variant.Restore for which the state was stored the given time ago.
+func storedFor(age time.Duration) func(learned.State, uint64) *aging.Past {
+	return func(stored learned.State, _ uint64) *aging.Past {
+		return aging.New(aging.Defaults, makeOlder(stored, age))
+	}
 }
 
-// older is a State as it would be had it been kept so much earlier.
-func older(kept learned.State, by time.Duration) learned.State {
-	old := func(c learned.Clock) learned.Clock { c.Wall -= by; c.Boot -= by; return c }
-	kept.Shared.At = old(kept.Shared.At)
-	for i := range kept.Buckets {
-		kept.Buckets[i].At = old(kept.Buckets[i].At)
+// makeOlder returns a State as if it had been stored earlier by the given time.
+func makeOlder(stored learned.State, by time.Duration) learned.State {
+	earlier := func(c learned.Clock) learned.Clock { c.Wall -= by; c.Boot -= by; return c }
+	stored.Shared.At = earlier(stored.Shared.At)
+	for i := range stored.Buckets {
+		stored.Buckets[i].At = earlier(stored.Buckets[i].At)
 	}
-	return kept
+	return stored
 }
 
-// Variants are those that are compared.
+// Variants lists the variants that are compared.
 var Variants = []Variant{
 	{Name: "no restart", Stay: true},
-	{Name: "file of 2 s", Past: aged(2 * time.Second)},
-	{Name: "file of 1 min", Past: aged(time.Minute)},
-	{Name: "file of 1 h", Past: aged(time.Hour)},
-	{Name: "file of 1 day", Past: aged(24 * time.Hour)},
+	{Name: "file of 2 s", Past: storedFor(2 * time.Second)},
+	{Name: "file of 1 min", Past: storedFor(time.Minute)},
+	{Name: "file of 1 h", Past: storedFor(time.Hour)},
+	{Name: "file of 1 day", Past: storedFor(24 * time.Hour)},
 	{Name: Without},
 }
 
-// Without is the name of the variant without a memory, with which others are compared.
+// WithoutState is the name of the variant without stored state, the baseline of Compare.
 const Without = "without"
 
-// Wrong is a file that says what is not so: figures drawn for each server and class, at an age of two minutes on average.
-func Wrong(kept learned.State, seed uint64) *aging.Past {
-	return aging.New(aging.Defaults, wrong(kept, seed))
+// WrongState is a Variant.Restore that replaces the stored figures of each server and class by random ones, with an age of two minutes on
+// average.
+func Wrong(stored learned.State, seed uint64) *aging.Past {
+	return aging.New(aging.Defaults, falsify(stored, seed))
 }
 
-func wrong(kept learned.State, seed uint64) learned.State {
+func falsify(stored learned.State, seed uint64) learned.State {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	share := func() float64 { return []float64{0, rng.Float64(), 1}[rng.IntN(3)] }
 	age := time.Duration(rng.ExpFloat64() * float64(2*time.Minute))
 	var buckets []learned.Bucket
-	for _, b := range kept.Buckets {
-		twin := learned.Bucket{At: b.At}
+	for _, b := range stored.Buckets {
+		falsified := learned.Bucket{At: b.At}
 		for _, s := range b.Servers {
 			s.Rate, s.Use, s.Trust = math.Exp2(rng.Float64()*30-10), share(), 1
 			s.Failing, s.Ejected, s.Trial = share(), rng.IntN(2) == 0, time.Duration(rng.Int64N(int64(time.Hour)))
-			twin.Servers = append(twin.Servers, s)
+			falsified.Servers = append(falsified.Servers, s)
 		}
-		buckets = append(buckets, twin)
+		buckets = append(buckets, falsified)
 	}
-	kept.Buckets = buckets
-	m := &kept.Shared.Memory
+	stored.Buckets = buckets
+	m := &stored.Shared.Memory
 	m.Served, m.Lost, m.ColdBad, m.ColdSeen = rng.Float64()*1e6, share(), share(), 20
 	for i := range m.Classes {
 		m.Classes[i].Usual = time.Duration(math.Exp2(rng.Float64() * 40))
 		m.Classes[i].Least = time.Duration(rng.Float64() * float64(m.Classes[i].Usual))
 	}
-	return older(kept, age)
+	return makeOlder(stored, age)
 }
 
-// Loss plays one variant and returns the share of the worth that was lost in the time after the restart.
+// Loss simulates one variant and returns the share of the value that is lost in the 10 s after the restart.
 func Loss(cfg sim.Config, v Variant) (float64, error) {
 	w, err := sim.New(cfg)
 	if err != nil {
@@ -131,53 +135,54 @@
 	return w.Lost(sim.Base+warm, sim.Base+warm+measured), nil
 }
 
-// Row is what a variant lost, over all seeds.
+// Row summarizes the losses of a variant over all seeds, as shares of the value.
 type Row struct {
 	Name     string
 	Losses   []float64 // by seed
 	Mean     float64
-	Interval float64 // half of the 95 % interval of the mean
-	Worst    float64
-	Against  float64 // mean of what is lost more than without a memory, seed by seed
-	Unsure   float64 // half of its interval
+	Interval float64 // half the width of the 95 % confidence interval of the mean
+	Worst    float64 // largest loss of a seed
+	Against  float64 // mean of the additional loss over the variant WithoutState, seed by seed
+	Unsure   float64 // half the width of its 95 % confidence interval
 }
 
-// interval is half of the 95 % interval of a mean, by Student's t.
-func interval(all []float64) float64 {
-	n := float64(len(all))
+// confidenceInterval returns half the width of the 95 % confidence interval of a mean, by Student's t-distribution.
+func confidenceInterval(samples []float64) float64 {
+	n := float64(len(samples))
 	if n < 2 {
 		return 0
 	}
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(all, nil) / math.Sqrt(n)
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975) * stat.StdDev(samples, nil) / math.Sqrt(n)
 }
 
-// NewRow sums up what a variant lost, by seed.
+// NewRow summarizes the losses of a variant, by seed.
 func NewRow(name string, losses []float64) Row {
-	r := Row{Name: name, Losses: losses, Mean: stat.Mean(losses, nil), Interval: interval(losses)}
+	r := Row{Name: name, Losses: losses, Mean: stat.Mean(losses, nil), Interval: confidenceInterval(losses)}
 	for _, x := range losses {
 		r.Worst = max(r.Worst, x)
 	}
 	return r
 }
 
-// Compare plays variants over seeds, on all cores. All variants of a seed meet the same calls and the same luck.
+// Compare simulates variants with seeds from 1 to seeds, on all cores. For each seed, all variants see the same calls and the same
+// random figures.
 func Compare(rate float64, reports bool, variants []Variant, seeds int) ([]Row, error) {
 	losses := make([][]float64, len(variants))
 	for i := range losses {
 		losses[i] = make([]float64, seeds)
 	}
 	var mu sync.Mutex
-	var failed error
+	var lastErr error
 	jobs := make(chan [2]int)
-	var work sync.WaitGroup
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		work.Go(func() {
+		workers.Go(func() {
 			for j := range jobs {
 				loss, err := Loss(World(rate, reports, uint64(j[1]+1)), variants[j[0]])
 				mu.Lock()
 				losses[j[0]][j[1]] = loss
 				if err != nil {
-					failed = err
+					lastErr = err
 				}
 				mu.Unlock()
 			}
@@ -189,30 +194,30 @@
 		}
 	}
 	close(jobs)
-	work.Wait()
+	workers.Wait()
 	var rows []Row
 	for i, v := range variants {
 		rows = append(rows, NewRow(v.Name, losses[i]))
 	}
-	for _, base := range rows {
-		if base.Name != Without {
+	for _, baseline := range rows {
+		if baseline.Name != Without {
 			continue
 		}
 		for i := range rows {
-			more := make([]float64, seeds)
-			for j := range more {
-				more[j] = rows[i].Losses[j] - base.Losses[j]
+			additional := make([]float64, seeds)
+			for j := range additional {
+				additional[j] = rows[i].Losses[j] - baseline.Losses[j]
 			}
-			rows[i].Against, rows[i].Unsure = stat.Mean(more, nil), interval(more)
+			rows[i].Against, rows[i].Unsure = stat.Mean(additional, nil), confidenceInterval(additional)
 		}
 	}
-	return rows, failed
+	return rows, lastErr
 }
 
-// Table words rows.
+// Table writes rows as a text table.
 func Table(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "variant\tworth lost, %\t95 % interval\tworst seed\tmore than without\t95 % interval\tseeds")
+	fmt.Fprintln(w, "variant\tvalue lost, %\t95 % interval\tworst seed\tmore than without\t95 % interval\tseeds")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%.2f\t± %.2f\t%.2f\t%+.2f\t± %.2f\t%d\n", r.Name, 100*r.Mean, 100*r.Interval, 100*r.Worst, 100*r.Against,
 			100*r.Unsure, len(r.Losses))
--- a/internal/lab/restart/restart_test.go
+++ b/internal/lab/restart/restart_test.go
@@ -7,8 +7,8 @@
 	"ternbeam/internal/decide/learned"
 )
 
-// A quiet agent that remembers loses much less after a restart than one that does not, and one that remembers what is not
-// so loses no more, within the noise. The long run is in docs/design/learning.md.
+// At a low rate, an agent with stored learned state loses much less after a restart than one without, and one whose stored state
+// is wrong loses no more than that, within the noise. The results of the long run are in docs/design/learning.md.
 func TestMemoryHelpsAndDoesNoHarm(t *testing.T) {
 	rows, err := Compare(20, true, []Variant{Variants[1], {Name: "wrong", Past: Wrong}, {Name: Without}}, 24)
 	if err != nil {
@@ -16,19 +16,19 @@
 	}
 	with, wrong, without := rows[0], rows[1], rows[2]
 	if without.Mean < 0.004 || with.Mean > without.Mean/3 {
-		t.Errorf("lost %v with a memory, %v without", with.Mean, without.Mean)
+		t.Errorf("lost share: %v with stored state, %v without", with.Mean, without.Mean)
 	}
 	if wrong.Against > wrong.Unsure {
-		t.Errorf("a wrong memory loses %v ± %v more", wrong.Against, wrong.Unsure)
+		t.Errorf("wrong stored state loses %v ± %v more than none", wrong.Against, wrong.Unsure)
 	}
 }
 
-// What was learned the wrong way round: a server that is silent now remembered as excellent, and the best ones as slow,
-// failing and out. What that may cost is bounded.
+// Stored state that is inverted: the silent server is stored as excellent, and the best ones as slow, failing and ejected. The
+// additional loss must stay within a bound.
 func TestMemoryTheWrongWayRound(t *testing.T) {
-	turned := func(kept learned.State, _ uint64) *aging.Past {
-		for i := range kept.Buckets {
-			b := &kept.Buckets[i]
+	inverted := func(stored learned.State, _ uint64) *aging.Past {
+		for i := range stored.Buckets {
+			b := &stored.Buckets[i]
 			known := map[string]bool{}
 			for _, s := range b.Servers {
 				known[s.ID] = true
@@ -40,22 +40,22 @@
 					s.Rate, s.Failing, s.Ejected = 1000, 0, false
 				}
 			}
-			if !known["forms-05"] { // its failures have worn off: it is remembered as excellent all the same
+			if !known["forms-05"] { // its failures are no longer stored; add it as excellent all the same
 				excellent := b.Servers[0]
 				excellent.ID, excellent.Rate, excellent.Failing, excellent.Ejected = "forms-05", 1000, 0, false
 				b.Servers = append(b.Servers, excellent)
 			}
 		}
-		return aging.New(aging.Defaults, kept)
+		return aging.New(aging.Defaults, stored)
 	}
 	for _, rate := range []float64{20, 400} {
-		rows, err := Compare(rate, true, []Variant{{Name: "turned", Past: turned}, {Name: Without}}, 16)
+		rows, err := Compare(rate, true, []Variant{{Name: "turned", Past: inverted}, {Name: Without}}, 16)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%v calls a second: %+.4f ± %.4f more than %.4f", rate, rows[0].Against, rows[0].Unsure, rows[1].Mean)
+		t.Logf("%v calls per second: loses %+.4f ± %.4f in addition to %.4f", rate, rows[0].Against, rows[0].Unsure, rows[1].Mean)
 		if rows[0].Against > 0.02 {
-			t.Errorf("%v calls a second: %v of the worth more is lost", rate, rows[0].Against)
+			t.Errorf("%v calls per second: share %v of the value is lost in addition", rate, rows[0].Against)
 		}
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -1,7 +1,7 @@
-// Package sim is agents and their servers in virtual time: another host of the same ledger and module that serve on
-// sockets. Nothing of them is approximated; the network and the servers are models. One seed gives one run, and what
-// happens to a call does not depend on what happened to others, so that two variants meet the same calls and the same luck.
-// What an agent can't know of the others it does not know here: they meet only at the servers.
+// Package sim simulates agents and their servers in virtual time. The agents run the same call tracker (package calltrack) and
+// balancer (package choice) as in production, without approximation; the network and the servers are models. Runs are
+// deterministic by seed. The random figures of a call do not depend on other calls, so that variants under comparison see the
+// same calls with the same random figures. Agents share no state: they influence each other only through the servers.
 package sim
 
 import (
@@ -22,96 +22,96 @@
 	"ternbeam/internal/decide/subset"
 )
 
-// Server is the model of a server: so many cores that take calls in their order.
+// Server configures the model of a server: a FIFO queue of calls, worked on by a number of cores.
 type Server struct {
 	ID     string
 	Cores  int
-	Speed  float64 // work done in a second of a core, in seconds
-	Silent bool    // it takes calls and answers none
-	dead   bool    // it refuses connections
+	Speed  float64 // seconds of work that a core does per second
+	Silent bool    // accepts calls, but never answers
+	dead   bool    // refuses connections
 }
 
-// Config is a world.
+// Config configures a World.
 type Config struct {
 	Module  choice.Settings
 	Servers []Server
-	Agents  int             // 1 where 0
-	Rate    float64         // calls a second, at all agents together
-	Shares  []float64       // the agents' parts of them; nil where all are equal
-	Mix     []float64       // their classes, by share
-	Work    []time.Duration // mean work of a call, by class; exponentially spread
-	Network time.Duration   // one way
-	Reports bool            // answers say the server's load
-	Told    bool            // the agent knows of no server but those that Tell names
+	Agents  int             // 0 means 1
+	Rate    float64         // calls per second, all agents together
+	Shares  []float64       // relative share of the calls of each agent; nil for equal shares
+	Mix     []float64       // share of the calls of each class
+	Work    []time.Duration // mean work of a call, by class; exponentially distributed
+	Network time.Duration   // one-way latency
+	Reports bool            // answers report the server's load
+	Told    bool            // agents start without servers and know only those passed to UpdateList
 	Seed    uint64
 
-	// Place says what an agent believes of its place among all. nil where each knows.
+	// BelievedRank returns the rank of an agent among all agents and their number, as the agent believes. nil for the true values.
 	Place func(agent int) (me, agents int)
-	// Got is told of each attempt that reaches a server. nil for nobody.
+	// OnAttempt, if not nil, is called for each attempt that reaches a server.
 	Got func(at time.Duration, agent int, server string)
 }
 
-// Base is the module's time at which a world begins.
+// StartTime is the time of the balancers' clock at which a World starts.
 const Base = 1000 * time.Hour
 
-// bootID is that of the machine that the agent runs on.
+// bootID is the boot id of the simulated machine that the agents run on.
 const bootID = "00000000-0000-4000-8000-000000000001"
 
-// World is a world under way.
+// World is a running simulation. It is not safe for concurrent use.
 type World struct {
-	cfg     Config
-	now     time.Duration
-	events  events
-	count   uint64 // events so far, which orders those of one moment
-	servers map[string]*server
-	arrive  *rand.Rand
-	asked   int
-	sums    []float64 // of the shares
+	cfg              Config
+	now              time.Duration
+	events           events
+	eventCount       uint64 // events so far; orders events of the same time
+	servers          map[string]*server
+	arrivals         *rand.Rand
+	callCount        int
+	cumulativeShares []float64 // prefix sums of the agents' shares
 
 	agents []*agent
 	calls  []*Call // in the order in which they arrived
 }
 
-// agent is one life of the agent.
+// agent is one run of an agent process: a restarted agent is a new one.
 type agent struct {
-	number int
-	ledger *ledger.Ledger
-	over   bool
-	tries  map[*ledger.Attempt]*try
+	number   int
+	ledger   *ledger.Ledger
+	stopped  bool
+	attempts map[*ledger.Attempt]*attempt
 }
 
-// Call is what became of a call.
+// Call is a client's call and its result.
 type Call struct {
-	At       time.Duration
+	At       time.Duration // of arrival
 	Class    int
 	Kind     ledger.Kind
-	Answered time.Duration // 0 where its agent ended before
+	Answered time.Duration // 0 if its agent stopped before
 	Attempts int
 }
 
-type try struct {
-	at    *ledger.Attempt
-	ended bool
+type attempt struct {
+	tracked *ledger.Attempt
+	ended   bool
 }
 
 type server struct {
 	Server
-	busy  int
-	queue []*job
-	done  float64 // smoothed, a second
-	used  float64 // smoothed share of cores
-	since time.Duration
+	busy        int
+	queue       []*job
+	rate        float64 // completed calls per second, smoothed
+	utilization float64 // busy share of the cores, smoothed
+	averagedAt  time.Duration
 }
 
 type job struct {
 	work time.Duration
-	then func()
+	done func()
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
 type events []event
@@ -119,7 +119,7 @@
 func (e events) Len() int      { return len(e) }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e events) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].order, e[j].order)) < 0
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].seq, e[j].seq)) < 0
 }
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
@@ -128,18 +128,19 @@
 	return last
 }
 
-// New returns a world with agents that know nothing.
+// New returns a World whose agents start without learned state. It returns an error if the lengths in cfg do not match or the
+// rate is not above 0.
 func New(cfg Config) (*World, error) {
-	w := &World{cfg: cfg, now: Base, servers: map[string]*server{}, arrive: rand.New(rand.NewPCG(cfg.Seed, 1))}
+	w := &World{cfg: cfg, now: Base, servers: map[string]*server{}, arrivals: rand.New(rand.NewPCG(cfg.Seed, 1))}
 	if len(cfg.Mix) != len(cfg.Module.Classes) || len(cfg.Work) != len(cfg.Module.Classes) || !(cfg.Rate > 0) {
-		return nil, fmt.Errorf("a world needs a rate above 0, and a share and a mean work for each of its %d classes", len(cfg.Module.Classes))
+		return nil, fmt.Errorf("the simulation needs a rate above 0, and a share and a mean work for each of its %d classes", len(cfg.Module.Classes))
 	}
 	for _, s := range cfg.Servers {
-		w.servers[s.ID] = &server{Server: s, since: w.now}
+		w.servers[s.ID] = &server{Server: s, averagedAt: w.now}
 	}
 	w.cfg.Agents = max(1, cfg.Agents)
 	if len(cfg.Shares) != 0 && len(cfg.Shares) != w.cfg.Agents {
-		return nil, fmt.Errorf("a world of %d agents has shares for %d", w.cfg.Agents, len(cfg.Shares))
+		return nil, fmt.Errorf("%d agents configured, but shares for %d", w.cfg.Agents, len(cfg.Shares))
 	}
 	sum := 0.0
 	for i := range w.cfg.Agents {
@@ -148,94 +149,94 @@
 		} else {
 			sum++
 		}
-		w.sums = append(w.sums, sum)
+		w.cumulativeShares = append(w.cumulativeShares, sum)
 		w.agents = append(w.agents, nil)
-		if err := w.start(i, nil, 0); err != nil {
+		if err := w.startAgent(i, nil, 0); err != nil {
 			return nil, err
 		}
 	}
-	w.after(w.gap(), w.arrival)
+	w.schedule(w.interarrivalTime(), w.callArrives)
 	return w, nil
 }
 
-// Now is the time of the world.
+// Now returns the virtual time.
 func (w *World) Now() time.Duration { return w.now }
 
-// Calls are all calls so far.
+// Calls returns all calls so far, in order of arrival.
 func (w *World) Calls() []*Call { return w.calls }
 
-func (w *World) after(d time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.events, event{w.now + max(0, d), w.count, do})
+func (w *World) schedule(delay time.Duration, run func()) {
+	w.eventCount++
+	heap.Push(&w.events, event{w.now + max(0, delay), w.eventCount, run})
 }
 
-// RunUntil lets the world go on.
+// RunUntil processes all events up to the time end, inclusive, and sets the clock to it.
 func (w *World) RunUntil(end time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.now = end
 }
 
-// luck is a number from 0 to 1 that follows from what it is for.
-func (w *World) luck(call int, what string) float64 {
-	h := xxhash.Sum64String(fmt.Sprintf("%d/%d/%s", w.cfg.Seed, call, what))
+// random returns a number between 0 and 1 that depends only on the seed, the call and the purpose.
+func (w *World) random(call int, purpose string) float64 {
+	h := xxhash.Sum64String(fmt.Sprintf("%d/%d/%s", w.cfg.Seed, call, purpose))
 	return (float64(h>>11) + 0.5) / (1 << 53)
 }
 
-// gap is the time to the next arrival.
-func (w *World) gap() time.Duration {
-	return time.Duration(w.arrive.ExpFloat64() / w.cfg.Rate * float64(time.Second))
+// interarrivalTime draws the time to the next call, exponentially distributed.
+func (w *World) interarrivalTime() time.Duration {
+	return time.Duration(w.arrivals.ExpFloat64() / w.cfg.Rate * float64(time.Second))
 }
 
-func (w *World) class(x float64) int {
+func (w *World) classAt(quantile float64) int {
 	for i, share := range w.cfg.Mix {
-		if x -= share; x < 0 {
+		if quantile -= share; quantile < 0 {
 			return i
 		}
 	}
 	return len(w.cfg.Mix) - 1
 }
 
-func (w *World) arrival() {
-	w.after(w.gap(), w.arrival)
-	n := w.asked
-	w.asked++
-	class := w.class(w.luck(n, "class"))
-	at, _ := slices.BinarySearch(w.sums, w.luck(n, "agent")*w.sums[len(w.sums)-1])
-	agent := w.agents[at]
+func (w *World) callArrives() {
+	w.schedule(w.interarrivalTime(), w.callArrives)
+	number := w.callCount
+	w.callCount++
+	class := w.classAt(w.random(number, "class"))
+	index, _ := slices.BinarySearch(w.cumulativeShares, w.random(number, "agent")*w.cumulativeShares[len(w.cumulativeShares)-1])
+	agent := w.agents[index]
 	c := &Call{At: w.now, Class: class}
 	w.calls = append(w.calls, c)
-	call := &ledger.Call{Request: choice.Request{ID: fmt.Sprint(n), Class: class, Deadline: w.now + w.cfg.Module.Classes[class].Deadline,
-		Key: fmt.Sprint("k", n)}, Payload: &payload{n, c}}
+	call := &ledger.Call{Request: choice.Request{ID: fmt.Sprint(number), Class: class, Deadline: w.now + w.cfg.Module.Classes[class].Deadline,
+		Key: fmt.Sprint("k", number)}, Payload: &payload{number, c}}
 	call.Answer = func(a ledger.Answer) { c.Kind, c.Answered = a.Kind, w.now }
-	w.do(agent, agent.ledger.Arrived(w.now, call))
+	w.execute(agent, agent.ledger.Arrived(w.now, call))
 }
 
 type payload struct {
-	n    int
-	call *Call
+	number int
+	call   *Call
 }
 
-// start begins a life of an agent, with what an earlier one knew if that is not nil.
-func (w *World) start(number int, past *aging.Past, seed uint64) error {
+// startAgent starts an agent, with the learned state of an earlier one if past is not nil.
+func (w *World) startAgent(number int, past *aging.Past, seed uint64) error {
 	me, agents := number, w.cfg.Agents
 	if w.cfg.Place != nil {
 		me, agents = w.cfg.Place(number)
 	}
-	set, own := w.cfg.Module, w.cfg.Seed+seed+uint64(number)<<32
-	set.Balancers = agents
-	module, err := choice.New(set, own)
+	settings, agentSeed := w.cfg.Module, w.cfg.Seed+seed+uint64(number)<<32
+	settings.Balancers = agents
+	module, err := choice.New(settings, agentSeed)
 	if err != nil {
 		return err
 	}
-	a := &agent{number: number, tries: map[*ledger.Attempt]*try{}}
-	a.ledger = ledger.New(ledger.Settings{MaxAttempts: set.MaxAttempts,
-		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: own}), Carries: func(choice.Protocols) bool { return true }}, module)
+	a := &agent{number: number, attempts: map[*ledger.Attempt]*attempt{}}
+	a.ledger = ledger.New(ledger.Settings{MaxAttempts: settings.MaxAttempts,
+		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), Carries: func(choice.Protocols) bool { return true }}, module)
 	w.agents[number] = a
-	w.do(a, a.ledger.Start(w.now))
+	w.execute(a, a.ledger.Start(w.now))
 	var entries []ledger.Entry
 	for _, s := range w.cfg.Servers {
 		if w.cfg.Told {
@@ -246,68 +247,69 @@
 	if past != nil {
 		a.ledger.Remember(past)
 	}
-	w.do(a, a.ledger.List(w.now, true, entries))
+	w.execute(a, a.ledger.List(w.now, true, entries))
 	a.ledger.Recall(w.now, w.Clock())
 	return nil
 }
 
-// Add starts a server, which no agent knows by that.
-func (w *World) Add(s Server) { w.servers[s.ID] = &server{Server: s, since: w.now} }
+// AddServer starts a server. Agents do not know it until UpdateList is called with it.
+func (w *World) Add(s Server) { w.servers[s.ID] = &server{Server: s, averagedAt: w.now} }
 
-// Kill ends a server: it refuses connections, and what it has in hand is never answered.
+// KillServer stops a server: it refuses connections, and its open calls are never answered.
 func (w *World) Kill(id string) {
 	s := w.servers[id]
 	s.dead, s.Silent, s.queue = true, true, nil
 }
 
-// At lets something happen at a time.
-func (w *World) At(at time.Duration, do func()) { w.after(at-w.now, do) }
+// Schedule runs a function at a virtual time, or at once if that has passed.
+func (w *World) At(at time.Duration, run func()) { w.schedule(at-w.now, run) }
 
-// Mute has a server take calls and answer none, or answer again; what came meanwhile is never answered.
+// SetSilent makes a server accept calls without answering, or answer again. Calls received while it was silent are never
+// answered.
 func (w *World) Mute(id string, silent bool) { w.servers[id].Silent = silent }
 
-// Tell tells the agents of changes of the list. The address of a server is its id in this world.
+// UpdateList passes changes of the server list to the agents. The address of a server is its id here.
 func (w *World) Tell(changes []ledger.Entry) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, a := range w.agents {
-		w.do(a, a.ledger.List(w.now, false, changes))
+		w.execute(a, a.ledger.List(w.now, false, changes))
 	}
 }
 
-// Clock is that of the agent's machine.
+// Clock returns the clock readings of the simulated machine.
 func (w *World) Clock() learned.Clock { return learned.Clock{Wall: w.now, Boot: w.now, BootID: bootID} }
 
-// Kept is what the first agent would keep now.
+// Export returns the learned state that the first agent would persist now.
 func (w *World) Kept() learned.State {
 	var l ledger.Learned
 	w.agents[0].ledger.Export(w.now, &l, nil)
 	return learned.New(w.Clock(), "sim", l.Memory, l.Servers, l.Fleet, nil)
 }
 
-// Restart ends the first agent, whose calls in hand are lost, and begins the next one.
+// Restart stops the first agent, whose open calls are lost, and starts its successor, with learned state if past is not nil.
 func (w *World) Restart(past *aging.Past) error {
-	w.agents[0].over = true
-	return w.start(0, past, 1)
+	w.agents[0].stopped = true
+	return w.startAgent(0, past, 1)
 }
 
-// do carries out a ledger's orders.
-func (w *World) do(a *agent, orders []ledger.Order) {
-	for _, o := range slices.Clone(orders) { // what follows from one may order anew
+// execute carries out the commands of an agent's call tracker.
+func (w *World) execute(a *agent, commands []ledger.Order) {
+	for _, o := range slices.Clone(commands) { // carrying one out may lead to new commands
 		switch o.Kind {
 		case ledger.SetTimer:
 			token := o.Token
-			w.after(o.At-w.now, func() {
-				if !a.over {
-					w.do(a, a.ledger.Fired(w.now, token))
+			w.schedule(o.At-w.now, func() {
+				if !a.stopped {
+					w.execute(a, a.ledger.Fired(w.now, token))
 				}
 			})
 		case ledger.Begin:
-			w.begin(a, o.Attempt)
+			w.startAttempt(a, o.Attempt)
 		case ledger.Withdraw:
-			if t := a.tries[o.Attempt]; t != nil {
-				w.after(0, func() { w.end(a, t, ledger.Ended(choice.Cancelled)) })
+			if t := a.attempts[o.Attempt]; t != nil {
+				w.schedule(0, func() { w.endAttempt(a, t, ledger.Ended(choice.Cancelled)) })
 			}
 		case ledger.Reply:
 			o.Call.Answer(o.Answer)
@@ -315,22 +317,22 @@
 	}
 }
 
-func (w *World) begin(a *agent, at *ledger.Attempt) {
-	t := &try{at: at}
-	a.tries[at] = t
-	p := at.Payload.(*payload)
+func (w *World) startAttempt(a *agent, tracked *ledger.Attempt) {
+	t := &attempt{tracked: tracked}
+	a.attempts[tracked] = t
+	p := tracked.Payload.(*payload)
 	p.call.Attempts++
-	w.after(at.End-w.now, func() { w.end(a, t, ledger.Ended(choice.TimedOut)) })
-	s := w.servers[at.Server.Addr]
-	mean := float64(w.cfg.Work[at.Call.Class])
-	work := time.Duration(-math.Log(w.luck(p.n, "work"))*mean/s.Speed) + 1
-	w.after(w.cfg.Network, func() {
+	w.schedule(tracked.End-w.now, func() { w.endAttempt(a, t, ledger.Ended(choice.TimedOut)) })
+	s := w.servers[tracked.Server.Addr]
+	mean := float64(w.cfg.Work[tracked.Call.Class])
+	work := time.Duration(-math.Log(w.random(p.number, "work"))*mean/s.Speed) + 1
+	w.schedule(w.cfg.Network, func() {
 		if w.cfg.Got != nil {
-			w.cfg.Got(w.now, a.number, at.Server.Addr)
+			w.cfg.Got(w.now, a.number, tracked.Server.Addr)
 		}
 		switch {
 		case s == nil || s.dead:
-			w.after(w.cfg.Network, func() { w.end(a, t, ledger.Ended(choice.ConnectFailed)) })
+			w.schedule(w.cfg.Network, func() { w.endAttempt(a, t, ledger.Ended(choice.ConnectFailed)) })
 			return
 		case s.Silent:
 			return
@@ -340,34 +342,34 @@
 			if w.cfg.Reports {
 				e.Report = s.report(w.now)
 			}
-			w.after(w.cfg.Network, func() { w.end(a, t, e) })
+			w.schedule(w.cfg.Network, func() { w.endAttempt(a, t, e) })
 		}})
 	})
 }
 
-func (w *World) end(a *agent, t *try, e ledger.Ending) {
-	if t.ended || a.over {
+func (w *World) endAttempt(a *agent, t *attempt, e ledger.Ending) {
+	if t.ended || a.stopped {
 		return
 	}
 	t.ended = true
-	delete(a.tries, t.at)
-	w.do(a, a.ledger.Ended(w.now, t.at, e))
+	delete(a.attempts, t.tracked)
+	w.execute(a, a.ledger.Ended(w.now, t.tracked, e))
 }
 
-// serve has a server work on a job, or queue it. What was given up is worked on all the same, as servers do.
+// serve makes a server work on a job, or queue it. Calls that the agent canceled are worked on all the same, as real servers do.
 func (w *World) serve(s *server, j *job) {
-	s.pass(w.now)
+	s.updateAverages(w.now)
 	if s.busy >= s.Cores {
 		s.queue = append(s.queue, j)
 		return
 	}
 	s.busy++
-	w.after(j.work, func() {
-		s.pass(w.now)
+	w.schedule(j.work, func() {
+		s.updateAverages(w.now)
 		s.busy--
-		s.done += 1 / horizon.Seconds()
+		s.rate += 1 / horizon.Seconds()
 		if !s.dead {
-			j.then()
+			j.done()
 		}
 		if len(s.queue) > 0 && s.busy < s.Cores {
 			next := s.queue[0]
@@ -377,42 +379,43 @@
 	})
 }
 
-// horizon is over what time servers average what they report.
+// reportHorizon is the time constant of the averages that servers report.
 const horizon = time.Second
 
-// pass lets time pass for a server's averages.
-func (s *server) pass(now time.Duration) {
-	keep := math.Exp(-float64(now-s.since) / float64(horizon))
-	s.done *= keep
-	s.used = s.used*keep + (1-keep)*float64(s.busy)/float64(s.Cores)
-	s.since = now
+// updateAverages decays the server's averages up to now.
+func (s *server) updateAverages(now time.Duration) {
+	keep := math.Exp(-float64(now-s.averagedAt) / float64(horizon))
+	s.rate *= keep
+	s.utilization = s.utilization*keep + (1-keep)*float64(s.busy)/float64(s.Cores)
+	s.averagedAt = now
 }
 
 func (s *server) report(now time.Duration) choice.Report {
-	s.pass(now)
+	s.updateAverages(now)
 	r := choice.NoReport
-	r.Util, r.Rate = s.used, s.done
+	r.Util, r.Rate = s.utilization, s.rate
 	return r
 }
 
-// Lost is the share of the worth that calls which came within a time did not earn. An answer within the aim earns all, one
-// at the deadline nothing, one between them its part; all else earns nothing.
+// LostShare returns the share of the value of the calls that arrived from from until to (exclusive) that was lost. A call that
+// is served within its class's aim earns its full value, one served at the deadline nothing, with a linear decrease between;
+// all other calls earn nothing.
 func (w *World) Lost(from, to time.Duration) float64 {
-	most, lost := 0.0, 0.0
+	total, lost := 0.0, 0.0
 	for _, c := range w.calls {
 		if c.At < from || c.At >= to {
 			continue
 		}
 		class := w.cfg.Module.Classes[c.Class]
-		most += class.Worth
+		total += class.Worth
 		earned := 0.0
 		if took := c.Answered - c.At; c.Answered > 0 && c.Kind == ledger.Served {
 			earned = min(1, max(0, float64(class.Deadline-took)/float64(class.Deadline-class.Aim)))
 		}
 		lost += class.Worth * (1 - earned)
 	}
-	if most == 0 {
+	if total == 0 {
 		return 0
 	}
-	return lost / most
+	return lost / total
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -10,7 +10,7 @@
 	"ternbeam/internal/lab/sim"
 )
 
-// One seed gives one run, and another seed another one.
+// Runs with the same seed are identical, and runs with different seeds differ.
 func TestSameSeedSameRun(t *testing.T) {
 	play := func(seed uint64) []*sim.Call {
 		w, err := sim.New(restart.World(100, true, seed))
@@ -21,15 +21,15 @@
 		return w.Calls()
 	}
 	if a, b := play(1), play(1); !reflect.DeepEqual(a, b) {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 	if a, b := play(1), play(2); reflect.DeepEqual(a, b) {
-		t.Error("runs of two seeds are the same")
+		t.Error("runs with different seeds are identical")
 	}
 }
 
-// Every call of an agent that goes on has its answer by its deadline; servers that are well answer nearly all, and one
-// that is silent none.
+// Every call of an agent that keeps running is answered by its deadline. Healthy servers serve nearly all calls, and silent
+// servers serve none.
 func TestCallsEnd(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		cfg := restart.World(100, true, 1)
@@ -55,10 +55,10 @@
 			}
 		}
 		if all < 800 || silent && served > 0 || !silent && served < all*99/100 {
-			t.Errorf("silent %t: %d of %d are served", silent, served, all)
+			t.Errorf("silent %t: %d of %d calls served", silent, served, all)
 		}
 		if lost := w.Lost(sim.Base, sim.Base+9*time.Second); silent && lost != 1 || !silent && lost > 0.02 {
-			t.Errorf("silent %t: lost %v", silent, lost)
+			t.Errorf("silent %t: lost share %v", silent, lost)
 		}
 	}
 }
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -1,4 +1,4 @@
-// Package spread says how calls were spread over servers: how even they were, and what servers got that were silent.
+// Package spread computes how evenly calls were distributed over servers, and how many attempts unresponsive servers received.
 package spread
 
 import (
@@ -8,23 +8,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Spread is how even the calls were that servers got.
+// Spread describes how evenly calls were distributed over servers.
 type Spread struct {
-	Mean, Largest     float64 // calls of a server
-	Variation, Chance float64 // standard deviation over the mean, and that of single calls that each go anywhere by chance
+	Mean, Largest     float64 // calls per server
+	Variation, Chance float64 // coefficient of variation (standard deviation over mean), and that expected if each call picked a server at random
 }
 
-// Of counts what each of so many servers got.
-func Of(servers int, got map[string]int) (s Spread) {
+// Compute returns the Spread of the number of calls per server. received has the calls by server id; the rest of the
+// servers received none.
+func Of(servers int, received map[string]int) (s Spread) {
 	all := make([]float64, 0, servers)
-	for _, calls := range got {
+	for _, calls := range received {
 		all = append(all, float64(calls))
 		s.Largest = max(s.Largest, float64(calls))
 	}
-	for len(all) < servers { // who got nothing
+	for len(all) < servers { // servers that received no calls
 		all = append(all, 0)
 	}
-	slices.Sort(all) // the last bits of a sum depend on the order, which a map has none of
+	slices.Sort(all) // the last bits of a sum depend on the order, and a map has no fixed order
 	mean, deviation := stat.PopMeanStdDev(all, nil)
 	if s.Mean = mean; mean > 0 {
 		s.Variation, s.Chance = deviation/mean, 1/math.Sqrt(mean)
@@ -32,15 +33,16 @@
 	return s
 }
 
-// settled is how many seconds servers are silent before it is judged what they get.
-const settled = 5
+// settleSeconds is how many seconds servers must have been silent before the attempts they receive are counted.
+const settleSeconds = 5
 
-// Tried is how many calls each of so many silent servers got in a second, from the fifth on, by what they got in each.
-func Tried(seconds []int, servers int) (mean float64) {
-	if len(seconds) <= settled || servers == 0 {
+// SteadyRate returns the mean number of attempts per second that each of the silent servers received after the first 5 s.
+// perSecond has the attempts at all of them together, by second. The result is 0 if there is nothing to count.
+func Tried(perSecond []int, servers int) (mean float64) {
+	if len(perSecond) <= settleSeconds || servers == 0 {
 		return 0
 	}
-	late := seconds[settled:]
+	late := perSecond[settleSeconds:]
 	for _, n := range late {
 		mean += float64(n) / float64(len(late)*servers)
 	}
