--- a/cmd/ternbeam-fleet/main.go
+++ b/cmd/ternbeam-fleet/main.go
@@ -1,5 +1,5 @@
-// Command ternbeam-fleet runs many agents as processes, with a list service beside them, and brings about their failures by a
-// scenario. See docs/ops/fleet-start.md.
+// Command ternbeam-fleet runs many agents as processes, with model servers and a list service, and injects failures as a scenario
+// says. See docs/ops/fleet-start.md.
 package main
 
 import (
@@ -17,12 +17,12 @@
 )
 
 type commands struct {
-	Run   runCommand   `cmd:"" help:"Have a fleet go through a scenario."`
-	Check checkCommand `cmd:"" help:"Say what is wrong in scenarios, by line and key."`
+	Run   runCommand   `cmd:"" help:"Run a fleet through a scenario."`
+	Check checkCommand `cmd:"" help:"Check scenarios and report problems by line and key."`
 }
 
 func main() {
-	ctx := kong.Parse(new(commands), kong.Description("Many agents as processes, and their failures."), kong.UsageOnError())
+	ctx := kong.Parse(new(commands), kong.Description("Runs many agents as processes and injects failures."), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ternbeam-fleet:", err)
 		os.Exit(1)
@@ -30,20 +30,21 @@
 }
 
 type runCommand struct {
-	Scenario string   `arg:"" type:"existingfile" help:"The scenario (see lab/fleet)."`
-	Program  string   `default:"bin/ternbeam" type:"existingfile" help:"The agent's program."`
-	Agents   int      `help:"So many agents, whatever the scenario says."`
-	Servers  int      `help:"So many servers, whatever the scenario says."`
-	All      *float64 `help:"So many seconds of the list service for all agents, whatever the scenario says." placeholder:"S"`
-	Rate     *float64 `help:"So many calls a second of each agent's clients, whatever the scenario says."`
-	Seed     *uint64  `help:"Another seed."`
-	Places   string   `help:"What agents are told of their place and number: none, tenth, tenfold, pairs (two have each place), sides (two that each think they are all) or old (half know an old number)."`
-	JSON     string   `help:"Write the report and all that the world saw there." placeholder:"FILE"`
-	HTML     string   `help:"Write the report as a page there, with curves over time." placeholder:"FILE"`
-	Logs     string   `help:"Keep the configurations and logs of the agents in this folder." placeholder:"FOLDER"`
+	Scenario string   `arg:"" type:"existingfile" help:"Scenario file (see lab/fleet)."`
+	Program  string   `default:"bin/ternbeam" type:"existingfile" help:"Path of the agent's program."`
+	Agents   int      `help:"Number of agents, instead of the scenario's."`
+	Servers  int      `help:"Number of servers, instead of the scenario's."`
+	All      *float64 `help:"Seconds that the list service needs to answer all agents, instead of the scenario's." placeholder:"S"`
+	Rate     *float64 `help:"Calls per second of each agent's clients, instead of the scenario's."`
+	Seed     *uint64  `help:"Seed, instead of the scenario's."`
+	Places   string   `help:"What agents are told of their rank and number: none, tenth, tenfold, pairs (each rank is given to two agents), sides (two halves that each believe to be all agents) or old (half know an old number)."`
+	JSON     string   `help:"Write the report and its record of events to this file, as JSON." placeholder:"FILE"`
+	HTML     string   `help:"Write the report to this file as an HTML page with curves over time." placeholder:"FILE"`
+	Logs     string   `help:"Keep the agents' configurations and logs in this folder." placeholder:"FOLDER"`
 }
 
-func read(name string) (*fleet.Scenario, error) {
+// readScenario reads and parses a scenario file.
+func readScenario(name string) (*fleet.Scenario, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -55,9 +56,9 @@
 	return s, nil
 }
 
-// Run runs the scenario.
+// Run runs the scenario, writes the reports and prints the table. It returns an error if an expectation was violated.
 func (c *runCommand) Run() error {
-	s, err := read(c.Scenario)
+	s, err := readScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
@@ -95,28 +96,28 @@
 		return err
 	}
 	if n := len(report.Faults); n > 0 {
-		return fmt.Errorf("%d expectations broken", n)
+		return fmt.Errorf("%d expectations violated", n)
 	}
 	return nil
 }
 
 type checkCommand struct {
-	Files []string `arg:"" type:"existingfile" help:"Scenarios."`
+	Files []string `arg:"" type:"existingfile" help:"Scenario files."`
 }
 
-// Run checks the scenarios.
+// Run checks scenario files and prints their problems. It returns an error if any file has one.
 func (c *checkCommand) Run() error {
-	bad := 0
+	invalid := 0
 	for _, name := range c.Files {
-		if _, err := read(name); err != nil {
-			bad++
+		if _, err := readScenario(name); err != nil {
+			invalid++
 			fmt.Println(err)
 			continue
 		}
-		fmt.Printf("%s: good\n", name)
+		fmt.Printf("%s: valid\n", name)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d files are bad", bad, len(c.Files))
+	if invalid > 0 {
+		return fmt.Errorf("%d of %d files are invalid", invalid, len(c.Files))
 	}
 	return nil
 }
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%d agents: %v", agents, r)
-		if late := r.Silent[len(r.Silent)-5:]; sum(late) > 6*5*7/2 { // taking turns makes 1.7 attempts per second; some agents still try them for the first time
+		if late := r.Silent[len(r.Silent)-5:]; sum(late) > 6*5*7/2 { // turns make 1.7 attempts per second; some agents still make their first attempt
 			t.Errorf("%d agents: 6 silent servers receive %v attempts in the last 5 seconds", agents, late)
 		}
 		if r.Calls < 8000 || r.Refused+r.Failed > r.Calls/20 {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet runs many agents as processes of the built program, with a list service beside them, and brings about their
-// failures by a scenario. Its verdict comes from what the world saw, never from the program's own words.
+// Package fleet runs many agents as processes of the built program, with model servers and a list service, and injects failures as a
+// scenario says. Its verdict is based only on what servers, clients and the list service observed, never on the program's own
+// logs or metrics.
 package fleet
 
 import (
@@ -19,36 +20,36 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// Options are what a run needs beside its Scenario.
+// Options configures a run in addition to its Scenario.
 type Options struct {
-	Program  string // the agent's
-	Dir      string // for configurations and logs
-	Progress func(string)
+	Program  string       // path of the agent's program
+	Dir      string       // directory for configurations and logs
+	Progress func(string) // called with a line of text after each step; may be nil
 }
 
-// runs counts the runs of this process, which have ports of their own.
-var runs atomic.Int64
+// runCount counts the runs of this process; each run has its own ports.
+var runCount atomic.Int64
 
-// fleet is a run under way.
+// fleet is the state of a run.
 type fleet struct {
 	*Scenario
-	number  int
-	record  *Record
-	book    *standin.Book
-	list    *List
-	relay   *relay // nil where agents don't talk
-	groups  map[string][]int
-	servers []*server
-	agents  []*process
-	rng     *rand.Rand
-	say     func(string)
-	asking  func() // ends the kiosks; nil before they begin
-	sides   int    // of the links, so far
+	number     int
+	record     *Record
+	book       *standin.Book
+	list       *List
+	relay      *relay // nil if agents do not exchange lists
+	groups     map[string][]int
+	servers    []*server
+	agents     []*process
+	rng        *rand.Rand
+	progress   func(string)
+	stopKiosks func() // stops the kiosks and waits for them; nil before they start
+	partitions int    // number of partitions so far
 }
 
-// known is what an agent knows at its first start. An old list is of a version that the service has forgotten, so that it
-// sends the whole one.
-func (f *fleet) known() discovery.List {
+// initialList returns the list that an agent has at its first start. An old list has a version whose changes the service no longer
+// has, so that the service sends the full list.
+func (f *fleet) initialList() discovery.List {
 	l := f.book.Full()
 	switch f.Known {
 	case KnownOld:
@@ -65,59 +66,60 @@
 	return l
 }
 
-// listenAt is where an agent listens, the same after each start. What connects from this machine does so from 127.0.0.1, so
-// that nobody takes it meanwhile.
-func (f *fleet) listenAt(agent int) string {
+// listenAddr returns the address on which an agent listens, the same after each start. Outgoing connections on this machine use
+// 127.0.0.1, so that none of them can occupy the address while the agent is down.
+func (f *fleet) listenAddr(agent int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+os.Getpid()%200, agent/250, 1+agent%250, 7000+f.number)
 }
 
-// peerAt is where an agent listens for the others.
-func (f *fleet) peerAt(agent int) string {
+// peerAddr returns the UDP address on which an agent listens for its peers.
+func (f *fleet) peerAddr(agent int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+os.Getpid()%200, agent/250, 1+agent%250, 8000+f.number)
 }
 
-// Run has a fleet go through a scenario. It leaves no process behind.
+// Run runs a scenario to its end or until ctx is canceled. It leaves no processes behind.
+// It returns an error if the run could not be completed; violated expectations are in the Report.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
-	f := &fleet{Scenario: s, number: int(runs.Add(1)) % 900, record: NewRecord(), book: standin.NewBook(), groups: map[string][]int{}, rng: rand.New(rand.NewPCG(s.Seed, 0)), say: o.Progress}
-	if f.say == nil {
-		f.say = func(string) {}
+	f := &fleet{Scenario: s, number: int(runCount.Add(1)) % 900, record: NewRecord(), book: standin.NewBook(), groups: map[string][]int{}, rng: rand.New(rand.NewPCG(s.Seed, 0)), progress: o.Progress}
+	if f.progress == nil {
+		f.progress = func(string) {}
 	}
-	defer f.end()
+	defer f.shutDown()
 	if err := f.build(o); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go f.canary(ctx)
+	go f.recordStalls(ctx)
 	report := &Report{Scenario: s}
 	for i, step := range s.Steps {
-		r, err := f.step(ctx, i, step)
+		r, err := f.runStep(ctx, i, step)
 		if err != nil {
 			return nil, fmt.Errorf("step %q: %w", step.Name, err)
 		}
-		f.say(r.String())
+		f.progress(r.String())
 		report.Steps = append(report.Steps, r)
 	}
-	if f.asking != nil {
-		f.asking()
+	if f.stopKiosks != nil {
+		f.stopKiosks()
 	}
 	report.Events, _ = f.record.Since(0)
 	for _, s := range f.servers {
-		report.Doubles += s.pod.Doubles() // each server is a pod of its own
-		report.Push = max(report.Push, s.pushed())
-		for _, o := range f.servers[:s.number] {
-			for _, id := range standin.Shared(s.pod, o.pod) {
-				agent, call := agentOf(id)
-				report.Twice = append(report.Twice, Twice{Agent: agent, Call: call, Servers: [2]string{o.id, s.id}})
+		report.Doubles += s.pod.Doubles() // each server deduplicates on its own
+		report.Push = max(report.Push, s.maxOverload())
+		for _, other := range f.servers[:s.number] {
+			for _, id := range standin.Shared(s.pod, other.pod) {
+				agent, call := parseCallID(id)
+				report.Twice = append(report.Twice, Twice{Agent: agent, Call: call, Servers: [2]string{other.id, s.id}})
 			}
 		}
 	}
 	report.Doubles += len(report.Twice)
-	report.judge()
+	report.check()
 	return report, nil
 }
 
-// build starts all but the agents.
+// build starts the servers, the list service and the relay, and prepares the agents without starting them.
 func (f *fleet) build(o Options) error {
 	for i := range f.Servers {
 		s := &server{id: fmt.Sprint("forms-", i), number: i, cell: i, opts: f.Server, pod: standin.NewPod(), record: f.record, now: f.record.Now}
@@ -129,28 +131,28 @@
 	}
 	f.book.Forget()
 	var err error
-	each, mustAsk := f.All/time.Duration(f.Agents), f.MustAsk
+	callWork, mustAsk := f.All/time.Duration(f.Agents), f.MustAsk
 	if f.Pushed {
-		each, mustAsk = 0, 0
+		callWork, mustAsk = 0, 0
 	}
-	if f.list, err = NewList(ListOptions{Agents: f.Agents, Each: each, Patience: f.Patience, Book: f.book}, f.record); err != nil {
+	if f.list, err = NewList(ListOptions{Agents: f.Agents, Each: callWork, Patience: f.Patience, Book: f.book}, f.record); err != nil {
 		return err
 	}
-	var talk []string
+	var peers []string
 	if f.Talk {
-		if f.relay, err = newRelay(f.Agents, f.peerAt, f.Links, f.Seed); err != nil {
+		if f.relay, err = newRelay(f.Agents, f.peerAddr, f.Links, f.Seed); err != nil {
 			return err
 		}
-		talk = f.relay.addrs()
+		peers = f.relay.addrs()
 	}
-	known := f.known()
+	known := f.initialList()
 	for i := range f.Agents {
-		me, number := places[f.Places](i, f.Agents)
-		p := standin.Platform{Name: fmt.Sprint("n", i), Listen: f.listenAt(i), Discovery: f.list.Addr(i), Known: known, Seed: f.Seed<<20 + uint64(i) + 1,
+		me, number := placements[f.Places](i, f.Agents)
+		p := standin.Platform{Name: fmt.Sprint("n", i), Listen: f.listenAddr(i), Discovery: f.list.Addr(i), Known: known, Seed: f.Seed<<20 + uint64(i) + 1,
 			Balancers: number, Me: me, MustAsk: mustAsk, Deadline: f.Kiosks.Left, ColdFrom: f.Server.ColdFrom, ColdFor: f.Server.ColdFor,
-			ConnectTimeout: 250 * time.Millisecond, Cancel: true, Peers: talk}
+			ConnectTimeout: 250 * time.Millisecond, Cancel: true, Peers: peers}
 		if f.Talk {
-			p.PeerListen = f.peerAt(i)
+			p.PeerListen = f.peerAddr(i)
 		}
 		a, err := newProcess(i, o.Program, o.Dir, p, f.Talk, f.record)
 		if err != nil {
@@ -161,34 +163,34 @@
 	return nil
 }
 
-// canary notes when the machine itself stands still: what comes late then is not the program's doing.
-func (f *fleet) canary(ctx context.Context) {
+// recordStalls records when the machine itself stalls: the program is not at fault for delays then.
+func (f *fleet) recordStalls(ctx context.Context) {
 	const every = 20 * time.Millisecond
 	for last := f.record.Now(); ctx.Err() == nil; {
 		time.Sleep(every)
 		now := f.record.Now()
-		if stood := now - last - every; stood > every {
-			f.record.Put(Event{Kind: Stall, Agent: -1, Took: stood})
+		if stalled := now - last - every; stalled > every {
+			f.record.Put(Event{Kind: Stall, Agent: -1, Took: stalled})
 		}
 		last = now
 	}
 }
 
-// ask begins to have kiosks ask. They end when all have their last answers.
-func (f *fleet) ask(ctx context.Context) {
+// startKiosks starts a kiosk for each agent. stopKiosks stops them when all have received their last answers.
+func (f *fleet) startKiosks(ctx context.Context) {
 	if f.Kiosks.Rate == 0 {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	for i := range f.agents {
-		all.Go(func() { kiosk(ctx, i, f.listenAt(i), f.Kiosks, f.Seed, f.record) })
+		all.Go(func() { runKiosk(ctx, i, f.listenAddr(i), f.Kiosks, f.Seed, f.record) })
 	}
-	f.asking = func() { cancel(); all.Wait() }
+	f.stopKiosks = func() { cancel(); all.Wait() }
 }
 
-// end ends all processes.
-func (f *fleet) end() {
+// shutDown kills all agents and stops the servers, the list service and the relay.
+func (f *fleet) shutDown() {
 	var all sync.WaitGroup
 	for _, a := range f.agents {
 		all.Go(func() {
@@ -208,60 +210,60 @@
 	}
 }
 
-// each does something to each, all at once.
-func each[T any](those []T, do func(T) error) error {
-	errs := make([]error, len(those))
+// forEach calls a function for all items concurrently and joins its errors.
+func forEach[T any](items []T, do func(T) error) error {
+	errs := make([]error, len(items))
 	var all sync.WaitGroup
-	for i, a := range those {
+	for i, a := range items {
 		all.Go(func() { errs[i] = do(a) })
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
-// draw draws a share.
-func draw[T any](f *fleet, all []T, share float64) []T {
+// sample draws a share of the items at random, in their order.
+func sample[T any](f *fleet, all []T, share float64) []T {
 	n := int(share*float64(len(all)) + 0.5)
-	hit := f.rng.Perm(len(all))[:n]
-	slices.Sort(hit)
+	drawn := f.rng.Perm(len(all))[:n]
+	slices.Sort(drawn)
 	out := make([]T, 0, n)
-	for _, i := range hit {
+	for _, i := range drawn {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-// step brings a step's faults about and waits for the recovery.
-func (f *fleet) step(ctx context.Context, number int, step Step) (StepReport, error) {
-	begin, sent, sentBytes := f.record.Now(), 0, 0
+// runStep injects a step's faults and waits for the recovery, or for the step's limit.
+func (f *fleet) runStep(ctx context.Context, number int, step Step) (StepReport, error) {
+	begin, sentBefore, bytesBefore := f.record.Now(), 0, 0
 	if f.relay != nil {
-		sent, sentBytes = f.relay.count()
+		sentBefore, bytesBefore = f.relay.sent()
 	}
 	if number == 0 {
 		f.record.Add(Mended, -1, "cold start")
-		if err := each(f.agents, (*process).start); err != nil {
+		if err := forEach(f.agents, (*process).start); err != nil {
 			return StepReport{}, err
 		}
-		f.ask(ctx)
+		f.startKiosks(ctx)
 	}
-	type moment struct {
-		at time.Duration
-		do func() error
+	type action struct {
+		at  time.Duration
+		run func() error
 	}
-	var plan []moment
+	var plan []action
 	for _, a := range step.Faults {
-		begins, ends := f.fault(a)
-		plan = append(plan, moment{a.At, func() error { f.record.Add(Fault, -1, a.Kind); return begins() }},
-			moment{a.At + a.For, func() error { f.record.Add(Mended, -1, a.Kind); return ends() }})
+		inject, end := f.prepareFault(a)
+		plan = append(plan, action{a.At, func() error { f.record.Add(Fault, -1, a.Kind); return inject() }},
+			action{a.At + a.For, func() error { f.record.Add(Mended, -1, a.Kind); return end() }})
 	}
-	slices.SortStableFunc(plan, func(a, b moment) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(plan, func(a, b action) int { return cmp.Compare(a.at, b.at) })
 	for _, m := range plan {
 		select {
 		case <-time.After(begin + m.at - f.record.Now()):
 		case <-ctx.Done():
 			return StepReport{}, ctx.Err()
 		}
-		if err := m.do(); err != nil {
+		if err := m.run(); err != nil {
 			return StepReport{}, err
 		}
 	}
@@ -270,9 +272,9 @@
 		events, changed := f.record.Since(0)
 		r := newStepReport(step, f.Agents, len(f.servers), begin, events)
 		if f.relay != nil {
-			datagrams, bytes := f.relay.count()
-			each := float64(f.Agents) * (f.record.Now() - begin).Seconds()
-			r.Datagrams, r.Bytes = float64(datagrams-sent)/each, float64(bytes-sentBytes)/each
+			datagrams, bytes := f.relay.sent()
+			agentSeconds := float64(f.Agents) * (f.record.Now() - begin).Seconds()
+			r.Datagrams, r.Bytes = float64(datagrams-sentBefore)/agentSeconds, float64(bytes-bytesBefore)/agentSeconds
 		}
 		if r.recovered(f.Agents) && f.record.Now() >= r.Mended+step.Stay {
 			return r, nil
@@ -285,37 +287,38 @@
 		case <-ctx.Done():
 			return r, ctx.Err()
 		}
-		select { // one look at many changes
+		select { // batch events: evaluate the record once for many changes
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// fault returns what begins a fault and what ends it. Whom it hits is drawn here, so that it does not depend on when.
-func (f *fleet) fault(a Action) (begins, ends func() error) {
-	if hitsServers(a.Kind) {
-		return f.serverFault(a)
+// prepareFault returns functions that start and end a fault. The agents or servers that it affects are drawn here, so that they do
+// not depend on timing.
+func (f *fleet) prepareFault(a Action) (start, end func() error) {
+	if isServerFault(a.Kind) {
+		return f.prepareServerFault(a)
 	}
-	hit := f.hit(a)
+	targets := f.faultTargets(a)
 	if a.Kind == Away && a.How == Full {
-		hit = f.agents
+		targets = f.agents
 	}
 	switch a.Kind {
 	case Kill:
-		return func() error { return each(hit, (*process).kill) }, func() error { return each(hit, (*process).start) }
+		return func() error { return forEach(targets, (*process).kill) }, func() error { return forEach(targets, (*process).start) }
 	case Stop:
-		return func() error { return each(hit, func(a *process) error { return a.signal(syscall.SIGSTOP) }) },
-			func() error { return each(hit, func(a *process) error { return a.signal(syscall.SIGCONT) }) }
+		return func() error { return forEach(targets, func(a *process) error { return a.signal(syscall.SIGSTOP) }) },
+			func() error { return forEach(targets, func(a *process) error { return a.signal(syscall.SIGCONT) }) }
 	}
 	var numbers []int
-	for _, a := range hit {
+	for _, a := range targets {
 		numbers = append(numbers, a.number)
 	}
 	if a.Kind == Cut {
-		f.sides++
-		side := f.sides
-		return func() error { f.relay.divide(numbers, side); return nil }, func() error { f.relay.divide(numbers, 0); return nil }
+		f.partitions++
+		side := f.partitions
+		return func() error { f.relay.partition(numbers, side); return nil }, func() error { f.relay.partition(numbers, 0); return nil }
 	}
 	if a.How == Hushes {
 		return func() error { f.list.Hush(numbers...); return nil }, func() error { return nil }
@@ -327,14 +330,14 @@
 	}, func() error { f.list.Be(Up, numbers...); return nil }
 }
 
-// hit draws the agents that a fault hits. Faults that name one group hit the same ones, or all others.
-func (f *fleet) hit(a Action) (out []*process) {
+// faultTargets draws the agents that a fault affects. Faults of one group affect the same agents, or all others.
+func (f *fleet) faultTargets(a Action) (out []*process) {
 	if a.Group == "" {
-		return draw(f, f.agents, a.Share)
+		return sample(f, f.agents, a.Share)
 	}
 	group, drawn := f.groups[a.Group]
 	if !drawn {
-		for _, p := range draw(f, f.agents, a.Share) {
+		for _, p := range sample(f, f.agents, a.Share) {
 			group = append(group, p.number)
 		}
 		f.groups[a.Group] = group
@@ -347,11 +350,11 @@
 	return out
 }
 
-// serverFault is fault for servers.
-func (f *fleet) serverFault(a Action) (begins, ends func() error) {
-	hit := draw(f, f.servers, a.Share)
-	do := func(what func(*server) error) func() error { return func() error { return each(hit, what) } }
-	again := func(s *server) error { // a new life, cold, at an address of its own
+// prepareServerFault is prepareFault for faults of servers.
+func (f *fleet) prepareServerFault(a Action) (start, end func() error) {
+	targets := sample(f, f.servers, a.Share)
+	forTargets := func(do func(*server) error) func() error { return func() error { return forEach(targets, do) } }
+	restart := func(s *server) error { // starts cold and gets a new address
 		s.stop()
 		if err := s.start(true); err != nil {
 			return err
@@ -362,14 +365,14 @@
 	}
 	switch a.Kind {
 	case Mute:
-		return do(func(s *server) error { s.mute(true); return nil }), do(func(s *server) error { s.mute(false); return nil })
+		return forTargets(func(s *server) error { s.setSilent(true); return nil }), forTargets(func(s *server) error { s.setSilent(false); return nil })
 	case Crash:
-		return do(func(s *server) error { s.stop(); return nil }), do(again)
+		return forTargets(func(s *server) error { s.stop(); return nil }), forTargets(restart)
 	}
-	return do(func(s *server) error {
-		s.drain()
+	return forTargets(func(s *server) error {
+		s.startDraining()
 		f.record.Add(Drains, -1, s.id)
 		f.book.Tell(s.entry())
 		return nil
-	}), do(again)
+	}), forTargets(restart)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -20,8 +20,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// program builds the agent's program once.
-func program(t *testing.T) string {
+// buildProgram builds the agent's program and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "ternbeam")
 	if out, err := exec.Command("go", "build", "-o", name, "ternbeam/cmd/ternbeam").CombinedOutput(); err != nil {
@@ -30,7 +30,7 @@
 	return name
 }
 
-const small = `
+const smallScenario = `
 agents = 12
 known = "old"
 must_ask_s = 10
@@ -91,15 +91,15 @@
 for_s = 8
 `
 
-// play has the real program go through a scenario in which nothing may be broken.
-func play(t *testing.T, text string) (r *Report, dir string) {
+// runScenario runs a scenario with the real program and fails the test if an expectation is violated.
+func runScenario(t *testing.T, text string) (r *Report, dir string) {
 	t.Helper()
 	s, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir = t.TempDir()
-	if r, err = Run(context.Background(), s, Options{Program: program(t), Dir: dir}); err != nil {
+	if r, err = Run(context.Background(), s, Options{Program: buildProgram(t), Dir: dir}); err != nil {
 		t.Fatal(err)
 	}
 	var table strings.Builder
@@ -111,10 +111,10 @@
 	return r, dir
 }
 
-// The real program recovers from faults, in small.
+// The real program recovers from faults, in a small fleet.
 func TestSmallFleet(t *testing.T) {
 	t.Parallel()
-	r, dir := play(t, small)
+	r, dir := runScenario(t, smallScenario)
 	started, died := 0, 0
 	for _, e := range r.Events {
 		switch e.Kind {
@@ -125,14 +125,14 @@
 		}
 	}
 	if want := 12 + 8 + 6; started != want || died != want-12 {
-		t.Errorf("%d starts and %d deaths, %d are meant", started, died, want)
+		t.Errorf("%d starts and %d exits, want %d starts", started, died, want)
 	}
 	if left := running(dir); len(left) > 0 {
-		t.Errorf("processes are left: %v", left)
+		t.Errorf("processes left behind: %v", left)
 	}
 }
 
-const talking = `
+const talkingScenario = `
 agents = 10
 servers = 8
 known = "none"
@@ -196,23 +196,23 @@
 for_s = 7
 `
 
-// Real processes that pass lists on recover from faults, in small, with few of them at the service.
+// Agents that exchange lists recover from faults, in a small fleet in which few of them can reach the list service.
 func TestSmallFleetTalks(t *testing.T) {
 	t.Parallel()
-	r, _ := play(t, talking)
+	r, _ := runScenario(t, talkingScenario)
 	if r.Steps[0].Datagrams == 0 {
-		t.Error("nobody talks")
+		t.Error("agents sent no datagrams")
 	}
 	var page strings.Builder
 	if err := r.HTML(&page); err != nil {
 		t.Fatal(err)
 	}
 	if text := page.String(); strings.Count(text, "<svg") != 3 || !strings.Contains(text, "two sides") || strings.Contains(text, "<?xml") {
-		t.Errorf("a page of %d bytes", len(text))
+		t.Errorf("page of %d bytes has not 3 plots without an XML header, or lacks a step", len(text))
 	}
 }
 
-// running returns the processes whose configuration is in a folder.
+// running returns the /proc entries of the processes whose configuration is in a folder.
 func running(dir string) (ids []string) {
 	all, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, name := range all {
@@ -223,7 +223,8 @@
 	return ids
 }
 
-// A program that dies, and one that never asks, are seen; an interrupted run leaves nothing behind.
+// A program that exits, and one that never calls the list service, are reported as faults. An interrupted run leaves no processes
+// behind.
 func TestVerdictSees(t *testing.T) {
 	scenario := func() *Scenario {
 		s, err := Parse([]byte("agents = 3\n[[step]]\nname = \"cold start\"\nlimit_s = 0.3\n"))
@@ -245,25 +246,25 @@
 			t.Fatal(err)
 		}
 		if got := strings.Join(r.Faults, "\n"); !strings.Contains(got, want) {
-			t.Errorf("%q: %q is not among %q", text, want, got)
+			t.Errorf("%q: fault %q is not among %q", text, want, got)
 		}
 	}
 	s, dir := scenario(), t.TempDir()
 	s.Steps[0].Limit = time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error)
+	done := make(chan error)
 	go func() {
 		_, err := Run(ctx, s, Options{Program: script("exec sleep 60"), Dir: dir})
-		over <- err
+		done <- err
 	}()
-	testkit.Eventually(t, "they run", func() bool { return len(running(dir)) == 3 })
+	testkit.Eventually(t, "all agents run", func() bool { return len(running(dir)) == 3 })
 	cancel()
-	if err := <-over; err == nil || len(running(dir)) > 0 {
-		t.Errorf("%v, and %v is left", err, running(dir))
+	if err := <-done; err == nil || len(running(dir)) > 0 {
+		t.Errorf("canceled run: error %v, processes left behind: %v", err, running(dir))
 	}
 }
 
-// What is wrong in a scenario is told by line and key.
+// Problems of a scenario are reported by line and key.
 func TestScenarioProblems(t *testing.T) {
 	_, err := Parse([]byte(`agents = 0
 known = "all"
@@ -288,25 +289,25 @@
 share = 1
 `))
 	if err == nil {
-		t.Fatal("all is well")
+		t.Fatal("no error")
 	}
 	for _, want := range []string{"line 1: agents: must be", "line 2: known: must be", "line 4: list.all_s", "line 5: list.odd: no such key",
 		"line 10: step.0.fault.0.how", "line 11: step.1.name", "line 12: step.1.limit_s", "line 16: step.1.fault.1.kind", "line 17: step.1.fault.1.share",
 		"line 20: step.1.fault.2.how"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in\n%v", want, err)
+			t.Errorf("no %q in the error:\n%v", want, err)
 		}
 	}
 	if _, err := Parse([]byte("agents = 1")); err == nil || !strings.Contains(err.Error(), "step: 1 to 64") {
-		t.Errorf("%v for no step", err)
+		t.Errorf("scenario without steps: error %v", err)
 	}
 }
 
-// Scenarios that are shipped can be read.
+// The scenarios in lab/fleet can be parsed.
 func TestShipped(t *testing.T) {
 	all, _ := filepath.Glob("../../../lab/fleet/*.toml")
 	if len(all) == 0 {
-		t.Fatal("there are none")
+		t.Fatal("no scenarios found")
 	}
 	for _, name := range all {
 		text, err := os.ReadFile(name)
@@ -319,7 +320,8 @@
 	}
 }
 
-// A list service works through its callers in turn, gives up who waits for too long, and does that work all the same.
+// The list service works on calls one after the other, gives up those that have waited too long, and does their work all the same.
+// Each mode answers as documented.
 func TestListService(t *testing.T) {
 	const agents = 8
 	record := NewRecord()
@@ -348,22 +350,22 @@
 		count[<-answers]++
 	}
 	if count[200] == 0 || count[503] == 0 || count[200]+count[503] != agents {
-		t.Fatalf("answers %v", count)
+		t.Fatalf("answers by status: %v", count)
 	}
 	l.mu.Lock()
-	done := l.free.Sub(begin)
+	workEnd := l.idleAt.Sub(begin)
 	l.mu.Unlock()
-	if done < agents*100*time.Millisecond {
-		t.Errorf("all work is done after %v, that of callers given up left out", done)
+	if workEnd < agents*100*time.Millisecond {
+		t.Errorf("all work ends after %v, without that of calls given up", workEnd)
 	}
-	everyone := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	l.Be(Refuses, everyone...)
+	allAgents := []int{0, 1, 2, 3, 4, 5, 6, 7}
+	l.Be(Refuses, allAgents...)
 	if resp, err := client.Get("http://" + l.Addr(0) + "/v1/endpoints"); err != nil || resp.StatusCode != 503 {
-		t.Errorf("%v of a service that refuses", err)
+		t.Errorf("mode Refuses: no status 503, error %v", err)
 	}
-	l.Be(Resets, everyone...)
+	l.Be(Resets, allAgents...)
 	if _, err := client.Get("http://" + l.Addr(0) + "/v1/endpoints"); err == nil {
-		t.Error("an answer of a service that resets")
+		t.Error("mode Resets: no error")
 	}
 	get := func(agent int) (int, string, error) {
 		resp, err := client.Get("http://" + l.Addr(agent) + "/v1/endpoints?stream=1&index=0")
@@ -374,35 +376,35 @@
 		text, err := bufio.NewReader(resp.Body).ReadString('\n')
 		return resp.StatusCode, text, err
 	}
-	l.Be(Breaks, everyone...)
+	l.Be(Breaks, allAgents...)
 	if status, text, err := get(0); status != 200 || err == nil || !strings.Contains(text, "forms-0") {
-		t.Errorf("%d %q %v of a service that breaks off", status, text, err)
+		t.Errorf("mode Breaks: status %d, line %q, error %v", status, text, err)
 	}
 	l.Bounds(l.opts.Patience+time.Millisecond, 0)
-	l.Be(Late, everyone...)
+	l.Be(Late, allAgents...)
 	if status, _, _ := get(0); status != 503 {
-		t.Errorf("%d of one that is too late", status)
+		t.Errorf("mode Late, beyond the maximum wait: status %d", status)
 	}
-	l.Be(Full, everyone...)
+	l.Be(Full, allAgents...)
 	if status, _, _ := get(0); status != 503 {
-		t.Errorf("%d of one that takes no more", status)
+		t.Errorf("mode Full, without room: status %d", status)
 	}
 	l.opts.Book.Tell(discovery.Entry{ID: "new", State: "in_service"})
-	l.Be(Old, everyone...)
+	l.Be(Old, allAgents...)
 	if status, text, _ := get(0); status != 200 || strings.Contains(text, "new") {
-		t.Errorf("%d %q of one that is old", status, text)
+		t.Errorf("mode Old: status %d, line %q", status, text)
 	}
-	l.Be(Up, everyone...)
+	l.Be(Up, allAgents...)
 	if status, text, _ := get(0); status != 200 || !strings.Contains(text, "new") {
-		t.Errorf("%d %q of one that is up", status, text)
+		t.Errorf("mode Up: status %d, line %q", status, text)
 	}
 	events, _ := record.Since(0)
 	if n := len(slices.DeleteFunc(slices.Clone(events), func(e Event) bool { return e.Said != GivenUp })); n != count[503]+1 {
-		t.Errorf("%d are recorded as given up, %d were", n, count[503]+1)
+		t.Errorf("%d calls recorded as given up, want %d", n, count[503]+1)
 	}
 }
 
-// The count of a step is held against records made by hand.
+// The figures of a step are computed correctly from records made by hand.
 func TestStepReport(t *testing.T) {
 	s := time.Second
 	events := []Event{{At: 0, Kind: Mended, Agent: -1}, {At: s, Kind: Called, Agent: 0, Said: Answered}, {At: s, Kind: Began, Agent: 0},
@@ -420,28 +422,28 @@
 	r := &Report{Scenario: &Scenario{Agents: 2}, Steps: []StepReport{first, second}, Events: []Event{{Kind: Died, Said: "on its own: x"}}}
 	r.Steps[0].Step.Within, r.Steps[0].Step.Calls = 3*s, 1
 	r.Steps[1].Holding = 1
-	r.judge()
+	r.check()
 	if len(r.Faults) != 4 {
 		t.Errorf("%q", r.Faults)
 	}
 }
 
-// Calls to silent servers are counted by the second.
+// Calls to silent servers are counted by second.
 func TestSilentCount(t *testing.T) {
-	got := func(at time.Duration, id string) Event { return Event{At: at, Kind: Got, Said: id} }
-	events := []Event{got(sec, "a"), {At: 2 * sec, Kind: Mutes, Agent: -1, Said: "a"}, got(2*sec+ms, "a"), got(3*sec, "b"), got(4*sec+ms, "a"), got(4*sec+2*ms, "a"),
-		{At: 5 * sec, Kind: Speaks, Agent: -1, Said: "a"}, got(6*sec, "a")}
+	received := func(at time.Duration, id string) Event { return Event{At: at, Kind: Got, Said: id} }
+	events := []Event{received(sec, "a"), {At: 2 * sec, Kind: Mutes, Agent: -1, Said: "a"}, received(2*sec+ms, "a"), received(3*sec, "b"), received(4*sec+ms, "a"), received(4*sec+2*ms, "a"),
+		{At: 5 * sec, Kind: Speaks, Agent: -1, Said: "a"}, received(6*sec, "a")}
 	r := newStepReport(Step{}, 1, 4, 0, events)
 	if !slices.Equal(r.Silent, []int{1, 0, 2}) || !slices.Equal(r.Back, []int{0, 1}) || r.Muted != 1 || r.Tried() != 0 {
 		t.Errorf("%+v", r)
 	}
 	if r.Silent = []int{90, 40, 30, 20, 10, 6, 2}; r.Tried() != 4 {
-		t.Errorf("%v a second from the fifth on", r.Tried())
+		t.Errorf("%v calls per second at each server after the first 5 s, want 4", r.Tried())
 	}
 }
 
-// What servers got is told from the record, beside what chance would do; and a run that goes over what its scenario allows
-// is a fault.
+// The distribution of calls over servers is computed from the record, with the variation of random picks for comparison. A step that
+// exceeds the limits of its scenario is a fault.
 func TestSpread(t *testing.T) {
 	var events []Event
 	for id, n := range map[string]int{"a": 150, "b": 100, "c": 50} {
@@ -449,19 +451,20 @@
 			events = append(events, Event{At: sec, Kind: Got, Said: id})
 		}
 	}
-	r := newStepReport(Step{Name: "it", Even: 4}, 1, 4, 0, events) // a fourth got nothing
+	r := newStepReport(Step{Name: "it", Even: 4}, 1, 4, 0, events) // a fourth server received no calls
 	if s := r.Spread; s.Mean != 75 || s.Largest != 150 || math.Abs(s.Variation-0.7454) > 1e-3 || math.Abs(s.Chance-0.1155) > 1e-3 {
 		t.Errorf("%+v", s)
 	}
 	r.Silent, r.Muted, r.Step.Tried = []int{90, 40, 30, 20, 10, 6, 2}, 1, 3
 	report := Report{Scenario: &Scenario{Agents: 1}, Steps: []StepReport{r}}
-	report.judge()
-	if all := strings.Join(report.Faults, "; "); !strings.Contains(all, "vary by 0.745 of the mean, over 0.462") || !strings.Contains(all, "4.00 calls a second at each silent server, over 3.00") {
+	report.check()
+	if all := strings.Join(report.Faults, "; "); !strings.Contains(all, "calls per server vary by 0.745 of the mean, limit 0.462") || !strings.Contains(all, "4.00 calls per second at each silent server, limit 3.00") {
 		t.Errorf("%v", report.Faults)
 	}
 }
 
-// A process that is stopped goes on when it is continued, and one killed by the rig has not died on its own.
+// A stopped process runs again when it is continued, and the exit of a process that the fleet killed is not recorded as its own
+// failure.
 func TestSignals(t *testing.T) {
 	record := NewRecord()
 	dir := t.TempDir()
@@ -479,9 +482,9 @@
 		return after[:min(1, len(after))]
 	}
 	a.signal(syscall.SIGSTOP)
-	testkit.Eventually(t, "it stops", func() bool { return state() == "T" })
+	testkit.Eventually(t, "the process is stopped", func() bool { return state() == "T" })
 	a.signal(syscall.SIGCONT)
-	testkit.Eventually(t, "it goes on", func() bool { return state() != "T" })
+	testkit.Eventually(t, "the process runs again", func() bool { return state() != "T" })
 	if err := a.kill(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/html.go
+++ b/internal/lab/fleet/html.go
@@ -23,54 +23,54 @@
 	points plotter.XYs
 }
 
-// curvesStep is how far apart the points of a curve are.
+// curveInterval is the distance between the points of a curve.
 const curvesStep = 250 * time.Millisecond
 
-// rate counts the events that a test picks, a second.
-func rate(name string, events []Event, end time.Duration, picks func(Event) bool) curve {
+// rateCurve returns the rate per second of the events that match.
+func rateCurve(name string, events []Event, end time.Duration, matches func(Event) bool) curve {
 	c := curve{name: name, points: make(plotter.XYs, int(end/curvesStep)+1)}
 	for i := range c.points {
 		c.points[i].X = (time.Duration(i) * curvesStep).Seconds()
 	}
 	for _, e := range events {
-		if at := int(e.At / curvesStep); picks(e) && at < len(c.points) {
+		if at := int(e.At / curvesStep); matches(e) && at < len(c.points) {
 			c.points[at].Y += 1 / curvesStep.Seconds()
 		}
 	}
 	return c
 }
 
-// holding is how many agents hold a watch.
-func holding(events []Event, end time.Duration) curve {
+// watchCurve returns the number of agents that hold a watch.
+func watchCurve(events []Event, end time.Duration) curve {
 	c := curve{name: "hold a watch"}
-	open, n := map[int]int{}, 0
+	open, holding := map[int]int{}, 0
 	for _, e := range events {
 		if e.Kind != Began && e.Kind != Ended {
 			continue
 		}
-		c.points = append(c.points, plotter.XY{X: e.At.Seconds(), Y: float64(n)})
+		c.points = append(c.points, plotter.XY{X: e.At.Seconds(), Y: float64(holding)})
 		if e.Kind == Began {
 			if open[e.Agent]++; open[e.Agent] == 1 {
-				n++
+				holding++
 			}
 		} else if open[e.Agent]--; open[e.Agent] == 0 {
-			n--
+			holding--
 		}
-		c.points = append(c.points, plotter.XY{X: e.At.Seconds(), Y: float64(n)})
+		c.points = append(c.points, plotter.XY{X: e.At.Seconds(), Y: float64(holding)})
 	}
-	c.points = append(c.points, plotter.XY{X: end.Seconds(), Y: float64(n)})
+	c.points = append(c.points, plotter.XY{X: end.Seconds(), Y: float64(holding)})
 	return c
 }
 
-// colors can be told apart in print, in the dark and by most eyes.
-var colors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
+// curveColors can be told apart in print, on dark backgrounds and by most color-blind readers.
+var curveColors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{130, 130, 130, 255}}
 
-// shade is that of the time in which a fault lasts.
-var shade = color.RGBA{150, 150, 150, 60}
+// faultColor is the background color of the time in which a fault lasts.
+var faultColor = color.RGBA{150, 150, 150, 60}
 
-// svg draws curves, with the faults of the record marked.
-func svg(title, unit string, events []Event, end time.Duration, curves ...curve) (template.HTML, error) {
+// drawSVG draws curves as an SVG element, with the times of faults marked.
+func drawSVG(title, unit string, events []Event, end time.Duration, curves ...curve) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 0, end.Seconds(), 0, 1
@@ -86,13 +86,13 @@
 			p.Y.Max = max(p.Y.Max, 1.1*xy.Y)
 		}
 	}
-	for _, s := range faultTimes(events, end) {
+	for _, s := range faultSpans(events, end) {
 		area, err := plotter.NewPolygon(plotter.XYs{{X: s.from.Seconds(), Y: 0}, {X: s.from.Seconds(), Y: p.Y.Max}, {X: s.to.Seconds(), Y: p.Y.Max}, {X: s.to.Seconds(), Y: 0}})
 		if err != nil {
 			return "", err
 		}
-		area.Color, area.LineStyle.Width = shade, vg.Points(0.5)
-		area.LineStyle.Color = shade
+		area.Color, area.LineStyle.Width = faultColor, vg.Points(0.5)
+		area.LineStyle.Color = faultColor
 		p.Add(area)
 	}
 	for i, c := range curves {
@@ -100,7 +100,7 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color, line.Width = colors[i%len(colors)], vg.Points(1.2)
+		line.Color, line.Width = curveColors[i%len(curveColors)], vg.Points(1.2)
 		p.Add(line)
 		p.Legend.Add(c.name, line)
 	}
@@ -111,14 +111,14 @@
 		return "", err
 	}
 	text := out.Bytes()
-	if at := bytes.Index(text, []byte("<svg")); at > 0 { // what stands before has no place inside a page
+	if at := bytes.Index(text, []byte("<svg")); at > 0 { // the XML header must not be inside an HTML page
 		text = text[at:]
 	}
 	return template.HTML(text), nil
 }
 
-// faultTimes are when something was wrong on purpose.
-func faultTimes(events []Event, end time.Duration) (all []span) {
+// faultSpans returns the spans in which at least one injected fault lasted.
+func faultSpans(events []Event, end time.Duration) (all []span) {
 	open, from := 0, time.Duration(0)
 	for _, e := range events {
 		switch {
@@ -139,7 +139,7 @@
 	return all
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var reportPage = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>A fleet of {{.R.Scenario.Agents}} agents</title>
 <style>
 :root { color-scheme: light dark } body { font: 15px/1.45 system-ui, sans-serif; max-width: 62rem; margin: 2rem auto; padding: 0 1rem }
@@ -147,41 +147,41 @@
 td:first-child, th:first-child { text-align: left } svg { width: 100%; height: auto; margin: .6rem 0 } .bad { color: #d55e00 } @media print { body { margin: 0 } }
 </style>
 <h1>{{.R.Scenario.Agents}} agents, {{.R.Scenario.Servers}} servers</h1>
-<p>{{if .R.Void}}<b class="bad">Void: {{.R.Void}}.</b>{{else if .R.Faults}}<b class="bad">{{len .R.Faults}} expectations broken.</b>{{else}}<b>All that is expected held, and no rule is broken.</b>{{end}}
-The list service needs {{.R.Scenario.All}} for all agents and gives a caller up after {{.R.Scenario.Patience}}; seed {{.R.Scenario.Seed}}. Grey: something is wrong on purpose.</p>
+<p>{{if .R.Void}}<b class="bad">Void: {{.R.Void}}.</b>{{else if .R.Faults}}<b class="bad">{{len .R.Faults}} expectations violated.</b>{{else}}<b>All expectations are met and no rule is violated.</b>{{end}}
+The list service needs {{.R.Scenario.All}} to answer all agents and gives up a call that has waited {{.R.Scenario.Patience}}; seed {{.R.Scenario.Seed}}. Grey: injected faults.</p>
 {{if .R.Faults}}<ul class="bad">{{range .R.Faults}}<li>{{.}}</li>{{end}}</ul>{{end}}
-<table><tr><th>step<th>hold a watch<th>all after<th>serve<th>all after<th>calls<th>given up<th>of one<th>while down<th>datagrams/s<th>bytes/s</tr>
+<table><tr><th>step<th>hold a watch<th>all after<th>serve<th>all after<th>calls<th>given up<th>max. of one agent<th>while down<th>datagrams/s<th>bytes/s</tr>
 {{range .R.Steps}}<tr><td>{{.Step.Name}}<td>{{.Holding}}<td>{{printf "%.1f s" .All.Seconds}}<td>{{.Serving}}<td>{{printf "%.1f s" .ServedBy.Seconds}}<td>{{.Calls}}<td>{{.GivenUp}}<td>{{.Most}}<td>{{.Down}}<td>{{printf "%.1f" .Datagrams}}<td>{{printf "%.0f" .Bytes}}</tr>
 {{end}}</table>
-<p>Most sent to a cold server: {{printf "%.2f" .R.Push}} times what it could do. Longest behind a drain: {{.R.Behind}}. Effects twice: {{.R.Doubles}}. Stalls of the machine: {{.R.Stalls}}, {{.R.Stood}} at most.</p>
+<p>Highest load of a cold server: {{printf "%.2f" .R.Push}} times its capacity. Longest sending after a drain: {{.R.Behind}}. Duplicate effects: {{.R.Doubles}}. Stalls of the machine: {{.R.Stalls}}, longest {{.R.Stood}}.</p>
 {{range .Plots}}{{.}}
 {{end}}</html>
 `))
 
-// HTML writes a page of its own: what was asked, the verdict, the table and the curves over time.
+// HTML writes the report as a self-contained page: the scenario's main figures, the verdict, the table and curves over time.
 func (r *Report) HTML(w io.Writer) error {
 	end := time.Second
 	if n := len(r.Events); n > 0 {
 		end = max(end, r.Events[n-1].At)
 	}
 	called := func(how string) curve {
-		return rate(how, r.Events, end, func(e Event) bool { return e.Kind == Called && e.Said == how })
+		return rateCurve(how, r.Events, end, func(e Event) bool { return e.Kind == Called && e.Said == how })
 	}
 	answered := func(how string) curve {
-		return rate(how, r.Events, end, func(e Event) bool { return e.Kind == Answer && e.Said == how })
+		return rateCurve(how, r.Events, end, func(e Event) bool { return e.Kind == Answer && e.Said == how })
 	}
 	plots := []struct {
 		title, unit string
 		curves      []curve
 	}{
-		{"Agents that hold a watch", "agents", []curve{holding(r.Events, end)}},
-		{"Calls to the list service", "a second", []curve{called(Answered), called(GivenUp), called(Down)}},
+		{"Agents that hold a watch", "agents", []curve{watchCurve(r.Events, end)}},
+		{"Calls to the list service", "per second", []curve{called(Answered), called(GivenUp), called(Down)}},
 	}
 	if r.Scenario.Kiosks.Rate > 0 {
 		plots = append(plots, struct {
 			title, unit string
 			curves      []curve
-		}{"Answers to kiosks", "a second", []curve{answered(standin.Served.String()), answered(standin.Refused.String()), answered(standin.Failed.String()),
+		}{"Answers to kiosks", "per second", []curve{answered(standin.Served.String()), answered(standin.Refused.String()), answered(standin.Failed.String()),
 			answered(standin.Lost.String()), answered(Unreached)}})
 	}
 	data := struct {
@@ -189,11 +189,11 @@
 		Plots []template.HTML
 	}{R: r}
 	for _, p := range plots {
-		drawn, err := svg(p.title, p.unit, r.Events, end, p.curves...)
+		drawn, err := drawSVG(p.title, p.unit, r.Events, end, p.curves...)
 		if err != nil {
 			return fmt.Errorf("drawing %q: %w", p.title, err)
 		}
 		data.Plots = append(data.Plots, drawn)
 	}
-	return page.Execute(w, data)
+	return reportPage.Execute(w, data)
 }
--- a/internal/lab/fleet/kiosk.go
+++ b/internal/lab/fleet/kiosk.go
@@ -11,28 +11,28 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// KioskOptions say what clients ask.
+// KioskOptions configures the calls of clients.
 type KioskOptions struct {
-	Rate   float64 // calls a second of an agent's kiosk; 0 for none
-	Left   time.Duration
-	Keyed  float64 // share of the calls that have an idempotency key
-	Unsafe float64 // and of those that must not come twice
+	Rate   float64       // calls per second of each agent's kiosk; 0 for none
+	Left   time.Duration // deadline of each call, from its start
+	Keyed  float64       // share of the calls that have an idempotency key
+	Unsafe float64       // share of the calls that must not be repeated
 }
 
-// mostAsked is how many calls a kiosk has out at a time.
-const mostAsked = 256
+// maxOpenCalls limits the open calls of a kiosk.
+const maxOpenCalls = 256
 
-// kiosk asks an agent, whatever becomes of it, until the context ends, and waits for the last answers.
-func kiosk(ctx context.Context, agent int, addr string, opts KioskOptions, seed uint64, record *Record) error {
+// runKiosk sends calls to an agent until the context ends, even while the agent is down, and waits for the last answers.
+func runKiosk(ctx context.Context, agent int, addr string, opts KioskOptions, seed uint64, record *Record) error {
 	k, err := standin.NewKiosk("http", addr)
 	if err != nil {
 		return err
 	}
 	defer k.Close()
 	rng := rand.New(rand.NewPCG(seed, uint64(agent)+1))
-	var out sync.WaitGroup
-	defer out.Wait()
-	free := make(chan struct{}, mostAsked)
+	var open sync.WaitGroup
+	defer open.Wait()
+	slots := make(chan struct{}, maxOpenCalls)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for call := 1; ; call++ {
@@ -50,18 +50,18 @@
 			ask.Method = standin.Pay
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return nil
 		}
-		out.Go(func() {
-			defer func() { <-free }()
+		open.Go(func() {
+			defer func() { <-slots }()
 			answer := k.Ask(ask)
-			said := answer.Kind.String()
+			kind := answer.Kind.String()
 			if errors.Is(answer.Err, syscall.ECONNREFUSED) {
-				said = Unreached
+				kind = Unreached
 			}
-			record.Put(Event{Kind: Answer, Agent: agent, Call: call, Said: said, Took: answer.Took})
+			record.Put(Event{Kind: Answer, Agent: agent, Call: call, Said: kind, Took: answer.Took})
 		})
 	}
 }
--- a/internal/lab/fleet/list.go
+++ b/internal/lab/fleet/list.go
@@ -13,149 +13,153 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// ListOptions say what a List is like.
+// ListOptions configures a List.
 type ListOptions struct {
 	Agents   int
-	Each     time.Duration // work for one call
-	Patience time.Duration // a caller that has waited for so long is given up; the work for it is done all the same
-	Book     *standin.Book
+	Each     time.Duration // time of work for a call
+	Patience time.Duration // a call that has waited this long is answered 503; its work is done all the same
+	Book     *standin.Book // the list
 }
 
-// Mode is how a List is at the moment.
+// Mode is how a List behaves towards an agent at the moment.
 type Mode int
 
-// The modes of a List. In those up to Full it takes calls.
+// The modes of a List. In those up to Full it accepts calls.
 const (
 	Up      Mode = iota
-	Late         // answers every call after one and the same time, whatever its queue
-	Breaks       // answers, and breaks off in the midst of the list
-	Old          // has the list as it was when the fleet began, and tells no change
-	Full         // takes so many watches and no more
-	Refuses      // answers 503 at once; its watches have ended
-	Resets       // resets who connects; its watches have ended
-	Silent       // lets connect and says nothing, on watches neither
-	Hushes       // a scenario's word for Hush: open watches fall silent for good, and new calls find the service as it is
+	Late         // answers every call after a fixed time, regardless of the queue
+	Breaks       // closes the connection in the middle of the list
+	Old          // serves the list as it was at the start, without changes
+	Full         // accepts only a limited number of watches
+	Refuses      // answers 503 at once; watches end
+	Resets       // resets connections; watches end
+	Silent       // accepts connections, but sends nothing, on watches neither
+	Hushes       // used only in scenarios, for SilenceWatches: open watches become silent for good, and new calls are not affected
 )
 
-func (m Mode) takes() bool { return m <= Full }
+// acceptsCalls reports whether calls are queued and answered.
+func (m Mode) acceptsCalls() bool { return m <= Full }
 
-// tells reports whether an agent that asks now is told the list as it is.
-func (m Mode) tells() bool { return m == Up || m == Late }
+// servesCurrentList reports whether a call is answered with the current list.
+func (m Mode) servesCurrentList() bool { return m == Up || m == Late }
 
-// modes are their names in a scenario.
-var modes = map[string]Mode{"late": Late, "breaks": Breaks, "old": Old, "full": Full, "refuses": Refuses, "resets": Resets, "silent": Silent, "hushes": Hushes}
+// modesByName has the modes by their names in scenarios.
+var modesByName = map[string]Mode{"late": Late, "breaks": Breaks, "old": Old, "full": Full, "refuses": Refuses, "resets": Resets, "silent": Silent, "hushes": Hushes}
 
-// heartbeat is how often a watch carries a line while nothing changes.
+// heartbeatInterval is the interval of empty lines on a watch without changes.
 const heartbeat = 2 * time.Second
 
-// List is a list service that works through its callers in turn. It knows each agent by the address where that one asks.
+// List is a model of a list service that works through calls one after the other. Each agent has its own address at the service,
+// which identifies the agent. Its methods are safe for concurrent use.
 type List struct {
-	opts   ListOptions
-	record *Record
-	doors  []net.Listener // by agent
-	http   *http.Server
+	opts      ListOptions
+	record    *Record
+	listeners []net.Listener // by agent
+	http      *http.Server
 
-	mu    sync.Mutex
-	modes []Mode           // by agent
-	hush  []int            // how often its watches have fallen silent, by agent
-	late  time.Duration    // what a Late one takes
-	most  int              // watches that a Full one takes
-	held  int              // watches
-	old   discovery.List   // as the list was when the fleet began
-	turn  chan struct{}    // closed at the next change of a mode
-	free  time.Time        // when all work taken so far is done
-	conns map[net.Conn]int // the agent at the other end
-	asked map[string]int   // agents by the addresses where they ask
+	mu            sync.Mutex
+	modes         []Mode           // by agent
+	silenceCounts []int            // how often its watches were silenced, by agent
+	answerDelay   time.Duration    // time to an answer in mode Late
+	maxWatches    int              // limit of watches in mode Full
+	watches       int              // open watches
+	initial       discovery.List   // list at the start, served in mode Old
+	changed       chan struct{}    // closed at the next change of a mode or silencing
+	idleAt        time.Time        // when all work accepted so far will be done
+	conns         map[net.Conn]int // open connections, with the agent at the other end
+	agentByAddr   map[string]int   // agents by their addresses at the service
 }
 
-type doorKey struct{}
+type agentKey struct{}
 
-// NewList runs a List until Close.
+// NewList starts a List, which runs until Close.
 func NewList(opts ListOptions, record *Record) (*List, error) {
-	l := &List{opts: opts, record: record, old: opts.Book.Full(), turn: make(chan struct{}), conns: map[net.Conn]int{}, asked: map[string]int{},
-		modes: make([]Mode, opts.Agents), hush: make([]int, opts.Agents)}
+	l := &List{opts: opts, record: record, initial: opts.Book.Full(), changed: make(chan struct{}), conns: map[net.Conn]int{}, agentByAddr: map[string]int{},
+		modes: make([]Mode, opts.Agents), silenceCounts: make([]int, opts.Agents)}
 	l.http = &http.Server{Handler: http.HandlerFunc(l.serve), ReadHeaderTimeout: 5 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, doorKey{}, l.asked[c.LocalAddr().String()])
+			return context.WithValue(ctx, agentKey{}, l.agentByAddr[c.LocalAddr().String()])
 		},
 		ConnState: l.connState}
 	for i := range opts.Agents {
-		door, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			l.Close()
 			return nil, err
 		}
-		l.doors = append(l.doors, door)
-		l.asked[door.Addr().String()] = i
+		l.listeners = append(l.listeners, listener)
+		l.agentByAddr[listener.Addr().String()] = i
 	}
-	for _, door := range l.doors {
-		go l.http.Serve(door)
+	for _, listener := range l.listeners {
+		go l.http.Serve(listener)
 	}
 	return l, nil
 }
 
-// Addr returns where an agent asks.
-func (l *List) Addr(agent int) string { return l.doors[agent].Addr().String() }
+// Addr returns the address at which an agent calls the service.
+func (l *List) Addr(agent int) string { return l.listeners[agent].Addr().String() }
 
-// Close ends it and all watches.
+// Close stops the service and ends all connections.
 func (l *List) Close() {
 	l.http.Close()
-	for _, door := range l.doors {
-		door.Close()
+	for _, listener := range l.listeners {
+		listener.Close()
 	}
 }
 
-// Bounds sets what a Late one takes and a Full one holds.
-func (l *List) Bounds(late time.Duration, most int) {
+// SetLimits sets the time to an answer in mode Late and the number of watches in mode Full.
+func (l *List) Bounds(answerDelay time.Duration, maxWatches int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.late, l.most = late, most
+	l.answerDelay, l.maxWatches = answerDelay, maxWatches
 }
 
-// Hush has the open watches of some agents fall silent.
+// SilenceWatches makes the open watches of some agents silent for good.
 func (l *List) Hush(agents ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range agents {
-		l.hush[a]++
+		l.silenceCounts[a]++
 	}
-	l.turnLocked()
+	l.notifyLocked()
 }
 
-// turnLocked tells calls and watches that something has changed.
-func (l *List) turnLocked() {
-	close(l.turn)
-	l.turn = make(chan struct{})
+// notifyLocked notifies calls and watches of a change.
+func (l *List) notifyLocked() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Be changes the mode as some agents meet it. Work that was taken before the service went down for all is gone when it is back.
+// SetMode sets the mode for some agents. If they are all agents, the queued work is dropped:
+// work that was accepted before an outage is lost when the service is back.
 func (l *List) Be(m Mode, agents ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(agents) == len(l.modes) {
-		l.free = time.Time{}
+		l.idleAt = time.Time{}
 	}
-	hit := make(map[int]bool, len(agents))
+	affected := make(map[int]bool, len(agents))
 	for _, a := range agents {
-		switch was := l.modes[a]; {
-		case was.tells() && !m.tells():
+		switch before := l.modes[a]; {
+		case before.servesCurrentList() && !m.servesCurrentList():
 			l.record.Add(LostList, a, "")
-		case !was.tells() && m.tells():
+		case !before.servesCurrentList() && m.servesCurrentList():
 			l.record.Add(HasList, a, "")
 		}
-		l.modes[a], hit[a] = m, true
+		l.modes[a], affected[a] = m, true
 	}
-	l.turnLocked()
+	l.notifyLocked()
 	if m == Refuses || m == Resets {
 		for c, agent := range l.conns {
-			if hit[agent] {
-				reset(c)
+			if affected[agent] {
+				resetConn(c)
 			}
 		}
 	}
 }
 
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
@@ -167,47 +171,48 @@
 	defer l.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		agent := l.asked[c.LocalAddr().String()]
+		agent := l.agentByAddr[c.LocalAddr().String()]
 		if l.conns[c] = agent; l.modes[agent] == Resets {
-			go reset(c)
+			go resetConn(c)
 		}
 	case http.StateClosed, http.StateHijacked:
 		delete(l.conns, c)
 	}
 }
 
-// take takes a call into the queue. It returns when it is answered or given up, and what ends it before.
-func (l *List) take(agent int, now time.Time) (m Mode, turn <-chan struct{}, wait time.Duration, served bool) {
+// enqueue adds a call to the queue. It returns the mode for the call, a channel that is closed when a mode changes, the time until
+// the call is answered or given up, and whether it is answered with the list.
+func (l *List) enqueue(agent int, now time.Time) (m Mode, changed <-chan struct{}, wait time.Duration, served bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch m = l.modes[agent]; {
-	case !m.takes():
-		return m, l.turn, 0, false
-	case m == Full && l.held >= l.most:
-		return Refuses, l.turn, 0, false
+	case !m.acceptsCalls():
+		return m, l.changed, 0, false
+	case m == Full && l.watches >= l.maxWatches:
+		return Refuses, l.changed, 0, false
 	case m == Late:
-		return m, l.turn, min(l.late, l.opts.Patience), l.late <= l.opts.Patience
+		return m, l.changed, min(l.answerDelay, l.opts.Patience), l.answerDelay <= l.opts.Patience
 	}
-	if l.free.Before(now) {
-		l.free = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(l.opts.Each)
-	if wait = l.free.Sub(now); wait > l.opts.Patience {
-		return m, l.turn, l.opts.Patience, false
+	l.idleAt = l.idleAt.Add(l.opts.Each)
+	if wait = l.idleAt.Sub(now); wait > l.opts.Patience {
+		return m, l.changed, l.opts.Patience, false
 	}
-	return m, l.turn, wait, true
+	return m, l.changed, wait, true
 }
 
 func (l *List) serve(w http.ResponseWriter, r *http.Request) {
-	agent := r.Context().Value(doorKey{}).(int)
-	mode, turn, wait, served := l.take(agent, time.Now())
+	agent := r.Context().Value(agentKey{}).(int)
+	mode, modeChanged, wait, served := l.enqueue(agent, time.Now())
 	how := Answered
 	switch {
 	case mode == Silent:
 		l.record.Add(Called, agent, Hung)
 		<-r.Context().Done()
 		return
-	case !mode.takes():
+	case !mode.acceptsCalls():
 		how = Down
 	case !served:
 		how = GivenUp
@@ -217,8 +222,8 @@
 		select {
 		case <-waited:
 			waited = nil
-		case <-turn:
-			if mode, turn, _ = l.now(agent); !mode.takes() {
+		case <-modeChanged:
+			if mode, modeChanged, _ = l.agentState(agent); !mode.acceptsCalls() {
 				how, waited = Down, nil
 			}
 		case <-r.Context().Done():
@@ -236,38 +241,38 @@
 	if mode == Breaks {
 		fmt.Fprint(w, `{"version":7,"full":true,"servers":[{"id":"forms-0","addr":"127.0.`)
 		flush()
-		panic(http.ErrAbortHandler) // which ends the connection in the midst of it
+		panic(http.ErrAbortHandler) // closes the connection in the middle of the list
 	}
 	lines := json.NewEncoder(w)
 	if !r.URL.Query().Has("stream") {
 		lines.Encode(l.opts.Book.Full())
 		return
 	}
-	_, _, hushed := l.now(agent)
+	_, _, silences := l.agentState(agent)
 	version := int64(-1)
 	fmt.Sscan(r.URL.Query().Get("index"), &version)
-	holds := false
-	hold := func(now bool) {
-		if now != holds {
-			holds = now
+	counted := false
+	setCounted := func(count bool) {
+		if count != counted {
+			counted = count
 			l.mu.Lock()
-			if l.held--; now {
-				l.held += 2
+			if l.watches--; count {
+				l.watches += 2
 			}
 			l.mu.Unlock()
-			l.record.Add(map[bool]string{true: Began, false: Ended}[now], agent, "")
+			l.record.Add(map[bool]string{true: Began, false: Ended}[count], agent, "")
 		}
 	}
-	defer hold(false)
+	defer setCounted(false)
 	old := mode == Old
 	if old {
-		lines.Encode(l.old)
+		lines.Encode(l.initial)
 	}
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
-	for first := true; ; first = false { // the first line of a watch comes at once, whether or not anything has changed
+	ticker := time.NewTicker(heartbeat)
+	defer ticker.Stop()
+	for first := true; ; first = false { // the first line of a watch is sent at once, even without a change
 		change, changed := l.opts.Book.Since(version)
-		hold(mode.takes() && mode != Old)
+		setCounted(mode.acceptsCalls() && mode != Old)
 		if mode == Silent || mode == Old { // the connection stays open
 			changed = nil
 			flush()
@@ -276,7 +281,7 @@
 				return
 			}
 			version = change.Version
-			last := map[string]string{} // what the line says of a server in the end
+			last := map[string]string{} // last state of each server in the line
 			for _, e := range change.Servers {
 				last[e.ID] = e.State
 			}
@@ -290,10 +295,10 @@
 		}
 		select {
 		case <-changed:
-		case <-turn:
-			was := hushed
-			if mode, turn, hushed = l.now(agent); hushed != was && holds {
-				hold(false)
+		case <-modeChanged:
+			before := silences
+			if mode, modeChanged, silences = l.agentState(agent); silences != before && counted {
+				setCounted(false)
 				l.record.Add(Hushed, agent, "")
 				<-r.Context().Done()
 				return
@@ -301,7 +306,7 @@
 			if mode == Refuses || mode == Resets || old != (mode == Old) {
 				return
 			}
-		case <-beat.C:
+		case <-ticker.C:
 			if mode == Silent {
 				continue
 			}
@@ -314,9 +319,9 @@
 	}
 }
 
-// now is the mode as an agent meets it, what is closed when one changes, and how often its watches have fallen silent.
-func (l *List) now(agent int) (Mode, <-chan struct{}, int) {
+// agentState returns the mode for an agent, a channel that is closed when a mode changes, and how often its watches were silenced.
+func (l *List) agentState(agent int) (Mode, <-chan struct{}, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.modes[agent], l.turn, l.hush[agent]
+	return l.modes[agent], l.changed, l.silenceCounts[agent]
 }
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -13,22 +13,22 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// process is an agent as a process of the program, which may die and start again under its name.
+// process is an agent that runs as a process of the program. It may exit and be started again with the same name.
 type process struct {
 	number  int
 	program string
-	config  string // its file
-	peers   string // the file by which it talks with others; empty where it does not
-	log     string
+	config  string // path of its configuration file
+	peers   string // path of its peers file; empty if it does not exchange lists
+	log     string // path of its log file
 	record  *Record
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd // nil while it does not run
-	ended chan struct{}
-	doom  bool // it dies by the rig's hand
+	mu     sync.Mutex
+	cmd    *exec.Cmd // nil while it does not run
+	exited chan struct{}
+	killed bool // it was signaled to exit by the fleet
 }
 
-// newProcess writes the configuration of an agent.
+// newProcess writes the configuration of an agent, without starting it.
 func newProcess(number int, program, dir string, p standin.Platform, talk bool, record *Record) (*process, error) {
 	a := &process{number: number, program: program, record: record, config: filepath.Join(dir, p.Name+".json"), log: filepath.Join(dir, p.Name+".log")}
 	if err := os.WriteFile(a.config, p.Config(), 0o600); err != nil || !talk {
@@ -38,49 +38,49 @@
 	return a, os.WriteFile(a.peers, []byte(deploy.Peers), 0o600)
 }
 
-// start starts it, if it does not run.
+// start starts the process, unless it runs.
 func (a *process) start() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cmd != nil {
 		return nil
 	}
-	log, err := os.OpenFile(a.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(a.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer logFile.Close()
 	var args []string
 	if a.peers != "" {
 		args = []string{"run", "--peers", a.peers}
 	}
 	cmd := exec.Command(a.program, args...)
 	cmd.Env = append(os.Environ(), "NODE_CONFIG="+a.config, "GOMAXPROCS=1")
-	cmd.Stdout, cmd.Stderr = log, log
-	// It ends with the rig, however that ends.
+	cmd.Stdout, cmd.Stderr = logFile, logFile
+	// The agent is killed when this process exits for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	a.record.Add(Started, a.number, "")
 	ended := make(chan struct{})
-	a.cmd, a.ended, a.doom = cmd, ended, false
+	a.cmd, a.exited, a.killed = cmd, ended, false
 	go func() {
 		err := cmd.Wait()
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		said := ""
-		if !a.doom {
-			said = fmt.Sprintf("on its own: %v", err)
+		detail := ""
+		if !a.killed {
+			detail = fmt.Sprintf("on its own: %v", err)
 		}
 		a.cmd = nil
-		a.record.Add(Died, a.number, said)
+		a.record.Add(Died, a.number, detail)
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends it a signal, if it runs.
+// signal sends the process a signal, if it runs.
 func (a *process) signal(s syscall.Signal) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -88,7 +88,7 @@
 		return nil
 	}
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		a.doom = true
+		a.killed = true
 	}
 	switch s {
 	case syscall.SIGSTOP:
@@ -102,13 +102,13 @@
 	return nil
 }
 
-// kill kills it and waits for its end.
+// kill kills the process and waits for its exit.
 func (a *process) kill() error {
 	if err := a.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
 	a.mu.Lock()
-	ended := a.ended
+	ended := a.exited
 	a.mu.Unlock()
 	if ended != nil {
 		<-ended
--- a/internal/lab/fleet/record.go
+++ b/internal/lab/fleet/record.go
@@ -5,73 +5,74 @@
 	"time"
 )
 
-// What is in a record.
+// The kinds of events in a record. Event.Said has further data where that is noted here.
 const (
-	Called   = "called"     // an agent asks the list service; how it ended is in Said
-	Began    = "began"      // a watch of an agent has delivered
-	Ended    = "ended"      // that watch is over
-	Hushed   = "hushed"     // that watch has fallen silent, and is over to the world
-	LostList = "list lost"  // an agent can't reach the list service
-	HasList  = "list there" // and can again
-	Fault    = "fault"      // something was done to the fleet
-	Mended   = "mended"     // and undone
-	Started  = "started"    // a process of an agent
-	Died     = "died"       // a process of an agent; by its own doing where Said is not empty
-	Stopped  = "stopped"    // a process of an agent is stopped
-	Resumed  = "resumed"    // and continued
-	Told     = "told"       // an agent is told that the server in Said drains or is gone, by the list service
-	Drains   = "drains"     // the list has it that the server in Said drains or is gone
-	Serves   = "serves"     // the list has it that the server in Said is to be sent to
-	Mutes    = "mutes"      // the server in Said falls silent
-	Speaks   = "speaks"     // and answers again
-	Got      = "got"        // the server in Said gets a call by an agent
-	Fell     = "fell"       // the server in Said was pushed over while it was cold
-	Answer   = "answer"     // a kiosk of an agent has its answer, after Took
-	Stall    = "stall"      // the machine itself stood still, for Took
+	Called   = "called"     // an agent called the list service; Said is how the call ended
+	Began    = "began"      // a watch of an agent delivered its first line
+	Ended    = "ended"      // that watch ended
+	Hushed   = "hushed"     // that watch was silenced; it counts as ended
+	LostList = "list lost"  // an agent can no longer get the current list from the list service
+	HasList  = "list there" // it can again
+	Fault    = "fault"      // a fault was injected; Said is its kind
+	Mended   = "mended"     // that fault ended
+	Started  = "started"    // an agent's process started
+	Died     = "died"       // an agent's process exited; Said is empty if the fleet killed it, else the cause
+	Stopped  = "stopped"    // an agent's process was stopped (SIGSTOP)
+	Resumed  = "resumed"    // it was continued (SIGCONT)
+	Told     = "told"       // the list service sent an agent the information that the server in Said drains or was removed
+	Drains   = "drains"     // in the list, the server in Said is now draining or removed
+	Serves   = "serves"     // in the list, the server in Said is now in service
+	Mutes    = "mutes"      // the server in Said stopped answering
+	Speaks   = "speaks"     // it answers again
+	Got      = "got"        // the server in Said received an agent's call
+	Fell     = "fell"       // the server in Said crashed of overload while it was cold
+	Answer   = "answer"     // an agent's kiosk received an answer after Took; Said is the kind of answer
+	Stall    = "stall"      // the machine itself stalled for Took
 )
 
 // How a call to the list service ended.
 const (
 	Answered = "answered"
-	GivenUp  = "given up" // it waited for too long; the work was done all the same
-	Down     = "down"
-	Hung     = "hung" // nothing was said
+	GivenUp  = "given up" // waited too long and was answered 503; the work was done all the same
+	Down     = "down"     // the service refused the call or reset the connection
+	Hung     = "hung"     // nothing was sent
 )
 
-// Unreached is what becomes of a call to an agent that does not listen. The other kinds of answers are standin's.
+// Unreachable is the kind of answer to a call to an agent that does not listen. The other kinds are defined in package standin.
 const Unreached = "unreached"
 
-// Event is what the world saw at one moment.
+// Event is one observation by the servers, clients, the list service or the fleet itself.
 type Event struct {
-	At    time.Duration // since the fleet began
+	At    time.Duration // since the start of the record
 	Kind  string
-	Agent int           // -1 for none
-	Call  int           `json:",omitempty"` // of that agent's kiosk, from 1 on
-	Said  string        `json:",omitempty"`
-	Took  time.Duration `json:",omitempty"`
+	Agent int           // number of the agent; -1 for none
+	Call  int           `json:",omitempty"` // number of the call of that agent's kiosk, from 1
+	Said  string        `json:",omitempty"` // further data, depending on Kind
+	Took  time.Duration `json:",omitempty"` // duration, for some kinds
 }
 
-// Record is all that the world saw, in order. Nothing in it comes from the program's own words, and nothing in it changes.
+// Record is an append-only log of all observations, in order. Nothing in it comes from the program's own output. It is safe for
+// concurrent use.
 type Record struct {
-	began time.Time
+	start time.Time
 
 	mu      sync.Mutex
 	events  []Event
 	changed chan struct{} // closed at the next event
 }
 
-// NewRecord returns an empty Record that begins now.
-func NewRecord() *Record { return &Record{began: time.Now(), changed: make(chan struct{})} }
+// NewRecord returns an empty Record that starts now.
+func NewRecord() *Record { return &Record{start: time.Now(), changed: make(chan struct{})} }
 
-// Now is the time since it began.
-func (r *Record) Now() time.Duration { return time.Since(r.began) }
+// Now returns the time since the start of the record.
+func (r *Record) Now() time.Duration { return time.Since(r.start) }
 
-// Add writes down what happens now.
+// Add appends an event with the current time.
 func (r *Record) Add(kind string, agent int, said string) {
 	r.Put(Event{Kind: kind, Agent: agent, Said: said})
 }
 
-// Put is Add for what has more to say. Its time is now.
+// AddEvent appends an event and sets its time to the current time.
 func (r *Record) Put(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +82,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Since returns what came after the first n events, and what tells of the next.
+// Since returns the events after the first n, and a channel that is closed at the next event.
 func (r *Record) Since(n int) ([]Event, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -9,119 +9,120 @@
 	"time"
 )
 
-// LinkOptions say what becomes of datagrams between agents.
+// LinkOptions configures faults of the datagrams between agents.
 type LinkOptions struct {
 	Loss  float64       // share that is lost
-	Twice float64       // share that comes twice
-	Delay time.Duration // from half of it to all of it, so that some overtake others
-	Late  float64       // share that comes again seconds later
+	Twice float64       // share that is delivered twice
+	Delay time.Duration // maximum delay; the minimum is half of it, so that datagrams are reordered
+	Late  float64       // share that is delivered again up to 10 s later
 }
 
-// late is when a datagram comes again at the latest.
+// maxReplayDelay limits the time after which a datagram is delivered again (LinkOptions.Late).
 const late = 10 * time.Second
 
-// relay stands between all agents. Each has an address at it, to which the others send and from which they hear of it.
+// relay forwards datagrams between agents. Each agent has an address at the relay: its peers send to this address, and receive its
+// datagrams from it.
 type relay struct {
-	opts  LinkOptions
-	doors []*net.UDPConn         // by agent
-	real  []netip.AddrPort       // where the agents listen
-	who   map[netip.AddrPort]int // by where they send from
+	opts        LinkOptions
+	sockets     []*net.UDPConn         // by agent
+	agentAddrs  []netip.AddrPort       // addresses on which the agents listen
+	agentByAddr map[netip.AddrPort]int // agents by the addresses from which they send
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	side      []int // by agent; datagrams between different sides are lost
-	datagrams int
-	bytes     int
+	sides     []int // side of the partition, by agent; datagrams between different sides are lost
+	datagrams int   // sent by agents
+	bytes     int   // of these datagrams
 }
 
 func newRelay(agents int, peerAt func(int) string, opts LinkOptions, seed uint64) (*relay, error) {
-	r := &relay{opts: opts, who: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 5)), side: make([]int, agents)}
+	r := &relay{opts: opts, agentByAddr: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 5)), sides: make([]int, agents)}
 	for i := range agents {
-		door, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+		socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 		if err != nil {
 			r.close()
 			return nil, err
 		}
-		r.doors = append(r.doors, door)
+		r.sockets = append(r.sockets, socket)
 		at := netip.MustParseAddrPort(peerAt(i))
-		r.real = append(r.real, at)
-		r.who[at] = i
+		r.agentAddrs = append(r.agentAddrs, at)
+		r.agentByAddr[at] = i
 	}
-	for i := range r.doors {
+	for i := range r.sockets {
 		go r.serve(i)
 	}
 	return r, nil
 }
 
 func (r *relay) close() {
-	for _, d := range r.doors {
-		d.Close()
+	for _, s := range r.sockets {
+		s.Close()
 	}
 }
 
-// addrs are where the agents reach one another.
+// addrs returns the agents' addresses at the relay.
 func (r *relay) addrs() (out []string) {
-	for _, d := range r.doors {
-		out = append(out, d.LocalAddr().String())
+	for _, s := range r.sockets {
+		out = append(out, s.LocalAddr().String())
 	}
 	return out
 }
 
-// divide puts agents on another side than the rest, or back.
-func (r *relay) divide(agents []int, side int) {
+// partition moves agents to a side; 0 is the initial side of all agents.
+func (r *relay) partition(agents []int, side int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range agents {
-		r.side[a] = side
+		r.sides[a] = side
 	}
 }
 
-// count returns how many datagrams agents have sent.
-func (r *relay) count() (datagrams, bytes int) {
+// sent returns the number of datagrams that agents have sent, and their bytes.
+func (r *relay) sent() (datagrams, bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.datagrams, r.bytes
 }
 
-// serve passes on what is sent to an agent.
+// serve forwards the datagrams that are sent to an agent.
 func (r *relay) serve(to int) {
 	buffer := make([]byte, 1<<16)
 	for {
-		n, from, err := r.doors[to].ReadFromUDPAddrPort(buffer)
+		n, from, err := r.sockets[to].ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		sender, known := r.who[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		sender, known := r.agentByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		if err != nil || !known {
 			continue
 		}
 		data := append([]byte(nil), buffer[:n]...)
-		for _, wait := range r.fate(sender, to, n) {
-			time.AfterFunc(wait, func() { r.doors[sender].WriteToUDPAddrPort(data, r.real[to]) })
+		for _, delay := range r.delays(sender, to, n) {
+			time.AfterFunc(delay, func() { r.sockets[sender].WriteToUDPAddrPort(data, r.agentAddrs[to]) })
 		}
 	}
 }
 
-// fate is when a datagram comes, as often as it does.
-func (r *relay) fate(from, to, bytes int) (waits []time.Duration) {
+// delays draws the delays after which a datagram is delivered: none if it is lost, several if it is duplicated.
+func (r *relay) delays(from, to, bytes int) (delays []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.datagrams++
 	r.bytes += bytes
-	if r.side[from] != r.side[to] {
+	if r.sides[from] != r.sides[to] {
 		return nil
 	}
-	wait := func() time.Duration {
+	delay := func() time.Duration {
 		return time.Duration((0.5 + r.rng.Float64()/2) * float64(r.opts.Delay))
 	}
 	if r.rng.Float64() >= r.opts.Loss {
-		waits = append(waits, wait())
+		delays = append(delays, delay())
 	}
 	if r.rng.Float64() < r.opts.Twice {
-		waits = append(waits, wait())
+		delays = append(delays, delay())
 	}
 	if r.rng.Float64() < r.opts.Late {
-		waits = append(waits, time.Duration(r.rng.Float64()*float64(late)))
+		delays = append(delays, time.Duration(r.rng.Float64()*float64(late)))
 	}
-	return waits
+	return delays
 }
--- a/internal/lab/fleet/relay_test.go
+++ b/internal/lab/fleet/relay_test.go
@@ -11,7 +11,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// Datagrams come from the sender's address at the relay, and none between two sides.
+// Datagrams arrive from the sender's address at the relay, and none are delivered between two sides.
 func TestRelay(t *testing.T) {
 	var socks []*net.UDPConn
 	for range 2 {
@@ -42,59 +42,59 @@
 	}
 	send("a")
 	if text, from := read(); text != "a" || from != at[0] {
-		t.Errorf("%q from %s, not from %s", text, from, at[0])
+		t.Errorf("received %q from %s, want a from %s", text, from, at[0])
 	}
-	r.divide([]int{1}, 1)
+	r.partition([]int{1}, 1)
 	send("lost")
-	testkit.Eventually(t, "it is counted", func() bool { n, _ := r.count(); return n == 2 })
-	r.divide([]int{1}, 0)
+	testkit.Eventually(t, "the lost datagram is counted", func() bool { n, _ := r.sent(); return n == 2 })
+	r.partition([]int{1}, 0)
 	send("b")
 	if text, _ := read(); text != "b" {
-		t.Errorf("%q has crossed to another side", text)
+		t.Errorf("received %q, want b: a datagram was delivered to another side", text)
 	}
-	if n, bytes := r.count(); n != 3 || bytes != 6 {
-		t.Errorf("%d datagrams, %d bytes", n, bytes)
+	if n, bytes := r.sent(); n != 3 || bytes != 6 {
+		t.Errorf("sent %d datagrams, %d bytes, want 3 and 6", n, bytes)
 	}
 }
 
-// What becomes of datagrams is as it is stated, and the same again for the same seed.
+// Datagrams are lost, duplicated and delayed at the configured rates, and identically for the same seed.
 func TestFate(t *testing.T) {
 	const n = 20_000
-	play := func(seed uint64) (lost, twice, back float64, all string) {
+	simulate := func(seed uint64) (lost, twice, replayed float64, all string) {
 		r, err := newRelay(2, func(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }, LinkOptions{Loss: 0.2, Twice: 0.05, Late: 0.02, Delay: 200 * time.Millisecond}, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer r.close()
 		for range n {
-			waits := r.fate(0, 1, 10)
-			all += fmt.Sprint(len(waits))
-			soon := 0
-			for _, w := range waits {
+			delays := r.delays(0, 1, 10)
+			all += fmt.Sprint(len(delays))
+			prompt := 0
+			for _, d := range delays {
 				switch {
-				case w > late:
-					t.Fatalf("after %v", w)
-				case w > 200*time.Millisecond:
-					back++
-				case w < 100*time.Millisecond && w != 0:
+				case d > late:
+					t.Fatalf("delay of %v", d)
+				case d > 200*time.Millisecond:
+					replayed++
+				case d < 100*time.Millisecond && d != 0:
 				default:
-					soon++
+					prompt++
 				}
 			}
-			if soon == 0 {
+			if prompt == 0 {
 				lost++
 			}
-			if soon > 1 {
+			if prompt > 1 {
 				twice++
 			}
 		}
-		return lost / n, twice / n, back / n, all
+		return lost / n, twice / n, replayed / n, all
 	}
-	lost, twice, back, first := play(1)
-	if math.Abs(lost-0.2*0.95) > 0.02 || math.Abs(twice-0.8*0.05) > 0.01 || math.Abs(back-0.02) > 0.005 {
-		t.Errorf("%.3f lost, %.3f twice, %.3f again", lost, twice, back)
+	lost, twice, replayed, first := simulate(1)
+	if math.Abs(lost-0.2*0.95) > 0.02 || math.Abs(twice-0.8*0.05) > 0.01 || math.Abs(replayed-0.02) > 0.005 {
+		t.Errorf("shares: %.3f lost, %.3f delivered twice, %.3f replayed late", lost, twice, replayed)
 	}
-	if _, _, _, again := play(1); again != first {
-		t.Error("another fate for the same seed")
+	if _, _, _, again := simulate(1); again != first {
+		t.Error("two runs with the same seed differ")
 	}
 }
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -12,63 +12,63 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// Report is what became of a run.
+// Report is the result of a run. It is written as JSON under the names of its fields.
 type Report struct {
 	Scenario *Scenario
 	Steps    []StepReport
-	Faults   []string      // what broke an expectation; none where the run is good
-	Behind   time.Duration // the longest for which an agent sent to a server that the list said drains
-	Doubles  int           // effects that came twice
-	Twice    []Twice       // of them, those that came at two servers
-	Stalls   int           // of the machine itself
-	Stood    time.Duration // the longest of them
-	Void     string        // why the run says nothing of the program; empty where it does
-	Push     float64       // the most that a cold server was sent, as a multiple of what it could do
-	Events   []Event
+	Faults   []string      // violated expectations; empty if the run is good
+	Behind   time.Duration // longest time for which an agent kept sending to a server after the list had marked it draining
+	Doubles  int           // duplicate effects
+	Twice    []Twice       // the duplicate effects at two servers
+	Stalls   int           // number of stalls of the machine itself
+	Stood    time.Duration // longest stall
+	Void     string        // why the run is not valid; empty if it is
+	Push     float64       // highest load that a cold server received, as a multiple of its capacity at the time
+	Events   []Event       // the whole record
 }
 
-// Twice is a call that had its effect at two servers that drop no repeats of one another's.
+// DuplicateEffect is a call that had its effect at two servers that do not deduplicate between each other.
 type Twice struct {
 	Agent, Call int
-	Servers     [2]string
+	Servers     [2]string // ids
 }
 
-// story says what became of the call, by the record.
-func (t Twice) story(events []Event) string {
+// history describes the call by the events of the record.
+func (t Twice) history(events []Event) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "call %d of agent %d, at %s and %s:", t.Call, t.Agent, t.Servers[0], t.Servers[1])
+	fmt.Fprintf(&b, "call %d of agent %d took effect at %s and %s:", t.Call, t.Agent, t.Servers[0], t.Servers[1])
 	for _, e := range events {
-		of := e.Kind == Stopped || e.Kind == Resumed || e.Kind == Died || e.Kind == Started
-		if e.Agent == t.Agent && (e.Call == t.Call || of) {
+		processEvent := e.Kind == Stopped || e.Kind == Resumed || e.Kind == Died || e.Kind == Started
+		if e.Agent == t.Agent && (e.Call == t.Call || processEvent) {
 			fmt.Fprintf(&b, " %v %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Kind+" "+e.Said))
 		}
 	}
 	return b.String()
 }
 
-// StepReport is what became of a step, by the record.
+// StepReport is the result of a step, computed from the record.
 type StepReport struct {
 	Step             Step
 	Begin            time.Duration
-	Mended           time.Duration // when the last fault was over, or the agents began to start
-	All              time.Duration // from then until all agents held a watch; 0 if they never did
-	Holding          int           // agents that held a watch at the end
-	Down             int           // calls that met a service that was down
-	Calls            int           // calls that met one that was up
-	GivenUp          int           // of them, those that waited for too long
-	Most             int           // of them, those of one agent
-	Answers          map[string]int
-	Serving          int           // agents that have served a call since
-	ServedBy         time.Duration // from Mended until each had; 0 if they never did
-	Datagrams, Bytes float64       // that agents sent, an agent a second
-	Silent           []int         // calls that servers got while they were silent, by the second since the first fell silent
-	Muted            int           // how many fell silent
-	Back             []int         // calls that these got from when the last of them answered again, by the second
-	Spread           spread.Spread // of what servers got
+	Mended           time.Duration  // when the last fault ended; in the first step, when the agents were started
+	All              time.Duration  // from Mended until all agents held a watch; 0 if they never did
+	Holding          int            // agents that held a watch at the end
+	Down             int            // calls to the list service while it was down
+	Calls            int            // calls to the list service while it was up
+	GivenUp          int            // calls among Calls that the service gave up, as they had waited too long
+	Most             int            // highest number of calls among Calls of a single agent
+	Answers          map[string]int // answers to kiosks, by kind
+	Serving          int            // agents that have served a call that arrived after Mended
+	ServedBy         time.Duration  // from Mended until each had served one; 0 if they never did
+	Datagrams, Bytes float64        // sent by agents to each other, per agent and second
+	Silent           []int          // calls that servers received while they were silent, by second since the first became silent
+	Muted            int            // number of servers that were silent at the same time, at most
+	Back             []int          // calls that these servers received after the last of them answered again, by second
+	Spread           spread.Spread  // of the calls that servers received
 }
 
-// count counts an event in its second.
-func count(seconds []int, at time.Duration) []int {
+// countBySecond adds an event to the count of its second.
+func countBySecond(seconds []int, at time.Duration) []int {
 	for int(at/time.Second) >= len(seconds) {
 		seconds = append(seconds, 0)
 	}
@@ -76,10 +76,10 @@
 	return seconds
 }
 
-// Tried is how many calls a silent server got in a second, from the fifth on.
+// SteadyRate returns the mean number of calls per second that each silent server received, after the first 5 s.
 func (r *StepReport) Tried() float64 { return spread.Tried(r.Silent, r.Muted) }
 
-// recovered reports whether the step's recovery is over.
+// recovered reports whether all agents have recovered.
 func (r *StepReport) recovered(agents int) bool {
 	if r.Step.Served {
 		return r.Serving == agents
@@ -87,7 +87,7 @@
 	return r.Holding == agents
 }
 
-// newStepReport counts a step that began at a time.
+// newStepReport evaluates the record for a step that began at the given time.
 func newStepReport(step Step, agents, servers int, begin time.Duration, events []Event) StepReport {
 	r := StepReport{Step: step, Begin: begin, Mended: begin, Answers: map[string]int{}}
 	for _, e := range events {
@@ -95,10 +95,10 @@
 			r.Mended = e.At
 		}
 	}
-	got := map[string]int{}
+	received := map[string]int{}
 	open, calls, serving := make([]int, agents), make([]int, agents), make([]bool, agents)
-	silent, muted := map[string]bool{}, time.Duration(0)
-	back, spoke := map[string]bool{}, time.Duration(0)
+	silent, firstSilentAt := map[string]bool{}, time.Duration(0)
+	back, lastBackAt := map[string]bool{}, time.Duration(0)
 	for _, e := range events {
 		switch e.Kind {
 		case Began, Ended:
@@ -118,22 +118,22 @@
 			}
 		case Mutes:
 			if len(silent) == 0 {
-				muted = e.At
+				firstSilentAt = e.At
 			}
 			silent[e.Said] = true
 			r.Muted = max(r.Muted, len(silent))
 		case Speaks:
 			delete(silent, e.Said)
-			back[e.Said], spoke = true, e.At
+			back[e.Said], lastBackAt = true, e.At
 		case Got:
 			if e.At >= begin {
-				got[e.Said]++
+				received[e.Said]++
 			}
 			if e.At >= begin && silent[e.Said] {
-				r.Silent = count(r.Silent, e.At-muted)
+				r.Silent = countBySecond(r.Silent, e.At-firstSilentAt)
 			}
 			if e.At >= begin && len(silent) == 0 && back[e.Said] {
-				r.Back = count(r.Back, e.At-spoke)
+				r.Back = countBySecond(r.Back, e.At-lastBackAt)
 			}
 		case Called:
 			if e.At < begin {
@@ -161,75 +161,76 @@
 			}
 		}
 	}
-	r.Spread = spread.Of(servers, got)
+	r.Spread = spread.Of(servers, received)
 	return r
 }
 
+// String returns the main figures in a line of text.
 func (r StepReport) String() string {
-	return fmt.Sprintf("%s: %d hold a watch, all after %.1f s; %d calls, %d given up, %d of one agent at most; %d while down",
+	return fmt.Sprintf("%s: %d hold a watch, all after %.1f s; %d calls, %d given up, at most %d of one agent; %d while the service was down",
 		r.Step.Name, r.Holding, r.All.Seconds(), r.Calls, r.GivenUp, r.Most, r.Down)
 }
 
-// judge holds the record against what the scenario expects.
-func (r *Report) judge() {
+// check evaluates the record against the expectations of the scenario and the platform's rules, and sets the fields for violations.
+func (r *Report) check() {
 	fault := func(format string, args ...any) { r.Faults = append(r.Faults, fmt.Sprintf(format, args...)) }
 	for _, e := range r.Events {
 		switch {
 		case e.Kind == Died && e.Said != "":
-			fault("agent %d died %v after the start, %s", e.Agent, e.At.Round(time.Millisecond), e.Said)
+			fault("agent %d exited %v after the start, %s", e.Agent, e.At.Round(time.Millisecond), e.Said)
 		case e.Kind == Fell:
-			fault("rule 4: %s was pushed over %v after the start", e.Said, e.At.Round(time.Millisecond))
+			fault("rule 4: %s crashed of overload %v after the start", e.Said, e.At.Round(time.Millisecond))
 		case e.Kind == Stall:
 			r.Stalls, r.Stood = r.Stalls+1, max(r.Stood, e.Took)
 		}
 	}
-	for _, f := range answers(r.Events, r.Scenario.Kiosks.Left) {
+	for _, f := range checkAnswers(r.Events, r.Scenario.Kiosks.Left) {
 		fault("rule 1: %s", f)
 	}
 	if r.Doubles > 0 {
-		fault("rule 2: %d effects came twice", r.Doubles)
+		fault("rule 2: %d duplicate effects", r.Doubles)
 	}
 	for _, t := range r.Twice {
-		fault("rule 2: %s", t.story(r.Events))
+		fault("rule 2: %s", t.history(r.Events))
 	}
 	agents := r.Scenario.Agents
-	for _, f := range drains(r.Events, agents, r.Scenario.MustAsk, r.Scenario.Pushed) {
+	for _, f := range checkDrains(r.Events, agents, r.Scenario.MustAsk, r.Scenario.Pushed) {
 		fault("rule 3: %s", f)
 	}
 	var stale []string
-	r.Behind, stale = staleness(r.Events, r.Scenario.Stale)
+	r.Behind, stale = checkStaleness(r.Events, r.Scenario.Stale)
 	for _, f := range stale {
 		fault("%s", f)
 	}
 	if r.Stood > noise {
-		r.Void = fmt.Sprintf("the machine stood still for %v", r.Stood)
+		r.Void = fmt.Sprintf("the machine stalled for %v", r.Stood)
 	}
 	for _, s := range r.Steps {
-		took, n, what := s.All, s.Holding, "hold a watch"
+		took, n, state := s.All, s.Holding, "hold a watch"
 		if s.Step.Served {
-			took, n, what = s.ServedBy, s.Serving, "have served a call"
+			took, n, state = s.ServedBy, s.Serving, "have served a call"
 		}
 		if n < agents {
-			fault("%s: only %d of %d agents %s", s.Step.Name, n, agents, what)
+			fault("%s: only %d of %d agents %s", s.Step.Name, n, agents, state)
 		} else if s.Step.Within > 0 && took > s.Step.Within {
-			fault("%s: all %s after %.2f s, over %.2f s", s.Step.Name, what, took.Seconds(), s.Step.Within.Seconds())
+			fault("%s: all %s after %.2f s, limit %.2f s", s.Step.Name, state, took.Seconds(), s.Step.Within.Seconds())
 		}
-		if most := s.Step.Even * s.Spread.Chance; most > 0 && s.Spread.Variation > most {
-			fault("%s: calls of servers vary by %.3f of the mean, over %.3f", s.Step.Name, s.Spread.Variation, most)
+		if limit := s.Step.Even * s.Spread.Chance; limit > 0 && s.Spread.Variation > limit {
+			fault("%s: calls per server vary by %.3f of the mean, limit %.3f", s.Step.Name, s.Spread.Variation, limit)
 		}
-		if tried := s.Tried(); s.Step.Tried > 0 && tried > s.Step.Tried {
-			fault("%s: %.2f calls a second at each silent server, over %.2f", s.Step.Name, tried, s.Step.Tried)
+		if rate := s.Tried(); s.Step.Tried > 0 && rate > s.Step.Tried {
+			fault("%s: %.2f calls per second at each silent server, limit %.2f", s.Step.Name, rate, s.Step.Tried)
 		}
-		if most := s.Step.Calls * float64(agents); most > 0 && float64(s.Calls) > most {
-			fault("%s: %d calls, over %.0f", s.Step.Name, s.Calls, most)
+		if limit := s.Step.Calls * float64(agents); limit > 0 && float64(s.Calls) > limit {
+			fault("%s: %d calls, limit %.0f", s.Step.Name, s.Calls, limit)
 		}
 	}
 }
 
-// Table prints a report.
+// Table writes the report as a text table, followed by the violated expectations.
 func (r *Report) Table(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "step\thold a watch\tall after s\tserve\tall after s\tcalls\tgiven up\tof one at most\twhile down\tdatagrams\tbytes\t")
+	fmt.Fprintln(t, "step\thold a watch\tall after s\tserve\tall after s\tcalls\tgiven up\tmax. of one agent\twhile down\tdatagrams/s\tbytes/s\t")
 	for _, s := range r.Steps {
 		all := "never"
 		if s.Holding == r.Scenario.Agents {
@@ -246,7 +247,7 @@
 		return err
 	}
 	if r.Scenario.Kiosks.Rate > 0 {
-		if err := r.answersTable(w); err != nil {
+		if err := r.writeAnswers(w); err != nil {
 			return err
 		}
 	}
@@ -254,7 +255,7 @@
 		fmt.Fprintln(w, "VOID:", r.Void)
 	}
 	for i, f := range r.Faults {
-		if i == mostFaults {
+		if i == maxPrintedFaults {
 			fmt.Fprintf(w, "and %d more\n", len(r.Faults)-i)
 			break
 		}
@@ -263,14 +264,14 @@
 	return nil
 }
 
-// mostFaults is how many a table names.
-const mostFaults = 20
+// maxPrintedFaults limits the faults that Table prints.
+const maxPrintedFaults = 20
 
-// answersTable prints what became of the calls.
-func (r *Report) answersTable(w io.Writer) error {
+// writeAnswers writes a table of the answers to kiosks and the distribution of calls over servers.
+func (r *Report) writeAnswers(w io.Writer) error {
 	kinds := []string{standin.Served.String(), standin.Refused.String(), standin.Failed.String(), standin.Lost.String(), Unreached}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "answers\t%s\tcalls a server\tlargest\tvariation\tby chance\t\n", strings.Join(kinds, "\t"))
+	fmt.Fprintf(t, "answers\t%s\tcalls per server\tlargest/mean\tvariation\tby chance\t\n", strings.Join(kinds, "\t"))
 	for _, s := range r.Steps {
 		fmt.Fprintf(t, "%s\t", s.Step.Name)
 		for _, k := range kinds {
@@ -283,18 +284,18 @@
 	}
 	for _, s := range r.Steps {
 		if len(s.Silent) > 0 {
-			fmt.Fprintf(w, "%s: calls to %d silent servers, by the second: %v, from the fifth on %.2f at each\n", s.Step.Name, s.Muted, s.Silent, s.Tried())
+			fmt.Fprintf(w, "%s: calls to %d silent servers, by second: %v; after the first 5 s %.2f per second at each\n", s.Step.Name, s.Muted, s.Silent, s.Tried())
 		}
 		if len(s.Back) > 0 {
-			fmt.Fprintf(w, "%s: calls to servers that answer again, by the second: %v\n", s.Step.Name, s.Back)
+			fmt.Fprintf(w, "%s: calls to servers that answer again, by second: %v\n", s.Step.Name, s.Back)
 		}
 	}
-	_, err := fmt.Fprintf(w, "most sent to a cold server: %.2f times what it could do; %v behind a drain at most; %d effects twice; %d stalls of the machine, %v at most\n",
+	_, err := fmt.Fprintf(w, "highest load of a cold server: %.2f times its capacity; longest sending after a drain %v; %d duplicate effects; %d stalls of the machine, longest %v\n",
 		r.Push, r.Behind.Round(time.Millisecond), r.Doubles, r.Stalls, r.Stood.Round(time.Millisecond))
 	return err
 }
 
-// JSON writes a report with its record.
+// JSON writes the report with its record as indented JSON.
 func (r *Report) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -8,23 +8,26 @@
 )
 
 const (
-	// drainGrace is how long after it was told of a drain an agent may still send, with the slack of the platform's rules and
-	// what a loaded machine needs to pass a call on.
+	// drainGrace is how long an agent may still send to a server after it was notified that the server drains: the tolerance of the
+	// platform's rules, plus the time that a loaded machine needs to forward a call.
 	drainGrace = standin.DrainGrace + 50*time.Millisecond
-	// toldAfter is how long after a watch fell silent what it misses counts as told, whether or not it arrived.
+	// notifiedAfter is the time after the silencing of a watch from which on the agent counts as notified of changes of the list,
+	// whether or not it received them.
 	toldAfter = 6 * time.Second
-	// answerGrace is how long after its time a call's answer may come.
+	// answerGrace is how long after a call's deadline its answer may arrive.
 	answerGrace = 70 * time.Millisecond
-	// noise is what the machine adds to both, with many processes on few cores.
+	// machineNoise is the delay that the machine adds to both, with many processes on few cores.
 	noise = 200 * time.Millisecond
 )
 
-// downs are the times at which an agent's process did not run, or stood still.
-type downs map[int][]span
+// downtimes has, by agent, the spans in which its process did not run or was stopped.
+type downtimes map[int][]span
 
+// span is a range of time.
 type span struct{ from, to time.Duration }
 
-func (d downs) any(agent int, from, to time.Duration) bool {
+// any reports whether an agent was down at any time in the given range.
+func (d downtimes) any(agent int, from, to time.Duration) bool {
 	for _, s := range d[agent] {
 		if s.from < to && from < s.to {
 			return true
@@ -33,9 +36,9 @@
 	return false
 }
 
-// downsOf reads them from a record.
-func downsOf(events []Event, end time.Duration) downs {
-	d, since := downs{}, map[int]time.Duration{}
+// downtimesOf returns the downtimes of a record that ends at the given time.
+func downtimesOf(events []Event, end time.Duration) downtimes {
+	d, since := downtimes{}, map[int]time.Duration{}
 	for _, e := range events {
 		switch e.Kind {
 		case Died, Stopped:
@@ -55,46 +58,47 @@
 	return d
 }
 
-// answers checks that each call got one final answer in time, but for those of agents that were killed or stopped meanwhile.
-func answers(events []Event, left time.Duration) (faults []string) {
-	d := downsOf(events, time.Hour)
+// checkAnswers checks that each call was answered in time. Calls to agents that were killed or stopped meanwhile are exempt.
+func checkAnswers(events []Event, left time.Duration) (faults []string) {
+	d := downtimesOf(events, time.Hour)
 	for _, e := range events {
-		if e.Kind != Answer || d.any(e.Agent, e.At-e.Took-noise, e.At+noise) { // clients see a death before the rig does
+		if e.Kind != Answer || d.any(e.Agent, e.At-e.Took-noise, e.At+noise) { // clients notice the exit of a process before the fleet does
 			continue
 		}
 		switch late := e.Took > left+answerGrace+noise; {
 		case e.Said == standin.Lost.String():
-			faults = append(faults, fmt.Sprintf("%v: a call to agent %d was lost after %v", e.At, e.Agent, e.Took))
+			faults = append(faults, fmt.Sprintf("%v: call to agent %d lost after %v", e.At, e.Agent, e.Took))
 		case late:
-			faults = append(faults, fmt.Sprintf("%v: an answer of agent %d took %v", e.At, e.Agent, e.Took))
+			faults = append(faults, fmt.Sprintf("%v: answer of agent %d took %v", e.At, e.Agent, e.Took))
 		}
 	}
 	return faults
 }
 
-// heard is what an agent knows of a list, by the world's book.
-type heard struct {
-	watching int
-	contact  time.Duration            // the latest word between it and the service
-	until    time.Duration            // that word holds so long
-	told     map[string]time.Duration // when each server was told to drain, or counts as told
-	hushed   bool                     // its latest watch fell silent, and it has no other one yet
-	since    time.Duration            // when that was
-	cutOff   bool                     // it can't reach the service
-	reached  time.Duration            // when its process began, or it could reach the service again
+// listKnowledge is what an agent must know of the list, according to the record.
+type listKnowledge struct {
+	watches        int
+	lastContact    time.Duration            // latest call or end of the last watch
+	validUntil     time.Duration            // until then the agent need not call the service again
+	notified       map[string]time.Duration // when the agent was notified that each server drains
+	silenced       bool                     // its latest watch was silenced, and it has no new one yet
+	silencedAt     time.Duration            // when the watch was silenced
+	unreachable    bool                     // it cannot get the current list from the service
+	reachableSince time.Duration            // when its process started, or the service became reachable again
 }
 
-// drains checks that nothing new goes to a server longer than the grace after its agent was told that it drains. What the list
-// says counts as told to an agent that has neither watched nor asked for mustAsk, four times that after a call that failed, and to one
-// whose watch has fallen silent 6 s after that, however it asks. Where lists are pushed, what the list says counts as told as soon as the
-// agent can reach the service, whether or not it watches.
-func drains(events []Event, agents int, mustAsk time.Duration, pushed bool) (faults []string) {
-	draining := map[string]time.Duration{} // by server, since when the list says so
-	all := make([]heard, agents)
+// checkDrains checks that an agent sends no new call to a server later than the grace period after it was notified that the server
+// drains. An agent also counts as notified of what the list says:
+//   - if it has neither watched nor called the service for mustAsk, or four times that after a failed call;
+//   - 6 s after its watch was silenced, whether or not it calls the service;
+//   - if lists are pushed, as soon as it can reach the service, whether or not it watches.
+func checkDrains(events []Event, agents int, mustAsk time.Duration, pushed bool) (faults []string) {
+	draining := map[string]time.Duration{} // since when the list says so, by server
+	all := make([]listKnowledge, agents)
 	for i := range all {
-		all[i] = heard{told: map[string]time.Duration{}, until: mustAsk}
+		all[i] = listKnowledge{notified: map[string]time.Duration{}, validUntil: mustAsk}
 	}
-	stopped := downs{}
+	resumed := downtimes{}
 	for _, e := range events {
 		switch e.Kind {
 		case Drains:
@@ -102,88 +106,88 @@
 		case Serves:
 			delete(draining, e.Said)
 			for i := range all {
-				delete(all[i].told, e.Said)
+				delete(all[i].notified, e.Said)
 			}
 		case Started:
-			all[e.Agent] = heard{told: map[string]time.Duration{}, contact: e.At, until: e.At + mustAsk, cutOff: all[e.Agent].cutOff, reached: e.At}
+			all[e.Agent] = listKnowledge{notified: map[string]time.Duration{}, lastContact: e.At, validUntil: e.At + mustAsk, unreachable: all[e.Agent].unreachable, reachableSince: e.At}
 		case LostList:
-			all[e.Agent].cutOff = true
+			all[e.Agent].unreachable = true
 		case HasList:
-			all[e.Agent].cutOff, all[e.Agent].reached = false, e.At
+			all[e.Agent].unreachable, all[e.Agent].reachableSince = false, e.At
 		case Began:
-			all[e.Agent].watching++
-			all[e.Agent].hushed = false
+			all[e.Agent].watches++
+			all[e.Agent].silenced = false
 		case Hushed:
-			all[e.Agent].hushed, all[e.Agent].since = true, e.At
+			all[e.Agent].silenced, all[e.Agent].silencedAt = true, e.At
 		case Ended:
 			h := &all[e.Agent]
-			if h.watching--; h.watching == 0 {
-				h.contact, h.until = e.At, e.At+mustAsk
+			if h.watches--; h.watches == 0 {
+				h.lastContact, h.validUntil = e.At, e.At+mustAsk
 			}
 		case Called:
 			h := &all[e.Agent]
-			if h.contact = e.At; e.Said == Answered {
-				h.until = e.At + mustAsk
+			if h.lastContact = e.At; e.Said == Answered {
+				h.validUntil = e.At + mustAsk
 			} else {
-				h.until = e.At + 4*mustAsk
+				h.validUntil = e.At + 4*mustAsk
 			}
 		case Told:
-			if _, known := all[e.Agent].told[e.Said]; !known {
-				all[e.Agent].told[e.Said] = e.At
+			if _, known := all[e.Agent].notified[e.Said]; !known {
+				all[e.Agent].notified[e.Said] = e.At
 			}
-		case Resumed: // what it does in the first moment it could not know better
-			stopped[e.Agent] = append(stopped[e.Agent], span{e.At, e.At + drainGrace + noise})
+		case Resumed: // calls of a process that was just continued are exempt: it could not know of the drain
+			resumed[e.Agent] = append(resumed[e.Agent], span{e.At, e.At + drainGrace + noise})
 		case Got:
 			if e.Agent < 0 || e.Agent >= agents {
 				continue
 			}
-			since, drains := draining[e.Said]
-			if !drains || stopped.any(e.Agent, e.At-time.Millisecond, e.At) {
+			since, isDraining := draining[e.Said]
+			if !isDraining || resumed.any(e.Agent, e.At-time.Millisecond, e.At) {
 				continue
 			}
 			h := &all[e.Agent]
-			told, known := h.told[e.Said]
-			if pushed && !h.cutOff && !h.hushed {
-				if reached := max(since, h.reached); !known || reached < told {
-					told, known = reached, true
+			notified, known := h.notified[e.Said]
+			if pushed && !h.unreachable && !h.silenced {
+				if pushedAt := max(since, h.reachableSince); !known || pushedAt < notified {
+					notified, known = pushedAt, true
 				}
 			}
-			if !pushed && !known && h.watching == 0 && e.At > h.until {
-				told, known = max(since+mustAsk, h.until), e.At >= since+mustAsk
+			if !pushed && !known && h.watches == 0 && e.At > h.validUntil {
+				notified, known = max(since+mustAsk, h.validUntil), e.At >= since+mustAsk
 			}
-			if heard := max(since, h.since+toldAfter); h.hushed && e.At >= heard && (!known || heard < told) {
-				told, known = heard, true
+			if assumed := max(since, h.silencedAt+toldAfter); h.silenced && e.At >= assumed && (!known || assumed < notified) {
+				notified, known = assumed, true
 			}
-			if known && e.At > told+drainGrace+noise {
-				faults = append(faults, fmt.Sprintf("%v: agent %d sent to %s, %v after it was told that it drains", e.At, e.Agent, e.Said, e.At-told))
+			if known && e.At > notified+drainGrace+noise {
+				faults = append(faults, fmt.Sprintf("%v: agent %d sent to %s %v after it was notified of the drain", e.At, e.Agent, e.Said, e.At-notified))
 			}
 		}
 	}
 	return faults
 }
 
-// staleness returns the longest for which an agent went on sending to a server after the list said that it drains, and who did so
-// longer than a bound; any time where that is 0.
-func staleness(events []Event, bound time.Duration) (most time.Duration, faults []string) {
-	draining, excused := map[string]time.Duration{}, downs{}
+// checkStaleness returns the longest time for which an agent kept sending to a server after the list had marked it draining, and a
+// fault for each call that came later than the bound. A bound of 0 allows any time.
+func checkStaleness(events []Event, bound time.Duration) (longest time.Duration, faults []string) {
+	draining, exempt := map[string]time.Duration{}, downtimes{}
 	for _, e := range events {
 		switch e.Kind {
 		case Drains:
 			draining[e.Said] = e.At
 		case Serves:
 			delete(draining, e.Said)
-		case Started, Resumed: // it had no way to know better in its first moment
-			excused[e.Agent] = append(excused[e.Agent], span{e.At, e.At + bound})
+		case Started, Resumed: // a process that just started or was continued could not know of the drain
+			exempt[e.Agent] = append(exempt[e.Agent], span{e.At, e.At + bound})
 		case Got:
-			since, drains := draining[e.Said]
-			if !drains || e.Agent < 0 || excused.any(e.Agent, e.At-time.Millisecond, e.At) {
+			since, isDraining := draining[e.Said]
+			if !isDraining || e.Agent < 0 || exempt.any(e.Agent, e.At-time.Millisecond, e.At) {
 				continue
 			}
-			late := e.At - since
-			if most = max(most, late); bound > 0 && late > bound+drainGrace+noise {
-				faults = append(faults, fmt.Sprintf("%v: agent %d sent to %s, which the list had drained for %v", e.At, e.Agent, e.Said, late))
+			behind := e.At - since
+			if longest = max(longest, behind); bound > 0 && behind > bound+drainGrace+noise {
+				faults = append(faults, fmt.Sprintf("%v: agent %d sent to %s, which had been draining in the list for %v", e.At, e.Agent, e.Said, behind))
 			}
 		}
 	}
-	return most, faults
+	return longest, faults
 }
--- a/internal/lab/fleet/rules_test.go
+++ b/internal/lab/fleet/rules_test.go
@@ -13,7 +13,7 @@
 	sec = time.Second
 )
 
-// A record in which an answer is late or lost is told from one in which the agent was killed or stood still.
+// Late and lost answers are reported, except if the agent was killed or stopped meanwhile.
 func TestAnswersRule(t *testing.T) {
 	answer := func(at, took time.Duration, said string) Event {
 		return Event{At: at, Kind: Answer, Agent: 1, Said: said, Took: took}
@@ -21,13 +21,13 @@
 	events := []Event{{At: 0, Kind: Started, Agent: 1}, answer(3*sec, 2*sec, "served"), answer(3*sec, 3*sec, "served"), answer(4*sec, ms, standin.Lost.String()),
 		answer(4*sec, ms, Unreached), {At: 5 * sec, Kind: Died, Agent: 1}, answer(5*sec-ms, sec, standin.Lost.String()), answer(5*sec+ms, sec, standin.Lost.String()), {At: 6 * sec, Kind: Started, Agent: 1},
 		{At: 10 * sec, Kind: Stopped, Agent: 1}, {At: 15 * sec, Kind: Resumed, Agent: 1}, answer(15*sec, 5*sec, "served"), answer(16*sec, ms, standin.Lost.String())}
-	got := strings.Join(answers(events, 2*sec), "\n")
-	if want := "3s: an answer of agent 1 took 3s\n4s: a call to agent 1 was lost after 1ms\n16s: a call to agent 1 was lost after 1ms"; got != want {
+	got := strings.Join(checkAnswers(events, 2*sec), "\n")
+	if want := "3s: answer of agent 1 took 3s\n4s: call to agent 1 lost after 1ms\n16s: call to agent 1 lost after 1ms"; got != want {
 		t.Errorf("%s", got)
 	}
 }
 
-// A send after a drain was told, or counts as told, is seen; one before is none.
+// A call sent after the agent was notified of a drain, or counts as notified, is reported; one sent before is not.
 func TestDrainsRule(t *testing.T) {
 	const must = 10 * sec
 	send := func(at time.Duration) Event { return Event{At: at, Kind: Got, Agent: 0, Said: "s"} }
@@ -37,26 +37,26 @@
 		events []Event
 		faults int
 	}{
-		"told, and sent in the grace":          {[]Event{{At: 2 * sec, Kind: Told, Agent: 0, Said: "s"}, send(2*sec + 500*ms)}, 0},
-		"told, and sent later":                 {[]Event{{At: 2 * sec, Kind: Told, Agent: 0, Said: "s"}, send(2*sec + 900*ms)}, 1},
-		"told, and served again":               {[]Event{{At: 2 * sec, Kind: Told, Agent: 0, Said: "s"}, {At: 3 * sec, Kind: Serves, Agent: -1, Said: "s"}, send(4 * sec)}, 0},
-		"not told":                             {[]Event{send(20 * sec)}, 0},
-		"the watch ended long ago":             {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, send(12 * sec), send(14 * sec)}, 1},
-		"asked in vain meanwhile":              {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, {At: 8 * sec, Kind: Called, Agent: 0, Said: Down}, send(14 * sec), send(49 * sec)}, 1},
-		"a new process that never asks":        {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, {At: 4 * sec, Kind: Died, Agent: 0}, {At: 5 * sec, Kind: Started, Agent: 0}, send(14 * sec), send(16 * sec)}, 1},
-		"its watch fell silent before":         {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, send(7*sec + 700*ms), send(7*sec + 800*ms)}, 1},
-		"silent, and the drain came later":     {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, {At: 3 * sec, Kind: Serves, Agent: -1, Said: "s"}, {At: 9 * sec, Kind: Drains, Agent: -1, Said: "s"}, send(9*sec + 700*ms), send(10 * sec)}, 1},
-		"silent, and a call that was given up": {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, {At: 4 * sec, Kind: Called, Agent: 0, Said: GivenUp}, send(8 * sec)}, 1},
-		"silent, and another watch, not told":  {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, {At: 5 * sec, Kind: Called, Agent: 0, Said: Answered}, {At: 5 * sec, Kind: Began, Agent: 0}, send(9 * sec)}, 0},
-		"stopped, and just continued":          {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, {At: 4 * sec, Kind: Stopped, Agent: 0}, {At: 30 * sec, Kind: Resumed, Agent: 0}, send(30*sec + 100*ms), send(32 * sec)}, 1},
+		"notified, sent within the grace":         {[]Event{{At: 2 * sec, Kind: Told, Agent: 0, Said: "s"}, send(2*sec + 500*ms)}, 0},
+		"notified, sent later":                    {[]Event{{At: 2 * sec, Kind: Told, Agent: 0, Said: "s"}, send(2*sec + 900*ms)}, 1},
+		"notified, in service again":              {[]Event{{At: 2 * sec, Kind: Told, Agent: 0, Said: "s"}, {At: 3 * sec, Kind: Serves, Agent: -1, Said: "s"}, send(4 * sec)}, 0},
+		"not notified":                            {[]Event{send(20 * sec)}, 0},
+		"the watch ended long ago":                {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, send(12 * sec), send(14 * sec)}, 1},
+		"a failed call meanwhile":                 {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, {At: 8 * sec, Kind: Called, Agent: 0, Said: Down}, send(14 * sec), send(49 * sec)}, 1},
+		"a new process that never calls":          {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, {At: 4 * sec, Kind: Died, Agent: 0}, {At: 5 * sec, Kind: Started, Agent: 0}, send(14 * sec), send(16 * sec)}, 1},
+		"its watch was silenced before":           {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, send(7*sec + 700*ms), send(7*sec + 800*ms)}, 1},
+		"silenced, and the drain came later":      {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, {At: 3 * sec, Kind: Serves, Agent: -1, Said: "s"}, {At: 9 * sec, Kind: Drains, Agent: -1, Said: "s"}, send(9*sec + 700*ms), send(10 * sec)}, 1},
+		"silenced, and a call that was given up":  {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, {At: 4 * sec, Kind: Called, Agent: 0, Said: GivenUp}, send(8 * sec)}, 1},
+		"silenced, and a new watch, not notified": {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, {At: 5 * sec, Kind: Called, Agent: 0, Said: Answered}, {At: 5 * sec, Kind: Began, Agent: 0}, send(9 * sec)}, 0},
+		"stopped, just continued":                 {[]Event{{At: 3 * sec, Kind: Ended, Agent: 0}, {At: 4 * sec, Kind: Stopped, Agent: 0}, {At: 30 * sec, Kind: Resumed, Agent: 0}, send(30*sec + 100*ms), send(32 * sec)}, 1},
 	} {
-		if got := drains(append(begin[:len(begin):len(begin)], c.events...), 1, must, false); len(got) != c.faults {
+		if got := checkDrains(append(begin[:len(begin):len(begin)], c.events...), 1, must, false); len(got) != c.faults {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
 }
 
-// Where lists are pushed, what the list has counts as told from the moment on in which the agent can reach the service, watching or not.
+// If lists are pushed, an agent counts as notified of the list as soon as it can reach the service, with or without a watch.
 func TestDrainsRuleWhereListsArePushed(t *testing.T) {
 	send := func(at time.Duration) Event { return Event{At: at, Kind: Got, Agent: 0, Said: "s"} }
 	drain := Event{At: 2 * sec, Kind: Drains, Agent: -1, Said: "s"}
@@ -65,39 +65,40 @@
 		events []Event
 		faults int
 	}{
-		"in the grace":                    {[]Event{drain, send(2*sec + 700*ms)}, 0},
-		"later":                           {[]Event{drain, send(2*sec + 800*ms)}, 1},
-		"without a watch":                 {[]Event{{At: sec, Kind: Ended, Agent: 0}, drain, send(2*sec + 800*ms)}, 1},
-		"while the service is down":       {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, send(30 * sec)}, 0},
-		"after its return, in the grace":  {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, {At: 9 * sec, Kind: HasList, Agent: 0}, send(9*sec + 700*ms)}, 0},
-		"after its return, later":         {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, {At: 9 * sec, Kind: HasList, Agent: 0}, send(9*sec + 800*ms)}, 1},
-		"a process that starts after it":  {[]Event{drain, {At: 3 * sec, Kind: Died, Agent: 0}, {At: 9 * sec, Kind: Started, Agent: 0}, send(9*sec + 700*ms), send(9*sec + 800*ms)}, 1},
-		"its watch fell silent before":    {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, drain, send(7*sec + 700*ms), send(7*sec + 800*ms)}, 1},
-		"the service is lost again after": {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, {At: 9 * sec, Kind: HasList, Agent: 0}, {At: 9*sec + ms, Kind: LostList, Agent: 0}, send(20 * sec)}, 0},
+		"within the grace":                      {[]Event{drain, send(2*sec + 700*ms)}, 0},
+		"later":                                 {[]Event{drain, send(2*sec + 800*ms)}, 1},
+		"without a watch":                       {[]Event{{At: sec, Kind: Ended, Agent: 0}, drain, send(2*sec + 800*ms)}, 1},
+		"while the service is down":             {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, send(30 * sec)}, 0},
+		"after its return, within the grace":    {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, {At: 9 * sec, Kind: HasList, Agent: 0}, send(9*sec + 700*ms)}, 0},
+		"after its return, later":               {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, {At: 9 * sec, Kind: HasList, Agent: 0}, send(9*sec + 800*ms)}, 1},
+		"a process that starts after the drain": {[]Event{drain, {At: 3 * sec, Kind: Died, Agent: 0}, {At: 9 * sec, Kind: Started, Agent: 0}, send(9*sec + 700*ms), send(9*sec + 800*ms)}, 1},
+		"its watch was silenced before":         {[]Event{{At: sec, Kind: Ended, Agent: 0}, {At: sec, Kind: Hushed, Agent: 0}, drain, send(7*sec + 700*ms), send(7*sec + 800*ms)}, 1},
+		"the service is lost again after":       {[]Event{{At: sec, Kind: LostList, Agent: 0}, drain, {At: 9 * sec, Kind: HasList, Agent: 0}, {At: 9*sec + ms, Kind: LostList, Agent: 0}, send(20 * sec)}, 0},
 	} {
-		if got := drains(append(begin[:len(begin):len(begin)], c.events...), 1, 10*sec, true); len(got) != c.faults {
+		if got := checkDrains(append(begin[:len(begin):len(begin)], c.events...), 1, 10*sec, true); len(got) != c.faults {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
 }
 
-// Who goes on sending to a server that the list drained is seen by the bound, told or not; one that has just begun is not.
+// An agent that keeps sending to a draining server beyond the bound is reported, whether or not it was notified; one that has just
+// started or was continued is not.
 func TestStalenessRule(t *testing.T) {
 	send := func(at time.Duration, agent int) Event { return Event{At: at, Kind: Got, Agent: agent, Said: "s"} }
 	events := []Event{{At: 0, Kind: Started, Agent: 0}, {At: 0, Kind: Started, Agent: 1}, {At: 20 * sec, Kind: Drains, Agent: -1, Said: "s"}, send(25*sec, 0), send(29*sec, 0),
 		{At: 28 * sec, Kind: Resumed, Agent: 1}, send(30*sec, 1), send(40*sec, 1), {At: 41 * sec, Kind: Serves, Agent: -1, Said: "s"}, send(50*sec, 0)}
-	if most, faults := staleness(events, 8*sec); most != 20*sec || len(faults) != 2 {
-		t.Errorf("%v, %q", most, faults)
+	if longest, faults := checkStaleness(events, 8*sec); longest != 20*sec || len(faults) != 2 {
+		t.Errorf("longest %v, faults %q", longest, faults)
 	}
-	if _, faults := staleness(events, 0); len(faults) != 0 {
-		t.Errorf("%q where there is no bound", faults)
+	if _, faults := checkStaleness(events, 0); len(faults) != 0 {
+		t.Errorf("faults without a bound: %q", faults)
 	}
 }
 
-// A cold server bears what it is said to bear, and falls over beyond.
+// A cold server crashes only if its load exceeds its limit.
 func TestColdServerFalls(t *testing.T) {
 	opts := ServerOptions{Capacity: 100, ColdFrom: 0.5, ColdFor: time.Hour, Push: 2, FallIn: 3 * sec, Queue: time.Hour}
-	for rate, falls := range map[int]bool{50: false, 95: false, 130: true} {
+	for rate, crashes := range map[int]bool{50: false, 95: false, 130: true} {
 		now := time.Duration(0)
 		s := &server{id: "s", opts: opts, pod: standin.NewPod(), record: NewRecord(), now: func() time.Duration { return now }}
 		if err := s.start(true); err != nil {
@@ -105,11 +106,11 @@
 		}
 		for range 10 * rate {
 			now += sec / time.Duration(rate)
-			s.take(standin.Call{ID: callID(3, 7)})
+			s.handleCall(standin.Call{ID: callID(3, 7)})
 		}
 		events, _ := s.record.Since(0)
-		if fell := events[len(events)-1].Kind == Fell || s.live == nil; fell != falls {
-			t.Errorf("at %d calls a second, %.2f times what it can do: fell %t", rate, s.pushed(), fell)
+		if crashed := events[len(events)-1].Kind == Fell || s.running == nil; crashed != crashes {
+			t.Errorf("%d calls per second, %.2f times the capacity: crashed %t", rate, s.maxOverload(), crashed)
 		}
 		if e := events[0]; e.Kind != Got || e.Agent != 3 || e.Said != "s" {
 			t.Errorf("%+v", e)
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -10,94 +10,96 @@
 	"ternbeam/internal/settings/conffile"
 )
 
-// Scenario is what a fleet goes through.
+// Scenario describes a fleet and the steps of a run. It is written as JSON as part of a Report.
 type Scenario struct {
 	Agents   int
 	Servers  int
 	Seed     uint64
-	Known    string        // what agents know at their first start
-	Places   string        // what they are told of their place; the truth where empty
-	MustAsk  time.Duration // within which the list must be asked for
-	All      time.Duration // what the list service needs for all agents
-	Patience time.Duration // of that service
-	Pushed   bool          // it stands beside each agent: asking costs nothing, and what it has counts as told
+	Known    string        // which list agents have at their first start; one of the Known constants
+	Places   string        // what agents are told of their rank and number, a key of placements; empty for the truth
+	MustAsk  time.Duration // within this time an agent must call the list service again
+	All      time.Duration // time that the list service needs to answer all agents
+	Patience time.Duration // time after which that service gives up a waiting call
+	Pushed   bool          // lists are pushed to agents: calls need no work, and agents count as notified of what the service has
 	Kiosks   KioskOptions
 	Server   ServerOptions
-	Cold     bool // the servers have just started
-	Talk     bool // lists pass among agents
+	Cold     bool // servers start cold
+	Talk     bool // agents exchange lists
 	Links    LinkOptions
-	Stale    time.Duration // no agent may be so much behind the list; 0 for any
+	Stale    time.Duration // maximum time that an agent may be behind the list; 0 for no limit
 	Steps    []Step
 }
 
-// Step is some faults, and the recovery from them. The first step is the cold start.
+// Step is a set of faults and the expected recovery from them. The first step is the start of all agents.
 type Step struct {
 	Name   string
-	Limit  time.Duration // for the recovery
-	Stay   time.Duration // the step lasts so long from then on, at the least, that its faults are over
-	Served bool          // the recovery is over when every agent has served a call, not when each holds a watch
-	Within time.Duration // the recovery must take no longer; 0 for any time
-	Calls  float64       // and no more calls to the list service, a fleet's agent; 0 for any number
-	Even   float64       // the calls of servers vary by so many times what chance would make of single calls at most; 0 for any
-	Tried  float64       // calls a second that each silent server gets at most, on average from the fifth second on; 0 for any
+	Limit  time.Duration // maximum time to wait for the recovery
+	Stay   time.Duration // minimum time for which the step lasts after its faults have ended
+	Served bool          // agents have recovered when each has served a call, not when each holds a watch
+	Within time.Duration // limit of the recovery time; 0 for none
+	Calls  float64       // limit of the calls to the list service, per agent; 0 for none
+	Even   float64       // limit of the variation of the calls per server, as a multiple of that of random picks; 0 for none
+	Tried  float64       // limit of the calls per second at each silent server, on average after the first 5 s; 0 for none
 	Faults []Action
 }
 
-// Action is one fault.
+// Action is a fault to inject.
 type Action struct {
-	At     time.Duration // after the step begins
+	At     time.Duration // time after the start of the step
 	Kind   string
-	Share  float64       // of the agents or servers that it hits, drawn by the scenario's seed
-	Group  string        // faults of one group hit the same agents
-	Others bool          // but this one all others
-	For    time.Duration // it lasts
-	How    Mode          // of the list service
-	Late   time.Duration // what it takes then, where How is Late; where that is Full, Share is of the watches that it takes
+	Share  float64       // share of the agents or servers that are affected, drawn with the scenario's seed
+	Group  string        // faults of one group affect the same agents
+	Others bool          // this one affects all agents but the group
+	For    time.Duration // how long it lasts
+	How    Mode          // mode of the list service
+	Late   time.Duration // time to an answer if How is Late; if How is Full, Share limits the watches, as a share of the agents
 }
 
 // The kinds of faults.
 const (
-	Kill = "kill" // SIGKILL; the agent starts again under its name when the fault ends
-	Stop = "stop" // SIGSTOP, and SIGCONT when it ends
-	Away = "list" // the list service is not Up
-	Cut  = "cut"  // datagrams between these agents and the others are lost
+	Kill = "kill" // SIGKILL; the agent starts again with the same name when the fault ends
+	Stop = "stop" // SIGSTOP, and SIGCONT when the fault ends
+	Away = "list" // the list service is in another mode than Up
+	Cut  = "cut"  // datagrams between the affected agents and the others are lost
 
-	Mute  = "silent" // servers let connect and answer nothing
-	Crash = "crash"  // servers refuse connections, and start again cold when it ends
-	Drain = "drain"  // the list says that servers drain; when it ends they start again cold, and it says so
+	Mute  = "silent" // servers accept connections and calls, but never answer
+	Crash = "crash"  // servers refuse connections; they start again cold when the fault ends
+	Drain = "drain"  // servers are marked draining in the list; when the fault ends, they start again cold and are listed as in service
 )
 
-// hitsServers reports whether a kind of fault is one of servers.
-func hitsServers(kind string) bool { return kind == Mute || kind == Crash || kind == Drain }
+// isServerFault reports whether faults of a kind affect servers, not agents.
+func isServerFault(kind string) bool { return kind == Mute || kind == Crash || kind == Drain }
 
-// What agents know at their first start.
+// The lists that agents may have at their first start.
 const (
-	KnownWhole = "whole"
-	KnownOld   = "old"   // an older version of the list
-	KnownNone  = "none"  // no server
-	KnownWrong = "wrong" // an older version, half of whose servers are no more
+	KnownWhole = "whole" // the current list
+	KnownOld   = "old"   // an older version of the current list
+	KnownNone  = "none"  // no servers
+	KnownWrong = "wrong" // an older version; half of its servers no longer exist
 )
 
-// places are what agents may be told of their place and number. Each gives both for an agent of so many.
-var places = map[string]func(agent, agents int) (me, number int){
+// placements returns what agents are told of their rank and number, by name in scenarios: each function gives both for an agent
+// and the true number of agents.
+var placements = map[string]func(agent, agents int) (me, number int){
 	"":        func(i, n int) (int, int) { return i, n },
-	"none":    func(_, n int) (int, int) { return n, n }, // of no agent
+	"none":    func(_, n int) (int, int) { return n, n }, // a rank that is out of range
 	"tenth":   func(i, n int) (int, int) { return i, max(1, n/10) },
 	"tenfold": func(i, n int) (int, int) { return i, n * 10 },
-	"pairs":   func(i, n int) (int, int) { return i / 2 * 2, n },                 // two have each place
-	"sides":   func(i, n int) (int, int) { return i % max(1, n/2), max(1, n/2) }, // two sides, each of which thinks that it is all
-	"old":     func(i, n int) (int, int) { return i, n / (1 + i%2) },             // half of them know an old number, half as large
+	"pairs":   func(i, n int) (int, int) { return i / 2 * 2, n },                 // each rank is given to two agents
+	"sides":   func(i, n int) (int, int) { return i % max(1, n/2), max(1, n/2) }, // two halves, each of which believes to be all agents
+	"old":     func(i, n int) (int, int) { return i, n / (1 + i%2) },             // half of the agents know an old number, half as large
 }
 
-// tell sets what the agents are told.
-func (s *Scenario) tell(name string) error {
-	if s.Places = name; places[name] == nil {
-		return fmt.Errorf("must be one of %s, or not be given", strings.Join(slices.Sorted(maps.Keys(places))[1:], ", "))
+// setPlaces sets what agents are told of their rank and number, by its name in scenarios.
+func (s *Scenario) setPlaces(name string) error {
+	if s.Places = name; placements[name] == nil {
+		return fmt.Errorf("must be one of %s, or omitted", strings.Join(slices.Sorted(maps.Keys(placements))[1:], ", "))
 	}
 	return nil
 }
 
-type file struct {
+// scenarioFile is the TOML form of a Scenario.
+type scenarioFile struct {
 	Agents   *int     `toml:"agents"`
 	Servers  *int     `toml:"servers"`
 	Seed     *int     `toml:"seed"`
@@ -156,11 +158,12 @@
 	} `toml:"step"`
 }
 
-const mostSteps = 64
+// maxSteps limits the steps of a scenario, and the faults of a step.
+const maxSteps = 64
 
-// Parse reads a scenario.
+// Parse decodes a scenario from TOML. The error names all problems by line and key.
 func Parse(text []byte) (*Scenario, error) {
-	var in file
+	var in scenarioFile
 	f := conffile.Read(text, &in)
 	s := &Scenario{Agents: 12, Servers: 4, Known: KnownWhole, MustAsk: 10 * time.Second, All: time.Second, Patience: 2 * time.Second}
 	f.Count("agents", in.Agents, 1, 5000, &s.Agents)
@@ -172,14 +175,14 @@
 	f.Span("list.all_s", in.List.AllS, time.Second, 0.001, 3600, &s.All)
 	f.Span("list.patience_s", in.List.PatienceS, time.Second, 0.01, 3600, &s.Patience)
 	if s.Pushed = in.List.Pushed; s.Pushed && (in.List.AllS != nil || in.MustAskS != nil) {
-		f.Problem("list.pushed", "a list that is pushed is not asked for: all_s and must_ask_s mean nothing")
+		f.Problem("list.pushed", "agents do not call for a list that is pushed: all_s and must_ask_s have no effect")
 	}
 	if in.Known != "" {
 		if s.Known = in.Known; !slices.Contains([]string{KnownWhole, KnownOld, KnownNone, KnownWrong}, s.Known) {
 			f.Problem("known", "must be whole, old, none or wrong")
 		}
 	}
-	if err := s.tell(in.Places); err != nil {
+	if err := s.setPlaces(in.Places); err != nil {
 		f.Problem("places", "%v", err)
 	}
 	s.Kiosks = KioskOptions{Left: 2 * time.Second, Keyed: 0.3}
@@ -188,7 +191,7 @@
 	f.Share("calls.keyed", in.Calls.Keyed, 0, 1, &s.Kiosks.Keyed)
 	f.Share("calls.unsafe", in.Calls.Unsafe, 0, 1, &s.Kiosks.Unsafe)
 	if s.Kiosks.Keyed+s.Kiosks.Unsafe > 1 {
-		f.Problem("calls.unsafe", "with those that have a key these are more than all")
+		f.Problem("calls.unsafe", "calls.keyed and calls.unsafe together must not exceed 1")
 	}
 	s.Talk = in.Peers.Talk
 	f.Share("peers.loss", in.Peers.Loss, 0, 1, &s.Links.Loss)
@@ -206,48 +209,48 @@
 	f.Span("server.cold_s", in.Server.ColdS, time.Second, 0, 3600, &s.Server.ColdFor)
 	f.Share("server.push", in.Server.Push, 1, 1000, &s.Server.Push)
 	f.Span("server.push_s", in.Server.PushS, time.Second, 0.1, 60, &s.Server.FallIn)
-	if len(in.Step) == 0 || len(in.Step) > mostSteps {
-		f.Problem("step", "1 to %d steps are needed, there are %d", mostSteps, len(in.Step))
+	if len(in.Step) == 0 || len(in.Step) > maxSteps {
+		f.Problem("step", "1 to %d steps are required, there are %d", maxSteps, len(in.Step))
 	}
 	for i, step := range in.Step {
-		at := fmt.Sprintf("step.%d", i)
+		key := fmt.Sprintf("step.%d", i)
 		out := Step{Name: step.Name, Limit: 30 * time.Second, Served: step.Served}
 		if out.Served && s.Kiosks.Rate == 0 {
-			f.Problem(at+".served", "nobody asks: calls.rate is 0")
+			f.Problem(key+".served", "there are no calls: calls.rate is 0")
 		}
-		f.Span(at+".stay_s", step.StayS, time.Second, 0, 3600, &out.Stay)
+		f.Span(key+".stay_s", step.StayS, time.Second, 0, 3600, &out.Stay)
 		if out.Name == "" {
-			f.Problem(at+".name", "must be given")
+			f.Problem(key+".name", "is required")
 		}
-		f.Span(at+".limit_s", step.LimitS, time.Second, 0.1, 3600, &out.Limit)
-		f.Span(at+".within", step.Within, s.All, 0, 1000, &out.Within)
-		f.Share(at+".calls", step.Calls, 0, 1e6, &out.Calls)
-		f.Share(at+".even", step.Even, 1, 1000, &out.Even)
-		f.Share(at+".tried", step.Tried, 0, 1e6, &out.Tried)
-		if len(step.Fault) > mostSteps {
-			f.Problem(at+".fault", "%d faults at most, there are %d", mostSteps, len(step.Fault))
+		f.Span(key+".limit_s", step.LimitS, time.Second, 0.1, 3600, &out.Limit)
+		f.Span(key+".within", step.Within, s.All, 0, 1000, &out.Within)
+		f.Share(key+".calls", step.Calls, 0, 1e6, &out.Calls)
+		f.Share(key+".even", step.Even, 1, 1000, &out.Even)
+		f.Share(key+".tried", step.Tried, 0, 1e6, &out.Tried)
+		if len(step.Fault) > maxSteps {
+			f.Problem(key+".fault", "at most %d faults are allowed, there are %d", maxSteps, len(step.Fault))
 		}
 		for j, fault := range step.Fault {
-			at := fmt.Sprintf("%s.fault.%d", at, j)
+			key := fmt.Sprintf("%s.fault.%d", key, j)
 			a := Action{Kind: fault.Kind, Share: 1, Group: fault.Group, Others: fault.Others}
-			f.Span(at+".at_s", fault.AtS, time.Second, 0, 3600, &a.At)
-			f.Span(at+".late_ms", fault.LateMS, time.Millisecond, 0, 60_000, &a.Late)
-			f.Span(at+".for_s", fault.ForS, time.Second, 0, 3600, &a.For)
-			f.Share(at+".share", fault.Share, 0, 1, &a.Share)
+			f.Span(key+".at_s", fault.AtS, time.Second, 0, 3600, &a.At)
+			f.Span(key+".late_ms", fault.LateMS, time.Millisecond, 0, 60_000, &a.Late)
+			f.Span(key+".for_s", fault.ForS, time.Second, 0, 3600, &a.For)
+			f.Share(key+".share", fault.Share, 0, 1, &a.Share)
 			switch a.Kind {
 			case Kill, Stop, Cut, Mute, Crash, Drain:
 				if a.Kind == Cut && !s.Talk {
-					f.Problem(at+".kind", "agents don't talk: peers.talk is not true")
+					f.Problem(key+".kind", "agents do not exchange lists: peers.talk is not true")
 				}
 				if fault.How != "" {
-					f.Problem(at+".how", "only a fault of the list service has one")
+					f.Problem(key+".how", "allowed only for kind list")
 				}
 			case Away:
-				if a.How = modes[fault.How]; a.How == Up {
-					f.Problem(at+".how", "must be late, breaks, old, full, refuses, resets, silent or hushes")
+				if a.How = modesByName[fault.How]; a.How == Up {
+					f.Problem(key+".how", "must be late, breaks, old, full, refuses, resets, silent or hushes")
 				}
 			default:
-				f.Problem(at+".kind", "must be kill, stop, cut, list, silent, crash or drain")
+				f.Problem(key+".kind", "must be kill, stop, cut, list, silent, crash or drain")
 			}
 			out.Faults = append(out.Faults, a)
 		}
@@ -256,10 +259,10 @@
 	return s, f.Err()
 }
 
-// Change puts other figures in place of those of the file, where they are given.
-func (s *Scenario) Change(agents, servers int, all, rate *float64, seed *uint64, told string) error {
-	if told != "" {
-		if err := s.tell(told); err != nil {
+// Override replaces figures of the scenario by those that are given: not 0, nil or empty. It returns an error for unknown places.
+func (s *Scenario) Change(agents, servers int, all, rate *float64, seed *uint64, places string) error {
+	if places != "" {
+		if err := s.setPlaces(places); err != nil {
 			return fmt.Errorf("places: %w", err)
 		}
 	}
@@ -270,10 +273,10 @@
 		s.Servers = servers
 	}
 	if all != nil {
-		of := s.All
+		before := s.All
 		s.All = time.Duration(*all * float64(time.Second))
-		for i := range s.Steps { // which are told in multiples of it
-			s.Steps[i].Within = time.Duration(float64(s.Steps[i].Within) / float64(of) * float64(s.All))
+		for i := range s.Steps { // Within is given as a multiple of All
+			s.Steps[i].Within = time.Duration(float64(s.Steps[i].Within) / float64(before) * float64(s.All))
 		}
 	}
 	if rate != nil {
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -10,22 +10,22 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// ServerOptions say what the servers are like.
+// ServerOptions configures the model servers.
 type ServerOptions struct {
-	Capacity float64       // calls a second, warm
-	Service  time.Duration // of a call where none waits
-	Queue    time.Duration // of work that may wait; calls beyond are turned away unseen
-	ColdFrom float64       // share of its capacity that a server starts with
-	ColdFor  time.Duration // until it has all of it; 0 for servers that are never cold
-	Push     float64       // a cold one falls over that is sent so many times what it can do
-	FallIn   time.Duration // in a window of this length
-	Reports  bool          // answers say the load
+	Capacity float64       // calls per second of a warm server
+	Service  time.Duration // time of a call on an idle server
+	Queue    time.Duration // limit of the queue; calls beyond it are rejected without an effect
+	ColdFrom float64       // share of its capacity that a cold server has at its start
+	ColdFor  time.Duration // time from the start to full capacity; 0 for servers that are never cold
+	Push     float64       // multiple of its capacity at which a cold server crashes
+	FallIn   time.Duration // window over which the load is measured for that
+	Reports  bool          // answers report the load
 }
 
-// fallSlack is how many calls beyond its push a cold server bears in a window: chance among few.
-const fallSlack = 12
+// overloadSlack is the number of calls per window that a cold server accepts beyond its limit, for random variation in small numbers.
+const overloadSlack = 12
 
-// server is a form server that may be silent, crash, start again cold and fall over.
+// server is a form server that may be silent, crash, start again cold and crash of overload.
 type server struct {
 	id     string
 	number int
@@ -35,43 +35,43 @@
 	record *Record
 	now    func() time.Duration
 
-	mu       sync.Mutex
-	live     *standin.Server // nil while it is down
-	started  time.Time
-	cold     bool
-	silent   bool
-	draining bool
-	free     time.Duration   // when all work taken so far is done
-	recent   []time.Duration // arrivals within the window
-	warmed   []float64       // what could be done a second at each of them
-	peak     float64         // the most that a cold life was sent, as a multiple of what it could do
+	mu           sync.Mutex
+	running      *standin.Server // nil while the server is down
+	started      time.Time
+	cold         bool
+	silent       bool
+	draining     bool
+	idleAt       time.Duration   // when all work accepted so far will be done
+	arrivals     []time.Duration // arrivals within the window FallIn
+	capacities   []float64       // capacity at each arrival, in calls per second
+	peakOverload float64         // highest load received while cold, as a multiple of the capacity
 }
 
-// start lets a life begin, cold or not.
+// start starts the server, cold or warm.
 func (s *server) start(cold bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	live, err := standin.Start(standin.Options{ID: s.id, Protocol: "http", Cell: s.cell, Pod: s.pod, Script: s.take, Load: s.load, NoLoad: !s.opts.Reports})
+	running, err := standin.Start(standin.Options{ID: s.id, Protocol: "http", Cell: s.cell, Pod: s.pod, Script: s.handleCall, Load: s.load, NoLoad: !s.opts.Reports})
 	if err != nil {
 		return err
 	}
-	s.live, s.started, s.cold, s.silent, s.draining = live, time.Now(), cold && s.opts.ColdFor > 0, false, false
-	s.free, s.recent = 0, nil
+	s.running, s.started, s.cold, s.silent, s.draining = running, time.Now(), cold && s.opts.ColdFor > 0, false, false
+	s.idleAt, s.arrivals = 0, nil
 	return nil
 }
 
-// stop ends its life.
+// stop stops the server, if it runs.
 func (s *server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.live != nil {
-		s.live.Close()
-		s.live = nil
+	if s.running != nil {
+		s.running.Close()
+		s.running = nil
 	}
 }
 
-// mute has it answer nothing, or answer again.
-func (s *server) mute(silent bool) {
+// setSilent makes the server stop answering, or answer again.
+func (s *server) setSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent = silent; silent {
@@ -81,27 +81,27 @@
 	}
 }
 
-// drain has it want nothing new.
-func (s *server) drain() {
+// startDraining marks the server as draining in its entry.
+func (s *server) startDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// pushed is the most that a cold life was sent, as a multiple of what it could do.
-func (s *server) pushed() float64 {
+// maxOverload returns the highest load that the server received while cold, as a multiple of its capacity.
+func (s *server) maxOverload() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.peak
+	return s.peakOverload
 }
 
-// entry is its entry in the list; one that is down keeps the address of its last life.
+// entry returns the server's entry for the list. It has no address while the server is down.
 func (s *server) entry() discovery.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := discovery.Entry{ID: s.id, Zone: "z", Cell: s.cell, State: "in_service", Weight: 1}
-	if s.live != nil {
-		e.Addr = s.live.Addr()
+	if s.running != nil {
+		e.Addr = s.running.Addr()
 	}
 	if s.cold {
 		e.StartedMS = s.started.UnixMilli()
@@ -112,80 +112,80 @@
 	return e
 }
 
-// canDo is what it can do a second.
-func (s *server) canDo() float64 {
+// capacity returns the server's present capacity in calls per second.
+func (s *server) capacity() float64 {
 	if !s.cold {
 		return s.opts.Capacity
 	}
-	warm := min(1, float64(time.Since(s.started))/float64(s.opts.ColdFor))
-	return s.opts.Capacity * (s.opts.ColdFrom + (1-s.opts.ColdFrom)*warm)
+	warmth := min(1, float64(time.Since(s.started))/float64(s.opts.ColdFor))
+	return s.opts.Capacity * (s.opts.ColdFrom + (1-s.opts.ColdFrom)*warmth)
 }
 
-// take says how a call fares: those before it go first.
-func (s *server) take(c standin.Call) standin.Step {
-	agent, call := agentOf(c.ID)
+// handleCall decides how a call is answered, in order of arrival.
+func (s *server) handleCall(c standin.Call) standin.Step {
+	agent, call := parseCallID(c.ID)
 	s.record.Put(Event{Kind: Got, Agent: agent, Call: call, Said: s.id})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, can := s.now(), s.canDo()
-	s.count(now, can)
+	now, capacity := s.now(), s.capacity()
+	s.recordArrival(now, capacity)
 	switch {
 	case s.silent:
 		return standin.Step{Fault: standin.Silence}
-	case s.live == nil:
+	case s.running == nil:
 		return standin.Step{Fault: standin.ResetBefore}
 	}
-	s.free = max(s.free, now) + time.Duration(float64(time.Second)/can)
-	if s.free-now > s.opts.Queue+s.opts.Service {
-		s.free -= time.Duration(float64(time.Second) / can)
+	s.idleAt = max(s.idleAt, now) + time.Duration(float64(time.Second)/capacity)
+	if s.idleAt-now > s.opts.Queue+s.opts.Service {
+		s.idleAt -= time.Duration(float64(time.Second) / capacity)
 		return standin.Step{Fault: standin.Reject}
 	}
-	return standin.Step{Delay: s.free - now + s.opts.Service}
+	return standin.Step{Delay: s.idleAt - now + s.opts.Service}
 }
 
-// count notes an arrival, and whether a cold server falls over by it. All that is sent counts, also what it turns away.
-func (s *server) count(now time.Duration, can float64) {
-	for len(s.recent) > 0 && s.recent[0] < now-s.opts.FallIn {
-		s.recent, s.warmed = s.recent[1:], s.warmed[1:]
+// recordArrival adds a call to the load, including calls that are rejected, and crashes a cold server that is overloaded.
+func (s *server) recordArrival(now time.Duration, capacity float64) {
+	for len(s.arrivals) > 0 && s.arrivals[0] < now-s.opts.FallIn {
+		s.arrivals, s.capacities = s.arrivals[1:], s.capacities[1:]
 	}
-	s.recent, s.warmed = append(s.recent, now), append(s.warmed, can)
-	if !s.cold || s.live == nil || time.Since(s.started) > s.opts.ColdFor {
+	s.arrivals, s.capacities = append(s.arrivals, now), append(s.capacities, capacity)
+	if !s.cold || s.running == nil || time.Since(s.started) > s.opts.ColdFor {
 		return
 	}
 	sum := 0.0
-	for _, w := range s.warmed {
-		sum += w
+	for _, c := range s.capacities {
+		sum += c
 	}
-	bears := sum / float64(len(s.warmed)) * s.opts.FallIn.Seconds()
-	s.peak = max(s.peak, math.Max(0, float64(len(s.recent))-fallSlack)/bears)
-	if s.peak > s.opts.Push {
+	expected := sum / float64(len(s.capacities)) * s.opts.FallIn.Seconds()
+	s.peakOverload = max(s.peakOverload, math.Max(0, float64(len(s.arrivals))-overloadSlack)/expected)
+	if s.peakOverload > s.opts.Push {
 		s.record.Add(Fell, -1, s.id)
-		s.live.Close()
-		s.live = nil
+		s.running.Close()
+		s.running = nil
 	}
 }
 
-// load is what it says of its load.
+// load returns the load that the server reports: its utilization, and the calls per second of the last second.
 func (s *server) load() (util, perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, n := s.now(), 0
-	for i := len(s.recent) - 1; i >= 0 && s.recent[i] > now-time.Second; i-- {
+	for i := len(s.arrivals) - 1; i >= 0 && s.arrivals[i] > now-time.Second; i-- {
 		n++
 	}
-	can := s.canDo()
-	return min(1, float64(n)/can), min(float64(n), can)
+	capacity := s.capacity()
+	return min(1, float64(n)/capacity), min(float64(n), capacity)
 }
 
-// callID names a call of an agent's kiosk so that servers know whose it is.
+// callID returns an id for a call of an agent's kiosk, from which servers can tell the agent and the call's number.
 func callID(agent, call int) string {
 	id := uint64(agent+1)<<40 | uint64(call)
 	text := strconv.FormatUint(id, 16)
 	return "0000000000000000"[len(text):] + text
 }
 
-// agentOf is the agent that a call's name tells, and its number.
-func agentOf(id string) (agent, call int) {
+// parseCallID returns the agent and the call's number of an id by callID; -1 and 0 if the id has another form.
+func parseCallID(id string) (agent, call int) {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
 		return -1, 0
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -11,7 +11,7 @@
 // Spread describes how evenly calls were distributed over servers.
 type Spread struct {
 	Mean, Largest     float64 // calls per server
-	Variation, Chance float64 // coefficient of variation (standard deviation over mean), and that expected if each call picked a server at random
+	Variation, Chance float64 // standard deviation divided by mean, and its expected value if each call picked a server at random
 }
 
 // Compute returns the Spread of the number of calls per server. received has the calls by server id; the rest of the
