--- a/cmd/ternbeam-fleet/main.go
+++ b/cmd/ternbeam-fleet/main.go
@@ -114,7 +114,7 @@
 			fmt.Println(err)
 			continue
 		}
-		fmt.Printf("%s: valid\n", name)
+		fmt.Printf("%s: good\n", name)
 	}
 	if invalid > 0 {
 		return fmt.Errorf("%d of %d files are invalid", invalid, len(c.Files))
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -94,9 +94,9 @@
 //   - if lists are pushed, as soon as it can reach the service, whether or not it watches.
 func checkDrains(events []Event, agents int, mustAsk time.Duration, pushed bool) (faults []string) {
 	draining := map[string]time.Duration{} // since when the list says so, by server
-	all := make([]listKnowledge, agents)
-	for i := range all {
-		all[i] = listKnowledge{notified: map[string]time.Duration{}, validUntil: mustAsk}
+	knowledge := make([]listKnowledge, agents)
+	for i := range knowledge {
+		knowledge[i] = listKnowledge{notified: map[string]time.Duration{}, validUntil: mustAsk}
 	}
 	resumed := downtimes{}
 	for _, e := range events {
@@ -105,35 +105,35 @@
 			draining[e.Said] = e.At
 		case Serves:
 			delete(draining, e.Said)
-			for i := range all {
-				delete(all[i].notified, e.Said)
+			for i := range knowledge {
+				delete(knowledge[i].notified, e.Said)
 			}
 		case Started:
-			all[e.Agent] = listKnowledge{notified: map[string]time.Duration{}, lastContact: e.At, validUntil: e.At + mustAsk, unreachable: all[e.Agent].unreachable, reachableSince: e.At}
+			knowledge[e.Agent] = listKnowledge{notified: map[string]time.Duration{}, lastContact: e.At, validUntil: e.At + mustAsk, unreachable: knowledge[e.Agent].unreachable, reachableSince: e.At}
 		case LostList:
-			all[e.Agent].unreachable = true
+			knowledge[e.Agent].unreachable = true
 		case HasList:
-			all[e.Agent].unreachable, all[e.Agent].reachableSince = false, e.At
+			knowledge[e.Agent].unreachable, knowledge[e.Agent].reachableSince = false, e.At
 		case Began:
-			all[e.Agent].watches++
-			all[e.Agent].silenced = false
+			knowledge[e.Agent].watches++
+			knowledge[e.Agent].silenced = false
 		case Hushed:
-			all[e.Agent].silenced, all[e.Agent].silencedAt = true, e.At
+			knowledge[e.Agent].silenced, knowledge[e.Agent].silencedAt = true, e.At
 		case Ended:
-			h := &all[e.Agent]
-			if h.watches--; h.watches == 0 {
-				h.lastContact, h.validUntil = e.At, e.At+mustAsk
+			agent := &knowledge[e.Agent]
+			if agent.watches--; agent.watches == 0 {
+				agent.lastContact, agent.validUntil = e.At, e.At+mustAsk
 			}
 		case Called:
-			h := &all[e.Agent]
-			if h.lastContact = e.At; e.Said == Answered {
-				h.validUntil = e.At + mustAsk
+			agent := &knowledge[e.Agent]
+			if agent.lastContact = e.At; e.Said == Answered {
+				agent.validUntil = e.At + mustAsk
 			} else {
-				h.validUntil = e.At + 4*mustAsk
+				agent.validUntil = e.At + 4*mustAsk
 			}
 		case Told:
-			if _, known := all[e.Agent].notified[e.Said]; !known {
-				all[e.Agent].notified[e.Said] = e.At
+			if _, known := knowledge[e.Agent].notified[e.Said]; !known {
+				knowledge[e.Agent].notified[e.Said] = e.At
 			}
 		case Resumed: // calls of a process that was just continued are exempt: it could not know of the drain
 			resumed[e.Agent] = append(resumed[e.Agent], span{e.At, e.At + drainGrace + noise})
@@ -145,17 +145,17 @@
 			if !isDraining || resumed.any(e.Agent, e.At-time.Millisecond, e.At) {
 				continue
 			}
-			h := &all[e.Agent]
-			notified, known := h.notified[e.Said]
-			if pushed && !h.unreachable && !h.silenced {
-				if pushedAt := max(since, h.reachableSince); !known || pushedAt < notified {
+			agent := &knowledge[e.Agent]
+			notified, known := agent.notified[e.Said]
+			if pushed && !agent.unreachable && !agent.silenced {
+				if pushedAt := max(since, agent.reachableSince); !known || pushedAt < notified {
 					notified, known = pushedAt, true
 				}
 			}
-			if !pushed && !known && h.watches == 0 && e.At > h.validUntil {
-				notified, known = max(since+mustAsk, h.validUntil), e.At >= since+mustAsk
+			if !pushed && !known && agent.watches == 0 && e.At > agent.validUntil {
+				notified, known = max(since+mustAsk, agent.validUntil), e.At >= since+mustAsk
 			}
-			if assumed := max(since, h.silencedAt+toldAfter); h.silenced && e.At >= assumed && (!known || assumed < notified) {
+			if assumed := max(since, agent.silencedAt+toldAfter); agent.silenced && e.At >= assumed && (!known || assumed < notified) {
 				notified, known = assumed, true
 			}
 			if known && e.At > notified+drainGrace+noise {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -75,7 +75,7 @@
 // agent is one run of an agent process: a restarted agent is a new one.
 type agent struct {
 	number   int
-	ledger   *ledger.Ledger
+	tracker  *ledger.Ledger
 	stopped  bool
 	attempts map[*ledger.Attempt]*attempt
 }
@@ -155,7 +155,7 @@
 			return nil, err
 		}
 	}
-	w.schedule(w.interarrivalTime(), w.callArrives)
+	w.scheduleAfter(w.interarrivalTime(), w.callArrives)
 	return w, nil
 }
 
@@ -165,7 +165,8 @@
 // Calls returns all calls so far, in order of arrival.
 func (w *World) Calls() []*Call { return w.calls }
 
-func (w *World) schedule(delay time.Duration, run func()) {
+// scheduleAfter runs a function after a delay in virtual time, or at once if the delay is negative.
+func (w *World) scheduleAfter(delay time.Duration, run func()) {
 	w.eventCount++
 	heap.Push(&w.events, event{w.now + max(0, delay), w.eventCount, run})
 }
@@ -201,7 +202,7 @@
 }
 
 func (w *World) callArrives() {
-	w.schedule(w.interarrivalTime(), w.callArrives)
+	w.scheduleAfter(w.interarrivalTime(), w.callArrives)
 	number := w.callCount
 	w.callCount++
 	class := w.classAt(w.random(number, "class"))
@@ -212,7 +213,7 @@
 	call := &ledger.Call{Request: choice.Request{ID: fmt.Sprint(number), Class: class, Deadline: w.now + w.cfg.Module.Classes[class].Deadline,
 		Key: fmt.Sprint("k", number)}, Payload: &payload{number, c}}
 	call.Answer = func(a ledger.Answer) { c.Kind, c.Answered = a.Kind, w.now }
-	w.execute(agent, agent.ledger.Arrived(w.now, call))
+	w.execute(agent, agent.tracker.Arrived(w.now, call))
 }
 
 type payload struct {
@@ -233,10 +234,10 @@
 		return err
 	}
 	a := &agent{number: number, attempts: map[*ledger.Attempt]*attempt{}}
-	a.ledger = ledger.New(ledger.Settings{MaxAttempts: settings.MaxAttempts,
+	a.tracker = ledger.New(ledger.Settings{MaxAttempts: settings.MaxAttempts,
 		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), Carries: func(choice.Protocols) bool { return true }}, module)
 	w.agents[number] = a
-	w.execute(a, a.ledger.Start(w.now))
+	w.execute(a, a.tracker.Start(w.now))
 	var entries []ledger.Entry
 	for _, s := range w.cfg.Servers {
 		if w.cfg.Told {
@@ -245,10 +246,10 @@
 		entries = append(entries, ledger.Entry{Server: choice.Server{ID: s.ID, Weight: 1}, Addr: s.ID})
 	}
 	if past != nil {
-		a.ledger.Remember(past)
+		a.tracker.Remember(past)
 	}
-	w.execute(a, a.ledger.List(w.now, true, entries))
-	a.ledger.Recall(w.now, w.Clock())
+	w.execute(a, a.tracker.List(w.now, true, entries))
+	a.tracker.Recall(w.now, w.Clock())
 	return nil
 }
 
@@ -262,7 +263,7 @@
 }
 
 // Schedule runs a function at a virtual time, or at once if that has passed.
-func (w *World) At(at time.Duration, run func()) { w.schedule(at-w.now, run) }
+func (w *World) At(at time.Duration, run func()) { w.scheduleAfter(at-w.now, run) }
 
 // SetSilent makes a server accept calls without answering, or answer again. Calls received while it was silent are never
 // answered.
@@ -274,7 +275,7 @@
 		return
 	}
 	for _, a := range w.agents {
-		w.execute(a, a.ledger.List(w.now, false, changes))
+		w.execute(a, a.tracker.List(w.now, false, changes))
 	}
 }
 
@@ -284,7 +285,7 @@
 // Export returns the learned state that the first agent would persist now.
 func (w *World) Kept() learned.State {
 	var l ledger.Learned
-	w.agents[0].ledger.Export(w.now, &l, nil)
+	w.agents[0].tracker.Export(w.now, &l, nil)
 	return learned.New(w.Clock(), "sim", l.Memory, l.Servers, l.Fleet, nil)
 }
 
@@ -300,16 +301,16 @@
 		switch o.Kind {
 		case ledger.SetTimer:
 			token := o.Token
-			w.schedule(o.At-w.now, func() {
+			w.scheduleAfter(o.At-w.now, func() {
 				if !a.stopped {
-					w.execute(a, a.ledger.Fired(w.now, token))
+					w.execute(a, a.tracker.Fired(w.now, token))
 				}
 			})
 		case ledger.Begin:
 			w.startAttempt(a, o.Attempt)
 		case ledger.Withdraw:
 			if t := a.attempts[o.Attempt]; t != nil {
-				w.schedule(0, func() { w.endAttempt(a, t, ledger.Ended(choice.Cancelled)) })
+				w.scheduleAfter(0, func() { w.endAttempt(a, t, ledger.Ended(choice.Cancelled)) })
 			}
 		case ledger.Reply:
 			o.Call.Answer(o.Answer)
@@ -322,17 +323,17 @@
 	a.attempts[tracked] = t
 	p := tracked.Payload.(*payload)
 	p.call.Attempts++
-	w.schedule(tracked.End-w.now, func() { w.endAttempt(a, t, ledger.Ended(choice.TimedOut)) })
+	w.scheduleAfter(tracked.End-w.now, func() { w.endAttempt(a, t, ledger.Ended(choice.TimedOut)) })
 	s := w.servers[tracked.Server.Addr]
 	mean := float64(w.cfg.Work[tracked.Call.Class])
 	work := time.Duration(-math.Log(w.random(p.number, "work"))*mean/s.Speed) + 1
-	w.schedule(w.cfg.Network, func() {
+	w.scheduleAfter(w.cfg.Network, func() {
 		if w.cfg.Got != nil {
 			w.cfg.Got(w.now, a.number, tracked.Server.Addr)
 		}
 		switch {
 		case s == nil || s.dead:
-			w.schedule(w.cfg.Network, func() { w.endAttempt(a, t, ledger.Ended(choice.ConnectFailed)) })
+			w.scheduleAfter(w.cfg.Network, func() { w.endAttempt(a, t, ledger.Ended(choice.ConnectFailed)) })
 			return
 		case s.Silent:
 			return
@@ -342,7 +343,7 @@
 			if w.cfg.Reports {
 				e.Report = s.report(w.now)
 			}
-			w.schedule(w.cfg.Network, func() { w.endAttempt(a, t, e) })
+			w.scheduleAfter(w.cfg.Network, func() { w.endAttempt(a, t, e) })
 		}})
 	})
 }
@@ -353,7 +354,7 @@
 	}
 	t.ended = true
 	delete(a.attempts, t.tracked)
-	w.execute(a, a.ledger.Ended(w.now, t.tracked, e))
+	w.execute(a, a.tracker.Ended(w.now, t.tracked, e))
 }
 
 // serve makes a server work on a job, or queue it. Calls that the agent canceled are worked on all the same, as real servers do.
@@ -364,7 +365,7 @@
 		return
 	}
 	s.busy++
-	w.schedule(j.work, func() {
+	w.scheduleAfter(j.work, func() {
 		s.updateAverages(w.now)
 		s.busy--
 		s.rate += 1 / horizon.Seconds()
