--- a/internal/lab/sysfault/busy.go
+++ b/internal/lab/sysfault/busy.go
@@ -10,52 +10,52 @@
 	"time"
 )
 
-// Period is a span of time.
+// Period is the time from From to To.
 type Period struct{ From, To time.Time }
 
-// leastBusy is the length of the periods that are kept at least.
+// minBusy is the length from which on busy periods are recorded; shorter ones are dropped.
 const leastBusy = 20 * time.Millisecond
 
-// busyPeriods are the times in which a tracer had something to do without a break: a call that was made then may have waited from the beginning of
-// such a period to its end.
+// busyPeriods records the periods in which a tracer was continuously busy. A call made in such a period may have waited from its beginning
+// to its end.
 type busyPeriods struct {
-	// Of the tracer's thread.
-	account *os.File      // the kernel's of that thread, proc(5), schedstat
-	since   time.Time     // zero before it has been idle
-	waited  time.Duration // for a processor, in all, as it became idle
+	// Used by the tracer's thread only.
+	schedstat *os.File      // the scheduling statistics of that thread: schedstat in proc(5)
+	busySince time.Time     // start of the current busy period; zero until the thread has been idle once
+	waited    time.Duration // total wait for a processor when the thread last became idle
 
-	mu  sync.Mutex
-	all []Period
+	mu      sync.Mutex
+	periods []Period
 }
 
-// attach binds the periods to the calling thread, which is locked.
+// attach starts recording for the calling thread, which must be locked to its goroutine.
 func (b *busyPeriods) attach() (err error) {
-	b.account, err = os.Open("/proc/thread-self/schedstat")
+	b.schedstat, err = os.Open("/proc/thread-self/schedstat")
 	return err
 }
 
-// begin says that the thread has something to do. It had, as it began to wait for a processor.
-func (b *busyPeriods) begin() {
-	b.since = time.Now().Add(b.waited - b.processorWait())
+// markBusy starts a busy period. The period is dated back by the time that the thread has since waited for a processor.
+func (b *busyPeriods) markBusy() {
+	b.busySince = time.Now().Add(b.waited - b.processorWait())
 }
 
-// end says that the thread has nothing to do.
-func (b *busyPeriods) end() {
+// markIdle ends the busy period: the thread is idle.
+func (b *busyPeriods) markIdle() {
 	b.waited = b.processorWait()
 	now := time.Now()
-	if b.since.IsZero() || now.Sub(b.since) < leastBusy {
+	if b.busySince.IsZero() || now.Sub(b.busySince) < leastBusy {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.all = append(b.all, Period{b.since, now})
+	b.periods = append(b.periods, Period{b.busySince, now})
 }
 
-// atLeast returns the periods of some length and more.
+// atLeast returns the periods that lasted for length or longer.
 func (b *busyPeriods) atLeast(length time.Duration) (long []Period) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.all {
+	for _, p := range b.periods {
 		if p.To.Sub(p.From) >= length {
 			long = append(long, p)
 		}
@@ -63,16 +63,17 @@
 	return long
 }
 
-// processorWait is for how long the thread has waited for a processor so far; 0 where the kernel does not tell.
+// processorWait returns how long the thread has waited for a processor in total, or 0 if the kernel does not report it.
 func (b *busyPeriods) processorWait() time.Duration {
 	var text [64]byte
-	n, _ := b.account.ReadAt(text[:], 0)
+	n, _ := b.schedstat.ReadAt(text[:], 0)
 	return ProcessorWait(string(text[:n]))
 }
 
-// ProcessorWait is for how long a thread has waited for a processor, by the kernel's account of it (proc(5), schedstat); 0 where that does not tell.
+// ProcessorWait returns how long a thread has waited for a processor, from the text of its schedstat file (proc(5)), or 0 if the text does
+// not contain it.
 func ProcessorWait(schedstat string) time.Duration {
-	fields := strings.Fields(schedstat) // nanoseconds run, nanoseconds waited, times run
+	fields := strings.Fields(schedstat) // nanoseconds running, nanoseconds waiting, number of time slices
 	if len(fields) < 2 {
 		return 0
 	}
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -1,10 +1,10 @@
 //go:build linux && amd64
 
-// Package sysfault starts a process and makes chosen system calls of it fail, or move fewer bytes than asked for, as their manual
-// pages document. It traces the process with ptrace(2) and stops it only at the chosen calls, by a seccomp(2) filter that the process
-// installs on itself before it executes the program. It needs no privileges and touches no process but the one that it starts.
+// Package sysfault starts a process and makes chosen system calls of it fail, or transfer fewer bytes than requested, as their manual
+// pages document. It traces the process with ptrace(2) and stops it only at the chosen calls, by means of a seccomp(2) filter that the
+// process installs on itself before it executes the program. It needs no privileges and affects only the process that it starts.
 //
-// A program that uses the package calls Main first of all: the process to be traced begins as a second copy of that program.
+// A program that uses the package must call Main before anything else: the traced process starts as a second copy of that program.
 package sysfault
 
 import (
@@ -25,7 +25,7 @@
 // Call is the number of a system call.
 type Call uint64
 
-// The system calls that programs in Go make on sockets.
+// The system calls that can be chosen: those that Go programs make on sockets, and some on files.
 const (
 	Read      Call = unix.SYS_READ
 	Write     Call = unix.SYS_WRITE
@@ -33,7 +33,7 @@
 	Accept    Call = unix.SYS_ACCEPT4
 	Connect   Call = unix.SYS_CONNECT
 	NewSocket Call = unix.SYS_SOCKET
-	Poll      Call = unix.SYS_PPOLL // which golang.org/x/sys makes for poll(2)
+	Poll      Call = unix.SYS_PPOLL // golang.org/x/sys implements poll(2) with it
 	EpollAdd  Call = unix.SYS_EPOLL_CTL
 	GetOption Call = unix.SYS_GETSOCKOPT
 	SetOption Call = unix.SYS_SETSOCKOPT
@@ -42,64 +42,65 @@
 	Control   Call = unix.SYS_FCNTL
 	Shutdown  Call = unix.SYS_SHUTDOWN
 	Bind      Call = unix.SYS_BIND
-	SendWith  Call = unix.SYS_SENDMSG // descriptors beside the data
+	SendWith  Call = unix.SYS_SENDMSG // with it, descriptors are passed along with data
 	RecvWith  Call = unix.SYS_RECVMSG
 	Rename    Call = unix.SYS_RENAMEAT
 	OpenFile  Call = unix.SYS_OPENAT
-	Close     Call = unix.SYS_CLOSE // which frees the descriptor whatever it returns: a call that is made to fail leaves it open
+	Close     Call = unix.SYS_CLOSE // a real close frees the descriptor whatever it returns; a call that is made to fail leaves it open
 )
 
 var callNames = map[Call]string{Read: "read", Write: "write", Receive: "recvfrom", Accept: "accept4", Connect: "connect", NewSocket: "socket",
 	Poll: "ppoll", EpollAdd: "epoll_ctl", GetOption: "getsockopt", SetOption: "setsockopt", LocalName: "getsockname", PeerName: "getpeername",
 	Control: "fcntl", Shutdown: "shutdown", Close: "close", Bind: "bind", SendWith: "sendmsg", RecvWith: "recvmsg", Rename: "renameat", OpenFile: "openat"}
 
+// String returns the name of the system call.
 func (c Call) String() string { return callNames[c] }
 
 // Event is a system call that the process is about to make.
 type Event struct {
 	Call Call
 	Socket
-	Path   string // of the file to be opened or renamed
-	Option Option // that is got or set
+	Path   string // of the file that is opened or renamed
+	Option Option // the option that is read or set
 }
 
-// Socket is the socket that a system call is about, the zero one where it is about none.
+// Socket describes the socket that a system call operates on. It is zero for calls without a socket.
 type Socket struct {
-	Local, Remote netip.AddrPort // zero where there is none yet
-	Unix          bool           // it is a Unix socket
+	Local, Remote netip.AddrPort // zero if not bound or connected
+	Unix          bool           // a Unix domain socket
 }
 
-// Option is a socket option, as getsockopt(2) and setsockopt(2) name it.
+// Option identifies a socket option as in getsockopt(2) and setsockopt(2).
 type Option struct {
 	Level, Name int
 }
 
-// Outcome says what becomes of a system call. The zero Outcome lets it happen.
+// Outcome says how a system call is changed. The zero Outcome leaves it unchanged.
 type Outcome struct {
-	Errno syscall.Errno // it does nothing and fails with that
-	Limit int           // it may move so many bytes at the most; any number where 0
-	Hold  time.Duration // it happens, or fails, so much later; so do all chosen calls of the process meanwhile, and nothing else
+	Errno syscall.Errno // if not 0, the call is not executed and fails with this error
+	Limit int           // maximum number of bytes to transfer; 0 for no limit
+	Hold  time.Duration // delay of the call, or of its failure; it also delays all other chosen calls of the process, and nothing else
 }
 
-// Decider decides on each chosen system call. It is called by one goroutine at a time and must not block.
+// Decider returns the Outcome for each chosen system call. It is called by one goroutine at a time and must not block.
 type Decider func(Event) Outcome
 
 // Process is a traced process.
 type Process struct {
 	Pid    int
-	handle *os.File // a pidfd: no other process can be meant, even if the number is used again
+	handle *os.File // a pidfd, so that signals cannot reach another process that reuses the pid
 	ended  chan struct{}
 	busy   *busyPeriods
 }
 
-// Standstills returns the times in which chosen calls of the process waited for the tracer, for so long at least: held, or as the tracer itself was
-// late on a busy machine.
+// StalledPeriods returns the periods of at least the given length in which chosen calls of the process waited for the tracer, either because of
+// Outcome.Hold or because the tracer itself was delayed on a busy machine.
 func (p *Process) Standstills(least time.Duration) []Period { return p.busy.atLeast(least) }
 
-// Ended is closed when the process has ended and all of its threads are gone.
+// Ended returns a channel that is closed when the process and all of its threads have ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Signal sends a signal to the process. SIGSTOP has no effect on a traced process. It fails where the process has ended.
+// Signal sends a signal to the process. It fails if the process has ended. SIGSTOP has no effect on a traced process.
 func (p *Process) Signal(s syscall.Signal) error {
 	raw, err := p.handle.SyscallConn()
 	if err != nil {
@@ -111,14 +112,14 @@
 	return err
 }
 
-// Kill ends the process at once, if it has not ended.
+// Kill sends SIGKILL to the process if it has not ended.
 func (p *Process) Kill() { p.Signal(syscall.SIGKILL) }
 
-// launchVariable holds the numbers of the chosen calls in the environment of the process that executes the program.
+// launchVariable is the environment variable that passes the numbers of the chosen calls to the process that executes the program.
 const launchVariable = "SYSFAULT_CALLS"
 
-// Main turns this process into the program named by its arguments, under the filter, if Start has started it for that. It returns
-// otherwise.
+// Main installs the filter and executes the program named by the arguments, if this process was started by Start; it then does not
+// return. Otherwise it returns at once.
 func Main() {
 	chosen, ok := os.LookupEnv(launchVariable)
 	if !ok {
@@ -139,7 +140,7 @@
 	dataArch   = 4
 )
 
-// install has the kernel stop this process for its tracer at the chosen calls, also after it has executed a program.
+// install makes the kernel stop this process for its tracer at the chosen calls. The filter stays in place after an exec.
 func install(chosen string) error {
 	load := func(offset uint32) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// Start starts a command that has not been started, and has decide called for each of the chosen calls. Of the command its path, arguments,
-// environment and folder count; its output goes to a file. The calling program must have called Main.
+// Start starts a command that has not been started, and calls decide for each of the chosen calls. It uses only the command's path, arguments,
+// environment and folder. Standard output and standard error go to output. The calling program must have called Main.
 func Start(command *exec.Cmd, output *os.File, chosen []Call, decide Decider) (*Process, error) {
 	numbers := make([]string, len(chosen))
 	for i, call := range chosen {
@@ -180,15 +181,15 @@
 	started := make(chan error, 1)
 	p := &Process{ended: make(chan struct{}), busy: &busyPeriods{}}
 	go func() {
-		// ptrace(2) belongs to a thread, which ends with this goroutine.
+		// ptrace(2) is bound to a thread. The thread ends with this goroutine.
 		runtime.LockOSThread()
 		err := p.busy.attach()
 		if err != nil {
 			started <- err
 			return
 		}
-		defer p.busy.account.Close()
-		t, err := begin(command, launchVariable+"="+strings.Join(numbers, ","), output)
+		defer p.busy.schedstat.Close()
+		t, err := startTraced(command, launchVariable+"="+strings.Join(numbers, ","), output)
 		if err != nil {
 			started <- err
 			return
@@ -196,26 +197,26 @@
 		t.busy = p.busy
 		t.decide, p.Pid, p.handle = decide, t.leader, os.NewFile(uintptr(t.pidfd), "pidfd")
 		started <- nil
-		t.follow()
+		t.run()
 		close(p.ended)
 	}()
 	if err := <-started; err != nil {
-		return nil, fmt.Errorf("starting %s under faults: %w", command.Path, err)
+		return nil, fmt.Errorf("starting %s with injected faults: %w", command.Path, err)
 	}
 	return p, nil
 }
 
-// tracer follows the threads of one process.
+// tracer traces the threads of one process.
 type tracer struct {
 	decide Decider
 	leader int
 	pidfd  int
-	known  map[int]bool // threads that have stopped before
-	queued []stop       // that wait for the end of a hold
+	seen   map[int]bool // threads that have stopped at least once
+	queued []stop       // stops that arrived during a hold and are handled after it
 	busy   *busyPeriods
 }
 
-// stop is a stop of a thread.
+// stop is a ptrace stop of a thread.
 type stop struct {
 	tid    int
 	status unix.WaitStatus
@@ -226,15 +227,15 @@
 	return s.status.Stopped() && s.status.StopSignal() == unix.SIGTRAP && s.status.TrapCause() == unix.PTRACE_EVENT_SECCOMP
 }
 
-// begin starts the second copy of this program, stopped before its first instruction.
-func begin(command *exec.Cmd, chosen string, output *os.File) (*tracer, error) {
+// startTraced starts the second copy of this program, stops it before its first instruction, sets it up for tracing and resumes it.
+func startTraced(command *exec.Cmd, chosen string, output *os.File) (*tracer, error) {
 	arguments := append([]string{"sysfault", command.Path}, command.Args[1:]...)
 	pid, err := syscall.ForkExec("/proc/self/exe", arguments, &syscall.ProcAttr{Dir: command.Dir, Env: append(command.Env, chosen),
 		Files: []uintptr{0, output.Fd(), output.Fd()}, Sys: &syscall.SysProcAttr{Ptrace: true, Setpgid: true}})
 	if err != nil {
 		return nil, err
 	}
-	t := &tracer{leader: pid, known: map[int]bool{pid: true}, pidfd: -1}
+	t := &tracer{leader: pid, seen: map[int]bool{pid: true}, pidfd: -1}
 	var status unix.WaitStatus
 	if _, err = unix.Wait4(pid, &status, unix.WALL, nil); err == nil {
 		err = unix.PtraceSetOptions(pid, unix.PTRACE_O_TRACESECCOMP|unix.PTRACE_O_TRACECLONE|unix.PTRACE_O_TRACEEXEC|unix.PTRACE_O_EXITKILL)
@@ -255,80 +256,80 @@
 	return t, nil
 }
 
-// follow lets the process run until it has ended.
-func (t *tracer) follow() {
+// run handles stops until the process has ended.
+func (t *tracer) run() {
 	for {
 		if len(t.queued) > 0 {
 			next := t.queued[0]
 			t.queued = t.queued[1:]
-			t.stopped(next)
+			t.handleStop(next)
 			continue
 		}
 		next, err := t.next()
 		switch {
 		case err == unix.EINTR:
-		case err != nil: // ECHILD: no thread is left
+		case err != nil: // ECHILD: all threads have ended
 			return
 		case next.status.Stopped():
-			t.stopped(next)
+			t.handleStop(next)
 		}
 	}
 }
 
-// next waits for a thread to stop or to end. While none has, the tracer is idle.
+// next waits for a thread to stop or end. The tracer counts as idle while it blocks here.
 func (t *tracer) next() (stop, error) {
 	if next, err := t.wait(unix.WNOHANG); err != nil || next.tid != 0 {
 		return next, err
 	}
-	t.busy.end()
+	t.busy.markIdle()
 	next, err := t.wait(0)
-	t.busy.begin()
+	t.busy.markBusy()
 	return next, err
 }
 
-// wait waits for a thread to stop or to end, as wait4(2) does with some options. The process has a process group of its own: other children of this
-// thread, from before it became the tracer's, are not waited for here.
+// wait calls wait4(2) for a thread to stop or end. It waits for the process group that the traced process has of its own, and so ignores other
+// children that this thread had before it became the tracer's.
 func (t *tracer) wait(options int) (next stop, err error) {
 	next.tid, err = unix.Wait4(-t.leader, &next.status, unix.WALL|unix.WNOTHREAD|options, nil)
 	return next, err
 }
 
-// hold lets time pass in which the threads make no chosen call. They go on otherwise: a thread that begins stops for the tracer, and a Go program
-// may have no other to run on.
+// hold blocks chosen calls of all threads for some time. It handles other stops meanwhile: a new thread stops for the tracer, and a Go program
+// may have no other thread to run on.
 func (t *tracer) hold(length time.Duration) {
-	const look = time.Millisecond
+	const look = time.Millisecond // how often stops are polled for
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		next, err := t.wait(unix.WNOHANG)
 		switch {
-		case err != nil && err != unix.EINTR: // no thread is left
+		case err != nil && err != unix.EINTR: // all threads have ended
 			return
 		case err != nil || next.tid == 0:
 			time.Sleep(min(look, time.Until(end)))
 		case next.isChosenCall():
 			t.queued = append(t.queued, next)
 		case next.status.Stopped():
-			t.stopped(next)
+			t.handleStop(next)
 		}
 	}
 }
 
-// stopped handles a stop of a thread and lets it go on. Errors mean that the thread is gone.
-func (t *tracer) stopped(s stop) {
+// handleStop handles a stop of a thread and resumes it. It ignores errors, as they mean that the thread has ended.
+func (t *tracer) handleStop(s stop) {
 	tid, status := s.tid, s.status
-	first := !t.known[tid]
-	t.known[tid] = true
+	first := !t.seen[tid]
+	t.seen[tid] = true
 	signal := status.StopSignal()
 	switch {
 	case s.isChosenCall():
 		t.intercept(tid)
 		signal = 0
-	case signal == unix.SIGTRAP, first && signal == unix.SIGSTOP: // a clone, an exec, a thread that begins
+	case signal == unix.SIGTRAP, first && signal == unix.SIGSTOP: // a clone, an exec, or the start of a thread
 		signal = 0
 	}
 	unix.PtraceCont(tid, int(signal))
 }
 
-// intercept decides on the call that a thread is about to make.
+// intercept asks the Decider about the call that a thread is about to make, and changes the call accordingly.
 func (t *tracer) intercept(tid int) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(tid, &regs) != nil {
@@ -339,7 +340,7 @@
 	case NewSocket:
 	case OpenFile, Rename:
 		event.Path = readPath(tid, uintptr(regs.Rsi))
-	case Poll: // its first argument is an array in the process: which socket it is about is not looked up
+	case Poll: // its first argument points to an array in the process, so the sockets are not looked up
 	case EpollAdd:
 		event.Socket = t.socket(int(int32(regs.Rdx)))
 	case GetOption, SetOption:
@@ -352,7 +353,7 @@
 	t.hold(outcome.Hold)
 	switch {
 	case outcome.Errno != 0:
-		regs.Orig_rax = ^uint64(0) // no call at all
+		regs.Orig_rax = ^uint64(0) // -1: the kernel executes no call
 		regs.Rax = -uint64(outcome.Errno)
 	case outcome.Limit > 0 && regs.Rdx > uint64(outcome.Limit):
 		regs.Rdx = uint64(outcome.Limit)
@@ -362,7 +363,7 @@
 	unix.PtraceSetRegs(tid, &regs)
 }
 
-// socket describes a descriptor of the process.
+// socket describes a descriptor of the process, or returns zero if it cannot be copied.
 func (t *tracer) socket(fd int) (s Socket) {
 	copied, err := unix.PidfdGetfd(t.pidfd, fd, 0)
 	if err != nil {
@@ -378,7 +379,7 @@
 	return s
 }
 
-// address returns the IPv4 address of a socket's name, or the zero one, and whether it is that of a Unix socket.
+// address returns the IPv4 address in a socket's name, zero for other families, and whether it is the name of a Unix socket.
 func address(name unix.Sockaddr) (addr netip.AddrPort, isUnix bool) {
 	switch name := name.(type) {
 	case *unix.SockaddrInet4:
@@ -389,12 +390,12 @@
 	return netip.AddrPort{}, false
 }
 
-// mostPath bounds the paths that are read from a process.
-const mostPath = 4096
+// mostPath limits the paths that are read from a process, in bytes.
+const maxPathBytes = 4096
 
-// readPath reads a path of a stopped thread's process, as far as that can be done.
+// readPath reads a path from the memory of a stopped thread's process. It returns what can be read, which may be empty.
 func readPath(tid int, at uintptr) string {
-	path := make([]byte, mostPath)
+	path := make([]byte, maxPathBytes)
 	n, err := unix.PtracePeekData(tid, at, path)
 	if err != nil && n <= 0 {
 		return ""
--- a/internal/lab/testkit/planted.go
+++ b/internal/lab/testkit/planted.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Root is the folder of the module.
+// ModuleRoot returns the folder that holds go.mod, searching upwards from the working directory.
 func Root(t testing.TB) string {
 	t.Helper()
 	dir, err := os.Getwd()
@@ -21,12 +21,12 @@
 			break
 		}
 	}
-	t.Fatal("no go.mod above the test's folder", err)
+	t.Fatal("no go.mod found in any parent of the test's folder", err)
 	return ""
 }
 
-// Overlay plants a bug: it writes a file for the -overlay flag of the go command under which one place of one source
-// file reads otherwise, and returns its name.
+// Overlay plants a bug: it writes a file for the -overlay flag of the go command that replaces old by new in one source
+// file, and returns the name of the overlay file. file is relative to the module's root and must contain old exactly once.
 func Overlay(t testing.TB, file, old, new string) string {
 	t.Helper()
 	dir, source := t.TempDir(), filepath.Join(Root(t), file)
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(text), old) != 1 {
-		t.Fatalf("%s does not hold %q once", file, old)
+		t.Fatalf("%s must contain %q exactly once", file, old)
 	}
 	changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), old, new, 1)), 0o600); err != nil {
@@ -51,7 +51,7 @@
 	return overlay
 }
 
-// GoTest runs tests of a package under an overlay.
+// GoTest runs the tests of pkg that match run with an overlay, and returns their combined output.
 func GoTest(t testing.TB, overlay, pkg, run string) (out string, err error) {
 	t.Helper()
 	test := exec.CommandContext(t.Context(), "go", "test", "-vet=off", "-count=1", "-overlay", overlay, "-run", run, pkg)
--- a/internal/lab/testkit/testkit.go
+++ b/internal/lab/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds what tests of several packages need: waiting for events, counting what servers get, and a
-// server that answers with given texts. The form servers that go wrong by script are in internal/lab/standin.
+// Package testkit provides helpers for the tests of several packages: waiting for conditions, counting requests, planting
+// bugs, and a server that sends given bytes. Form servers with scripted faults are in internal/lab/standin.
 package testkit
 
 import (
@@ -13,52 +13,52 @@
 	"time"
 )
 
-// Patience bounds every wait for something that must happen; nothing is expected to take nearly so long.
+// WaitTimeout limits every wait for something that must happen. It is far longer than any wait is expected to take.
 const Patience = 20 * time.Second
 
-// Eventually waits until a condition holds.
+// Eventually polls holds every millisecond until it returns true, and fails the test after WaitTimeout.
 func Eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Counter counts the requests that HTTP servers get, by correlation id.
+// Counter counts the requests that HTTP servers receive, by correlation id. It is safe for concurrent use.
 type Counter struct {
-	mu   sync.Mutex
-	seen map[string]int
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-// Add reads a request whole and counts it.
+// Add reads the whole body of a request and then counts the request.
 func (c *Counter) Add(r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.seen == nil {
-		c.seen = map[string]int{}
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	c.seen[r.Header.Get("X-Correlation-Id")]++
+	c.counts[r.Header.Get("X-Correlation-Id")]++
 }
 
-// Of returns how often an id came.
+// Count returns how many requests with an id were received.
 func (c *Counter) Of(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.seen[id]
+	return c.counts[id]
 }
 
-// HangUp ends a request's connection without an answer.
+// HangUp closes a request's connection without an answer.
 func HangUp(w http.ResponseWriter) {
 	if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		c.Close()
 	}
 }
 
-// Texts runs an HTTP server that answers each request on a connection with the next of these texts, as they are, and
-// then leaves the connection open and silent.
+// ServeRaw runs an HTTP server that answers each request on a connection with the next of these texts, byte for byte, and
+// then keeps the connection open without sending anything. accepted counts the connections.
 func Texts(t testing.TB, answers ...string) (addr string, accepted *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
