--- a/internal/lab/standin/config.go
+++ b/internal/lab/standin/config.go
@@ -13,38 +13,38 @@
 	"ternbeam/internal/thrift/thriftmap"
 )
 
-// Tenants are those of the stand-in configuration.
+// Tenants are the tenants of the stand-in configuration.
 var Tenants = []string{"leith", "oban"}
 
-// Platform is what the stand-in platform tells an agent; what is 0 is ample.
+// Platform is the configuration that the stand-in platform gives an agent. Zero fields get a default, most of them an ample one.
 type Platform struct {
 	Listen, Discovery string
 	Known             discovery.List
-	Deadline          time.Duration // of every class
-	Aim               time.Duration
-	Window            time.Duration // of refund-record, within a cell
+	Deadline          time.Duration // of every class; 20 s if 0
+	Aim               time.Duration // of every class; 600 ms if 0
+	Window            time.Duration // deduplication window of refund-record, within a cell; 2 s if 0
 	MostTries         int
 	MostHeld          int
 	ConnIdle          time.Duration
 	ConnectTimeout    time.Duration
 	Sockets           int
 	MaxRetryAfter     time.Duration
-	Cancel            bool // attempts may be cancelled, and two be out at a time
+	Cancel            bool // attempts can be canceled, and two of a call can be in flight at a time
 	ColdFor           time.Duration
-	ColdFrom          float64 // 0.2 where 0
+	ColdFrom          float64 // 0.2 if 0
 	Cores             float64
 
-	// Of an agent among many.
-	Name       string   // n0 where empty
-	Seed       uint64   // a fixed one where 0
-	Balancers  int      // how many agents there are; 1 where 0
-	Me         int      // which of them it is
-	Peers      []string // where the others are reached, by place
+	// For an agent that is one of several.
+	Name       string   // n0 if empty
+	Seed       uint64   // a fixed one if 0
+	Balancers  int      // number of agents; 1 if 0
+	Me         int      // index of this agent
+	Peers      []string // addresses of the other agents, by index
 	PeerListen string
-	MustAsk    time.Duration // the list must be asked for within it; pushed where 0
+	MustAsk    time.Duration // the list must be polled at least this often; it is pushed if 0
 }
 
-// Config words the configuration of an agent, as NODE_CONFIG names it.
+// Config returns the configuration of an agent as JSON, the content of the file named by NODE_CONFIG.
 func (p Platform) Config() []byte {
 	deadline, aim := cmp.Or(p.Deadline, 20*time.Second), cmp.Or(p.Aim, 600*time.Millisecond)
 	class := func(m Method, effect string, worth float64) map[string]any {
@@ -74,13 +74,13 @@
 			"Rules":  map[string]any{"ColdFrom": cmp.Or(p.ColdFrom, 0.2), "ColdNs": p.ColdFor, "MustAskInNs": p.MustAsk},
 			"TickNs": 5 * time.Millisecond, "WeightKind": "silent", "Tenants": tenants, "Zones": []string{"z"}}})
 	if err != nil {
-		panic(err) // of plain values
+		panic(err) // cannot happen: only plain values are encoded
 	}
 	return text
 }
 
-// Load reads the configuration, and the sample Thrift service at a free port, as an agent does. Edits change the
-// service's text first.
+// Load parses the configuration and that of the sample Thrift service, moved to a free port, as an agent does. The edits
+// are applied to the service's text before it is parsed.
 func (p Platform) Load(edits ...func(string) string) (*config.Config, *thriftmap.Map, error) {
 	cfg, err := config.Parse(p.Config())
 	if err != nil {
--- a/internal/lab/standin/http.go
+++ b/internal/lab/standin/http.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// httpFace words replies in HTTP/1.1.
-type httpFace struct{}
+// httpEncoder encodes replies in HTTP/1.1.
+type httpEncoder struct{}
 
-func readHTTP(in *bufio.Reader) (Call, face, error) {
+func readHTTP(in *bufio.Reader) (Call, replyEncoder, error) {
 	r, call, err := readRequest(in)
 	if err != nil {
 		return Call{}, nil, err
 	}
 	parts := strings.Split(r.URL.Path, "/")
 	call.Key = parts[len(parts)-1]
-	return call, httpFace{}, nil
+	return call, httpEncoder{}, nil
 }
 
-// readRequest reads a request and what its headers say of a call; the body is the call's text.
+// readRequest reads a request and builds a Call from its headers. The body becomes the call's text.
 func readRequest(in *bufio.Reader) (*http.Request, Call, error) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	method := slices.Index(Classes[:], r.Header.Get("X-Service-Class"))
 	if method < 0 {
-		return nil, Call{}, fmt.Errorf("class %q", r.Header.Get("X-Service-Class"))
+		return nil, Call{}, fmt.Errorf("unknown class %q", r.Header.Get("X-Service-Class"))
 	}
 	left, _ := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
 	return r, Call{Method: Method(method), ID: r.Header.Get("X-Correlation-Id"), Tenant: r.Header.Get("X-Account"),
@@ -44,7 +44,7 @@
 		Again: r.Header.Get("X-Repeat") == "1", Text: string(body)}, nil
 }
 
-func (httpFace) reply(r reply) []byte {
+func (httpEncoder) reply(r reply) []byte {
 	var head strings.Builder
 	switch r.fault {
 	case Reject:
--- a/internal/lab/standin/kiosk.go
+++ b/internal/lab/standin/kiosk.go
@@ -17,20 +17,20 @@
 	"ternbeam/internal/lab/formapi"
 )
 
-// Ask is what a kiosk asks.
+// Request is a request that a kiosk sends.
 type Ask struct {
 	Method      Method
 	ID          string
 	Tenant      string
 	Key         string
-	Idempotency string // of a Record
-	Left        time.Duration
+	Idempotency string        // of a Record call
+	Left        time.Duration // time until the deadline, as stated in the call
 	Text        string
-	Repeat      bool
-	Leave       <-chan struct{} // when it is closed the kiosk leaves without its answer; nil for one that stays
+	Repeat      bool            // marks it as a retry by the client
+	Leave       <-chan struct{} // when closed, the kiosk disconnects without waiting for the answer; may be nil
 }
 
-// Kind is what a kiosk was told.
+// AnswerKind is the kind of an answer that a kiosk receives.
 type Kind int
 
 // The kinds of answers.
@@ -38,16 +38,17 @@
 	Served Kind = iota
 	Refused
 	Failed
-	TurnedDown // as malformed, or unknown
+	TurnedDown // rejected as malformed or unknown
 	Lost       // the connection ended without an answer
-	Sent       // a oneway: nothing is told
+	Sent       // a oneway call, which has no answer
 )
 
+// String returns the name of the kind.
 func (k Kind) String() string {
 	return [...]string{"served", "refused", "failed", "turned down", "lost", "sent"}[k]
 }
 
-// Answer is what a kiosk was told.
+// Answer is the answer that a kiosk receives, or the error in its place.
 type Answer struct {
 	Kind       Kind
 	Text       string
@@ -56,16 +57,16 @@
 	Err        error
 }
 
-// Kiosk asks over connections that it keeps. It may be used by several goroutines.
+// Kiosk is a client with a pool of connections. It is safe for concurrent use.
 type Kiosk interface {
 	Ask(Ask) Answer
 	Close()
 }
 
-// slack is how long a kiosk waits beyond the time that it states.
+// answerGrace is how long a kiosk waits for an answer beyond the deadline of its call. It also limits dialing.
 const slack = 2 * time.Second
 
-// NewKiosk returns one that speaks http, thrift-binary or thrift-compact.
+// NewKiosk returns a kiosk that speaks http, thrift-binary or thrift-compact to the agent at addr.
 func NewKiosk(protocol, addr string) (Kiosk, error) {
 	switch protocol {
 	case "http":
@@ -73,11 +74,11 @@
 	case "thrift-binary", "thrift-compact":
 		return &thriftKiosk{addr: addr, compact: protocol == "thrift-compact"}, nil
 	}
-	return nil, fmt.Errorf("no kiosk speaks %q", protocol)
+	return nil, fmt.Errorf("unknown kiosk protocol %q", protocol)
 }
 
-// onLeave does something when the kiosk leaves, until stays is called.
-func (a *Ask) onLeave(do func()) (stays func()) {
+// onCancel calls do when the kiosk disconnects, unless stop is called before.
+func (a *Ask) onCancel(do func()) (stop func()) {
 	if a.Leave == nil {
 		return func() {}
 	}
@@ -101,15 +102,15 @@
 
 func (k *httpKiosk) Ask(a Ask) Answer {
 	begin := time.Now()
-	ans := k.ask(a)
+	ans := k.roundTrip(a)
 	ans.Took = time.Since(begin)
 	return ans
 }
 
-func (k *httpKiosk) ask(a Ask) Answer {
+func (k *httpKiosk) roundTrip(a Ask) Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Left+slack)
 	defer cancel()
-	defer a.onLeave(cancel)()
+	defer a.onCancel(cancel)()
 	method, body := http.MethodPost, io.Reader(strings.NewReader(a.Text))
 	if a.Method == Check || a.Method == Note {
 		method, body = http.MethodGet, nil
@@ -151,7 +152,7 @@
 	return ans
 }
 
-// thriftKiosk is the Apache library's client, one connection for each call under way.
+// thriftKiosk uses the Apache library's client, with one connection for each call in flight.
 type thriftKiosk struct {
 	addr    string
 	compact bool
@@ -165,7 +166,7 @@
 	client *formapi.FormServiceClient
 }
 
-// ThriftClient returns the generated client on a connection.
+// ThriftClient returns the generated client for a connection, in the compact or binary protocol.
 func ThriftClient(c net.Conn, compact bool) *formapi.FormServiceClient {
 	framed := thrift.NewTFramedTransportConf(thrift.NewTSocketFromConnConf(c, nil), nil)
 	var factory thrift.TProtocolFactory = thrift.NewTBinaryProtocolFactoryConf(nil)
@@ -184,7 +185,7 @@
 	k.idle = nil
 }
 
-func (k *thriftKiosk) get() (*thriftConn, error) {
+func (k *thriftKiosk) conn() (*thriftConn, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if n := len(k.idle); n > 0 {
@@ -201,14 +202,14 @@
 
 func (k *thriftKiosk) Ask(a Ask) Answer {
 	begin := time.Now()
-	c, err := k.get()
+	c, err := k.conn()
 	if err != nil {
 		return Answer{Kind: Lost, Err: err, Took: time.Since(begin)}
 	}
 	c.SetDeadline(begin.Add(a.Left + slack))
-	stays := a.onLeave(func() { c.Close() })
-	ans := ask(c.client, a)
-	stays()
+	stop := a.onCancel(func() { c.Close() })
+	ans := callThrift(c.client, a)
+	stop()
 	ans.Took = time.Since(begin)
 	if ans.Kind == Lost {
 		c.Close()
@@ -228,8 +229,8 @@
 	return &s
 }
 
-// ask makes one call through the generated client.
-func ask(c *formapi.FormServiceClient, a Ask) Answer {
+// callThrift makes one call with the generated client.
+func callThrift(c *formapi.FormServiceClient, a Ask) Answer {
 	ctx := context.Background()
 	left := a.Left.Milliseconds()
 	h := &formapi.Header{CorrelationId: a.ID, Tenant: a.Tenant, Key: optional(a.Key),
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -11,51 +11,51 @@
 	"ternbeam/internal/discovery"
 )
 
-// Book is a list of servers and the log of its changes.
+// VersionedList is a list of servers with the log of its changes. It is safe for concurrent use.
 type Book struct {
 	mu      sync.Mutex
 	entries map[string]discovery.Entry
 	version int64
-	log     []discovery.Entry // changes; the one at i made version i+1
-	oldest  int64             // changes up to it are forgotten
+	log     []discovery.Entry // changes; the one at index i made version i+1
+	oldest  int64             // oldest version from which changes are still served
 	changed chan struct{}     // closed at the next change
 }
 
-// NewBook returns an empty Book.
+// NewVersionedList returns an empty VersionedList.
 func NewBook() *Book {
 	return &Book{entries: map[string]discovery.Entry{}, changed: make(chan struct{})}
 }
 
-// List is a list of servers that agents watch.
+// List is a list service: an HTTP server with a VersionedList that agents query or watch.
 type List struct {
 	*Book
-	listen net.Listener
-	http   *http.Server
+	listener net.Listener
+	http     *http.Server
 }
 
-// heartbeat is how often a watch carries a line while nothing changes.
+// heartbeat is the interval at which a watch sends an empty line while nothing changes.
 const heartbeat = 2 * time.Second
 
-// NewList runs a list on a free loopback port until Close.
+// NewList starts a list service on a free loopback port. It runs until Close.
 func NewList(entries ...discovery.Entry) (*List, error) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &List{Book: NewBook(), listen: listen}
+	l := &List{Book: NewBook(), listener: listen}
 	l.http = &http.Server{Handler: http.HandlerFunc(l.serve), ReadHeaderTimeout: 5 * time.Second}
 	l.Tell(entries...)
 	go l.http.Serve(listen)
 	return l, nil
 }
 
-// Addr returns where it listens.
-func (l *List) Addr() string { return l.listen.Addr().String() }
+// Addr returns the address that the service listens on.
+func (l *List) Addr() string { return l.listener.Addr().String() }
 
-// Close ends it and the watches.
+// Close stops the service and ends its watches.
 func (l *List) Close() { l.http.Close() }
 
-// Tell adds or changes entries.
+// Update adds or changes entries and wakes the watches. An entry in state terminated is removed.
 func (l *Book) Tell(entries ...discovery.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,14 +71,14 @@
 	l.changed = make(chan struct{})
 }
 
-// Forget forgets the changes so far: who asks from before gets the whole list.
+// DropHistory drops the log of changes: a query from an earlier version gets the full list.
 func (l *Book) Forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.oldest = l.version
 }
 
-// Full returns the whole list.
+// Full returns the full list.
 func (l *Book) Full() discovery.List {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,8 +93,8 @@
 	return full
 }
 
-// Since returns what changed after a version, or the whole list where that is unknown, and what is closed at the
-// next change.
+// ChangesSince returns the changes after a version, or the full list if that version is unknown, and a channel that is
+// closed at the next change.
 func (l *Book) Since(version int64) (discovery.List, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/standin/names.go
+++ b/internal/lab/standin/names.go
@@ -8,40 +8,40 @@
 	"github.com/miekg/dns"
 )
 
-// NameFault is what goes wrong with an answer of a name server.
+// NameFault is a fault of the answers of a NameServer.
 type NameFault int
 
-// The faults.
+// The faults. NameOK is none.
 const (
 	NameWell      NameFault = iota
-	NameSilent              // nothing comes
-	NameCut                 // by UDP the answer is cut off
-	NameCutHang             // the same, and by TCP nothing comes
+	NameSilent              // no answer
+	NameCut                 // truncated over UDP, complete over TCP
+	NameCutHang             // truncated over UDP, no answer over TCP
 	NameRefused             // REFUSED
 	NameFails               // SERVFAIL
-	NameOtherID             // an answer under another id, and then nothing
-	NameOtherPort           // an answer from another port, and then nothing
-	NameLoop                // a message whose names point at themselves
-	NameEmpty               // no such name
+	NameOtherID             // an answer with a wrong id only
+	NameOtherPort           // an answer from a wrong port only
+	NameLoop                // a message with a compression pointer that points to itself
+	NameEmpty               // NXDOMAIN
 )
 
-// Names is a name server with one zone. It answers by UDP and TCP on one port.
+// NameServer is a DNS server with one zone. It answers over UDP and TCP on the same port.
 type Names struct {
 	addr    string
 	servers []*dns.Server
 
-	mu    sync.Mutex
-	zone  map[dns.Question][]dns.RR
-	fault NameFault
-	asked int
-	told  map[string]time.Time // when an answer without a target first went out that an earlier one held
-	last  map[string]int       // targets in the latest answer, and in how many before it without a break
+	mu        sync.Mutex
+	zone      map[dns.Question][]dns.RR
+	fault     NameFault
+	queries   int
+	removedAt map[string]time.Time // target to time of the first answer without it after one with it
+	streaks   map[string]int       // targets of the latest answer, with the number of consecutive answers that contain them
 }
 
-// NewNames runs a name server on a free loopback port until Close.
+// NewNameServer starts a name server on a free loopback port. It runs until Close.
 func NewNames() (*Names, error) {
-	n := &Names{zone: map[dns.Question][]dns.RR{}, told: map[string]time.Time{}, last: map[string]int{}}
-	packets, streams, err := onePort()
+	n := &Names{zone: map[dns.Question][]dns.RR{}, removedAt: map[string]time.Time{}, streaks: map[string]int{}}
+	packets, streams, err := listenOnOnePort()
 	if err != nil {
 		return nil, err
 	}
@@ -56,8 +56,8 @@
 	return n, nil
 }
 
-// onePort listens by UDP and TCP on one port. One that is free for the one may be taken for the other.
-func onePort() (packets net.PacketConn, streams net.Listener, err error) {
+// listenOnOnePort listens over UDP and TCP on the same port. It tries up to 100 ports, as one free for UDP may be in use for TCP.
+func listenOnOnePort() (packets net.PacketConn, streams net.Listener, err error) {
 	for range 100 {
 		if packets, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 			return nil, nil, err
@@ -70,31 +70,31 @@
 	return nil, nil, err
 }
 
-// Addr returns where it answers.
+// Addr returns the address that the server listens on.
 func (n *Names) Addr() string { return n.addr }
 
-// Close ends it.
+// Close stops the server.
 func (n *Names) Close() {
 	for _, s := range n.servers {
 		s.Shutdown()
 	}
 }
 
-// Fault sets what goes wrong from now on.
+// SetFault sets the fault of all further answers.
 func (n *Names) Fault(f NameFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fault = f
 }
 
-// Asked returns how many questions came.
+// Queries returns how many queries were received.
 func (n *Names) Asked() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.asked
+	return n.queries
 }
 
-// Set replaces the zone, by records in the form of a zone file.
+// SetZone replaces the zone by records in zone file format.
 func (n *Names) Set(records ...string) error {
 	zone := map[dns.Question][]dns.RR{}
 	for _, text := range records {
@@ -111,24 +111,25 @@
 	return nil
 }
 
-// Withdrawn returns when an answer first went out that did not hold a target any more which the one before did.
+// TargetRemoved returns the time of the first answer without a target that the answer before it contained.
+// known is false if the target was never removed or is back.
 func (n *Names) Withdrawn(target string) (at time.Time, known bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	at, known = n.told[dns.CanonicalName(target)]
+	at, known = n.removedAt[dns.CanonicalName(target)]
 	return at, known
 }
 
-// Named returns how many answers in a row, up to the latest, held a target.
+// TargetStreak returns how many consecutive answers, up to the latest, contained a target.
 func (n *Names) Named(target string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.last[dns.CanonicalName(target)]
+	return n.streaks[dns.CanonicalName(target)]
 }
 
 func (n *Names) answer(w dns.ResponseWriter, ask *dns.Msg) {
 	n.mu.Lock()
-	n.asked++
+	n.queries++
 	fault := n.fault
 	m := new(dns.Msg)
 	m.SetReply(ask)
@@ -137,7 +138,7 @@
 		q.Name = dns.CanonicalName(q.Name)
 		m.Answer = n.zone[q]
 		if q.Qtype == dns.TypeSRV && fault == NameWell {
-			n.noteLocked(m.Answer)
+			n.recordLocked(m.Answer)
 		}
 	}
 	n.mu.Unlock()
@@ -177,22 +178,22 @@
 	w.WriteMsg(m)
 }
 
-// noteLocked notes which targets an answer holds no more.
-func (n *Names) noteLocked(records []dns.RR) {
+// recordLocked records which targets an answer contains and which it no longer contains.
+func (n *Names) recordLocked(records []dns.RR) {
 	now := map[string]int{}
 	for _, r := range records {
 		if srv, ok := r.(*dns.SRV); ok {
 			target := dns.CanonicalName(srv.Target)
-			now[target] = n.last[target] + 1
+			now[target] = n.streaks[target] + 1
 		}
 	}
-	for target := range n.last {
+	for target := range n.streaks {
 		if now[target] == 0 {
-			n.told[target] = time.Now()
+			n.removedAt[target] = time.Now()
 		}
 	}
 	for target := range now {
-		delete(n.told, target)
+		delete(n.removedAt, target)
 	}
-	n.last = now
+	n.streaks = now
 }
--- a/internal/lab/standin/shapes.go
+++ b/internal/lab/standin/shapes.go
@@ -20,38 +20,38 @@
 	"github.com/apache/thrift/lib/go/thrift"
 )
 
-// Refund is what a refund-record says, whichever shape says it. The stand-ins read the shapes by themselves, with
-// encoding/json, net/url and the Apache library: what an agent translates is held against that.
+// Refund is the content of a refund-record, independent of its shape. The stand-ins parse the shapes on their own, with
+// encoding/json, net/url and the Apache library, so that an agent's translations are checked against another implementation.
 type Refund struct {
 	Form        string
 	Pence       int64
-	Bought      string // as 2006-01-02
-	Goods       string // in the words of version 2
+	Bought      string // date as 2006-01-02
+	Goods       string // name of the goods as in version 2
 	First, Last string
 	Memo        string
 	HasMemo     bool
 }
 
-// Receipt is what a server answers a refund: a text that follows from its key, and whether it is paid already.
+// Receipt returns what a server answers to a refund: a receipt derived from its idempotency key, and whether it is already paid.
 func Receipt(key string, r Refund) (receipt string, paid bool) {
 	sum := sha256.Sum256([]byte(key))
 	return fmt.Sprintf("r-%x", sum[:8]), r.Pence%2 == 0
 }
 
-// ErrShape is why a server does not take a message: it is in a shape that it does not know.
-var ErrShape = errors.New("a shape that is not known here")
+// ErrUnknownShape is the error for a message in a shape that the server does not know.
+var ErrShape = errors.New("unknown shape")
 
-// shaped is a call that has a shape, in either protocol.
+// shaped is a call in a shape, of either protocol.
 type shaped struct {
-	version string // of the shape that it is in, by its path or method
+	version string // of the shape, from its path or method
 	refund  Refund
-	err     error // why it can't be read, in that shape
+	err     error // why it cannot be parsed in that shape
 }
 
-var goodsOfOld = map[string]string{"W": "watch", "J": "jewellery", "O": "other"}
+var goodsByOldCode = map[string]string{"W": "watch", "J": "jewellery", "O": "other"}
 
-// pence reads an amount in pounds, as an old server does: two decimals at the most.
-func pence(text string) (int64, error) {
+// parsePence parses an amount in pounds as an old server does, with at most two decimals.
+func parsePence(text string) (int64, error) {
 	whole, part, _ := strings.Cut(text, ".")
 	if whole == "" || len(part) > 2 || strings.ContainsAny(text, "+-eE_ ") {
 		return 0, fmt.Errorf("amount %q", text)
@@ -63,9 +63,9 @@
 	return n, nil
 }
 
-// old makes a refund of the texts of version 1.
-func old(form, amount, bought, goods, first, last string, memo *string) (r Refund, err error) {
-	r = Refund{Form: form, First: first, Last: last, Goods: goodsOfOld[goods]}
+// parseOldTexts builds a refund from the texts of version 1.
+func parseOldTexts(form, amount, bought, goods, first, last string, memo *string) (r Refund, err error) {
+	r = Refund{Form: form, First: first, Last: last, Goods: goodsByOldCode[goods]}
 	if memo != nil {
 		r.Memo, r.HasMemo = *memo, true
 	}
@@ -74,7 +74,7 @@
 		return r, err
 	}
 	r.Bought = day.Format("2006-01-02")
-	if r.Pence, err = pence(amount); err != nil {
+	if r.Pence, err = parsePence(amount); err != nil {
 		return r, err
 	}
 	for what, text := range map[string]string{"form": form, "goods": r.Goods, "first": first, "last": last} {
@@ -85,8 +85,8 @@
 	return r, nil
 }
 
-// traveller parts the name of version 2.
-func traveller(r *Refund, name string) error {
+// splitTraveller splits the name of version 2 into first and last name.
+func splitTraveller(r *Refund, name string) error {
 	var ok bool
 	if r.First, r.Last, ok = strings.Cut(name, "|"); !ok || r.First == "" || r.Last == "" || strings.Contains(r.Last, "|") {
 		return fmt.Errorf("traveller %q", name)
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// readShapedHTTP reads a refund in HTTP.
-func readShapedHTTP(in *bufio.Reader) (Call, face, error) {
+// readShapedHTTP reads a refund request in HTTP.
+func readShapedHTTP(in *bufio.Reader) (Call, replyEncoder, error) {
 	r, call, err := readRequest(in)
 	if err != nil {
 		return Call{}, nil, err
@@ -104,29 +104,29 @@
 	var s shaped
 	switch form, isOld := strings.CutPrefix(r.URL.EscapedPath(), "/refund-record/"); {
 	case call.Method != Record:
-		return call, nil, fmt.Errorf("class %q, which has no shape here", call.Method)
+		return call, nil, fmt.Errorf("class %q has no shapes", call.Method)
 	case isOld:
 		s.version = "1"
-		s.refund, s.err = oldForm(form, body)
+		s.refund, s.err = parseOldForm(form, body)
 	case r.URL.Path == "/v2/refunds":
 		s.version = "2"
-		s.refund, s.err = newJSON(body)
+		s.refund, s.err = parseNewJSON(body)
 	default:
 		s.err = ErrShape
 	}
-	call.shape(&s)
+	call.setShape(&s)
 	return call, &shapedHTTP{s, call.Idempotency}, nil
 }
 
-// shape notes what a server has read.
-func (c *Call) shape(s *shaped) {
+// setShape sets the fields of the call that depend on its shape.
+func (c *Call) setShape(s *shaped) {
 	c.Version, c.Refund, c.Key = s.version, s.refund, s.refund.Form
 	if s.err != nil {
 		c.Broken = s.err.Error()
 	}
 }
 
-func oldForm(path string, body []byte) (Refund, error) {
+func parseOldForm(path string, body []byte) (Refund, error) {
 	form, err := url.PathUnescape(path)
 	if err != nil {
 		return Refund{}, err
@@ -137,7 +137,7 @@
 	}
 	for name, values := range v {
 		if len(values) != 1 || !slices.Contains([]string{"amount", "bought", "goods", "first", "last", "memo"}, name) {
-			return Refund{}, fmt.Errorf("%s given %d times", name, len(values))
+			return Refund{}, fmt.Errorf("field %s given %d times, or unknown", name, len(values))
 		}
 	}
 	var memo *string
@@ -145,10 +145,10 @@
 		text := v.Get("memo")
 		memo = &text
 	}
-	return old(form, v.Get("amount"), v.Get("bought"), v.Get("goods"), v.Get("first"), v.Get("last"), memo)
+	return parseOldTexts(form, v.Get("amount"), v.Get("bought"), v.Get("goods"), v.Get("first"), v.Get("last"), memo)
 }
 
-func newJSON(body []byte) (r Refund, err error) {
+func parseNewJSON(body []byte) (r Refund, err error) {
 	var v struct {
 		Form struct {
 			ID string `json:"id"`
@@ -169,7 +169,7 @@
 		return r, err
 	}
 	if v.Amount.Currency != "GBP" || v.Channel != nil {
-		return r, fmt.Errorf("currency %q, channel given: %t", v.Amount.Currency, v.Channel != nil)
+		return r, fmt.Errorf("invalid currency %q or channel given: %t", v.Amount.Currency, v.Channel != nil)
 	}
 	r = Refund{Form: v.Form.ID, Bought: v.Bought, Goods: v.Goods}
 	if v.Memo != nil {
@@ -178,7 +178,7 @@
 	if r.Pence, err = v.Amount.Pence.Int64(); err != nil {
 		return r, err
 	}
-	return r, traveller(&r, v.Traveller)
+	return r, splitTraveller(&r, v.Traveller)
 }
 
 type shapedHTTP struct {
@@ -198,12 +198,12 @@
 	case r.fault == UnknownShape:
 		head.WriteString("HTTP/1.1 415 Unsupported Media Type\r\nX-Unprocessed: 1\r\n")
 	case r.fault != None:
-		return httpFace{}.reply(r)
+		return httpEncoder{}.reply(r)
 	case f.version == "1":
 		fmt.Fprintf(&head, "HTTP/1.1 200 OK\r\nX-Receipt: %s\r\nX-Paid: %t\r\n", receipt, paid)
 	default:
 		body = fmt.Sprintf(`{"state":%q,"receipt":%q}`, state, receipt)
-		if r.odd {
+		if r.undefined {
 			body = `{"state":"on its way","receipt":"x"}`
 		}
 		head.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
@@ -215,13 +215,13 @@
 	return []byte(head.String())
 }
 
-// readShapedThrift reads a refund in Thrift.
-func readShapedThrift(in *bufio.Reader) (Call, face, error) {
+// readShapedThrift reads a refund request in Thrift.
+func readShapedThrift(in *bufio.Reader) (Call, replyEncoder, error) {
 	frame, err := readFrame(in)
 	if err != nil {
 		return Call{}, nil, err
 	}
-	f := &shapedThrift{thriftFace: thriftFace{protocol: protocolOf(frame), method: Record}}
+	f := &shapedThrift{thriftEncoder: thriftEncoder{protocol: protocolOf(frame), method: Record}}
 	buf := thrift.NewTMemoryBufferLen(0)
 	buf.Write(frame)
 	ctx := context.Background()
@@ -231,7 +231,7 @@
 		args, err = readStruct(ctx, p)
 	}
 	if err == nil && buf.Len() > 0 {
-		err = errors.New("bytes behind the message")
+		err = errors.New("trailing bytes after the message")
 	}
 	if err != nil {
 		return Call{}, nil, err
@@ -251,19 +251,19 @@
 	switch f.name {
 	case "refund":
 		s.version = "1"
-		s.refund, s.err = old(text(h, 3), text(args, 2), text(args, 3), text(args, 4), text(args, 5), text(args, 6), optional(args, 7))
+		s.refund, s.err = parseOldTexts(text(h, 3), text(args, 2), text(args, 3), text(args, 4), text(args, 5), text(args, 6), optional(args, 7))
 	case "recordRefund":
 		s.version = "2"
-		s.refund, s.err = newStruct(text(h, 3), args)
+		s.refund, s.err = parseNewStruct(text(h, 3), args)
 	default:
 		s.err = ErrShape
 	}
 	f.key = call.Idempotency
-	call.shape(s)
+	call.setShape(s)
 	return call, f, nil
 }
 
-func newStruct(form string, args map[int16]any) (Refund, error) {
+func parseNewStruct(form string, args map[int16]any) (Refund, error) {
 	v, _ := args[2].(map[int16]any)
 	r := Refund{Form: form}
 	var days, goods int32
@@ -279,7 +279,7 @@
 			*to, ok = v[id].(string)
 		}
 		if !ok {
-			return r, fmt.Errorf("field %d is %T", id, v[id])
+			return r, fmt.Errorf("field %d has type %T", id, v[id])
 		}
 	}
 	if memo, ok := v[6].(string); ok {
@@ -287,14 +287,14 @@
 	}
 	goodsOf := []string{"watch", "jewellery", "other", "fuel"}
 	if v[7] != nil || currency != "GBP" || goods < 1 || int(goods) > len(goodsOf) {
-		return r, fmt.Errorf("channel %v, currency %q, goods %d", v[7], currency, goods)
+		return r, fmt.Errorf("invalid channel %v, currency %q or goods %d", v[7], currency, goods)
 	}
 	r.Goods = goodsOf[goods-1]
 	r.Bought = time.Unix(int64(days)*86400, 0).UTC().Format("2006-01-02")
-	return r, traveller(&r, name)
+	return r, splitTraveller(&r, name)
 }
 
-// readStruct reads a struct whose fields are not known, by the Apache library: by number, structs as maps.
+// readStruct reads a struct of unknown type with the Apache library. It returns the fields by id, with nested structs as maps.
 func readStruct(ctx context.Context, p thrift.TProtocol) (map[int16]any, error) {
 	fields := map[int16]any{}
 	if _, err := p.ReadStructBegin(ctx); err != nil {
@@ -333,27 +333,27 @@
 }
 
 type shapedThrift struct {
-	thriftFace
+	thriftEncoder
 	shaped
 	key string
 }
 
 func (f *shapedThrift) reply(r reply) []byte {
 	if r.fault != None && r.fault != UnknownShape {
-		return f.thriftFace.reply(r)
+		return f.thriftEncoder.reply(r)
 	}
 	ctx := context.Background()
-	return f.word(thrift.REPLY, func(p thrift.TProtocol) error {
+	return f.encode(thrift.REPLY, func(p thrift.TProtocol) error {
 		receipt, paid := Receipt(f.key, f.refund)
-		return writeStruct(ctx, p, map[int16]any{0: map[int16]any{1: receipt, 3: f.state(paid, r.odd)}})
+		return writeStruct(ctx, p, map[int16]any{0: map[int16]any{1: receipt, 3: f.state(paid, r.undefined)}})
 	}, r.fault == UnknownShape)
 }
 
-func (f *shapedThrift) state(paid, odd bool) any {
+func (f *shapedThrift) state(paid, undefined bool) any {
 	switch {
 	case f.version == "1":
 		return paid
-	case odd:
+	case undefined:
 		return "on its way"
 	case paid:
 		return "paid"
@@ -361,8 +361,8 @@
 	return "pending"
 }
 
-// word words a message, or the application exception of a method that is not known.
-func (f *thriftFace) word(kind thrift.TMessageType, result func(thrift.TProtocol) error, unknown bool) []byte {
+// encode encodes a framed message or, if unknown is set, an application exception for an unknown method.
+func (f *thriftEncoder) encode(kind thrift.TMessageType, result func(thrift.TProtocol) error, unknown bool) []byte {
 	ctx := context.Background()
 	buf := thrift.NewTMemoryBuffer()
 	p := f.protocol(buf)
@@ -374,12 +374,12 @@
 	}
 	err := errors.Join(p.WriteMessageBegin(ctx, f.name, kind, f.seq), result(p), p.WriteMessageEnd(ctx), p.Flush(ctx))
 	if err != nil {
-		panic(fmt.Sprintf("wording a reply: %v", err)) // into memory: a fault of this file
+		panic(fmt.Sprintf("encoding a message: %v", err)) // writes go to memory, so this is a bug in this file
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(buf.Len())), buf.Bytes()...)
 }
 
-// writeStruct writes fields by their numbers, by the Apache library.
+// writeStruct writes a struct from its fields by id, with the Apache library.
 func writeStruct(ctx context.Context, p thrift.TProtocol, fields map[int16]any) error {
 	err := p.WriteStructBegin(ctx, "")
 	ids := make([]int16, 0, len(fields))
@@ -406,23 +406,23 @@
 			begin(thrift.STRUCT)
 			err = errors.Join(err, writeStruct(ctx, p, v))
 		default:
-			return fmt.Errorf("field %d is %T", id, v)
+			return fmt.Errorf("field %d has unsupported type %T", id, v)
 		}
 		err = errors.Join(err, p.WriteFieldEnd(ctx))
 	}
 	return errors.Join(err, p.WriteFieldStop(ctx), p.WriteStructEnd(ctx))
 }
 
-// WordThrift words a call in Thrift from its arguments by their numbers, without a frame.
+// EncodeThrift encodes a Thrift call from its arguments by id, without the frame.
 func WordThrift(method string, seq int32, args map[int16]any, compact bool) []byte {
-	f := thriftFace{protocol: protocolOf([]byte{0x80}), name: method, seq: seq}
+	f := thriftEncoder{protocol: protocolOf([]byte{0x80}), name: method, seq: seq}
 	if compact {
 		f.protocol = protocolOf([]byte{thrift.COMPACT_PROTOCOL_ID})
 	}
-	return f.word(thrift.CALL, func(p thrift.TProtocol) error { return writeStruct(context.Background(), p, args) }, false)[4:]
+	return f.encode(thrift.CALL, func(p thrift.TProtocol) error { return writeStruct(context.Background(), p, args) }, false)[4:]
 }
 
-// ReadThrift reads the struct of a message in Thrift, its fields by their numbers.
+// DecodeThrift decodes the struct of a Thrift message without its frame, and returns the fields by id.
 func ReadThrift(message []byte) (map[int16]any, error) {
 	if len(message) == 0 {
 		return nil, io.ErrUnexpectedEOF
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what an agent meets in service, for tests, the demo and measurements: form servers that
-// speak HTTP/1.1 or Thrift, count every effect and go wrong by script, the list of servers, and kiosks. The Thrift
-// side is worded by the Apache library, so that the agent's own code is not tested against itself.
+// Package standin provides stand-ins for the peers of an agent, for tests, the demo and measurements: form servers that
+// speak HTTP/1.1 or Thrift, count every effect and have scripted faults, the list service, a name server, and kiosks.
+// Thrift messages are encoded by the Apache library, so that the agent's own code is not tested against itself.
 package standin
 
 import (
@@ -16,7 +16,7 @@
 	"ternbeam/internal/discovery"
 )
 
-// Method is what a kiosk asks for.
+// Method is a method of the form service.
 type Method int
 
 // The methods of the form service.
@@ -27,60 +27,60 @@
 	Note                 // safe, and oneway in Thrift
 )
 
-// Classes are the names of their classes, by Method.
+// Classes holds the name of the class of each Method.
 var Classes = [...]string{Check: "form-check", Record: "refund-record", Pay: "pay-out", Note: "form-note"}
 
-// Call is a call as a server got it, whole.
+// Call is a call that a server has received completely.
 type Call struct {
 	Method      Method
 	ID          string
-	Key         string // what it is about
+	Key         string // of the object that the call is about
 	Idempotency string
-	Left        time.Duration
+	Left        time.Duration // until the deadline
 	Text        string
-	Delivery    int // how often the pod has got this id, this time included
+	Delivery    int // how often the group has received this id, including this time
 
-	// What follows is of servers that look at shapes.
+	// The following fields are set only by servers with Options.Shapes, except for Tenant and ClientRetry in HTTP.
 	Tenant  string
-	Again   bool
-	Version string // of the shape that it came in
+	Again   bool   // marked as a retry by the client
+	Version string // of the shape of the message
 	Refund  Refund
-	Broken  string // why the server can't read it in that shape
+	Broken  string // why the message cannot be parsed in that shape; empty if it can
 }
 
-// Fault is what goes wrong with a call.
+// Fault is a fault of a server during a call.
 type Fault int
 
-// The faults. All but those that turn the call away let it run.
+// The faults. The call takes effect with all of them except Reject and UnknownShape.
 const (
 	None         Fault = iota
-	Reject             // turned away unseen, and so said
-	Error              // an error, which may have run
-	Silence            // never answered; the connection stays open
+	Reject             // rejected as not processed
+	Error              // an error answer; the call may have taken effect
+	Silence            // no answer; the connection stays open
 	ResetBefore        // the connection is reset before the reply
-	CutReply           // it ends in the midst of the reply
-	Trickle            // the reply comes a byte at a time
-	ResetAfter         // it is reset right after the reply
-	Spoilt             // noise in place of a reply
-	WrongSeq           // a reply to another call; in HTTP, where none can be told, noise
-	TwoReplies         // the reply comes twice
-	HugeReply          // a reply that says it has 2 GiB
-	UnknownShape       // turned away unseen, as of a shape that is not known here
-	OddReply           // a reply in place of which its shape has none; of calls that have one
+	CutReply           // the connection is closed in the middle of the reply
+	Trickle            // the reply is sent one byte every 20 ms
+	ResetAfter         // the connection is reset right after the reply
+	Spoilt             // invalid bytes instead of a reply
+	WrongSeq           // a reply to another call; in HTTP, which has no sequence numbers, invalid bytes
+	TwoReplies         // the reply is sent twice
+	HugeReply          // a reply with a length prefix of 2 GiB
+	UnknownShape       // rejected as not processed because the shape is unknown
+	OddReply           // for calls with a shape: a reply with a value that the shape does not define
 )
 
 // Step is what a server does with a call.
 type Step struct {
 	Fault Fault
-	Cut   int             // bytes that a CutReply sends; half of them where 0
+	Cut   int             // bytes that CutReply sends; half of the reply if 0
 	Delay time.Duration   // before the reply
-	Until <-chan struct{} // the reply waits for it
+	Until <-chan struct{} // if not nil, the reply is sent after it is closed
 }
 
-// Script says what happens to each call; nil is all well.
+// Script returns the Step for each call. A nil Script injects no faults.
 type Script func(Call) Step
 
-// First lets the first n deliveries of each call fare so, and the others well.
+// FirstDeliveries returns a Script that applies a Step to the first n deliveries of each call and serves the others normally.
 func First(n int, s Step) Script {
 	return func(c Call) Step {
 		if c.Delivery <= n {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Pod is the set of servers that drop one another's repeats of a keyed call.
+// DedupGroup is the state of a group of servers that deduplicate keyed calls among them. It is safe for concurrent use.
 type Pod struct {
 	mu         sync.Mutex
 	effects    map[string]int
@@ -98,26 +98,26 @@
 	deliveries map[string]int
 }
 
-// NewPod returns an empty Pod.
+// NewDedupGroup returns an empty DedupGroup.
 func NewPod() *Pod {
 	return &Pod{effects: map[string]int{}, receipts: map[string]string{}, deliveries: map[string]int{}}
 }
 
-// Effects returns how often a call had its effect: by its idempotency key or, if it has none, by its id.
+// Effects returns how often a call took effect. key is its idempotency key or, if it has none, its id.
 func (p *Pod) Effects(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.effects[key]
 }
 
-// Deliveries returns how often the servers got a call's id, whole.
+// Deliveries returns how often the servers completely received a call with this id.
 func (p *Pod) Deliveries(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.deliveries[id]
 }
 
-// Doubles counts the effects that came twice, over all calls that are not safe.
+// DuplicateEffects returns the number of repeated effects, over all calls other than Check.
 func (p *Pod) Doubles() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	return p.deliveries[id]
 }
 
-// run gives a call its effect, unless it is a repeat, and returns what the reply says.
+// run applies the effect of a call, unless it is a duplicate of a keyed call, and returns the text of the reply.
 func (p *Pod) run(c Call) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,46 +152,46 @@
 	return "receipt of " + c.ID
 }
 
-// Options say what a Server is like.
+// Options configure a Server.
 type Options struct {
 	ID          string
-	Protocol    string // of the list: http, thrift, thrift-binary or thrift-compact
+	Protocol    string // as in the list: http, thrift, thrift-binary or thrift-compact; http if empty
 	Multiplexed bool
-	Pod         *Pod // one of its own where nil
+	Pod         *Pod // a new one if nil
 	Cell        int
 	Script      Script
-	Service     time.Duration                    // what a call takes
-	Most        int                              // calls at a time; others are turned away. 0 for any number
-	ColdFrom    float64                          // share of its speed that it starts with
-	ColdFor     time.Duration                    // until it has all of it
-	NoLoad      bool                             // states no load
-	Load        func() (util, perSecond float64) // the load that it states in place of what it counts; nil for none
-	Shapes      []string                         // takes refunds in these versions of their shape and nothing else; any class where nil
-	Listed      []string                         // what the list says of them; Shapes where nil
-	Saw         func(Call)                       // is told of each call that comes whole
+	Service     time.Duration                    // duration of a call
+	Most        int                              // maximum number of calls in flight; others are rejected. 0 for no limit
+	ColdFrom    float64                          // share of the full speed at the start
+	ColdFor     time.Duration                    // time until the full speed is reached
+	NoLoad      bool                             // do not report the load
+	Load        func() (util, perSecond float64) // reported instead of the measured load; may be nil
+	Shapes      []string                         // accept only refunds in these versions of their shape; calls of all classes if nil
+	Listed      []string                         // versions that the list entry contains; Shapes if nil
+	Saw         func(Call)                       // called for each completely received call; may be nil
 }
 
-// Server is a form server.
+// Server is a form server. It is safe for concurrent use.
 type Server struct {
-	opts   Options
-	listen net.Listener
-	since  time.Time
-	ended  chan struct{}
-
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	accepted int
-	inFlight int
-	done     int
-	drained  time.Time
-	late     int
-	full     int
+	opts     Options
+	listener net.Listener
+	started  time.Time
+	closed   chan struct{}
+
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	accepted  int
+	inFlight  int
+	completed int
+	drained   time.Time
+	late      int
+	rejected  int
 }
 
-// DrainGrace is how long after it was told of a drain something new may still come.
+// DrainGrace is how long after the start of a drain new calls are still allowed to arrive.
 const DrainGrace = 500 * time.Millisecond
 
-// Start runs a Server on a free loopback port until Close.
+// Start starts a Server on a free loopback port. It runs until Close.
 func Start(opts Options) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -200,18 +200,18 @@
 	if opts.Pod == nil {
 		opts.Pod = NewPod()
 	}
-	s := &Server{opts: opts, listen: l, since: time.Now(), ended: make(chan struct{}), conns: map[net.Conn]bool{}}
+	s := &Server{opts: opts, listener: l, started: time.Now(), closed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go s.accept()
 	return s, nil
 }
 
-// Addr returns where it listens.
-func (s *Server) Addr() string { return s.listen.Addr().String() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Pod returns the pod that it belongs to.
+// DedupGroup returns the group that the server belongs to.
 func (s *Server) Pod() *Pod { return s.opts.Pod }
 
-// Entry returns its entry in the list.
+// Entry returns the server's entry for the list.
 func (s *Server) Entry() discovery.Entry {
 	e := discovery.Entry{ID: s.opts.ID, Addr: s.Addr(), Zone: "z", Cell: s.opts.Cell, State: "in_service", Weight: 1,
 		Protocol: s.opts.Protocol, Multiplexed: s.opts.Multiplexed}
@@ -223,7 +223,7 @@
 		e.Shapes = append(e.Shapes, Classes[Record]+"/"+version)
 	}
 	if s.opts.ColdFor > 0 {
-		e.StartedMS = s.since.UnixMilli()
+		e.StartedMS = s.started.UnixMilli()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,45 +233,45 @@
 	return e
 }
 
-// Drain says that the server wants nothing new from now on; the list must be told.
+// Drain starts a drain: the server wants no new calls from now on. The caller must update the list.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drained = time.Now()
 }
 
-// Late returns how many calls came too long after the drain.
+// LateCalls returns how many calls arrived later than DrainGrace after the start of the drain.
 func (s *Server) Late() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.late
 }
 
-// TurnedAway returns how many calls came while it held as many as it takes.
+// RejectedCalls returns how many calls were rejected because Options.MaxCalls were in flight.
 func (s *Server) TurnedAway() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.full
+	return s.rejected
 }
 
-// Accepted returns how many connections have come.
+// Accepted returns how many connections were accepted.
 func (s *Server) Accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() {
-	s.listen.Close()
+	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.ended:
+	case <-s.closed:
 		return
 	default:
 	}
-	close(s.ended)
+	close(s.closed)
 	for c := range s.conns {
 		c.Close()
 	}
@@ -279,7 +279,7 @@
 
 func (s *Server) accept() {
 	for {
-		c, err := s.listen.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -297,22 +297,22 @@
 	}
 }
 
-// face is one call in the words of a protocol.
-type face interface {
-	// reply words what a call is answered; a oneway's is nil.
+// replyEncoder encodes the reply to one call in its protocol.
+type replyEncoder interface {
+	// reply returns the encoded reply; nil for a oneway call.
 	reply(what reply) []byte
 }
 
 type reply struct {
-	fault Fault // Reject, Error, WrongSeq, or None
-	text  string
-	load  *load
-	odd   bool
+	fault     Fault // Reject, Error, WrongSeq, UnknownShape, or None; the other faults concern sending
+	text      string
+	load      *load
+	undefined bool
 }
 
 type load struct{ util, qps, eps, inFlight, queue float64 }
 
-// serve takes the calls of one connection.
+// serve reads and handles the calls of one connection.
 func (s *Server) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	var write sync.Mutex
@@ -340,7 +340,7 @@
 	}
 }
 
-func (s *Server) read(in *bufio.Reader) (Call, face, error) {
+func (s *Server) read(in *bufio.Reader) (Call, replyEncoder, error) {
 	inHTTP := s.opts.Protocol == "" || s.opts.Protocol == "http"
 	switch {
 	case s.opts.Shapes != nil && inHTTP:
@@ -353,8 +353,8 @@
 	return readThrift(in)
 }
 
-// call lets one call fare as the script says. It reports whether the connection goes on.
-func (s *Server) call(c net.Conn, write *sync.Mutex, call Call, f face) bool {
+// call handles one call as the script says. It reports whether the connection remains usable.
+func (s *Server) call(c net.Conn, write *sync.Mutex, call Call, f replyEncoder) bool {
 	call.Delivery = s.opts.Pod.deliver(call.ID)
 	var step Step
 	if s.opts.Script != nil {
@@ -362,7 +362,7 @@
 	}
 	answer := reply{fault: step.Fault}
 	if step.Fault == OddReply {
-		answer.fault, answer.odd = None, true
+		answer.fault, answer.undefined = None, true
 	}
 	if s.opts.Shapes != nil && answer.fault == None {
 		switch known := slices.Contains(s.opts.Shapes, call.Version); {
@@ -378,7 +378,7 @@
 	s.mu.Lock()
 	if s.opts.Most > 0 && s.inFlight >= s.opts.Most {
 		answer.fault = Reject
-		s.full++
+		s.rejected++
 	}
 	s.inFlight++
 	answer.load = s.loadLocked()
@@ -391,7 +391,7 @@
 	}
 	s.mu.Lock()
 	s.inFlight--
-	s.done++
+	s.completed++
 	s.mu.Unlock()
 	return s.answer(c, write, step, f.reply(answer))
 }
@@ -404,41 +404,41 @@
 		util, perSecond := s.opts.Load()
 		return &load{inFlight: float64(s.inFlight), util: util, qps: perSecond}
 	}
-	l := &load{inFlight: float64(s.inFlight), qps: float64(s.done) / max(1, time.Since(s.since).Seconds())}
+	l := &load{inFlight: float64(s.inFlight), qps: float64(s.completed) / max(1, time.Since(s.started).Seconds())}
 	if s.opts.Most > 0 {
 		l.util = float64(s.inFlight) / float64(s.opts.Most)
 	}
 	return l
 }
 
-// wait lets the time of a call pass.
+// wait blocks for the duration of a call, with the slow start and the delays of the step.
 func (s *Server) wait(took time.Duration, step Step) {
-	if age := time.Since(s.since); age < s.opts.ColdFor {
+	if age := time.Since(s.started); age < s.opts.ColdFor {
 		warm := s.opts.ColdFrom + (1-s.opts.ColdFrom)*float64(age)/float64(s.opts.ColdFor)
 		took = time.Duration(float64(took) / warm)
 	}
 	if took += step.Delay; took > 0 {
 		select {
 		case <-time.After(took):
-		case <-s.ended:
+		case <-s.closed:
 		}
 	}
 	if step.Until != nil {
 		select {
 		case <-step.Until:
-		case <-s.ended:
+		case <-s.closed:
 		}
 	}
 }
 
-// answer sends a reply, or what the fault makes of it. It reports whether the connection goes on.
+// answer sends a reply, changed by the fault of the step. It reports whether the connection remains usable.
 func (s *Server) answer(c net.Conn, write *sync.Mutex, step Step, text []byte) bool {
 	write.Lock()
 	defer write.Unlock()
 	switch step.Fault {
 	case Silence:
 		if !s.opts.Multiplexed {
-			io.Copy(io.Discard, c) // until the other side gives it up
+			io.Copy(io.Discard, c) // until the peer closes the connection
 			return false
 		}
 		return true
@@ -457,7 +457,7 @@
 			}
 			select {
 			case <-time.After(20 * time.Millisecond):
-			case <-s.ended:
+			case <-s.closed:
 			}
 		}
 		return true
@@ -480,6 +480,7 @@
 	return err == nil
 }
 
+// String returns the name of the method's class.
 func (m Method) String() string {
 	if m >= 0 && int(m) < len(Classes) {
 		return Classes[m]
@@ -487,7 +488,7 @@
 	return fmt.Sprintf("method %d", int(m))
 }
 
-// Shared names the effects that came in both of two pods, by their keys.
+// CommonEffects returns the keys of the calls that took effect in both groups.
 func Shared(a, b *Pod) (keys []string) {
 	a.mu.Lock()
 	for key := range a.effects {
--- a/internal/lab/standin/thrift.go
+++ b/internal/lab/standin/thrift.go
@@ -14,8 +14,8 @@
 	"ternbeam/internal/lab/formapi"
 )
 
-// thriftFace words the replies to one call.
-type thriftFace struct {
+// thriftEncoder encodes the replies to one Thrift call.
+type thriftEncoder struct {
 	protocol func(thrift.TTransport) thrift.TProtocol
 	name     string
 	seq      int32
@@ -23,7 +23,7 @@
 	method   Method
 }
 
-// protocolOf returns the Apache library's protocol of a frame, by its first byte.
+// protocolOf returns the Apache library's protocol for a frame, binary or compact by the frame's first byte.
 func protocolOf(frame []byte) func(thrift.TTransport) thrift.TProtocol {
 	if frame[0] == thrift.COMPACT_PROTOCOL_ID {
 		return func(t thrift.TTransport) thrift.TProtocol { return thrift.NewTCompactProtocolConf(t, nil) }
@@ -38,20 +38,20 @@
 	}
 	n := binary.BigEndian.Uint32(prefix[:])
 	if n == 0 || n > 1<<20 {
-		return nil, fmt.Errorf("frame of %d bytes", n)
+		return nil, fmt.Errorf("invalid frame of %d bytes", n)
 	}
 	frame := make([]byte, n)
 	_, err := io.ReadFull(in, frame)
 	return frame, err
 }
 
-func readThrift(in *bufio.Reader) (Call, face, error) {
+func readThrift(in *bufio.Reader) (Call, replyEncoder, error) {
 	frame, err := readFrame(in)
 	if err != nil {
 		return Call{}, nil, err
 	}
 	ctx := context.Background()
-	f := &thriftFace{protocol: protocolOf(frame)}
+	f := &thriftEncoder{protocol: protocolOf(frame)}
 	buf := thrift.NewTMemoryBufferLen(0)
 	buf.Write(frame)
 	p := f.protocol(buf)
@@ -60,7 +60,7 @@
 		return Call{}, nil, err
 	}
 	f.name, f.seq = name, seq
-	f.oneway = kind == thrift.ONEWAY || name == "note" // the Apache library's client marks no oneway
+	f.oneway = kind == thrift.ONEWAY || name == "note" // the Apache library's client does not mark oneway calls
 	var call Call
 	var h *formapi.Header
 	switch name {
@@ -81,10 +81,10 @@
 		err = args.Read(ctx, p)
 		call, h = Call{Method: Note, Text: args.Text}, args.Header
 	default:
-		return Call{}, nil, fmt.Errorf("method %q", name)
+		return Call{}, nil, fmt.Errorf("unknown method %q", name)
 	}
 	if err == nil && buf.Len() > 0 {
-		err = errors.New("bytes behind the message")
+		err = errors.New("trailing bytes after the message")
 	}
 	if err != nil {
 		return Call{}, nil, err
@@ -95,7 +95,7 @@
 	return call, f, nil
 }
 
-func (f *thriftFace) reply(r reply) []byte {
+func (f *thriftEncoder) reply(r reply) []byte {
 	if f.oneway {
 		return nil
 	}
@@ -136,5 +136,5 @@
 		}
 		result = res
 	}
-	return f.word(thrift.REPLY, func(p thrift.TProtocol) error { return result.Write(context.Background(), p) }, false)
+	return f.encode(thrift.REPLY, func(p thrift.TProtocol) error { return result.Write(context.Background(), p) }, false)
 }
