--- a/cmd/ternbeam-kill/main.go
+++ b/cmd/ternbeam-kill/main.go
@@ -1,5 +1,5 @@
-// Command ternbeam-kill kills a real agent while it writes down what it has learned, many times, and tells where the kills
-// fell and whether each start was from what had been confirmed. See docs/ops/learning.md.
+// Command ternbeam-kill repeatedly kills a real agent while it writes its learned state. It reports which operations were
+// interrupted and whether each start loaded the confirmed state. See docs/ops/learning.md.
 package main
 
 import (
@@ -12,14 +12,14 @@
 )
 
 type command struct {
-	Program string `arg:"" help:"The agent's program."`
-	Kills   int    `default:"500" help:"How often it is killed."`
-	Seed    uint64 `default:"1" help:"For when it is killed."`
+	Program string `arg:"" help:"Path of the agent's program."`
+	Kills   int    `default:"500" help:"Number of kills."`
+	Seed    uint64 `default:"1" help:"Seed of the times of the kills."`
 }
 
 func main() {
 	var c command
-	kong.Parse(&c, kong.Description("Kill an agent while it writes."), kong.UsageOnError())
+	kong.Parse(&c, kong.Description("Repeatedly kill an agent while it writes its learned state, and check what it stored."), kong.UsageOnError())
 	if err := c.run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ternbeam-kill:", err)
 		os.Exit(1)
--- a/internal/lab/crashfs/crashfs.go
+++ b/internal/lab/crashfs/crashfs.go
@@ -1,5 +1,5 @@
-// Package crashfs is a folder in memory that crashes: after any operation, with everything that a file system may have
-// made of what was not synced by then. It can also be full or fail.
+// Package crashfs provides an in-memory folder that simulates crashes: after any operation, and with every state in which
+// a file system may leave data that was not yet synced. The folder can also be full, and its operations can fail.
 package crashfs
 
 import (
@@ -12,25 +12,26 @@
 	"ternbeam/internal/store"
 )
 
-// ErrCrashed is what operations return once the folder has crashed.
+// ErrCrashed is returned by operations after the folder has crashed.
 var ErrCrashed = errors.New("crashed")
 
-// FS is a folder. Names and bytes that were synced survive a crash; of those that were not, any may.
+// FS is a folder. Synced names and bytes survive a crash; any part of those not synced may survive too. It is not safe for
+// concurrent use.
 type FS struct {
-	CrashAfter int                          // operations that change something, after which it crashes; none where negative
-	Fail       func(op, name string) error  // where not nil, is asked before each operation
-	Room       int                          // bytes that files may hold in all; no bound where 0
-	Ops        []string                     // the operations that changed something
-	names      map[string]*inode            // as programs see them
-	durable    map[string]*inode            // those that survive
-	pending    []func(at map[string]*inode) // changes of names since the last sync of the folder
-	owned      bool
+	CrashAfter int                          // number of modifying operations after which it crashes; never if negative
+	Fail       func(op, name string) error  // if not nil, called for each operation; its error is the error of the operation
+	Room       int                          // maximum total size of the files in bytes; no limit if 0
+	Ops        []string                     // the modifying operations so far
+	names      map[string]*inode            // as seen by programs
+	durable    map[string]*inode            // those that survive a crash
+	pending    []func(at map[string]*inode) // changes of names since the last Sync of the folder
+	locked     bool
 }
 
 type inode struct {
 	bytes   []byte
 	durable []byte
-	pending []write // since the last sync of the file
+	pending []write // since the last Sync of the file
 }
 
 type write struct {
@@ -43,7 +44,7 @@
 	return &FS{CrashAfter: -1, names: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// Of returns a folder that holds files, all synced.
+// FromFiles returns a folder with the given files, all synced.
 func Of(files map[string][]byte) *FS {
 	f := New()
 	for name, text := range files {
@@ -53,7 +54,7 @@
 	return f
 }
 
-// Files returns the files as programs see them.
+// Files returns a copy of the files as seen by programs.
 func (f *FS) Files() map[string][]byte {
 	files := map[string][]byte{}
 	for name, n := range f.names {
@@ -62,79 +63,79 @@
 	return files
 }
 
-// change opens an operation that changes something: it may fail, or the folder has crashed by then. What is done is done
-// before it crashes, as an operation that is not done is that of one crash earlier.
+// change starts a modifying operation. It returns an error if the operation fails or the folder has crashed. The last
+// operation before a crash takes effect: a crash before it is the case of a CrashAfter smaller by one.
 func (f *FS) change(op, name string) error {
 	if f.CrashAfter >= 0 && len(f.Ops) >= f.CrashAfter {
 		return ErrCrashed
 	}
 	f.Ops = append(f.Ops, op+" "+name)
-	return f.ask(op, name)
+	return f.injectedError(op, name)
 }
 
-func (f *FS) ask(op, name string) error {
+func (f *FS) injectedError(op, name string) error {
 	if f.Fail != nil {
 		return f.Fail(op, name)
 	}
 	return nil
 }
 
-// name changes the names, for programs at once and for good at the next sync.
-func (f *FS) name(change func(at map[string]*inode)) {
+// changeNames changes the names, immediately for programs and durably with the next Sync.
+func (f *FS) changeNames(change func(at map[string]*inode)) {
 	change(f.names)
 	f.pending = append(f.pending, change)
 }
 
-// List returns the names.
+// List returns the names of the files, sorted.
 func (f *FS) List() ([]string, error) {
-	return slices.Sorted(maps.Keys(f.names)), f.ask("list", "")
+	return slices.Sorted(maps.Keys(f.names)), f.injectedError("list", "")
 }
 
-// Read returns a file's bytes.
+// Read returns the bytes of a file. It fails if there are more than most.
 func (f *FS) Read(name string, most int64) ([]byte, error) {
 	n := f.names[name]
 	switch {
 	case n == nil:
-		return nil, fmt.Errorf("no file %q", name)
+		return nil, fmt.Errorf("file %q does not exist", name)
 	case int64(len(n.bytes)) > most:
-		return nil, fmt.Errorf("%s: more than %d bytes", name, most)
+		return nil, fmt.Errorf("file %s is larger than %d bytes", name, most)
 	}
-	return slices.Clone(n.bytes), f.ask("read", name)
+	return slices.Clone(n.bytes), f.injectedError("read", name)
 }
 
-// Create opens an empty file.
+// Create creates an empty file, or replaces a file by an empty one.
 func (f *FS) Create(name string) (store.File, error) {
 	if err := f.change("create", name); err != nil {
 		return nil, err
 	}
 	n := new(inode)
-	f.name(func(at map[string]*inode) { at[name] = n })
+	f.changeNames(func(at map[string]*inode) { at[name] = n })
 	return &file{fs: f, name: name, inode: n}, nil
 }
 
-// Rename renames a file.
+// Rename renames a file. It replaces a file that has the new name.
 func (f *FS) Rename(from, to string) error {
 	if err := f.change("rename", from); err != nil {
 		return err
 	}
 	n := f.names[from]
 	if n == nil {
-		return fmt.Errorf("no file %q", from)
+		return fmt.Errorf("file %q does not exist", from)
 	}
-	f.name(func(at map[string]*inode) { delete(at, from); at[to] = n })
+	f.changeNames(func(at map[string]*inode) { delete(at, from); at[to] = n })
 	return nil
 }
 
-// Remove removes a file.
+// Remove removes a file, if it exists.
 func (f *FS) Remove(name string) error {
 	if err := f.change("remove", name); err != nil {
 		return err
 	}
-	f.name(func(at map[string]*inode) { delete(at, name) })
+	f.changeNames(func(at map[string]*inode) { delete(at, name) })
 	return nil
 }
 
-// Sync makes the names survive.
+// Sync makes the current names durable.
 func (f *FS) Sync() error {
 	if err := f.change("sync", "the folder"); err != nil {
 		return err
@@ -146,16 +147,16 @@
 	return nil
 }
 
-// Lock makes the folder the caller's, until it gives it back or the folder crashes.
+// Lock locks the folder until unlock is called, or returns store.ErrOwned if it is locked. A folder found after a crash is not locked.
 func (f *FS) Lock() (unlock func() error, left string, err error) {
-	if f.owned {
+	if f.locked {
 		return nil, "", store.ErrOwned
 	}
-	if err := f.ask("lock", ""); err != nil {
+	if err := f.injectedError("lock", ""); err != nil {
 		return nil, "", err
 	}
-	f.owned = true
-	return func() error { f.owned = false; return nil }, "", nil
+	f.locked = true
+	return func() error { f.locked = false; return nil }, "", nil
 }
 
 type file struct {
@@ -164,25 +165,25 @@
 	*inode
 }
 
-// Write adds to the file. Where the folder is full it adds what there is room for.
+// Write appends to the file. If MaxBytes is exceeded, it appends what fits and returns an error.
 func (w *file) Write(text []byte) (int, error) {
 	if err := w.fs.change("write", w.name); err != nil {
 		return 0, err
 	}
-	if room := w.fs.room(); len(text) > room {
-		w.add(text[:room])
-		return room, errors.New("no space left")
+	if room := w.fs.freeBytes(); len(text) > room {
+		w.appendBytes(text[:room])
+		return room, errors.New("no space left in the folder")
 	}
-	w.add(text)
+	w.appendBytes(text)
 	return len(text), nil
 }
 
-func (w *file) add(text []byte) {
+func (w *file) appendBytes(text []byte) {
 	w.pending = append(w.pending, write{len(w.bytes), slices.Clone(text)})
 	w.bytes = append(w.bytes, text...)
 }
 
-func (f *FS) room() int {
+func (f *FS) freeBytes() int {
 	if f.Room == 0 {
 		return 1 << 30
 	}
@@ -193,7 +194,7 @@
 	return max(0, room)
 }
 
-// Sync makes the bytes survive, not the name.
+// Sync makes the bytes of the file durable, but not its name.
 func (w *file) Sync() error {
 	if err := w.fs.change("sync", w.name); err != nil {
 		return err
@@ -202,29 +203,30 @@
 	return nil
 }
 
-// Close closes the file, which makes nothing survive.
+// Close closes the file. It makes nothing durable.
 func (w *file) Close() error { return nil }
 
-// left is what may be left of a write that was not synced.
-type left struct {
-	length int // of the file it accounts for
-	bytes  int // of these that hold what was written; the others hold zeros
+// remainder describes what may remain of a write that was not synced.
+type remainder struct {
+	length int // by which the write extends the file
+	bytes  int // how many of these contain the written data; the others are zeros
 }
 
-// remains lists them: nothing, its length without its bytes, the bytes to some place, all.
-func (w write) remains() []left {
+// remainders lists what may remain of the write: nothing, its length filled with zeros, a prefix of the data with or without the full
+// length, or all of it.
+func (w write) remainders() []remainder {
 	n := len(w.text)
-	all := []left{{0, 0}, {n, 0}, {n, n}}
+	all := []remainder{{0, 0}, {n, 0}, {n, n}}
 	for _, cut := range []int{1, n / 2, n - 1} {
 		if cut > 0 && cut < n {
-			all = append(all, left{cut, cut}, left{n, cut})
+			all = append(all, remainder{cut, cut}, remainder{n, cut})
 		}
 	}
 	return all
 }
 
-// Crashes goes through every folder that may be found after a crash now: each change of names that was not synced did
-// or did not survive, each write too, or a part of it, in any order.
+// CrashStates iterates over every folder that may be found after a crash at this point: each unsynced change of names
+// survived or did not, and so did each unsynced write or a part of it, independently of their order.
 func (f *FS) Crashes() iter.Seq[*FS] {
 	return func(yield func(*FS) bool) {
 		for some := range 1 << len(f.pending) {
@@ -234,7 +236,7 @@
 					change(at)
 				}
 			}
-			var torn []*inode // each once, in the order of names
+			var torn []*inode // files with unsynced writes, each once, in the order of their names
 			for _, name := range slices.Sorted(maps.Keys(at)) {
 				if n := at[name]; len(n.pending) > 0 && !slices.Contains(torn, n) {
 					torn = append(torn, n)
@@ -255,7 +257,7 @@
 	}
 }
 
-// tear goes through what may be left of the files' writes.
+// tear iterates over the combinations of what may remain of the files' unsynced writes.
 func tear(files []*inode, bytes map[*inode][]byte, each func(map[*inode][]byte) bool) bool {
 	if len(files) == 0 {
 		return each(bytes)
@@ -275,7 +277,7 @@
 		return each(text)
 	}
 	w := n.pending[from]
-	for _, l := range w.remains() {
+	for _, l := range w.remainders() {
 		next := slices.Clone(text)
 		if end := w.at + l.length; l.length > 0 && len(next) < end {
 			next = append(next, make([]byte, end-len(next))...)
--- a/internal/lab/killer/killer.go
+++ b/internal/lab/killer/killer.go
@@ -1,6 +1,6 @@
-// Package killer kills a real agent while it writes down what it has learned, again and again, and judges from the folder
-// and the agent's log alone: all that was confirmed is there, and each start is from it or, before the first write, from
-// nothing.
+// Package killer kills a real agent repeatedly while it writes its learned state, and checks, from the state folder and the
+// agent's log alone, that every confirmed write is in the folder, and that each start loads the stored state or, before
+// the first write, reports that there is none.
 package killer
 
 import (
@@ -28,23 +28,23 @@
 	"ternbeam/internal/store"
 )
 
-// Options say what is killed, and how often.
+// Options configure a run.
 type Options struct {
-	Program string // the agent's
-	Dir     string // an empty folder for all that it needs
-	Kills   int
-	Seed    uint64
+	Program string // path of the agent's program
+	Dir     string // an empty folder for the configuration and the state
+	Kills   int    // number of kills
+	Seed    uint64 // of the times of the kills
 }
 
-// Result is what came of it.
+// Result counts what a run observed.
 type Result struct {
-	Fell   map[string]int // kills, by the operation on the folder in which they fell
-	Left   map[string]int // kills, by what they left in the folder
-	Starts map[string]int // by what the agent said it began with
-	Faults []string       // starts and folders that were not as they must be
+	Fell   map[string]int // kills, by the operation on the state folder that was in progress
+	Left   map[string]int // kills, by the state of the folder afterwards
+	Starts map[string]int // starts, by the state that the agent logged as loaded
+	Faults []string       // incorrect starts and folders
 }
 
-// patience is how long anything is waited for that must come.
+// stepTimeout limits every wait for something that must happen.
 const patience = 20 * time.Second
 
 const stateFile = `folder = %q
@@ -58,22 +58,22 @@
 kib_a_minute = 1048576
 `
 
-// world is what the agent meets.
+// world holds the environment of the agent and the observations of a run.
 type world struct {
-	opts   Options
-	list   *standin.List
-	kiosk  standin.Kiosk
-	folder string
-	env    []string
-	rng    *rand.Rand
-	result Result
-	asked  int
+	opts    Options
+	list    *standin.List
+	kiosk   standin.Kiosk
+	folder  string
+	env     []string
+	rng     *rand.Rand
+	result  Result
+	clients int
 
-	from    uint64 // generation that was found after the kill before
-	written bool   // anything was ever confirmed
+	generation uint64 // generation of the snapshot found after the previous kill
+	confirmed  bool   // a write has been confirmed at least once
 }
 
-// Run kills the agent so many times.
+// Run kills the agent Options.Kills times and returns what it observed. Incorrect starts and folders are reported in Result.Faults, not as an error.
 func Run(o Options) (Result, error) {
 	w := &world{opts: o, folder: filepath.Join(o.Dir, "kept"), rng: rand.New(rand.NewPCG(o.Seed, 2)),
 		result: Result{Fell: map[string]int{}, Left: map[string]int{}, Starts: map[string]int{}}}
@@ -109,21 +109,21 @@
 	}
 	defer w.kiosk.Close()
 	for n := range o.Kills {
-		if err := w.life(n); err != nil {
-			return w.result, fmt.Errorf("life %d: %w", n, err)
+		if err := w.runAgent(n); err != nil {
+			return w.result, fmt.Errorf("run %d of the agent: %w", n, err)
 		}
 	}
 	return w.result, nil
 }
 
-// journal follows what an agent logs.
-type journal struct {
+// agentLog collects the lines of an agent's log. It is safe for concurrent use.
+type agentLog struct {
 	mu     sync.Mutex
 	lines  []string
 	change chan struct{}
 }
 
-func (j *journal) follow(r io.Reader) {
+func (j *agentLog) follow(r io.Reader) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -135,8 +135,8 @@
 	}
 }
 
-// count returns how many lines hold a text, and what tells of the next line.
-func (j *journal) count(text string) (n int, next <-chan struct{}) {
+// count returns how many lines contain a text, and a channel that is closed at the next line.
+func (j *agentLog) count(text string) (n int, next <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, l := range j.lines {
@@ -147,8 +147,8 @@
 	return n, j.change
 }
 
-// wait waits for so many lines that hold a text.
-func (j *journal) wait(text string, n int) error {
+// wait waits until n lines contain a text.
+func (j *agentLog) wait(text string, n int) error {
 	timeout := time.After(patience)
 	for {
 		got, next := j.count(text)
@@ -158,19 +158,19 @@
 		select {
 		case <-next:
 		case <-timeout:
-			return fmt.Errorf("the agent has not logged %q %d times; it logged\n%s", text, n, strings.Join(j.lines, "\n"))
+			return fmt.Errorf("timeout: the agent did not log %q %d times; its log is\n%s", text, n, strings.Join(j.lines, "\n"))
 		}
 	}
 }
 
 const (
-	loaded  = "learned: loaded"
-	nothing = "learned: nothing is kept yet"
-	wrote   = `msg="learned: written"`
+	loadedText      = "learned: loaded"
+	nothingKeptText = "learned: nothing is kept yet"
+	writtenText     = `msg="learned: written"`
 )
 
-// life starts an agent, has it serve, kills it and looks at what is there.
-func (w *world) life(n int) error {
+// runAgent starts an agent, sends it calls, kills it and checks the folder.
+func (w *world) runAgent(n int) error {
 	agent := exec.Command(w.opts.Program, "run", "--state", filepath.Join(w.opts.Dir, "state.toml"))
 	agent.Env = w.env
 	out, in, err := os.Pipe()
@@ -178,7 +178,7 @@
 		return err
 	}
 	agent.Stderr = in
-	log := &journal{change: make(chan struct{})}
+	log := &agentLog{change: make(chan struct{})}
 	var reading sync.WaitGroup
 	reading.Go(func() { log.follow(out) })
 	if err := errors.Join(agent.Start(), in.Close()); err != nil {
@@ -188,28 +188,28 @@
 	if err := log.wait("msg=started", 1); err != nil {
 		return err
 	}
-	w.started(n, log)
+	w.checkStart(n, log)
 	ctx, cancel := context.WithCancel(context.Background())
 	var kiosks sync.WaitGroup
 	defer kiosks.Wait()
 	defer cancel()
 	for range 4 {
-		w.asked++
-		first := w.asked << 20
-		kiosks.Go(func() { w.ask(ctx, first) })
+		w.clients++
+		first := w.clients << 20
+		kiosks.Go(func() { w.sendCalls(ctx, first) })
 	}
-	early := n > 0 && w.rng.IntN(3) == 0 // some are killed at their first write, which is a whole snapshot
+	early := n > 0 && w.rng.IntN(3) == 0 // kill some agents at their first write, which is a full snapshot
 	if !early {
-		if err := log.wait(wrote, 1+w.rng.IntN(4)); err != nil {
+		if err := log.wait(writtenText, 1+w.rng.IntN(4)); err != nil {
 			return err
 		}
 	}
 	fell := ""
 	if aim := w.rng.IntN(4) > 0; aim {
-		fell = w.await(agent.Process.Pid)
+		fell = w.awaitOperation(agent.Process.Pid)
 	} else {
 		time.Sleep(time.Duration(w.rng.Int64N(int64(40 * time.Millisecond))))
-		fell = cmp.Or(w.doing(agent.Process.Pid), "between operations")
+		fell = cmp.Or(w.currentOperation(agent.Process.Pid), "between operations")
 	}
 	if err := agent.Process.Kill(); err != nil {
 		return err
@@ -217,68 +217,68 @@
 	agent.Wait()
 	reading.Wait()
 	w.result.Fell[fell]++
-	writes, _ := log.count(wrote)
-	return w.look(n, writes)
+	writes, _ := log.count(writtenText)
+	return w.checkFolder(n, writes)
 }
 
-// ask asks one call after the other.
-func (w *world) ask(ctx context.Context, first int) {
+// sendCalls sends calls one after the other until ctx is canceled.
+func (w *world) sendCalls(ctx context.Context, first int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		id := strconv.Itoa(first + i)
 		w.kiosk.Ask(standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: "k" + id, Left: time.Second, Leave: ctx.Done()})
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *world) addFault(format string, args ...any) {
 	w.result.Faults = append(w.result.Faults, fmt.Sprintf(format, args...))
 }
 
-// started judges what an agent said it began with.
-func (w *world) started(n int, log *journal) {
-	with, _ := log.count(loaded)
-	without, _ := log.count(nothing)
+// checkStart checks which state the agent logged as loaded.
+func (w *world) checkStart(n int, log *agentLog) {
+	with, _ := log.count(loadedText)
+	without, _ := log.count(nothingKeptText)
 	switch {
 	case with == 1 && without == 0:
 		w.result.Starts["what was kept"]++
 	case without == 1 && with == 0:
 		w.result.Starts["nothing"]++
-		if w.written {
-			w.fault("life %d: it began from nothing though something was written", n)
+		if w.confirmed {
+			w.addFault("run %d: the agent started without stored state, although a write had been confirmed", n)
 		}
 	default:
 		w.result.Starts["neither"]++
-		w.fault("life %d: it says neither what it began with nor that there was nothing", n)
+		w.addFault("run %d: the log does not say once, and only once, whether stored state was loaded or missing", n)
 	}
 }
 
-// look judges the folder that a kill left, by what the agent had confirmed.
-func (w *world) look(n, writes int) error {
+// checkFolder checks the folder after a kill against the writes that the agent had confirmed.
+func (w *world) checkFolder(n, writes int) error {
 	records, report, err := store.Peek(store.Dir(w.folder), keeper.Bounds(0))
 	if err != nil {
 		return err
 	}
-	w.written = w.written || writes > 0
+	w.confirmed = w.confirmed || writes > 0
 	state, dropped, err := learned.Read(keeper.Records(records))
 	switch {
-	case errors.Is(err, learned.ErrNone) && !w.written:
+	case errors.Is(err, learned.ErrNone) && !w.confirmed:
 	case err != nil || len(dropped) > 0:
-		w.fault("life %d: %v, %v", n, err, dropped)
+		w.addFault("run %d: reading the stored state: error %v, dropped %v", n, err, dropped)
 	case state.Shared.Agent != "n0":
-		w.fault("life %d: of the agent %q", n, state.Shared.Agent)
-	case writes > 0 && report.From <= w.from:
-		w.fault("life %d: %d writes confirmed, and the snapshot is the one before, %d", n, writes, report.From)
-	case report.From < w.from:
-		w.fault("life %d: the snapshot is of generation %d, after %d", n, report.From, w.from)
+		w.addFault("run %d: the stored state belongs to agent %q", n, state.Shared.Agent)
+	case writes > 0 && report.From <= w.generation:
+		w.addFault("run %d: %d writes confirmed, but the snapshot is that of an earlier run, generation %d", n, writes, report.From)
+	case report.From < w.generation:
+		w.addFault("run %d: the snapshot is of generation %d, older than %d found before", n, report.From, w.generation)
 	case writes > 0 && report.Batches < writes-1:
-		w.fault("life %d: %d writes confirmed, and the log holds %d", n, writes, report.Batches)
+		w.addFault("run %d: %d writes confirmed, but the log contains only %d", n, writes, report.Batches)
 	}
-	w.from = report.From
-	w.result.Left[w.remains(report)]++
+	w.generation = report.From
+	w.result.Left[w.describeFolder(report)]++
 	return nil
 }
 
-// remains names what a kill left.
-func (w *world) remains(report store.Report) string {
+// describeFolder describes the state of the folder after a kill.
+func (w *world) describeFolder(report store.Report) string {
 	names, _ := store.Dir(w.folder).List()
 	snapshots, logs := 0, 0
 	for _, name := range names {
@@ -302,11 +302,12 @@
 	return "nothing unfinished"
 }
 
-// operations are system calls by their numbers on this processor, as /proc tells them.
+// operations maps system call numbers of amd64, as in /proc, to operations.
 var operations = map[string]string{"1": "write", "74": "sync", "82": "rename", "264": "rename", "257": "open", "263": "remove", "3": "close"}
 
-// doing is the operation on the folder that a process is in; nothing where none is, or the system does not tell.
-func (w *world) doing(pid int) string {
+// currentOperation returns the operation on the state folder that a process is executing, or nothing if there is none or /proc does not
+// show it.
+func (w *world) currentOperation(pid int) string {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/syscall", pid))
 	for _, name := range threads {
 		text, err := os.ReadFile(name)
@@ -321,7 +322,7 @@
 		switch what {
 		case "":
 			continue
-		case "rename", "remove", "open": // of this agent, while it serves, only on the folder
+		case "rename", "remove", "open": // a serving agent makes these calls on the state folder only
 			return what
 		}
 		fd, err := strconv.ParseInt(strings.TrimPrefix(fields[1], "0x"), 16, 32)
@@ -339,12 +340,13 @@
 	return ""
 }
 
-// await waits until a process is in the midst of an operation on the folder, the first or a later one, for a while.
-func (w *world) await(pid int) string {
+// awaitOperation waits for up to a second until a process executes an operation on the state folder, and returns that operation. It skips a
+// random number of operations, at most 3.
+func (w *world) awaitOperation(pid int) string {
 	skip := w.rng.IntN(4)
 	last := ""
 	for end := time.Now().Add(time.Second); time.Now().Before(end); {
-		what := w.doing(pid)
+		what := w.currentOperation(pid)
 		if what != "" && what != last {
 			if skip == 0 {
 				return what
@@ -356,7 +358,7 @@
 	return "between operations"
 }
 
-// Table words a result.
+// WriteTable writes the result as tables of text.
 func (r Result) Table(out io.Writer) {
 	for _, t := range []struct {
 		title string
--- a/internal/lab/killer/killer_test.go
+++ b/internal/lab/killer/killer_test.go
@@ -8,7 +8,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// build builds the agent and returns its program.
+// build builds the agent and returns the path of its program.
 func build(t *testing.T, flags ...string) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "ternbeam")
@@ -20,7 +20,7 @@
 	return program
 }
 
-// The real agent, killed while it writes: each start is from what had been confirmed.
+// Kills the real agent while it writes its state. Each start must load the state that had been confirmed.
 func TestKilledWhileItWrites(t *testing.T) {
 	program := build(t)
 	const kills = 20
@@ -30,11 +30,11 @@
 	}
 	r.Table(t.Output())
 	if len(r.Faults) > 0 || r.Starts["what was kept"] < kills-1 {
-		t.Errorf("%d faults in %v", len(r.Faults), r.Starts)
+		t.Errorf("%d faults in starts %v", len(r.Faults), r.Starts)
 	}
 }
 
-// A store that confirms before it has written is found.
+// Checks that a store that confirms a write without writing it is detected.
 func TestPlantedBug(t *testing.T) {
 	overlay := testkit.Overlay(t, "internal/store/store.go", "_, err = s.log.Write(f)", "_, err = 0, nil")
 	program := build(t, "-overlay", overlay)
@@ -43,6 +43,6 @@
 		t.Fatal(err)
 	}
 	if len(r.Faults) == 0 {
-		t.Errorf("not found: %+v", r)
+		t.Errorf("the planted bug was not detected: %+v", r)
 	}
 }
