--- a/cmd/ternbeam-load/main.go
+++ b/cmd/ternbeam-load/main.go
@@ -1,6 +1,6 @@
-// Command ternbeam-load measures the agent against the same servers called directly and against
-// httputil.ReverseProxy: calls a second, processor time a call and latencies, by protocol, and the memory that an
-// idle client connection holds. Servers, the one between and the clients are processes of their own.
+// Command ternbeam-load compares the agent with direct calls to the same servers and with httputil.ReverseProxy. It
+// measures calls per second, processor time per call and latencies by protocol, and the memory of an idle client
+// connection. The servers, the agent or proxy, and the clients run in separate processes.
 package main
 
 import (
@@ -30,15 +30,15 @@
 
 type commands struct {
 	Run  runCommand  `cmd:"" default:"withargs" help:"Measure."`
-	Role roleCommand `cmd:"" hidden:"" help:"Be one of the processes."`
+	Role roleCommand `cmd:"" hidden:"" help:"Run as one of the processes."`
 }
 
 type runCommand struct {
 	Clients int           `default:"16" help:"Clients, each with one connection and one call at a time."`
 	Servers int           `default:"12" help:"Servers of each protocol."`
-	For     time.Duration `default:"3s" help:"How long each is measured."`
-	Rounds  int           `default:"3" help:"Rounds; each measures everything in turn."`
-	Cores   int           `default:"1" help:"GOMAXPROCS of the process between."`
+	For     time.Duration `default:"3s" help:"Duration of each measurement."`
+	Rounds  int           `default:"3" help:"Number of rounds; each measures every path once."`
+	Cores   int           `default:"1" help:"GOMAXPROCS of the agent or proxy."`
 	Idle    int           `default:"2000" help:"Idle connections whose memory is measured; 0 for none."`
 }
 
@@ -48,17 +48,17 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// child is one of the processes.
+// child is a process started for the measurement.
 type child struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Reader
-	at  addresses
+	cmd   *exec.Cmd
+	in    io.WriteCloser
+	out   *bufio.Reader
+	addrs addresses
 }
 
 type addresses struct{ HTTP, Thrift string }
 
-// usage is what a process has used.
+// usage holds the resources that a process has used.
 type usage struct {
 	CPU  time.Duration
 	Heap uint64 // bytes of heap and stacks in use after a collection
@@ -84,13 +84,13 @@
 		return nil, err
 	}
 	c := &child{cmd: cmd, in: in, out: bufio.NewReader(out)}
-	return c, c.read(&c.at)
+	return c, c.read(&c.addrs)
 }
 
 func (c *child) read(v any) error {
 	line, err := c.out.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("a process ended: %w", err)
+		return fmt.Errorf("a child process ended: %w", err)
 	}
 	return json.Unmarshal(line, v)
 }
@@ -102,13 +102,13 @@
 	return u, c.read(&u)
 }
 
-// end lets the process end by itself, as its standard input does.
+// end closes the standard input of the process, which makes it exit, and waits for it.
 func (c *child) end() {
 	c.in.Close()
 	c.cmd.Wait()
 }
 
-// Run is the main process: it starts the others, is the clients and prints the table.
+// Run is the main process: it starts the other processes, runs the clients and prints the table.
 func (r *runCommand) Run() error {
 	servers := map[string][]string{}
 	for _, p := range loadgen.Protocols {
@@ -117,7 +117,7 @@
 			return err
 		}
 		defer s.end()
-		servers[p] = strings.Split(s.at.HTTP, ",")
+		servers[p] = strings.Split(s.addrs.HTTP, ",")
 	}
 	startProxy := func() (*child, error) {
 		return start(r.Cores, "proxy", "--backends", strings.Join(servers["http"], ","))
@@ -131,43 +131,43 @@
 		return err
 	}
 	defer proxy.end()
-	between, err := startAgent()
+	agentProc, err := startAgent()
 	if err != nil {
 		return err
 	}
-	defer between.end()
-	fmt.Printf("%d clients, %d servers of each protocol, %v each, %d core(s) between, %d on the machine\n\n",
+	defer agentProc.end()
+	fmt.Printf("%d clients, %d servers of each protocol, %v each, %d core(s) for the agent or proxy, %d on the machine\n\n",
 		r.Clients, r.Servers, r.For, r.Cores, runtime.NumCPU())
 	fmt.Println("round  path                    calls/s  CPU µs/call       p50       p99     p99.9  failed")
 	for round := range r.Rounds {
 		for _, c := range []struct {
 			name, protocol, addr string
-			by                   *child
+			proc                 *child
 		}{
 			{"direct http", "http", servers["http"][0], nil}, {"direct binary", "binary", servers["binary"][0], nil},
 			{"direct compact", "compact", servers["compact"][0], nil},
-			{"ReverseProxy http", "http", proxy.at.HTTP, proxy}, {"agent http", "http", between.at.HTTP, between},
-			{"agent binary", "binary", between.at.Thrift, between}, {"agent compact", "compact", between.at.Thrift, between},
+			{"ReverseProxy http", "http", proxy.addrs.HTTP, proxy}, {"agent http", "http", agentProc.addrs.HTTP, agentProc},
+			{"agent binary", "binary", agentProc.addrs.Thrift, agentProc}, {"agent compact", "compact", agentProc.addrs.Thrift, agentProc},
 		} {
-			if err := r.measure(round, c.name, c.protocol, c.addr, c.by); err != nil {
+			if err := r.measure(round, c.name, c.protocol, c.addr, c.proc); err != nil {
 				return fmt.Errorf("%s: %w", c.name, err)
 			}
 		}
 	}
 	if r.Idle > 0 {
-		return r.idle(startProxy, startAgent)
+		return r.measureIdle(startProxy, startAgent)
 	}
 	return nil
 }
 
-func (r *runCommand) measure(round int, name, protocol, addr string, by *child) error {
+func (r *runCommand) measure(round int, name, protocol, addr string, proc *child) error {
 	if _, err := loadgen.Run(protocol, addr, fmt.Sprintf("w%d-%s", round, protocol), r.Clients, r.For/5); err != nil {
-		return err // a round to warm up with
+		return err // warm-up
 	}
 	var before, after usage
 	var err error
-	if by != nil {
-		if before, err = by.usage(); err != nil {
+	if proc != nil {
+		if before, err = proc.usage(); err != nil {
 			return err
 		}
 	}
@@ -176,8 +176,8 @@
 		return err
 	}
 	cpu := "-"
-	if by != nil {
-		if after, err = by.usage(); err != nil {
+	if proc != nil {
+		if after, err = proc.usage(); err != nil {
 			return err
 		}
 		cpu = fmt.Sprintf("%.1f", float64((after.CPU-before.CPU).Microseconds())/float64(f.Calls))
@@ -187,15 +187,15 @@
 	return nil
 }
 
-// idle measures the memory that connections hold on which one call was made, each kind in a process of its own.
-func (r *runCommand) idle(startProxy, startAgent func() (*child, error)) error {
-	fmt.Printf("\nheap and stacks for each of %d idle client connections, one call made on each\n", r.Idle)
+// measureIdle measures the memory of connections on which one call was made, with a new process for each kind.
+func (r *runCommand) measureIdle(startProxy, startAgent func() (*child, error)) error {
+	fmt.Printf("\nheap and stacks for each of %d idle client connections, after one call on each\n", r.Idle)
 	for _, c := range []struct {
 		name, protocol string
 		start          func() (*child, error)
 	}{{"ReverseProxy http", "http", startProxy}, {"agent http", "http", startAgent}, {"agent binary", "binary", startAgent},
 		{"agent compact", "compact", startAgent}} {
-		bytes, err := r.idleOf(c.protocol, c.start)
+		bytes, err := r.idleBytes(c.protocol, c.start)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
@@ -204,20 +204,20 @@
 	return nil
 }
 
-func (r *runCommand) idleOf(protocol string, start func() (*child, error)) (bytes int64, err error) {
-	by, err := start()
+func (r *runCommand) idleBytes(protocol string, start func() (*child, error)) (bytes int64, err error) {
+	proc, err := start()
 	if err != nil {
 		return 0, err
 	}
-	defer by.end()
-	addr := by.at.HTTP
-	if protocol != "http" && by.at.Thrift != "" {
-		addr = by.at.Thrift
+	defer proc.end()
+	addr := proc.addrs.HTTP
+	if protocol != "http" && proc.addrs.Thrift != "" {
+		addr = proc.addrs.Thrift
 	}
 	if _, err := loadgen.Run(protocol, addr, "w", r.Clients, time.Second/2); err != nil {
 		return 0, err
 	}
-	before, err := by.usage()
+	before, err := proc.usage()
 	if err != nil {
 		return 0, err
 	}
@@ -231,7 +231,7 @@
 			return 0, err
 		}
 	}
-	after, err := by.usage()
+	after, err := proc.usage()
 	return (int64(after.Heap) - int64(before.Heap)) / int64(r.Idle), err
 }
 
@@ -241,8 +241,8 @@
 	Agent   agentRole   `cmd:""`
 }
 
-// stay tells where the process listens, and what it has used whenever it is asked, until nobody asks any more.
-func stay(at addresses) error {
+// serveUsage writes the addresses of the process to standard output, and then its usage for each line of standard input, until that ends.
+func serveUsage(at addresses) error {
 	out := json.NewEncoder(os.Stdout)
 	if err := out.Encode(at); err != nil {
 		return err
@@ -254,7 +254,7 @@
 		}
 		u := usage{CPU: time.Duration(r.Utime.Nano() + r.Stime.Nano())}
 		runtime.GC()
-		runtime.GC() // what pools keep for a cycle
+		runtime.GC() // a second collection, as sync.Pool keeps objects for one cycle
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		u.Heap = m.HeapAlloc + m.StackInuse
@@ -270,7 +270,7 @@
 	Servers  int
 }
 
-// Run is the servers.
+// Run runs the servers.
 func (s *serversRole) Run() error {
 	var all []string
 	for range s.Servers {
@@ -281,12 +281,12 @@
 		go loadgen.Serve(l, s.Protocol)
 		all = append(all, l.Addr().String())
 	}
-	return stay(addresses{HTTP: strings.Join(all, ",")})
+	return serveUsage(addresses{HTTP: strings.Join(all, ",")})
 }
 
 type proxyRole struct{ Backends []string }
 
-// Run is the reverse proxy: the backends in turn, connections kept.
+// Run runs the reverse proxy, with round-robin over the backends and persistent connections.
 func (p *proxyRole) Run() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -302,12 +302,12 @@
 		r.SetURL(u)
 	}, Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}
 	go http.Serve(l, proxy)
-	return stay(addresses{HTTP: l.Addr().String()})
+	return serveUsage(addresses{HTTP: l.Addr().String()})
 }
 
 type agentRole struct{ Backends, Binary, Compact []string }
 
-// Run is the agent. Its service says that the servers speak as they do.
+// Run runs the agent, with an initial list that gives each server's protocol.
 func (a *agentRole) Run() error {
 	p := loadgen.Platform("127.0.0.1:0")
 	p.Discovery, p.Known = "127.0.0.1:1", discovery.List{Full: true}
@@ -336,7 +336,7 @@
 	go func() { failed <- node.Run(ctx, nil) }()
 	select {
 	case <-node.Ready():
-		return stay(at)
+		return serveUsage(at)
 	case err := <-failed:
 		return err
 	}
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the agent at work on loopback: a list, a small mixed fleet, kiosks that speak HTTP/1.1 and
-// Thrift, servers that hang and servers that are replaced one after the other.
+// Package demo runs the agent on loopback with a list service, a small fleet of servers with different protocols, and
+// kiosks that speak HTTP/1.1 and Thrift. During the demo some servers hang, and then all are replaced one by one.
 package demo
 
 import (
@@ -18,17 +18,17 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// Options say how long the demo lasts and how much is asked.
+// Options configure the demo.
 type Options struct {
-	For    time.Duration
-	Kiosks int // of each protocol, each asking one call after the other
-	Out    io.Writer
+	For    time.Duration // duration of the demo
+	Kiosks int           // number of kiosks of each protocol; each sends one call at a time
+	Out    io.Writer     // receives the progress and the final table
 }
 
-// protocols are those that kiosks speak.
+// protocols are the protocols of the kiosks.
 var protocols = []string{"http", "thrift-binary", "thrift-compact"}
 
-// fleet is the servers: two pods, in each of which some speak every protocol.
+// fleet lists the servers of each of the two deduplication groups. Each group has servers for every protocol.
 var fleet = []standin.Options{
 	{ID: "http", Protocol: "http"},
 	{ID: "binary", Protocol: "thrift-binary"},
@@ -36,35 +36,35 @@
 	{ID: "either", Protocol: "thrift", Multiplexed: true},
 }
 
-// demo is what is running.
+// demo is the state of a running demo.
 type demo struct {
 	opts    Options
 	list    *standin.List
-	pods    [2]*standin.Pod
+	groups  [2]*standin.Pod
 	hangs   atomic.Bool
-	begin   time.Time
+	started time.Time
 	mu      sync.Mutex
 	servers []*server
-	all     []*server // those that were replaced too
+	all     []*server // including replaced servers
 	tally   map[string]*tally
 }
 
-// server is one of the fleet, and where in it.
+// server is a running server, with its index in fleet and its deduplication group.
 type server struct {
 	*standin.Server
-	spec, pod int
+	spec, group int
 }
 
-// tally is what kiosks of a protocol were told.
+// tally counts the answers to the kiosks of one protocol.
 type tally struct {
 	kinds [standin.Sent + 1]int
 	took  []time.Duration
 }
 
-// Run runs the demo and reports whether all went as it must: nothing lost, no effect twice, nothing sent to a
-// server after its drain.
+// Run runs the demo. It returns an error if a call was lost, an effect happened twice, or a call was sent to a server after
+// its drain.
 func Run(o Options) error {
-	d := &demo{opts: o, pods: [2]*standin.Pod{standin.NewPod(), standin.NewPod()}, tally: map[string]*tally{}}
+	d := &demo{opts: o, groups: [2]*standin.Pod{standin.NewPod(), standin.NewPod()}, tally: map[string]*tally{}}
 	for _, p := range protocols {
 		d.tally[p] = &tally{}
 	}
@@ -74,9 +74,9 @@
 	}
 	defer list.Close()
 	d.list = list
-	for pod := range d.pods {
+	for group := range d.groups {
 		for spec := range fleet {
-			s, err := d.startServer(spec, pod, 0)
+			s, err := d.startServer(spec, group, 0)
 			if err != nil {
 				return err
 			}
@@ -92,31 +92,31 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(o.Out, "agent on %s (HTTP) and %s (Thrift), list on %s, %d servers in 2 pods\n", addrs[0], addrs[1],
+	fmt.Fprintf(o.Out, "agent on %s (HTTP) and %s (Thrift), list on %s, %d servers in 2 groups\n", addrs[0], addrs[1],
 		list.Addr(), len(d.servers))
-	d.begin = time.Now()
+	d.started = time.Now()
 	if err := d.play(addrs); err != nil {
 		return err
 	}
-	d.say("the agent is told to end")
+	d.printf("the agent is being shut down")
 	if err := stop(); err != nil {
 		return err
 	}
 	return d.report()
 }
 
-func (d *demo) say(format string, args ...any) {
-	fmt.Fprintf(d.opts.Out, "%5.1f s  %s\n", time.Since(d.begin).Seconds(), fmt.Sprintf(format, args...))
+func (d *demo) printf(format string, args ...any) {
+	fmt.Fprintf(d.opts.Out, "%5.1f s  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (d *demo) startServer(spec, pod, life int) (*server, error) {
+func (d *demo) startServer(spec, group, generation int) (*server, error) {
 	o := fleet[spec]
-	o.ID = fmt.Sprintf("%s-%d.%d", o.ID, pod, life)
-	o.Pod, o.Cell, o.Service, o.Most = d.pods[pod], pod, 8*time.Millisecond, 40
-	if life > 0 {
+	o.ID = fmt.Sprintf("%s-%d.%d", o.ID, group, generation)
+	o.Pod, o.Cell, o.Service, o.Most = d.groups[group], group, 8*time.Millisecond, 40
+	if generation > 0 {
 		o.ColdFrom, o.ColdFor = 0.2, d.opts.For/6
 	}
-	first := pod == 0 && life == 0
+	first := group == 0 && generation == 0
 	o.Script = func(standin.Call) standin.Step {
 		if first && d.hangs.Load() {
 			return standin.Step{Fault: standin.Silence}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	started := &server{Server: s, spec: spec, pod: pod}
+	started := &server{Server: s, spec: spec, group: group}
 	d.mu.Lock()
 	d.all = append(d.all, started)
 	d.mu.Unlock()
@@ -135,7 +135,7 @@
 	return started, nil
 }
 
-// startAgent runs an agent and returns where it listens and how it is ended.
+// startAgent starts an agent and returns the addresses that it listens on and a function that stops it.
 func (d *demo) startAgent() (addrs []string, stop func() error, err error) {
 	p := standin.Platform{Listen: "127.0.0.1:0", Discovery: d.list.Addr(), Deadline: 3 * time.Second, Cancel: true,
 		MaxRetryAfter: time.Second, ColdFor: d.opts.For / 6}
@@ -162,7 +162,7 @@
 	}
 }
 
-// play lets kiosks ask while servers hang and are replaced.
+// play runs the kiosks while servers hang and are replaced.
 func (d *demo) play(addrs []string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.opts.For)
 	defer cancel()
@@ -178,10 +178,10 @@
 		}
 		defer k.Close()
 		for i := range d.opts.Kiosks {
-			kiosks.Go(func() { d.ask(ctx, k, protocol, i) })
+			kiosks.Go(func() { d.runKiosk(ctx, k, protocol, i) })
 		}
 	}
-	d.say("%d kiosks of each protocol ask for checks, records and payments", d.opts.Kiosks)
+	d.printf("%d kiosks of each protocol send checks, records and payments", d.opts.Kiosks)
 	progress := time.NewTicker(time.Second)
 	defer progress.Stop()
 	quarter := d.opts.For / 4
@@ -192,10 +192,10 @@
 		case <-progress.C:
 			d.progress()
 		case <-hang:
-			d.say("the servers of pod 0 hang: they take calls and say nothing")
+			d.printf("the servers of group 0 hang: they accept calls but do not answer")
 			d.hangs.Store(true)
 		case <-heal:
-			d.say("they are well again; every server is replaced, one after the other")
+			d.printf("they have recovered; all servers are now replaced one by one")
 			d.hangs.Store(false)
 			done := make(chan error, 1)
 			go func() { done <- d.replace(quarter) }()
@@ -204,7 +204,7 @@
 			if err != nil {
 				return err
 			}
-			d.say("every server is replaced")
+			d.printf("every server is replaced")
 			replaced = nil
 		case <-ctx.Done():
 			kiosks.Wait()
@@ -216,18 +216,18 @@
 	}
 }
 
-// replace replaces every server: the new one starts cold, the old one drains and ends.
+// replace replaces every server by a new one with slow start. The old server is drained and then removed from the list.
 func (d *demo) replace(within time.Duration) error {
 	pause := within / time.Duration(len(d.servers)+1)
 	for i, old := range d.servers {
-		fresh, err := d.startServer(old.spec, old.pod, 1)
+		fresh, err := d.startServer(old.spec, old.group, 1)
 		if err != nil {
 			return err
 		}
 		d.servers[i] = fresh
 		old.Drain()
 		d.list.Tell(old.Entry())
-		time.AfterFunc(time.Second, func() { // what it has is done by then
+		time.AfterFunc(time.Second, func() { // its calls have ended by then
 			e := old.Entry()
 			e.State = "terminated"
 			d.list.Tell(e)
@@ -237,8 +237,8 @@
 	return nil
 }
 
-// ask is one kiosk.
-func (d *demo) ask(ctx context.Context, k standin.Kiosk, protocol string, i int) {
+// runKiosk runs one kiosk until ctx is canceled.
+func (d *demo) runKiosk(ctx context.Context, k standin.Kiosk, protocol string, i int) {
 	rng := rand.New(rand.NewPCG(uint64(i), uint64(len(protocol))))
 	for n := 0; ctx.Err() == nil; n++ {
 		a := standin.Ask{ID: fmt.Sprintf("%s-%d-%d", protocol, i, n), Tenant: standin.Tenants[i%len(standin.Tenants)],
@@ -277,11 +277,11 @@
 			sum[kind] += n
 		}
 	}
-	d.say("%d served, %d refused, %d failed, %d lost", sum[standin.Served], sum[standin.Refused], sum[standin.Failed],
+	d.printf("%d served, %d refused, %d failed, %d lost", sum[standin.Served], sum[standin.Refused], sum[standin.Failed],
 		sum[standin.Lost]+sum[standin.TurnedDown])
 }
 
-// report prints the table and says what must not be.
+// report prints the final table and returns an error if anything went wrong.
 func (d *demo) report() error {
 	w := tabwriter.NewWriter(d.opts.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "\nprotocol\tasked\tserved\trefused\tfailed\tlost\tp50\tp99\t")
@@ -301,18 +301,18 @@
 			t.kinds[standin.Failed], gone, at(0.5), at(0.99))
 	}
 	w.Flush()
-	late, doubles := 0, 0
+	late, duplicates := 0, 0
 	for _, s := range d.all {
 		late += s.Late()
 	}
-	for _, p := range d.pods {
-		doubles += p.Doubles()
+	for _, p := range d.groups {
+		duplicates += p.Doubles()
 	}
-	// A key whose effect came in both pods is one too many as well.
-	doubles += len(standin.Shared(d.pods[0], d.pods[1]))
-	fmt.Fprintf(d.opts.Out, "\neffects that came twice: %d\ncalls sent to a server after its drain: %d\n", doubles, late)
-	if lost+doubles+late > 0 {
-		return fmt.Errorf("the demo saw %d calls lost, %d effects twice, %d calls after a drain", lost, doubles, late)
+	// A key that took effect in both groups is a duplicate as well.
+	duplicates += len(standin.Shared(d.groups[0], d.groups[1]))
+	fmt.Fprintf(d.opts.Out, "\neffects that came twice: %d\ncalls sent to a server after its drain: %d\n", duplicates, late)
+	if lost+duplicates+late > 0 {
+		return fmt.Errorf("%d calls lost, %d duplicate effects, %d calls after a drain", lost, duplicates, late)
 	}
 	return nil
 }
--- a/internal/lab/demo/demo_test.go
+++ b/internal/lab/demo/demo_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A short demo goes through the hang and the replacement and ends with its table.
+// A short demo must run through the hang and the replacement and print the final table.
 func TestDemo(t *testing.T) {
 	var out strings.Builder
 	if err := Run(Options{For: 4 * time.Second, Kiosks: 3, Out: &out}); err != nil {
@@ -14,7 +14,7 @@
 	}
 	for _, line := range []string{"hang", "every server is replaced", "thrift-compact", "effects that came twice: 0"} {
 		if !strings.Contains(out.String(), line) {
-			t.Errorf("no %q in\n%s", line, out.String())
+			t.Errorf("%q is missing in\n%s", line, out.String())
 		}
 	}
 }
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -1,5 +1,5 @@
-// Package loadgen measures: servers that answer at once, clients that ask in a closed loop over raw connections, and
-// what they saw. It spends as little as it can, so that what stands between is what is measured.
+// Package loadgen provides a load generator: servers that answer immediately, and clients that send calls in a closed loop
+// over raw connections and record latencies. It uses little processor time, so that the proxy in between is what is measured.
 package loadgen
 
 import (
@@ -17,7 +17,7 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Protocols are those that can be measured.
+// Protocols are the protocols that can be measured.
 var Protocols = []string{"http", "binary", "compact"}
 
 func encoding(protocol string) thriftwire.Encoding {
@@ -27,7 +27,7 @@
 	return thriftwire.Binary
 }
 
-// Serve answers every call at once, until the listener is closed.
+// Serve answers every call immediately, until the listener is closed.
 func Serve(l net.Listener, protocol string) {
 	answer := answerThrift
 	if protocol == "http" {
@@ -50,7 +50,7 @@
 var httpReply = []byte("HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT util=0.5, qps=100, eps=0\r\nContent-Length: 7\r\n\r\nchecked")
 
 func answerHTTP(in *bufio.Reader, c net.Conn, _ string) error {
-	for { // a GET, which has no body
+	for { // skip the head of a GET, which has no body
 		line, err := in.ReadSlice('\n')
 		if err != nil {
 			return err
@@ -64,7 +64,7 @@
 }
 
 func answerThrift(in *bufio.Reader, c net.Conn, protocol string) error {
-	m, err := thriftwire.ReadFrame(in, mostFrame)
+	m, err := thriftwire.ReadFrame(in, maxFrameBytes)
 	if err != nil {
 		return err
 	}
@@ -87,10 +87,10 @@
 	return err
 }
 
-// mostFrame bounds what is read, in bytes.
-const mostFrame = 1 << 20
+// maxFrameBytes limits the Thrift frames that are read.
+const maxFrameBytes = 1 << 20
 
-// Client asks over one connection.
+// Client sends calls over one connection. It is not safe for concurrent use.
 type Client struct {
 	conn     net.Conn
 	in       *bufio.Reader
@@ -100,7 +100,7 @@
 	buf      []byte
 }
 
-// Dial connects a Client, whose name is part of its calls' ids.
+// Dial connects a Client. The name is the prefix of the ids of its calls.
 func Dial(protocol, addr, name string) (*Client, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -109,13 +109,13 @@
 	return &Client{conn: c, in: bufio.NewReaderSize(c, 4<<10), protocol: protocol, name: name}, nil
 }
 
-// Close ends it.
+// Close closes the connection.
 func (c *Client) Close() { c.conn.Close() }
 
-// errAnswer is why a call counts as failed.
-var errAnswer = errors.New("not served")
+// errNotServed marks a call that counts as failed, although the connection remains usable.
+var errNotServed = errors.New("the call was not served")
 
-// Ask makes one call and reads its answer.
+// Call makes one call and reads its answer.
 func (c *Client) Ask() error {
 	c.n++
 	id := c.name + strconv.Itoa(c.n)
@@ -144,7 +144,7 @@
 	if _, err := c.conn.Write(thriftwire.AppendFrame(nil, w.Buf)); err != nil {
 		return err
 	}
-	m, err := thriftwire.ReadFrame(c.in, mostFrame)
+	m, err := thriftwire.ReadFrame(c.in, maxFrameBytes)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 		return err
 	}
 	if h.Type != thriftwire.Reply || h.Seq != int32(c.n) || !bytes.Contains(m, []byte("checked")) {
-		return errAnswer
+		return errNotServed
 	}
 	return nil
 }
@@ -181,19 +181,19 @@
 		return err
 	}
 	if !served {
-		return errAnswer
+		return errNotServed
 	}
 	return nil
 }
 
-// Figures are what clients saw.
+// Stats are the results of a run: numbers of calls and quantiles of their latencies.
 type Figures struct {
-	Calls, Failed  int
-	Took           time.Duration
+	Calls, Failed  int           // Calls counts the served calls only
+	Took           time.Duration // of the whole run
 	P50, P99, P999 time.Duration
 }
 
-// Run lets clients ask for some time, each one call after the other.
+// Run runs clients for the duration d, each with one connection and one call at a time. It returns an error if a connection failed.
 func Run(protocol, addr, name string, clients int, d time.Duration) (Figures, error) {
 	var mu sync.Mutex
 	var all []time.Duration
@@ -216,7 +216,7 @@
 				switch err := c.Ask(); {
 				case err == nil:
 					took = append(took, time.Since(at))
-				case errors.Is(err, errAnswer):
+				case errors.Is(err, errNotServed):
 					failed++
 				default:
 					broken = err
@@ -239,7 +239,7 @@
 	return f, first
 }
 
-// Platform is the configuration of an agent that is measured.
+// Platform returns the configuration of an agent for measurements, with high limits.
 func Platform(listen string) standin.Platform {
 	return standin.Platform{Listen: listen, Sockets: 1 << 16, MostHeld: 1 << 20}
 }
--- a/internal/lab/rollout/rollout.go
+++ b/internal/lab/rollout/rollout.go
@@ -1,5 +1,5 @@
-// Package rollout plays a rolling deploy on sockets: servers of an old shape are replaced by servers of a new one and then
-// rolled back, with a hang on the way, while old clients go on asking. It counts from what servers and clients saw.
+// Package rollout runs a rolling deploy on sockets: servers of an old shape are replaced by servers of a new shape and then
+// rolled back, with a hang in between, while old clients keep sending calls. It counts what servers and clients observed.
 package rollout
 
 import (
@@ -18,48 +18,48 @@
 	"ternbeam/internal/translate"
 )
 
-// Settings say what is played.
+// Settings configure a rolling deploy.
 type Settings struct {
 	Name     string
 	Client   string // http, thrift-binary or thrift-compact
-	Old, New string // what servers speak before and after
-	// Plain has servers of the old shape all along, and an agent that knows no shapes.
+	Old, New string // protocols of the old and the new servers
+	// NoShapes keeps all servers at the old shape, with an agent without shapes.
 	Plain bool
-	// Stale has the list go on saying version 2 of servers that were rolled back.
+	// StaleList makes the list still report version 2 for servers that were rolled back.
 	Stale   bool
 	Servers int
-	Rate    float64       // calls a second
-	Every   time.Duration // a server is replaced
-	Hang    time.Duration // of one server, midway
-	Service time.Duration // what a call takes
+	Rate    float64       // calls per second
+	Every   time.Duration // interval between replacements
+	Hang    time.Duration // duration of the hang of one server, halfway through
+	Service time.Duration // duration of a call
 	Seed    uint64
-	Text    string // of shapes and mappings; the sample's where empty
+	Text    string // shapes and mappings as TOML; the sample file if empty
 }
 
-// Result is what came of it.
+// Result counts what clients and servers observed.
 type Result struct {
 	Calls, Served, Late, Refused, Failed, Other int
 	Deliveries                                  int
-	Full                                        int           // calls that a server turned away as it held too many
-	Unknown                                     int           // calls that met a server that does not know their shape
-	Follow                                      time.Duration // from a server's first such call to the first that it takes, the longest
-	Misread                                     int           // deliveries that said something else than the client
-	Keys                                        int           // deliveries whose key is not the client's, byte for byte
-	Doubles                                     int           // effects that came twice
-	AfterDrain                                  int           // calls that came too long after a drain was told
-	Worst                                       float64       // served in time, in the worst second
+	Full                                        int           // calls that a server rejected because too many were in flight
+	Unknown                                     int           // calls that reached a server that does not know their shape
+	Follow                                      time.Duration // longest time from the first such call to a server until the next one that it accepts
+	Misread                                     int           // deliveries whose content differs from what the client sent
+	Keys                                        int           // deliveries whose idempotency key differs from what the client sent
+	Doubles                                     int           // duplicate effects
+	AfterDrain                                  int           // calls that arrived too long after the start of a drain
+	Worst                                       float64       // share of the calls served in time, in the worst second
 }
 
-// aim is within which an answer is wanted.
+// aim is the time within which an answer counts as in time.
 const aim = 600 * time.Millisecond
 
-// linger is how long a replaced server still serves what it has taken.
+// linger is how long a replaced server keeps running to finish its calls.
 const linger = 700 * time.Millisecond
 
-// most is how many calls a server holds.
-const most = 6
+// maxCalls is the maximum number of calls in flight of a server.
+const maxCalls = 6
 
-// Run plays it.
+// Run runs a rolling deploy and returns what was observed.
 func Run(set Settings) (Result, error) {
 	text := set.Text
 	if text == "" {
@@ -69,7 +69,7 @@
 	if set.Plain {
 		shapes = nil
 	}
-	p := &play{set: set, pod: standin.NewPod(), wanted: map[string]wanted{}, met: map[string]time.Time{}}
+	p := &play{set: set, group: standin.NewPod(), sent: map[string]sentRefund{}, firstUnknown: map[string]time.Time{}}
 	var first []standin.Options
 	for i := range set.Servers {
 		first = append(first, p.server(i, "old", false))
@@ -91,7 +91,7 @@
 	return p.count(), nil
 }
 
-type wanted struct {
+type sentRefund struct {
 	refund standin.Refund
 	key    string
 }
@@ -99,20 +99,20 @@
 type play struct {
 	set   Settings
 	world *replay.World
-	pod   *standin.Pod
+	group *standin.Pod
 	hung  atomic.Bool
 
-	mu     sync.Mutex
-	wanted map[string]wanted
-	result Result
-	met    map[string]time.Time // by server: the first call of a shape that it does not know; zero once it has got another
-	// seconds holds the calls, and those served in time, by the second in which they began.
+	mu           sync.Mutex
+	sent         map[string]sentRefund
+	result       Result
+	firstUnknown map[string]time.Time // by server: time of the first call of an unknown shape; zero after the next call of a known one
+	// seconds counts the calls and those served in time, by the second in which they started.
 	seconds [][2]int
 }
 
-// server is the one at a place, before, after or rolled back.
+// server returns the options of the server at a place in a stage: old, new or back (rolled back).
 func (p *play) server(place int, stage string, slow bool) standin.Options {
-	o := standin.Options{ID: fmt.Sprintf("%s-%02d", stage, place), Protocol: p.set.Old, Shapes: []string{"1"}, Pod: p.pod, Most: most,
+	o := standin.Options{ID: fmt.Sprintf("%s-%02d", stage, place), Protocol: p.set.Old, Shapes: []string{"1"}, Pod: p.group, Most: maxCalls,
 		Service: p.set.Service, ColdFrom: 0.4}
 	if slow {
 		o.ColdFor = 2 * time.Second
@@ -136,16 +136,16 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.result.Deliveries++
-		want := p.wanted[c.ID]
+		want := p.sent[c.ID]
 		if c.Version != takes {
 			p.result.Unknown++
-			if _, any := p.met[o.ID]; !any {
-				p.met[o.ID] = now
+			if _, any := p.firstUnknown[o.ID]; !any {
+				p.firstUnknown[o.ID] = now
 			}
 		} else {
-			if first := p.met[o.ID]; !first.IsZero() {
+			if first := p.firstUnknown[o.ID]; !first.IsZero() {
 				p.result.Follow = max(p.result.Follow, now.Sub(first))
-				p.met[o.ID] = time.Time{}
+				p.firstUnknown[o.ID] = time.Time{}
 			}
 			if c.Broken != "" || c.Refund != want.refund {
 				p.result.Misread++
@@ -158,7 +158,7 @@
 	return o
 }
 
-// replace puts the new servers in place of the old ones, then takes them back.
+// replace replaces the old servers by new ones and then rolls them back.
 func (p *play) replace() error {
 	now := append([]*standin.Server{}, p.world.Servers...)
 	tick := time.NewTicker(p.set.Every)
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// load asks at an even rate, each call at its time or as soon as a client is free.
+// load sends calls at a constant rate, each at its scheduled time or as soon as a client is free.
 func (p *play) load(length time.Duration) {
 	rng := rand.New(rand.NewPCG(p.set.Seed, 0))
 	n := int(p.set.Rate * length.Seconds())
@@ -228,7 +228,7 @@
 	pence  int
 }
 
-// ask asks one refund and counts what the client was told.
+// ask sends one refund and counts the answer.
 func (p *play) ask(player *replay.Player, j job) {
 	id, key := fmt.Sprint("c-", j.i), fmt.Sprintf("key %d %%41 é", j.i)
 	day := time.Unix(0, 0).UTC().AddDate(0, 0, j.pence%20000)
@@ -236,7 +236,7 @@
 	o := replay.Old{Key: []byte(key), Form: "GB/" + id, Amount: fmt.Sprintf("%d.%02d", j.pence/100, j.pence%100), Bought: day.Format("02/01/2006"),
 		Goods: string("WJO"[goods]), First: "Élise", Last: "MacLeod " + id}
 	p.mu.Lock()
-	p.wanted[id] = wanted{standin.Refund{Form: o.Form, Pence: int64(j.pence), Bought: day.Format("2006-01-02"),
+	p.sent[id] = sentRefund{standin.Refund{Form: o.Form, Pence: int64(j.pence), Bought: day.Format("2006-01-02"),
 		Goods: []string{"watch", "jewellery", "other"}[goods], First: o.First, Last: o.Last}, key}
 	p.mu.Unlock()
 	e := o.HTTP(id)
@@ -250,7 +250,7 @@
 	r := &p.result
 	r.Calls++
 	p.seconds[j.second][0]++
-	switch kind := told(m); {
+	switch kind := answerKind(m); {
 	case err != nil:
 		r.Other++
 	case kind == standin.Served && took > aim:
@@ -267,8 +267,8 @@
 	}
 }
 
-// told is what an answer says.
-func told(m replay.Message) standin.Kind {
+// answerKind classifies an answer.
+func answerKind(m replay.Message) standin.Kind {
 	if m.Thrift == nil {
 		switch m.Status {
 		case 200:
@@ -291,12 +291,12 @@
 	return standin.TurnedDown
 }
 
-// count sums up when all is over.
+// count returns the totals after the run.
 func (p *play) count() Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.result
-	r.Doubles = p.pod.Doubles()
+	r.Doubles = p.group.Doubles()
 	r.Worst = 1
 	for _, s := range p.seconds {
 		if s[0] > 0 {
@@ -309,7 +309,7 @@
 	return r
 }
 
-// Table writes results.
+// WriteTable writes a table with one row for each result.
 func Table(out io.Writer, sets []Settings, results []Result) error {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "\tcalls\tserved in time\tworst second\tlate\trefused\tfailed\tother\tdeliveries\tunknown shape\tfollowed in\tfull\tmisread\tkeys\tdoubles\tafter drain")
--- a/internal/lab/rollout/rollout_test.go
+++ b/internal/lab/rollout/rollout_test.go
@@ -8,8 +8,9 @@
 	"ternbeam/deploy"
 )
 
-// A rolling deploy from the old shape to the new one and back, with a hang on the way: nothing is misread, no effect comes
-// twice, keys are the same, drains are heeded, and the routes follow the list or, where it is stale, the servers' word.
+// Runs a rolling deploy from the old shape to the new one and back, with a hang in between. Nothing may be misread, no effect
+// may be duplicated, keys must be unchanged and drains respected, and routes must follow the list or, if the list is stale,
+// the shapes that the servers reject.
 func TestRollout(t *testing.T) {
 	for _, set := range []Settings{
 		{Name: "http", Client: "http", Old: "http", New: "http"},
@@ -29,15 +30,15 @@
 			if r.Served < r.Calls*8/10 || r.Deliveries < r.Calls {
 				t.Errorf("%d of %d served: %+v", r.Served, r.Calls, r)
 			}
-			// A hang may be met by what is sent twice, so that calls under way may each meet a server that was rolled back.
+			// Calls may be retried because of the hang, so several calls in flight may each reach a server that was rolled back.
 			if !set.Stale && r.Unknown > 0 || set.Stale && r.Unknown == 0 {
-				t.Errorf("%d calls met a server that does not know their shape", r.Unknown)
+				t.Errorf("%d calls reached a server that does not know their shape", r.Unknown)
 			}
 		})
 	}
 }
 
-// A mapping that says something else than the old servers understood is seen by what the servers got.
+// A mapping that changes the meaning for the servers must be detected from what the servers received.
 func TestRolloutSeesMisreading(t *testing.T) {
 	wrong := strings.Replace(deploy.Translate, `W = "watch", J = "jewellery"`, `W = "jewellery", J = "watch"`, 1)
 	r, err := Run(Settings{Client: "http", Old: "http", New: "http", Servers: 2, Rate: 40, Every: 300 * time.Millisecond, Seed: 1, Text: wrong})
