--- a/internal/lab/replay/bench_test.go
+++ b/internal/lab/replay/bench_test.go
@@ -11,8 +11,8 @@
 	"ternbeam/internal/translate"
 )
 
-// BenchmarkCall is a call through the agent, end to end on loopback with its kiosks and servers in the same process: as it
-// came through an agent that knows no shapes, through one that does, and translated through each pair of protocols.
+// BenchmarkCall measures calls through the agent, end to end on loopback with clients and servers in the same process:
+// untranslated with an agent without shapes, untranslated with shapes, and translated between several pairs of protocols.
 func BenchmarkCall(b *testing.B) {
 	o := load(b)[0]
 	var ids atomic.Int64
@@ -44,7 +44,7 @@
 					o.Key = fmt.Appendf(nil, "k-%d", n)
 					m, err := p.Ask(o.exchange(fmt.Sprint("b-", n), c.client))
 					if err != nil || unserved(m) {
-						b.Errorf("told %v, %v", m, err)
+						b.Errorf("received %v, %v", m, err)
 						return
 					}
 				}
--- a/internal/lab/replay/corpus_test.go
+++ b/internal/lab/replay/corpus_test.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the corpus anew")
+var update = flag.Bool("update", false, "regenerate the corpus")
 
 const corpusFile = "testdata/refunds.jsonl"
 
-// corpus makes the requests of old clients: each field at its edges, alone, and then any values together. What becomes of
-// each is said here by the shapes' own words, not by what a translation did.
+// corpus generates the requests of old clients: first each field alone with edge cases, then random values of all fields. The
+// expected outcomes follow from the definition of the shapes, not from the results of a translation.
 func corpus() (all []Old) {
 	plain := Old{Key: []byte("once"), Form: "GB-1", Amount: "12.50", Bought: "29/02/2024", Goods: "J", First: "Elise", Last: "MacLeod", Fate: "served"}
 	add := func(name string, edit func(*Old)) {
@@ -97,7 +97,7 @@
 	return all
 }
 
-// load reads the corpus that lies beside the tests.
+// load reads the corpus file.
 func load(t testing.TB) (all []Old) {
 	t.Helper()
 	text, err := os.ReadFile(corpusFile)
@@ -115,18 +115,18 @@
 		o.Name = ""
 		line := fmt.Sprintf("%+q", []any{o.Form, o.Amount, o.Bought, o.Goods, o.First, o.Last, o.Memo, o.Body, string(o.Key)})
 		if seen[line] {
-			t.Errorf("twice: %s", lines.Text())
+			t.Errorf("duplicate request: %s", lines.Text())
 		}
 		seen[line] = true
 		all = append(all, o)
 	}
 	if len(all) < 300 {
-		t.Fatalf("%d requests, 300 are wanted", len(all))
+		t.Fatalf("%d requests, want at least 300", len(all))
 	}
 	return all
 }
 
-// The corpus is what its maker makes; go test -run Corpus -update writes it.
+// Checks that the corpus file has enough requests of each kind. go test -run Corpus -update regenerates the file.
 func TestCorpus(t *testing.T) {
 	if *update {
 		var out bytes.Buffer
@@ -150,6 +150,6 @@
 		}
 	}
 	if fates["served"] < 200 || fates["unfit"] < 40 {
-		t.Errorf("fates %v", fates)
+		t.Errorf("too few requests of some outcome: %v", fates)
 	}
 }
--- a/internal/lab/replay/hard_test.go
+++ b/internal/lab/replay/hard_test.go
@@ -15,14 +15,14 @@
 	"ternbeam/internal/translate"
 )
 
-// refund is a refund of the corpus under a key of its own.
+// refund returns the first refund of the corpus with the given key.
 func refund(t testing.TB, key string) Old {
 	o := load(t)[0]
 	o.Key = []byte(key)
 	return o
 }
 
-// ask plays one exchange with a connection of its own.
+// ask sends one request on a new connection and returns the answer.
 func (w *World) ask(t testing.TB, e Exchange) Message {
 	t.Helper()
 	p := w.Player(testkit.Patience)
@@ -34,8 +34,8 @@
 	return m
 }
 
-// The first attempt runs at an old server over HTTP and its answer is lost; the second goes to a new one over Thrift in the
-// same pod. It gets the same key and id, so that the pod drops the repeat.
+// The first attempt takes effect at an old server over HTTP and its answer is lost; the retry goes to a new server over Thrift
+// in the same deduplication group. It must have the same key and id, so that the group drops it as a duplicate.
 func TestRepeatInAnotherShapeIsDropped(t *testing.T) {
 	for _, key := range []string{"once", "%41 é+", strings.Repeat("k", 4090)} {
 		pod := standin.NewPod()
@@ -46,9 +46,9 @@
 			}
 			return standin.Step{}
 		}
-		for tries := 0; ; tries++ { // until the draw goes to the old one first
+		for tries := 0; ; tries++ { // until the random choice selects the old server first
 			if tries == 40 {
-				t.Fatal("never to the old one first, then to the new one")
+				t.Fatal("no call went to the old server first and then to the new one")
 			}
 			first.Store(false)
 			id := fmt.Sprint("r-", tries)
@@ -58,10 +58,10 @@
 			m := w.ask(t, refund(t, own).HTTP(id))
 			saw := w.Saw(id)
 			if m.Status != 200 || len(saw) != 2 || pod.Effects(own) != 1 {
-				t.Fatalf("told %v, %d deliveries, %d effects", m, len(saw), pod.Effects(own))
+				t.Fatalf("received %v, %d deliveries, %d effects", m, len(saw), pod.Effects(own))
 			}
 			if saw[0].Idempotency != own || saw[1].Idempotency != own || saw[0].Refund != saw[1].Refund {
-				t.Fatalf("servers saw %+v", saw)
+				t.Fatalf("servers received %+v", saw)
 			}
 			if saw[0].Version == "1" && saw[1].Version == "2" {
 				break
@@ -70,11 +70,11 @@
 	}
 }
 
-// An answer that can't be put in the client's shape comes after the effect: a failure, and nothing is sent again.
+// An answer that cannot be represented in the client's shape arrives after the effect. The call must fail and not be retried.
 func TestReplyThatCannotBeToldIsAFailure(t *testing.T) {
 	odd := func(standin.Call) standin.Step { return standin.Step{Fault: standin.OddReply} }
-	for _, client := range speeches {
-		for _, server := range speeches {
+	for _, client := range protocols {
+		for _, server := range protocols {
 			pod := standin.NewPod()
 			w := newWorld(t, standin.Platform{}, standin.Options{ID: "a", Protocol: server, Shapes: []string{"2"}, Pod: pod, Script: odd},
 				standin.Options{ID: "b", Protocol: server, Shapes: []string{"2"}, Pod: pod, Script: odd})
@@ -85,14 +85,14 @@
 				failed = err == nil && result[2] != nil && result[0] == nil && result[1] == nil
 			}
 			if saw := w.Saw("o-1"); !failed || len(saw) != 1 || pod.Effects("once") != 1 {
-				t.Errorf("%s to %s: told %v, %d deliveries, %d effects", client, server, m, len(saw), pod.Effects("once"))
+				t.Errorf("%s to %s: received %v, %d deliveries, %d effects", client, server, m, len(saw), pod.Effects("once"))
 			}
 		}
 	}
 }
 
-// What grows beyond the server's bound is refused before anything is sent, and the server that takes it as it came still
-// gets it.
+// A request whose translation exceeds the server's size limit must be refused before anything is sent, and must still reach
+// a server that accepts it untranslated.
 func TestGrowthBeyondTheBound(t *testing.T) {
 	text := strings.Replace(deploy.Translate, "[shapes.refund-record-2.request]", "[shapes.refund-record-2.max_body_bytes]\nrequest = 200\n\n[shapes.refund-record-2.request]", 1)
 	world := func(servers ...standin.Options) *World {
@@ -109,22 +109,23 @@
 	new := standin.Options{ID: "new", Protocol: "http", Shapes: []string{"2"}}
 	w := world(new)
 	if m := w.ask(t, refund(t, "short").HTTP("g-0")); m.Status != 200 {
-		t.Errorf("told %v", m)
+		t.Errorf("received %v", m)
 	}
 	if m := w.ask(t, long.HTTP("g-1")); m.Status != 422 || !strings.Contains(string(m.Body), "200") || len(w.Saw("g-1")) > 0 {
-		t.Errorf("told %v %s, deliveries %v", m, m.Body, w.Saw("g-1"))
+		t.Errorf("received %v %s, deliveries %v", m, m.Body, w.Saw("g-1"))
 	}
 	w = world(new, standin.Options{ID: "new2", Protocol: "http", Shapes: []string{"2"}}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}})
 	for i := range 20 {
 		id := fmt.Sprint("g-", i)
 		long.Key = []byte(id)
 		if m := w.ask(t, long.HTTP(id)); m.Status != 200 || len(w.Saw(id)) != 1 || w.Saw(id)[0].Version != "1" {
-			t.Fatalf("told %v, deliveries %+v", m, w.Saw(id))
+			t.Fatalf("received %v, deliveries %+v", m, w.Saw(id))
 		}
 	}
 }
 
-// What only an old server can take, and that one turns away for now, may be tried again later: a plain refusal.
+// A call that only an old server can accept, and that this server rejects for now, must get a plain refusal, as it can be
+// retried later.
 func TestUnfitForSomeIsNotUnfit(t *testing.T) {
 	full := func(standin.Call) standin.Step { return standin.Step{Fault: standin.Reject} }
 	w := newWorld(t, standin.Platform{MaxRetryAfter: time.Second}, standin.Options{ID: "new", Protocol: "http", Shapes: []string{"2"}},
@@ -133,34 +134,34 @@
 	odd.First = "a|b"
 	for i := range 8 {
 		if m := w.ask(t, odd.HTTP(fmt.Sprint("u-", i))); m.Status != 503 {
-			t.Errorf("told %v %s", m, m.Body)
+			t.Errorf("received %v %s", m, m.Body)
 		}
 	}
 	old := w.Servers[1]
 	old.Drain()
 	w.List.Tell(old.Entry())
-	testkit.Eventually(t, "it is told that nobody can", func() bool {
+	testkit.Eventually(t, "the call is refused as untranslatable", func() bool {
 		m := w.ask(t, odd.HTTP(fmt.Sprint("v-", time.Now().UnixNano())))
 		return m.Status == 422 && strings.Contains(string(m.Body), "first")
 	})
 }
 
-// A call that no server can take is refused at once, with a time to return; so is one in a shape of which nobody knows.
+// A call that no server accepts must be refused at once with Retry-After, and a call in an unknown shape with status 400.
 func TestNobodyTakesIt(t *testing.T) {
 	w := newWorld(t, standin.Platform{MaxRetryAfter: time.Second}, standin.Options{ID: "a", Protocol: "http", Shapes: []string{"3"}})
 	began := time.Now()
 	m := w.ask(t, refund(t, "k").HTTP("n-1"))
 	if m.Status != 503 || len(m.Headers) != 1 || m.Headers[0][0] != "Retry-After" || len(w.Saw("n-1")) > 0 || time.Since(began) > 2*time.Second {
-		t.Errorf("told %v after %v", m, time.Since(began))
+		t.Errorf("received %v after %v", m, time.Since(began))
 	}
 	odd := refund(t, "k").HTTP("n-2")
 	odd.Request.Target += "/more"
 	if m := w.ask(t, odd); m.Status != 400 || !strings.Contains(string(m.Body), "none of the shapes") {
-		t.Errorf("told %v %s", m, m.Body)
+		t.Errorf("received %v %s", m, m.Body)
 	}
 }
 
-// A call keeps the mapping that it began with, however often the file changes before its next attempt.
+// A call must keep the mapping with which it started, even if the file changes before its next attempt.
 func TestCallsKeepTheirMapping(t *testing.T) {
 	first := deploy.Translate
 	second := strings.Replace(deploy.Translate, `values = { W = "watch", J = "jewellery", O = "other" }`, `values = { W = "watch", J = "other", O = "jewellery" }`, 1)
@@ -187,36 +188,36 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	told := make(chan Message)
-	go func() { told <- w.ask(t, refund(t, "k1").HTTP("m-1")) }()
+	answered := make(chan Message)
+	go func() { answered <- w.ask(t, refund(t, "k1").HTTP("m-1")) }()
 	<-held
 	text.Store(&second)
 	w.Reload()
 	testkit.Eventually(t, "the new file is in use", func() bool { return log.Has("new shapes") })
 	m2 := w.ask(t, refund(t, "k2").HTTP("m-2"))
 	close(go1)
-	m1 := <-told
+	m1 := <-answered
 	saw := w.Saw("m-1")
 	if m1.Status != 200 || m2.Status != 200 || len(saw) != 2 || saw[0].Refund.Goods != "jewellery" || saw[1].Refund != saw[0].Refund {
-		t.Errorf("told %v, servers saw %+v", m1, saw)
+		t.Errorf("received %v, servers received %+v", m1, saw)
 	}
 	if saw := w.Saw("m-2"); len(saw) != 1 || saw[0].Refund.Goods != "other" {
-		t.Errorf("after the change servers saw %+v", saw)
+		t.Errorf("after the change servers received %+v", saw)
 	}
 	broken := "shapes"
 	text.Store(&broken)
 	w.Reload()
-	testkit.Eventually(t, "the broken file is refused", func() bool { return log.Has("keeping the old shapes") })
+	testkit.Eventually(t, "the invalid file is refused", func() bool { return log.Has("keeping the old shapes") })
 	if m := w.ask(t, refund(t, "k3").HTTP("m-3")); m.Status != 200 || w.Saw("m-3")[0].Refund.Goods != "other" {
-		t.Errorf("told %v", m)
+		t.Errorf("received %v", m)
 	}
 }
 
-// Servers that were rolled back while the list still says otherwise are learned by their own word, and nobody is told of
-// it; when they are rolled forward the list's word holds again.
+// The agent must learn from rejected calls that servers were rolled back while the list still reports the new shape, without
+// any client noticing. What it learned must expire, after which the list counts again.
 func TestDriftIsLearnedAndForgotten(t *testing.T) {
-	for _, speech := range speeches {
-		t.Run(speech, func(t *testing.T) {
+	for _, protocol := range protocols {
+		t.Run(protocol, func(t *testing.T) {
 			var refused atomic.Int32
 			drifted := func(forget string) (*World, *standin.Pod) {
 				pod := standin.NewPod()
@@ -226,10 +227,10 @@
 					}
 				}
 				text := strings.Replace(deploy.Translate, "forget_s = 5.0", "forget_s = "+forget, 1)
-				// The list says 2; they take 1.
+				// The list reports version 2, but the servers accept version 1.
 				w, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(text)) }, slog.New(slog.DiscardHandler),
-					standin.Options{ID: "a", Protocol: speech, Shapes: []string{"1"}, Listed: []string{"2"}, Pod: pod, Saw: count},
-					standin.Options{ID: "b", Protocol: speech, Shapes: []string{"1"}, Listed: []string{"2"}, Pod: pod, Saw: count})
+					standin.Options{ID: "a", Protocol: protocol, Shapes: []string{"1"}, Listed: []string{"2"}, Pod: pod, Saw: count},
+					standin.Options{ID: "b", Protocol: protocol, Shapes: []string{"1"}, Listed: []string{"2"}, Pod: pod, Saw: count})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -239,21 +240,21 @@
 			w, pod := drifted("80.0")
 			for i := range 20 {
 				id := fmt.Sprint("d-", i)
-				m := w.ask(t, refund(t, id).exchange(id, speech))
+				m := w.ask(t, refund(t, id).exchange(id, protocol))
 				saw := w.Saw(id)
 				if last := saw[len(saw)-1]; unserved(m) || last.Version != "1" || pod.Effects(id) != 1 {
-					t.Fatalf("call %d: told %v, servers saw %+v", i, m, saw)
+					t.Fatalf("call %d: received %v, servers received %+v", i, m, saw)
 				}
 			}
 			learning := refused.Load()
-			if learning != 2 { // one for each server
-				t.Errorf("%d calls met a server that does not know their shape", learning)
+			if learning != 2 { // one call for each server
+				t.Errorf("%d calls reached a server that does not know their shape", learning)
 			}
 			w, _ = drifted("0.3")
-			testkit.Eventually(t, "what was learned is forgotten, and learned again", func() bool {
+			testkit.Eventually(t, "the learned shapes expire and are learned again", func() bool {
 				id := fmt.Sprint("f-", time.Now().UnixNano())
-				if m := w.ask(t, refund(t, id).exchange(id, speech)); unserved(m) {
-					t.Fatalf("told %v", m)
+				if m := w.ask(t, refund(t, id).exchange(id, protocol)); unserved(m) {
+					t.Fatalf("received %v", m)
 				}
 				return refused.Load() > 2*learning
 			})
--- a/internal/lab/replay/recording.go
+++ b/internal/lab/replay/recording.go
@@ -1,5 +1,5 @@
-// Package replay plays recorded calls of old clients through the agent against stand-in servers of the old and of the new
-// shape, and holds what the clients were told and what the servers got against each other.
+// Package replay sends recorded calls of old clients through the agent to stand-in servers of the old and of the new shape,
+// and compares the answers that the clients receive and the calls that the servers receive. It also records and redacts calls.
 package replay
 
 import (
@@ -20,14 +20,14 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Message is a request or an answer as it was on the wire.
+// Message is a request or an answer as sent on the wire.
 type Message struct {
-	Method  string      `json:"method,omitempty"` // of a request in HTTP
+	Method  string      `json:"method,omitempty"` // of an HTTP request
 	Target  string      `json:"target,omitempty"`
-	Status  int         `json:"status,omitempty"` // of an answer in HTTP
+	Status  int         `json:"status,omitempty"` // of an HTTP answer
 	Headers [][2]string `json:"headers,omitempty"`
 	Body    []byte      `json:"body64,omitempty"`
-	Thrift  []byte      `json:"thrift64,omitempty"` // a message without its frame; all else is empty then
+	Thrift  []byte      `json:"thrift64,omitempty"` // Thrift message without its frame; all other fields are then empty
 }
 
 // Exchange is a call and its answer.
@@ -37,15 +37,15 @@
 	Answer   Message `json:"answer"`
 }
 
-// Bounds of a recording.
+// Limits of a recording.
 const (
-	MostLine      = 1 << 20 // bytes
+	MostLine      = 1 << 20 // bytes in a line
 	MostExchanges = 1 << 20
 
-	mostFrame = MostLine / 2 // of Thrift's, in bytes
+	maxFrameBytes = MostLine / 2 // bytes in a Thrift frame or a request body
 )
 
-// Read reads a recording, a line of JSON for each exchange. What is wrong is told by line.
+// ReadRecording reads a recording, which has one line of JSON for each exchange. Errors give the number of the line.
 func Read(in io.Reader) (all []Exchange, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, MostLine)
@@ -63,9 +63,9 @@
 		}
 		switch {
 		case e.Protocol != "http" && e.Protocol != "thrift":
-			return nil, fmt.Errorf("line %d: protocol: %q, http and thrift are possible", n, e.Protocol)
+			return nil, fmt.Errorf("line %d: protocol: %q is neither http nor thrift", n, e.Protocol)
 		case (e.Protocol == "thrift") != (e.Request.Thrift != nil):
-			return nil, fmt.Errorf("line %d: request.thrift64: it is needed in Thrift, and nowhere else", n)
+			return nil, fmt.Errorf("line %d: request.thrift64: it is required for protocol thrift and not allowed for http", n)
 		case len(all) == MostExchanges:
 			return nil, fmt.Errorf("line %d: more than %d exchanges", n, MostExchanges)
 		}
@@ -77,16 +77,16 @@
 	return all, nil
 }
 
-// player asks over one connection for each protocol.
+// player sends requests over one connection for each protocol. It is not safe for concurrent use.
 type player struct {
 	http, thrift string // addresses
-	patience     time.Duration
+	timeout      time.Duration
 	conns        map[string]net.Conn
-	in           map[string]*bufio.Reader
+	readers      map[string]*bufio.Reader
 }
 
-func newPlayer(http, thrift string, patience time.Duration) *player {
-	return &player{http: http, thrift: thrift, patience: patience, conns: map[string]net.Conn{}, in: map[string]*bufio.Reader{}}
+func newPlayer(http, thrift string, timeout time.Duration) *player {
+	return &player{http: http, thrift: thrift, timeout: timeout, conns: map[string]net.Conn{}, readers: map[string]*bufio.Reader{}}
 }
 
 func (p *player) close() {
@@ -95,7 +95,7 @@
 	}
 }
 
-// ask plays a request and returns its answer.
+// ask sends a request and returns its answer. If a reused connection turns out to be closed, it retries once on a new one.
 func (p *player) ask(protocol string, m Message) (Message, error) {
 	for fresh := false; ; fresh = true {
 		if p.conns[protocol] == nil {
@@ -108,30 +108,30 @@
 			if err != nil {
 				return Message{}, err
 			}
-			p.conns[protocol], p.in[protocol] = c, bufio.NewReader(c)
+			p.conns[protocol], p.readers[protocol] = c, bufio.NewReader(c)
 		}
-		answer, keep, err := p.once(protocol, m)
+		answer, keep, err := p.roundTrip(protocol, m)
 		if err != nil || !keep {
 			p.conns[protocol].Close()
 			delete(p.conns, protocol)
 		}
 		if errors.Is(err, errIdle) && !fresh {
-			continue // the other side had closed it before
+			continue // the peer had closed the idle connection
 		}
 		return answer, err
 	}
 }
 
-// errIdle says that a connection ended before anything of an answer had come.
-var errIdle = errors.New("the connection ended without an answer")
+// errIdle is returned if a connection ended before any byte of the answer was received.
+var errIdle = errors.New("the connection was closed without an answer")
 
-func (p *player) once(protocol string, m Message) (answer Message, keep bool, err error) {
-	c, in := p.conns[protocol], p.in[protocol]
-	c.SetDeadline(time.Now().Add(p.patience))
+func (p *player) roundTrip(protocol string, m Message) (answer Message, keep bool, err error) {
+	c, in := p.conns[protocol], p.readers[protocol]
+	c.SetDeadline(time.Now().Add(p.timeout))
 	text := binary.BigEndian.AppendUint32(nil, uint32(len(m.Thrift)))
 	text = append(text, m.Thrift...)
 	if protocol == "http" {
-		text = wire(m)
+		text = encodeHTTP(m)
 	}
 	if _, err := c.Write(text); err != nil {
 		return answer, false, fmt.Errorf("%w: %w", errIdle, err)
@@ -140,7 +140,7 @@
 		return answer, false, errIdle
 	}
 	if protocol == "thrift" {
-		answer.Thrift, err = thriftwire.ReadFrame(in, mostFrame)
+		answer.Thrift, err = thriftwire.ReadFrame(in, maxFrameBytes)
 		return answer, true, err
 	}
 	r, err := http.ReadResponse(in, nil)
@@ -154,7 +154,7 @@
 	return answer, !r.Close, err
 }
 
-// headers are those of an answer that say something of it, in order.
+// headers returns the headers of a message sorted by name, without those that concern the connection or the time of sending.
 func headers(h http.Header) (all [][2]string) {
 	for name, values := range h {
 		if slices.Contains([]string{"Date", "Connection", "Content-Length", "Keep-Alive"}, name) {
@@ -168,8 +168,8 @@
 	return all
 }
 
-// wire words a request as it is sent: headers as they are, whatever net/http would say of them.
-func wire(m Message) []byte {
+// encodeHTTP encodes an HTTP request. It writes the headers unchanged, including those that net/http would reject.
+func encodeHTTP(m Message) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: service.internal\r\n", m.Method, m.Target)
 	for _, h := range m.Headers {
--- a/internal/lab/replay/redact.go
+++ b/internal/lab/replay/redact.go
@@ -18,27 +18,27 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Redactor hides values by the names of their fields. A value becomes a text of its length that follows from it and from a
-// secret that is made anew with each Redactor: equal values stay equal within a recording, and nobody can find them again.
+// Redactor replaces the values of fields with given names. Each value becomes a text of the same length, an HMAC of the value
+// with a random key of this Redactor: equal values stay equal within a recording, but cannot be recovered.
 type Redactor struct {
 	names  []string
-	plan   *thriftwire.Plan // of the names that are paths of numbers
+	plan   *thriftwire.Plan // for the names that are paths of Thrift field ids
 	paths  int
 	secret [32]byte
 }
 
-// mostDepth is how deep values may nest in what is redacted.
-const mostDepth = 64
+// maxDepth limits the nesting of values in Thrift messages.
+const maxDepth = 64
 
-// NewRedactor returns a Redactor for names of headers, of fields of queries and forms and of members of JSON, for "path", the
-// last part of a path, and for paths of numbers, fields of Thrift.
+// NewRedactor returns a Redactor for the given names: names of headers, of query and form fields and of JSON members, "path"
+// for the last segment of the path, and paths of Thrift field ids such as 1.4.
 func NewRedactor(names []string) (*Redactor, error) {
 	r := &Redactor{}
 	var paths []string
 	for _, name := range names {
 		switch {
 		case name == "":
-			return nil, errors.New("redact: an empty name")
+			return nil, errors.New("redact: a name is empty")
 		case strings.Trim(name, "0123456789.") == "":
 			paths = append(paths, name)
 		default:
@@ -46,7 +46,7 @@
 		}
 	}
 	var err error
-	if r.plan, err = thriftwire.NewPlan(mostDepth, paths...); err != nil {
+	if r.plan, err = thriftwire.NewPlan(maxDepth, paths...); err != nil {
 		return nil, fmt.Errorf("redact: %w", err)
 	}
 	r.paths = len(paths)
@@ -54,20 +54,20 @@
 	return r, err
 }
 
-// Exchange hides what is to be hidden. One that can't be read whole, so that nobody knows what is in it, is an error: it
-// must not be kept.
+// Exchange redacts an exchange in place. It returns an error if the exchange cannot be parsed completely, as its content is
+// then unknown; such an exchange must not be recorded.
 func (r *Redactor) Exchange(e *Exchange) error {
 	for _, m := range []*Message{&e.Request, &e.Answer} {
-		if err := r.message(m); err != nil {
+		if err := r.redactMessage(m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *Redactor) message(m *Message) (err error) {
+func (r *Redactor) redactMessage(m *Message) (err error) {
 	if m.Thrift != nil {
-		m.Thrift, err = r.thrift(m.Thrift)
+		m.Thrift, err = r.redactThrift(m.Thrift)
 		return err
 	}
 	if path, query, has := strings.Cut(m.Target, "?"); m.Target != "" {
@@ -76,10 +76,10 @@
 			if err != nil {
 				return err
 			}
-			path = path[:at+1] + r.hide(last)
+			path = path[:at+1] + r.replacement(last)
 		}
 		if m.Target = path; has {
-			if query, err = r.pairs(query); err != nil {
+			if query, err = r.redactPairs(query); err != nil {
 				return err
 			}
 			m.Target += "?" + query
@@ -91,19 +91,19 @@
 			kind, _, _ = strings.Cut(h[1], ";")
 		}
 		if r.hides(h[0]) {
-			m.Headers[i][1] = r.hide(h[1])
+			m.Headers[i][1] = r.replacement(h[1])
 		}
 	}
 	switch trimmed := bytes.TrimSpace(m.Body); {
 	case len(trimmed) == 0:
 	case strings.TrimSpace(kind) == "application/json" || trimmed[0] == '{' || trimmed[0] == '[':
-		m.Body, err = r.json(m.Body)
+		m.Body, err = r.redactJSON(m.Body)
 	case strings.TrimSpace(kind) == "application/x-www-form-urlencoded":
 		var text string
-		text, err = r.pairs(string(m.Body))
+		text, err = r.redactPairs(string(m.Body))
 		m.Body = []byte(text)
 	case len(r.names) > 0:
-		return fmt.Errorf("a body of type %q can't be redacted", kind)
+		return fmt.Errorf("a body of type %q cannot be redacted", kind)
 	}
 	return err
 }
@@ -112,16 +112,16 @@
 	return slices.ContainsFunc(r.names, func(n string) bool { return strings.EqualFold(n, name) })
 }
 
-// hide returns a text of the same length.
-func (r *Redactor) hide(text string) string {
+// replacement returns the replacement of a value, a text of the same length.
+func (r *Redactor) replacement(text string) string {
 	mac := hmac.New(sha256.New, r.secret[:])
 	mac.Write([]byte(text))
 	sum := hex.EncodeToString(mac.Sum(nil))
 	return strings.Repeat(sum, len(text)/len(sum)+1)[:len(text)]
 }
 
-// pairs redacts a query or a form.
-func (r *Redactor) pairs(text string) (string, error) {
+// redactPairs redacts a query or a form.
+func (r *Redactor) redactPairs(text string) (string, error) {
 	parts := strings.Split(text, "&")
 	for i, part := range parts {
 		raw, value, has := strings.Cut(part, "=")
@@ -135,13 +135,13 @@
 		if value, err = url.QueryUnescape(value); err != nil {
 			return "", err
 		}
-		parts[i] = raw + "=" + r.hide(value)
+		parts[i] = raw + "=" + r.replacement(value)
 	}
 	return strings.Join(parts, "&"), nil
 }
 
-// json redacts members at any depth: texts become texts, all else null.
-func (r *Redactor) json(body []byte) ([]byte, error) {
+// redactJSON redacts members at any depth: strings become strings, all other values null.
+func (r *Redactor) redactJSON(body []byte) ([]byte, error) {
 	var out bytes.Buffer
 	in, to := jsontext.NewDecoder(bytes.NewReader(body)), jsontext.NewEncoder(&out, jsontext.Multiline(false))
 	for {
@@ -167,7 +167,7 @@
 			if token, err = in.ReadToken(); err != nil {
 				return nil, err
 			}
-			hidden = jsontext.String(r.hide(token.String()))
+			hidden = jsontext.String(r.replacement(token.String()))
 		} else if err := in.SkipValue(); err != nil {
 			return nil, err
 		}
@@ -177,8 +177,8 @@
 	}
 }
 
-// thrift redacts strings in a message. Their lengths stay, so that nothing else of it changes.
-func (r *Redactor) thrift(m []byte) ([]byte, error) {
+// redactThrift redacts strings in a message. Their lengths stay the same, so that the rest of the message does not change.
+func (r *Redactor) redactThrift(m []byte) ([]byte, error) {
 	h, err := thriftwire.ReadHead(m)
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 	m = bytes.Clone(m)
 	for _, f := range found {
 		if f.Type == thriftwire.String {
-			copy(m[f.Start:f.End], r.hide(string(f.Bytes(m))))
+			copy(m[f.Start:f.End], r.replacement(string(f.Bytes(m))))
 		}
 	}
 	return m, nil
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -17,25 +17,25 @@
 	"ternbeam/internal/translate"
 )
 
-// World is an agent that translates, between a player and servers of one protocol that take some versions.
+// World is an agent that translates between players and stand-in servers, with its list service.
 type World struct {
-	Servers []*standin.Server
-	List    *standin.List
-	Agent   *agent.Agent
-	HTTP    string // where the agent takes calls
-	Thrift  string
-	end     context.CancelFunc
-	done    chan error
-	reload  chan os.Signal
-
-	mu  sync.Mutex
-	saw map[string][]standin.Call
+	Servers    []*standin.Server
+	List       *standin.List
+	Agent      *agent.Agent
+	HTTP       string // address at which the agent accepts HTTP calls
+	Thrift     string // the same for Thrift
+	stopAgent  context.CancelFunc
+	agentEnded chan error
+	reload     chan os.Signal
+
+	mu         sync.Mutex
+	deliveries map[string][]standin.Call
 }
 
-// NewWorld starts a World with servers as the options say, whose Saw it uses itself. The shapes are read again with each
-// Reload.
+// NewWorld starts a World with one server for each of the options. It wraps their OnCall to record the deliveries. The
+// shapes function is called again with each Reload; if it is nil, the agent knows no shapes.
 func NewWorld(p standin.Platform, shapes func() (*translate.Set, error), log *slog.Logger, servers ...standin.Options) (w *World, err error) {
-	w = &World{saw: map[string][]standin.Call{}, done: make(chan error, 1), reload: make(chan os.Signal, 1)}
+	w = &World{deliveries: map[string][]standin.Call{}, agentEnded: make(chan error, 1), reload: make(chan os.Signal, 1)}
 	defer func() {
 		if err != nil {
 			w.Close()
@@ -50,7 +50,7 @@
 		}
 	}
 	p.Listen, p.Discovery, p.Known = "127.0.0.1:0", w.List.Addr(), w.List.Full()
-	p.Known.Version = 0 // so that the watch has something to say, and the agent is ready at once
+	p.Known.Version = 0 // makes the first watch answer contain the list, so that the agent is ready at once
 	cfg, service, err := p.Load()
 	if err != nil {
 		return w, err
@@ -64,23 +64,23 @@
 	}
 	w.HTTP, w.Thrift = addrs[0], addrs[1]
 	ctx, cancel := context.WithCancel(context.Background())
-	w.end = cancel
-	go func() { w.done <- w.Agent.Run(ctx, w.reload) }()
+	w.stopAgent = cancel
+	go func() { w.agentEnded <- w.Agent.Run(ctx, w.reload) }()
 	select {
 	case <-w.Agent.Ready():
-	case err := <-w.done:
-		w.end = nil
-		return w, fmt.Errorf("the agent ended: %w", err)
+	case err := <-w.agentEnded:
+		w.stopAgent = nil
+		return w, fmt.Errorf("the agent ended before it was ready: %w", err)
 	}
 	return w, nil
 }
 
-// Add starts one more server and tells the list.
+// Add starts another server and adds it to the list. It must not be called concurrently with itself or Close.
 func (w *World) Add(opts standin.Options) (*standin.Server, error) {
 	also := opts.Saw
 	opts.Saw = func(c standin.Call) {
 		w.mu.Lock()
-		w.saw[c.ID] = append(w.saw[c.ID], c)
+		w.deliveries[c.ID] = append(w.deliveries[c.ID], c)
 		w.mu.Unlock()
 		if also != nil {
 			also(c)
@@ -95,21 +95,21 @@
 	return s, nil
 }
 
-// Reload has the agent read its shapes again.
+// Reload makes the agent reload its shapes.
 func (w *World) Reload() { w.reload <- os.Interrupt }
 
-// Saw are the deliveries of a call to servers, in their order.
+// Deliveries returns the deliveries of a call to servers, in order.
 func (w *World) Saw(id string) []standin.Call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.saw[id])
+	return slices.Clone(w.deliveries[id])
 }
 
-// Close ends the agent, then the servers.
+// Close stops the agent, then the servers and the list service.
 func (w *World) Close() {
-	if w.end != nil {
-		w.end()
-		<-w.done
+	if w.stopAgent != nil {
+		w.stopAgent()
+		<-w.agentEnded
 	}
 	for _, s := range w.Servers {
 		s.Close()
@@ -119,35 +119,36 @@
 	}
 }
 
-// Player plays exchanges to a World, one after the other.
-func (w *World) Player(patience time.Duration) *Player {
-	return &Player{w, newPlayer(w.HTTP, w.Thrift, patience)}
+// Player returns a new Player for the World. The timeout applies to each request.
+func (w *World) Player(timeout time.Duration) *Player {
+	return &Player{w, newPlayer(w.HTTP, w.Thrift, timeout)}
 }
 
-// Player plays exchanges to a World. It is for one goroutine.
+// Player sends the requests of exchanges to a World. It is not safe for concurrent use.
 type Player struct {
 	world *World
 	*player
 }
 
-// Close ends its connections.
+// Close closes its connections.
 func (p *Player) Close() { p.close() }
 
-// Ask plays a request.
+// Do sends the request of an exchange and returns the answer.
 func (p *Player) Ask(e Exchange) (Message, error) { return p.ask(e.Protocol, e.Request) }
 
-// Report is what a replay came to.
+// Report is the result of a comparison.
 type Report struct {
-	Same      int
-	Unfit     []string // what the new shape can't hold, and so was refused before anything was sent
-	Different []string
+	Same      int      // number of calls without a difference
+	Unfit     []string // calls that the new shape cannot represent, which were refused before anything was sent
+	Different []string // calls with a difference, and which
 }
 
-// Compare plays exchanges to a World of the old shape and to one of the new, and holds against each other what the clients
-// were told, byte for byte, and what the servers got. Each must have an id of its own.
-func Compare(old, new *World, all []Exchange, patience time.Duration) Report {
+// Compare sends the requests of exchanges to a World of the old shape and to one of the new shape. It compares the answers to
+// the clients, byte for byte, and what the servers received. Each request must have a unique correlation id. The timeout
+// applies to each request.
+func Compare(old, new *World, all []Exchange, timeout time.Duration) Report {
 	var r Report
-	before, after := old.Player(patience), new.Player(patience)
+	before, after := old.Player(timeout), new.Player(timeout)
 	defer before.Close()
 	defer after.Close()
 	for i, e := range all {
@@ -166,19 +167,19 @@
 		case err != nil:
 			say("%v", err)
 		case err1 != nil || err2 != nil:
-			say("asked: %v, %v", err1, err2)
+			say("request failed: %v with the old servers, %v with the new ones", err1, err2)
 		case unfit(got) && len(here) == 0:
-			r.Unfit = append(r.Unfit, name+": "+why(got))
+			r.Unfit = append(r.Unfit, name+": "+refusalText(got))
 		case !got.same(want):
-			say("told %v, of the old servers %v", got, want)
+			say("the client received %v, with the old servers %v", got, want)
 		case len(there) != len(here):
-			say("%d deliveries, %d to the old servers", len(here), len(there))
+			say("%d deliveries to the new servers, %d to the old ones", len(here), len(there))
 		case len(here) == 1 && (here[0].Refund != there[0].Refund || here[0].Broken != there[0].Broken):
-			say("a server got %+v %s, an old one %+v %s", here[0].Refund, here[0].Broken, there[0].Refund, there[0].Broken)
+			say("a new server received %+v %s, an old one %+v %s", here[0].Refund, here[0].Broken, there[0].Refund, there[0].Broken)
 		case len(here) == 1 && (here[0].Idempotency != key || there[0].Idempotency != key):
-			say("key %q came as %q", key, here[0].Idempotency)
+			say("key %q was received as %q", key, here[0].Idempotency)
 		case len(here) == 1 && (here[0].Tenant != there[0].Tenant || here[0].Again != there[0].Again):
-			say("tenant %q, repeat %t; the old servers got %q, %t", here[0].Tenant, here[0].Again, there[0].Tenant, there[0].Again)
+			say("tenant %q, repeat %t; the old servers received %q, %t", here[0].Tenant, here[0].Again, there[0].Tenant, there[0].Again)
 		default:
 			r.Same++
 		}
@@ -191,7 +192,7 @@
 		bytes.Equal(m.Thrift, other.Thrift)
 }
 
-// unfit reports whether an answer says that the call can't be put in the shape that servers take.
+// unfit reports whether an answer says that the call cannot be represented in a shape that servers accept.
 func unfit(m Message) bool {
 	if m.Thrift == nil {
 		return m.Status == 422
@@ -200,7 +201,7 @@
 	return err == nil && h.Type == thriftwire.Exception
 }
 
-func why(m Message) string {
+func refusalText(m Message) string {
 	if m.Thrift == nil {
 		return string(m.Body)
 	}
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -26,22 +26,22 @@
 	return w
 }
 
-// speeches are the ways in which clients and servers speak; the servers' by the list.
-var speeches = []string{"http", "thrift-binary", "thrift-compact"}
+// protocols are the protocols of clients, and of servers as named in the list.
+var protocols = []string{"http", "thrift-binary", "thrift-compact"}
 
-func (o Old) exchange(id, speech string) Exchange {
-	if speech == "http" {
+func (o Old) exchange(id, protocol string) Exchange {
+	if protocol == "http" {
 		return o.HTTP(id)
 	}
-	return o.Thrift(id, speech == "thrift-compact")
+	return o.Thrift(id, protocol == "thrift-compact")
 }
 
-// The corpus, through all pairs of protocols: what the new servers got and what the clients were told is what it would be
-// with old servers, byte for byte.
+// Sends the corpus through all pairs of protocols. What the new servers receive and what the clients are answered must equal
+// the results with old servers, byte for byte.
 func TestCorpusThroughAllPairs(t *testing.T) {
 	all := load(t)
-	for _, client := range speeches {
-		for _, server := range append([]string{"thrift-binary multiplexed"}, speeches...) {
+	for _, client := range protocols {
+		for _, server := range append([]string{"thrift-binary multiplexed"}, protocols...) {
 			t.Run(client+" to "+server, func(t *testing.T) {
 				t.Parallel()
 				old := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: client, Shapes: []string{"1"}, NoLoad: true})
@@ -52,7 +52,7 @@
 					id := fmt.Sprint("c-", i)
 					switch {
 					case o.Only != "" && !strings.HasPrefix(client, o.Only) && o.Only != client:
-					case o.Only == "thrift" && server == "http": // the key can't stand in a header
+					case o.Only == "thrift" && server == "http": // the key is not allowed in a header
 						unfit = append(unfit, o.exchange(id, client))
 					case o.Fate == "served":
 						served = append(served, o.exchange(id, client))
@@ -62,18 +62,18 @@
 				}
 				r := Compare(old, new, served, testkit.Patience)
 				if r.Same != len(served) {
-					t.Errorf("%d of %d the same, unfit %q, different %q", r.Same, len(served), first(r.Unfit), first(r.Different))
+					t.Errorf("%d of %d are the same, unfit %q, different %q", r.Same, len(served), first(r.Unfit), first(r.Different))
 				}
 				r = Compare(old, new, unfit, testkit.Patience)
 				if len(r.Unfit) != len(unfit) {
-					t.Errorf("%d of %d unfit, same %d, different %q", len(r.Unfit), len(unfit), r.Same, first(r.Different))
+					t.Errorf("%d of %d are unfit, same %d, different %q", len(r.Unfit), len(unfit), r.Same, first(r.Different))
 				}
 				for version, w := range map[string]*World{"1": old, "2": new} {
 					if saw := w.Saw("c-0"); len(saw) != 1 || saw[0].Version != version {
-						t.Errorf("servers of version %s saw %+v", version, saw)
+						t.Errorf("servers of version %s received %+v", version, saw)
 					}
 					if n := w.Agent.Illegal(); n > 0 {
-						t.Errorf("%d illegal steps", n)
+						t.Errorf("%d illegal state transitions", n)
 					}
 				}
 			})
@@ -83,7 +83,7 @@
 
 func first(all []string) []string { return all[:min(len(all), 8)] }
 
-// A comparison sees a server that got something else, and a client that was told something else.
+// Compare must detect a server that receives something different, and a client that receives a different answer.
 func TestCompareSeesDifferences(t *testing.T) {
 	all := load(t)
 	wrong := strings.Replace(deploy.Translate, `W = "watch", J = "jewellery"`, `W = "jewellery", J = "watch"`, 1)
@@ -93,9 +93,9 @@
 		script standin.Script
 		want   string
 	}{
-		"goods swapped": {text: wrong, want: "a server got"},
-		"reply swapped": {text: strings.Replace(deploy.Translate, `paid = "true", pending = "false"`, `paid = "false", pending = "true"`, 1), want: "told"},
-		"an error":      {text: deploy.Translate, script: standin.First(9, standin.Step{Fault: standin.Error}), want: "told"},
+		"goods swapped": {text: wrong, want: "a new server received"},
+		"reply swapped": {text: strings.Replace(deploy.Translate, `paid = "true", pending = "false"`, `paid = "false", pending = "true"`, 1), want: "the client received"},
+		"an error":      {text: deploy.Translate, script: standin.First(9, standin.Step{Fault: standin.Error}), want: "the client received"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			new, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(c.text)) },
--- a/internal/lab/replay/tap.go
+++ b/internal/lab/replay/tap.go
@@ -19,37 +19,37 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// Tap stands between clients and an agent and records what passes. Calls never wait for the recording: what it can't keep
-// up with, and what can't be redacted, is counted and left out.
+// Tap is a proxy between clients and an agent that records their exchanges. Calls never wait for the recording: exchanges are
+// dropped and counted if the recording cannot keep up or they cannot be redacted.
 type Tap struct {
-	To       string // the agent's address
+	To       string // address of the agent
 	Redactor *Redactor
 	Log      *slog.Logger
 
-	lines chan Exchange
-	left  atomic.Int64
-	kept  atomic.Int64
+	queue    chan Exchange
+	dropped  atomic.Int64
+	recorded atomic.Int64
 }
 
-// headTimeout is how long a client may take over the head of a request.
+// headTimeout limits the time for reading the head of a request.
 const headTimeout = 5 * time.Second
 
-// mostWaiting is how many exchanges wait to be written.
-const mostWaiting = 1024
+// maxQueued is the number of exchanges that can wait to be written.
+const maxQueued = 1024
 
-// mostUnder is how many calls in Thrift one connection has under way.
-const mostUnder = 4096
+// maxInFlight is the number of Thrift calls in flight of one connection that can be recorded.
+const maxInFlight = 4096
 
-// Kept is how many exchanges were recorded.
-func (t *Tap) Kept() int64 { return t.kept.Load() }
+// Recorded returns how many exchanges were recorded.
+func (t *Tap) Kept() int64 { return t.recorded.Load() }
 
-// Left is how many were left out.
-func (t *Tap) Left() int64 { return t.left.Load() }
+// Dropped returns how many exchanges were not recorded.
+func (t *Tap) Left() int64 { return t.dropped.Load() }
 
-// Run takes connections of one protocol and records to a writer until the context ends or the listener fails. It owns the
-// listener.
+// Run accepts connections of one protocol, http or thrift, and records to out until the context ends or the listener fails.
+// It takes ownership of the listener.
 func (t *Tap) Run(ctx context.Context, protocol string, l net.Listener, out io.Writer) error {
-	t.lines = make(chan Exchange, mostWaiting)
+	t.queue = make(chan Exchange, maxQueued)
 	written := make(chan error, 1)
 	go func() { written <- t.write(out) }()
 	serve := t.serveHTTP
@@ -57,38 +57,38 @@
 		serve = t.serveThrift
 	}
 	err := serve(ctx, l)
-	close(t.lines)
+	close(t.queue)
 	return errors.Join(err, <-written)
 }
 
-// write writes what was recorded. After an error the rest is left out.
+// write writes the queued exchanges. After a write error it drops the rest.
 func (t *Tap) write(out io.Writer) (err error) {
 	lines := json.NewEncoder(out)
-	for e := range t.lines {
+	for e := range t.queue {
 		if err == nil {
 			err = t.Redactor.Exchange(&e)
 			if err != nil {
 				t.Log.Warn("left out, as it can't be redacted", "error", err)
 				err = nil
-				t.left.Add(1)
+				t.dropped.Add(1)
 				continue
 			}
 			if err = lines.Encode(e); err == nil {
-				t.kept.Add(1)
+				t.recorded.Add(1)
 				continue
 			}
 			t.Log.Error("nothing more is recorded", "error", err)
 		}
-		t.left.Add(1)
+		t.dropped.Add(1)
 	}
 	return err
 }
 
-func (t *Tap) note(e Exchange) {
+func (t *Tap) enqueue(e Exchange) {
 	select {
-	case t.lines <- e:
+	case t.queue <- e:
 	default:
-		t.left.Add(1)
+		t.dropped.Add(1)
 	}
 }
 
@@ -107,7 +107,7 @@
 			r.Body.Close()
 			r.Body = io.NopCloser(bytes.NewReader(body))
 			if m, ok := r.Request.Context().Value(requestKey{}).(Message); ok {
-				t.note(Exchange{Protocol: "http", Request: m, Answer: Message{Status: r.StatusCode, Headers: headers(r.Header), Body: body}})
+				t.enqueue(Exchange{Protocol: "http", Request: m, Answer: Message{Status: r.StatusCode, Headers: headers(r.Header), Body: body}})
 			}
 			return nil
 		},
@@ -118,7 +118,7 @@
 			proxy.ServeHTTP(w, r)
 			return
 		}
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostFrame))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxFrameBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
@@ -152,14 +152,14 @@
 		all.Go(func() {
 			ends := context.AfterFunc(ctx, func() { c.Close() })
 			defer ends()
-			t.connection(c)
+			t.proxyThrift(c)
 		})
 	}
 }
 
-// connection carries the frames of one client. Replies are tied to calls by their sequence ids; of those with the same id
-// the oldest is answered first.
-func (t *Tap) connection(c net.Conn) {
+// proxyThrift proxies the frames of one client. Replies are matched to calls by sequence id; of several calls with the same
+// id, the oldest is matched first.
+func (t *Tap) proxyThrift(c net.Conn) {
 	defer c.Close()
 	up, err := net.Dial("tcp", t.To)
 	if err != nil {
@@ -168,38 +168,38 @@
 	}
 	defer up.Close()
 	var mu sync.Mutex
-	under, n := map[int32][][]byte{}, 0
+	inFlight, n := map[int32][][]byte{}, 0
 	go func() {
 		defer c.Close()
 		for {
-			frame, err := pass(up, c, nil)
+			frame, err := forwardFrame(up, c, nil)
 			if err != nil {
 				return
 			}
 			h, err := thriftwire.ReadHead(frame)
 			mu.Lock()
-			if calls := under[h.Seq]; err == nil && len(calls) > 0 {
-				t.note(Exchange{Protocol: "thrift", Request: Message{Thrift: calls[0]}, Answer: Message{Thrift: frame}})
+			if calls := inFlight[h.Seq]; err == nil && len(calls) > 0 {
+				t.enqueue(Exchange{Protocol: "thrift", Request: Message{Thrift: calls[0]}, Answer: Message{Thrift: frame}})
 				n--
-				if under[h.Seq] = calls[1:]; len(calls) == 1 {
-					delete(under, h.Seq)
+				if inFlight[h.Seq] = calls[1:]; len(calls) == 1 {
+					delete(inFlight, h.Seq)
 				}
 			} else {
-				t.left.Add(1)
+				t.dropped.Add(1)
 			}
 			mu.Unlock()
 		}
 	}()
 	for {
-		_, err := pass(c, up, func(frame []byte) {
+		_, err := forwardFrame(c, up, func(frame []byte) {
 			h, err := thriftwire.ReadHead(frame)
 			mu.Lock()
 			defer mu.Unlock()
-			if err != nil || h.Type != thriftwire.Call || n == mostUnder {
-				t.left.Add(1)
+			if err != nil || h.Type != thriftwire.Call || n == maxInFlight {
+				t.dropped.Add(1)
 				return
 			}
-			under[h.Seq] = append(under[h.Seq], frame)
+			inFlight[h.Seq] = append(inFlight[h.Seq], frame)
 			n++
 		})
 		if err != nil {
@@ -208,9 +208,9 @@
 	}
 }
 
-// pass carries one frame on; before is told of it before it goes.
-func pass(from io.Reader, to io.Writer, before func([]byte)) ([]byte, error) {
-	frame, err := thriftwire.ReadFrame(from, mostFrame)
+// forwardFrame forwards one frame. It calls before, if not nil, before the frame is sent.
+func forwardFrame(from io.Reader, to io.Writer, before func([]byte)) ([]byte, error) {
+	frame, err := thriftwire.ReadFrame(from, maxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -218,7 +218,7 @@
 		before(frame)
 	}
 	if _, err := to.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...)); err != nil {
-		return nil, fmt.Errorf("passing a frame on: %w", err)
+		return nil, fmt.Errorf("forwarding a frame: %w", err)
 	}
 	return frame, nil
 }
--- a/internal/lab/replay/tap_test.go
+++ b/internal/lab/replay/tap_test.go
@@ -13,11 +13,11 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// What passes a tap is recorded with its secrets hidden, the clients get their answers, and the recording plays as the calls
-// did: the same to old and new servers.
+// A tap must record exchanges with redacted values and forward the answers to the clients. A replay of the recording must give
+// the same results with old and new servers.
 func TestRecordingIsPlayed(t *testing.T) {
 	all := load(t)[:12]
-	for _, client := range speeches {
+	for _, client := range protocols {
 		t.Run(client, func(t *testing.T) {
 			w := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: client, Shapes: []string{"1"}})
 			redactor, err := NewRedactor([]string{"last", "6", "Idempotency-Key", "1.4"})
@@ -43,14 +43,14 @@
 				e := o.exchange(string(rune('a'+i)), client)
 				m, err := p.ask(e.Protocol, e.Request)
 				if err != nil || unserved(m) {
-					t.Fatalf("told %v, %v", m, err)
+					t.Fatalf("received %v, %v", m, err)
 				}
 			}
-			testkit.Eventually(t, "all are recorded", func() bool { return tap.Kept() == int64(len(all)) })
+			testkit.Eventually(t, "all exchanges are recorded", func() bool { return tap.Kept() == int64(len(all)) })
 			p.close()
 			end()
 			if err := <-done; err != nil || tap.Left() > 0 {
-				t.Fatalf("%v, %d left out", err, tap.Left())
+				t.Fatalf("%v, %d exchanges dropped", err, tap.Left())
 			}
 			recorded, err := Read(bytes.NewReader(out.Bytes()))
 			if err != nil || len(recorded) != len(all) {
@@ -62,7 +62,7 @@
 					t.Errorf("recorded %q, %q, %v", id, key, err)
 				}
 				if last := all[i].Last; bytes.Contains(slices.Concat(e.Request.Body, e.Request.Thrift), []byte(last)) {
-					t.Errorf("%q is in %+v", last, e.Request)
+					t.Errorf("%q was not redacted in %+v", last, e.Request)
 				}
 			}
 			r := Compare(newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: client, Shapes: []string{"1"}, NoLoad: true}),
@@ -74,7 +74,7 @@
 	}
 }
 
-// Each kind of place is redacted by name, at any depth, and nothing else; what can't be read is an error.
+// Values must be redacted by name in every kind of place, at any depth, and nothing else. What cannot be parsed is an error.
 func TestRedaction(t *testing.T) {
 	r, err := NewRedactor([]string{"secret", "path"})
 	if err != nil {
@@ -94,7 +94,7 @@
 		"escape": {Message{Body: []byte(`{"s\u0065cret":"hush"}`)}, nil},
 	} {
 		m := c.m
-		if err := r.message(&m); err != nil {
+		if err := r.redactMessage(&m); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		text := m.Target + string(m.Body)
@@ -112,16 +112,16 @@
 	}
 	for name, m := range map[string]Message{"broken JSON": {Body: []byte(`{"secret":"hush"`)}, "unknown body": {Body: []byte("secret hush")},
 		"broken form": {Headers: [][2]string{form}, Body: []byte("%zz=hush")}, "no Thrift": {Thrift: []byte("hush")}} {
-		if err := r.message(&m); err == nil {
+		if err := r.redactMessage(&m); err == nil {
 			t.Errorf("%s: %+v", name, m)
 		}
 	}
-	if a, b := r.hide("hush"), r.hide("hush"); a != b || a == r.hide("husk") {
+	if a, b := r.replacement("hush"), r.replacement("hush"); a != b || a == r.replacement("husk") {
 		t.Errorf("%q, %q", a, b)
 	}
 }
 
-// What is wrong in a recording is told by line.
+// Errors in a recording must name the line.
 func TestReadProblems(t *testing.T) {
 	good := `{"protocol":"http","request":{"method":"GET","target":"/"},"answer":{}}` + "\n"
 	for text, want := range map[string]string{good + "{": "line 2", good + `{"protocol":"smtp"}`: "line 2: protocol", good + `{"protocol":"thrift","request":{}}`: "line 2: request.thrift64",
--- a/internal/lab/replay/wording.go
+++ b/internal/lab/replay/wording.go
@@ -8,7 +8,7 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// Old is a refund in the old shape, as the texts that a client sends.
+// OldRefund is a refund in the old shape, with the texts that a client sends.
 type Old struct {
 	Name   string  `json:"name"`
 	Key    []byte  `json:"key64"` // the idempotency key
@@ -19,12 +19,12 @@
 	First  string  `json:"first"`
 	Last   string  `json:"last"`
 	Memo   *string `json:"memo,omitempty"`
-	Body   string  `json:"body,omitempty"` // in HTTP, in place of the fields above as a plain form
-	Fate   string  `json:"fate"`           // served, or unfit: refused, as the new shape can't hold it
-	Only   string  `json:"only,omitempty"` // the one protocol that can say it
+	Body   string  `json:"body,omitempty"` // HTTP body to use instead of a form built from the fields above
+	Fate   string  `json:"fate"`           // expected outcome: served, or unfit, which is refused because the new shape cannot represent it
+	Only   string  `json:"only,omitempty"` // the only protocol that can carry it; empty for all
 }
 
-// HTTP words it in HTTP.
+// HTTP encodes the refund as an HTTP request with the given correlation id.
 func (o Old) HTTP(id string) Exchange {
 	body := o.Body
 	if body == "" {
@@ -41,7 +41,7 @@
 			{"Content-Type", "application/x-www-form-urlencoded"}}, Body: []byte(body)}}
 }
 
-// Thrift words it in Thrift, by the Apache library.
+// Thrift encodes the refund as a Thrift call with the given correlation id, with the Apache library.
 func (o Old) Thrift(id string, compact bool) Exchange {
 	args := map[int16]any{1: map[int16]any{1: id, 2: standin.Tenants[0], 3: o.Form, 4: string(o.Key), 5: int64(5000), 6: true},
 		2: o.Amount, 3: o.Bought, 4: o.Goods, 5: o.First, 6: o.Last}
@@ -51,7 +51,7 @@
 	return Exchange{Protocol: "thrift", Request: Message{Thrift: standin.WordThrift("refund", 7, args, compact)}}
 }
 
-// envelope reads a request's correlation id and key, by the Apache library where it is in Thrift.
+// envelope returns the correlation id and idempotency key of a request. It reads Thrift with the Apache library.
 func (e Exchange) envelope() (id, key string, err error) {
 	if e.Protocol == "http" {
 		for _, h := range e.Request.Headers {
@@ -71,7 +71,7 @@
 		}
 	}
 	if err == nil && id == "" {
-		err = errors.New("no correlation id")
+		err = errors.New("the request has no correlation id")
 	}
 	return id, key, err
 }
