--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -288,8 +288,8 @@
 	lost := 0
 	for _, p := range protocols {
 		t := d.tally[p]
-		gone := t.kinds[standin.Lost] + t.kinds[standin.TurnedDown]
-		lost += gone
+		lostCalls := t.kinds[standin.Lost] + t.kinds[standin.TurnedDown]
+		lost += lostCalls
 		slices.Sort(t.took)
 		at := func(q float64) time.Duration {
 			if len(t.took) == 0 {
@@ -298,7 +298,7 @@
 			return t.took[int(q*float64(len(t.took)-1))].Round(100 * time.Microsecond)
 		}
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t\n", p, len(t.took), t.kinds[standin.Served], t.kinds[standin.Refused],
-			t.kinds[standin.Failed], gone, at(0.5), at(0.99))
+			t.kinds[standin.Failed], lostCalls, at(0.5), at(0.99))
 	}
 	w.Flush()
 	late, duplicates := 0, 0
@@ -310,7 +310,7 @@
 	}
 	// A key that took effect in both groups is a duplicate as well.
 	duplicates += len(standin.Shared(d.groups[0], d.groups[1]))
-	fmt.Fprintf(d.opts.Out, "\neffects that came twice: %d\ncalls sent to a server after its drain: %d\n", duplicates, late)
+	fmt.Fprintf(d.opts.Out, "\nduplicate effects: %d\ncalls sent to a server after its drain: %d\n", duplicates, late)
 	if lost+duplicates+late > 0 {
 		return fmt.Errorf("%d calls lost, %d duplicate effects, %d calls after a drain", lost, duplicates, late)
 	}
--- a/internal/lab/killer/killer.go
+++ b/internal/lab/killer/killer.go
@@ -73,7 +73,8 @@
 	confirmed  bool   // a write has been confirmed at least once
 }
 
-// Run kills the agent Options.Kills times and returns what it observed. Incorrect starts and folders are reported in Result.Faults, not as an error.
+// Run kills the agent Options.Kills times and returns what it observed. Incorrect starts and folders are reported in
+// Result.Faults, not as an error.
 func Run(o Options) (Result, error) {
 	w := &world{opts: o, folder: filepath.Join(o.Dir, "kept"), rng: rand.New(rand.NewPCG(o.Seed, 2)),
 		result: Result{Fell: map[string]int{}, Left: map[string]int{}, Starts: map[string]int{}}}
@@ -204,19 +205,19 @@
 			return err
 		}
 	}
-	fell := ""
-	if aim := w.rng.IntN(4) > 0; aim {
-		fell = w.awaitOperation(agent.Process.Pid)
+	operation := ""
+	if duringOperation := w.rng.IntN(4) > 0; duringOperation {
+		operation = w.awaitOperation(agent.Process.Pid)
 	} else {
 		time.Sleep(time.Duration(w.rng.Int64N(int64(40 * time.Millisecond))))
-		fell = cmp.Or(w.currentOperation(agent.Process.Pid), "between operations")
+		operation = cmp.Or(w.currentOperation(agent.Process.Pid), "between operations")
 	}
 	if err := agent.Process.Kill(); err != nil {
 		return err
 	}
 	agent.Wait()
 	reading.Wait()
-	w.result.Fell[fell]++
+	w.result.Fell[operation]++
 	writes, _ := log.count(writtenText)
 	return w.checkFolder(n, writes)
 }
--- a/internal/lab/rollout/rollout.go
+++ b/internal/lab/rollout/rollout.go
@@ -123,7 +123,7 @@
 	if stage == "back" && p.set.Stale {
 		o.Listed = []string{"2"}
 	}
-	takes := o.Shapes[0]
+	version := o.Shapes[0]
 	hangs := stage == "new" && place == p.set.Servers/2
 	o.Script = func(standin.Call) standin.Step {
 		if hangs && p.hung.Load() {
@@ -137,7 +137,7 @@
 		defer p.mu.Unlock()
 		p.result.Deliveries++
 		want := p.sent[c.ID]
-		if c.Version != takes {
+		if c.Version != version {
 			p.result.Unknown++
 			if _, any := p.firstUnknown[o.ID]; !any {
 				p.firstUnknown[o.ID] = now
@@ -178,9 +178,9 @@
 			p.world.List.Tell(old.Entry())
 			ends.Go(func() {
 				time.Sleep(linger)
-				gone := old.Entry()
-				gone.State = "terminated"
-				p.world.List.Tell(gone)
+				removed := old.Entry()
+				removed.State = "terminated"
+				p.world.List.Tell(removed)
 				p.mu.Lock()
 				p.result.AfterDrain += old.Late()
 				p.mu.Unlock()
--- a/internal/lab/standin/config.go
+++ b/internal/lab/standin/config.go
@@ -47,9 +47,9 @@
 // Config returns the configuration of an agent as JSON, the content of the file named by NODE_CONFIG.
 func (p Platform) Config() []byte {
 	deadline, aim := cmp.Or(p.Deadline, 20*time.Second), cmp.Or(p.Aim, 600*time.Millisecond)
-	class := func(m Method, effect string, worth float64) map[string]any {
+	class := func(m Method, effect string, value float64) map[string]any {
 		return map[string]any{"Name": Classes[m], "Effect": effect, "Group": "all", "AimNs": aim, "DeadlineNs": deadline,
-			"Worth": worth}
+			"Worth": value}
 	}
 	record := class(Record, "by_key", 10)
 	record["Group"], record["WindowNs"] = "cell", cmp.Or(p.Window, 2*time.Second)
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -66,7 +66,7 @@
 
 // Socket describes the socket that a system call operates on. It is zero for calls without a socket.
 type Socket struct {
-	Local, Remote netip.AddrPort // zero if not bound or connected
+	Local, Remote netip.AddrPort // IPv4 addresses; zero if not bound or connected
 	Unix          bool           // a Unix domain socket
 }
 
@@ -93,8 +93,8 @@
 	busy   *busyPeriods
 }
 
-// StalledPeriods returns the periods of at least the given length in which chosen calls of the process waited for the tracer, either because of
-// Outcome.Hold or because the tracer itself was delayed on a busy machine.
+// StalledPeriods returns the periods of at least the given length in which chosen calls of the process waited for the tracer, either
+// because of Outcome.Hold or because the tracer itself was delayed on a busy machine.
 func (p *Process) Standstills(least time.Duration) []Period { return p.busy.atLeast(least) }
 
 // Ended returns a channel that is closed when the process and all of its threads have ended.
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// Start starts a command that has not been started, and calls decide for each of the chosen calls. It uses only the command's path, arguments,
-// environment and folder. Standard output and standard error go to output. The calling program must have called Main.
+// Start starts a command that has not been started, and calls decide for each of the chosen calls. It uses only the command's path,
+// arguments, environment and folder. Standard output and standard error go to output. The calling program must have called Main.
 func Start(command *exec.Cmd, output *os.File, chosen []Call, decide Decider) (*Process, error) {
 	numbers := make([]string, len(chosen))
 	for i, call := range chosen {
@@ -287,15 +287,15 @@
 	return next, err
 }
 
-// wait calls wait4(2) for a thread to stop or end. It waits for the process group that the traced process has of its own, and so ignores other
-// children that this thread had before it became the tracer's.
+// wait calls wait4(2) with options for a thread to stop or end. It waits only for the process group of the traced process, and so
+// ignores other children that this thread had before it became the tracer's.
 func (t *tracer) wait(options int) (next stop, err error) {
 	next.tid, err = unix.Wait4(-t.leader, &next.status, unix.WALL|unix.WNOTHREAD|options, nil)
 	return next, err
 }
 
-// hold blocks chosen calls of all threads for some time. It handles other stops meanwhile: a new thread stops for the tracer, and a Go program
-// may have no other thread to run on.
+// hold blocks chosen calls of all threads for some time. It handles other stops meanwhile: a new thread stops for the tracer, and a Go
+// program may have no other thread to run on.
 func (t *tracer) hold(length time.Duration) {
 	const look = time.Millisecond // how often stops are polled for
 	for end := time.Now().Add(length); time.Now().Before(end); {
