--- a/internal/lab/rollout/rollout.go
+++ b/internal/lab/rollout/rollout.go
@@ -38,7 +38,7 @@
 
 // Result counts what clients and servers observed.
 type Result struct {
-	Calls, Served, Late, Refused, Failed, Other int
+	Calls, Served, Late, Refused, Failed, Other int // calls by answer; Served within aim, Late after it
 	Deliveries                                  int
 	Full                                        int           // calls that a server rejected because too many were in flight
 	Unknown                                     int           // calls that reached a server that does not know their shape
--- a/internal/lab/standin/kiosk.go
+++ b/internal/lab/standin/kiosk.go
@@ -59,7 +59,9 @@
 
 // Kiosk is a client with a pool of connections. It is safe for concurrent use.
 type Kiosk interface {
+	// Do sends a request and waits for its answer, for no longer than the deadline and answerGrace.
 	Ask(Ask) Answer
+	// Close closes the idle connections.
 	Close()
 }
 
