--- a/choice/api.go
+++ b/choice/api.go
@@ -22,45 +22,45 @@
 )
 
 // DedupScope names the servers that recognize and drop each other's repeats of a keyed request.
-type Group int
+type DedupScope int
 
 // The scopes of deduplication.
 const (
-	GroupAll  Group = iota // all servers
-	GroupZone              // servers of the same zone
-	GroupCell              // servers of the same cell
+	DedupAll  DedupScope = iota // all servers
+	DedupZone                   // servers of the same zone
+	DedupCell                   // servers of the same cell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Group    Group         // keyed classes: which servers drop repeats
-	Window   time.Duration // keyed classes: how long after the first send repeats are dropped
-	Aim      time.Duration // target latency: an answer within it has the full value
-	Deadline time.Duration // how long the client waits, over all its tries
-	Worth    float64       // relative value of an answer: requests of low value are shed first
+	Name        string
+	Effect      Effect
+	DedupScope  DedupScope    // keyed classes: which servers drop repeats
+	DedupWindow time.Duration // keyed classes: how long after the first send repeats are dropped
+	Aim         time.Duration // target latency: an answer within it has the full value
+	Deadline    time.Duration // how long the client waits, over all its tries
+	Value       float64       // relative value of an answer: requests of low value are shed first
 }
 
 // Settings configure a Balancer. They are fixed for its lifetime.
 type Settings struct {
-	Balancers      int           // number of balancers that use the same servers
-	Tick           time.Duration // minimum time between two events, and the precision of timers
-	Classes        []Class       // indexed by Request.Class
-	Zone           int           // zone in which this balancer runs
-	CrossZonePrice float64       // cost of an attempt in another zone, as a share of a request; 0 if free
-	ListWeights    bool          // the weights in the server list reflect the servers' capacities
-	WarmKeys       bool          // a server that recently handled a request's key does less work for it
-	Probes         bool          // servers may be probed
-	ProbePrice     float64       // cost of a probe, as a share of a request
-	ReportsLoad    bool          // reports state the number of requests that a server has in flight
-	MaxAttempts    int           // per request
-	ParallelCopies bool          // a request may have two attempts in flight at a time (hedging)
-	CanCancel      bool          // attempts may be canceled
-	MaxRetryAfter  time.Duration // longest retry-after time that clients heed; 0 if they are given none
-	ColdFrom       float64       // minimum share of its capacity that a server has right after its start
-	ColdFor        time.Duration // time after its start at which it has all of it at the latest
-	Stall          time.Duration // how long a send may be delayed beyond its SendWithin
+	Balancers         int           // number of balancers that use the same servers
+	Tick              time.Duration // minimum time between two events, and the precision of timers
+	Classes           []Class       // indexed by Request.Class
+	Zone              int           // zone in which this balancer runs
+	CrossZoneCost     float64       // cost of an attempt in another zone, as a share of a request; 0 if free
+	UseListWeights    bool          // the weights in the server list reflect the servers' capacities
+	KeyAffinity       bool          // a server that recently handled a request's key does less work for it
+	CanProbe          bool          // servers may be probed
+	ProbeCost         float64       // cost of a probe, as a share of a request
+	ReportsInFlight   bool          // reports state the number of requests that a server has in flight
+	MaxAttempts       int           // per request
+	ParallelAttempts  bool          // a request may have two attempts in flight at a time (hedging)
+	CanCancel         bool          // attempts may be canceled
+	MaxRetryAfter     time.Duration // longest retry-after time that clients heed; 0 if they are given none
+	SlowStartMinShare float64       // minimum share of its capacity that a server has right after its start
+	SlowStartWindow   time.Duration // time after its start at which it has all of it at the latest
+	MaxSendDelay      time.Duration // how long a send may be delayed beyond its SendWithin
 }
 
 // check returns an error for the first invalid setting.
@@ -72,20 +72,20 @@
 		if c.Aim <= 0 || c.Deadline <= 0 {
 			return fmt.Errorf("choice: class %q: aim and deadline must be above 0", c.Name)
 		}
-		if c.Effect == Keyed && c.Window <= 0 {
+		if c.Effect == Keyed && c.DedupWindow <= 0 {
 			return fmt.Errorf("choice: keyed class %q: deduplication window must be above 0", c.Name)
 		}
 	}
-	if s.Stall < 0 {
+	if s.MaxSendDelay < 0 {
 		return errors.New("choice: the maximum send delay must not be negative")
 	}
 	if s.MaxAttempts < 1 {
 		return errors.New("choice: the maximum number of attempts must be at least 1")
 	}
-	if !(s.CrossZonePrice >= 0 && s.ProbePrice >= 0) {
+	if !(s.CrossZoneCost >= 0 && s.ProbeCost >= 0) {
 		return errors.New("choice: the costs of cross-zone attempts and probes must be at least 0")
 	}
-	if s.ColdFor > 0 && (s.ColdFrom <= 0 || s.ColdFrom > 1) {
+	if s.SlowStartWindow > 0 && (s.SlowStartMinShare <= 0 || s.SlowStartMinShare > 1) {
 		return errors.New("choice: the minimum share in slow start must be above 0 and at most 1")
 	}
 	return nil
@@ -101,19 +101,19 @@
 const (
 	Ready    State = iota // gets requests
 	Draining              // finishes its requests in flight and gets no new ones
-	Gone                  // removed from the list; only in incremental updates
+	Removed               // removed from the list; only in incremental updates
 )
 
 // Server is an entry of the server list.
 type Server struct {
-	ID      string
-	State   State
-	Zone    int
-	Cell    int           // small group of servers that drop each other's repeats
-	Weight  float64       // relative size according to the list
-	Started time.Duration // time of its latest start, on the clock of the events; 0 if long ago
-	Speaks  Protocols     // protocols that the server speaks
-	Place   float64       // this balancer's rank among those that may draw it, in [0, 1); see package subset
+	ID         string
+	State      State
+	Zone       int
+	Cell       int           // small group of servers that drop each other's repeats
+	Weight     float64       // relative size according to the list
+	Started    time.Duration // time of its latest start, on the clock of the events; 0 if long ago
+	Protocols  Protocols     // protocols that the server speaks
+	SubsetRank float64       // this balancer's rank among those that may draw it, in [0, 1); see package subset
 }
 
 // Report is the load that a server reports about itself. A negative figure is not stated.
@@ -157,17 +157,17 @@
 	}
 	// Request is a client's request. It gets one final answer: a served attempt, a Refuse or a Fail.
 	Request struct {
-		ID            string
-		Class, Tenant int           // Class is an index into Settings.Classes
-		Key           string        // what the request is about, for key affinity; may be empty
-		Deadline      time.Duration // when the client gives up this try, on the clock of the events
-		Again         bool          // the client marked this try as its own retry
-		Needs         Protocols     // a server must speak all of these to get the request; 0 if any will do
-		Coming        bool          // the end of the body is not yet received; BodyReceived follows
+		ID                string
+		Class, Tenant     int           // Class is an index into Settings.Classes
+		Key               string        // what the request is about, for key affinity; may be empty
+		Deadline          time.Duration // when the client gives up this try, on the clock of the events
+		ClientRetry       bool          // the client marked this try as its own retry
+		RequiredProtocols Protocols     // a server must speak all of these to get the request; 0 if any will do
+		BodyPending       bool          // the end of the body is not yet received; BodyReceived follows
 	}
 	// BodyReceived reports that a request with BodyPending is received to its last byte. The latencies of its
 	// attempts count from this event on.
-	Whole struct {
+	BodyReceived struct {
 		Request  string
 		Deadline time.Duration // replaces that of the Request
 	}
@@ -183,12 +183,12 @@
 	}
 	// StreamStarted reports that a streamed answer has begun to be passed to the client: the request needs no
 	// other attempt and no other final answer.
-	Streaming struct {
+	StreamStarted struct {
 		Request string
 		Attempt int
 	}
 	// ClientDisconnected reports that the client has disconnected: its request needs no final answer.
-	ClientGone struct{ Request string }
+	ClientDisconnected struct{ Request string }
 	// Probed is the result of a probe.
 	Probed struct {
 		Server string
@@ -198,20 +198,20 @@
 	}
 	// Shutdown reports that the process shuts down: every open request gets its final answer by Deadline at
 	// the latest.
-	Ending struct{ By time.Duration }
+	Shutdown struct{ Deadline time.Duration }
 	// TimerFired reports that a timer set by SetTimer has expired.
 	TimerFired struct{ Token uint64 }
 )
 
-func (ServerList) event() {}
-func (Request) event()    {}
-func (Whole) event()      {}
-func (Outcome) event()    {}
-func (Streaming) event()  {}
-func (ClientGone) event() {}
-func (Probed) event()     {}
-func (Ending) event()     {}
-func (TimerFired) event() {}
+func (ServerList) event()         {}
+func (Request) event()            {}
+func (BodyReceived) event()       {}
+func (Outcome) event()            {}
+func (StreamStarted) event()      {}
+func (ClientDisconnected) event() {}
+func (Probed) event()             {}
+func (Shutdown) event()           {}
+func (TimerFired) event()         {}
 
 // ActionKind is the kind of an Action. It determines which of the fields are used.
 type ActionKind int
@@ -228,14 +228,14 @@
 
 // Action is an instruction to the host, which carries out actions in order.
 type Action struct {
-	Kind    ActionKind
-	Request string
-	Server  string
-	Attempt int
-	After   time.Duration
-	Within  time.Duration // the time in which a Send must be written whole, or not at all; 0 for no limit
-	Token   uint64
-	Reason  Reason // why, for logs and metrics
+	Kind       ActionKind
+	Request    string
+	Server     string
+	Attempt    int
+	After      time.Duration
+	SendWithin time.Duration // the time in which a Send must be written whole, or not at all; 0 for no limit
+	Token      uint64
+	Reason     Reason // why, for logs and metrics
 }
 
 // New returns a Balancer. All its random numbers derive from the seed.
@@ -253,7 +253,7 @@
 		b.horizon = max(b.horizon, c.Aim)
 		b.shortestAim = min(b.shortestAim, c.Aim)
 		b.trialEffect = min(b.trialEffect, c.Effect)
-		b.meanValue += c.Worth / float64(len(settings.Classes))
+		b.meanValue += c.Value / float64(len(settings.Classes))
 	}
 	return b, nil
 }
@@ -277,22 +277,22 @@
 		b.handleServerList(e)
 	case Request:
 		b.handleRequest(e)
-	case Whole:
+	case BodyReceived:
 		b.handleBodyReceived(e)
 	case Outcome:
 		b.handleOutcome(e)
-	case Streaming:
+	case StreamStarted:
 		if r := b.requests[e.Request]; r != nil {
 			b.close(r)
 		}
-	case ClientGone:
+	case ClientDisconnected:
 		if r := b.requests[e.Request]; r != nil {
 			b.close(r)
 		}
 	case Probed:
 		b.handleProbed(e)
-	case Ending:
-		b.handleShutdown(e.By)
+	case Shutdown:
+		b.handleShutdown(e.Deadline)
 	case TimerFired:
 		b.handleTimer(e.Token)
 	}
--- a/choice/check_test.go
+++ b/choice/check_test.go
@@ -82,7 +82,7 @@
 		case SetTimer:
 			w.timers = append(w.timers, worldTimer{w.now + a.After, a.Token})
 		case Probe:
-			if s := w.servers[a.Server]; !w.settings.Probes || s == nil {
+			if s := w.servers[a.Server]; !w.settings.CanProbe || s == nil {
 				w.addFault("illegal probe of %q", a.Server)
 			}
 			w.probes = append(w.probes, worldProbe{w.now + time.Duration(w.rng.ExpFloat64()*20e6), a.Server})
@@ -133,15 +133,15 @@
 		switch {
 		case c.Effect == Unsafe:
 			w.addFault("an unsafe request is repeated")
-		case c.Effect == Keyed && c.Group == GroupZone && p.zone != s.Zone,
-			c.Effect == Keyed && c.Group == GroupCell && p.cell != s.Cell:
+		case c.Effect == Keyed && c.DedupScope == DedupZone && p.zone != s.Zone,
+			c.Effect == Keyed && c.DedupScope == DedupCell && p.cell != s.Cell:
 			w.addFault("a keyed request is sent outside its deduplication scope")
 		}
 	}
-	if c.Effect == Keyed && first != nil && w.now-first.sentAt >= c.Window {
+	if c.Effect == Keyed && first != nil && w.now-first.sentAt >= c.DedupWindow {
 		w.addFault("a keyed request is repeated after its window")
 	}
-	if inFlight > 1 || inFlight == 1 && !w.settings.ParallelCopies {
+	if inFlight > 1 || inFlight == 1 && !w.settings.ParallelAttempts {
 		w.addFault("%d attempts in flight already", inFlight)
 	}
 	// Outcomes arrive early, late or not before the deadline, with results of every kind.
@@ -168,7 +168,7 @@
 func (w *world) refuse(r *worldRequest) {
 	c := w.settings.Classes[r.Class]
 	for _, p := range r.sent {
-		if !p.neverRan && (c.Effect == Unsafe || c.Effect == Keyed && c.Group != GroupAll) {
+		if !p.neverRan && (c.Effect == Unsafe || c.Effect == Keyed && c.DedupScope != DedupAll) {
 			w.addFault("a request that may have run is refused")
 			return
 		}
@@ -228,7 +228,7 @@
 		if !r.closed && w.rng.Float64() < 0.001 {
 			events = append(events, func() Event {
 				r.closed = true
-				return ClientGone{id}
+				return ClientDisconnected{id}
 			})
 		}
 		if !r.closed && w.now > r.Deadline+2*w.settings.Tick {
@@ -279,8 +279,8 @@
 		all := ServerList{Full: true}
 		for _, id := range w.ids {
 			s := w.servers[id]
-			if s.State == Gone || w.rng.Float64() < 0.05 { // a server missing from a full list is removed
-				s.State, s.stoppedAt = Gone, w.now
+			if s.State == Removed || w.rng.Float64() < 0.05 { // a server missing from a full list is removed
+				s.State, s.stoppedAt = Removed, w.now
 				continue
 			}
 			all.Servers = append(all.Servers, s.Server)
@@ -288,7 +288,7 @@
 		return all
 	}
 	s := w.servers[w.ids[w.rng.IntN(len(w.ids))]]
-	s.State = []State{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]
+	s.State = []State{Ready, Ready, Draining, Removed}[w.rng.IntN(4)]
 	switch {
 	case s.State == Ready:
 		s.Started, s.stoppedAt = w.now, 0
@@ -335,14 +335,14 @@
 // randomSettings returns random settings.
 func randomSettings(rng *rand.Rand) Settings {
 	settings := Settings{Balancers: 1 + rng.IntN(5), Tick: 5 * time.Millisecond, Zone: rng.IntN(2),
-		CrossZonePrice: 0.1 * float64(rng.IntN(2)), ListWeights: rng.IntN(2) == 0,
-		WarmKeys: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(5), ParallelCopies: rng.IntN(2) == 0,
-		CanCancel: rng.IntN(3) > 0, Probes: rng.IntN(2) == 0, ReportsLoad: rng.IntN(2) == 0,
-		ProbePrice: 0.01 * float64(rng.IntN(3)), ColdFrom: 0.3, ColdFor: 5 * time.Second, MaxRetryAfter: time.Second}
+		CrossZoneCost: 0.1 * float64(rng.IntN(2)), UseListWeights: rng.IntN(2) == 0,
+		KeyAffinity: rng.IntN(2) == 0, MaxAttempts: 1 + rng.IntN(5), ParallelAttempts: rng.IntN(2) == 0,
+		CanCancel: rng.IntN(3) > 0, CanProbe: rng.IntN(2) == 0, ReportsInFlight: rng.IntN(2) == 0,
+		ProbeCost: 0.01 * float64(rng.IntN(3)), SlowStartMinShare: 0.3, SlowStartWindow: 5 * time.Second, MaxRetryAfter: time.Second}
 	for i := range 1 + rng.IntN(3) {
 		aim := time.Duration(100+rng.IntN(900)) * time.Millisecond
 		settings.Classes = append(settings.Classes, Class{Name: fmt.Sprint("c", i), Effect: Effect(rng.IntN(3)),
-			Group: Group(rng.IntN(3)), Window: aim, Aim: aim, Deadline: 3 * aim, Worth: 1 + 9*rng.Float64()})
+			DedupScope: DedupScope(rng.IntN(3)), DedupWindow: aim, Aim: aim, Deadline: 3 * aim, Value: 1 + 9*rng.Float64()})
 	}
 	return settings
 }
@@ -451,9 +451,9 @@
 	for name, plant := range plants {
 		w := newWorld(Settings{}, 5)
 		w.settings = randomSettings(rand.New(rand.NewPCG(2, 1)))
-		w.settings.ParallelCopies, w.settings.MaxAttempts = false, 3
-		w.settings.Classes = []Class{{Effect: Unsafe, Aim: 200e6, Deadline: 600e6, Worth: 1},
-			{Effect: Keyed, Group: GroupCell, Window: 200e6, Aim: 200e6, Deadline: 600e6, Worth: 1}}
+		w.settings.ParallelAttempts, w.settings.MaxAttempts = false, 3
+		w.settings.Classes = []Class{{Effect: Unsafe, Aim: 200e6, Deadline: 600e6, Value: 1},
+			{Effect: Keyed, DedupScope: DedupCell, DedupWindow: 200e6, Aim: 200e6, Deadline: 600e6, Value: 1}}
 		w.run(t, 3000, 0.5, plant(w))
 		if !slices.ContainsFunc(w.faults, func(f string) bool { return strings.Contains(f, name) }) {
 			t.Errorf("planted violation not detected: %s; %d faults reported", name, len(w.faults))
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -83,14 +83,14 @@
 		if newStart && s.warmupShare(b) < 1 { // from 0 all balancers would wait long, then send at once
 			s.coldAllowance = b.rng.Float64()
 		}
-		if !b.settings.ListWeights || e.Weight <= 0 {
+		if !b.settings.UseListWeights || e.Weight <= 0 {
 			s.Weight = 1
 		}
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		removed := s.State == Gone || list.Full && !named[s.ID]
+		removed := s.State == Removed || list.Full && !named[s.ID]
 		if removed {
-			s.State = Gone // attempts in flight still refer to it
+			s.State = Removed // attempts in flight still refer to it
 			delete(b.byID, s.ID)
 		}
 		return removed
@@ -108,12 +108,12 @@
 			s.subsetShare = localZoneSubsetFactor
 		}
 		if s.State == Ready {
-			total[s.Speaks] += s.subsetShare
+			total[s.Protocols] += s.subsetShare
 		}
 	}
 	for _, s := range b.servers {
-		s.subsetShare = min(1, s.subsetShare*size/total[s.Speaks])
-		s.outsideSubset = s.Place >= s.subsetShare
+		s.subsetShare = min(1, s.subsetShare*size/total[s.Protocols])
+		s.outsideSubset = s.SubsetRank >= s.subsetShare
 	}
 }
 
@@ -168,7 +168,7 @@
 			b.subsetCapacity += s.weight
 		}
 		if s.Zone == b.settings.Zone && warmup == 1 {
-			s.weight *= 1 + localZoneBonus*b.settings.CrossZonePrice*max(0, 1-s.reportedUtil)
+			s.weight *= 1 + localZoneBonus*b.settings.CrossZoneCost*max(0, 1-s.reportedUtil)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	r.drawn = r.drawn[:0]
 	n := drawCount
 	if b.probesFirst() {
-		n = int(min(maxProbedServers, maxProbeCost/b.settings.ProbePrice)) // also where probes are free
+		n = int(min(maxProbedServers, maxProbeCost/b.settings.ProbeCost)) // also where probes are free
 	}
 	if s := b.dueForTrial(r); s != nil {
 		r.drawn = append(r.drawn, s)
@@ -194,7 +194,7 @@
 		s.ejectedUntil, n = b.now+b.horizon, n+1 // its answer to the probe readmits it
 	}
 	eligible, total := b.candidates(r)
-	if b.settings.WarmKeys && r.Key != "" && len(eligible) > 0 {
+	if b.settings.KeyAffinity && r.Key != "" && len(eligible) > 0 {
 		r.affinityServer = rendezvousServer(eligible, r.Key)
 		r.drawn = append(r.drawn, r.affinityServer)
 	}
@@ -253,7 +253,7 @@
 
 // probesFirst reports whether the servers drawn are probed for their load before a request is sent.
 func (b *Balancer) probesFirst() bool {
-	return b.settings.Probes && b.settings.ProbePrice*2 <= maxProbeCost
+	return b.settings.CanProbe && b.settings.ProbeCost*2 <= maxProbeCost
 }
 
 // probeDrawn probes the servers drawn and reports whether the request now waits for their answers, at most
@@ -313,7 +313,7 @@
 		return max(minUtil, 1-b.meanUtil-(s.reportedUtil-b.meanUtil)*s.confidence)
 	case !r.hasFreshProbe(s):
 		return 1
-	case b.settings.ReportsLoad:
+	case b.settings.ReportsInFlight:
 		return (own + 1) / (max(own, s.probedInFlight) + 1)
 	}
 	return max(minUtil, 1-s.lastUtil)
@@ -374,7 +374,7 @@
 	}
 	b.lossRate -= ewmaWeight * b.lossRate
 	// Dead or lossy servers, impatient clients and slowly received bodies are not congestion.
-	if (late && !b.isEjected(s) || o.Result == OK) && !a.req.Coming {
+	if (late && !b.isEjected(s) || o.Result == OK) && !a.req.BodyPending {
 		used := b.slackUsed(a, late)
 		if b.congestion += b.congestionWeight * (used - b.congestion); used < shedThreshold {
 			b.lastPromptSend = max(b.lastPromptSend, a.sent)
@@ -405,7 +405,7 @@
 // can be risked. In each round every balancer that draws from the server has one turn, a horizon after the
 // previous balancer's: in the first round by their ranks, then one round later each time.
 func (b *Balancer) eject(s *server) {
-	turn := s.Place
+	turn := s.SubsetRank
 	if s.ejectedUntil > 0 {
 		turn = s.subsetShare
 	}
@@ -435,7 +435,7 @@
 	for _, a := range slices.Clone(s.inFlight) {
 		late := b.lossRate > hedgeLossThreshold ||
 			a.relativeWait(b) > silentHedgeDelay && s.lastHeard <= a.sent && b.overtaken(a)
-		late = late && a.relativeWait(b) > hedgeDelay && !a.req.Coming && a.req.inFlight == 1
+		late = late && a.relativeWait(b) > hedgeDelay && !a.req.BodyPending && a.req.inFlight == 1
 		if late && b.congestion < shedThreshold && b.canMove(a) {
 			b.retryBudget--
 			b.startAttempt(a.req)
@@ -454,7 +454,7 @@
 // server.
 func (b *Balancer) missedAnswers(s *server) (n float64) {
 	for _, a := range s.inFlight {
-		if !a.req.Coming { // an incomplete request cannot be answered yet
+		if !a.req.BodyPending { // an incomplete request cannot be answered yet
 			n += float64(b.runningSince(max(a.sent, s.lastHeard))) / b.meanLatency[a.req.Class]
 		}
 	}
@@ -511,9 +511,9 @@
 // maySend decides whether a request may be sent to a server. It is the only place that does; every send
 // passes it.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	if r.closed || b.now >= r.Deadline || s.State != Ready || r.Needs&^s.Speaks != 0 ||
+	if r.closed || b.now >= r.Deadline || s.State != Ready || r.RequiredProtocols&^s.Protocols != 0 ||
 		len(r.attempts) >= b.settings.MaxAttempts || r.inFlight > 1 ||
-		r.inFlight == 1 && !b.settings.ParallelCopies {
+		r.inFlight == 1 && !b.settings.ParallelAttempts {
 		return false
 	}
 	first := r.mayHaveRun()
@@ -522,11 +522,11 @@
 		return false
 	case first == nil || c.Effect == Safe:
 		return true
-	case c.Effect == Unsafe || b.now+b.windowMargin()-first.sent >= c.Window:
+	case c.Effect == Unsafe || b.now+b.windowMargin()-first.sent >= c.DedupWindow:
 		return false
-	case c.Group == GroupZone:
+	case c.DedupScope == DedupZone:
 		return s.Zone == first.srv.Zone
-	case c.Group == GroupCell:
+	case c.DedupScope == DedupCell:
 		return s.Cell == first.srv.Cell
 	}
 	return true
@@ -534,12 +534,12 @@
 
 // windowMargin returns how long before the end of its deduplication window a keyed request is last sent
 // again: the possible difference between clocks, and the possible delay of a send.
-func (b *Balancer) windowMargin() time.Duration { return b.settings.Tick + b.settings.Stall }
+func (b *Balancer) windowMargin() time.Duration { return b.settings.Tick + b.settings.MaxSendDelay }
 
 // mayRefuse reports whether the client may be told that a retry does no harm.
 func (r *request) mayRefuse() bool {
 	return r.mayHaveRun() == nil || r.class.Effect == Safe ||
-		r.class.Effect == Keyed && r.class.Group == GroupAll
+		r.class.Effect == Keyed && r.class.DedupScope == DedupAll
 }
 
 // startAttempt sends the request to the best server, at once or when the servers drawn have answered their
@@ -562,7 +562,7 @@
 		return
 	}
 	if len(r.attempts) == 0 &&
-		b.shouldShed(r.class.Worth, busyShedSlope*(b.expectedDelay(r, s)-busyDelayThreshold)) {
+		b.shouldShed(r.class.Value, busyShedSlope*(b.expectedDelay(r, s)-busyDelayThreshold)) {
 		b.endUnserved(r, ServersBusy)
 		return
 	}
@@ -578,7 +578,7 @@
 	s.inFlight = append(s.inFlight, a)
 	send := Action{Kind: Send, Request: r.ID, Server: s.ID, Reason: reason}
 	if first != nil && r.class.Effect == Keyed { // maySend checks the window too, but connecting takes time
-		send.Within = first.sent + r.class.Window - b.windowMargin() - b.now
+		send.SendWithin = first.sent + r.class.DedupWindow - b.windowMargin() - b.now
 	}
 	b.emit(send)
 }
@@ -615,7 +615,7 @@
 	case o.Result == NotSent:
 		b.endUnserved(r, AttemptNotSent)
 	default:
-		b.endUnserved(r, RetryBudget)
+		b.endUnserved(r, RetryBudgetEmpty)
 	}
 }
 
@@ -628,10 +628,10 @@
 	r := &request{Request: e, class: &b.settings.Classes[e.Class]}
 	b.requests[e.ID] = r
 	b.retryBudget = min(b.retryBudget+retryRatio+b.lossRate, maxRetryBudget)
-	b.meanValue += ewmaWeight * (r.class.Worth - b.meanValue)
+	b.meanValue += ewmaWeight * (r.class.Value - b.meanValue)
 	r.deadlineTimer = b.setRequestTimer(r, r.Deadline-b.now)
 	// Congestion may shed all requests of low value, but not a trial: its server would be idle all the time.
-	if b.shouldShed(r.class.Worth, shedSlope*(b.currentCongestion()-shedThreshold)) && b.dueForTrial(r) == nil {
+	if b.shouldShed(r.class.Value, shedSlope*(b.currentCongestion()-shedThreshold)) && b.dueForTrial(r) == nil {
 		b.endUnserved(r, Overloaded)
 		return
 	}
@@ -640,10 +640,10 @@
 
 // handleBodyReceived restarts the deadline of a request, and the latencies of its attempts, when its last
 // byte is received.
-func (b *Balancer) handleBodyReceived(e Whole) {
-	if r := b.requests[e.Request]; r != nil && r.Coming && !r.closed {
+func (b *Balancer) handleBodyReceived(e BodyReceived) {
+	if r := b.requests[e.Request]; r != nil && r.BodyPending && !r.closed {
 		delete(b.timers, r.deadlineTimer)
-		r.Coming, r.Deadline, r.deadlineTimer = false, e.Deadline, b.setRequestTimer(r, e.Deadline-b.now)
+		r.BodyPending, r.Deadline, r.deadlineTimer = false, e.Deadline, b.setRequestTimer(r, e.Deadline-b.now)
 		for _, a := range r.attempts {
 			if a.inFlight {
 				a.sent = b.now
@@ -672,7 +672,7 @@
 	congestion := b.congestion
 	for _, s := range b.servers {
 		for _, a := range s.inFlight {
-			if !b.isEjected(s) && !b.overtaken(a) && !a.req.Coming {
+			if !b.isEjected(s) && !b.overtaken(a) && !a.req.BodyPending {
 				congestion += b.congestionWeight * max(0, b.slackUsed(a, false)-congestion)
 			}
 		}
@@ -687,7 +687,7 @@
 	switch fresh := r.hasFreshProbe(s); {
 	case b.probesFirst() && !fresh && r.probeTimer > 0:
 		return 1
-	case !fresh || !b.settings.ReportsLoad || s.rate == 0 || s.lastReport == 0:
+	case !fresh || !b.settings.ReportsInFlight || s.rate == 0 || s.lastReport == 0:
 		return 0
 	}
 	capacity := s.capacity * s.warmupShare(b) * b.freeShare(r, s)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -10,11 +10,11 @@
 )
 
 func testSettings() Settings {
-	return Settings{Balancers: 2, Tick: 5 * time.Millisecond, MaxAttempts: 3, CanCancel: true, ColdFrom: 0.3,
-		ColdFor: 10 * time.Second, Classes: []Class{
-			{Name: "cheap", Effect: Safe, Aim: 600e6, Deadline: 2e9, Worth: 1},
-			{Name: "dear", Effect: Unsafe, Aim: 600e6, Deadline: 2e9, Worth: 10},
-			{Name: "keyed", Effect: Keyed, Group: GroupCell, Window: 1e9, Aim: 600e6, Deadline: 2e9, Worth: 3}}}
+	return Settings{Balancers: 2, Tick: 5 * time.Millisecond, MaxAttempts: 3, CanCancel: true, SlowStartMinShare: 0.3,
+		SlowStartWindow: 10 * time.Second, Classes: []Class{
+			{Name: "cheap", Effect: Safe, Aim: 600e6, Deadline: 2e9, Value: 1},
+			{Name: "dear", Effect: Unsafe, Aim: 600e6, Deadline: 2e9, Value: 10},
+			{Name: "keyed", Effect: Keyed, DedupScope: DedupCell, DedupWindow: 1e9, Aim: 600e6, Deadline: 2e9, Value: 3}}}
 }
 
 // bench drives one Balancer by hand.
@@ -81,7 +81,7 @@
 
 func TestDrawsFollowCapacity(t *testing.T) {
 	settings := testSettings()
-	settings.ListWeights = true
+	settings.UseListWeights = true
 	h := newBench(t, settings, 1, 2, 3, 4)
 	h.updateWeights()
 	ok, total := h.candidates(&request{class: &settings.Classes[0], Request: Request{Deadline: h.at + 1}})
@@ -124,7 +124,7 @@
 
 func TestTies(t *testing.T) {
 	settings := testSettings()
-	settings.ListWeights = true
+	settings.UseListWeights = true
 	h := newBench(t, settings, 1, 1.99)
 	if _, to := h.request(0); to != "s1" { // stays in flight
 		t.Fatalf("the lowest load is at s1, the request went to %s", to)
@@ -378,7 +378,7 @@
 // A server in the own zone is preferred as long as it has free capacity.
 func TestOwnZone(t *testing.T) {
 	settings := testSettings()
-	settings.CrossZonePrice = 0.1
+	settings.CrossZoneCost = 0.1
 	h := newBench(t, settings, 1, 1)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Zone: 1}}})
 	h.updateWeights()
@@ -394,8 +394,8 @@
 
 func TestUnknownIsPassedOver(t *testing.T) {
 	h := newBench(t, testSettings(), 1)
-	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientGone{"no"},
-		Streaming{Request: "no"}, Probed{Server: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}} {
+	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientDisconnected{"no"},
+		StreamStarted{Request: "no"}, Probed{Server: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}} {
 		if a := h.Handle(h.at, e); len(a) != 0 {
 			t.Errorf("%#v: %+v", e, a)
 		}
@@ -414,9 +414,9 @@
 	for name, spoil := range map[string]func(*Settings){
 		"classes":  func(s *Settings) { s.Classes = nil },
 		"aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
-		"window":   func(s *Settings) { s.Classes[2].Window = 0 },
+		"window":   func(s *Settings) { s.Classes[2].DedupWindow = 0 },
 		"attempts": func(s *Settings) { s.MaxAttempts = 0 },
-		"cold":     func(s *Settings) { s.ColdFrom = 0 },
+		"cold":     func(s *Settings) { s.SlowStartMinShare = 0 },
 	} {
 		settings := testSettings()
 		spoil(&settings)
@@ -466,7 +466,7 @@
 // when it is busy.
 func TestHomeOfAKey(t *testing.T) {
 	settings := testSettings()
-	settings.ListWeights, settings.WarmKeys = true, true
+	settings.UseListWeights, settings.KeyAffinity = true, true
 	h, other := newBench(t, settings, 1, 2, 3, 4), newBench(t, settings, 1, 2, 3, 4)
 	other.rng.Uint64() // a different state of the random numbers
 	h.updateWeights()
@@ -531,7 +531,7 @@
 // If no server reports, or only implausible figures, all servers of a size have equal weights.
 func TestCapacityWithoutReports(t *testing.T) {
 	settings := testSettings()
-	settings.ListWeights = true
+	settings.UseListWeights = true
 	h := newBench(t, settings, 1, 1, 2)
 	for _, r := range []Report{NoReport, utilReport(math.NaN(), 5), utilReport(0.5, math.NaN()), utilReport(-1, 9), utilReport(0, 0),
 		utilReport(math.Inf(1), 1), utilReport(0.5, math.Inf(1))} {
@@ -616,7 +616,7 @@
 // newProbingBench returns a bench whose servers are probed for their load before each send.
 func newProbingBench(t *testing.T, weights ...float64) *bench {
 	settings := testSettings()
-	settings.Probes, settings.ProbePrice, settings.ReportsLoad = true, 0.001, true
+	settings.CanProbe, settings.ProbeCost, settings.ReportsInFlight = true, 0.001, true
 	return newBench(t, settings, weights...)
 }
 
@@ -716,7 +716,7 @@
 func TestQuietBalancerKeepsToASubset(t *testing.T) {
 	h := newBench(t, testSettings(), make([]float64, 100)...)
 	for i, s := range h.servers {
-		s.Place = (float64(i) + 0.5) / 100
+		s.SubsetRank = (float64(i) + 0.5) / 100
 	}
 	h.updateSubset()
 	near := func() (n int) {
@@ -843,7 +843,7 @@
 // Guards against a division by the cost of probes if it is 0: no server was drawn then.
 func TestFreeProbes(t *testing.T) {
 	h := newProbingBench(t, 1, 1, 1)
-	h.settings.ProbePrice = 0
+	h.settings.ProbeCost = 0
 	e := Request{ID: "free", Class: 1, Deadline: h.at + 2*time.Second}
 	if to := h.answerProbes("free", slices.Clone(h.Handle(h.at, e)), map[string]float64{}); to == "" {
 		t.Error("nothing is sent if probes are free")
@@ -853,10 +853,10 @@
 func TestPricesOutOfRange(t *testing.T) {
 	for _, price := range []float64{-0.1, math.NaN()} {
 		cross, probe := testSettings(), testSettings()
-		cross.CrossZonePrice, probe.ProbePrice = price, price
+		cross.CrossZoneCost, probe.ProbeCost = price, price
 		for _, settings := range []Settings{cross, probe} {
 			if _, err := New(settings, 1); err == nil {
-				t.Errorf("no error for costs %v and %v", settings.CrossZonePrice, settings.ProbePrice)
+				t.Errorf("no error for costs %v and %v", settings.CrossZoneCost, settings.ProbeCost)
 			}
 		}
 	}
@@ -895,11 +895,11 @@
 		"some lost":    {lose, 0, true},
 		"jam":          {lose, 0.9, false},
 		"no budget":    {func(h *bench) { lose(h); h.retryBudget = 0 }, 0, false},
-		"no copies":    {func(h *bench) { lose(h); h.settings.ParallelCopies = false }, 0, false},
+		"no copies":    {func(h *bench) { lose(h); h.settings.ParallelAttempts = false }, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
-			settings.ParallelCopies = true
+			settings.ParallelAttempts = true
 			h := newBench(t, settings, 1, 1, 1)
 			c.before(h)
 			id, to := h.request(0)
@@ -1042,7 +1042,7 @@
 func TestQuietFleetWarmsNewServers(t *testing.T) {
 	const agents, warm, cold, rate, took, span = 80, 42, 18, 50, 300 * time.Millisecond, 3 * time.Second
 	settings := testSettings()
-	settings.Balancers, settings.WarmKeys = agents, true
+	settings.Balancers, settings.KeyAffinity = agents, true
 	sent, all := 0, 0
 	for i := range agents {
 		b, err := New(settings, uint64(i))
@@ -1053,7 +1053,7 @@
 		b.Start(now)
 		l, places := ServerList{Full: true}, rand.New(rand.NewPCG(uint64(i), 9))
 		for s := range warm {
-			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("s", s), Place: places.Float64()})
+			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("s", s), SubsetRank: places.Float64()})
 		}
 		b.Handle(now, l)
 		type sending struct {
@@ -1086,12 +1086,12 @@
 		run(now+5*time.Second, false)
 		l = ServerList{}
 		for s := range cold {
-			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("new", s), Started: now, Place: places.Float64()})
+			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("new", s), Started: now, SubsetRank: places.Float64()})
 		}
 		b.Handle(now, l)
 		run(now+span, true)
 	}
-	relative := settings.ColdFrom + (1-settings.ColdFrom)*float64(span)/2/float64(settings.ColdFor) // of that of a warm server, on average
+	relative := settings.SlowStartMinShare + (1-settings.SlowStartMinShare)*float64(span)/2/float64(settings.SlowStartWindow) // of that of a warm server, on average
 	share := float64(sent) / float64(all) / (cold * relative / (warm + cold*relative))
 	t.Logf("cold servers get %.2f of their share", share)
 	if share < 0.25 || share > coldSendFactor*1.1 {
@@ -1110,7 +1110,7 @@
 			settings.Balancers = agents
 			h := newBench(t, settings, 1, 1, 1, 1)
 			for _, s := range h.servers {
-				s.Place = (float64(i) + 0.5) / float64(agents)
+				s.SubsetRank = (float64(i) + 0.5) / float64(agents)
 			}
 			h.lastOutcome = h.at
 			h.eject(h.byID["s0"])
@@ -1158,7 +1158,7 @@
 	settings.Balancers = 10
 	h := newBench(t, settings, make([]float64, 40)...)
 	for i, s := range h.servers {
-		s.Place = (float64(i) + 0.5) / 40
+		s.SubsetRank = (float64(i) + 0.5) / 40
 	}
 	h.updateSubset()
 	near, far := h.servers[0], h.servers[39]
@@ -1188,7 +1188,7 @@
 // attempt is answered, the first one counts as a failure of the silent server.
 func TestFirstToMeetSilenceIsCopied(t *testing.T) {
 	settings := testSettings()
-	settings.ParallelCopies = true
+	settings.ParallelAttempts = true
 	h := newBench(t, settings, 1, 1)
 	id, to := h.request(0)
 	h.at += 300 * time.Millisecond
@@ -1235,7 +1235,7 @@
 func TestSilentServersAreNoJam(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		settings := testSettings()
-		settings.ParallelCopies, settings.CanCancel = false, false
+		settings.ParallelAttempts, settings.CanCancel = false, false
 		h := newBench(t, settings, 1, 1, 1, 1)
 		refused := 0
 		for range 30 {
--- a/choice/coming_test.go
+++ b/choice/coming_test.go
@@ -15,7 +15,7 @@
 		to := map[string]string{}
 		for i := range 12 {
 			id := fmt.Sprint("up", i)
-			for _, a := range h.Handle(h.at, Request{ID: id, Class: 1, Deadline: h.at + time.Minute, Coming: pending}) {
+			for _, a := range h.Handle(h.at, Request{ID: id, Class: 1, Deadline: h.at + time.Minute, BodyPending: pending}) {
 				if a.Kind == Send {
 					to[id] = a.Server
 				}
@@ -30,12 +30,12 @@
 		}
 		var actions []Action
 		for id := range to {
-			actions = append(actions, h.Handle(h.at, Whole{Request: id, Deadline: h.at + time.Second})...)
+			actions = append(actions, h.Handle(h.at, BodyReceived{Request: id, Deadline: h.at + time.Second})...)
 		}
 		if len(actions) != len(to) || actions[0].Kind != SetTimer || actions[0].After != time.Second {
 			t.Errorf("body received: %+v", actions[0])
 		}
-		if again := h.Handle(h.at, Whole{Request: "up0", Deadline: h.at + time.Hour}); len(again) > 0 {
+		if again := h.Handle(h.at, BodyReceived{Request: "up0", Deadline: h.at + time.Hour}); len(again) > 0 {
 			t.Errorf("body received twice: %+v", again)
 		}
 		failed := 0
--- a/choice/ending_test.go
+++ b/choice/ending_test.go
@@ -11,9 +11,9 @@
 	const by = 2 * time.Second
 	for name, request := range map[string]Request{
 		"taken":             {ID: "a", Deadline: time.Minute},
-		"coming":            {ID: "a", Deadline: time.Hour, Coming: true},
+		"coming":            {ID: "a", Deadline: time.Hour, BodyPending: true},
 		"with less time":    {ID: "a", Deadline: time.Second},
-		"not sent anywhere": {ID: "a", Deadline: time.Minute, Needs: 1 << 7},
+		"not sent anywhere": {ID: "a", Deadline: time.Minute, RequiredProtocols: 1 << 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, err := New(Settings{Balancers: 1, MaxAttempts: 2, Classes: []Class{{Name: "c", Effect: Unsafe, Aim: time.Second / 2, Deadline: time.Hour}}}, 1)
@@ -44,7 +44,7 @@
 			do(0, b.Start(0))
 			do(0, b.Handle(0, ServerList{Full: true, Servers: []Server{{ID: "s"}}}))
 			do(time.Millisecond, b.Handle(time.Millisecond, request))
-			do(time.Second/2, b.Handle(time.Second/2, Ending{By: by}))
+			do(time.Second/2, b.Handle(time.Second/2, Shutdown{Deadline: by}))
 			for i := 0; i < len(timers); i++ {
 				do(timers[i].at, b.Handle(timers[i].at, TimerFired{Token: timers[i].token}))
 			}
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -11,7 +11,7 @@
 	b, err := choice.New(choice.Settings{
 		Balancers:   1,
 		MaxAttempts: 3,
-		Classes:     []choice.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+		Classes:     []choice.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second, Value: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/choice/explore.go
+++ b/choice/explore.go
@@ -54,7 +54,7 @@
 		text(s.ID)
 		num(float64(s.State), float64(s.Started), s.rate, s.confidence, s.capacity, s.reportedRate,
 			s.reportedUtil, s.lastUtil, float64(s.lastReport), s.probedInFlight, float64(s.lastProbeAnswer),
-			float64(s.lastProbe), s.Place, float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate,
+			float64(s.lastProbe), s.SubsetRank, float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate,
 			float64(s.ejectedUntil), float64(s.readmittedAt), s.othersShare, s.coldAllowance, s.weight,
 			float64(len(s.inFlight)), float64(min(s.lastOutcome, 1)))
 		flags(s.outsideSubset, s.trialActive, s.imported)
@@ -81,10 +81,10 @@
 }
 
 // Remaining describes which events may still happen to a Balancer in a model checker.
-type Ahead struct {
-	Now      time.Duration
-	Requests int  // number of new requests before time advances
-	Looks    bool // health may be checked while a request is open
+type Remaining struct {
+	Now          time.Duration
+	Requests     int  // number of new requests before time advances
+	HealthChecks bool // health may be checked while a request is open
 }
 
 // ReducedFingerprint appends a Fingerprint without the state that no decision will read any more. It
@@ -98,8 +98,8 @@
 //   - Failure rates are read only to eject servers: if the outcomes that may still come cannot cause an
 //     ejection, the rates are left out.
 //   - The retry budget is read only if it might not suffice for the attempts that there may be.
-func (b *Balancer) Outlook(dst []byte, remaining Ahead) []byte {
-	if remaining.Looks {
+func (b *Balancer) ReducedFingerprint(dst []byte, remaining Remaining) []byte {
+	if remaining.HealthChecks {
 		return b.Fingerprint(dst)
 	}
 	num := func(all ...float64) { dst = appendNumbers(dst, all) }
@@ -162,13 +162,13 @@
 }
 
 // TimerPending reports whether the timer still has an effect.
-func (b *Balancer) Heeds(token uint64) bool {
+func (b *Balancer) TimerPending(token uint64) bool {
 	return token == tickToken || b.timers[token] != nil
 }
 
 // Clone returns an equal Balancer that takes its random numbers from src. It must not have requests that
 // wait for probes.
-func (b *Balancer) Copy(src rand.Source) *Balancer {
+func (b *Balancer) Clone(src rand.Source) *Balancer {
 	clone := *b
 	clone.rng, clone.actions = rand.New(src), nil
 	clone.meanLatency, clone.minLatency = slices.Clone(b.meanLatency), slices.Clone(b.minLatency)
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -17,32 +17,32 @@
 	OtherAnswered // another attempt of the request was answered
 
 	// Of a Refuse or a Fail.
-	Overloaded     // shed because of congestion
-	ServersBusy    // shed because the best server drawn has too many requests in flight
-	NoServer       // no server may get the request
-	NotRepeatable  // an attempt may have run, and the request may not be repeated
-	RetryBudget    // the retry budget is empty
-	MostAttempts   // the request has had the maximum number of attempts
-	AttemptNotSent // the last attempt could not be sent any more
+	Overloaded         // shed because of congestion
+	ServersBusy        // shed because the best server drawn has too many requests in flight
+	NoServer           // no server may get the request
+	NotRepeatable      // an attempt may have run, and the request may not be repeated
+	RetryBudgetEmpty   // the retry budget is empty
+	MaxAttemptsReached // the request has had the maximum number of attempts
+	AttemptNotSent     // the last attempt could not be sent any more
 	DeadlinePassed
 	reasonCount
 )
 
 var reasonNames = [reasonCount]string{
-	NoReason:       "none",
-	FirstAttempt:   "first",
-	Retry:          "retry",
-	Hedge:          "hedge",
-	ServerSilent:   "server silent",
-	OtherAnswered:  "other answered",
-	Overloaded:     "overloaded",
-	ServersBusy:    "servers busy",
-	NoServer:       "no server",
-	NotRepeatable:  "not repeatable",
-	RetryBudget:    "retry budget empty",
-	MostAttempts:   "attempts used up",
-	AttemptNotSent: "attempt not sent",
-	DeadlinePassed: "deadline passed",
+	NoReason:           "none",
+	FirstAttempt:       "first",
+	Retry:              "retry",
+	Hedge:              "hedge",
+	ServerSilent:       "server silent",
+	OtherAnswered:      "other answered",
+	Overloaded:         "overloaded",
+	ServersBusy:        "servers busy",
+	NoServer:           "no server",
+	NotRepeatable:      "not repeatable",
+	RetryBudgetEmpty:   "retry budget empty",
+	MaxAttemptsReached: "attempts used up",
+	AttemptNotSent:     "attempt not sent",
+	DeadlinePassed:     "deadline passed",
 }
 
 // String returns the name of the reason, as logs and metrics have it.
@@ -68,12 +68,12 @@
 func (b *Balancer) unsentReason(r *request) Reason {
 	first := r.mayHaveRun()
 	windowOver := first != nil && r.class.Effect == Keyed &&
-		b.now+b.windowMargin()-first.sent >= r.class.Window
+		b.now+b.windowMargin()-first.sent >= r.class.DedupWindow
 	switch {
 	case b.now >= r.Deadline:
 		return DeadlinePassed
 	case len(r.attempts) >= b.settings.MaxAttempts:
-		return MostAttempts
+		return MaxAttemptsReached
 	case windowOver || first != nil && r.class.Effect == Unsafe:
 		return NotRepeatable
 	}
--- a/choice/rescue_test.go
+++ b/choice/rescue_test.go
@@ -11,7 +11,7 @@
 // the budget.
 func TestRescueWithdrawsWhatItCanSendAgain(t *testing.T) {
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CanCancel: true, Tick: time.Millisecond,
-		Classes: []Class{{Name: "c", Effect: Safe, Aim: time.Second / 2, Deadline: time.Minute, Worth: 1}}}, 1)
+		Classes: []Class{{Name: "c", Effect: Safe, Aim: time.Second / 2, Deadline: time.Minute, Value: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -144,11 +144,11 @@
 // (slow start).
 func (s *server) warmupShare(b *Balancer) float64 {
 	age := b.now - s.Started
-	if s.Started == 0 || age >= b.settings.ColdFor {
+	if s.Started == 0 || age >= b.settings.SlowStartWindow {
 		return 1
 	}
-	return b.settings.ColdFrom +
-		(1-b.settings.ColdFrom)*max(0, float64(age)/float64(b.settings.ColdFor))
+	return b.settings.SlowStartMinShare +
+		(1-b.settings.SlowStartMinShare)*max(0, float64(age)/float64(b.settings.SlowStartWindow))
 }
 
 // overtaken reports whether its server has answered an attempt that was sent later by more than the mean
--- a/choice/window_test.go
+++ b/choice/window_test.go
@@ -13,8 +13,8 @@
 		after time.Duration
 		again bool
 	}{{window - tick - stall - time.Millisecond, true}, {window - tick - stall, false}, {window - tick, false}} {
-		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, Tick: tick, Stall: stall,
-			Classes: []Class{{Name: "c", Effect: Keyed, Window: window, Aim: time.Second / 2, Deadline: time.Minute, Worth: 1}}}, 1)
+		b, err := New(Settings{Balancers: 1, MaxAttempts: 3, Tick: tick, MaxSendDelay: stall,
+			Classes: []Class{{Name: "c", Effect: Keyed, DedupWindow: window, Aim: time.Second / 2, Deadline: time.Minute, Value: 1}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,8 +28,8 @@
 		if (len(again) == 1) != c.again {
 			t.Errorf("sent again %d times after %v", len(again), c.after)
 		}
-		if len(again) == 1 && c.after+again[0].Within+stall+tick > window {
-			t.Errorf("it may be written %v after the first, plus a delay of %v", c.after+again[0].Within, stall)
+		if len(again) == 1 && c.after+again[0].SendWithin+stall+tick > window {
+			t.Errorf("it may be written %v after the first, plus a delay of %v", c.after+again[0].SendWithin, stall)
 		}
 	}
 }
--- a/cmd/ternbeam-explore/main.go
+++ b/cmd/ternbeam-explore/main.go
@@ -75,7 +75,7 @@
 	debug.SetGCPercent(400) // most allocations are short-lived
 	report := explore.Explore(cfg, r.Most)
 	fmt.Printf("%d states, %d transitions, depth %d, %d ends, complete %t, in %v\n", report.States, report.Transitions,
-		report.Depth, report.Ends, report.Complete, report.Took.Round(1e6))
+		report.Depth, report.EndStates, report.Complete, report.Elapsed.Round(1e6))
 	if report.Fault == "" {
 		taken, all := report.Coverage()
 		fmt.Printf("%d of %d kinds of steps taken", taken, all)
@@ -85,12 +85,12 @@
 		fmt.Println()
 		return nil
 	}
-	if _, err := explore.Replay(cfg, report.Story, os.Stdout); err != nil {
+	if _, err := explore.Replay(cfg, report.Trace, os.Stdout); err != nil {
 		return err
 	}
-	fmt.Printf("%d steps: %s\n", len(report.Story), report.Fault)
+	fmt.Printf("%d steps: %s\n", len(report.Trace), report.Fault)
 	if r.Save != "" {
-		text, err := explore.Tell(cfg, report.Fault, report.Story)
+		text, err := explore.EncodeTrace(cfg, report.Fault, report.Trace)
 		if err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return explore.Config{}, nil, err
 	}
-	cfg, steps, err := explore.Read(text)
+	cfg, steps, err := explore.DecodeTrace(text)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", file, err)
 	}
@@ -144,12 +144,12 @@
 		return err
 	}
 	n := 0
-	explore.Stories(cfg, drive.Kinds(), func(trace []explore.Step) bool {
-		if drive.Possible(cfg, trace) != nil {
+	explore.ForEachTrace(cfg, drive.StepKinds(), func(trace []explore.Step) bool {
+		if drive.CheckForceable(cfg, trace) != nil {
 			return true
 		}
 		var text []byte
-		if text, err = explore.Tell(cfg, "", trace); err == nil {
+		if text, err = explore.EncodeTrace(cfg, "", trace); err == nil {
 			n++
 			err = os.WriteFile(filepath.Join(s.Into, fmt.Sprintf("%04d.json", n)), text, 0o644)
 		}
@@ -172,8 +172,8 @@
 	if err != nil {
 		return err
 	}
-	err = drive.Story(context.Background(), cfg, steps, drive.Options{Protocol: d.Protocol, Multiplexed: d.Multiplexed,
-		Deadline: d.Deadline, Patience: 10 * time.Second, Seeds: 16})
+	err = drive.Run(context.Background(), cfg, steps, drive.Options{Protocol: d.Protocol, Multiplexed: d.Multiplexed,
+		Deadline: d.Deadline, StepTimeout: 10 * time.Second, Seeds: 16})
 	if err == nil {
 		fmt.Println("the agent behaved as in the trace")
 	}
--- a/cmd/ternbeam-fleet/main.go
+++ b/cmd/ternbeam-fleet/main.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Change(c.Agents, c.Servers, c.All, c.Rate, c.Seed, c.Places); err != nil {
+	if err := s.Override(c.Agents, c.Servers, c.All, c.Rate, c.Seed, c.Places); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
--- a/cmd/ternbeam-kill/main.go
+++ b/cmd/ternbeam-kill/main.go
@@ -33,7 +33,7 @@
 	}
 	defer os.RemoveAll(dir)
 	result, err := killer.Run(killer.Options{Program: c.Program, Dir: dir, Kills: c.Kills, Seed: c.Seed})
-	result.Table(os.Stdout)
+	result.WriteTable(os.Stdout)
 	if err == nil && len(result.Faults) > 0 {
 		err = fmt.Errorf("%d faults", len(result.Faults))
 	}
--- a/cmd/ternbeam-lab/main.go
+++ b/cmd/ternbeam-lab/main.go
@@ -39,7 +39,7 @@
 
 // Run measures rollouts between pairs of protocols and prints a table.
 func (c *rolloutCommand) Run() error {
-	base := rollout.Settings{Servers: c.Servers, Rate: c.Rate, Every: c.Every, Hang: 4 * time.Second, Service: 30 * time.Millisecond, Seed: c.Seed}
+	base := rollout.Settings{Servers: c.Servers, Rate: c.Rate, ReplaceInterval: c.Every, HangTime: 4 * time.Second, ServiceTime: 30 * time.Millisecond, Seed: c.Seed}
 	var sets []rollout.Settings
 	for _, v := range []struct {
 		name             string
@@ -51,7 +51,7 @@
 		{"HTTP, list stale on the way back", "http", "http", "http", false, true},
 		{"binary to compact, list stale", "thrift-binary", "thrift-binary", "thrift-compact", false, true}} {
 		s := base
-		s.Name, s.Client, s.Old, s.New, s.Plain, s.Stale = v.name, v.client, v.old, v.new, v.plain, v.stale
+		s.Name, s.Client, s.Old, s.New, s.NoShapes, s.StaleList = v.name, v.client, v.old, v.new, v.plain, v.stale
 		sets = append(sets, s)
 	}
 	var results []rollout.Result
@@ -62,7 +62,7 @@
 		}
 		results = append(results, r)
 	}
-	return rollout.Table(os.Stdout, sets, results)
+	return rollout.WriteTable(os.Stdout, sets, results)
 }
 
 type crowdCommand struct {
@@ -83,10 +83,10 @@
 // Run measures fleets of each size and prints their figures.
 func (c *crowdCommand) Run() error {
 	for _, agents := range c.Agents {
-		f := crowd.Fleet{Agents: agents, Servers: c.Servers, Rate: c.Rate, Use: c.Use, Unequal: c.Unequal, Reports: c.Reports, Silent: c.Silent,
-			Warm: c.Warm, For: c.For, After: c.After, Seed: c.Seed}
+		f := crowd.Fleet{Agents: agents, Servers: c.Servers, Rate: c.Rate, Utilization: c.Use, Inequality: c.Unequal, Reports: c.Reports, Silent: c.Silent,
+			Warm: c.Warm, SilentFor: c.For, After: c.After, Seed: c.Seed}
 		if c.Unknown {
-			f.Place = func(int) (me, of int) { return -1, agents }
+			f.BelievedRank = func(int) (me, of int) { return -1, agents }
 		}
 		r, err := crowd.Measure(f)
 		if err != nil {
@@ -129,8 +129,8 @@
 		if err != nil {
 			return err
 		}
-		wrong, err := restart.Compare(traffic.rate, traffic.reports, []restart.Variant{{Name: restart.Without},
-			{Name: "wrong file", Past: restart.Wrong}}, c.Wrong)
+		wrong, err := restart.Compare(traffic.rate, traffic.reports, []restart.Variant{{Name: restart.WithoutState},
+			{Name: "wrong file", Restore: restart.WrongState}}, c.Wrong)
 		if err != nil {
 			return err
 		}
--- a/cmd/ternbeam-load/main.go
+++ b/cmd/ternbeam-load/main.go
@@ -227,7 +227,7 @@
 			return 0, err
 		}
 		defer client.Close()
-		if err := client.Ask(); err != nil {
+		if err := client.Call(); err != nil {
 			return 0, err
 		}
 	}
@@ -310,10 +310,10 @@
 // Run runs the agent, with an initial list that gives each server's protocol.
 func (a *agentRole) Run() error {
 	p := loadgen.Platform("127.0.0.1:0")
-	p.Discovery, p.Known = "127.0.0.1:1", discovery.List{Full: true}
+	p.Discovery, p.InitialList = "127.0.0.1:1", discovery.List{Full: true}
 	for protocol, all := range map[string][]string{"http": a.Backends, "thrift-binary": a.Binary, "thrift-compact": a.Compact} {
 		for i, addr := range all {
-			p.Known.Servers = append(p.Known.Servers, discovery.Entry{ID: fmt.Sprint(protocol, "-", i), Addr: addr,
+			p.InitialList.Servers = append(p.InitialList.Servers, discovery.Entry{ID: fmt.Sprint(protocol, "-", i), Addr: addr,
 				Zone: "z", State: "in_service", Protocol: protocol})
 		}
 	}
--- a/cmd/ternbeam/crowd_test.go
+++ b/cmd/ternbeam/crowd_test.go
@@ -60,7 +60,7 @@
 	eventuallyReady(t, listen)
 	c := patientClient{listen: listen, name: "client", class: "form-check"}
 	c.run(t, 20)
-	if log.Has("accepting a connection failed") {
+	if log.Contains("accepting a connection failed") {
 		t.Error(log)
 	}
 }
--- a/cmd/ternbeam/main.go
+++ b/cmd/ternbeam/main.go
@@ -83,13 +83,13 @@
 }
 
 // loadTimeout is how long reading the configuration is retried at startup.
-const loadWithin = 3 * time.Second
+const loadTimeout = 3 * time.Second
 
 // loadConfig reads the configuration and retries after transient I/O errors.
 func loadConfig(ctx context.Context) (cfg *config.Config, err error) {
-	ctx, cancel := context.WithTimeout(ctx, loadWithin)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	err = transient.Until(ctx, func() error {
+	err = transient.Retry(ctx, func() error {
 		cfg, err = config.Load(os.Getenv)
 		return err
 	}, isTransientReadError)
@@ -98,10 +98,10 @@
 
 // isTransientReadError reports whether reading a file failed with an error that may go away. The errors given here are permanent:
 // there is no readable file at the path.
-var isTransientReadError = transient.Passing(syscall.ENOENT, syscall.EACCES, syscall.EISDIR, syscall.ENOTDIR, syscall.ELOOP, syscall.ENAMETOOLONG)
+var isTransientReadError = transient.ErrnoExcept(syscall.ENOENT, syscall.EACCES, syscall.EISDIR, syscall.ENOTDIR, syscall.ELOOP, syscall.ENAMETOOLONG)
 
 // logFlushTimeout is how long the exiting process waits for the reader of its log.
-const lastLinesWithin = 100 * time.Millisecond
+const logFlushTimeout = 100 * time.Millisecond
 
 // Run runs the agent until SIGTERM or SIGINT.
 func (r *runCommand) Run() error {
@@ -125,7 +125,7 @@
 			return fmt.Errorf("%s: %w", r.Thrift, err)
 		}
 	}
-	limit(cfg.Limits)
+	applyLimits(cfg.Limits)
 	var sources *sourceconf.Config
 	if r.Sources != "" {
 		if sources, err = loadSources(r.Sources); err != nil {
@@ -142,13 +142,13 @@
 			return fmt.Errorf("%s: %w", r.Peers, err)
 		}
 	}
-	opts := agent.Options{Service: service, Sources: sources, Peers: peerSettings, Shared: os.Getenv("TMPDIR")}
+	opts := agent.Options{Service: service, Sources: sources, Peers: peerSettings, SharedDir: os.Getenv("TMPDIR")}
 	if r.Translate != "" {
 		opts.Shapes = func() (*translate.Set, error) { return loadShapes(r.Translate) }
 	}
 	logWriter := logqueue.New(os.Stderr)
-	defer logWriter.Close(lastLinesWithin)
-	a, err := agent.NewWith(cfg, opts, slog.New(slog.NewTextHandler(logWriter, nil)))
+	defer logWriter.Close(logFlushTimeout)
+	a, err := agent.NewWithOptions(cfg, opts, slog.New(slog.NewTextHandler(logWriter, nil)))
 	if err != nil {
 		return err
 	}
@@ -157,11 +157,11 @@
 		if err != nil {
 			return err
 		}
-		a.Keep(set)
+		a.PersistLearned(set)
 	}
-	ticker := time.NewTicker(settleEvery)
+	ticker := time.NewTicker(idleGCInterval)
 	defer ticker.Stop()
-	go settle(ctx, ticker.C)
+	go collectWhenIdle(ctx, ticker.C)
 	return a.Run(ctx, reload)
 }
 
@@ -212,7 +212,7 @@
 				if cfg, err = config.Parse(text); err == nil {
 					classes = cfg.Module.Classes
 				} else {
-					err = config.Where(text, err)
+					err = config.WithPosition(text, err)
 				}
 			}
 			report(name, err)
--- a/cmd/ternbeam/members.go
+++ b/cmd/ternbeam/members.go
@@ -59,11 +59,11 @@
 		ctx, cancel = context.WithTimeout(ctx, c.For)
 		defer cancel()
 		h.Feed(ctx, func([]ledger.Entry) {})
-		return c.show(k.Stdout, h.Members())
+		return c.printMembers(k.Stdout, h.Members())
 	}
 	h.Feed(ctx, func(changes []ledger.Entry) {
 		fmt.Fprintf(k.Stdout, "%s: %d changes\n", time.Now().Format(time.TimeOnly), len(changes))
-		if e := c.show(k.Stdout, h.Members()); e != nil {
+		if e := c.printMembers(k.Stdout, h.Members()); e != nil {
 			err = e
 			stop()
 		}
@@ -71,9 +71,9 @@
 	return err
 }
 
-var stateNames = map[choice.State]string{choice.Ready: "ready", choice.Draining: "draining", choice.Gone: "gone"}
+var stateNames = map[choice.State]string{choice.Ready: "ready", choice.Draining: "draining", choice.Removed: "gone"}
 
-func (c *membersCommand) show(out io.Writer, all []membership.View) error {
+func (c *membersCommand) printMembers(out io.Writer, all []membership.MemberView) error {
 	if c.JSON {
 		type fact struct {
 			Name   string  `json:"name"`
@@ -94,7 +94,7 @@
 		for _, v := range all {
 			m := member{ID: v.ID, State: stateNames[v.State], Tier: v.Tier, Addrs: v.Addrs, Rule: v.Rule.String()}
 			for _, f := range v.Facts {
-				m.Facts = append(m.Facts, fact{f.Name, f.Value, f.Source, f.Age.Seconds(), f.Counts})
+				m.Facts = append(m.Facts, fact{f.Name, f.Value, f.Source, f.Age.Seconds(), f.InEffect})
 			}
 			shown = append(shown, m)
 		}
@@ -105,7 +105,7 @@
 	for _, v := range all {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t\t\t\t\t\n", v.ID, stateNames[v.State], v.Tier, v.Rule)
 		for _, f := range v.Facts {
-			fmt.Fprintf(w, "\t\t\t\t%s\t%s\t%s\t%v\t%t\n", f.Name, f.Value, f.Source, f.Age.Round(time.Millisecond), f.Counts)
+			fmt.Fprintf(w, "\t\t\t\t%s\t%s\t%s\t%v\t%t\n", f.Name, f.Value, f.Source, f.Age.Round(time.Millisecond), f.InEffect)
 		}
 	}
 	return w.Flush()
--- a/cmd/ternbeam/memory.go
+++ b/cmd/ternbeam/memory.go
@@ -13,7 +13,7 @@
 
 // applyLimits sets the processor and memory limits of the Go runtime to those of the platform. The live heap is small, so rare
 // collections cost little memory; near the limit they are more frequent.
-func limit(l config.Limits) {
+func applyLimits(l config.Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
 	}
@@ -24,12 +24,12 @@
 }
 
 // idleGCInterval is the maximum time without a garbage collection. One takes under a millisecond, since the live heap is small.
-const settleEvery = 5 * time.Second
+const idleGCInterval = 5 * time.Second
 
 // collectWhenIdle runs a garbage collection at each tick, unless the runtime has run one since the last tick. With GOGC at 400 %
 // the first collection waits for a heap of 16 MB (the runtime's minimum of 4 MB times four): an idle agent fills that over
 // minutes with memory that it does not need, which looks like a leak from outside.
-func settle(ctx context.Context, ticks <-chan time.Time) {
+func collectWhenIdle(ctx context.Context, ticks <-chan time.Time) {
 	seen := gcCycles()
 	for {
 		select {
--- a/cmd/ternbeam/memory_test.go
+++ b/cmd/ternbeam/memory_test.go
@@ -35,7 +35,7 @@
 	ticks := make(chan time.Time)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); settle(ctx, ticks) }()
+	go func() { defer close(ended); collectWhenIdle(ctx, ticks) }()
 	most := fill(func() {
 		ticks <- time.Time{}
 		ticks <- time.Time{} // taken once the first is done
--- a/cmd/ternbeam/openconnection_test.go
+++ b/cmd/ternbeam/openconnection_test.go
@@ -17,15 +17,15 @@
 	}
 	add(sysfault.Write, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE, syscall.EINVAL, syscall.EBADF, syscall.ENOTCONN, syscall.EFAULT)
 	add(sysfault.Read, syscall.EAGAIN, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EINVAL, syscall.EBADF, syscall.EFAULT)
-	add(sysfault.Receive, syscall.EAGAIN, syscall.ECONNRESET, syscall.ECONNREFUSED, syscall.ENOTCONN, syscall.ENOTSOCK, syscall.EINVAL, syscall.EBADF)
+	add(sysfault.RecvFrom, syscall.EAGAIN, syscall.ECONNRESET, syscall.ECONNREFUSED, syscall.ENOTCONN, syscall.ENOTSOCK, syscall.EINVAL, syscall.EBADF)
 	add(sysfault.Poll, syscall.EINVAL, syscall.EFAULT)
 	add(sysfault.Accept, syscall.EAGAIN, syscall.EINVAL, syscall.EBADF, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EPERM, syscall.EFAULT, syscall.ENOSR)
-	add(sysfault.EpollAdd, syscall.EBADF, syscall.EEXIST, syscall.EINVAL, syscall.ELOOP, syscall.ENOENT, syscall.EPERM)
-	add(sysfault.GetOption, syscall.ENOBUFS, syscall.EINVAL, syscall.ENOTSOCK, syscall.ENOPROTOOPT)
-	add(sysfault.SetOption, syscall.ENOBUFS, syscall.EINVAL, syscall.ENOPROTOOPT)
-	add(sysfault.LocalName, syscall.ENOBUFS, syscall.EINVAL)
-	add(sysfault.PeerName, syscall.ENOBUFS, syscall.ENOTCONN)
-	add(sysfault.Control, syscall.EMFILE, syscall.EAGAIN, syscall.EINVAL)
+	add(sysfault.EpollCtl, syscall.EBADF, syscall.EEXIST, syscall.EINVAL, syscall.ELOOP, syscall.ENOENT, syscall.EPERM)
+	add(sysfault.GetSockOpt, syscall.ENOBUFS, syscall.EINVAL, syscall.ENOTSOCK, syscall.ENOPROTOOPT)
+	add(sysfault.SetSockOpt, syscall.ENOBUFS, syscall.EINVAL, syscall.ENOPROTOOPT)
+	add(sysfault.GetSockName, syscall.ENOBUFS, syscall.EINVAL)
+	add(sysfault.GetPeerName, syscall.ENOBUFS, syscall.ENOTCONN)
+	add(sysfault.Fcntl, syscall.EMFILE, syscall.EAGAIN, syscall.EINVAL)
 	add(sysfault.Shutdown, syscall.ENOTCONN)
 	add(sysfault.Close, syscall.EIO, syscall.EINTR)
 	return all
@@ -43,7 +43,7 @@
 func TestServerConnectionsOutliveFailedCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
-		if fault.call != sysfault.Read && fault.call != sysfault.Write && fault.call != sysfault.Receive {
+		if fault.call != sysfault.Read && fault.call != sysfault.Write && fault.call != sysfault.RecvFrom {
 			continue
 		}
 		answerUnderFault(t, fault, func(string) func(netip.AddrPort) bool { return dialled })
--- a/cmd/ternbeam/pipelined_test.go
+++ b/cmd/ternbeam/pipelined_test.go
@@ -32,7 +32,7 @@
 	if c.conn, err = net.Dial("tcp", c.listen); err != nil {
 		return err
 	}
-	c.conn.SetDeadline(time.Now().Add(testkit.Patience))
+	c.conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	c.in = bufio.NewReader(c.conn)
 	return nil
 }
@@ -136,7 +136,7 @@
 	c := pipeliningClient{listen: listen, class: e.class}
 	signal := func() {
 		p.signals(t, syscall.SIGTERM)
-		testkit.Eventually(t, "it ends", func() bool { return p.log.Has("stage=begun") })
+		testkit.Eventually(t, "it ends", func() bool { return p.log.Contains("stage=begun") })
 	}
 	if e.before {
 		if _, err := c.connect("first"); err != nil {
--- a/cmd/ternbeam/randomfaults_test.go
+++ b/cmd/ternbeam/randomfaults_test.go
@@ -50,19 +50,19 @@
 		syscall.EAGAIN, syscall.ENOTCONN, syscall.EBADF, syscall.EINVAL, syscall.EFAULT}},
 	{sysfault.Write, []syscall.Errno{syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOBUFS, syscall.EPERM, syscall.ENETUNREACH,
 		syscall.ECONNRESET, syscall.EPIPE, syscall.EAGAIN, syscall.ENOTCONN, syscall.EBADF, syscall.EINVAL, syscall.EFAULT}},
-	{sysfault.Receive, []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOMEM, syscall.EINTR, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EBADF}},
+	{sysfault.RecvFrom, []syscall.Errno{syscall.ETIMEDOUT, syscall.ENOMEM, syscall.EINTR, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EBADF}},
 	{sysfault.Poll, []syscall.Errno{syscall.ENOMEM, syscall.EINTR, syscall.EINVAL}},
 	{sysfault.Accept, []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EPROTO,
 		syscall.ETIMEDOUT, syscall.EAGAIN, syscall.EPERM, syscall.EINVAL}},
 	{sysfault.Connect, []syscall.Errno{syscall.ETIMEDOUT, syscall.ECONNREFUSED, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EINTR,
 		syscall.EAGAIN, syscall.EACCES, syscall.ECONNRESET}},
 	{sysfault.NewSocket, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EACCES}},
-	{sysfault.EpollAdd, []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC, syscall.EPERM, syscall.EEXIST}},
-	{sysfault.GetOption, []syscall.Errno{syscall.ENOBUFS, syscall.EINVAL, syscall.ENOPROTOOPT}},
-	{sysfault.SetOption, []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINVAL}},
-	{sysfault.LocalName, []syscall.Errno{syscall.ENOBUFS, syscall.EINVAL}},
-	{sysfault.PeerName, []syscall.Errno{syscall.ENOBUFS, syscall.ENOTCONN}},
-	{sysfault.Control, []syscall.Errno{syscall.EMFILE, syscall.EINVAL}},
+	{sysfault.EpollCtl, []syscall.Errno{syscall.ENOMEM, syscall.ENOSPC, syscall.EPERM, syscall.EEXIST}},
+	{sysfault.GetSockOpt, []syscall.Errno{syscall.ENOBUFS, syscall.EINVAL, syscall.ENOPROTOOPT}},
+	{sysfault.SetSockOpt, []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINVAL}},
+	{sysfault.GetSockName, []syscall.Errno{syscall.ENOBUFS, syscall.EINVAL}},
+	{sysfault.GetPeerName, []syscall.Errno{syscall.ENOBUFS, syscall.ENOTCONN}},
+	{sysfault.Fcntl, []syscall.Errno{syscall.EMFILE, syscall.EINVAL}},
 }
 
 // randomFaults are the faults of one seed: in each of a row of moments some calls fail with some probability, on all sockets of the process.
@@ -246,7 +246,7 @@
 		return false
 	}
 	for _, process := range p.traced {
-		p.world.stood = append(p.world.stood, process.Standstills(longestStall)...)
+		p.world.stood = append(p.world.stood, process.StalledPeriods(longestStall)...)
 	}
 	problems, requests, served := p.world.judge()
 	if len(problems) > 0 && waited > answerLate && p.world.onlyLate() {
--- a/cmd/ternbeam/replace_test.go
+++ b/cmd/ternbeam/replace_test.go
@@ -140,7 +140,7 @@
 // says waits until a process has logged something.
 func (s *succession) says(p *process, line string) {
 	s.t.Helper()
-	for end := time.Now().Add(time.Minute); !p.log.Has(line); time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(time.Minute); !p.log.Contains(line); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
 			s.t.Fatalf("never says %q\n%s", line, p.log)
 		}
@@ -219,7 +219,7 @@
 		next := s.begin()
 		s.ready(next)
 		s.retire(now)
-		if !now.log.Has("replaced=true") {
+		if !now.log.Contains("replaced=true") {
 			t.Fatalf("nothing was handed over\n%s\n%s", now.log, next.log)
 		}
 		now = next
@@ -291,7 +291,7 @@
 	s.retire(old)
 	s.says(next, "the process before is gone")
 	serves("replaced after all")
-	if !next.log.Has("replacing another process") {
+	if !next.log.Contains("replacing another process") {
 		t.Errorf("the last one began from nothing\n%s", next.log)
 	}
 }
--- a/cmd/ternbeam/replacefaults_test.go
+++ b/cmd/ternbeam/replacefaults_test.go
@@ -29,14 +29,14 @@
 		{newer, sysfault.NewSocket, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS}},
 		{newer, sysfault.Connect, []syscall.Errno{syscall.EAGAIN, syscall.ECONNREFUSED, syscall.ENOBUFS}},
 		{newer, sysfault.Write, []syscall.Errno{syscall.EIO, syscall.EPIPE, syscall.EAGAIN}},
-		{newer, sysfault.RecvWith, []syscall.Errno{syscall.ENOMEM, syscall.EINTR, syscall.ECONNRESET}},
+		{newer, sysfault.RecvMsg, []syscall.Errno{syscall.ENOMEM, syscall.EINTR, syscall.ECONNRESET}},
 		{newer, sysfault.Read, []syscall.Errno{syscall.EIO, syscall.ECONNRESET, syscall.EAGAIN}},
 		{older, sysfault.Bind, []syscall.Errno{syscall.EIO, syscall.ENOSPC}},
 		{older, sysfault.Rename, []syscall.Errno{syscall.EIO, syscall.ENOSPC, syscall.EROFS}},
 		{older, sysfault.Accept, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS}},
 		{older, sysfault.Read, []syscall.Errno{syscall.EIO, syscall.ECONNRESET}},
-		{older, sysfault.Control, []syscall.Errno{syscall.EMFILE}},
-		{older, sysfault.SendWith, []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETOOMANYREFS}},
+		{older, sysfault.Fcntl, []syscall.Errno{syscall.EMFILE}},
+		{older, sysfault.SendMsg, []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ETOOMANYREFS}},
 		{older, sysfault.Write, []syscall.Errno{syscall.EIO, syscall.EPIPE}},
 	}
 }
--- a/cmd/ternbeam/replay.go
+++ b/cmd/ternbeam/replay.go
@@ -46,7 +46,7 @@
 	defer stop()
 	tap := &replay.Tap{To: c.To, Redactor: redactor, Log: slog.New(slog.NewTextHandler(os.Stderr, nil))}
 	err = tap.Run(ctx, c.Protocol, l, out)
-	fmt.Fprintf(k.Stdout, "%d exchanges recorded, %d left out\n", tap.Kept(), tap.Left())
+	fmt.Fprintf(k.Stdout, "%d exchanges recorded, %d left out\n", tap.Recorded(), tap.Dropped())
 	return err
 }
 
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	all, err := replay.Read(f)
+	all, err := replay.ReadRecording(f)
 	f.Close()
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Recording, err)
@@ -101,8 +101,8 @@
 	defer after.Close()
 	r := replay.Compare(before, after, all, 30*time.Second)
 	fmt.Fprintf(out, "to servers of %s: %d calls, %d with the same result, %d that the new shape can't represent, %d with a different result\n",
-		protocol, len(all), r.Same, len(r.Unfit), len(r.Different))
-	for _, line := range append(r.Unfit, r.Different...) {
+		protocol, len(all), r.Same, len(r.Untranslatable), len(r.Different))
+	for _, line := range append(r.Untranslatable, r.Different...) {
 		fmt.Fprintln(out, " ", line)
 	}
 	return len(r.Different), nil
--- a/cmd/ternbeam/signals_test.go
+++ b/cmd/ternbeam/signals_test.go
@@ -36,7 +36,7 @@
 	defer discovery.CloseClientConnections()
 	config, listen := configure(t, discovery.Listener.Addr().String(), settings)
 	p := start(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	testkit.Eventually(t, "it has its list", func() bool { return p.log.Has("backends=1") })
+	testkit.Eventually(t, "it has its list", func() bool { return p.log.Contains("backends=1") })
 
 	answered := make(chan string, 1)
 	go func() {
@@ -51,7 +51,7 @@
 	}()
 	<-taken
 	p.signals(t, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
-	testkit.Eventually(t, "it ends", func() bool { return p.log.Has("msg=ending") })
+	testkit.Eventually(t, "it ends", func() bool { return p.log.Contains("msg=ending") })
 	p.signals(t, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt.(syscall.Signal))
 	select {
 	case err := <-p.ended:
@@ -62,7 +62,7 @@
 	if got := <-answered; got != "200 checked /form-check/a1" {
 		t.Errorf("answered %s", got)
 	}
-	p.ends(t, testkit.Patience)
+	p.ends(t, testkit.WaitTimeout)
 	if n := strings.Count(p.log.String(), "msg=ending"); n != 1 {
 		t.Errorf("it ended %d times", n)
 	}
@@ -85,7 +85,7 @@
 	}
 	begin := time.Now()
 	p.signals(t, syscall.SIGTERM)
-	p.ends(t, testkit.Patience)
+	p.ends(t, testkit.WaitTimeout)
 	if took := time.Since(begin); took > 4*time.Second { // the list, or its absence, would have it ready after 5 s
 		t.Errorf("it ended after %v", took)
 	}
--- a/cmd/ternbeam/state.go
+++ b/cmd/ternbeam/state.go
@@ -51,13 +51,13 @@
 }
 
 // readFolder reads a state folder without locking it.
-func peek(folder string) (stored storedState, err error) {
-	records, report, err := store.Peek(store.Dir(folder), keeper.Bounds(1<<30))
+func readFolder(folder string) (stored storedState, err error) {
+	records, report, err := store.Peek(store.Dir(folder), keeper.StoreSettings(1<<30))
 	if err != nil {
 		return stored, err
 	}
 	stored.Report = report
-	stored.State, stored.Dropped, err = learned.Read(keeper.Records(records))
+	stored.State, stored.Dropped, err = learned.Read(keeper.LearnedRecords(records))
 	return stored, err
 }
 
@@ -79,7 +79,7 @@
 }
 
 // factRow is the output for one fact. Durations are in seconds.
-type shown struct {
+type factRow struct {
 	ID       string  `json:"id"`
 	Addr     string  `json:"addr"`
 	Age      float64 `json:"age_s"` // -1 if unknown
@@ -110,20 +110,20 @@
 		}
 		agingSettings = cfg.Aging
 	}
-	found, err := peek(c.Folder)
+	found, err := readFolder(c.Folder)
 	if err != nil {
 		return err
 	}
-	return show(k.Stdout, found, aging.New(agingSettings, found.State), keeper.Clock(), c.JSON)
+	return printFacts(k.Stdout, found, aging.New(agingSettings, found.State), keeper.Clock(), c.JSON)
 }
 
 // printFacts prints the stored facts, as JSON or as tables.
-func show(out io.Writer, found storedState, restored *aging.Past, now learned.Clock, asJSON bool) error {
-	age, known, shared := restored.ShowShared(now)
-	facts := []shown{}
-	for _, f := range restored.Show(now) {
-		facts = append(facts, shown{ID: f.ID, Addr: f.Addr, Age: ageSeconds(f.Age, f.Known), Rate: f.Rate, Trust: f.Now.Trust,
-			RateNow: f.Now.Rate, Failing: f.Failing, FailsNow: f.Now.Failing, Ejected: f.Ejected, TrialNow: f.Now.Ejected})
+func printFacts(out io.Writer, found storedState, restored *aging.Restored, now learned.Clock, asJSON bool) error {
+	age, known, shared := restored.SharedFacts(now)
+	facts := []factRow{}
+	for _, f := range restored.Facts(now) {
+		facts = append(facts, factRow{ID: f.ID, Addr: f.Addr, Age: ageSeconds(f.Age, f.AgeKnown), Rate: f.Rate, Trust: f.Current.Trust,
+			RateNow: f.Current.Rate, Failing: f.Failing, FailsNow: f.Current.Failing, Ejected: f.Ejected, TrialNow: f.Current.Ejected})
 	}
 	if asJSON {
 		return writeJSON(out, map[string]any{"agent": found.State.Shared.Agent, "age_s": ageSeconds(age, known),
@@ -175,7 +175,7 @@
 
 // Run reads everything and reports what can't be read.
 func (c *stateVerify) Run(k *kong.Kong) error {
-	found, err := peek(c.Folder)
+	found, err := readFolder(c.Folder)
 	dropped := found.droppedTexts()
 	if c.JSON {
 		result := map[string]any{"generation": found.Report.From, "batches": found.Report.Batches, "records": found.Report.Records,
@@ -215,15 +215,15 @@
 
 // Run prints the differences.
 func (c *stateDiff) Run(k *kong.Kong) error {
-	before, err := peek(c.Before)
+	before, err := readFolder(c.Before)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Before, err)
 	}
-	after, err := peek(c.After)
+	after, err := readFolder(c.After)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.After, err)
 	}
-	all := diff(before.State, after.State)
+	all := diffStates(before.State, after.State)
 	if c.JSON {
 		return writeJSON(k.Stdout, all)
 	}
@@ -243,7 +243,7 @@
 }
 
 // diffStates returns the servers whose state differs, apart from its age.
-func diff(before, after learned.State) (all []serverDiff) {
+func diffStates(before, after learned.State) (all []serverDiff) {
 	byID := func(s learned.State) map[string]*learned.Server {
 		m := map[string]*learned.Server{}
 		for _, b := range s.Buckets {
@@ -280,7 +280,7 @@
 
 // Run prints everything.
 func (c *stateExport) Run(k *kong.Kong) error {
-	found, err := peek(c.Folder)
+	found, err := readFolder(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -293,7 +293,7 @@
 
 // Run deletes everything, in the previous generation too.
 func (c *stateReset) Run(k *kong.Kong) (err error) {
-	st, _, err := store.Open(store.Dir(c.Folder), keeper.Bounds(1<<30))
+	st, _, err := store.Open(store.Dir(c.Folder), keeper.StoreSettings(1<<30))
 	if err != nil {
 		return err
 	}
@@ -301,7 +301,7 @@
 	var removed []store.Record
 	for _, name := range slices.Sorted(maps.Keys(st.All())) {
 		if r, _ := st.Get(name); r.Kind == learned.Kind {
-			r.Body, r.Gone = nil, true
+			r.Body, r.Deleted = nil, true
 			removed = append(removed, r)
 		}
 	}
--- a/cmd/ternbeam/state_test.go
+++ b/cmd/ternbeam/state_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st, _, err := store.Open(store.Dir(dir), keeper.Bounds(0))
+	st, _, err := store.Open(store.Dir(dir), keeper.StoreSettings(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,18 +60,18 @@
 // What is kept is shown with its age and worth, compared, checked and reset.
 func TestStateCommands(t *testing.T) {
 	dir := keptIn(t, map[string]float64{"a": 100, "b": 10})
-	found, err := peek(dir)
+	found, err := readFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := show(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), true); err != nil {
+	if err := printFacts(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), true); err != nil {
 		t.Fatal(err)
 	}
 	var said struct {
 		Agent   string
 		Age     float64 `json:"age_s"`
-		Servers []shown
+		Servers []factRow
 	}
 	if err := json.Unmarshal(out.Bytes(), &said); err != nil {
 		t.Fatal(err)
@@ -81,15 +81,15 @@
 		t.Errorf("%+v", said)
 	}
 	out.Reset()
-	if err := show(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), false); err != nil || !strings.Contains(out.String(), "1m") {
+	if err := printFacts(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), false); err != nil || !strings.Contains(out.String(), "1m") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
-	other, err := peek(keptIn(t, map[string]float64{"a": 50, "c": 1}))
+	other, err := readFolder(keptIn(t, map[string]float64{"a": 50, "c": 1}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var what []string
-	for _, d := range diff(found.State, other.State) {
+	for _, d := range diffStates(found.State, other.State) {
 		what = append(what, d.ID+" "+d.What)
 	}
 	if got := strings.Join(what, ", "); got != "a changed, b no longer known, c new" {
@@ -121,19 +121,19 @@
 	if err := run([]string{"state", "reset", dir}); err != nil {
 		t.Error(err)
 	}
-	if _, err := peek(dir); err == nil {
+	if _, err := readFolder(dir); err == nil {
 		t.Error("something is left after a reset")
 	}
 }
 
 // The merged view of a list and SRV records: states, rules, and each source's word.
 func TestMembersView(t *testing.T) {
-	names, err := standin.NewNames()
+	names, err := standin.NewNameServer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer names.Close()
-	if err := names.Set("_forms._tcp.example.org. 60 SRV 1 5 8001 a.example.org.", "a.example.org. 60 A 127.0.0.1"); err != nil {
+	if err := names.SetZone("_forms._tcp.example.org. 60 SRV 1 5 8001 a.example.org.", "a.example.org. 60 A 127.0.0.1"); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "sources.toml")
@@ -150,7 +150,7 @@
 	h.Feed(ctx, func([]ledger.Entry) { cancel() })
 	var out bytes.Buffer
 	c := membersCommand{JSON: true}
-	if err := c.show(&out, h.Members()); err != nil {
+	if err := c.printMembers(&out, h.Members()); err != nil {
 		t.Fatal(err)
 	}
 	var said []struct {
@@ -165,7 +165,7 @@
 		t.Errorf("%s", out.String())
 	}
 	c.JSON = false
-	if out.Reset(); c.show(&out, h.Members()) != nil || !strings.Contains(out.String(), "[127.0.0.1:8001]") {
+	if out.Reset(); c.printMembers(&out, h.Members()) != nil || !strings.Contains(out.String(), "[127.0.0.1:8001]") {
 		t.Errorf("%s", out.String())
 	}
 }
--- a/cmd/ternbeam/storedstate_test.go
+++ b/cmd/ternbeam/storedstate_test.go
@@ -22,7 +22,7 @@
 	}
 	program := filepath.Join(t.TempDir(), "ternbeam")
 	build := exec.CommandContext(t.Context(), "go", "build", "-o", program, "./cmd/ternbeam")
-	build.Dir = testkit.Root(t)
+	build.Dir = testkit.ModuleRoot(t)
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
--- a/cmd/ternbeam/systemcalls_test.go
+++ b/cmd/ternbeam/systemcalls_test.go
@@ -96,10 +96,10 @@
 	}
 	add(sysfault.Write, syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOBUFS, syscall.EPERM, syscall.EHOSTUNREACH)
 	add(sysfault.Read, syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOMEM, syscall.EHOSTUNREACH)
-	add(sysfault.Receive, syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOMEM)
+	add(sysfault.RecvFrom, syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOMEM)
 	add(sysfault.Poll, syscall.ENOMEM, syscall.EINTR)
 	add(sysfault.Accept, syscall.EMFILE, syscall.ENOBUFS, syscall.ETIMEDOUT, syscall.ECONNABORTED)
-	add(sysfault.EpollAdd, syscall.ENOMEM, syscall.ENOSPC)
+	add(sysfault.EpollCtl, syscall.ENOMEM, syscall.ENOSPC)
 	for _, call := range []sysfault.Call{sysfault.Read, sysfault.Write} {
 		all = append(all, callFault{call: call, limit: 1, every: 2}, callFault{call: call, limit: 7, every: 1})
 	}
--- a/cmd/ternbeam/thriftclients_test.go
+++ b/cmd/ternbeam/thriftclients_test.go
@@ -34,16 +34,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	server, err := standin.Start(standin.Options{ID: "s-0", Protocol: "thrift-binary", Service: 20 * time.Millisecond})
+	server, err := standin.Start(standin.Options{ID: "s-0", Protocol: "thrift-binary", ServiceTime: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Close)
-	list.Tell(server.Entry())
+	list.Update(server.Entry())
 	agent := &thriftAgent{inHTTP: free(t), inThrift: free(t)}
 	folder := t.TempDir()
 	config, service := filepath.Join(folder, "config.json"), filepath.Join(folder, "thrift.toml")
-	platform := standin.Platform{Listen: agent.inHTTP, Discovery: list.Addr(), Known: list.Full(), Deadline: deadline, Sockets: sockets}
+	platform := standin.Platform{Listen: agent.inHTTP, Discovery: list.Addr(), InitialList: list.Full(), Deadline: deadline, Sockets: sockets}
 	for path, text := range map[string]string{config: string(platform.Config()), service: strings.Replace(deploy.Thrift, "127.0.0.1:9090", agent.inThrift, 1)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -55,10 +55,10 @@
 }
 
 // askAgain asks a kiosk of one connection, and once more on a new one where that ended before anything of an answer had come.
-func askAgain(kiosk standin.Kiosk, ask standin.Ask) standin.Answer {
-	answer := kiosk.Ask(ask)
-	if answer.Kind == standin.Lost && answer.Took < ask.Left {
-		answer = kiosk.Ask(ask)
+func askAgain(kiosk standin.Kiosk, ask standin.Request) standin.Answer {
+	answer := kiosk.Do(ask)
+	if answer.Kind == standin.Lost && answer.Took < ask.TimeLeft {
+		answer = kiosk.Do(ask)
 	}
 	return answer
 }
@@ -74,7 +74,7 @@
 	random := rand.New(rand.NewPCG(1, xxhash.Sum64String(name)))
 	for call, end := 0, time.Now().Add(length); time.Now().Before(end); call++ {
 		id := fmt.Sprintf("%s-%d", name, call)
-		answer := askAgain(kiosk, standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, Left: deadline})
+		answer := askAgain(kiosk, standin.Request{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, TimeLeft: deadline})
 		if answer.Kind == standin.Lost {
 			unanswered++
 		}
@@ -108,11 +108,11 @@
 				all.Go(func() { askFor(t, agent.inThrift, fmt.Sprint("crowd-", i), length, crowd.rests, deadline) })
 			}
 			all.Wait()
-			if askFor(t, agent.inThrift, "afterwards", length/4, length/16, deadline) > 0 || p.log.Has("has stalled") {
+			if askFor(t, agent.inThrift, "afterwards", length/4, length/16, deadline) > 0 || p.log.Contains("has stalled") {
 				t.Error("the agent does not answer")
 			}
 			p.signals(t, syscall.SIGTERM)
-			p.ends(t, testkit.Patience)
+			p.ends(t, testkit.WaitTimeout)
 			if t.Failed() {
 				t.Log(p.log)
 			}
@@ -137,7 +137,7 @@
 				all.Go(func() { askInOrder(t, agent.inThrift, fmt.Sprint("client-", i), calls) })
 			}
 			all.Wait()
-			if fault.isLogged() && !log.Has("a call failed on a client's connection") {
+			if fault.isLogged() && !log.Contains("a call failed on a client's connection") {
 				t.Error("no failure is logged")
 			}
 			if t.Failed() {
@@ -162,7 +162,7 @@
 	defer kiosk.Close()
 	for call := range calls {
 		id := fmt.Sprintf("%s-%d", name, call)
-		answer := kiosk.Ask(standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, Left: randomDeadline})
+		answer := kiosk.Do(standin.Request{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, TimeLeft: randomDeadline})
 		if answer.Kind != standin.Served {
 			t.Errorf("%s: %v after %v, %v", id, answer.Kind, answer.Took, answer.Err)
 		}
--- a/cmd/ternbeam/translate.go
+++ b/cmd/ternbeam/translate.go
@@ -79,7 +79,7 @@
 func printLosses(set *translate.Set, out io.Writer) error {
 	for _, p := range set.Plans {
 		fmt.Fprintf(out, "%s to %s: ", p.From.Name, p.To.Name)
-		if all := p.Loses(); len(all) > 0 {
+		if all := p.Losses(); len(all) > 0 {
 			fmt.Fprintf(out, "loses %s\n", strings.Join(all, "; "))
 		} else {
 			fmt.Fprintln(out, "loses nothing")
@@ -91,7 +91,7 @@
 // printFates translates a message and prints the result of each of its fields, then the translated message.
 func printFates(out io.Writer, plan *translate.Plan, reply bool, input messageInput, encoding string) error {
 	m := &translate.Message{Method: input.Method, Target: input.Target, Body: append([]byte(input.Text), input.Body...), Thrift: input.Thrift}
-	params := translate.Words{Encoding: thriftwire.Binary, Envelope: translate.Envelope{Left: time.Second}}
+	params := translate.WriteOptions{Encoding: thriftwire.Binary, Envelope: translate.Envelope{TimeLeft: time.Second}}
 	if encoding == "compact" {
 		params.Encoding = thriftwire.Compact
 	}
@@ -99,18 +99,18 @@
 		m.Header = append(m.Header, translate.Header{Name: h[0], Value: h[1]})
 		switch {
 		case strings.EqualFold(h[0], "Idempotency-Key"):
-			params.Envelope.Idempotency = h[1]
+			params.Envelope.IdempotencyKey = h[1]
 		case strings.EqualFold(h[0], "X-Correlation-Id"):
 			params.Envelope.ID = h[1]
 		case strings.EqualFold(h[0], "X-Account"):
 			params.Envelope.Tenant = h[1]
 		}
 	}
-	fates, err := plan.Fates(m, reply)
+	fates, err := plan.Trace(m, reply)
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "read\tvalue\twritten\tvalue")
 	for _, f := range fates {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", f.From, f.Was, f.To, f.Becomes)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", f.From, f.FromValue, f.To, f.ToValue)
 	}
 	table.Flush()
 	if err != nil {
--- a/cmd/ternbeam/unknownstate_test.go
+++ b/cmd/ternbeam/unknownstate_test.go
@@ -23,7 +23,7 @@
 
 // Guards against client connections that end with no whole answer as a call on them fails while the kernel does not tell their state.
 func TestAnswersSurviveFailuresOfAnUnknownState(t *testing.T) {
-	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.Receive} {
+	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.RecvFrom} {
 		for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ENOTCONN} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				t.Parallel()
@@ -135,10 +135,10 @@
 	armed.Store(true)
 	c := patientClient{listen: listen, name: "client", class: "form-check"}
 	c.run(t, 2)
-	for _, period := range p.Standstills(hold) {
+	for _, period := range p.StalledPeriods(hold) {
 		if period.From.After(begin) && period.To.Before(time.Now()) {
 			return
 		}
 	}
-	t.Errorf("the hold of %v is not among %v", hold, p.Standstills(0))
+	t.Errorf("the hold of %v is not among %v", hold, p.StalledPeriods(0))
 }
--- a/cmd/ternbeam/unknownwait_test.go
+++ b/cmd/ternbeam/unknownwait_test.go
@@ -82,7 +82,7 @@
 		call       sysfault.Call
 		late, kept bool
 	}{
-		{sysfault.Accept, false, false}, {sysfault.Accept, true, false}, {sysfault.EpollAdd, false, false},
+		{sysfault.Accept, false, false}, {sysfault.Accept, true, false}, {sysfault.EpollCtl, false, false},
 		{sysfault.Read, false, false}, {sysfault.Read, false, true}, {sysfault.Read, true, true},
 	} {
 		for _, unknown := range []time.Duration{callFails + 100*time.Millisecond, time.Hour} {
@@ -104,7 +104,7 @@
 	world := newWorldRecord()
 	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), recordingServer(t, world))
 	wait.on = netip.MustParseAddrPort(listen)
-	chosen := []sysfault.Call{wait.call, sysfault.Read, sysfault.GetOption} // a call of the runtime that comes late has the whole process stand still
+	chosen := []sysfault.Call{wait.call, sysfault.Read, sysfault.GetSockOpt} // a call of the runtime that comes late has the whole process stand still
 	_, log := startUnderFaults(t, chosen, wait.decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	eventuallyReady(t, listen)
 	c := patientClient{listen: listen, name: "client", class: "form-check", keep: kept}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -29,7 +29,7 @@
 // instance is one balancer, with the scheduler of its list requests and its ranks at servers.
 type instance struct {
 	*choice.Balancer
-	scheduler *asking.Asker // nil if the list is pushed
+	scheduler *asking.Scheduler // nil if the list is pushed
 	subset    *subset.Subset
 }
 
@@ -57,11 +57,11 @@
 			if err != nil {
 				return err
 			}
-			listSettings := asking.Settings(m.Settings.List)
+			listSettings := asking.Settings(m.Settings.Pacing)
 			i = instance{Balancer: b, subset: subset.New(subset.Settings{Agents: listSettings.Agents, Me: listSettings.Me, Seed: m.Seed})}
 			if listSettings.Shared {
 				i.scheduler = asking.New(listSettings, m.Seed)
-				listAt = i.scheduler.Start(now)
+				listAt = i.scheduler.FirstCall(now)
 			}
 			instances[m.Instance] = i
 			actions = b.Start(now)
@@ -69,21 +69,21 @@
 			delete(instances, m.Instance)
 		case wire.Unavailable:
 			if i.scheduler != nil {
-				listAt = i.scheduler.Over(now, 0)
+				listAt = i.scheduler.CallEnded(now, 0)
 			}
 		case wire.Event:
 			switch e := m.Event.(type) {
 			case choice.ServerList:
 				for n, s := range e.Servers {
-					e.Servers[n].Place = i.subset.Place(s.ID)
+					e.Servers[n].SubsetRank = i.subset.Rank(s.ID)
 				}
 				if i.scheduler != nil && !m.Restored {
-					i.scheduler.Answered(now)
-					i.scheduler.Delivered()
+					i.scheduler.ResponseStarted(now)
+					i.scheduler.ListReceived()
 				}
 			case choice.TimerFired:
 				if e.Token == listTimerToken && i.scheduler != nil {
-					i.scheduler.Asked(now)
+					i.scheduler.CallStarted(now)
 					out.Write(wire.AppendListen(buf[:0], m.Instance))
 					continue
 				}
--- a/connectionends_test.go
+++ b/connectionends_test.go
@@ -17,8 +17,8 @@
 
 // exempt are functions in these packages that close something else, which the value names.
 var exempt = map[string]string{
-	"accept.NewSocket": "a descriptor of the listener", "httpfront.relay": "the answer", "httpfront.clear": "the answer", "httpfront.stop": "the upload",
-	"conntrack.Accept": "calls end", "thriftfront.Stop": "the listener", "thriftfront.forget": "only the state of a client",
+	"accept.NewSocket": "a descriptor of the listener", "httpfront.relay": "the answer", "httpfront.discard": "the answer", "httpfront.stop": "the upload",
+	"conntrack.Accept": "calls end", "thriftfront.Stop": "the listener", "thriftfront.remove": "only the state of a client",
 }
 
 // mayEndConnection reports whether a call expression may end a connection: by closing it, by an expired deadline, by a panic in a
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,7 +52,7 @@
 	pool    *pool.Pool
 	tracker *conntrack.Tracker
 
-	stateStore *keeper.Keeper // nil if learned state is not persisted
+	stateStore *keeper.Runner // nil if learned state is not persisted
 	bridge     *bridge.Bridge // nil if no shapes are configured
 	shapes     func() (*translate.Set, error)
 
@@ -71,29 +71,29 @@
 
 // New returns an Agent that is ready to Run. If service is not nil, the agent also accepts Thrift calls.
 func New(cfg *config.Config, service *thriftmap.Map, log *slog.Logger) (*Agent, error) {
-	return NewWith(cfg, Options{Service: service}, log)
+	return NewWithOptions(cfg, Options{Service: service}, log)
 }
 
 // Options are the optional parts of an agent that are not in its configuration.
 type Options struct {
-	Service *thriftmap.Map                 // the Thrift service; nil for HTTP only
-	Sources *sourceconf.Config             // sources of servers; nil for the platform's list only
-	Peers   *sharing.Settings              // gossip of server lists among agents; nil for none
-	Shapes  func() (*translate.Set, error) // reads the shapes of calls, at start and at each reload; nil for no translation
-	Shared  string                         // folder shared with a replacing process; empty for none
+	Service   *thriftmap.Map                 // the Thrift service; nil for HTTP only
+	Sources   *sourceconf.Config             // sources of servers; nil for the platform's list only
+	Peers     *sharing.Settings              // gossip of server lists among agents; nil for none
+	Shapes    func() (*translate.Set, error) // reads the shapes of calls, at start and at each reload; nil for no translation
+	SharedDir string                         // folder shared with a replacing process; empty for none
 }
 
 // NewWithOptions is New with more options.
-func NewWith(cfg *config.Config, opts Options, log *slog.Logger) (*Agent, error) {
+func NewWithOptions(cfg *config.Config, opts Options, log *slog.Logger) (*Agent, error) {
 	service, sources := opts.Service, opts.Sources
 	a := &Agent{cfg: cfg, thrift: service, log: log, tracker: conntrack.New(cfg.ClientSockets()), shapes: opts.Shapes}
-	a.claimState(opts.Shared)
-	pooled := pool.Settings{DialTimeout: cfg.ConnectTimeout(), IdleFor: cfg.IdleFor(), Most: cfg.BackendSockets(),
-		Illegal: a.recordIllegalStep, Addresses: addresses.Defaults}
+	a.claimState(opts.SharedDir)
+	pooled := pool.Settings{DialTimeout: cfg.ConnectTimeout(), IdleTimeout: cfg.IdleTimeout(), MaxConns: cfg.BackendSockets(),
+		OnIllegalStep: a.recordIllegalStep, Addresses: addresses.Defaults}
 	var feed core.Feed
 	if sources != nil {
 		pooled.Addresses = sources.Addresses
-		feed = members.New(members.Settings{Config: *sources, Discovery: cfg.Discovery, Known: cfg.Known, Asking: cfg.Asking, Zones: cfg.Host.Zones, Seed: cfg.Seed,
+		feed = members.New(members.Settings{Config: *sources, Discovery: cfg.Discovery, LastList: cfg.InitialList, Pacing: cfg.Pacing, Zones: cfg.Host.Zones, Seed: cfg.Seed,
 			Log: log}).Feed
 	}
 	a.pool = pool.New(pooled)
@@ -101,19 +101,19 @@
 		if sources != nil {
 			return nil, errors.New("server lists from other agents and additional sources of servers can't be combined yet")
 		}
-		peerHost, err := peers.New(peers.Settings{Settings: *opts.Peers, Listen: cfg.Peers.Listen, Peers: cfg.Peers.All, Discovery: cfg.Discovery,
-			Known: cfg.Known, Asking: cfg.Asking, Zones: cfg.Host.Zones, Seed: cfg.Seed, Log: log})
+		peerHost, err := peers.New(peers.Settings{Settings: *opts.Peers, Listen: cfg.Peers.Listen, Peers: cfg.Peers.Addrs, Discovery: cfg.Discovery,
+			LastList: cfg.InitialList, Asking: cfg.Pacing, Zones: cfg.Host.Zones, Seed: cfg.Seed, Log: log})
 		if err != nil {
 			return nil, err
 		}
 		feed = peerHost.Feed
 	}
-	transports := map[choice.Protocols]core.Transport{protocol.HTTP: httpback.New(a.pool, cfg.Fields, cfg.Long())}
+	transports := map[choice.Protocols]core.Transport{protocol.HTTP: httpback.New(a.pool, cfg.ReportFields, cfg.AllowsLongBodies())}
 	if service != nil {
 		t := thriftback.New(a.pool, service)
 		transports[protocol.ThriftBinary], transports[protocol.ThriftCompact] = t, t
 	}
-	var callRoutes *routes.Routes
+	var callRoutes *routes.Router
 	if opts.Shapes != nil {
 		set, err := opts.Shapes()
 		if err != nil {
@@ -122,24 +122,24 @@
 		if a.bridge, err = bridge.New(set, cfg, service); err != nil {
 			return nil, err
 		}
-		if callRoutes, err = a.bridge.Routes(); err != nil {
+		if callRoutes, err = a.bridge.NewRouter(); err != nil {
 			return nil, err
 		}
 		for p, t := range transports {
-			transports[p] = a.bridge.Over(t)
+			transports[p] = a.bridge.Wrap(t)
 		}
 	}
 	var err error
 	a.core, err = core.New(core.Settings{Module: cfg.Module, Seed: cfg.Seed, Zones: cfg.Host.Zones,
-		MostHeld: cfg.Host.Ceilings.MostHeld, Known: cfg.Known, Discovery: cfg.Discovery, Asking: cfg.Asking, Feed: feed, Pool: a.pool, Log: log,
-		Transports: transports, Illegal: a.recordIllegalStep, Routes: callRoutes,
-		Publish: cfg.Ops != "", Clients: a.tracker.Stats, Inherited: a.handover.inheritedState()})
+		MaxUnanswered: cfg.Host.Ceilings.MostHeld, InitialList: cfg.InitialList, Discovery: cfg.Discovery, Pacing: cfg.Pacing, Feed: feed, Pool: a.pool, Log: log,
+		Transports: transports, OnIllegalStep: a.recordIllegalStep, Routes: callRoutes,
+		OpsEnabled: cfg.Ops != "", ClientStats: a.tracker.Stats, Inherited: a.handover.inheritedState()})
 	return a, err
 }
 
 // PersistLearned makes the agent store what it learns in a folder, and start with the state that is stored there. It must be
 // called before Run.
-func (a *Agent) Keep(set stateconf.Config) {
+func (a *Agent) PersistLearned(set stateconf.Config) {
 	a.stateStore = keeper.New(keeper.Settings{Config: set, Name: a.cfg.Name, Seed: a.cfg.Seed, Log: a.log})
 }
 
@@ -216,14 +216,14 @@
 }
 
 // listenTimeout is how long opening a listener is retried after transient errors: an agent must be ready within 10 s.
-const listenWithin = 4 * time.Second
+const listenTimeout = 4 * time.Second
 
 // errNoLocalAddress is returned for a listener whose local address is unknown because getsockname(2) failed.
 var errNoLocalAddress = errors.New("the system does not report the local address of the listener")
 
 // isTransientErrno reports whether a listen error may be transient. The errors given here are permanent: they mean that the
 // address can't be listened on.
-var isTransientErrno = transient.Passing(syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EAFNOSUPPORT)
+var isTransientErrno = transient.ErrnoExcept(syscall.EACCES, syscall.EADDRNOTAVAIL, syscall.EAFNOSUPPORT)
 
 // isTransientListenError reports whether listening is worth a retry: an address in use may belong to a process that is shutting
 // down, and socket(2) may fail with EACCES for any address and succeed soon after.
@@ -235,22 +235,22 @@
 
 // listen opens a listener and retries after transient errors.
 func (a *Agent) listen(lc net.ListenConfig, addr string) (l net.Listener, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), listenWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	err = transient.Until(ctx, func() error {
+	err = transient.Retry(ctx, func() error {
 		if l, err = lc.Listen(ctx, "tcp", addr); err == nil && l.Addr() == nil { // getsockname(2) failed
 			l.Close()
 			err = errNoLocalAddress
 		}
 		return err
-	}, transient.TellingFirst(func(err error) {
+	}, transient.NotifyFirst(func(err error) {
 		a.log.Warn("listening failed", "address", addr, "error", err)
 	}, isTransientListenError))
 	return l, err
 }
 
 // OpsAddr returns the operations address, or an empty string if there is none.
-func (a *Agent) Ops() string {
+func (a *Agent) OpsAddr() string {
 	if a.ops == nil {
 		return ""
 	}
@@ -264,7 +264,7 @@
 func (a *Agent) Snapshot() core.Snapshot { return a.core.Snapshot() }
 
 // IllegalSteps returns the number of illegal state transitions so far.
-func (a *Agent) Illegal() int64 { return a.illegalSteps.Load() }
+func (a *Agent) IllegalSteps() int64 { return a.illegalSteps.Load() }
 
 func (a *Agent) thriftAddr() string {
 	if a.thrift == nil {
@@ -286,8 +286,8 @@
 	defer stop()
 	if a.stateStore != nil {
 		go a.stateStore.Run(a.core)
-		if restored := a.stateStore.Past(); restored != nil {
-			a.core.Remember(restored, a.stateStore.Clock)
+		if restored := a.stateStore.Restored(); restored != nil {
+			a.core.RestoreLearned(restored, a.stateStore.Clock)
 		}
 	}
 	go a.core.Run(work)
@@ -304,7 +304,7 @@
 		go func() { failed <- ops.Serve(a.ops) }()
 	}
 	a.log.Info("started", "name", a.cfg.Name, "listen", a.listeners[0].Addr().String(), "discovery", a.cfg.Discovery,
-		"backends", len(a.cfg.Known.Servers), "longest_deadline", a.cfg.LongestDeadline(), "cores", a.cfg.Limits.Cores, "memory_mb", a.cfg.Limits.MemoryMB,
+		"backends", len(a.cfg.InitialList.Servers), "longest_deadline", a.cfg.MaxDeadline(), "cores", a.cfg.Limits.Cores, "memory_mb", a.cfg.Limits.MemoryMB,
 		"sockets", a.cfg.Limits.Sockets)
 	for ctx.Err() == nil {
 		select {
@@ -316,16 +316,16 @@
 		}
 	}
 	begin, replaced := time.Now(), a.replaced()
-	plan := shutdown.Plan(a.cfg.LongestDeadline(), replaced)
-	a.core.End(begin, begin.Add(plan.AnswerBy))
+	plan := shutdown.Plan(a.cfg.MaxDeadline(), replaced)
+	a.core.BeginShutdown(begin, begin.Add(plan.AnswerBy))
 	a.log.Info("ending", "replaced", replaced, "answers_in", plan.AnswerBy, "closes_in", plan.CloseBy,
-		"killed_after", shutdown.KillAfter(a.cfg.LongestDeadline()))
+		"killed_after", shutdown.KillAfter(a.cfg.MaxDeadline()))
 	stopped := make(chan struct{}, len(fronts))
 	for _, f := range fronts {
 		go func() { f.Stop(begin, plan); stopped <- struct{}{} }()
 	}
 	if a.stateStore != nil {
-		a.stateStore.End() // immediately: an agent that shuts down too slowly is killed without further notice
+		a.stateStore.Close() // immediately: an agent that shuts down too slowly is killed without further notice
 	}
 	for range fronts {
 		<-stopped
@@ -338,7 +338,7 @@
 func (a *Agent) watchStalls(ctx context.Context) {
 	watch := stallwatch.Watch{Log: a.log, Interval: stallwatch.Interval, Limit: stallwatch.Limit}
 	watch.Run(ctx,
-		stallwatch.Check{Part: "event loop", Run: a.core.Respond},
+		stallwatch.Check{Part: "event loop", Run: a.core.Ping},
 		stallwatch.Check{Part: "connections of clients", Run: func(context.Context) { a.tracker.Count() }})
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -46,7 +46,7 @@
 func (tc testConfig) config(t *testing.T) *config.Config {
 	t.Helper()
 	if tc.deadline == 0 {
-		tc.deadline = testkit.Patience
+		tc.deadline = testkit.WaitTimeout
 	}
 	if tc.idle == 0 {
 		tc.idle = time.Minute
@@ -100,8 +100,8 @@
 	}
 	if folder != "" {
 		set := stateconf.Default(folder)
-		set.Load, set.End = testkit.Patience, testkit.Patience
-		a.Keep(set)
+		set.LoadTimeout, set.FinalWriteTimeout = testkit.WaitTimeout, testkit.WaitTimeout
+		a.PersistLearned(set)
 	}
 	return runAgent(t, a, cfg)
 }
@@ -242,7 +242,7 @@
 				t.Fatalf("%d connections kept", r.serverConns())
 			}
 			status, _ := do(t, r.newRequest(class, "second", 5, ""))
-			if n := seen.Of("second"); n != 1 {
+			if n := seen.Count("second"); n != 1 {
 				t.Errorf("the backend got the request %d times", n)
 			}
 			// A keyed request that may have run must not be refused.
@@ -394,7 +394,7 @@
 	if status, _ := do(t, r.newRequest("record", "id", 5, strings.Repeat("x", httpmsg.MaxBody+1))); status != 413 {
 		t.Errorf("an oversized body was answered %d", status)
 	}
-	if n := seen.Of("id"); n != 0 {
+	if n := seen.Count("id"); n != 0 {
 		t.Errorf("%d malformed requests were forwarded", n)
 	}
 	if status, _ := do(t, r.newRequest("record", "id", 5, strings.Repeat("x", httpmsg.MaxBody))); status != 200 {
@@ -410,7 +410,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	io.WriteString(c, text)
 	answer, err := io.ReadAll(c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -443,7 +443,7 @@
 				!regexp.MustCompile(`^HTTP/1\.[01] [45]`).MatchString(got) {
 				t.Errorf("answered %q", got)
 			}
-			if seen.Of("outer")+seen.Of("inner") != 0 {
+			if seen.Count("outer")+seen.Count("inner") != 0 {
 				t.Error("the request was forwarded")
 			}
 		})
@@ -504,8 +504,8 @@
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
 	testkit.Eventually(t, "the request has ended", func() bool { _, open := r.heldAndOpen(); return open == 0 })
-	if r.core.Snapshot().Stats.Gone != 1 {
-		t.Errorf("%d clients disconnected", r.core.Snapshot().Stats.Gone)
+	if r.core.Snapshot().Stats.Disconnected != 1 {
+		t.Errorf("%d clients disconnected", r.core.Snapshot().Stats.Disconnected)
 	}
 }
 
@@ -547,7 +547,7 @@
 	}
 	select {
 	case <-closed:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Error("the idle connection was kept")
 	}
 	testkit.Eventually(t, "the connection is no longer counted", func() bool { return r.serverConns() == 0 })
@@ -576,7 +576,7 @@
 	r.stop()
 	go ask("after")
 	<-arrived
-	time.Sleep(shutdown.Plan(r.cfg.LongestDeadline(), false).Accept + 100*time.Millisecond) // both calls must outlast the accept phase
+	time.Sleep(shutdown.Plan(r.cfg.MaxDeadline(), false).Accept + 100*time.Millisecond) // both calls must outlast the accept phase
 	close(release)
 	for range 2 {
 		if resp := <-answers; resp.StatusCode != 200 || !resp.Close {
@@ -588,7 +588,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Error("the agent is still running")
 	}
 	if c, err := net.Dial("tcp", r.cfg.Listen); err == nil {
@@ -600,7 +600,7 @@
 // If clients keep more connections than there are descriptors, the agent closes idle ones and no answer is lost.
 func TestIdleClientsGiveWay(t *testing.T) {
 	e := newBackend(t, "b", func(http.ResponseWriter, *http.Request) {})
-	cfg := testConfig{known: []discovery.Entry{e}, sockets: config.LeastSockets}.config(t)
+	cfg := testConfig{known: []discovery.Entry{e}, sockets: config.MinSockets}.config(t)
 	r := start(t, cfg)
 	for i := range 3 * cfg.ClientSockets() {
 		client := &http.Transport{}
@@ -620,7 +620,7 @@
 // once a fourth is in use, the first answer on a connection closes it. Connections with a second request are kept.
 func TestConnectionsEndWithTheAnswerWhereCrowded(t *testing.T) {
 	e := newBackend(t, "b", func(http.ResponseWriter, *http.Request) {})
-	r := start(t, testConfig{known: []discovery.Entry{e}, sockets: config.LeastSockets}.config(t))
+	r := start(t, testConfig{known: []discovery.Entry{e}, sockets: config.MinSockets}.config(t))
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections() // the one of the readiness check
 	ask := func(client *http.Transport, id string) (closes bool) {
 		t.Helper()
@@ -635,7 +635,7 @@
 		return resp.Close
 	}
 	closed := 0
-	for i := range config.LeastSockets / 2 {
+	for i := range config.MinSockets / 2 {
 		client := &http.Transport{}
 		defer client.CloseIdleConnections()
 		if ask(client, fmt.Sprint(i)) {
@@ -645,7 +645,7 @@
 		}
 	}
 	if closed == 0 {
-		t.Errorf("all of %d connections were kept", config.LeastSockets/2)
+		t.Errorf("all of %d connections were kept", config.MinSockets/2)
 	}
 }
 
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -18,7 +18,7 @@
 	for _, protocol := range loadgen.Protocols {
 		name := map[string]string{"http": "http", "binary": "thrift-binary", "compact": "thrift-compact"}[protocol]
 		p := loadgen.Platform("")
-		p.Discovery, p.Known = "127.0.0.1:1", discovery.List{Full: true}
+		p.Discovery, p.InitialList = "127.0.0.1:1", discovery.List{Full: true}
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -26,7 +26,7 @@
 			}
 			defer l.Close()
 			go loadgen.Serve(l, protocol)
-			p.Known.Servers = append(p.Known.Servers, discovery.Entry{ID: id, Addr: l.Addr().String(), Zone: "z",
+			p.InitialList.Servers = append(p.InitialList.Servers, discovery.Entry{ID: id, Addr: l.Addr().String(), Zone: "z",
 				State: "in_service", Protocol: name})
 		}
 		cfg, service, err := p.Load()
@@ -38,7 +38,7 @@
 		if protocol == "http" {
 			agentAddr = strings.TrimPrefix(r.url, "http://")
 		}
-		for path, addr := range map[string]string{"direct": p.Known.Servers[0].Addr, "agent": agentAddr} {
+		for path, addr := range map[string]string{"direct": p.InitialList.Servers[0].Addr, "agent": agentAddr} {
 			b.Run(protocol+"/"+path, func(b *testing.B) {
 				b.ReportAllocs()
 				b.SetParallelism(4)
@@ -50,7 +50,7 @@
 					}
 					defer c.Close()
 					for pb.Next() {
-						if err := c.Ask(); err != nil {
+						if err := c.Call(); err != nil {
 							b.Error(err)
 							return
 						}
--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -20,7 +20,7 @@
 	for _, variant := range protocolVariants[:2] {
 		t.Run(variant.name, func(t *testing.T) {
 			dir := t.TempDir()
-			silent := func(standin.Call) standin.Step { return standin.Step{Fault: standin.Silence} }
+			silent := func(standin.Call) standin.Step { return standin.Step{Fault: standin.NoReply} }
 			p := standin.Platform{Deadline: time.Second}
 			w := newTestbed(t, variant, p, nil, standin.Options{ID: "well"}, standin.Options{ID: "also"}, standin.Options{ID: "ill", Script: silent})
 			restart := func(untilLogged string) {
@@ -31,24 +31,24 @@
 				}
 				log := new(testkit.Log)
 				w.startAgent(t, variant, p, slog.New(slog.NewTextHandler(log, nil)), dir)
-				testkit.Eventually(t, "the log has "+untilLogged, func() bool { return log.Has(untilLogged) })
+				testkit.Eventually(t, "the log has "+untilLogged, func() bool { return log.Contains(untilLogged) })
 			}
 			restart("nothing is kept yet")
 			var asks sync.WaitGroup
 			for i := range 40 {
 				asks.Go(func() {
 					a := newAsk(standin.Check, fmt.Sprint("r", i))
-					a.Left = 900 * time.Millisecond
-					w.kiosk.Ask(a)
+					a.TimeLeft = 900 * time.Millisecond
+					w.kiosk.Do(a)
 				})
 			}
 			asks.Wait()
 			restart("learned: recalled")
-			records, _, err := store.Peek(store.Dir(dir), keeper.Bounds(0))
+			records, _, err := store.Peek(store.Dir(dir), keeper.StoreSettings(0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept, _, err := learned.Read(keeper.Records(records))
+			kept, _, err := learned.Read(keeper.LearnedRecords(records))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -59,14 +59,14 @@
 			for _, s := range w.servers { // all servers are replaced while no agent runs
 				e := s.Entry()
 				e.StartedMS++
-				w.list.Tell(e)
+				w.list.Update(e)
 			}
 			w.stop()
 			<-w.done
 			log := new(testkit.Log)
 			w.startAgent(t, variant, p, slog.New(slog.NewTextHandler(log, nil)), dir)
 			w.waitIdle(t) // the event loop has handled all earlier events
-			if !log.Has("learned: loaded") || log.Has("learned: recalled") {
+			if !log.Contains("learned: loaded") || log.Contains("learned: recalled") {
 				t.Errorf("after all servers were replaced the log is\n%s", log)
 			}
 		})
--- a/internal/agent/long_test.go
+++ b/internal/agent/long_test.go
@@ -84,7 +84,7 @@
 	b.mu.Unlock()
 	select {
 	case <-b.allArrived:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Errorf("%s: timed out at the barrier", id)
 	}
 }
@@ -170,7 +170,7 @@
 	checkGrowth("while 640 MB are downloaded", 1)
 	done.Wait()
 	for seed := range peers {
-		if n := counter.Of(fmt.Sprint("long-", seed)); n != 1 {
+		if n := counter.Count(fmt.Sprint("long-", seed)); n != 1 {
 			t.Errorf("call %d ran %d times", seed, n)
 		}
 	}
@@ -292,7 +292,7 @@
 		held, open := r.heldAndOpen()
 		return held == 0 && open == 0 && r.serverConns() == 0
 	})
-	if counter.Of("up") != 0 {
+	if counter.Count("up") != 0 {
 		t.Error("an incomplete call ran")
 	}
 }
@@ -353,7 +353,7 @@
 					t.Fatal(err)
 				}
 				defer conn.Close()
-				conn.SetDeadline(time.Now().Add(testkit.Patience))
+				conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 				for text := c.text; len(text) > 0; {
 					n := min(step, len(text))
 					if _, err := io.WriteString(conn, text[:n]); err != nil {
@@ -391,7 +391,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testkit.Patience))
+	conn.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	io.WriteString(conn, post("1", "Content-Length: 3\r\n", "one")+
 		post("2", "Transfer-Encoding: chunked\r\n", "3\r\ntwo\r\n0\r\n\r\n")+
 		post("3", "Content-Length: 5\r\n", "three")+
@@ -431,8 +431,8 @@
 			}
 			out.Close()
 		}()
-		if status, _ := do(t, req); status != http.StatusOK || counter.Of(id) != 1 {
-			t.Errorf("%d bytes: %d, ran %d times", c.size, status, counter.Of(id))
+		if status, _ := do(t, req); status != http.StatusOK || counter.Count(id) != 1 {
+			t.Errorf("%d bytes: %d, ran %d times", c.size, status, counter.Count(id))
 		}
 	}
 	for _, size := range []int{30_000, 150_000} {
@@ -442,13 +442,13 @@
 		}
 		defer conn.Close()
 		begin := time.Now()
-		conn.SetDeadline(begin.Add(testkit.Patience))
+		conn.SetDeadline(begin.Add(testkit.WaitTimeout))
 		io.WriteString(conn, post(fmt.Sprint("half", size), fmt.Sprintf("Content-Length: %d\r\n", size), strings.Repeat("x", size/2)))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err == nil && resp.StatusCode != http.StatusBadRequest {
 			t.Errorf("half of %d: %d", size, resp.StatusCode)
 		}
-		if counter.Of(fmt.Sprint("half", size)) != 0 {
+		if counter.Count(fmt.Sprint("half", size)) != 0 {
 			t.Error("an incomplete call ran")
 		}
 	}
@@ -523,7 +523,7 @@
 					t.Errorf("answered %d", resp.StatusCode)
 				}
 			}
-			if n := counter.Of(id); n != map[int]int{200: 1, 503: 0}[c.want] {
+			if n := counter.Count(id); n != map[int]int{200: 1, 503: 0}[c.want] {
 				t.Errorf("ran %d times", n)
 			}
 		})
--- a/internal/agent/operate_test.go
+++ b/internal/agent/operate_test.go
@@ -18,7 +18,7 @@
 // callOps sends a request to the operations address of an agent.
 func (r *runningAgent) callOps(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
-	req, err := http.NewRequest(method, "http://"+r.Ops()+path, nil)
+	req, err := http.NewRequest(method, "http://"+r.OpsAddr()+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {})
 	r := testConfig{known: []discovery.Entry{e}}.startWithOps(t)
 	for range 100 {
-		c, err := net.Dial("tcp", r.Ops())
+		c, err := net.Dial("tcp", r.OpsAddr())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/parity_test.go
+++ b/internal/agent/parity_test.go
@@ -13,7 +13,7 @@
 
 // outcome is the expected result of a call.
 type outcome struct {
-	kind       standin.Kind
+	kind       standin.AnswerKind
 	deliveries int // to all servers together
 }
 
@@ -44,36 +44,36 @@
 		noEffects bool
 	}{
 		{name: "none", pods: 1, want: same(servedFirst)},
-		{name: "rejected once", script: standin.First(1, standin.Step{Fault: standin.Reject}), pods: 1, want: same(servedOnRetry)},
-		{name: "rejected, with another pod", script: standin.First(1, standin.Step{Fault: standin.Reject}), pods: 2,
-			want: same(outcome{standin.Refused, 2}), platform: standin.Platform{MostTries: 2}, noEffects: true},
-		{name: "always rejected", script: standin.First(9, standin.Step{Fault: standin.Reject}), pods: 1,
+		{name: "rejected once", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Reject}), pods: 1, want: same(servedOnRetry)},
+		{name: "rejected, with another pod", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Reject}), pods: 2,
+			want: same(outcome{standin.Refused, 2}), platform: standin.Platform{MaxAttempts: 2}, noEffects: true},
+		{name: "always rejected", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.Reject}), pods: 1,
 			want: same(outcome{standin.Refused, 3}), noEffects: true},
-		{name: "error", script: standin.First(1, standin.Step{Fault: standin.Error}), pods: 1, want: mayHaveRun},
-		{name: "reset before", script: standin.First(1, standin.Step{Fault: standin.ResetBefore}), pods: 1, want: mayHaveRun},
-		{name: "truncated reply", script: standin.First(1, standin.Step{Fault: standin.CutReply}), pods: 1, want: mayHaveRun},
-		{name: "slow reply", script: standin.First(1, standin.Step{Fault: standin.Trickle}), pods: 1, want: same(servedFirst),
+		{name: "error", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Error}), pods: 1, want: mayHaveRun},
+		{name: "reset before", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetBefore}), pods: 1, want: mayHaveRun},
+		{name: "truncated reply", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.CutReply}), pods: 1, want: mayHaveRun},
+		{name: "slow reply", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Trickle}), pods: 1, want: same(servedFirst),
 			least: 250 * time.Millisecond, most: 4 * time.Second},
-		{name: "spoilt", script: standin.First(1, standin.Step{Fault: standin.Spoilt}), pods: 1, want: mayHaveRun,
+		{name: "spoilt", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.InvalidBytes}), pods: 1, want: mayHaveRun,
 			most: 2 * time.Second},
-		{name: "reply to another call", script: standin.First(1, standin.Step{Fault: standin.WrongSeq}), pods: 1, want: mayHaveRun,
+		{name: "reply to another call", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.WrongSeq}), pods: 1, want: mayHaveRun,
 			most: 2 * time.Second},
-		{name: "reply of 2 GiB", script: standin.First(1, standin.Step{Fault: standin.HugeReply}), pods: 1, want: mayHaveRun,
+		{name: "reply of 2 GiB", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.HugeReply}), pods: 1, want: mayHaveRun,
 			most: 2 * time.Second},
-		{name: "reset after", script: standin.First(1, standin.Step{Fault: standin.ResetAfter}), pods: 1, want: same(servedFirst)},
-		{name: "two replies", script: standin.First(1, standin.Step{Fault: standin.TwoReplies}), pods: 1, want: same(servedFirst)},
-		{name: "silence", script: standin.First(9, standin.Step{Fault: standin.Silence}), pods: 1,
+		{name: "reset after", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetAfter}), pods: 1, want: same(servedFirst)},
+		{name: "two replies", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.TwoReplies}), pods: 1, want: same(servedFirst)},
+		{name: "silence", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.NoReply}), pods: 1,
 			platform: standin.Platform{Deadline: deadline}, least: deadline - 20*time.Millisecond, most: 3 * deadline,
 			want: map[standin.Method]outcome{standin.Check: refusedOnce, standin.Record: failedOnce, standin.Pay: failedOnce}},
 		// A call that may have run is retried only within its pod and deduplication window, and otherwise failed, never refused.
-		{name: "connection lost, with another pod", script: standin.First(9, standin.Step{Fault: standin.ResetBefore}), pods: 2,
+		{name: "connection lost, with another pod", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.ResetBefore}), pods: 2,
 			want:     map[standin.Method]outcome{standin.Record: {standin.Failed, 2}, standin.Pay: failedOnce},
-			platform: standin.Platform{MostTries: 2}},
-		{name: "connection lost beyond the window", script: standin.First(1, standin.Step{Fault: standin.ResetBefore,
-			Delay: 100 * time.Millisecond}), pods: 1, platform: standin.Platform{Window: 50 * time.Millisecond},
+			platform: standin.Platform{MaxAttempts: 2}},
+		{name: "connection lost beyond the window", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetBefore,
+			Delay: 100 * time.Millisecond}), pods: 1, platform: standin.Platform{DedupWindow: 50 * time.Millisecond},
 			want: map[standin.Method]outcome{standin.Check: servedOnRetry, standin.Record: failedOnce, standin.Pay: failedOnce}},
 		// The reply arrives just as the deadline fires, or just after.
-		{name: "reply at the deadline", script: standin.First(9, standin.Step{Delay: deadline}), pods: 1,
+		{name: "reply at the deadline", script: standin.FirstDeliveries(9, standin.Step{Delay: deadline}), pods: 1,
 			platform: standin.Platform{Deadline: deadline}, want: nil, most: 3 * deadline},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -82,14 +82,14 @@
 				for m := standin.Check; m <= standin.Pay; m++ {
 					t.Run(fmt.Sprint(variant.name, " ", m), func(t *testing.T) {
 						t.Parallel()
-						first, second := standin.NewPod(), standin.NewPod()
+						first, second := standin.NewDedupGroup(), standin.NewDedupGroup()
 						if c.pods == 1 {
 							second = first
 						}
 						// Each case has its own testbed: a fault that the choice module has seen changes its later decisions.
 						w := newTestbed(t, variant, c.platform, nil,
-							standin.Options{ID: "a", Pod: first, Cell: 1, Script: c.script},
-							standin.Options{ID: "b", Pod: second, Cell: c.pods, Script: c.script})
+							standin.Options{ID: "a", DedupGroup: first, Cell: 1, Script: c.script},
+							standin.Options{ID: "b", DedupGroup: second, Cell: c.pods, Script: c.script})
 						w.expect(t, newAsk(m, "first"), c.want[m], c.least, c.most, c.noEffects, c.want == nil)
 						w.waitIdle(t)
 					})
@@ -101,12 +101,12 @@
 
 // expect makes one call and compares its outcome with want. With either, any outcome passes except a lost or rejected call, and
 // there must be exactly one delivery.
-func (w *testbed) expect(t *testing.T, a standin.Ask, want outcome, least, most time.Duration, noEffects, either bool) {
+func (w *testbed) expect(t *testing.T, a standin.Request, want outcome, least, most time.Duration, noEffects, either bool) {
 	t.Helper()
-	got := w.kiosk.Ask(a)
+	got := w.kiosk.Do(a)
 	effects, deliveries := w.effects(a), w.deliveries(a.ID)
 	if either {
-		if got.Kind == standin.Lost || got.Kind == standin.TurnedDown || deliveries != 1 {
+		if got.Kind == standin.Lost || got.Kind == standin.BadRequest || deliveries != 1 {
 			t.Errorf("%s was %s after %d deliveries: %v", a.ID, got.Kind, deliveries, got.Err)
 		}
 	} else if want != (outcome{}) && (got.Kind != want.kind || deliveries != want.deliveries) {
@@ -114,7 +114,7 @@
 			want.deliveries, got.Err)
 	}
 	if got.Kind == standin.Served {
-		text := map[standin.Method]string{standin.Check: "checked " + a.Key + " ", standin.Record: "receipt of " + a.Idempotency,
+		text := map[standin.Method]string{standin.Check: "checked " + a.Key + " ", standin.Record: "receipt of " + a.IdempotencyKey,
 			standin.Pay: "receipt of " + a.ID}[a.Method]
 		if got.Text != text {
 			t.Errorf("%s was served %q, not %q", a.ID, got.Text, text)
@@ -132,7 +132,7 @@
 func TestRefusalSaysWhenAlike(t *testing.T) {
 	for _, variant := range protocolVariants {
 		w := newTestbed(t, variant, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
-		got := w.kiosk.Ask(newAsk(standin.Pay, "id"))
+		got := w.kiosk.Do(newAsk(standin.Pay, "id"))
 		if got.Kind != standin.Refused || got.RetryAfter != 300*time.Millisecond || got.Took > 2*time.Second {
 			t.Errorf("%s: %s, retry after %v, answered after %v", variant.name, got.Kind, got.RetryAfter, got.Took)
 		}
@@ -144,7 +144,7 @@
 	for _, variant := range protocolVariants {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
-			pod := standin.NewPod()
+			pod := standin.NewDedupGroup()
 			hold := make(chan struct{})
 			script := func(c standin.Call) standin.Step {
 				if c.ID == "held" {
@@ -152,21 +152,21 @@
 				}
 				return standin.Step{}
 			}
-			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a", Pod: pod, Cell: 1, Script: script})
+			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a", DedupGroup: pod, Cell: 1, Script: script})
 			held := make(chan standin.Answer, 1)
-			go func() { held <- w.kiosk.Ask(newAsk(standin.Pay, "held")) }()
+			go func() { held <- w.kiosk.Do(newAsk(standin.Pay, "held")) }()
 			testkit.Eventually(t, "the call is in flight", func() bool { return w.deliveries("held") == 1 })
 			w.servers[0].Drain()
-			w.list.Tell(w.servers[0].Entry())
+			w.list.Update(w.servers[0].Entry())
 			testkit.Eventually(t, "the agent has the update", func() bool { return len(w.core.Snapshot().Servers) == 0 })
-			if got := w.kiosk.Ask(newAsk(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
+			if got := w.kiosk.Do(newAsk(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
 				t.Errorf("a new call was %s after %d deliveries", got.Kind, w.deliveries("new"))
 			}
 			close(hold)
 			if got := <-held; got.Kind != standin.Served {
 				t.Errorf("the call in flight was %s: %v", got.Kind, got.Err)
 			}
-			if n := w.servers[0].Late(); n != 0 {
+			if n := w.servers[0].LateCalls(); n != 0 {
 				t.Errorf("%d calls arrived after the drain", n)
 			}
 			w.waitIdle(t)
@@ -186,7 +186,7 @@
 			var all sync.WaitGroup
 			for i := range 5 {
 				all.Go(func() {
-					if got := w.kiosk.Ask(newAsk(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
+					if got := w.kiosk.Do(newAsk(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
 						t.Errorf("%s: %v", got.Kind, got.Err)
 					}
 				})
@@ -194,9 +194,9 @@
 			testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 5 })
 			w.stop()
 			if got := make(chan standin.Answer, 1); true {
-				go func() { got <- w.kiosk.Ask(newAsk(standin.Pay, "after")) }()
+				go func() { got <- w.kiosk.Do(newAsk(standin.Pay, "after")) }()
 				testkit.Eventually(t, "one more call is in flight", func() bool { return w.deliveries("after") == 1 })
-				time.Sleep(shutdown.Plan(w.cfg.LongestDeadline(), false).Accept + 50*time.Millisecond) // all calls must outlast the accept phase
+				time.Sleep(shutdown.Plan(w.cfg.MaxDeadline(), false).Accept + 50*time.Millisecond) // all calls must outlast the accept phase
 				close(release)
 				if ans := <-got; ans.Kind != standin.Served {
 					t.Errorf("a call that arrived during shutdown was %s: %v", ans.Kind, ans.Err)
@@ -208,7 +208,7 @@
 				if err != nil {
 					t.Error(err)
 				}
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Error("the agent is still running")
 			}
 		})
@@ -233,11 +233,11 @@
 		defer k.Close()
 		for j := range 20 {
 			a := newAsk(standin.Record, fmt.Sprint(i, "-", j))
-			if got := k.Ask(a); got.Kind != standin.Served {
+			if got := k.Do(a); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", c.kiosk, got.Kind, got.Err)
 			}
 			for s, id := range []string{"h", "b", "c", "t"} {
-				n := w.servers[s].Pod().Deliveries(a.ID)
+				n := w.servers[s].DedupGroup().Deliveries(a.ID)
 				if n > 0 && (id == c.never || id == c.never2 || c.kiosk == "http" && id != "h") {
 					t.Errorf("a call in %s went to server %s", c.kiosk, id)
 				}
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -11,7 +11,7 @@
 
 // reloadTimeout is how long reading a changed configuration is retried. Lists of the new discovery service must be in effect 4 s
 // after SIGHUP.
-const reloadWithin = 3 * time.Second
+const reloadTimeout = 3 * time.Second
 
 // reloads holds the latest reload. A new reload cancels one that is still in progress, since it reads the same files.
 type reloads struct {
@@ -27,7 +27,7 @@
 	if a.reloads.cancel != nil {
 		a.reloads.cancel()
 	}
-	ctx, cancel := context.WithTimeout(work, reloadWithin)
+	ctx, cancel := context.WithTimeout(work, reloadTimeout)
 	a.reloads.cancel = cancel
 	if a.bridge != nil {
 		go a.reloadPart(ctx, "keeping the old shapes", func() error { return a.reloadShapes(ctx) })
@@ -39,14 +39,14 @@
 // timeout.
 func (a *Agent) reloadPart(ctx context.Context, failureMsg string, read func() error) {
 	failures := 0
-	err := transient.Until(ctx, func() error {
+	err := transient.Retry(ctx, func() error {
 		a.reloads.mu.Lock()
 		defer a.reloads.mu.Unlock()
 		if ctx.Err() != nil {
 			return nil // a later reload is in progress, or the agent is shutting down
 		}
 		return read()
-	}, transient.TellingFirst(func(err error) {
+	}, transient.NotifyFirst(func(err error) {
 		a.log.Warn("reading the configuration failed, trying again", "error", err)
 	}, func(error) bool { failures++; return true }))
 	if err != nil && ctx.Err() != context.Canceled {
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	if err := a.bridge.Replace(set, func(t *routes.Table) error { return a.core.Reroute(ctx, t) }); err != nil {
+	if err := a.bridge.Replace(set, func(t *routes.Table) error { return a.core.ReplaceRoutes(ctx, t) }); err != nil {
 		return err
 	}
 	a.log.Info("new shapes", "shapes", len(set.Shapes), "mappings", len(set.Plans))
@@ -73,6 +73,6 @@
 	if err != nil {
 		return err
 	}
-	a.core.Follow(work, addr)
+	a.core.SetDiscovery(work, addr)
 	return nil
 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -101,7 +101,7 @@
 func TestAsksForTheList(t *testing.T) {
 	calls := 0
 	cfg := testConfig{}.config(t)
-	cfg.Asking.Shared = true
+	cfg.Pacing.Shared = true
 	cfg.Discovery = newListService(t, func(w http.ResponseWriter, _ *http.Request) bool {
 		if calls++; calls == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -121,7 +121,7 @@
 func TestNotReadyWithoutServers(t *testing.T) {
 	release := make(chan struct{})
 	cfg := testConfig{}.config(t)
-	cfg.Asking.Shared, cfg.Known.Servers = true, nil
+	cfg.Pacing.Shared, cfg.InitialList.Servers = true, nil
 	cfg.Discovery = newListService(t, func(_ http.ResponseWriter, r *http.Request) bool {
 		select {
 		case <-release:
@@ -163,7 +163,7 @@
 	first, second := newDiscoveryServer(t, 40, entry("old")), newDiscoveryServer(t, 3, entry("new"))
 	cfg := testConfig{}.config(t)
 	cfg.Discovery, cfg.Path = first.addr(), filepath.Join(t.TempDir(), "config.json")
-	cfg.Asking.Grace = 10 * time.Second // avoids a second call in parallel to one that is answered, also on a busy machine
+	cfg.Pacing.Grace = 10 * time.Second // avoids a second call in parallel to one that is answered, also on a busy machine
 	r := start(t, cfg)
 	testkit.Eventually(t, "the first is watched", func() bool { return len(first.requests()) == 1 })
 	first.changes <- discovery.List{Version: 41, Full: true, Servers: []discovery.Entry{entry("old")}}
@@ -210,7 +210,7 @@
 			r := startWithState(t, cfg, nil, slog.New(slog.NewTextHandler(&log, nil)), "")
 			broken(t, cfg.Path)
 			r.reload <- syscall.SIGHUP
-			testkit.Eventually(t, "reading has failed once", func() bool { return log.Has("trying again") })
+			testkit.Eventually(t, "reading has failed once", func() bool { return log.Contains("trying again") })
 			os.RemoveAll(cfg.Path)
 			writeConfig(t, cfg.Path, second.addr())
 			testkit.Eventually(t, "the second's list is in use", func() bool { return slices.Equal(r.serverIDs(), []string{"new"}) })
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -38,7 +38,7 @@
 // dnsTestbed is a testbed whose agent gets its servers from a list and from SRV records.
 type dnsTestbed struct {
 	*testbed
-	names   *standin.Names
+	names   *standin.NameServer
 	variant protocolVariant
 }
 
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	names, err := standin.NewNames()
+	names, err := standin.NewNameServer()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 	for _, o := range servers {
 		s.add(t, o)
 	}
-	if err := names.Set(s.records()...); err != nil {
+	if err := names.SetZone(s.records()...); err != nil {
 		t.Fatal(err)
 	}
 	conf, err := sourceconf.Parse(fmt.Appendf(nil, `[[dns]]
@@ -88,13 +88,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := standin.Platform{Discovery: list.Addr(), Known: list.Full(), Deadline: 5 * time.Second}
+	p := standin.Platform{Discovery: list.Addr(), InitialList: list.Full(), Deadline: 5 * time.Second}
 	cfg, service, err := p.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.Listen = "127.0.0.1:0"
-	a, err := NewWith(cfg, Options{Service: service, Sources: conf}, slog.New(slog.DiscardHandler))
+	a, err := NewWithOptions(cfg, Options{Service: service, Sources: conf}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	}
 	t.Cleanup(server.Close)
 	s.servers = append(s.servers, server)
-	s.list.Tell(server.Entry())
+	s.list.Update(server.Entry())
 	return server
 }
 
@@ -151,7 +151,7 @@
 					kiosks.Go(func() {
 						for i := 0; ctx.Err() == nil; i++ {
 							a := newAsk(standin.Check, fmt.Sprintf("k%d-%d", k, i))
-							if s.kiosk.Ask(a).Kind == standin.Served {
+							if s.kiosk.Do(a).Kind == standin.Served {
 								served.Add(1)
 							}
 						}
@@ -161,26 +161,26 @@
 				for n := range drainTrials(t, 3) {
 					id := fmt.Sprint("drains-", n)
 					server := s.add(t, options(id))
-					if err := s.names.Set(s.records()...); err != nil {
+					if err := s.names.SetZone(s.records()...); err != nil {
 						t.Fatal(err)
 					}
 					testkit.Eventually(t, "the server gets calls, and both sources have named it", func() bool {
 						mu.Lock()
 						defer mu.Unlock()
-						return !last[id].IsZero() && s.names.Named(id+".example.org.") > 3 // its addresses are queried after the SRV records
+						return !last[id].IsZero() && s.names.TargetStreak(id+".example.org.") > 3 // its addresses are queried after the SRV records
 					})
 					var notified time.Time
 					if by == "list" {
 						e := server.Entry()
 						e.State = "terminating"
 						notified = time.Now()
-						s.list.Tell(e)
+						s.list.Update(e)
 					} else {
-						if err := s.names.Set(s.records(id)...); err != nil {
+						if err := s.names.SetZone(s.records(id)...); err != nil {
 							t.Fatal(err)
 						}
 						testkit.Eventually(t, "the SRV records without the server were sent", func() (ok bool) {
-							notified, ok = s.names.Withdrawn(id + ".example.org.")
+							notified, ok = s.names.TargetRemoved(id + ".example.org.")
 							return ok
 						})
 					}
@@ -195,9 +195,9 @@
 					}
 					e := server.Entry()
 					e.State = "terminated"
-					s.list.Tell(e)
+					s.list.Update(e)
 					s.servers = slices.DeleteFunc(s.servers, func(o *standin.Server) bool { return o == server })
-					if err := s.names.Set(s.records()...); err != nil {
+					if err := s.names.SetZone(s.records()...); err != nil {
 						t.Fatal(err)
 					}
 					server.Close()
@@ -212,7 +212,7 @@
 // If the list service is down and the fleet is replaced, the agent follows the SRV records.
 func TestListDownAndFleetReplaced(t *testing.T) {
 	s := newDNSTestbed(t, protocolVariants[0], standin.Options{ID: "a"}, standin.Options{ID: "b"})
-	served := func(id string) bool { return s.kiosk.Ask(newAsk(standin.Check, id)).Kind == standin.Served }
+	served := func(id string) bool { return s.kiosk.Do(newAsk(standin.Check, id)).Kind == standin.Served }
 	if !served("first") {
 		t.Fatal("not served at first")
 	}
@@ -227,7 +227,7 @@
 		t.Cleanup(server.Close)
 		s.servers = append(s.servers, server)
 	}
-	if err := s.names.Set(s.records()...); err != nil {
+	if err := s.names.SetZone(s.records()...); err != nil {
 		t.Fatal(err)
 	}
 	for _, server := range old {
@@ -289,7 +289,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	p.Discovery, p.Known = list.Addr(), list.Full()
+	p.Discovery, p.InitialList = list.Addr(), list.Full()
 	cfg, service, err := p.Load()
 	if err != nil {
 		t.Fatal(err)
@@ -339,12 +339,12 @@
 				methods := []standin.Method{standin.Check, standin.Record, standin.Pay}
 				for i := range 6 {
 					a := newAsk(methods[i%3], fmt.Sprint("c", i))
-					a.Left = 2500 * time.Millisecond
-					got := kiosk.Ask(a)
+					a.TimeLeft = 2500 * time.Millisecond
+					got := kiosk.Do(a)
 					if want := len(dead) < 3; (got.Kind == standin.Served) != want {
 						t.Errorf("%s: %v, %v", a.ID, got.Kind, got.Err)
 					}
-					if n := server.Pod().Deliveries(a.ID); n > 1 || n == 0 && got.Kind == standin.Served {
+					if n := server.DedupGroup().Deliveries(a.ID); n > 1 || n == 0 && got.Kind == standin.Served {
 						t.Errorf("%s was delivered %d times", a.ID, n)
 					}
 					if len(dead) == 3 {
@@ -383,10 +383,10 @@
 					}
 				}()
 				r, kiosk := startWithAddresses(t, variant, server, []string{server.Addr(), silent.Addr().String()},
-					standin.Platform{Deadline: 700 * time.Millisecond, Window: 300 * time.Millisecond})
+					standin.Platform{Deadline: 700 * time.Millisecond, DedupWindow: 300 * time.Millisecond})
 				a := newAsk(method, "stalls")
-				a.Left = 700 * time.Millisecond
-				if got := kiosk.Ask(a); got.Kind != standin.Failed {
+				a.TimeLeft = 700 * time.Millisecond
+				if got := kiosk.Do(a); got.Kind != standin.Failed {
 					t.Errorf("%v, %v", got.Kind, got.Err)
 				}
 				testkit.Eventually(t, "the agent is idle", func() bool { return r.Snapshot().Held == 0 })
--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -28,14 +28,14 @@
 
 // handoverState is what an Agent knows of the processes that it replaces and that replace it.
 type handoverState struct {
-	claimPath string          // socket on which a replacing process claims the state; empty if this process can't be replaced
-	received  *successor.Heir // what the previous process handed over; nil if there was none
+	claimPath string            // socket on which a replacing process claims the state; empty if this process can't be replaced
+	received  *successor.Result // what the previous process handed over; nil if there was none
 
 	mu          sync.Mutex
 	concurrent  int           // other processes that serve at the same time
 	successors  int           // those of them that replace this one
 	reoffer     chan struct{} // signals that no successor is left, so this process offers its state again
-	subscribers map[*successor.Link]*core.Other
+	subscribers map[*successor.Link]*core.Subscriber
 }
 
 // socketPath returns the path of the Unix socket in a folder. If the path is too long for a socket address, it opens the folder
@@ -66,7 +66,7 @@
 	a.handover.claimPath = path
 	received, err := successor.Claim(path, a.cfg.Name)
 	switch {
-	case errors.Is(err, successor.ErrNobody):
+	case errors.Is(err, successor.ErrNoPredecessor):
 		return
 	case err != nil:
 		a.log.Warn("starting from nothing, as what was left can't be had", "error", err)
@@ -76,20 +76,20 @@
 	var list discovery.List
 	if json.Unmarshal(received.State.List, &list) == nil && len(list.Servers) > 0 {
 		if received.State.Discovery != a.cfg.Discovery {
-			list.Version = discovery.Unknown // another discovery service numbers its versions differently
+			list.Version = discovery.UnknownVersion // another discovery service numbers its versions differently
 		}
 		list.Full = true
-		a.cfg.Known = list
+		a.cfg.InitialList = list
 	}
-	a.log.Info("replacing another process", "servers", len(list.Servers), "out", len(received.State.Said.Out), "listeners", len(received.Listeners))
+	a.log.Info("replacing another process", "servers", len(list.Servers), "out", len(received.State.Overrides.Offline), "listeners", len(received.Listeners))
 }
 
 // inheritedState returns the state that the core starts with, or nil if nothing was handed over.
-func (h *handoverState) inheritedState() *core.Inheritance {
+func (h *handoverState) inheritedState() *core.InheritedState {
 	if h.received == nil {
 		return nil
 	}
-	return &core.Inheritance{Said: h.received.State.Said, Learned: h.received.State.Learned}
+	return &core.InheritedState{Overrides: h.received.State.Overrides, Learned: h.received.State.Learned}
 }
 
 // inheritedListener returns the listener that was handed over for an address, or nil, and passes its ownership to the caller.
@@ -118,11 +118,11 @@
 				l.Close()
 			}
 		}
-		previous := a.core.Join(received.Link.Say)
+		previous := a.core.Subscribe(received.Link.Send)
 		a.processesChanged(1, 0)
 		go func() {
-			received.Link.Run(func(n succession.News) { a.core.Hear(ctx, n, previous) })
-			a.core.Part(previous)
+			received.Link.Run(func(n succession.Update) { a.core.ReceiveNews(ctx, n, previous) })
+			a.core.Unsubscribe(previous)
 			a.processesChanged(-1, 0)
 			a.log.Info("the process before is gone")
 		}()
@@ -153,11 +153,11 @@
 
 // newTakeoverServer starts the server from which the next process claims the state, and retries until its socket can be opened in
 // the shared folder. It returns nil if ctx is canceled first.
-func (a *Agent) newTakeoverServer(ctx context.Context) (server *successor.Offer) {
-	transient.Until(ctx, func() (err error) {
-		server, err = successor.NewOffer(a.handover.claimPath, a.cfg.Name, a.log)
+func (a *Agent) newTakeoverServer(ctx context.Context) (server *successor.Server) {
+	transient.Retry(ctx, func() (err error) {
+		server, err = successor.NewServer(a.handover.claimPath, a.cfg.Name, a.log)
 		return err
-	}, transient.TellingFirst(func(err error) {
+	}, transient.NotifyFirst(func(err error) {
 		a.log.Warn("until this succeeds a replacement begins from nothing, trying again", "error", err)
 	}, transient.Always))
 	return server
@@ -165,7 +165,7 @@
 
 // handOver returns the state and listeners for the next process, and subscribes it to updates.
 func (a *Agent) handOver(l *successor.Link) (succession.State, []*net.TCPListener, error) {
-	s, next, err := a.core.Leave(context.Background(), l.Say)
+	s, next, err := a.core.HandOver(context.Background(), l.Send)
 	s.Name = a.cfg.Name
 	for _, listener := range a.listeners {
 		s.Listeners = append(s.Listeners, listener.Addr().String())
@@ -173,7 +173,7 @@
 	a.handover.mu.Lock()
 	defer a.handover.mu.Unlock()
 	if a.handover.subscribers == nil {
-		a.handover.subscribers = map[*successor.Link]*core.Other{}
+		a.handover.subscribers = map[*successor.Link]*core.Subscriber{}
 	}
 	a.handover.subscribers[l] = next
 	return s, a.listeners, err
@@ -190,13 +190,13 @@
 	}
 	a.processesChanged(1, 1)
 	a.log.Info("a process that replaces this one has begun")
-	a.core.Tell(succession.News{Replaced: true}) // for the previous process
+	a.core.Broadcast(succession.Update{Replaced: true}) // for the previous process
 	replacedToo := false
-	l.Run(func(n succession.News) {
+	l.Run(func(n succession.Update) {
 		replacedToo = replacedToo || n.Replaced
-		a.core.Hear(context.Background(), n, next)
+		a.core.ReceiveNews(context.Background(), n, next)
 	})
-	a.core.Part(next)
+	a.core.Unsubscribe(next)
 	if replacedToo { // a third process serves now
 		a.processesChanged(-1, 0)
 		a.log.Info("the process that replaced this one was replaced, too")
@@ -224,7 +224,7 @@
 	if a.handover.concurrent > 0 {
 		parts = 2 // a third process starts only while the first shuts down
 	}
-	a.pool.Bound(max(1, a.cfg.BackendSockets()/parts))
+	a.pool.SetMaxConns(max(1, a.cfg.BackendSockets()/parts))
 	if a.cfg.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(a.cfg.Limits.HeapLimit() / int64(parts))
 	}
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testkit.Patience))
+	c.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	return c
 }
 
@@ -95,7 +95,7 @@
 			}
 			c.Close()
 		}
-		if got := w.kiosk.Ask(newAsk(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
+		if got := w.kiosk.Do(newAsk(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
 			t.Errorf("%v: the complete call was %s, the truncated one was delivered %d times", e, got.Kind, w.deliveries("cut"))
 		}
 		w.waitIdle(t)
@@ -322,7 +322,7 @@
 // All calls of a client that disconnects are canceled; a oneway is delivered even if its client disconnects.
 func TestThriftClientsThatLeave(t *testing.T) {
 	release := make(chan struct{})
-	w := newTestbed(t, protocolVariants[2], standin.Platform{MostTries: 1}, nil, standin.Options{ID: "s",
+	w := newTestbed(t, protocolVariants[2], standin.Platform{MaxAttempts: 1}, nil, standin.Options{ID: "s",
 		Script: func(c standin.Call) standin.Step {
 			if c.Method == standin.Note {
 				return standin.Step{}
@@ -336,8 +336,8 @@
 	testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 5 })
 	c.Close()
 	testkit.Eventually(t, "all calls have ended", func() bool { _, open := w.heldAndOpen(); return open == 0 })
-	if s := w.core.Snapshot().Stats; s.Gone != 5 {
-		t.Errorf("%d clients disconnected", s.Gone)
+	if s := w.core.Snapshot().Stats; s.Disconnected != 5 {
+		t.Errorf("%d clients disconnected", s.Disconnected)
 	}
 	for i := range 10 {
 		c := w.dial(t)
@@ -360,7 +360,7 @@
 				t.Parallel()
 				release := make(chan struct{})
 				defer close(release)
-				w := newTestbed(t, protocolVariants[1], standin.Platform{MostTries: 1}, func(text string) string {
+				w := newTestbed(t, protocolVariants[1], standin.Platform{MaxAttempts: 1}, func(text string) string {
 					return strings.Replace(text, "max_calls_per_connection = 64", "max_calls_per_connection = 2", 1)
 				}, standin.Options{ID: "s", Script: func(standin.Call) standin.Step { return standin.Step{Until: release} }})
 				c := w.dial(t)
@@ -379,7 +379,7 @@
 				}
 				c.Close()
 				closed := time.Now()
-				testkit.Eventually(t, "the calls have ended", func() bool { return w.core.Snapshot().Stats.Gone == 2 })
+				testkit.Eventually(t, "the calls have ended", func() bool { return w.core.Snapshot().Stats.Disconnected == 2 })
 				t.Logf("noticed after %v", time.Since(closed))
 				for i := range 10 {
 					if n := w.deliveries(fmt.Sprint("more", i)); n != 0 {
@@ -396,10 +396,10 @@
 	for _, variant := range protocolVariants[1:] {
 		w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "s"})
 		for i := range 3 {
-			if got := w.kiosk.Ask(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
+			if got := w.kiosk.Do(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
 				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
-			if got := w.kiosk.Ask(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
+			if got := w.kiosk.Do(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
 		}
@@ -439,7 +439,7 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		if got := w.kiosk.Ask(newAsk(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
+		if got := w.kiosk.Do(newAsk(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
 			t.Fatalf("another client's call was %s: %v", got.Kind, got.Err)
 		}
 		select {
@@ -460,7 +460,7 @@
 	w := newTestbed(t, protocolVariants[1], standin.Platform{}, func(text string) string {
 		text = strings.Replace(text, "idle_timeout_ms = 300000", "idle_timeout_ms = 100", 1)
 		return strings.Replace(text, "frame_timeout_ms = 2500", "frame_timeout_ms = 100", 1)
-	}, standin.Options{ID: "s", Service: 400 * time.Millisecond})
+	}, standin.Options{ID: "s", ServiceTime: 400 * time.Millisecond})
 	for name, text := range map[string][]byte{"nothing": nil, "half a frame": call(thriftwire.Binary, 1, "half")[:20]} {
 		c := w.dial(t)
 		c.Write(text)
@@ -476,7 +476,7 @@
 }
 
 // apacheService implements the service of a server that uses the Apache Thrift library.
-type apacheService struct{ standin.Pod }
+type apacheService struct{ standin.DedupGroup }
 
 func (s *apacheService) FormCheck(_ context.Context, h *formapi.Header, form []byte) (*formapi.FormResult_, error) {
 	return &formapi.FormResult_{Text: "checked " + h.GetKey() + " " + string(form)}, nil
@@ -514,13 +514,13 @@
 			thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), nil), factory)
 		server.SetLogger(func(string) {})
 		go server.Serve()
-		w := newTestbed(t, variant, standin.Platform{MostTries: 1}, nil)
-		w.list.Tell(discovery.Entry{ID: "apache", Addr: socket.Addr().String(), Zone: "z", State: "in_service",
+		w := newTestbed(t, variant, standin.Platform{MaxAttempts: 1}, nil)
+		w.list.Update(discovery.Entry{ID: "apache", Addr: socket.Addr().String(), Zone: "z", State: "in_service",
 			Protocol: variant.protocol})
 		testkit.Eventually(t, "the agent knows the server", func() bool { return len(w.core.Snapshot().Servers) == 1 })
 		for _, c := range []struct {
-			ask  standin.Ask
-			kind standin.Kind
+			ask  standin.Request
+			kind standin.AnswerKind
 			text string
 		}{
 			{newAsk(standin.Check, "1"), standin.Served, "checked form-1 "},
@@ -530,7 +530,7 @@
 			{newAsk(standin.Note, "4"), standin.Sent, ""},
 			{newAsk(standin.Check, "5"), standin.Served, "checked form-5 "},
 		} {
-			if got := w.kiosk.Ask(c.ask); got.Kind != c.kind || got.Text != c.text {
+			if got := w.kiosk.Do(c.ask); got.Kind != c.kind || got.Text != c.text {
 				t.Errorf("%s, %s: %s %q, %v", variant.name, c.ask.ID, got.Kind, got.Text, got.Err)
 			}
 		}
--- a/internal/agent/world_test.go
+++ b/internal/agent/world_test.go
@@ -49,7 +49,7 @@
 		}
 		t.Cleanup(s.Close)
 		w.servers = append(w.servers, s)
-		list.Tell(s.Entry())
+		list.Update(s.Entry())
 	}
 	w.editService = edit
 	w.startAgent(t, variant, p, discardLog(), "")
@@ -59,8 +59,8 @@
 // startAgent starts the first or the next agent, with learned state persisted in folder if it is not empty.
 func (w *testbed) startAgent(t *testing.T, variant protocolVariant, p standin.Platform, log *slog.Logger, folder string) {
 	t.Helper()
-	p.Discovery, p.Known = w.list.Addr(), w.list.Full()
-	p.Known.Version = 0 // makes the watch send the list, so that the agent is ready immediately
+	p.Discovery, p.InitialList = w.list.Addr(), w.list.Full()
+	p.InitialList.Version = 0 // makes the watch send the list, so that the agent is ready immediately
 	edit := w.editService
 	if edit == nil {
 		edit = func(text string) string { return text }
@@ -81,19 +81,19 @@
 }
 
 // newAsk returns a call with all fields that its method requires.
-func newAsk(m standin.Method, id string) standin.Ask {
-	a := standin.Ask{Method: m, ID: id, Tenant: "oban", Key: "form-" + id, Left: 5 * time.Second}
+func newAsk(m standin.Method, id string) standin.Request {
+	a := standin.Request{Method: m, ID: id, Tenant: "oban", Key: "form-" + id, TimeLeft: 5 * time.Second}
 	if m == standin.Record {
-		a.Idempotency = "once-" + id
+		a.IdempotencyKey = "once-" + id
 	}
 	return a
 }
 
 // effects returns how often a call took effect, over all pods.
-func (w *testbed) effects(a standin.Ask) (n int) {
+func (w *testbed) effects(a standin.Request) (n int) {
 	key := a.ID
-	if a.Idempotency != "" {
-		key = a.Idempotency
+	if a.IdempotencyKey != "" {
+		key = a.IdempotencyKey
 	}
 	for _, p := range w.pods() {
 		n += p.Effects(key)
@@ -109,12 +109,12 @@
 	return n
 }
 
-func (w *testbed) pods() (pods []*standin.Pod) {
-	seen := map[*standin.Pod]bool{}
+func (w *testbed) pods() (pods []*standin.DedupGroup) {
+	seen := map[*standin.DedupGroup]bool{}
 	for _, s := range w.servers {
-		if !seen[s.Pod()] {
-			seen[s.Pod()] = true
-			pods = append(pods, s.Pod())
+		if !seen[s.DedupGroup()] {
+			seen[s.DedupGroup()] = true
+			pods = append(pods, s.DedupGroup())
 		}
 	}
 	return pods
--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -50,9 +50,9 @@
 }
 
 // NewRouter returns a router over the current table that has learned nothing yet.
-func (b *Bridge) Routes() (*routes.Routes, error) {
+func (b *Bridge) NewRouter() (*routes.Router, error) {
 	s := b.current.Load()
-	return routes.New(routes.Settings{Forget: s.set.Forget, MostForget: s.set.MostForget}, s.table)
+	return routes.New(routes.Settings{Forget: s.set.Forget, MaxForget: s.set.MaxForget}, s.table)
 }
 
 // Replace replaces the set of shapes. The event loop must have the new table before any call refers to it, so use is called
@@ -76,7 +76,7 @@
 	index := map[*translate.Shape]int{}
 	for _, name := range slices.Sorted(maps.Keys(set.Shapes)) {
 		s := set.Shapes[name]
-		class := b.cfg.Class(s.Class)
+		class := b.cfg.ClassIndex(s.Class)
 		if class < 0 {
 			errs = append(errs, fmt.Errorf("shape %s: the settings have no class %q", name, s.Class))
 			continue
@@ -105,15 +105,15 @@
 	table := routes.NewTable(shapes)
 	// Lossless translations come first, those within the client's protocol before all others; else the order is that of the file.
 	for _, pass := range []func(*translate.Plan) bool{
-		func(p *translate.Plan) bool { return p.From.Protocol == p.To.Protocol && len(p.Loses()) == 0 },
-		func(p *translate.Plan) bool { return p.From.Protocol != p.To.Protocol && len(p.Loses()) == 0 },
-		func(p *translate.Plan) bool { return len(p.Loses()) > 0 },
+		func(p *translate.Plan) bool { return p.From.Protocol == p.To.Protocol && len(p.Losses()) == 0 },
+		func(p *translate.Plan) bool { return p.From.Protocol != p.To.Protocol && len(p.Losses()) == 0 },
+		func(p *translate.Plan) bool { return len(p.Losses()) > 0 },
 	} {
 		for _, p := range set.Plans {
 			_, from := index[p.From]
 			_, to := index[p.To]
 			if pass(p) && from && to {
-				if err := table.Link(p.From.Name, p.To.Name, p); err != nil {
+				if err := table.AddTranslation(p.From.Name, p.To.Name, p); err != nil {
 					return nil, err
 				}
 			}
@@ -123,46 +123,46 @@
 }
 
 // ErrUnknownShape is returned for a call whose class has shapes, none of which the call matches.
-var ErrShape = errors.New("in none of the shapes of its class")
+var ErrUnknownShape = errors.New("in none of the shapes of its class")
 
 // HTTP determines the shape of a request of a class, and sets the fields of the request that a transport needs for it. keyLast
 // reports whether the last segment of the path is the call's key. The tag is zero for a class without shapes. The error wraps
 // ErrUnknownShape.
-func (b *Bridge) HTTP(class string, r *httpmsg.Request) (tag routes.Tag, keyLast bool, err error) {
+func (b *Bridge) HTTP(class string, r *httpmsg.Request) (tag routes.CallShape, keyLast bool, err error) {
 	active := b.current.Load()
-	s := active.set.HTTP(class, r.Method, r.URL.EscapedPath())
+	s := active.set.HTTPShape(class, r.Method, r.URL.EscapedPath())
 	if s == nil {
-		if active.set.Class(class) {
-			err = fmt.Errorf("%s %s: %w", r.Method, r.URL.Path, ErrShape)
+		if active.set.HasClass(class) {
+			err = fmt.Errorf("%s %s: %w", r.Method, r.URL.Path, ErrUnknownShape)
 		}
 		return tag, true, err
 	}
 	applyShape(r, s)
-	return routes.Tag{Table: active.table, Shape: active.index[s], Spoken: protocol.HTTP}, s.KeyLast(), nil
+	return routes.CallShape{Table: active.table, Shape: active.index[s], Protocol: protocol.HTTP}, s.EndsInKey(), nil
 }
 
 // applyShape sets the fields of a request that tell a transport about its shape.
 func applyShape(r *httpmsg.Request, s *translate.Shape) {
-	r.Unknown, r.Pass, r.Wanted = s.Unknown, s.RequestHeaders(), s.ReplyHeaders()
+	r.UnknownShapeStatus, r.ForwardHeaders, r.ReplyHeaders = s.UnknownShapeCode, s.RequestHeaders(), s.ReplyHeaders()
 }
 
 // Thrift determines the shape of a call in an encoding, and sets the field of the call that a transport needs for it. The tag
 // is zero for a class without shapes. The error wraps ErrUnknownShape.
-func (b *Bridge) Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.Tag, error) {
+func (b *Bridge) Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.CallShape, error) {
 	active := b.current.Load()
-	s := active.set.Thrift(c.Method.Name) // in the table: the service has the method
+	s := active.set.ThriftShape(c.Method.Name) // in the table: the service has the method
 	if s == nil {
-		if active.set.Class(b.cfg.Module.Classes[c.Method.Class].Name) {
-			return routes.Tag{}, fmt.Errorf("method %q: %w", c.Method.Name, ErrShape)
+		if active.set.HasClass(b.cfg.Module.Classes[c.Method.Class].Name) {
+			return routes.CallShape{}, fmt.Errorf("method %q: %w", c.Method.Name, ErrUnknownShape)
 		}
-		return routes.Tag{}, nil
+		return routes.CallShape{}, nil
 	}
-	c.Unknown = int32(s.Unknown)
-	return routes.Tag{Table: active.table, Shape: active.index[s], Spoken: encoding}, nil
+	c.UnknownShapeType = int32(s.UnknownShapeCode)
+	return routes.CallShape{Table: active.table, Shape: active.index[s], Protocol: encoding}, nil
 }
 
 // Wrap returns a transport that translates the attempts whose route has a translation and passes all attempts on to t.
-func (b *Bridge) Over(t core.Transport) core.Transport { return transport{b, t} }
+func (b *Bridge) Wrap(t core.Transport) core.Transport { return transport{b, t} }
 
 type transport struct {
 	bridge *Bridge
@@ -170,21 +170,21 @@
 }
 
 // Attempt implements core.Transport.
-func (t transport) Attempt(ctx context.Context, attempt *core.Attempt) core.Ending {
+func (t transport) Attempt(ctx context.Context, attempt *core.Attempt) core.AttemptOutcome {
 	plan, ok := attempt.Way.Plan.(*translate.Plan)
 	if !ok {
 		return t.next.Attempt(ctx, attempt)
 	}
 	payload, err := t.bridge.translateRequest(ctx, attempt, plan)
 	if err != nil {
-		outcome := core.Ended(choice.NotSent)
-		outcome.Unfit = err
+		outcome := core.ResultOnly(choice.NotSent)
+		outcome.RequestUntranslatable = err
 		return outcome
 	}
 	attempt.Payload = payload
 	outcome := t.next.Attempt(ctx, attempt)
 	if outcome.Result == choice.OK {
-		outcome.Reply, outcome.Untold = t.bridge.translateReply(attempt, plan, outcome.Reply)
+		outcome.Reply, outcome.ReplyUntranslatable = t.bridge.translateReply(attempt, plan, outcome.Reply)
 	}
 	return outcome
 }
@@ -197,25 +197,25 @@
 // to the client.
 func (b *Bridge) translateRequest(ctx context.Context, attempt *core.Attempt, plan *translate.Plan) (any, error) {
 	in := &translate.Message{}
-	opts := translate.Words{Encoding: encodings[attempt.Speaks], Envelope: translate.Envelope{ID: attempt.Call.ID, Repeat: attempt.Call.Again,
-		Left: time.Second}}
+	opts := translate.WriteOptions{Encoding: encodings[attempt.Speaks], Envelope: translate.Envelope{ID: attempt.Call.ID, ClientRetry: attempt.Call.ClientRetry,
+		TimeLeft: time.Second}}
 	if deadline, ok := ctx.Deadline(); ok {
-		opts.Envelope.Left = time.Until(deadline)
+		opts.Envelope.TimeLeft = time.Until(deadline)
 	}
 	var header http.Header
 	switch p := attempt.Call.Payload.(type) {
 	case *httpmsg.Request:
 		header = p.Header
 		in.Method, in.Target, in.Body = p.Method, p.URL.RequestURI(), p.Body
-		for _, name := range p.Pass {
+		for _, name := range p.ForwardHeaders {
 			for _, value := range header[name] {
 				in.Header = append(in.Header, translate.Header{Name: name, Value: value})
 			}
 		}
-		opts.Envelope.Tenant, opts.Envelope.Idempotency = header.Get("X-Account"), header.Get("Idempotency-Key")
+		opts.Envelope.Tenant, opts.Envelope.IdempotencyKey = header.Get("X-Account"), header.Get("Idempotency-Key")
 	case *thriftmap.Call:
 		in.Thrift = p.Message
-		opts.Envelope.Tenant, opts.Envelope.Idempotency = p.Tenant, p.Idempotency
+		opts.Envelope.Tenant, opts.Envelope.IdempotencyKey = p.Tenant, p.IdempotencyKey
 	}
 	out, err := plan.Request(in, opts)
 	if err != nil {
@@ -233,13 +233,13 @@
 	if len(m.Body) > httpmsg.MaxBody {
 		return nil, fmt.Errorf("a body of %d bytes, %d at most", len(m.Body), httpmsg.MaxBody)
 	}
-	r := &httpmsg.Request{Method: m.Method, Target: m.Target, Fields: make([][2]string, 0, len(m.Header)+2), Body: m.Body}
+	r := &httpmsg.Request{Method: m.Method, Target: m.Target, HeaderFields: make([][2]string, 0, len(m.Header)+2), Body: m.Body}
 	for _, h := range m.Header {
-		r.Fields = append(r.Fields, [2]string{h.Name, h.Value})
+		r.HeaderFields = append(r.HeaderFields, [2]string{h.Name, h.Value})
 	}
 	for _, name := range [...]string{"X-Weight-Hint", "X-Facts"} { // hints by the client about its call, independent of the shape
 		for _, v := range header[name] {
-			r.Fields = append(r.Fields, [2]string{name, v})
+			r.HeaderFields = append(r.HeaderFields, [2]string{name, v})
 		}
 	}
 	applyShape(r, plan.To)
@@ -260,10 +260,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("the Thrift service can't read it: %w", err)
 	}
-	if c.ID != written.ID || c.Tenant != written.Tenant || c.Idempotency != written.Idempotency || c.Again != written.Repeat || c.Left <= 0 {
+	if c.ID != written.ID || c.Tenant != written.Tenant || c.IdempotencyKey != written.IdempotencyKey || c.ClientRetry != written.ClientRetry || c.TimeLeft <= 0 {
 		return nil, fmt.Errorf("the envelope of shape %s is not where the Thrift service has it", plan.To.Name)
 	}
-	c.Unknown = int32(plan.To.Unknown)
+	c.UnknownShapeType = int32(plan.To.UnknownShapeCode)
 	return c, nil
 }
 
@@ -280,7 +280,7 @@
 	case *thriftmap.Reply:
 		in.Thrift = r.Message
 	}
-	var opts translate.Words
+	var opts translate.WriteOptions
 	if c, ok := attempt.Call.Payload.(*thriftmap.Call); ok {
 		opts.Encoding = c.Head.Encoding
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -11,20 +11,20 @@
 var origin = time.Now()
 
 // Now returns the time since the Unix epoch: the wall clock at the start of the process plus the monotonic time since then.
-func Now() time.Duration { return Of(time.Now()) }
+func Now() time.Duration { return FromTime(time.Now()) }
 
 // FromTime converts a time that was read in this process, with its monotonic reading, to this clock.
-func Of(t time.Time) time.Duration {
+func FromTime(t time.Time) time.Duration {
 	return time.Duration(origin.UnixNano()) + t.Sub(origin)
 }
 
 // ToTime converts a time of this clock to a time.Time for timers and connection deadlines.
-func At(t time.Duration) time.Time {
+func ToTime(t time.Duration) time.Time {
 	return origin.Add(t - time.Duration(origin.UnixNano()))
 }
 
 // MinStep is the smallest difference between the clocks that counts as a step. The wall clock may be slewed by 0.5 ms per second.
-const LeastStep = 500 * time.Millisecond
+const MinStep = 500 * time.Millisecond
 
 // Steps detects steps of the wall clock. It is safe for concurrent use.
 type Steps struct {
@@ -35,7 +35,7 @@
 // Read compares both clocks and returns by how much the wall clock was stepped since the last Read, or 0 if it was not.
 func (s *Steps) Read() time.Duration {
 	now := time.Now()
-	return s.read(time.Duration(now.UnixNano()) - Of(now))
+	return s.read(time.Duration(now.UnixNano()) - FromTime(now))
 }
 
 func (s *Steps) read(offset time.Duration) (step time.Duration) {
@@ -43,7 +43,7 @@
 	defer s.mu.Unlock()
 	step = offset - s.offset
 	s.offset = offset
-	if step.Abs() < LeastStep {
+	if step.Abs() < MinStep {
 		return 0
 	}
 	return step
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 		t.Errorf("off by %v", off)
 	}
 	now := time.Now()
-	if back := At(Of(now)); !back.Equal(now) {
+	if back := ToTime(FromTime(now)); !back.Equal(now) {
 		t.Errorf("%v was converted to %v", now, back)
 	}
 }
@@ -18,10 +18,10 @@
 // Differences and deadlines follow the monotonic clock, so a step of the wall clock does not change them.
 func TestStepOfTheWallClockDoesNotMoveNow(t *testing.T) {
 	before := time.Now()
-	if later := Of(before.Add(time.Second)) - Of(before); later != time.Second {
+	if later := FromTime(before.Add(time.Second)) - FromTime(before); later != time.Second {
 		t.Errorf("a second became %v", later)
 	}
-	if until := time.Until(At(Now() + time.Hour)); until > time.Hour || until < time.Hour-time.Second {
+	if until := time.Until(ToTime(Now() + time.Hour)); until > time.Hour || until < time.Hour-time.Second {
 		t.Errorf("an hour became %v", until)
 	}
 }
--- a/internal/decide/addresses/addresses.go
+++ b/internal/decide/addresses/addresses.go
@@ -18,22 +18,22 @@
 const (
 	Unix Kind = iota // path of a Unix socket
 	IPv6
-	IPv4 // including IPv4-mapped IPv6 addresses
-	Name // a host name, resolved by the system
+	IPv4     // including IPv4-mapped IPv6 addresses
+	Hostname // a host name, resolved by the system
 )
 
 // unixPrefix precedes the path of a Unix socket in an address.
 const unixPrefix = "unix:"
 
 // Parse returns the kind of an address, and the network and target to pass to net.Dialer.
-func Of(addr string) (kind Kind, network, target string) {
+func Parse(addr string) (kind Kind, network, target string) {
 	if path, ok := strings.CutPrefix(addr, unixPrefix); ok {
 		return Unix, "unix", path
 	}
 	ap, err := netip.ParseAddrPort(addr)
 	switch {
 	case err != nil:
-		return Name, "tcp", addr
+		return Hostname, "tcp", addr
 	case ap.Addr().Unmap().Is4():
 		return IPv4, "tcp", addr
 	}
@@ -45,20 +45,20 @@
 
 // Settings configure a History and its races.
 type Settings struct {
-	Order     []Kind        // preferred kinds, the best first; kinds not listed come last
-	Delay     time.Duration // after which the next address is dialled in parallel if none has connected yet
-	Avoid     time.Duration // for which a failed address is tried last; doubles with each further failure
-	MostAvoid time.Duration // maximum of that
-	Remember  time.Duration // for which the address that connected last is tried first
-	Most      int           // maximum number of parallel dials of one race
+	Order    []Kind        // preferred kinds, the best first; kinds not listed come last
+	Delay    time.Duration // after which the next address is dialled in parallel if none has connected yet
+	Avoid    time.Duration // for which a failed address is tried last; doubles with each further failure
+	MaxAvoid time.Duration // maximum of that
+	Remember time.Duration // for which the address that connected last is tried first
+	MaxDials int           // maximum number of parallel dials of one race
 }
 
 // Defaults are the default settings. The delay is the one that RFC 8305, section 5, recommends.
 var Defaults = Settings{Order: []Kind{Unix, IPv6, IPv4}, Delay: 250 * time.Millisecond, Avoid: time.Second,
-	MostAvoid: time.Minute, Remember: 10 * time.Minute, Most: 3}
+	MaxAvoid: time.Minute, Remember: 10 * time.Minute, MaxDials: 3}
 
 // History records which addresses connected and which failed. It is not safe for concurrent use.
-type Book struct {
+type History struct {
 	settings Settings
 	records  map[string]*record // by address
 }
@@ -74,27 +74,27 @@
 const maxRecords = 1 << 16
 
 // NewHistory returns an empty History.
-func NewBook(set Settings) *Book { return &Book{settings: set, records: map[string]*record{}} }
+func NewHistory(set Settings) *History { return &History{settings: set, records: map[string]*record{}} }
 
 // RecordSuccess records that an address connected.
-func (h *Book) Worked(now time.Duration, addr string) {
+func (h *History) RecordSuccess(now time.Duration, addr string) {
 	r := h.record(now, addr)
 	r.connectedAt, r.failures, r.avoidUntil = now, 0, 0
 }
 
 // RecordFailure records that an address did not connect.
-func (h *Book) Failed(now time.Duration, addr string) {
+func (h *History) RecordFailure(now time.Duration, addr string) {
 	r := h.record(now, addr)
 	wait := h.settings.Avoid << min(r.failures, 20)
-	if wait > h.settings.MostAvoid || wait <= 0 {
-		wait = h.settings.MostAvoid
+	if wait > h.settings.MaxAvoid || wait <= 0 {
+		wait = h.settings.MaxAvoid
 	}
 	r.failures++
 	r.connectedAt, r.avoidUntil = 0, now+wait
 }
 
 // record returns the record of an address, and creates it if there is none.
-func (h *Book) record(now time.Duration, addr string) *record {
+func (h *History) record(now time.Duration, addr string) *record {
 	r := h.records[addr]
 	if r == nil {
 		if len(h.records) >= maxRecords {
@@ -107,7 +107,7 @@
 }
 
 // sweep deletes the records that no longer have an effect, or all records if that does not make room.
-func (h *Book) sweep(now time.Duration) {
+func (h *History) sweep(now time.Duration) {
 	for addr, r := range h.records {
 		if now >= r.avoidUntil && now-r.connectedAt >= h.settings.Remember {
 			delete(h.records, addr)
@@ -121,10 +121,10 @@
 // Sorted returns the addresses in the order in which to try them: the one that connected last, then the others by kind, then
 // those that failed recently, the one that is avoided for the shortest time first. No address is left out: if all of them
 // failed, all are tried.
-func (h *Book) Order(now time.Duration, addrs []string) []string {
+func (h *History) Sorted(now time.Duration, addrs []string) []string {
 	all := slices.Clone(addrs)
 	rank := func(addr string) (avoided bool, until, connectedAt time.Duration, kind int) {
-		k, _, _ := Of(addr)
+		k, _, _ := Parse(addr)
 		if kind = slices.Index(h.settings.Order, k); kind < 0 {
 			kind = len(h.settings.Order) + int(k)
 		}
@@ -155,7 +155,7 @@
 }
 
 // LastConnected returns the address that connected last, if that is not longer ago than Settings.Remember; else "".
-func (h *Book) Best(now time.Duration, addrs []string) (best string) {
+func (h *History) LastConnected(now time.Duration, addrs []string) (best string) {
 	latest := time.Duration(0)
 	for _, addr := range addrs {
 		if r := h.records[addr]; r != nil && r.connectedAt > latest && now-r.connectedAt < h.settings.Remember {
@@ -167,7 +167,7 @@
 
 // Race is the dialling of one connection over several addresses. It is not safe for concurrent use.
 type Race struct {
-	history *Book
+	history *History
 	addrs   []string      // in the order in which to try them
 	next    int           // index of the first address not tried yet
 	dialing []string      // addresses being dialled
@@ -176,14 +176,14 @@
 }
 
 // NewRace starts a race over a server's addresses.
-func (h *Book) Race(now time.Duration, addrs []string) *Race {
-	return &Race{history: h, addrs: h.Order(now, addrs), nextAt: now}
+func (h *History) NewRace(now time.Duration, addrs []string) *Race {
+	return &Race{history: h, addrs: h.Sorted(now, addrs), nextAt: now}
 }
 
 // Start returns the addresses to be dialled now: the first one at once, the next one when those before it have failed or have
 // not connected within Settings.Delay. room is the number of parallel dials that are allowed in addition to the first.
 func (r *Race) Start(now time.Duration, room int) (dial []string) {
-	for !r.won && r.next < len(r.addrs) && (len(r.dialing) == 0 || now >= r.nextAt && len(r.dialing) < min(r.history.settings.Most, 1+room)) {
+	for !r.won && r.next < len(r.addrs) && (len(r.dialing) == 0 || now >= r.nextAt && len(r.dialing) < min(r.history.settings.MaxDials, 1+room)) {
 		addr := r.addrs[r.next]
 		r.next++
 		r.dialing = append(r.dialing, addr)
@@ -194,7 +194,7 @@
 }
 
 // NextStart returns when Start may return more addresses; any is false if there will be none.
-func (r *Race) Due() (at time.Duration, any bool) {
+func (r *Race) NextStart() (at time.Duration, any bool) {
 	return r.nextAt, !r.won && r.next < len(r.addrs)
 }
 
@@ -202,7 +202,7 @@
 // does not.
 func (r *Race) Connected(now time.Duration, addr string) (wins bool) {
 	r.removeDialing(addr)
-	r.history.Worked(now, addr)
+	r.history.RecordSuccess(now, addr)
 	wins = !r.won
 	r.won = true
 	return wins
@@ -211,14 +211,14 @@
 // Failed records that a dial failed by itself, and reports whether the race is lost: no address is left.
 func (r *Race) Failed(now time.Duration, addr string) (lost bool) {
 	r.removeDialing(addr)
-	r.history.Failed(now, addr)
+	r.history.RecordFailure(now, addr)
 	return !r.won && len(r.dialing) == 0 && r.next >= len(r.addrs)
 }
 
 // TimedOut ends the race because its time is over. The addresses still being dialled are recorded as failed.
-func (r *Race) GaveUp(now time.Duration) {
+func (r *Race) TimedOut(now time.Duration) {
 	for _, addr := range r.dialing {
-		r.history.Failed(now, addr)
+		r.history.RecordFailure(now, addr)
 	}
 	r.dialing, r.next = nil, len(r.addrs)
 }
@@ -233,8 +233,8 @@
 // Copies let a model checker try several continuations of one state.
 
 // Copy returns an equal History.
-func (h *Book) Copy() *Book {
-	twin := &Book{settings: h.settings, records: make(map[string]*record, len(h.records))}
+func (h *History) Copy() *History {
+	twin := &History{settings: h.settings, records: make(map[string]*record, len(h.records))}
 	for addr, r := range h.records {
 		same := *r
 		twin.records[addr] = &same
@@ -243,7 +243,7 @@
 }
 
 // Copy returns an equal Race that uses the given History, a copy of its own. The copy of a nil Race is nil.
-func (r *Race) Copy(book *Book) *Race {
+func (r *Race) Copy(book *History) *Race {
 	if r == nil {
 		return nil
 	}
@@ -253,4 +253,4 @@
 }
 
 // Dialing returns the addresses being dialled, in the order in which their dials were started.
-func (r *Race) Out() []string { return r.dialing }
+func (r *Race) Dialing() []string { return r.dialing }
--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -19,9 +19,9 @@
 	for addr, want := range map[string]struct {
 		kind            Kind
 		network, target string
-	}{unix: {Unix, "unix", "/run/forms.sock"}, six: {IPv6, "tcp", six}, four: {IPv4, "tcp", four}, name: {Name, "tcp", name},
+	}{unix: {Unix, "unix", "/run/forms.sock"}, six: {IPv6, "tcp", six}, four: {IPv4, "tcp", four}, name: {Hostname, "tcp", name},
 		"[::ffff:127.0.0.1]:80": {IPv4, "tcp", "[::ffff:127.0.0.1]:80"}} {
-		if k, n, to := Of(addr); k != want.kind || n != want.network || to != want.target {
+		if k, n, to := Parse(addr); k != want.kind || n != want.network || to != want.target {
 			t.Errorf("%s: %v %s %s", addr, k, n, to)
 		}
 	}
@@ -31,30 +31,30 @@
 // time first. No address is left out.
 func TestOrder(t *testing.T) {
 	all := []string{name, four, six, unix}
-	b := NewBook(Defaults)
+	b := NewHistory(Defaults)
 	at := func(when time.Duration, want ...string) {
 		t.Helper()
-		if got := b.Order(when, all); !slices.Equal(got, want) {
+		if got := b.Sorted(when, all); !slices.Equal(got, want) {
 			t.Errorf("at %v: %q, want %q", when, got, want)
 		}
 	}
 	at(0, unix, six, four, name)
-	b.Worked(time.Second, four)
+	b.RecordSuccess(time.Second, four)
 	at(time.Second, four, unix, six, name)
-	b.Failed(2*time.Second, four)
+	b.RecordFailure(2*time.Second, four)
 	at(2*time.Second, unix, six, name, four)
 	at(3*time.Second, unix, six, four, name) // it was avoided for a second
-	b.Failed(3*time.Second, four)
+	b.RecordFailure(3*time.Second, four)
 	at(4900*time.Millisecond, unix, six, name, four) // now for two seconds
-	b.Failed(4*time.Second, unix)
-	b.Failed(4*time.Second, unix)
+	b.RecordFailure(4*time.Second, unix)
+	b.RecordFailure(4*time.Second, unix)
 	at(4900*time.Millisecond, six, name, four, unix)
 	for range 100 {
-		b.Failed(5*time.Second, unix)
+		b.RecordFailure(5*time.Second, unix)
 	}
-	at(5*time.Second+Defaults.MostAvoid-1, six, four, name, unix)
-	at(5*time.Second+Defaults.MostAvoid, unix, six, four, name)
-	b.Worked(2*time.Minute, name)
+	at(5*time.Second+Defaults.MaxAvoid-1, six, four, name, unix)
+	at(5*time.Second+Defaults.MaxAvoid, unix, six, four, name)
+	b.RecordSuccess(2*time.Minute, name)
 	at(2*time.Minute+Defaults.Remember-1, name, unix, six, four)
 	at(2*time.Minute+Defaults.Remember, unix, six, four, name)
 }
@@ -62,7 +62,7 @@
 // The next address is dialled when the one before fails, or after the delay, but not while there is no room.
 func TestRace(t *testing.T) {
 	const delay = 250 * time.Millisecond
-	begin := func() *Race { return NewBook(Defaults).Race(0, []string{four, six, unix}) }
+	begin := func() *Race { return NewHistory(Defaults).NewRace(0, []string{four, six, unix}) }
 	start := func(r *Race, now time.Duration, room int, want ...string) {
 		t.Helper()
 		if got := r.Start(now, room); !slices.Equal(got, want) {
@@ -95,9 +95,9 @@
 	start(r, 0, 0, unix)
 	start(r, time.Hour, 0)
 	start(r, time.Hour, 1, six)
-	r.GaveUp(2 * time.Hour)
+	r.TimedOut(2 * time.Hour)
 	start(r, 3*time.Hour, 9)
-	if got := r.history.Order(2*time.Hour, []string{unix, six, four}); !slices.Equal(got, []string{four, unix, six}) {
+	if got := r.history.Sorted(2*time.Hour, []string{unix, six, four}); !slices.Equal(got, []string{four, unix, six}) {
 		t.Errorf("addresses that did not connect in time are not last: %q", got)
 	}
 }
@@ -106,11 +106,11 @@
 // for, and there is at most one winner.
 func TestRaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook(Defaults)
+		b := NewHistory(Defaults)
 		all := []string{unix, six, four, name}[:rapid.IntRange(1, 4).Draw(t, "addresses")]
 		now := time.Duration(0)
 		for range 3 {
-			r := b.Race(now, all)
+			r := b.NewRace(now, all)
 			dialing, dialled := map[string]bool{}, map[string]bool{}
 			wins, over := 0, false
 			for range rapid.IntRange(0, 20).Draw(t, "steps") {
@@ -122,7 +122,7 @@
 					}
 					dialled[a], dialing[a] = true, true
 				}
-				if len(dialing) > max(1, before, min(Defaults.Most, 1+room)) {
+				if len(dialing) > max(1, before, min(Defaults.MaxDials, 1+room)) {
 					t.Fatalf("%d parallel dials with room for %d", len(dialing), room)
 				}
 				if len(dialled) == 0 {
@@ -151,7 +151,7 @@
 				t.Fatalf("%d winners", wins)
 			}
 		}
-		if got := b.Order(now, all); len(got) != len(all) {
+		if got := b.Sorted(now, all); len(got) != len(all) {
 			t.Fatalf("order is %q, want all of %q", got, all)
 		}
 	})
--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -14,22 +14,22 @@
 
 // Settings are the half-lives of facts: after each of them a fact has half the weight that it had.
 type Settings struct {
-	Capacity time.Duration // capacity of a server
-	Failing  time.Duration // failure rate of a server, and losses over all
-	Ejection time.Duration
-	Times    time.Duration // usual and shortest response times
-	Traffic  time.Duration // the agent's responses per second
-	Cold     time.Duration // outcomes of cold starts
-	Address  time.Duration // which of a server's addresses connected
-	Bend     float64       // remembered capacities are clamped to this many times the median one, and to its reciprocal
-	Forget   time.Duration // older facts have no weight
+	Capacity    time.Duration // capacity of a server
+	Failing     time.Duration // failure rate of a server, and losses over all
+	Ejection    time.Duration
+	Times       time.Duration // usual and shortest response times
+	Traffic     time.Duration // the agent's responses per second
+	Cold        time.Duration // outcomes of cold starts
+	Address     time.Duration // which of a server's addresses connected
+	ClampFactor float64       // remembered capacities are clamped to this many times the median one, and to its reciprocal
+	MaxAge      time.Duration // older facts have no weight
 }
 
 // Defaults are the settings where none are configured. Failures and times have the same half-life: usual times that
 // outlived what is known about silent servers made quiet agents lose more requests than without a memory
 // (docs/design/learning.md has the figures).
 var Defaults = Settings{Capacity: 10 * time.Minute, Failing: 15 * time.Minute, Ejection: time.Minute, Times: 15 * time.Minute,
-	Traffic: 15 * time.Minute, Cold: 24 * time.Hour, Address: time.Hour, Bend: 4, Forget: 72 * time.Hour}
+	Traffic: 15 * time.Minute, Cold: 24 * time.Hour, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
 
 const (
 	// minWeight is the weight below which a fact does not count.
@@ -42,7 +42,7 @@
 	// minSimilarity is the part of the fleet that must be unchanged for anything to count.
 	minSimilarity = 0.1
 	// clockTolerance is by how much a moment may lie in the future: clocks are read one after the other.
-	ahead = time.Second
+	clockTolerance = time.Second
 )
 
 // Since returns how long ago a moment was, and whether that is known at all. The time since boot cannot be set, and is
@@ -51,17 +51,17 @@
 func Since(then, now learned.Clock) (age time.Duration, known bool) {
 	if then.BootID != "" && then.BootID == now.BootID {
 		age = now.Boot - then.Boot
-		return max(0, age), age >= -ahead
+		return max(0, age), age >= -clockTolerance
 	}
-	if age = now.Wall - then.Wall; age < -ahead || then.Wall <= 0 {
+	if age = now.Wall - then.Wall; age < -clockTolerance || then.Wall <= 0 {
 		return 0, false
 	}
 	return max(0, age) + then.Unsure, true
 }
 
 // Weight returns the weight of a fact of an age, from 0 to 1.
-func (s Settings) Worth(halfLife, age time.Duration) float64 {
-	if age > s.Forget || halfLife <= 0 {
+func (s Settings) Weight(halfLife, age time.Duration) float64 {
+	if age > s.MaxAge || halfLife <= 0 {
 		return 0
 	}
 	w := math.Exp2(-float64(max(0, age)) / float64(halfLife))
@@ -80,7 +80,7 @@
 
 // Restored is the state that an earlier process of the agent stored. Each fact of it is returned at most once. It is not
 // safe for concurrent use.
-type Past struct {
+type Restored struct {
 	settings       Settings
 	shared         learned.Shared
 	ageKnown       bool // the age of the shared data is known
@@ -96,8 +96,8 @@
 }
 
 // New returns the Restored of a State.
-func New(set Settings, state learned.State) *Past {
-	r := &Past{settings: set, shared: state.Shared, facts: map[string]fact{}, recognized: map[uint64]bool{}}
+func New(set Settings, state learned.State) *Restored {
+	r := &Restored{settings: set, shared: state.Shared, facts: map[string]fact{}, recognized: map[uint64]bool{}}
 	var rates []float64
 	for _, b := range state.Buckets {
 		for _, s := range b.Servers {
@@ -114,18 +114,18 @@
 }
 
 // Remaining returns the number of remembered servers that were not in any list yet.
-func (r *Past) Left() int { return len(r.facts) }
+func (r *Restored) Remaining() int { return len(r.facts) }
 
 // Recall returns the facts about servers that are new in the list, which has the given number of servers in all, and the
 // first time also the shared data. For servers with several addresses it also returns those that connected. It takes
 // time in proportion to the servers named.
-func (r *Past) Recall(now learned.Clock, named []Listed, fleet int) (m choice.Memory, connected []string) {
+func (r *Restored) Recall(now learned.Clock, named []Listed, fleet int) (m choice.Memory, connected []string) {
 	for _, l := range named {
 		if _, found := slices.BinarySearch(r.shared.Fleet, l.Identity); found {
 			r.recognized[l.Identity] = true
 		}
 	}
-	similarity := r.Same(fleet)
+	similarity := r.Similarity(fleet)
 	if !r.sharedRecalled && len(named) > 0 {
 		r.sharedRecalled = true
 		m = r.agedShared(now, similarity)
@@ -139,7 +139,7 @@
 		if s, ok := r.agedServer(f, now, similarity); ok {
 			m.Servers = append(m.Servers, s)
 		}
-		if age, known := Since(f.at, now); known && f.Worked != "" && similarity*r.settings.Worth(r.settings.Address, age) >= minAddressWeight {
+		if age, known := Since(f.at, now); known && f.Worked != "" && similarity*r.settings.Weight(r.settings.Address, age) >= minAddressWeight {
 			connected = append(connected, f.Worked)
 		}
 	}
@@ -148,7 +148,7 @@
 
 // Similarity returns the part of the fleet that is unchanged, of all servers then and now, and 0 where that is below
 // minSimilarity.
-func (r *Past) Same(fleet int) float64 {
+func (r *Restored) Similarity(fleet int) float64 {
 	recognized := len(r.recognized)
 	all := len(r.shared.Fleet) + fleet - recognized
 	if all <= 0 {
@@ -160,14 +160,14 @@
 	return 0
 }
 
-func (r *Past) agedShared(now learned.Clock, similarity float64) (m choice.Memory) {
+func (r *Restored) agedShared(now learned.Clock, similarity float64) (m choice.Memory) {
 	age, known := Since(r.shared.At, now)
 	if !known {
 		return m
 	}
 	remembered := r.shared.Memory
 	age += remembered.Idle
-	weight := func(halfLife time.Duration) float64 { return similarity * r.settings.Worth(halfLife, age) }
+	weight := func(halfLife time.Duration) float64 { return similarity * r.settings.Weight(halfLife, age) }
 	times := weight(r.settings.Times)
 	m = choice.Memory{Served: remembered.Served * weight(r.settings.Traffic), Lost: remembered.Lost * weight(r.settings.Failing),
 		ColdBad: remembered.ColdBad, ColdSeen: remembered.ColdSeen * weight(r.settings.Cold)}
@@ -180,19 +180,19 @@
 }
 
 // agedServer returns what still counts of the facts about a server, and whether anything does.
-func (r *Past) agedServer(f fact, now learned.Clock, similarity float64) (s choice.ServerMemory, ok bool) {
+func (r *Restored) agedServer(f fact, now learned.Clock, similarity float64) (s choice.ServerMemory, ok bool) {
 	age, known := Since(f.at, now)
 	if !known || similarity == 0 {
 		return s, false
 	}
 	s = choice.ServerMemory{ID: f.ID, Started: f.Started}
-	if trust := f.Trust * similarity * r.settings.Worth(r.settings.Capacity, age+f.Reported); trust > 0 && f.Rate > 0 {
-		s.Rate = min(max(f.Rate, r.medianRate/r.settings.Bend), r.medianRate*r.settings.Bend)
+	if trust := f.Trust * similarity * r.settings.Weight(r.settings.Capacity, age+f.Reported); trust > 0 && f.Rate > 0 {
+		s.Rate = min(max(f.Rate, r.medianRate/r.settings.ClampFactor), r.medianRate*r.settings.ClampFactor)
 		s.Use, s.Trust, s.Reported = f.Use, trust, age+f.Reported
 	}
-	s.Failing = f.Failing * similarity * r.settings.Worth(r.settings.Failing, age+f.Judged)
+	s.Failing = f.Failing * similarity * r.settings.Weight(r.settings.Failing, age+f.Judged)
 	s.Judged = age + f.Judged
-	if weight := similarity * r.settings.Worth(r.settings.Ejection, age); f.Ejected && weight >= minEjectionWeight {
+	if weight := similarity * r.settings.Weight(r.settings.Ejection, age); f.Ejected && weight >= minEjectionWeight {
 		s.Ejected, s.Trial = true, time.Duration(weight*float64(f.Trial))
 	}
 	return s, s.Trust > 0 || s.Failing > 0 || s.Ejected
@@ -202,18 +202,18 @@
 // fleet had not changed.
 type Fact struct {
 	learned.Server
-	Age   time.Duration
-	Known bool // Age is known
-	Now   choice.ServerMemory
+	Age      time.Duration
+	AgeKnown bool // Age is known
+	Current  choice.ServerMemory
 }
 
 // Facts returns all remembered facts, ordered by server id.
-func (r *Past) Show(now learned.Clock) []Fact {
+func (r *Restored) Facts(now learned.Clock) []Fact {
 	var all []Fact
 	for _, f := range r.facts {
 		age, known := Since(f.at, now)
 		s, _ := r.agedServer(f, now, 1)
-		all = append(all, Fact{Server: f.Server, Age: age, Known: known, Now: s})
+		all = append(all, Fact{Server: f.Server, Age: age, AgeKnown: known, Current: s})
 	}
 	slices.SortFunc(all, func(a, b Fact) int {
 		if a.ID < b.ID {
@@ -225,7 +225,7 @@
 }
 
 // SharedFacts returns the age of the shared data, whether that is known, and what would count of it now.
-func (r *Past) ShowShared(now learned.Clock) (age time.Duration, known bool, m choice.Memory) {
+func (r *Restored) SharedFacts(now learned.Clock) (age time.Duration, known bool, m choice.Memory) {
 	age, known = Since(r.shared.At, now)
 	return age, known, r.agedShared(now, 1)
 }
--- a/internal/decide/aging/aging_test.go
+++ b/internal/decide/aging/aging_test.go
@@ -15,7 +15,7 @@
 
 // settings has another half-life for each kind of fact.
 var settings = Settings{Capacity: 10 * time.Minute, Failing: 2 * time.Minute, Ejection: time.Minute, Times: time.Hour, Traffic: 5 * time.Minute,
-	Cold: day, Address: time.Hour, Bend: 4, Forget: 72 * time.Hour}
+	Cold: day, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
 
 func clock(wall, boot time.Duration, id string) learned.Clock {
 	return learned.Clock{Wall: wall, Boot: boot, BootID: id}
@@ -96,7 +96,7 @@
 func TestWorth(t *testing.T) {
 	m := recallAfter(t, 0, unchanged)
 	slow, failing := server(m, "sb"), server(m, "sc")
-	if len(m.Servers) != 8 || server(m, "sa").Trust != 1 || slow.Rate != 100/settings.Bend || !failing.Ejected || failing.Trial != time.Second ||
+	if len(m.Servers) != 8 || server(m, "sa").Trust != 1 || slow.Rate != 100/settings.ClampFactor || !failing.Ejected || failing.Trial != time.Second ||
 		failing.Failing != 0.8 || m.Served != 100 || m.Lost != 0.02 || m.ColdSeen != 20 || m.Classes[0].Trust != 1 {
 		t.Errorf("at once: %+v", m)
 	}
@@ -169,8 +169,8 @@
 	if m, _ := p.Recall(at, old, 8); len(m.Servers) != 0 {
 		t.Errorf("%+v", m)
 	}
-	if m, _ := p.Recall(at, current, 8); len(m.Servers) != 8 || p.Left() != 0 {
-		t.Errorf("%d servers, %d remaining", len(m.Servers), p.Left())
+	if m, _ := p.Recall(at, current, 8); len(m.Servers) != 8 || p.Remaining() != 0 {
+		t.Errorf("%d servers, %d remaining", len(m.Servers), p.Remaining())
 	}
 	if m, _ := p.Recall(at, current, 8); len(m.Servers) != 0 || len(m.Classes) != 0 {
 		t.Errorf("returned twice: %+v", m)
--- a/internal/decide/asking/asking.go
+++ b/internal/decide/asking/asking.go
@@ -28,30 +28,30 @@
 	// WatchSilenceTimeout is how long a watch may stay silent: it carries a line at least every 2 s, and one whose line
 	// is half of that late is dead. The changes that it misses may remain unknown for knownAfterSilence at most, and
 	// within that time all agents that watched may have to call one service, each in its slot.
-	Silence = 3 * time.Second
+	WatchSilenceTimeout = 3 * time.Second
 	// knownAfterSilence is how long after a watch fell silent the changes that it missed count as known to the agent,
 	// whether or not they arrived.
-	told = 6 * time.Second
+	knownAfterSilence = 6 * time.Second
 	// CallTimeout is how long a call to a service that all agents call may wait for its answer before it counts as lost.
 	// The service drops callers by itself after a wait that it does not announce; work for a caller that gives up earlier
 	// is done all the same.
-	CallWait = 4500 * time.Millisecond
+	CallTimeout = 4500 * time.Millisecond
 	// usualCallTime is what a call takes where the service keeps up with its callers.
-	answer = 500 * time.Millisecond
+	usualCallTime = 500 * time.Millisecond
 
 	// minQueueWait is how long a caller waits at the least before the service drops it.
-	patience = 2 * time.Second
+	minQueueWait = 2 * time.Second
 	// defaultPeriod is the time in which all agents call once, where nothing better is known. A service that needs up to
 	// defaultPeriod + minQueueWait for all agents serves each at its first call, and one that needs 1.7 times the period
 	// at its second call at the latest.
-	period = 5 * time.Second
+	defaultPeriod = 5 * time.Second
 	// minPeriod is the period where the service was measured to be fast, and maxFailurePeriod the one to which it grows
 	// while calls fail.
-	leastPeriod = 500 * time.Millisecond
-	vainPeriod  = 3 * time.Second
+	minPeriod        = 500 * time.Millisecond
+	maxFailurePeriod = 3 * time.Second
 	// maxPeriod is the period of agents that the service has dropped again and again. After a failed call list changes
 	// count as known only after four times the usual time, and the next call has to come before that.
-	mostPeriod = 24 * time.Second
+	maxPeriod = 24 * time.Second
 	// backoffFactor is by how much the period grows with each dropped call, from the second on.
 	backoffFactor = 3
 	// slowdownMargin is how much slower the service may have become than it was measured to be.
@@ -62,7 +62,7 @@
 
 // Scheduler decides for one agent. Times are those of a clock that all agents share, exact to a small part of a period;
 // an agent whose clock is off merely calls in another agent's slot. It is not safe for concurrent use.
-type Asker struct {
+type Scheduler struct {
 	settings Settings
 	rng      *rand.Rand
 	offset   float64 // of this agent's slot in the period, from 0 to below 1
@@ -79,9 +79,9 @@
 }
 
 // New returns a Scheduler. Its random numbers follow from the seed alone.
-func New(set Settings, seed uint64) *Asker {
-	s := &Asker{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), local: NewLocalSchedule(set.Grace, seed)}
-	s.settings.Agents, s.settings.Grace = max(1, set.Agents), cmp.Or(set.Grace, usualGrace)
+func New(set Settings, seed uint64) *Scheduler {
+	s := &Scheduler{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), local: NewLocalSchedule(set.Grace, seed)}
+	s.settings.Agents, s.settings.Grace = max(1, set.Agents), cmp.Or(set.Grace, defaultGrace)
 	if s.offset = s.rng.Float64(); set.Me >= 0 && set.Me < set.Agents {
 		s.offset = float64(set.Me) / float64(set.Agents)
 	}
@@ -89,7 +89,7 @@
 }
 
 // Local returns the schedule of calls to a service beside the agent, nil where one service answers all agents.
-func (s *Asker) Local() *LocalSchedule {
+func (s *Scheduler) Local() *LocalSchedule {
 	if s.settings.Shared {
 		return nil
 	}
@@ -97,7 +97,7 @@
 }
 
 // FirstCall returns when to make the first call.
-func (s *Asker) Start(now time.Duration) time.Duration {
+func (s *Scheduler) FirstCall(now time.Duration) time.Duration {
 	if !s.settings.Shared {
 		return now
 	}
@@ -105,10 +105,12 @@
 }
 
 // CallStarted notes that a call begins.
-func (s *Asker) Asked(now time.Duration) { s.calledAt, s.answered, s.delivered = now, false, false }
+func (s *Scheduler) CallStarted(now time.Duration) {
+	s.calledAt, s.answered, s.delivered = now, false, false
+}
 
 // ResponseStarted notes that a response to the call has begun: the service has worked through the calls before it.
-func (s *Asker) Answered(now time.Duration) {
+func (s *Scheduler) ResponseStarted(now time.Duration) {
 	if s.answered {
 		return
 	}
@@ -120,11 +122,11 @@
 }
 
 // ListReceived notes that the call has brought a list that was accepted.
-func (s *Asker) Delivered() { s.delivered, s.failures, s.silentSince = true, 0, 0 }
+func (s *Scheduler) ListReceived() { s.delivered, s.failures, s.silentSince = true, 0, 0 }
 
 // CallEnded notes that the call has failed, or that the watch that it opened has ended, and that nothing was received
 // for the time silent before that. It returns when to make the next call.
-func (s *Asker) Over(now, silent time.Duration) time.Duration {
+func (s *Scheduler) CallEnded(now, silent time.Duration) time.Duration {
 	if !s.settings.Shared {
 		return now + s.local.Interval()
 	}
@@ -139,7 +141,7 @@
 	case s.delivered:
 	case hung && s.silences == 1: // a service with a queue reports sooner or later that it drops a caller; a first silence is a broken link
 		s.failures++
-	case s.answered || now-s.calledAt < patience/2: // the wait tells a service that is down from one that drops callers
+	case s.answered || now-s.calledAt < minQueueWait/2: // the wait tells a service that is down from one that drops callers
 		s.failures++
 	default:
 		s.rejections++
@@ -149,29 +151,29 @@
 	if s.rejections > 1 {
 		// A call in the next slot would meet the same queue, and each call makes it longer.
 		for range min(s.rejections-1, 8) {
-			every = min(every*backoffFactor, mostPeriod)
+			every = min(every*backoffFactor, maxPeriod)
 		}
 		return s.nextSlot(max(now, s.calledAt+every/2), every)
 	}
 	// After a watch fell silent, a call that fails in whatever way leaves time for another one before the drains that it
 	// missed count as known.
-	if left := s.silentSince + told + s.settings.Grace - answer - now; s.silentSince > 0 && left > 0 {
-		every = min(every, max(left, leastPeriod))
+	if left := s.silentSince + knownAfterSilence + s.settings.Grace - usualCallTime - now; s.silentSince > 0 && left > 0 {
+		every = min(every, max(left, minPeriod))
 	}
 	return s.nextSlot(now, every)
 }
 
 // basePeriod returns the period before backoff, after nothing was received for the time silent.
-func (s *Asker) basePeriod(silent time.Duration) time.Duration {
+func (s *Scheduler) basePeriod(silent time.Duration) time.Duration {
 	// A caller that is served has waited minQueueWait at most: few agents cannot build a queue of that length.
-	most := min(period, time.Duration(s.settings.Agents-1)*patience)
+	most := min(defaultPeriod, time.Duration(s.settings.Agents-1)*minQueueWait)
 	if must := s.settings.MustAsk; must > 0 {
 		// The list has to arrive before its changes count as known: the time spent in silence and the duration of the call
 		// are subtracted.
-		most = min(most, max(must-silent-patience-must/20, must/4))
+		most = min(most, max(must-silent-minQueueWait-must/20, must/4))
 	}
 	if silent > 0 { // what a watch or a call without a response missed has to arrive before the drains among it count as known
-		most = min(most, max(told+s.settings.Grace-silent-answer, leastPeriod))
+		most = min(most, max(knownAfterSilence+s.settings.Grace-silent-usualCallTime, minPeriod))
 	}
 	if len(s.waits) == 0 {
 		return most
@@ -181,17 +183,17 @@
 	for _, w := range s.waits {
 		slowest = max(slowest, w)
 	}
-	quick := max(leastPeriod, time.Duration(slowdownMargin*float64(s.settings.Agents)*float64(slowest)))
-	return min(most, max(quick, min(quick<<min(s.failures, 8), vainPeriod)))
+	quick := max(minPeriod, time.Duration(slowdownMargin*float64(s.settings.Agents)*float64(slowest)))
+	return min(most, max(quick, min(quick<<min(s.failures, 8), maxFailurePeriod)))
 }
 
 // NextSlot returns the agent's next slot in periods of length every, or of the usual length if that is longer.
-func (s *Asker) Turn(now, every time.Duration) time.Duration {
+func (s *Scheduler) NextSlot(now, every time.Duration) time.Duration {
 	return s.nextSlot(now, max(every, s.basePeriod(0)))
 }
 
 // nextSlot returns the agent's next slot in periods of length every.
-func (s *Asker) nextSlot(now, every time.Duration) time.Duration {
+func (s *Scheduler) nextSlot(now, every time.Duration) time.Duration {
 	if every <= 0 {
 		return now
 	}
