--- a/internal/decide/asking/asking_test.go
+++ b/internal/decide/asking/asking_test.go
@@ -22,15 +22,15 @@
 		return now + time.Millisecond, false
 	}
 	s.freeAt = max(s.freeAt, now) + s.perCall
-	if s.freeAt > now+patience {
-		return now + patience, false
+	if s.freeAt > now+minQueueWait {
+		return now + minQueueWait, false
 	}
 	return s.freeAt, true
 }
 
 // agent is an agent of the model.
 type agent struct {
-	scheduler *Asker
+	scheduler *Scheduler
 	nextAt    time.Duration // time of its next event
 	calling   bool          // the next event is a call; otherwise the end of the call
 	served    bool
@@ -69,17 +69,17 @@
 			calls++
 			a.calls++
 			a.calledAt = now
-			a.scheduler.Asked(now)
+			a.scheduler.CallStarted(now)
 			a.nextAt, a.served = s.call(now)
 			a.calling = false
 		case a.served:
-			a.scheduler.Answered(now)
-			a.scheduler.Delivered()
+			a.scheduler.ResponseStarted(now)
+			a.scheduler.ListReceived()
 			last = now - begin
 			heap.Pop(&q)
 			continue
 		default:
-			a.nextAt, a.calling = a.scheduler.Over(now, a.silent), true
+			a.nextAt, a.calling = a.scheduler.CallEnded(now, a.silent), true
 			a.silent = 0
 		}
 		heap.Fix(&q, 0)
@@ -94,7 +94,7 @@
 	for i := range n {
 		me, agents := place(i)
 		a := &agent{scheduler: New(Settings{Shared: true, Agents: agents, Me: me, MustAsk: mustAsk}, seed<<32+uint64(i)), calling: true}
-		a.nextAt = a.scheduler.Start(begin)
+		a.nextAt = a.scheduler.FirstCall(begin)
 		all = append(all, a)
 	}
 	return all
@@ -124,7 +124,7 @@
 				check := func(what string, from time.Duration) {
 					last, calls, left := s.recover(agents, from, time.Minute)
 					t.Logf("%s: all have it after %v and %d calls", what, last, calls)
-					most := max(period+all/time.Duration(n)+patience/10, all*3/2)
+					most := max(defaultPeriod+all/time.Duration(n)+minQueueWait/10, all*3/2)
 					if n == 10 && all == 8*time.Second {
 						most = 5 * all // two calls already are the queue that a caller tolerates, so chance decides
 					}
@@ -153,7 +153,7 @@
 				loseWatches(agents[:n*7/10], again, 0)
 				for _, a := range agents[:n*7/10] {
 					a.scheduler = New(a.scheduler.settings, 1<<40+uint64(a.calls))
-					a.nextAt, a.calling = a.scheduler.Start(again), true
+					a.nextAt, a.calling = a.scheduler.FirstCall(again), true
 				}
 				check("seven in ten restarted", again)
 			})
@@ -204,7 +204,7 @@
 				for _, what := range []string{"cold start", "lost"} {
 					last, calls, left := s.recover(agents, begin, time.Minute)
 					t.Logf("%s: all have it after %v and %d calls", what, last, calls)
-					if left > 0 || last > 3*max(period, all) || calls > 3*n {
+					if left > 0 || last > 3*max(defaultPeriod, all) || calls > 3*n {
 						t.Errorf("%s: %d agents have no list, the last got it after %v, %d calls", what, left, last, calls)
 					}
 					begin += time.Hour
@@ -245,7 +245,7 @@
 	}
 	s.isDown = nil
 	last, _, left := s.recover(agents, begin+long, time.Minute)
-	if left > 0 || last > period+patience {
+	if left > 0 || last > defaultPeriod+minQueueWait {
 		t.Errorf("%d agents have no list, the last got it %v after the service is back", left, last)
 	}
 }
@@ -256,14 +256,14 @@
 		for seed := range uint64(50) {
 			a := New(Settings{Shared: true, Agents: 100, Me: -1, MustAsk: must}, seed)
 			now := 1000*time.Hour + time.Duration(seed)*time.Millisecond
-			for _, silent := range []time.Duration{0, Silence} {
-				a.Asked(now - time.Hour)
-				a.Answered(now - time.Hour + patience)
-				a.Delivered()
-				wait := a.Over(now, silent) - now
-				limit := max(must-silent-patience, must/4)
+			for _, silent := range []time.Duration{0, WatchSilenceTimeout} {
+				a.CallStarted(now - time.Hour)
+				a.ResponseStarted(now - time.Hour + minQueueWait)
+				a.ListReceived()
+				wait := a.CallEnded(now, silent) - now
+				limit := max(must-silent-minQueueWait, must/4)
 				if silent > 0 {
-					limit = min(limit, told+usualGrace-silent)
+					limit = min(limit, knownAfterSilence+defaultGrace-silent)
 				}
 				if wait <= 0 || wait > limit {
 					t.Errorf("called after %v, apart from %v of silence and the duration of the call, where %v are left of %v", wait, silent, limit, must)
@@ -285,11 +285,11 @@
 				agents := newFleet(n, begin, mustAsk, seed, func(i int) (int, int) { return i, n })
 				s.recover(agents, begin, time.Minute)
 				fell := begin + time.Minute + time.Duration(seed)*1234*time.Millisecond
-				loseWatches(agents, fell+Silence, Silence)
+				loseWatches(agents, fell+WatchSilenceTimeout, WatchSilenceTimeout)
 				last, calls, left := s.recover(agents, fell, time.Minute)
-				most := told + usualGrace
+				most := knownAfterSilence + defaultGrace
 				if all > 3*time.Second {
-					most = Silence + all + answer
+					most = WatchSilenceTimeout + all + usualCallTime
 				}
 				if left > 0 || last > most || calls != n {
 					t.Errorf("%d agents, %v for all: %d have no list, the last got it %v after the silence began, over %v, with %d calls", n, all, left, last, most, calls)
@@ -306,22 +306,22 @@
 		waits []time.Duration // of failed calls; CallTimeout stands for no response
 		slow  bool
 	}{
-		"down": {[]time.Duration{time.Millisecond, time.Millisecond, time.Millisecond}, false}, "once silent": {[]time.Duration{CallWait, time.Millisecond}, false},
-		"dropped once": {[]time.Duration{patience}, false}, "dropped twice": {[]time.Duration{patience, patience}, true},
-		"silent, then dropped twice": {[]time.Duration{CallWait, patience, patience}, true}, "silent three times": {[]time.Duration{CallWait, CallWait, CallWait}, true},
+		"down": {[]time.Duration{time.Millisecond, time.Millisecond, time.Millisecond}, false}, "once silent": {[]time.Duration{CallTimeout, time.Millisecond}, false},
+		"dropped once": {[]time.Duration{minQueueWait}, false}, "dropped twice": {[]time.Duration{minQueueWait, minQueueWait}, true},
+		"silent, then dropped twice": {[]time.Duration{CallTimeout, minQueueWait, minQueueWait}, true}, "silent three times": {[]time.Duration{CallTimeout, CallTimeout, CallTimeout}, true},
 	} {
 		a := New(Settings{Shared: true, Agents: n, Me: 0, MustAsk: mustAsk}, 1)
 		now, next := 1000*time.Hour+time.Second, time.Duration(0)
 		for _, w := range c.waits {
-			a.Asked(now)
+			a.CallStarted(now)
 			silent := time.Duration(0)
-			if w == CallWait {
-				silent = CallWait
+			if w == CallTimeout {
+				silent = CallTimeout
 			}
-			next = a.Over(now+w, silent)
+			next = a.CallEnded(now+w, silent)
 			now, next = next, next-now-w
 		}
-		if slow := next > 2*period; slow && !c.slow || !slow && c.slow && a.rejections < 2 {
+		if slow := next > 2*defaultPeriod; slow && !c.slow || !slow && c.slow && a.rejections < 2 {
 			t.Errorf("%s: called again after %v, dropped %d times", name, next, a.rejections)
 		}
 	}
@@ -334,23 +334,23 @@
 	const agents = 80
 	for name, silent := range map[string]time.Duration{"broken off": 0, "stopped short": time.Second} {
 		for seed := range uint64(50) {
-			a := New(Settings{Shared: true, Agents: agents, Me: int(seed), MustAsk: mustAsk, Grace: usualGrace}, seed)
+			a := New(Settings{Shared: true, Agents: agents, Me: int(seed), MustAsk: mustAsk, Grace: defaultGrace}, seed)
 			fell := time.Hour + time.Duration(seed)*1234*time.Millisecond
-			a.Asked(fell - time.Minute)
-			a.Answered(fell - time.Minute + 100*time.Millisecond)
-			a.Delivered()
-			now := a.Over(fell+Silence, Silence)
-			a.Asked(now)
-			a.Answered(now + 100*time.Millisecond)
+			a.CallStarted(fell - time.Minute)
+			a.ResponseStarted(fell - time.Minute + 100*time.Millisecond)
+			a.ListReceived()
+			now := a.CallEnded(fell+WatchSilenceTimeout, WatchSilenceTimeout)
+			a.CallStarted(now)
+			a.ResponseStarted(now + 100*time.Millisecond)
 			now += 100*time.Millisecond + silent
-			by := max(fell+told+usualGrace-answer, now+leastPeriod)
-			next := a.Over(now, silent)
-			if left := fell + told + usualGrace - answer - now; left > 0 && next > by {
+			by := max(fell+knownAfterSilence+defaultGrace-usualCallTime, now+minPeriod)
+			next := a.CallEnded(now, silent)
+			if left := fell + knownAfterSilence + defaultGrace - usualCallTime - now; left > 0 && next > by {
 				t.Errorf("%s: called again %v after the silence began", name, next-fell)
 			}
 			calls := 0
-			for now = next; now < fell+time.Minute; now = a.Over(now+time.Millisecond, 0) {
-				a.Asked(now)
+			for now = next; now < fell+time.Minute; now = a.CallEnded(now+time.Millisecond, 0) {
+				a.CallStarted(now)
 				calls++
 			}
 			if calls > 30 {
@@ -366,11 +366,11 @@
 func TestCallThatHangsAcrossTheReturn(t *testing.T) {
 	for _, agents := range []int{2, 12, 300, 900} {
 		for seed := range uint64(50) {
-			a := New(Settings{Shared: true, Agents: agents, Me: int(seed) % agents, MustAsk: mustAsk, Grace: usualGrace}, seed)
+			a := New(Settings{Shared: true, Agents: agents, Me: int(seed) % agents, MustAsk: mustAsk, Grace: defaultGrace}, seed)
 			returned := time.Hour + time.Duration(seed)*1234*time.Millisecond
-			a.Asked(returned - time.Millisecond)
-			now := returned - time.Millisecond + CallWait
-			if next := a.Over(now, CallWait); next+answer > returned+told+usualGrace {
+			a.CallStarted(returned - time.Millisecond)
+			now := returned - time.Millisecond + CallTimeout
+			if next := a.CallEnded(now, CallTimeout); next+usualCallTime > returned+knownAfterSilence+defaultGrace {
 				t.Errorf("%d agents: called again %v after the return", agents, next-returned)
 			}
 		}
--- a/internal/decide/asking/local.go
+++ b/internal/decide/asking/local.go
@@ -28,17 +28,17 @@
 	// service may accept no watch and still have drains to report.
 	fullListAfter = 2
 	// defaultGrace is the grace of a drain where the settings give none.
-	usualGrace = 500 * time.Millisecond
+	defaultGrace = 500 * time.Millisecond
 
 	// MaxPending is how many calls may be pending at a time. The oldest is kept for up to CallTimeout, for a service that
 	// is slow; of the others the oldest is canceled for a new one, after some 0.7 s.
-	MostPending = 8
+	MaxPending = 8
 )
 
 // LocalCall describes how a call is made.
 type LocalCall struct {
-	Whole  bool          // request the full list before the watch: the service answers that at once, whatever has changed
-	Within time.Duration // for the response to begin
+	Full    bool          // request the full list before the watch: the service answers that at once, whatever has changed
+	Timeout time.Duration // for the response to begin
 }
 
 // LocalSchedule decides when an agent calls the discovery service that runs beside it. A watch is established once
@@ -55,7 +55,7 @@
 // NewLocalSchedule returns a LocalSchedule for the grace of drains, 0 for the default. Its random numbers follow from
 // the seed alone.
 func NewLocalSchedule(grace time.Duration, seed uint64) *LocalSchedule {
-	shortest := max(shortestInterval, cmp.Or(grace, usualGrace)/intervalsPerGrace)
+	shortest := max(shortestInterval, cmp.Or(grace, defaultGrace)/intervalsPerGrace)
 	return &LocalSchedule{rng: rand.New(rand.NewPCG(seed, 2)), shortest: shortest, interval: shortest}
 }
 
@@ -65,8 +65,8 @@
 }
 
 // NextCall returns how to make the next call beside the given number of pending ones.
-func (s *LocalSchedule) Call(pending int) LocalCall {
-	return LocalCall{Whole: s.fellSilent || pending > 0 || s.failures >= fullListAfter, Within: CallWait}
+func (s *LocalSchedule) NextCall(pending int) LocalCall {
+	return LocalCall{Full: s.fellSilent || pending > 0 || s.failures >= fullListAfter, Timeout: CallTimeout}
 }
 
 // Established notes that a watch is established.
@@ -74,7 +74,7 @@
 
 // ListReceived notes that a call has brought a list, and how long that took. Until a watch is established, the next
 // calls are spaced for the speed of the service.
-func (s *LocalSchedule) Delivered(took time.Duration) {
+func (s *LocalSchedule) ListReceived(took time.Duration) {
 	s.interval = max(s.shortest, min(deliveryFactor*took, longestInterval))
 }
 
--- a/internal/decide/asking/local_test.go
+++ b/internal/decide/asking/local_test.go
@@ -18,13 +18,13 @@
 // A service beside the agent costs nothing to call: it is called at once at the start, then soon. Agents that lose it
 // together call at different times.
 func TestServiceBesideTheAgentIsAskedSoon(t *testing.T) {
-	if a := New(Settings{Agents: 300, Me: 299}, 1); a.Start(time.Hour) != time.Hour || a.Local() == nil {
+	if a := New(Settings{Agents: 300, Me: 299}, 1); a.FirstCall(time.Hour) != time.Hour || a.Local() == nil {
 		t.Error("a service beside the agent is not called at once")
 	}
 	if New(Settings{Shared: true, Agents: 300}, 1).Local() != nil {
 		t.Error("a service that all agents share is called like one beside the agent")
 	}
-	const usual = usualGrace / intervalsPerGrace
+	const usual = defaultGrace / intervalsPerGrace
 	shortest, longest := time.Hour, time.Duration(0)
 	for seed := range uint64(50) {
 		s := NewLocalSchedule(0, seed)
@@ -46,7 +46,7 @@
 		for seed := range uint64(20) {
 			s := NewLocalSchedule(grace, seed)
 			for n := range 100 {
-				if spare := cmp.Or(grace, usualGrace) - s.Interval() - exchange - 2*longestStall; spare < 0 {
+				if spare := cmp.Or(grace, defaultGrace) - s.Interval() - exchange - 2*longestStall; spare < 0 {
 					t.Fatalf("with a grace of %v, call %d is made %v too late", grace, n, -spare)
 				}
 				s.Ended(n%3 == 0)
@@ -66,17 +66,17 @@
 // A service that sends lists slowly is called less often until a watch is established; one that sends them at once is
 // called at the usual rate.
 func TestSlowDeliveriesSpaceCalls(t *testing.T) {
-	const usual = usualGrace / intervalsPerGrace
-	s := NewLocalSchedule(usualGrace, 1)
+	const usual = defaultGrace / intervalsPerGrace
+	s := NewLocalSchedule(defaultGrace, 1)
 	for _, c := range []struct{ took, want time.Duration }{
 		{time.Millisecond, usual}, {usual / 2, usual}, {200 * time.Millisecond, 400 * time.Millisecond}, {time.Minute, longestInterval}, {0, usual},
 	} {
-		s.Delivered(c.took)
+		s.ListReceived(c.took)
 		if i := s.Interval(); i < c.want*3/4 || i > c.want*5/4 {
 			t.Errorf("an interval of %v after a list that took %v", i, c.took)
 		}
 	}
-	s.Delivered(time.Second)
+	s.ListReceived(time.Second)
 	s.Established()
 	if i := s.Interval(); i > usual*5/4 {
 		t.Errorf("an interval of %v after an established watch", i)
@@ -87,26 +87,26 @@
 // silent. Until then the full list is requested often enough, also beside calls without a response, until a watch is
 // established.
 func TestWholeListIsAskedForBehindSilence(t *testing.T) {
-	s := NewLocalSchedule(usualGrace, 1)
-	if s.Call(0).Whole {
+	s := NewLocalSchedule(defaultGrace, 1)
+	if s.NextCall(0).Full {
 		t.Error("the full list is requested though nothing is wrong")
 	}
-	if !s.Call(1).Whole {
+	if !s.NextCall(1).Full {
 		t.Error("only a watch is requested beside an unanswered call: where nothing has changed it would be as silent")
 	}
 	s.Ended(false)
-	if s.Call(0).Whole {
+	if s.NextCall(0).Full {
 		t.Error("the full list is requested after a watch was reset: a new watch brings the changes since")
 	}
 	s.Ended(false)
-	if !s.Call(0).Whole {
+	if !s.NextCall(0).Full {
 		t.Error("only a watch is requested after two failed calls: the service may accept none")
 	}
 	s.Established()
 	s.Ended(true)
 	calls := 0
-	for now := Silence; now < told; now += s.Interval() {
-		if call := s.Call(0); !call.Whole || call.Within != CallWait {
+	for now := WatchSilenceTimeout; now < knownAfterSilence; now += s.Interval() {
+		if call := s.NextCall(0); !call.Full || call.Timeout != CallTimeout {
 			t.Fatalf("call %d after a silent watch: %+v", calls, call)
 		}
 		calls++
@@ -115,7 +115,7 @@
 		t.Errorf("%d calls before the missed changes count as known", calls)
 	}
 	s.Established()
-	if s.Call(0).Whole {
+	if s.NextCall(0).Full {
 		t.Error("the full list is requested after a watch was established")
 	}
 }
@@ -139,7 +139,7 @@
 			}
 			return all
 		}
-		longest := max(shortestInterval, cmp.Or(grace, usualGrace)/intervalsPerGrace)
+		longest := max(shortestInterval, cmp.Or(grace, defaultGrace)/intervalsPerGrace)
 		all := play()
 		for _, i := range all {
 			if i <= 0 || i > longest*5/4+1 {
--- a/internal/decide/keeping/keeping.go
+++ b/internal/decide/keeping/keeping.go
@@ -12,31 +12,31 @@
 
 // Settings bound the writes.
 type Settings struct {
-	Look      time.Duration // between two checks for updates
-	Least     time.Duration // shortest time between two writes
-	Most      time.Duration // time after which any update is written
-	Enough    float64       // updates, relative to the number of known servers, from which on they are written earlier
-	Busy      float64       // calls in progress, as a share of the maximum, from which on a write is deferred, up to twice MaxInterval
-	MostBytes float64       // bytes written per minute, on average
-	Change    float64       // distance, in units of one server, from which on a changed bucket is written
-	Stale     time.Duration // time after which a bucket that holds any server is written, even if nothing in it changed
-	Retry     time.Duration // delay after the first failure; doubles with each further one
-	MostRetry time.Duration
+	CheckInterval  time.Duration // between two checks for updates
+	MinInterval    time.Duration // shortest time between two writes
+	MaxInterval    time.Duration // time after which any update is written
+	UpdateShare    float64       // updates, relative to the number of known servers, from which on they are written earlier
+	BusyLoad       float64       // calls in progress, as a share of the maximum, from which on a write is deferred, up to twice MaxInterval
+	BytesPerMinute float64       // bytes written per minute, on average
+	MinDistance    float64       // distance, in units of one server, from which on a changed bucket is written
+	StaleAfter     time.Duration // time after which a bucket that holds any server is written, even if nothing in it changed
+	RetryDelay     time.Duration // delay after the first failure; doubles with each further one
+	MaxRetryDelay  time.Duration
 }
 
 // Defaults are the settings where none are configured.
-var Defaults = Settings{Look: time.Second, Least: 5 * time.Second, Most: time.Minute, Enough: 1, Busy: 0.5, MostBytes: 4 << 20,
-	Change: 0.25, Stale: 2 * time.Minute, Retry: 5 * time.Second, MostRetry: 10 * time.Minute}
+var Defaults = Settings{CheckInterval: time.Second, MinInterval: 5 * time.Second, MaxInterval: time.Minute, UpdateShare: 1, BusyLoad: 0.5, BytesPerMinute: 4 << 20,
+	MinDistance: 0.25, StaleAfter: 2 * time.Minute, RetryDelay: 5 * time.Second, MaxRetryDelay: 10 * time.Minute}
 
 // View is the state of the agent at a check.
 type View struct {
-	News    uint64  // the module's count of what it learned
+	Updates uint64  // the module's count of what it learned
 	Servers int     // in the list
 	Load    float64 // calls in progress, as a share of the maximum
 }
 
 // Policy decides for one agent. It is not safe for concurrent use.
-type Keeper struct {
+type Policy struct {
 	settings       Settings
 	rng            *rand.Rand
 	nextCheck      time.Duration // time of the next check
@@ -53,101 +53,101 @@
 
 // New returns a Policy that starts now. The first check is at a random time, as agents on one disk may have been started
 // together.
-func New(set Settings, now time.Duration, seed uint64) *Keeper {
-	p := &Keeper{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), writtenAt: now, leakedAt: now}
-	p.nextCheck = now + time.Duration(p.rng.Float64()*float64(set.Look))
+func New(set Settings, now time.Duration, seed uint64) *Policy {
+	p := &Policy{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), writtenAt: now, leakedAt: now}
+	p.nextCheck = now + time.Duration(p.rng.Float64()*float64(set.CheckInterval))
 	p.drawIntervals()
 	return p
 }
 
 // drawIntervals draws the bounds for the next write: from 3/4 to 5/4 of those configured.
-func (p *Keeper) drawIntervals() {
-	p.minInterval = p.jitter(p.settings.Least)
-	p.maxInterval = p.jitter(p.settings.Most)
+func (p *Policy) drawIntervals() {
+	p.minInterval = p.jitter(p.settings.MinInterval)
+	p.maxInterval = p.jitter(p.settings.MaxInterval)
 }
 
-func (p *Keeper) jitter(d time.Duration) time.Duration {
+func (p *Policy) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + p.rng.Float64()/2))
 }
 
 // NextCheck returns when the next check is due.
-func (p *Keeper) Next() time.Duration { return p.nextCheck }
+func (p *Policy) NextCheck() time.Duration { return p.nextCheck }
 
 // Failures returns the number of failed writes in a row.
-func (p *Keeper) Failed() int { return p.failures }
+func (p *Policy) Failures() int { return p.failures }
 
 // Check decides whether to write now. After a write, WriteDone must be called before the next Check.
-func (p *Keeper) Looked(now time.Duration, v View) (write bool) {
-	p.nextCheck = now + p.settings.Look
+func (p *Policy) Check(now time.Duration, v View) (write bool) {
+	p.nextCheck = now + p.settings.CheckInterval
 	p.leak(now)
 	since := now - p.writtenAt
-	updates := v.News - p.writtenUpdates // a count that wraps around still differs
+	updates := v.Updates - p.writtenUpdates // a count that wraps around still differs
 	switch {
 	case p.ended || updates == 0:
 		return false
-	case since < p.minInterval || p.recentBytes >= p.settings.MostBytes:
+	case since < p.minInterval || p.recentBytes >= p.settings.BytesPerMinute:
 		return false
-	case since < p.maxInterval && float64(updates) < p.settings.Enough*float64(max(1, v.Servers)):
+	case since < p.maxInterval && float64(updates) < p.settings.UpdateShare*float64(max(1, v.Servers)):
 		return false
-	case v.Load >= p.settings.Busy && since < 2*p.maxInterval:
+	case v.Load >= p.settings.BusyLoad && since < 2*p.maxInterval:
 		return false
 	}
-	p.pendingUpdates = v.News
+	p.pendingUpdates = v.Updates
 	return true
 }
 
 // leak drains the bucket of bytes written for the time passed.
-func (p *Keeper) leak(now time.Duration) {
-	p.recentBytes = max(0, p.recentBytes-p.settings.MostBytes*(now-p.leakedAt).Minutes())
+func (p *Policy) leak(now time.Duration) {
+	p.recentBytes = max(0, p.recentBytes-p.settings.BytesPerMinute*(now-p.leakedAt).Minutes())
 	p.leakedAt = now
 }
 
 // WriteDone notes the end of a write.
-func (p *Keeper) Wrote(now time.Duration, bytes int64, err error) {
+func (p *Policy) WriteDone(now time.Duration, bytes int64, err error) {
 	p.leak(now)
 	p.recentBytes += float64(bytes)
 	if err != nil {
 		p.failures++
-		wait := p.settings.Retry << min(p.failures-1, 20)
-		if wait > p.settings.MostRetry || wait <= 0 {
-			wait = p.settings.MostRetry
+		wait := p.settings.RetryDelay << min(p.failures-1, 20)
+		if wait > p.settings.MaxRetryDelay || wait <= 0 {
+			wait = p.settings.MaxRetryDelay
 		}
 		p.nextCheck = now + p.jitter(wait)
 		return
 	}
 	p.failures, p.writtenAt, p.writtenUpdates = 0, now, p.pendingUpdates
-	p.nextCheck = now + p.settings.Look
+	p.nextCheck = now + p.settings.CheckInterval
 	p.drawIntervals()
 }
 
 // End notes that the agent shuts down, and reports whether there is something to write for the last time. There is no
 // further write after it.
-func (p *Keeper) End(v View) (write bool) {
+func (p *Policy) End(v View) (write bool) {
 	if p.ended {
 		return false
 	}
 	p.ended = true
-	p.pendingUpdates = v.News
-	return v.News != p.writtenUpdates
+	p.pendingUpdates = v.Updates
+	return v.Updates != p.writtenUpdates
 }
 
 // SelectChanged returns which parts of a State to write, given what was written last: whether the shared data, and which
 // buckets. If nothing was written before, that is all. It calls yield after each bucket; yield may be nil.
-func Pick(set Settings, last, now learned.State, yield func()) (shared bool, buckets []int) {
+func SelectChanged(set Settings, last, now learned.State, yield func()) (shared bool, buckets []int) {
 	if yield == nil {
 		yield = func() {}
 	}
 	everything := last.Shared.Buckets != now.Shared.Buckets || last.Shared.Agent != now.Shared.Agent
-	shared = everything || learned.DifferShared(last.Shared, now.Shared) >= set.Change || tooOld(set, last.Shared.At, now.Shared.At)
+	shared = everything || learned.SharedDistance(last.Shared, now.Shared) >= set.MinDistance || tooOld(set, last.Shared.At, now.Shared.At)
 	for i := range now.Buckets {
 		yield()
 		if everything {
 			buckets = append(buckets, i)
 			continue
 		}
-		distance := learned.DifferBucket(last.Buckets[i], now.Buckets[i])
+		distance := learned.BucketDistance(last.Buckets[i], now.Buckets[i])
 		nonEmpty := len(last.Buckets[i].Servers)+len(now.Buckets[i].Servers) > 0
-		if distance >= set.Change || nonEmpty && tooOld(set, last.Buckets[i].At, now.Buckets[i].At) {
+		if distance >= set.MinDistance || nonEmpty && tooOld(set, last.Buckets[i].At, now.Buckets[i].At) {
 			buckets = append(buckets, i)
 		}
 	}
@@ -157,24 +157,24 @@
 // tooOld reports whether what was written then has lost too much weight by its age alone.
 func tooOld(set Settings, then, now learned.Clock) bool {
 	if then.BootID == "" {
-		return now.Wall-then.Wall >= set.Stale
+		return now.Wall-then.Wall >= set.StaleAfter
 	}
-	return now.Boot-then.Boot >= set.Stale || then.BootID != now.BootID
+	return now.Boot-then.Boot >= set.StaleAfter || then.BootID != now.BootID
 }
 
 // ClockSteps follows the clocks of a machine: it sums up by how much the wall clock stepped against the time since boot.
-type Steps struct {
+type ClockSteps struct {
 	last   learned.Clock
 	Unsure time.Duration
 }
 
 // minClockStep is the least drift that counts as a step: between two checks clocks are slewed by less.
-const step = 500 * time.Millisecond
+const minClockStep = 500 * time.Millisecond
 
 // Observe takes a reading of the clocks and returns it with the sum of all steps observed so far.
-func (s *Steps) Saw(now learned.Clock) learned.Clock {
+func (s *ClockSteps) Observe(now learned.Clock) learned.Clock {
 	if s.last.BootID != "" && s.last.BootID == now.BootID {
-		if drift := ((now.Wall - s.last.Wall) - (now.Boot - s.last.Boot)).Abs(); drift >= step {
+		if drift := ((now.Wall - s.last.Wall) - (now.Boot - s.last.Boot)).Abs(); drift >= minClockStep {
 			s.Unsure += drift
 		}
 	}
--- a/internal/decide/keeping/keeping_test.go
+++ b/internal/decide/keeping/keeping_test.go
@@ -14,12 +14,12 @@
 )
 
 // runChecks runs the checks of a Policy until some time, and returns when it wrote. Writes take no time.
-func runChecks(k *Keeper, until time.Duration, view func(now time.Duration) View, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
-	for k.Next() < until {
-		now := k.Next()
-		if k.Looked(now, view(now)) {
+func runChecks(k *Policy, until time.Duration, view func(now time.Duration) View, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
+	for k.NextCheck() < until {
+		now := k.NextCheck()
+		if k.Check(now, view(now)) {
 			bytes, err := write(now)
-			k.Wrote(now, bytes, err)
+			k.WriteDone(now, bytes, err)
 			writes = append(writes, now)
 		}
 	}
@@ -30,7 +30,7 @@
 
 // updateRate returns a view with the given number of updates per second, for 10 servers, under a load.
 func updateRate(a float64, load float64) func(time.Duration) View {
-	return func(now time.Duration) View { return View{News: uint64(a * now.Seconds()), Servers: 10, Load: load} }
+	return func(now time.Duration) View { return View{Updates: uint64(a * now.Seconds()), Servers: 10, Load: load} }
 }
 
 func intervals(writes []time.Duration) (shortest, longest time.Duration) {
@@ -46,18 +46,18 @@
 
 func TestWhenItWrites(t *testing.T) {
 	set := Defaults
-	tolerance := set.Look
+	tolerance := set.CheckInterval
 	for name, c := range map[string]struct {
 		view              func(time.Duration) View
 		wrote             func(time.Duration) (int64, error)
 		shortest, longest time.Duration // between writes; 0, 0 for none at all
 	}{
-		"much is new":      {updateRate(100, 0), succeed, set.Least * 3 / 4, set.Least*5/4 + tolerance},
-		"little is new":    {updateRate(0.1, 0), succeed, set.Most * 3 / 4, set.Most*5/4 + tolerance},
+		"much is new":      {updateRate(100, 0), succeed, set.MinInterval * 3 / 4, set.MinInterval*5/4 + tolerance},
+		"little is new":    {updateRate(0.1, 0), succeed, set.MaxInterval * 3 / 4, set.MaxInterval*5/4 + tolerance},
 		"nothing is new":   {updateRate(0, 0), succeed, 0, 0},
-		"busy":             {updateRate(100, 0.9), succeed, set.Most * 3 / 2, set.Most*5/2 + tolerance},
-		"the disk is full": {updateRate(100, 0), func(time.Duration) (int64, error) { return 0, errors.New("full") }, set.Retry * 3 / 4, set.MostRetry * 5 / 4},
-		"large writes":     {updateRate(100, 0), func(time.Duration) (int64, error) { return int64(set.MostBytes), nil }, set.Least, time.Minute + tolerance},
+		"busy":             {updateRate(100, 0.9), succeed, set.MaxInterval * 3 / 2, set.MaxInterval*5/2 + tolerance},
+		"the disk is full": {updateRate(100, 0), func(time.Duration) (int64, error) { return 0, errors.New("full") }, set.RetryDelay * 3 / 4, set.MaxRetryDelay * 5 / 4},
+		"large writes":     {updateRate(100, 0), func(time.Duration) (int64, error) { return int64(set.BytesPerMinute), nil }, set.MinInterval, time.Minute + tolerance},
 	} {
 		t.Run(name, func(t *testing.T) {
 			writes := runChecks(New(set, 0, 1), 10*time.Hour, c.view, c.wrote)
@@ -100,7 +100,7 @@
 	k := New(Defaults, 0, 1)
 	failing := true
 	fails := 0
-	writes := runChecks(k, time.Hour, func(now time.Duration) View { failing = now < 30*time.Minute; return View{News: 5, Servers: 1} },
+	writes := runChecks(k, time.Hour, func(now time.Duration) View { failing = now < 30*time.Minute; return View{Updates: 5, Servers: 1} },
 		func(time.Duration) (int64, error) {
 			if failing {
 				fails++
@@ -109,7 +109,7 @@
 			return 1, nil
 		})
 	last := writes[len(writes)-1]
-	if last < 30*time.Minute || last > 30*time.Minute+Defaults.MostRetry*5/4 || fails != len(writes)-1 || fails > 12 || k.Failed() != 0 {
+	if last < 30*time.Minute || last > 30*time.Minute+Defaults.MaxRetryDelay*5/4 || fails != len(writes)-1 || fails > 12 || k.Failures() != 0 {
 		t.Errorf("%d failures, the last write at %v", fails, last)
 	}
 }
@@ -118,13 +118,13 @@
 func TestEnd(t *testing.T) {
 	k := New(Defaults, 0, 1)
 	runChecks(k, time.Minute, updateRate(100, 0), succeed)
-	v := View{News: 1 << 20, Servers: 1}
-	if !k.End(v) || k.End(v) || k.Looked(time.Hour, v) {
+	v := View{Updates: 1 << 20, Servers: 1}
+	if !k.End(v) || k.End(v) || k.Check(time.Hour, v) {
 		t.Error("not exactly one last write")
 	}
 	k = New(Defaults, 0, 1)
-	runChecks(k, time.Minute, func(time.Duration) View { return View{News: 3, Servers: 1} }, succeed)
-	if k.End(View{News: 3, Servers: 1}) {
+	runChecks(k, time.Minute, func(time.Duration) View { return View{Updates: 3, Servers: 1} }, succeed)
+	if k.End(View{Updates: 3, Servers: 1}) {
 		t.Error("a last write without updates")
 	}
 }
@@ -138,27 +138,27 @@
 		bytes := 0.0
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "looks") {
-			if k.Next() < now {
-				t.Fatalf("a check at %v after one at %v", k.Next(), now)
+			if k.NextCheck() < now {
+				t.Fatalf("a check at %v after one at %v", k.NextCheck(), now)
 			}
-			now = k.Next() + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
-			v := View{News: rapid.Uint64().Draw(t, "news"), Servers: rapid.IntRange(0, 100).Draw(t, "servers"), Load: rapid.Float64Range(0, 1).Draw(t, "load")}
-			if !k.Looked(now, v) {
+			now = k.NextCheck() + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
+			v := View{Updates: rapid.Uint64().Draw(t, "news"), Servers: rapid.IntRange(0, 100).Draw(t, "servers"), Load: rapid.Float64Range(0, 1).Draw(t, "load")}
+			if !k.Check(now, v) {
 				continue
 			}
 			var err error
 			size := rapid.Int64Range(0, 5<<20).Draw(t, "bytes")
 			if rapid.Bool().Draw(t, "fails") {
 				err = errors.New("no")
-			} else if n := len(writes); n > 0 && now-writes[n-1] < Defaults.Least*3/4 {
+			} else if n := len(writes); n > 0 && now-writes[n-1] < Defaults.MinInterval*3/4 {
 				t.Fatalf("writes at %v and %v", writes[n-1], now)
 			}
-			k.Wrote(now, size, err)
+			k.WriteDone(now, size, err)
 			if err == nil {
 				writes = append(writes, now)
 			}
 			bytes += float64(size)
-			if most := Defaults.MostBytes*(now.Minutes()+1) + 5<<20; bytes > most {
+			if most := Defaults.BytesPerMinute*(now.Minutes()+1) + 5<<20; bytes > most {
 				t.Fatalf("%v bytes in %v", bytes, now)
 			}
 		}
@@ -181,13 +181,13 @@
 	const n = 1000
 	same := func(int) float64 { return 100 }
 	base := newState(0, n, same)
-	if shared, buckets := Pick(Defaults, learned.State{}, base, nil); !shared || len(buckets) != 16 {
+	if shared, buckets := SelectChanged(Defaults, learned.State{}, base, nil); !shared || len(buckets) != 16 {
 		t.Errorf("at first: %t, %d", shared, len(buckets))
 	}
-	if shared, buckets := Pick(Defaults, base, newState(time.Second, n, same), nil); shared || len(buckets) != 0 {
+	if shared, buckets := SelectChanged(Defaults, base, newState(time.Second, n, same), nil); shared || len(buckets) != 0 {
 		t.Errorf("nothing changed: %t, %v", shared, buckets)
 	}
-	bucket := learned.Place("7", 16)
+	bucket := learned.BucketOf("7", 16)
 	one := func(x float64) func(int) float64 {
 		return func(i int) float64 {
 			if i == 7 {
@@ -196,28 +196,28 @@
 			return 100
 		}
 	}
-	if shared, buckets := Pick(Defaults, base, newState(time.Second, n, one(50)), nil); shared || !slices.Equal(buckets, []int{bucket}) {
+	if shared, buckets := SelectChanged(Defaults, base, newState(time.Second, n, one(50)), nil); shared || !slices.Equal(buckets, []int{bucket}) {
 		t.Errorf("one server halved: %t, %v", shared, buckets)
 	}
-	if shared, buckets := Pick(Defaults, base, newState(time.Second, n, one(95)), nil); shared || len(buckets) != 0 {
+	if shared, buckets := SelectChanged(Defaults, base, newState(time.Second, n, one(95)), nil); shared || len(buckets) != 0 {
 		t.Errorf("one server changed a little: %t, %v", shared, buckets)
 	}
-	if shared, buckets := Pick(Defaults, base, newState(time.Second, n-1, same), nil); !shared || !slices.Equal(buckets, []int{learned.Place("999", 16)}) {
+	if shared, buckets := SelectChanged(Defaults, base, newState(time.Second, n-1, same), nil); !shared || !slices.Equal(buckets, []int{learned.BucketOf("999", 16)}) {
 		t.Errorf("one server removed: %t, %v", shared, buckets)
 	}
-	if shared, buckets := Pick(Defaults, base, newState(Defaults.Stale, n, same), nil); !shared || len(buckets) != 16 {
+	if shared, buckets := SelectChanged(Defaults, base, newState(Defaults.StaleAfter, n, same), nil); !shared || len(buckets) != 16 {
 		t.Errorf("old: %t, %d", shared, len(buckets))
 	}
-	if shared, buckets := Pick(Defaults, base, newState(time.Second, 100, same), nil); !shared || len(buckets) != 2 {
+	if shared, buckets := SelectChanged(Defaults, base, newState(time.Second, 100, same), nil); !shared || len(buckets) != 2 {
 		t.Errorf("another number of buckets: %t, %d", shared, len(buckets))
 	}
 }
 
 // Steps of the wall clock are detected in both directions, and slewing is not.
 func TestSteps(t *testing.T) {
-	var s Steps
+	var s ClockSteps
 	observe := func(wall, boot time.Duration) time.Duration {
-		return s.Saw(learned.Clock{Wall: wall, Boot: boot, BootID: "a"}).Unsure
+		return s.Observe(learned.Clock{Wall: wall, Boot: boot, BootID: "a"}).Unsure
 	}
 	for i := range 10 {
 		slewed := time.Duration(i) * 10 * time.Millisecond
--- a/internal/decide/learned/learned.go
+++ b/internal/decide/learned/learned.go
@@ -48,7 +48,7 @@
 	text(s.ID)
 	text(addr)
 	number(uint64(s.Started.Milliseconds()))
-	number(uint64(s.Speaks))
+	number(uint64(s.Protocols))
 	number(uint64(s.Zone))
 	number(uint64(s.Cell))
 	number(math.Float64bits(s.Weight))
@@ -92,7 +92,7 @@
 }
 
 // BucketOf returns the bucket of a server.
-func Place(id string, buckets int) int { return int(xxhash.Sum64String(id) & uint64(buckets-1)) }
+func BucketOf(id string, buckets int) int { return int(xxhash.Sum64String(id) & uint64(buckets-1)) }
 
 // New builds a State. Servers are those about which anything is known, fleet has the identities of all. It calls yield
 // every few servers, as other goroutines may be waiting for the CPU that it runs on; yield may be nil.
@@ -109,7 +109,7 @@
 		s.Buckets[i].At = at
 	}
 	for i := range servers {
-		b := &s.Buckets[Place(servers[i].ID, s.Shared.Buckets)]
+		b := &s.Buckets[BucketOf(servers[i].ID, s.Shared.Buckets)]
 		b.Servers = append(b.Servers, servers[i])
 		if i%serversPerBucket == 0 {
 			yield()
@@ -152,7 +152,7 @@
 }
 
 // BucketDistance returns how much a bucket differs from a later one, in units of one server.
-func DifferBucket(old, now Bucket) (distance float64) {
+func BucketDistance(old, now Bucket) (distance float64) {
 	known := make(map[string]*Server, len(old.Servers))
 	for i := range old.Servers {
 		known[old.Servers[i].ID] = &old.Servers[i]
@@ -177,7 +177,7 @@
 }
 
 // SharedDistance returns how much the shared data differs from later data, in units of one server.
-func DifferShared(old, now Shared) (distance float64) {
+func SharedDistance(old, now Shared) (distance float64) {
 	if old.Buckets != now.Buckets || old.Agent != now.Agent {
 		return float64(len(now.Fleet)) + 1
 	}
@@ -190,11 +190,11 @@
 			ratioDistance(float64(old.Memory.Classes[i].Least), float64(c.Least)))
 	}
 	distance += math.Abs(old.Memory.Lost-now.Memory.Lost) + math.Abs(old.Memory.ColdBad-now.Memory.ColdBad)
-	return distance + weightFleet*float64(len(old.Fleet)+len(now.Fleet)-2*Common(old.Fleet, now.Fleet))
+	return distance + weightFleet*float64(len(old.Fleet)+len(now.Fleet)-2*CountCommon(old.Fleet, now.Fleet))
 }
 
 // CountCommon returns the number of elements that two sorted lists have in common.
-func Common(a, b []uint64) (n int) {
+func CountCommon(a, b []uint64) (n int) {
 	for len(a) > 0 && len(b) > 0 {
 		switch {
 		case a[0] < b[0]:
--- a/internal/decide/learned/learned_test.go
+++ b/internal/decide/learned/learned_test.go
@@ -66,7 +66,7 @@
 // Properties that make a server another one change its identity; those that the list may change for the same server do
 // not.
 func TestIdentity(t *testing.T) {
-	base := choice.Server{ID: "s", Zone: 1, Cell: 2, Weight: 1, Started: time.Second, Speaks: 1}
+	base := choice.Server{ID: "s", Zone: 1, Cell: 2, Weight: 1, Started: time.Second, Protocols: 1}
 	id := Identity(base, "a:1", false)
 	for name, c := range map[string]struct {
 		edit        func(*choice.Server)
@@ -82,7 +82,7 @@
 		"zone":        {func(s *choice.Server) { s.Zone = 2 }, "a:1", false, false},
 		"cell":        {func(s *choice.Server) { s.Cell = 1 }, "a:1", false, false},
 		"weight":      {func(s *choice.Server) { s.Weight = 2 }, "a:1", false, false},
-		"speaks":      {func(s *choice.Server) { s.Speaks = 2 }, "a:1", false, false},
+		"speaks":      {func(s *choice.Server) { s.Protocols = 2 }, "a:1", false, false},
 		"multiplexed": {func(*choice.Server) {}, "a:1", true, false},
 		"id and addr": {func(s *choice.Server) { s.ID = "sa" }, ":1", false, false},
 	} {
@@ -131,7 +131,7 @@
 	if _, _, err := Read(newer); !errors.Is(err, ErrFormat) {
 		t.Errorf("newer format: %v", err)
 	}
-	if _, _, err := Read(nil); !errors.Is(err, ErrNone) {
+	if _, _, err := Read(nil); !errors.Is(err, ErrNoState) {
 		t.Errorf("no records: %v", err)
 	}
 }
--- a/internal/decide/learned/records.go
+++ b/internal/decide/learned/records.go
@@ -227,7 +227,7 @@
 }
 
 // ErrNoState reports that there is no state to read.
-var ErrNone = errors.New("no learned state is stored")
+var ErrNoState = errors.New("no learned state is stored")
 
 // Drop is a record that could not be read, with the reason.
 type Drop struct {
@@ -256,7 +256,7 @@
 	}
 	shared, ok := records[sharedName]
 	if !ok {
-		return s, nil, ErrNone
+		return s, nil, ErrNoState
 	}
 	encoded, err := body(shared)
 	if err != nil {
--- a/internal/decide/ledger/copy.go
+++ b/internal/decide/ledger/copy.go
@@ -7,15 +7,15 @@
 )
 
 // Copies holds the copies of the objects that a Tracker refers to, for the state explorer.
-type Twins struct {
-	Calls    life.Twins[Call]
-	Attempts life.Twins[Attempt]
-	Servers  life.Twins[life.Server]
+type Copies struct {
+	Calls    life.Copies[Call]
+	Attempts life.Copies[Attempt]
+	Servers  life.Copies[life.Server]
 }
 
 // NewCopies returns an empty Copies. A copy shares the payload, the host's fields and the Answer function with its original.
-func NewTwins() *Twins {
-	copies := &Twins{}
+func NewCopies() *Copies {
+	copies := &Copies{}
 	copies.Servers.Fill = (*life.Server).CopyTo
 	copies.Attempts.Fill = func(at, dst *Attempt) {
 		*dst = *at
@@ -34,7 +34,7 @@
 }
 
 // Copy returns an equal Tracker that uses balancer, a copy of the module. It must not be called while an event is handled.
-func (t *Ledger) Copy(set Settings, balancer Module, copies *Twins) *Ledger {
+func (t *Tracker) Copy(set Settings, balancer Module, copies *Copies) *Tracker {
 	dst := New(set, balancer)
 	dst.now, dst.unanswered, dst.relaying, dst.stats = t.now, t.unanswered, t.relaying, t.Stats()
 	dst.listed, dst.overrides = maps.Clone(t.listed), t.overrides.Copy()
@@ -48,4 +48,4 @@
 }
 
 // Holds reports whether the Tracker still holds a call.
-func (t *Ledger) Knows(c *Call) bool { return t.calls[c.ID] == c }
+func (t *Tracker) Holds(c *Call) bool { return t.calls[c.ID] == c }
--- a/internal/decide/ledger/crossing_test.go
+++ b/internal/decide/ledger/crossing_test.go
@@ -10,32 +10,32 @@
 // A client disconnects while its call is on its way to the tracker, so the two events may arrive in either order. In both, the call
 // ends at once, nothing is sent for it, and the tracker keeps nothing of it.
 func TestClientLeavesAsItsCallArrives(t *testing.T) {
-	for name, cross := range map[string]func(tracker *Ledger, call *Call) []Order{
-		"disconnect first": func(tracker *Ledger, call *Call) []Order {
-			return append(tracker.Left(time.Hour, call), tracker.Arrived(time.Hour, call)...)
+	for name, cross := range map[string]func(tracker *Tracker, call *Call) []Command{
+		"disconnect first": func(tracker *Tracker, call *Call) []Command {
+			return append(tracker.ClientDisconnected(time.Hour, call), tracker.CallArrived(time.Hour, call)...)
 		},
-		"call first": func(tracker *Ledger, call *Call) []Order {
-			return append(tracker.Arrived(time.Hour, call), tracker.Left(time.Hour, call)...)
+		"call first": func(tracker *Tracker, call *Call) []Command {
+			return append(tracker.CallArrived(time.Hour, call), tracker.ClientDisconnected(time.Hour, call)...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			module, err := choice.New(choice.Settings{Tick: time.Millisecond, MaxAttempts: 2, Classes: []choice.Class{
-				{Name: "check", Aim: time.Second, Deadline: time.Second, Worth: 1}}}, 1)
+				{Name: "check", Aim: time.Second, Deadline: time.Second, Value: 1}}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			tracker := New(Settings{MaxAttempts: 2, Carries: func(choice.Protocols) bool { return true }}, module)
+			tracker := New(Settings{MaxAttempts: 2, HasTransport: func(choice.Protocols) bool { return true }}, module)
 			tracker.Start(time.Hour)
-			tracker.List(time.Hour, true, []Entry{{Server: choice.Server{ID: "s", Weight: 1}, Addr: "127.0.0.1:1"}})
+			tracker.UpdateServers(time.Hour, true, []Entry{{Server: choice.Server{ID: "s", Weight: 1}, Addr: "127.0.0.1:1"}})
 			call := &Call{Request: choice.Request{ID: "a", Deadline: time.Hour + time.Second}}
-			call.Leave()
+			call.MarkDisconnected()
 			for _, o := range cross(tracker, call) {
-				if o.Kind == Begin || o.Kind == Reply {
+				if o.Kind == StartAttempt || o.Kind == Reply {
 					t.Errorf("command of kind %d for a disconnected client", o.Kind)
 				}
 			}
-			if open, held := tracker.Count(); open != 0 || held != 0 || tracker.Stats().Gone != 1 {
-				t.Errorf("%d unanswered, %d held, %d disconnected", open, held, tracker.Stats().Gone)
+			if open, held := tracker.Count(); open != 0 || held != 0 || tracker.Stats().Disconnected != 1 {
+				t.Errorf("%d unanswered, %d held, %d disconnected", open, held, tracker.Stats().Disconnected)
 			}
 		})
 	}
--- a/internal/decide/ledger/learned.go
+++ b/internal/decide/ledger/learned.go
@@ -19,7 +19,7 @@
 
 // Export writes what was learned to into. worked returns which of a server's addresses connected last, or "" if none did; it
 // may be nil.
-func (t *Ledger) Export(now time.Duration, into *Learned, worked func(addrs []string) string) {
+func (t *Tracker) Export(now time.Duration, into *Learned, worked func(addrs []string) string) {
 	t.balancer.Export(now, &into.Memory)
 	into.Servers, into.Fleet = into.Servers[:0], into.Fleet[:0]
 	lastAddr := func(s *life.Server) string {
@@ -56,10 +56,10 @@
 }
 
 // News returns a count that grows whenever the module learns something.
-func (t *Ledger) News() uint64 { return t.balancer.News() }
+func (t *Tracker) News() uint64 { return t.balancer.News() }
 
 // LoadPast takes the facts that an earlier process had learned. Recall gives them to the module.
-func (t *Ledger) Remember(past *aging.Past) {
+func (t *Tracker) LoadPast(past *aging.Restored) {
 	t.past, t.newlyListed = past, nil
 	for _, s := range t.servers {
 		t.newlyListed = append(t.newlyListed, listedServer(s))
@@ -73,7 +73,7 @@
 // Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
 // the number of servers with such facts and the addresses of them that had connected. Facts about servers that are never
 // listed are dropped together with the past.
-func (t *Ledger) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
+func (t *Tracker) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
 	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
 	}
@@ -82,7 +82,7 @@
 		return s == nil || s.Identity != n.Identity
 	})
 	m, worked := t.past.Recall(clock, t.newlyListed, len(t.servers))
-	if t.newlyListed = t.newlyListed[:0]; t.past.Left() == 0 {
+	if t.newlyListed = t.newlyListed[:0]; t.past.Remaining() == 0 {
 		t.past = nil
 	}
 	t.balancer.Recall(now, m)
@@ -90,4 +90,4 @@
 }
 
 // DropPast drops the facts of the earlier process that were not recalled yet.
-func (t *Ledger) Forget() { t.past, t.newlyListed = nil, nil }
+func (t *Tracker) DropPast() { t.past, t.newlyListed = nil, nil }
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -21,9 +21,9 @@
 // Call is one call of a client. Request.Needs names the protocol that a server must speak to receive it.
 type Call struct {
 	choice.Request
-	Payload any          // the message, as the transports of that protocol expect it
-	Tag     routes.Tag   // the shape in which the call was received; zero if it has none
-	Answer  func(Answer) // receives the one final answer; called on the event loop, so it must not block
+	Payload any              // the message, as the transports of that protocol expect it
+	Tag     routes.CallShape // the shape in which the call was received; zero if it has none
+	Answer  func(Answer)     // receives the one final answer; called on the event loop, so it must not block
 
 	Connection Connection // the client connection that the call was received on, for its Record
 
@@ -43,42 +43,42 @@
 }
 
 // Finished reports whether the call has its final answer or its client has disconnected. Nothing may be sent for it any more.
-func (c *Call) Over() bool { return c.finished.Load() || c.disconnected.Load() }
+func (c *Call) Finished() bool { return c.finished.Load() || c.disconnected.Load() }
 
 // MarkDisconnected records that the client has disconnected. It takes effect at once, from any goroutine: nothing more is
 // sent for the call, even if Tracker.ClientDisconnected is called only later.
-func (c *Call) Leave() { c.disconnected.Store(true) }
+func (c *Call) MarkDisconnected() { c.disconnected.Store(true) }
 
 // Abandoned reports whether nothing may be sent for the call any more. Unlike Finished it also polls the client's connection,
 // so a disconnect is detected before the Tracker is notified of it.
 func (c *Call) Abandoned() bool {
-	if !c.Over() && c.Disconnected != nil && c.Disconnected() {
-		c.Leave()
+	if !c.Finished() && c.Disconnected != nil && c.Disconnected() {
+		c.MarkDisconnected()
 	}
-	return c.Over()
+	return c.Finished()
 }
 
 // ClientDisconnected reports whether the client is known to have disconnected.
-func (c *Call) Gone() bool { return c.disconnected.Load() }
+func (c *Call) ClientDisconnected() bool { return c.disconnected.Load() }
 
 // Abort marks the call as finished without a Tracker. Only tests of transports use it.
-func (c *Call) End() { c.finished.Store(true) }
+func (c *Call) Abort() { c.finished.Store(true) }
 
 // AnswerKind is the kind of a final answer.
-type Kind int
+type AnswerKind int
 
 // The kinds of final answers.
 const (
-	Served    Kind = iota
-	Refused        // the call had no effect, so a retry is safe
-	Failed         // the call may or may not have taken effect
-	Duplicate      // another call with the same id is in progress
-	Unfit          // a refusal: no server accepts the call's shape and it can't be translated, so a retry is pointless
+	Served         AnswerKind = iota
+	Refused                   // the call had no effect, so a retry is safe
+	Failed                    // the call may or may not have taken effect
+	Duplicate                 // another call with the same id is in progress
+	Untranslatable            // a refusal: no server accepts the call's shape and it can't be translated, so a retry is pointless
 )
 
 // Answer is the final answer to a call.
 type Answer struct {
-	Kind  Kind
+	Kind  AnswerKind
 	After time.Duration // of a refusal: the delay before a retry; 0 if unspecified
 	Reply any           // of a served call: the reply, as the transport returned it
 	Cause error         // of an untranslatable call: why it can't be translated
@@ -86,55 +86,57 @@
 
 // Attempt is one attempt of a call at a server.
 type Attempt struct {
-	Call   *Call
-	Number int
-	Reason choice.Reason // why the attempt is made
-	Server *life.Server
-	Sent   time.Duration // when the attempt was started, or when the request body was complete; on the module's clock
-	End    time.Duration // when the attempt times out, on the module's clock
-	SendBy time.Duration // the last byte must be written before this time on the module's clock; 0 for no limit
-	Life   life.Attempt  // the state machine, driven by the transport
-
-	Way     routes.Way       // the shape in which the call is sent, if it has one
+	Call     *Call
+	Number   int
+	Reason   choice.Reason // why the attempt is made
+	Server   *life.Server
+	Sent     time.Duration // when the attempt was started, or when the request body was complete; on the module's clock
+	Deadline time.Duration // when the attempt times out, on the module's clock
+	SendBy   time.Duration // the last byte must be written before this time on the module's clock; 0 for no limit
+	State    life.Attempt  // the state machine, driven by the transport
+
+	Way     routes.Route     // the shape in which the call is sent, if it has one
 	Speaks  choice.Protocols // the protocol spoken with the server
 	Payload any              // the message to send: the call's own, or its translation
 
 	// Illegal is called with an illegal state transition, which is a bug in this program. It may be nil.
-	Illegal  func(error)
-	Begun    func(*Attempt, Ending)  // set by the host: reports that the answer starts to be relayed; its end is reported separately
-	Forwards *atomic.Int64           // set by the host: counts the attempts that were written completely; may be nil
-	Withdraw context.CancelCauseFunc // set by the host: cancels the attempt's context
-	WriteBy  time.Time               // set by the host: SendBy on the system clock
+	OnIllegalStep  func(error)
+	OnRelayStart   func(*Attempt, AttemptOutcome) // set by the host: reports that the answer starts to be relayed; its end is reported separately
+	ForwardedCount *atomic.Int64                  // set by the host: counts the attempts that were written completely; may be nil
+	Cancel         context.CancelCauseFunc        // set by the host: cancels the attempt's context
+	WriteBy        time.Time                      // set by the host: SendBy on the system clock
 }
 
 // ReportIllegalStep passes err to OnIllegalStep, unless one of them is nil.
-func (at *Attempt) Heed(err error) {
-	if err != nil && at.Illegal != nil {
-		at.Illegal(err)
+func (at *Attempt) ReportIllegalStep(err error) {
+	if err != nil && at.OnIllegalStep != nil {
+		at.OnIllegalStep(err)
 	}
 }
 
 // MarkForwarded counts the attempt as forwarded. Transports call it once, when the last byte of the message is written.
-func (at *Attempt) Forwarded() {
-	if at.Forwards != nil {
-		at.Forwards.Add(1)
+func (at *Attempt) MarkForwarded() {
+	if at.ForwardedCount != nil {
+		at.ForwardedCount.Add(1)
 	}
 }
 
 // AttemptOutcome describes how an attempt ended.
-type Ending struct {
+type AttemptOutcome struct {
 	Result choice.Result
 	Report choice.Report
 	Reply  any // the reply, if the attempt was served
 
-	Cause        error // why the attempt was not served, for the log; nil if unknown
-	Unfit        error // nothing was sent, because the call can't be translated into the shape that the server accepts
-	ShapeUnknown bool  // the server answered that it does not know the shape; the call never ran
-	Untold       error // the call was served, but its reply can't be translated into the client's shape
+	Cause                 error // why the attempt was not served, for the log; nil if unknown
+	RequestUntranslatable error // nothing was sent, because the call can't be translated into the shape that the server accepts
+	ShapeUnknown          bool  // the server answered that it does not know the shape; the call never ran
+	ReplyUntranslatable   error // the call was served, but its reply can't be translated into the client's shape
 }
 
 // ResultOnly returns an AttemptOutcome with a result and neither a reply nor a load report.
-func Ended(r choice.Result) Ending { return Ending{Result: r, Report: choice.NoReport} }
+func ResultOnly(r choice.Result) AttemptOutcome {
+	return AttemptOutcome{Result: r, Report: choice.NoReport}
+}
 
 // Entry is an entry of the server list.
 type Entry struct {
@@ -146,23 +148,23 @@
 }
 
 // CommandKind tells what a Command asks for.
-type OrderKind int
+type CommandKind int
 
 // The kinds of commands.
 const (
-	Begin    OrderKind = iota // start Attempt
-	Withdraw                  // cancel Attempt
-	Reply                     // give Answer to Call
-	SetTimer                  // call TimerFired with Token at At
-	Retire                    // close the idle connections to Server
-	Bound                     // time Attempt out at At, which is earlier than the time set when it started
-	Discard                   // drop Reply, as its client is gone or already has an answer
+	StartAttempt    CommandKind = iota // start Attempt
+	CancelAttempt                      // cancel Attempt
+	Reply                              // give Answer to Call
+	SetTimer                           // call TimerFired with Token at At
+	RetireServer                       // close the idle connections to Server
+	ShortenDeadline                    // time Attempt out at At, which is earlier than the time set when it started
+	DiscardReply                       // drop Reply, as its client is gone or already has an answer
 )
 
 // Command is something that the host has to do. The host carries out the commands of a slice one after the other. Kind determines
 // which of the other fields are set.
-type Order struct {
-	Kind    OrderKind
+type Command struct {
+	Kind    CommandKind
 	Attempt *Attempt
 	Call    *Call
 	Answer  Answer
@@ -174,24 +176,24 @@
 
 // Stats holds counts since the start.
 type Stats struct {
-	Requests, Gone    int                     // calls received; calls whose client disconnected before the final answer
-	ClassStats                                // sum over all classes
-	Attempts, Reports int                     // attempts that the module ordered; load reports received
-	Results           [choice.NotSent + 1]int // attempts by their choice.Result
+	Requests, Disconnected int                     // calls received; calls whose client disconnected before the final answer
+	ClassStats                                     // sum over all classes
+	Attempts, Reports      int                     // attempts that the module ordered; load reports received
+	Results                [choice.NotSent + 1]int // attempts by their choice.Result
 	// Translated attempts, untranslatable calls, attempts of a shape unknown to the server, and untranslatable replies.
-	Translated, Unfit, Unknown, Untold int
-	Classes                            []ClassStats // by class
+	Translated, UntranslatableCalls, UnknownShapes, UntranslatableReplies int
+	Classes                                                               []ClassStats // by class
 }
 
 // ClassStats counts the final answers to the calls of one class. Each answered call counts in exactly one field.
 type ClassStats struct{ Served, Refused, Failed int }
 
 // add counts a call by its final answer.
-func (s *ClassStats) add(k Kind) {
+func (s *ClassStats) add(k AnswerKind) {
 	switch k {
 	case Served:
 		s.Served++
-	case Refused, Unfit:
+	case Refused, Untranslatable:
 		s.Refused++
 	case Failed, Duplicate:
 		s.Failed++
@@ -210,58 +212,58 @@
 
 // Settings configures a Tracker.
 type Settings struct {
-	Classes     int                               // number of call classes
-	MaxAttempts int                               // per call
-	MostHeld    int                               // maximum number of unanswered calls; 0 for no limit
-	Carries     func(needs choice.Protocols) bool // reports whether there is a transport for these protocols
-	Illegal     func(error)                       // called with illegal state transitions, which are bugs in this program; may be nil
-	Routes      *routes.Routes                    // routing by shape; nil if calls have no shapes
-	Observe     func(Record)                      // receives the Record of each ended request, on the event loop; nil to keep no records
-	Places      *subset.Subset                    // this agent's places at servers; nil for the first place at each
+	Classes       int                               // number of call classes
+	MaxAttempts   int                               // per call
+	MaxUnanswered int                               // maximum number of unanswered calls; 0 for no limit
+	HasTransport  func(needs choice.Protocols) bool // reports whether there is a transport for these protocols
+	OnIllegalStep func(error)                       // called with illegal state transitions, which are bugs in this program; may be nil
+	Routes        *routes.Router                    // routing by shape; nil if calls have no shapes
+	Observe       func(Record)                      // receives the Record of each ended request, on the event loop; nil to keep no records
+	Places        *subset.Subset                    // this agent's places at servers; nil for the first place at each
 }
 
 // Tracker tracks the calls of an agent. It is not safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	set          Settings
 	balancer     Module
 	now          time.Duration
 	pending      []choice.Event // events that the module has not handled yet; actions on one event may add further ones
 	handling     bool
-	commands     []Order
+	commands     []Command
 	calls        map[string]*Call // by id: calls that are unanswered or have attempts in flight
 	servers      map[string]*life.Server
 	listed       map[string]Entry // by id: the entries as the server list has them, including draining servers
-	overrides    operators.Word
+	overrides    operators.Set
 	unanswered   int // number of unanswered calls
 	relaying     int // number of calls whose answer is being relayed
 	stats        Stats
-	past         *aging.Past    // facts learned by an earlier process; nil if there are none
-	newlyListed  []aging.Listed // listed servers that Recall has not looked up in past yet
-	routesTimer  time.Duration  // the time for which the routes' timer is set; 0 if it is not set
-	shutdownBy   time.Duration  // the time by which all calls must be answered, as the process shuts down; 0 before that
-	reasonCounts map[Reason]int // number of ended requests by reason, if Settings.Observe is set
+	past         *aging.Restored // facts learned by an earlier process; nil if there are none
+	newlyListed  []aging.Listed  // listed servers that Recall has not looked up in past yet
+	routesTimer  time.Duration   // the time for which the routes' timer is set; 0 if it is not set
+	shutdownBy   time.Duration   // the time by which all calls must be answered, as the process shuts down; 0 before that
+	reasonCounts map[Reason]int  // number of ended requests by reason, if Settings.Observe is set
 }
 
 // New returns a Tracker that uses balancer as its decision module.
-func New(set Settings, balancer Module) *Ledger {
-	return &Ledger{set: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*life.Server{},
+func New(set Settings, balancer Module) *Tracker {
+	return &Tracker{set: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*life.Server{},
 		listed: map[string]Entry{}, stats: Stats{Classes: make([]ClassStats, set.Classes)}, reasonCounts: map[Reason]int{}}
 }
 
 // startStep starts the handling of an external event. The commands returned for it are valid until the next one.
-func (t *Ledger) startStep(now time.Duration) { t.now, t.commands = now, t.commands[:0] }
+func (t *Tracker) startStep(now time.Duration) { t.now, t.commands = now, t.commands[:0] }
 
-func (t *Ledger) emit(o Order) { t.commands = append(t.commands, o) }
+func (t *Tracker) emit(o Command) { t.commands = append(t.commands, o) }
 
 // Start returns the commands to carry out before the first event.
-func (t *Ledger) Start(now time.Duration) []Order {
+func (t *Tracker) Start(now time.Duration) []Command {
 	t.startStep(now)
 	t.perform(t.balancer.Start(now))
 	return t.commands
 }
 
 // TimerFired handles the expiry of the timer that was set with token.
-func (t *Ledger) Fired(now time.Duration, token uint64) []Order {
+func (t *Tracker) TimerFired(now time.Duration, token uint64) []Command {
 	t.startStep(now)
 	if token == routesToken {
 		if t.routesTimer == 0 || now < t.routesTimer { // superseded by a timer that was set for an earlier time
@@ -276,18 +278,18 @@
 }
 
 // CallArrived accepts a call from a front.
-func (t *Ledger) Arrived(now time.Duration, call *Call) []Order {
+func (t *Tracker) CallArrived(now time.Duration, call *Call) []Command {
 	t.startStep(now)
 	t.stats.Requests++
 	call.accepted, call.Deadline = now, t.clampDeadline(call.Deadline)
 	switch {
-	case call.Gone(): // ClientDisconnected may already have been called and would not be called again to end the call
+	case call.ClientDisconnected(): // ClientDisconnected may already have been called and would not be called again to end the call
 		call.finished.Store(true)
-		t.stats.Gone++
+		t.stats.Disconnected++
 		t.observe(call, Failed, ReasonDisconnected)
 	case t.calls[call.ID] != nil: // ids must be unique
 		t.reply(call, Answer{Kind: Duplicate}, ReasonDuplicateID)
-	case t.set.MostHeld > 0 && t.unanswered >= t.set.MostHeld: // refused without asking the module, as in the simulator
+	case t.set.MaxUnanswered > 0 && t.unanswered >= t.set.MaxUnanswered: // refused without asking the module, as in the simulator
 		t.reply(call, Answer{Kind: Refused}, ReasonRequestLimit)
 	default:
 		t.calls[call.ID] = call
@@ -299,7 +301,7 @@
 }
 
 // ClientDisconnected ends a call whose client has disconnected.
-func (t *Ledger) Left(now time.Duration, call *Call) []Order {
+func (t *Tracker) ClientDisconnected(now time.Duration, call *Call) []Command {
 	t.startStep(now)
 	if t.calls[call.ID] == call && !call.finished.Load() {
 		t.clientLeft(call)
@@ -309,22 +311,22 @@
 }
 
 // clientLeft ends an unfinished call whose client has disconnected.
-func (t *Ledger) clientLeft(call *Call) {
-	t.stats.Gone++
+func (t *Tracker) clientLeft(call *Call) {
+	t.stats.Disconnected++
 	t.markFinished(call)
 	t.observe(call, Failed, ReasonDisconnected)
-	t.handle(choice.ClientGone{Request: call.ID})
+	t.handle(choice.ClientDisconnected{Request: call.ID})
 }
 
 // AttemptEnded handles the end of an attempt. The first attempt of a call that is served answers the client.
-func (t *Ledger) Ended(now time.Duration, at *Attempt, e Ending) []Order {
+func (t *Tracker) AttemptEnded(now time.Duration, at *Attempt, e AttemptOutcome) []Command {
 	t.startStep(now)
 	call := at.Call
 	call.attempts[at.Number] = nil
 	call.inFlight--
 	t.recordAttempt(at, e)
 	t.stats.Results[e.Result]++
-	if call.Gone() && !call.finished.Load() { // the transport noticed the disconnect before the front reported it
+	if call.ClientDisconnected() && !call.finished.Load() { // the transport noticed the disconnect before the front reported it
 		t.clientLeft(call)
 	}
 	if call.relaying == at { // RelayStarted has already given the module the outcome and the client the start of its answer
@@ -337,10 +339,10 @@
 	}
 	t.learnShape(at, e)
 	switch {
-	case e.Result == choice.OK && e.Untold != nil: // the call has run, so it must neither be refused nor be sent again
-		t.finish(call.ID, Answer{Kind: Failed}, ReasonUnreadable)
+	case e.Result == choice.OK && e.ReplyUntranslatable != nil: // the call has run, so it must neither be refused nor be sent again
+		t.finish(call.ID, Answer{Kind: Failed}, ReasonUntranslatable)
 	case e.Result == choice.OK && t.finish(call.ID, Answer{Kind: Served, Reply: e.Reply}, ReasonAnswered):
-	case e.Unfit != nil && t.restartUntranslated(at, e.Unfit):
+	case e.RequestUntranslatable != nil && t.restartUntranslated(at, e.RequestUntranslatable):
 		return t.commands
 	}
 	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: e.Result,
@@ -350,16 +352,16 @@
 }
 
 // UpdateServers applies the server list (full) or changes to it, in the Tracker and in the module.
-func (t *Ledger) List(now time.Duration, full bool, entries []Entry) []Order {
+func (t *Tracker) UpdateServers(now time.Duration, full bool, entries []Entry) []Command {
 	t.startStep(now)
 	named := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		named[e.ID] = true
-		if e.State == choice.Gone {
+		if e.State == choice.Removed {
 			delete(t.listed, e.ID)
-			t.overrides.Gone(e.ID)
+			t.overrides.ServerRemoved(e.ID)
 		} else {
-			e.Place = t.place(e.ID)
+			e.SubsetRank = t.place(e.ID)
 			t.listed[e.ID] = e
 		}
 	}
@@ -367,7 +369,7 @@
 		for id := range t.listed {
 			if !named[id] {
 				delete(t.listed, id)
-				t.overrides.Gone(id)
+				t.overrides.ServerRemoved(id)
 			}
 		}
 	}
@@ -377,22 +379,22 @@
 
 // place returns this agent's place at a server. It reuses the known one, as computing it takes time proportional to the
 // number of agents.
-func (t *Ledger) place(id string) float64 {
+func (t *Tracker) place(id string) float64 {
 	if known, ok := t.listed[id]; ok {
-		return known.Place
+		return known.SubsetRank
 	}
 	if t.set.Places == nil {
 		return 0
 	}
-	return t.set.Places.Place(id)
+	return t.set.Places.Rank(id)
 }
 
 // applyEntries applies entries of the server list after the operators' overrides.
-func (t *Ledger) applyEntries(full bool, named map[string]bool, entries []Entry) {
+func (t *Tracker) applyEntries(full bool, named map[string]bool, entries []Entry) {
 	ev := choice.ServerList{Full: full}
 	for _, e := range entries {
-		e.Server = t.overrides.Counts(e.Server)
-		e.Place = t.listed[e.ID].Place
+		e.Server = t.overrides.Apply(e.Server)
+		e.SubsetRank = t.listed[e.ID].SubsetRank
 		ev.Servers = append(ev.Servers, t.moduleEntry(e))
 		t.applyEntry(e)
 	}
@@ -400,7 +402,7 @@
 		if full && !named[id] {
 			t.retire(id)
 			if t.set.Routes != nil {
-				t.set.Routes.Gone(id)
+				t.set.Routes.RemoveServer(id)
 			}
 		}
 	}
@@ -409,16 +411,16 @@
 
 // applyEntry applies one entry of the server list. A server that restarted, or whose addresses or protocol changed, gets new
 // connections.
-func (t *Ledger) applyEntry(e Entry) {
+func (t *Tracker) applyEntry(e Entry) {
 	started := e.Started.Milliseconds()
 	s := t.servers[e.ID]
-	if s != nil && (s.Addr != e.Addr || !slices.Equal(s.Addrs, e.Addrs) || s.Started != started || s.Speaks != e.Speaks || s.Multiplexed != e.Multiplexed ||
+	if s != nil && (s.Addr != e.Addr || !slices.Equal(s.Addrs, e.Addrs) || s.Started != started || s.Speaks != e.Protocols || s.Multiplexed != e.Multiplexed ||
 		e.State != choice.Ready) {
 		t.retire(e.ID)
 		s = nil
 	}
 	if s == nil && e.State == choice.Ready {
-		s = &life.Server{ID: e.ID, Addr: e.Addr, Addrs: e.Addrs, Started: started, Speaks: e.Speaks, Multiplexed: e.Multiplexed}
+		s = &life.Server{ID: e.ID, Addr: e.Addr, Addrs: e.Addrs, Started: started, Speaks: e.Protocols, Multiplexed: e.Multiplexed}
 		t.servers[e.ID] = s
 	}
 	if s == nil {
@@ -432,15 +434,15 @@
 }
 
 // retire stops sending to a server. It takes effect at once, not only when the host carries out the command.
-func (t *Ledger) retire(id string) {
+func (t *Tracker) retire(id string) {
 	t.servers[id].Retire()
-	t.emit(Order{Kind: Retire, Server: t.servers[id]})
+	t.emit(Command{Kind: RetireServer, Server: t.servers[id]})
 	delete(t.servers, id)
 }
 
 // handle gives the module an event and performs the actions that it returns. Events caused by these actions are queued until
 // all of them are performed, as they are valid only until the module's next call.
-func (t *Ledger) handle(ev choice.Event) {
+func (t *Tracker) handle(ev choice.Event) {
 	t.pending = append(t.pending, ev)
 	if t.handling {
 		return
@@ -455,11 +457,11 @@
 
 // perform carries out the module's actions. It has no case for probes, which the configuration rules out, nor for messages to
 // peers, which the module does not send.
-func (t *Ledger) perform(actions []choice.Action) {
+func (t *Tracker) perform(actions []choice.Action) {
 	for _, act := range actions {
 		switch act.Kind {
 		case choice.SetTimer:
-			t.emit(Order{Kind: SetTimer, Token: act.Token, At: t.now + act.After})
+			t.emit(Command{Kind: SetTimer, Token: act.Token, At: t.now + act.After})
 		case choice.Send:
 			if call := t.calls[act.Request]; call != nil {
 				t.send(call, act)
@@ -467,12 +469,12 @@
 		case choice.Cancel:
 			call := t.calls[act.Request]
 			if call != nil && act.Attempt < len(call.attempts) && call.attempts[act.Attempt] != nil {
-				t.emit(Order{Kind: Withdraw, Attempt: call.attempts[act.Attempt]})
+				t.emit(Command{Kind: CancelAttempt, Attempt: call.attempts[act.Attempt]})
 			}
 		case choice.Refuse:
 			answer := Answer{Kind: Refused, After: act.After}
-			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.set.Routes.AsItCame(call.Tag) {
-				answer = Answer{Kind: Unfit, Cause: call.untranslatable}
+			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.set.Routes.AnyUntranslated(call.Tag) {
+				answer = Answer{Kind: Untranslatable, Cause: call.untranslatable}
 			}
 			t.finish(act.Request, answer, Reason(act.Reason.String()))
 		case choice.Fail:
@@ -483,7 +485,7 @@
 
 // send starts an attempt, or reports at once to the module why it is not made. Attempts are numbered in the order in which the
 // module orders them, including those that are not sent.
-func (t *Ledger) send(call *Call, act choice.Action) {
+func (t *Tracker) send(call *Call, act choice.Action) {
 	n := len(call.attempts)
 	call.attempts = append(call.attempts, nil)
 	t.stats.Attempts++
@@ -493,24 +495,24 @@
 	}
 	s := t.servers[act.Server]
 	way, fits := t.wayTo(call, act.Server)
-	failed := choice.Outcome{Request: call.ID, Attempt: n, Server: act.Server, Closed: call.Over(), Report: choice.NoReport}
+	failed := choice.Outcome{Request: call.ID, Attempt: n, Server: act.Server, Closed: call.Finished(), Report: choice.NoReport}
 	switch {
-	case failed.Closed || n >= t.set.MaxAttempts || end <= t.now || s != nil && (!fits || !t.set.Carries(way.Protocol)):
+	case failed.Closed || n >= t.set.MaxAttempts || end <= t.now || s != nil && (!fits || !t.set.HasTransport(way.Protocol)):
 		failed.Result = choice.NotSent
 	case s == nil:
 		failed.Result = choice.ConnectFailed
 	default:
-		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, End: end, Illegal: t.set.Illegal, Way: way,
+		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, Deadline: end, OnIllegalStep: t.set.OnIllegalStep, Way: way,
 			Speaks: way.Protocol, Payload: call.Payload}
-		if act.Within != 0 {
-			at.SendBy = t.now + act.Within
+		if act.SendWithin != 0 {
+			at.SendBy = t.now + act.SendWithin
 		}
 		if way.Plan != nil {
 			t.stats.Translated++
 		}
 		call.attempts[n] = at
 		call.inFlight++
-		t.emit(Order{Kind: Begin, Attempt: at})
+		t.emit(Command{Kind: StartAttempt, Attempt: at})
 		return
 	}
 	t.stats.Results[failed.Result]++
@@ -519,7 +521,7 @@
 }
 
 // finish gives a call its final answer. It returns false if the call is unknown or already finished.
-func (t *Ledger) finish(id string, ans Answer, why Reason) bool {
+func (t *Tracker) finish(id string, ans Answer, why Reason) bool {
 	call := t.calls[id]
 	if call == nil || call.finished.Load() {
 		return false
@@ -531,52 +533,52 @@
 }
 
 // reply emits the final answer and counts it.
-func (t *Ledger) reply(call *Call, ans Answer, why Reason) {
+func (t *Tracker) reply(call *Call, ans Answer, why Reason) {
 	t.observe(call, ans.Kind, why)
-	t.emit(Order{Kind: Reply, Call: call, Answer: ans})
+	t.emit(Command{Kind: Reply, Call: call, Answer: ans})
 	if call.relaying == nil { // a relayed answer is counted when it ends
 		t.countAnswer(call, ans.Kind)
 	}
 }
 
 // countAnswer counts a final answer, in all and for the call's class.
-func (t *Ledger) countAnswer(call *Call, k Kind) {
+func (t *Tracker) countAnswer(call *Call, k AnswerKind) {
 	t.stats.add(k)
 	if call.Class >= 0 && call.Class < len(t.stats.Classes) {
 		t.stats.Classes[call.Class].add(k)
 	}
 }
 
-func (t *Ledger) markFinished(call *Call) {
+func (t *Tracker) markFinished(call *Call) {
 	call.finished.Store(true)
 	t.unanswered--
 }
 
 // dropIfDone drops a call that is finished and has no attempt in flight.
-func (t *Ledger) dropIfDone(call *Call) {
+func (t *Tracker) dropIfDone(call *Call) {
 	if call.finished.Load() && call.inFlight == 0 && t.calls[call.ID] == call {
 		delete(t.calls, call.ID)
 	}
 }
 
 // RelayingCount returns the number of calls whose answer is being relayed.
-func (t *Ledger) Passing() int { return t.relaying }
+func (t *Tracker) RelayingCount() int { return t.relaying }
 
 // Count returns the number of unanswered calls, and the number of calls that are unanswered or have attempts in flight.
-func (t *Ledger) Count() (open, held int) { return t.unanswered, len(t.calls) }
+func (t *Tracker) Count() (open, held int) { return t.unanswered, len(t.calls) }
 
 // Stats returns the counts since the start.
-func (t *Ledger) Stats() Stats {
+func (t *Tracker) Stats() Stats {
 	s := t.stats
 	s.Classes = slices.Clone(s.Classes)
 	return s
 }
 
 // ServerCount returns the number of servers that calls can be sent to.
-func (t *Ledger) ServerCount() int { return len(t.servers) }
+func (t *Tracker) ServerCount() int { return len(t.servers) }
 
 // Servers returns the ids of the servers that calls can be sent to, in no particular order.
-func (t *Ledger) Servers() (ids []string) {
+func (t *Tracker) Servers() (ids []string) {
 	for id := range t.servers {
 		ids = append(ids, id)
 	}
@@ -584,4 +586,4 @@
 }
 
 // Server returns the server with this id if calls can be sent to it, else nil.
-func (t *Ledger) Server(id string) *life.Server { return t.servers[id] }
+func (t *Tracker) Server(id string) *life.Server { return t.servers[id] }
--- a/internal/decide/ledger/long.go
+++ b/internal/decide/ledger/long.go
@@ -11,30 +11,30 @@
 
 // RequestComplete handles the last byte of a call that was received in parts (Request.Coming). The time of its attempts counts
 // from now, and its deadline becomes the given one.
-func (t *Ledger) Whole(now time.Duration, call *Call, deadline time.Duration) []Order {
+func (t *Tracker) RequestComplete(now time.Duration, call *Call, deadline time.Duration) []Command {
 	t.startStep(now)
-	if t.calls[call.ID] != call || !call.Coming || call.Over() {
+	if t.calls[call.ID] != call || !call.BodyPending || call.Finished() {
 		return nil
 	}
 	deadline = t.clampDeadline(deadline)
-	call.Coming, call.Deadline = false, deadline
+	call.BodyPending, call.Deadline = false, deadline
 	for _, at := range call.attempts {
 		if at != nil {
-			at.Sent, at.End = now, min(at.End, deadline)
-			t.emit(Order{Kind: Bound, Attempt: at, At: at.End})
+			at.Sent, at.Deadline = now, min(at.Deadline, deadline)
+			t.emit(Command{Kind: ShortenDeadline, Attempt: at, At: at.Deadline})
 		}
 	}
-	t.handle(choice.Whole{Request: call.ID, Deadline: deadline})
+	t.handle(choice.BodyReceived{Request: call.ID, Deadline: deadline})
 	return t.commands
 }
 
 // RelayStarted handles an answer that starts to be relayed while it is received. It becomes the call's final answer, even if
 // the rest of it never arrives. If the call already has an answer or its client has disconnected, the reply is discarded.
-func (t *Ledger) Begun(now time.Duration, at *Attempt, e Ending) []Order {
+func (t *Tracker) RelayStarted(now time.Duration, at *Attempt, e AttemptOutcome) []Command {
 	t.startStep(now)
 	call := at.Call
-	if call.Over() {
-		t.emit(Order{Kind: Discard, Reply: e.Reply})
+	if call.Finished() {
+		t.emit(Command{Kind: DiscardReply, Reply: e.Reply})
 		return t.commands
 	}
 	if e.Report != choice.NoReport {
@@ -50,10 +50,10 @@
 }
 
 // IsRelaying reports whether the answer of this attempt is being relayed to the call's client.
-func (t *Ledger) Passes(call *Call, at *Attempt) bool { return call.relaying == at }
+func (t *Tracker) IsRelaying(call *Call, at *Attempt) bool { return call.relaying == at }
 
 // relayEnded handles the end of a relayed answer; whole reports whether all of it was relayed.
-func (t *Ledger) relayEnded(call *Call, whole bool) {
+func (t *Tracker) relayEnded(call *Call, whole bool) {
 	kind := Served
 	if !whole {
 		kind = Failed
--- a/internal/decide/ledger/operators.go
+++ b/internal/decide/ledger/operators.go
@@ -9,10 +9,10 @@
 
 // Offline takes a server out of use by an operator's request, until Online. It returns false if the server is unknown, or if
 // the maximum number of servers is offline already.
-func (t *Ledger) Offline(now time.Duration, id string) ([]Order, bool) {
+func (t *Tracker) Offline(now time.Duration, id string) ([]Command, bool) {
 	t.startStep(now)
 	e, listed := t.listed[id]
-	if !listed && !t.overrides.Out(id) || !t.overrides.Offline(now, id) {
+	if !listed && !t.overrides.IsOffline(id) || !t.overrides.Offline(now, id) {
 		return nil, false
 	}
 	if listed {
@@ -22,10 +22,10 @@
 }
 
 // Online puts a server back into use. It returns false if the server is unknown. A server that was not offline is unaffected.
-func (t *Ledger) Online(now time.Duration, id string) ([]Order, bool) {
+func (t *Tracker) Online(now time.Duration, id string) ([]Command, bool) {
 	t.startStep(now)
 	e, listed := t.listed[id]
-	if !listed && !t.overrides.Out(id) {
+	if !listed && !t.overrides.IsOffline(id) {
 		return nil, false
 	}
 	if t.overrides.Online(now, id) && listed {
@@ -35,15 +35,15 @@
 }
 
 // Overrides returns the operators' overrides, to hand over to another process.
-func (t *Ledger) Saying() operators.Saying { return t.overrides.Saying() }
+func (t *Tracker) Overrides() operators.Snapshot { return t.overrides.Snapshot() }
 
 // RestoreOverrides applies the overrides that operators made in an earlier process.
-func (t *Ledger) Take(now time.Duration, s operators.Saying) []Order {
+func (t *Tracker) RestoreOverrides(now time.Duration, s operators.Snapshot) []Command {
 	t.startStep(now)
-	t.overrides.Take(now, s)
+	t.overrides.Restore(now, s)
 	var entries []Entry
 	for _, e := range t.listed {
-		if c := t.overrides.Counts(e.Server); c != e.Server {
+		if c := t.overrides.Apply(e.Server); c != e.Server {
 			entries = append(entries, e)
 		}
 	}
@@ -54,20 +54,20 @@
 }
 
 // RestoreLearned gives the module what an earlier process of this agent had learned up to now.
-func (t *Ledger) Inherit(now time.Duration, m choice.Memory) { t.balancer.Recall(now, m) }
+func (t *Tracker) RestoreLearned(now time.Duration, m choice.Memory) { t.balancer.Recall(now, m) }
 
 // ListedServer returns the entry of a server in the server list, before the operators' overrides.
-func (t *Ledger) Listed(id string) (s choice.Server, listed bool) {
+func (t *Tracker) ListedServer(id string) (s choice.Server, listed bool) {
 	e, listed := t.listed[id]
 	return e.Server, listed
 }
 
 // FleetCounts returns the number of listed servers and the number of avoided ones: taken offline by operators, or ejected by
 // the module.
-func (t *Ledger) Fleet() (listed, avoided int) {
+func (t *Tracker) FleetCounts() (listed, avoided int) {
 	avoided = t.balancer.Ejected()
 	for id := range t.listed {
-		if t.overrides.Out(id) {
+		if t.overrides.IsOffline(id) {
 			avoided++
 		}
 	}
--- a/internal/decide/ledger/record.go
+++ b/internal/decide/ledger/record.go
@@ -11,12 +11,12 @@
 
 // The reasons that do not come from the decision module.
 const (
-	ReasonDuplicateID  Reason = "duplicate id"
-	ReasonRequestLimit Reason = "request limit"
-	ReasonDisconnected Reason = "client disconnected"
-	ReasonAnswered     Reason = "answered"
-	ReasonUnreadable   Reason = "answer not translatable"
-	ReasonBrokenOff    Reason = "answer broken off"
+	ReasonDuplicateID    Reason = "duplicate id"
+	ReasonRequestLimit   Reason = "request limit"
+	ReasonDisconnected   Reason = "client disconnected"
+	ReasonAnswered       Reason = "answered"
+	ReasonUntranslatable Reason = "answer not translatable"
+	ReasonBrokenOff      Reason = "answer broken off"
 )
 
 // Connection describes the client's connection on which a request came.
@@ -27,68 +27,68 @@
 
 // AttemptRecord describes one attempt of an ended request. Times count from when the request was received.
 type AttemptRecord struct {
-	Server     string
-	Reason     choice.Reason // why the attempt was made
-	Sent, Over time.Duration // when it started and ended
-	Open       bool          // it had not ended when the request did; Ended and Result are not set
-	Result     choice.Result
-	Cause      error // why it was not served; nil if unknown
+	Server      string
+	Reason      choice.Reason // why the attempt was made
+	Sent, Ended time.Duration // when it started and ended
+	InFlight    bool          // it had not ended when the request did; Ended and Result are not set
+	Result      choice.Result
+	Cause       error // why it was not served; nil if unknown
 }
 
 // Record describes a request that has its final answer or whose client has disconnected.
 type Record struct {
 	ID         string
 	Class      int
-	Taken      time.Duration // when the request was received, on the module's clock
+	Received   time.Duration // when the request was received, on the module's clock
 	Took       time.Duration // from then until its end
-	Left       time.Duration // time that remained until its deadline; negative if that has passed
-	Kind       Kind          // of its final answer; not meaningful if Reason is ReasonDisconnected
+	Remaining  time.Duration // time that remained until its deadline; negative if that has passed
+	Kind       AnswerKind    // of its final answer; not meaningful if Reason is ReasonDisconnected
 	Reason     Reason
 	Connection Connection
 	Attempts   []AttemptRecord
 }
 
 // ServedFirst reports whether a request was served by its first attempt, which is the normal case and needs no log line.
-func (r *Record) Plain() bool { return r.Kind == Served && len(r.Attempts) == 0 }
+func (r *Record) ServedFirst() bool { return r.Kind == Served && len(r.Attempts) == 0 }
 
 // recordAttempt keeps an ended attempt for the request's Record. A first attempt that is served is not kept, as nearly all
 // requests end that way.
-func (t *Ledger) recordAttempt(at *Attempt, e Ending) {
+func (t *Tracker) recordAttempt(at *Attempt, e AttemptOutcome) {
 	if t.set.Observe == nil || e.Result == choice.OK && at.Number == 0 {
 		return
 	}
 	call := at.Call
 	call.history = append(call.history, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted,
-		Over: t.now - call.accepted, Result: e.Result, Cause: e.Cause})
+		Ended: t.now - call.accepted, Result: e.Result, Cause: e.Cause})
 }
 
 // recordUnsent keeps an attempt that the module ordered and that was not started.
-func (t *Ledger) recordUnsent(call *Call, act choice.Action, result choice.Result) {
+func (t *Tracker) recordUnsent(call *Call, act choice.Action, result choice.Result) {
 	if t.set.Observe == nil {
 		return
 	}
 	at := t.now - call.accepted
-	call.history = append(call.history, AttemptRecord{Server: act.Server, Reason: act.Reason, Sent: at, Over: at, Result: result})
+	call.history = append(call.history, AttemptRecord{Server: act.Server, Reason: act.Reason, Sent: at, Ended: at, Result: result})
 }
 
 // observe counts the end of a request and passes its Record to the host. It is called once for each request, and a second time
 // if the answer breaks off while it is relayed: the request was observed as answered when the relaying started.
-func (t *Ledger) observe(call *Call, kind Kind, reason Reason) {
+func (t *Tracker) observe(call *Call, kind AnswerKind, reason Reason) {
 	if t.set.Observe == nil {
 		return
 	}
 	if reason != ReasonAnswered {
 		t.reasonCounts[reason]++
 	}
-	r := Record{ID: call.ID, Class: call.Class, Taken: call.accepted, Took: t.now - call.accepted, Left: call.Deadline - t.now, Kind: kind,
+	r := Record{ID: call.ID, Class: call.Class, Received: call.accepted, Took: t.now - call.accepted, Remaining: call.Deadline - t.now, Kind: kind,
 		Reason: reason, Connection: call.Connection, Attempts: call.history}
 	for _, at := range call.attempts {
 		if at != nil && (at.Number > 0 || kind != Served || len(r.Attempts) > 0) {
-			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted, Open: true})
+			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted, InFlight: true})
 		}
 	}
 	t.set.Observe(r)
 }
 
 // ReasonCounts returns the number of ended requests by reason, except ReasonAnswered. The caller must not modify it.
-func (t *Ledger) Reasons() map[Reason]int { return t.reasonCounts }
+func (t *Tracker) ReasonCounts() map[Reason]int { return t.reasonCounts }
--- a/internal/decide/ledger/record_test.go
+++ b/internal/decide/ledger/record_test.go
@@ -8,11 +8,11 @@
 )
 
 // observed returns a Tracker whose module follows a script, and the Records that it produces.
-func observed(script map[string][]choice.Action) (*Ledger, *[]Record) {
+func observed(script map[string][]choice.Action) (*Tracker, *[]Record) {
 	var records []Record
-	tracker := New(Settings{Classes: 1, MaxAttempts: 3, Carries: func(choice.Protocols) bool { return true },
+	tracker := New(Settings{Classes: 1, MaxAttempts: 3, HasTransport: func(choice.Protocols) bool { return true },
 		Observe: func(r Record) { records = append(records, r) }}, scripted(script))
-	tracker.List(0, true, []Entry{{Server: choice.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}, {Server: choice.Server{ID: "s-2"}, Addr: "127.0.0.1:2"}})
+	tracker.UpdateServers(0, true, []Entry{{Server: choice.Server{ID: "s-1"}, Addr: "127.0.0.1:1"}, {Server: choice.Server{ID: "s-2"}, Addr: "127.0.0.1:2"}})
 	return tracker, &records
 }
 
@@ -38,35 +38,35 @@
 	tracker, records := observed(scripted{
 		"request":      {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}},
 		"first ended":  {{Kind: choice.Send, Request: "4f", Server: "s-2", Reason: choice.Retry}},
-		"second ended": {{Kind: choice.Fail, Request: "4f", Reason: choice.RetryBudget}},
+		"second ended": {{Kind: choice.Fail, Request: "4f", Reason: choice.RetryBudgetEmpty}},
 	})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, Connection: Connection{Opened: time.Second, Requests: 2}}
-	end := func(now time.Duration, commands []Order, r choice.Result) []Order {
+	end := func(now time.Duration, commands []Command, r choice.Result) []Command {
 		for _, o := range commands {
-			if o.Kind == Begin {
-				return tracker.Ended(now, o.Attempt, Ended(r))
+			if o.Kind == StartAttempt {
+				return tracker.AttemptEnded(now, o.Attempt, ResultOnly(r))
 			}
 		}
 		t.Fatalf("no attempt is started in %+v", commands)
 		return nil
 	}
-	commands := tracker.Arrived(time.Second, call)
+	commands := tracker.CallArrived(time.Second, call)
 	commands = end(1500*time.Millisecond, commands, choice.ConnectFailed)
 	end(2*time.Second, commands, choice.Reset)
 	if len(*records) != 1 {
 		t.Fatalf("%d records", len(*records))
 	}
 	r := (*records)[0]
-	if r.ID != "4f" || r.Kind != Failed || r.Reason != "retry budget empty" || r.Took != time.Second || r.Left != time.Second || r.Connection.Requests != 2 {
+	if r.ID != "4f" || r.Kind != Failed || r.Reason != "retry budget empty" || r.Took != time.Second || r.Remaining != time.Second || r.Connection.Requests != 2 {
 		t.Errorf("%+v", r)
 	}
 	want := []AttemptRecord{
-		{Server: "s-1", Reason: choice.FirstAttempt, Over: 500 * time.Millisecond, Result: choice.ConnectFailed},
-		{Server: "s-2", Reason: choice.Retry, Sent: 500 * time.Millisecond, Over: time.Second, Result: choice.Reset}}
+		{Server: "s-1", Reason: choice.FirstAttempt, Ended: 500 * time.Millisecond, Result: choice.ConnectFailed},
+		{Server: "s-2", Reason: choice.Retry, Sent: 500 * time.Millisecond, Ended: time.Second, Result: choice.Reset}}
 	if len(r.Attempts) != 2 || r.Attempts[0] != want[0] || r.Attempts[1] != want[1] {
 		t.Errorf("attempts %+v, want %+v", r.Attempts, want)
 	}
-	if n := tracker.Reasons()["retry budget empty"]; n != 1 {
+	if n := tracker.ReasonCounts()["retry budget empty"]; n != 1 {
 		t.Errorf("the reason was counted %d times", n)
 	}
 }
@@ -74,10 +74,10 @@
 func TestRecordOfAClientThatLeaves(t *testing.T) {
 	tracker, records := observed(scripted{"request": {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}}})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}}
-	tracker.Arrived(time.Second, call)
-	tracker.Left(2*time.Second, call)
-	tracker.Left(2*time.Second, call)
-	if len(*records) != 1 || (*records)[0].Reason != ReasonDisconnected || len((*records)[0].Attempts) != 1 || !(*records)[0].Attempts[0].Open {
+	tracker.CallArrived(time.Second, call)
+	tracker.ClientDisconnected(2*time.Second, call)
+	tracker.ClientDisconnected(2*time.Second, call)
+	if len(*records) != 1 || (*records)[0].Reason != ReasonDisconnected || len((*records)[0].Attempts) != 1 || !(*records)[0].Attempts[0].InFlight {
 		t.Errorf("%+v", *records)
 	}
 }
@@ -90,17 +90,17 @@
 		"first ended": {{Kind: choice.Refuse, Request: "4f", Reason: choice.AttemptNotSent}},
 	})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, Disconnected: func() bool { return true }}
-	commands := tracker.Arrived(0, call)
+	commands := tracker.CallArrived(0, call)
 	if !call.Abandoned() {
 		t.Fatal("the disconnect was not detected")
 	}
-	for _, o := range tracker.Ended(time.Second, commands[0].Attempt, Ended(choice.NotSent)) {
+	for _, o := range tracker.AttemptEnded(time.Second, commands[0].Attempt, ResultOnly(choice.NotSent)) {
 		if o.Kind == Reply {
 			t.Errorf("answered %+v", o.Answer)
 		}
 	}
-	tracker.Left(time.Second, call)
-	if s := tracker.Stats(); s.Gone != 1 || s.Refused != 0 || len(*records) != 1 || tracker.unanswered != 0 || len(tracker.calls) != 0 {
+	tracker.ClientDisconnected(time.Second, call)
+	if s := tracker.Stats(); s.Disconnected != 1 || s.Refused != 0 || len(*records) != 1 || tracker.unanswered != 0 || len(tracker.calls) != 0 {
 		t.Errorf("%+v, %d records, %d unanswered, %d held", s, len(*records), tracker.unanswered, len(tracker.calls))
 	}
 }
--- a/internal/decide/ledger/routed_test.go
+++ b/internal/decide/ledger/routed_test.go
@@ -22,17 +22,17 @@
 // was superseded by an earlier one sets no further timers.
 func TestTimersOfRoutesDoNotGrow(t *testing.T) {
 	tab := routes.NewTable([]routes.Shape{{Name: "one", Version: "a/1", Speaks: 1}})
-	r, err := routes.New(routes.Settings{Forget: time.Second, MostForget: time.Minute}, tab)
+	r, err := routes.New(routes.Settings{Forget: time.Second, MaxForget: time.Minute}, tab)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tracker := New(Settings{MaxAttempts: 1, Carries: func(choice.Protocols) bool { return true }, Routes: r}, sender{})
+	tracker := New(Settings{MaxAttempts: 1, HasTransport: func(choice.Protocols) bool { return true }, Routes: r}, sender{})
 	var entries []Entry
 	for _, id := range []string{"a", "b", "c"} {
-		entries = append(entries, Entry{Server: choice.Server{ID: id, Speaks: 1}, Addr: id, Shapes: []string{"a/1"}})
+		entries = append(entries, Entry{Server: choice.Server{ID: id, Protocols: 1}, Addr: id, Shapes: []string{"a/1"}})
 	}
-	tracker.List(0, true, entries)
-	timers := func(commands []Order) (at []time.Duration) {
+	tracker.UpdateServers(0, true, entries)
+	timers := func(commands []Command) (at []time.Duration) {
 		for _, o := range commands {
 			if o.Kind == SetTimer && o.Token == routesToken {
 				at = append(at, o.At)
@@ -41,16 +41,16 @@
 		return at
 	}
 	reject := func(now time.Duration, server string) []time.Duration {
-		call := &Call{Request: choice.Request{ID: server + now.String(), Key: server, Deadline: now + time.Minute}, Tag: routes.Tag{Table: tab, Spoken: 1}}
-		for _, o := range tracker.Arrived(now, call) {
-			if o.Kind == Begin {
-				return timers(tracker.Ended(now, o.Attempt, Ending{Result: choice.Rejected, Report: choice.NoReport, ShapeUnknown: true}))
+		call := &Call{Request: choice.Request{ID: server + now.String(), Key: server, Deadline: now + time.Minute}, Tag: routes.CallShape{Table: tab, Protocol: 1}}
+		for _, o := range tracker.CallArrived(now, call) {
+			if o.Kind == StartAttempt {
+				return timers(tracker.AttemptEnded(now, o.Attempt, AttemptOutcome{Result: choice.Rejected, Report: choice.NoReport, ShapeUnknown: true}))
 			}
 		}
 		t.Fatalf("at %v no attempt was started at %s", now, server)
 		return nil
 	}
-	fire := func(now time.Duration) []time.Duration { return timers(tracker.Fired(now, routesToken)) }
+	fire := func(now time.Duration) []time.Duration { return timers(tracker.TimerFired(now, routesToken)) }
 	const ms = time.Millisecond
 	for i, c := range []struct {
 		got  func() []time.Duration
--- a/internal/decide/life/attempt.go
+++ b/internal/decide/life/attempt.go
@@ -93,7 +93,7 @@
 }
 
 // Conditions are the circumstances at the moment at which an attempt is about to be sent.
-type Now struct {
+type Conditions struct {
 	Withdrawn bool // the decision module canceled the attempt
 	Late      bool // the attempt timed out
 	Over      bool // the call has its final answer, or its client has disconnected
@@ -102,7 +102,7 @@
 
 // Begin decides whether the attempt is sent. It is called right before the first byte of a message of size bytes is written. It
 // ends an attempt that must not be sent any more, as conditions may have changed while the attempt waited for a connection.
-func (a *Attempt) Begin(size int, now Now) (send bool, err error) {
+func (a *Attempt) Begin(size int, now Conditions) (send bool, err error) {
 	if a.stage != Ready {
 		return false, a.illegal("begun")
 	}
@@ -134,7 +134,7 @@
 }
 
 // SetSize sets the length of the message in bytes, if it was not known at Begin. It can't exceed the size given to Begin.
-func (a *Attempt) Sized(n int) error {
+func (a *Attempt) SetSize(n int) error {
 	if a.stage != Writing && a.stage != Reading || n < a.sent || n > a.size {
 		return a.illegal(fmt.Sprintf("set size to %d", n))
 	}
@@ -144,7 +144,7 @@
 
 // MarkUncertain records that a write of the message is in progress and that it is unknown how far it has got. Until the next
 // Wrote the message counts as written completely.
-func (a *Attempt) Unsure() error {
+func (a *Attempt) MarkUncertain() error {
 	if a.stage != Writing {
 		return a.illegal("write in progress")
 	}
--- a/internal/decide/life/conn.go
+++ b/internal/decide/life/conn.go
@@ -78,7 +78,7 @@
 // PoolState is the state of a pool of connections to all servers. It limits their number by places: each connection that is
 // dialled, in use or idle holds one. It queues connections that wait for a place and keeps the idle ones. It does no I/O: its
 // owner closes the connections that the methods return as closed or evicted. It is not safe for concurrent use.
-type Book struct {
+type PoolState struct {
 	limit     int
 	taken     int                 // number of places in use
 	queue     []*Conn             // connections that wait for a place, the longest-waiting first
@@ -88,8 +88,8 @@
 }
 
 // NewPoolState returns a PoolState for at most the given number of connections.
-func NewBook(maxConns int) *Book {
-	p := &Book{limit: maxConns, idle: map[*Server][]*Conn{}}
+func NewPoolState(maxConns int) *PoolState {
+	p := &PoolState{limit: maxConns, idle: map[*Server][]*Conn{}}
 	p.idleList.prev, p.idleList.next = &p.idleList, &p.idleList
 	return p
 }
@@ -97,11 +97,11 @@
 // SetLimit changes the maximum number of connections. If more places are in use, the longest-idle connections are returned as
 // closed, and further connections are closed when they are released. If the new limit adds places, the connections that have
 // waited for longest get them and are returned as next.
-func (p *Book) Bound(maxConns int) (closed, next []*Conn) {
+func (p *PoolState) SetLimit(maxConns int) (closed, next []*Conn) {
 	p.limit = maxConns
 	for p.taken > p.limit && p.idleCount > 0 {
 		c := p.idleList.next
-		p.Drop(c) // its place is not passed on, as too many are in use
+		p.CloseIdle(c) // its place is not passed on, as too many are in use
 		closed = append(closed, c)
 	}
 	for p.taken < p.limit && len(p.queue) > 0 {
@@ -112,13 +112,13 @@
 }
 
 // Count returns the number of places in use, how many of them idle connections hold, and how many connections wait for one.
-func (p *Book) Count() (open, idle, waiting int) { return p.taken, p.idleCount, len(p.queue) }
+func (p *PoolState) Count() (open, idle, waiting int) { return p.taken, p.idleCount, len(p.queue) }
 
 // AcquireIdle takes an idle connection to a server with the given protocol, or returns nil if there is none. Of the connections
 // that have been idle for long enough, as rested reports, it takes the one that became idle last; if there is none, the one that
 // has been idle for longest. A nil rested accepts all. The caller checks that no data has arrived on the connection meanwhile; if
 // some has, it spoils and releases the connection.
-func (p *Book) Lend(s *Server, speaks choice.Protocols, rested func(*Conn) bool) (acquired *Conn) {
+func (p *PoolState) AcquireIdle(s *Server, speaks choice.Protocols, rested func(*Conn) bool) (acquired *Conn) {
 	all := p.idle[s]
 	for i := len(all) - 1; i >= 0; i-- {
 		if c := all[i]; c.Speaks == speaks {
@@ -138,7 +138,7 @@
 // evicted for the caller to close. If there is neither, the connection is queued for the next place that is released. It is
 // queued rather than rejected because servers that accept calls and never answer occupy many places for as long as a call may
 // take, and rejecting would fail calls that a short wait could still serve.
-func (p *Book) Claim(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
+func (p *PoolState) ReservePlace(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
 	c = &Conn{Server: s, Speaks: speaks, state: Dialled}
 	switch {
 	case p.taken < p.limit:
@@ -155,7 +155,7 @@
 }
 
 // Open records that a dialled connection is established. It is now in use.
-func (p *Book) Open(c *Conn, host any) error {
+func (p *PoolState) Open(c *Conn, host any) error {
 	if err := c.transition(InUse, Dialled); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 
 // Abort ends a connection that was not established. If it held a place, the longest-waiting connection gets the place and is
 // returned as next.
-func (p *Book) GiveUp(c *Conn) (next *Conn, err error) {
+func (p *PoolState) Abort(c *Conn) (next *Conn, err error) {
 	queued := c.state == Queued
 	if err := c.transition(Closed, Queued, Dialled); err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 }
 
 // freePlace releases a place. The longest-waiting connection, if any, gets it and is returned.
-func (p *Book) freePlace() (next *Conn) {
+func (p *PoolState) freePlace() (next *Conn) {
 	if len(p.queue) == 0 || p.taken > p.limit {
 		p.taken--
 		return nil
@@ -191,7 +191,7 @@
 
 // Release takes back a connection that was in use. The connection is kept as idle if it may be reused and no other waits for its
 // place. Otherwise the caller closes it, and its place passes to next, if that is not nil.
-func (p *Book) Return(c *Conn) (kept bool, next *Conn, err error) {
+func (p *PoolState) Release(c *Conn) (kept bool, next *Conn, err error) {
 	if c.State() == InUse && len(p.queue) == 0 && p.taken <= p.limit {
 		c.state = Idle
 		p.idle[c.Server] = append(p.idle[c.Server], c)
@@ -208,7 +208,7 @@
 
 // CloseIdle closes an idle connection, because of its idle timeout or because the server closed it. Its place passes to next, if
 // that is not nil.
-func (p *Book) Drop(c *Conn) (next *Conn, err error) {
+func (p *PoolState) CloseIdle(c *Conn) (next *Conn, err error) {
 	if err := c.transition(Closed, Idle); err != nil {
 		return nil, err
 	}
@@ -218,11 +218,11 @@
 
 // RetireServer retires a server and returns its idle connections as closed, and the waiting connections that get their places as
 // next. Connections in use continue.
-func (p *Book) Retire(s *Server) (closed, next []*Conn) {
+func (p *PoolState) RetireServer(s *Server) (closed, next []*Conn) {
 	s.Retire()
 	closed = slices.Clone(p.idle[s])
 	for _, c := range closed {
-		if granted, err := p.Drop(c); err == nil && granted != nil {
+		if granted, err := p.CloseIdle(c); err == nil && granted != nil {
 			next = append(next, granted)
 		}
 	}
@@ -231,7 +231,7 @@
 }
 
 // Idle returns all idle connections, the longest idle first.
-func (p *Book) Idle() (all []*Conn) {
+func (p *PoolState) Idle() (all []*Conn) {
 	for c := p.idleList.next; c != &p.idleList; c = c.next {
 		all = append(all, c)
 	}
@@ -239,7 +239,7 @@
 }
 
 // removeIdle removes a connection from the idle ones. The slice for its server is kept for reuse until the server retires.
-func (p *Book) removeIdle(c *Conn) {
+func (p *PoolState) removeIdle(c *Conn) {
 	all := p.idle[c.Server]
 	p.idle[c.Server] = slices.DeleteFunc(all, func(o *Conn) bool { return o == c })
 	c.prev.next, c.next.prev = c.next, c.prev
--- a/internal/decide/life/copy.go
+++ b/internal/decide/life/copy.go
@@ -8,13 +8,13 @@
 // The copies in this file let the state explorer try several next steps from one state. They are deep copies.
 
 // Copies maps originals to their copies. Each copy is made once.
-type Twins[T any] struct {
+type Copies[T any] struct {
 	Fill  func(original, dst *T) // makes the copy equal to the original
 	pairs [][2]*T
 }
 
 // Of returns the copy of an original, making it on the first call. The copy of nil is nil.
-func (c *Twins[T]) Of(original *T) *T {
+func (c *Copies[T]) Of(original *T) *T {
 	if original == nil {
 		return nil
 	}
@@ -37,13 +37,13 @@
 }
 
 // CopyTo copies the Conn to another one, except its position among the idle connections, which PoolState.Copy sets.
-func (c *Conn) CopyTo(dst *Conn, servers *Twins[Server], host any) {
+func (c *Conn) CopyTo(dst *Conn, servers *Copies[Server], host any) {
 	*dst = Conn{Server: servers.Of(c.Server), Speaks: c.Speaks, Host: host, state: c.state}
 }
 
 // Copy returns an equal PoolState with the copies of its connections and servers.
-func (p *Book) Copy(conns *Twins[Conn], servers *Twins[Server]) *Book {
-	dst := NewBook(p.limit)
+func (p *PoolState) Copy(conns *Copies[Conn], servers *Copies[Server]) *PoolState {
+	dst := NewPoolState(p.limit)
 	dst.taken, dst.idleCount = p.taken, p.idleCount
 	for _, c := range p.queue {
 		dst.queue = append(dst.queue, conns.Of(c))
@@ -66,15 +66,15 @@
 }
 
 // Queue returns the connections that wait for a place, the longest-waiting first.
-func (p *Book) Queue() []*Conn { return slices.Clone(p.queue) }
+func (p *PoolState) Queue() []*Conn { return slices.Clone(p.queue) }
 
 // CopyTo copies the Slot to another one that belongs to attempt a, a copy, and to host.
 func (s *Slot) CopyTo(dst *Slot, a *Attempt, host any) {
-	*dst = Slot{Seq: s.Seq, Life: a, Host: host, writeStarted: s.writeStarted}
+	*dst = Slot{Seq: s.Seq, Attempt: a, Host: host, writeStarted: s.writeStarted}
 }
 
 // Copy returns an equal MultiplexedConn with the copies of its slots.
-func (m *Line) Copy(slots *Twins[Slot]) *Line {
+func (m *MultiplexedConn) Copy(slots *Copies[Slot]) *MultiplexedConn {
 	dst := *m
 	dst.slots, dst.queue = make(map[int32]*Slot, len(m.slots)), nil
 	for seq, s := range m.slots {
@@ -88,14 +88,14 @@
 
 // Fingerprint appends to to everything that the connection's future behaviour depends on. Its attempts are represented by the
 // numbers that number returns.
-func (m *Line) Fingerprint(to []byte, number func(*Slot) int) []byte {
+func (m *MultiplexedConn) Fingerprint(to []byte, number func(*Slot) int) []byte {
 	to = binary.AppendVarint(to, m.lastReply.UnixNano())
 	to = binary.AppendVarint(to, int64(m.seq))
 	to = append(to, byte(m.cause), b2i(m.broken), b2i(m.suspect), byte(len(m.slots)))
 	for _, s := range m.Slots() {
 		to = binary.AppendVarint(to, int64(s.Seq))
 		to = binary.AppendVarint(to, s.writeStarted.UnixNano())
-		to = append(to, byte(number(s)), byte(s.Life.stage))
+		to = append(to, byte(number(s)), byte(s.Attempt.stage))
 	}
 	return to
 }
--- a/internal/decide/life/life_test.go
+++ b/internal/decide/life/life_test.go
@@ -11,7 +11,7 @@
 // step reports one event to an attempt.
 type step func(a *Attempt) error
 
-func begin(now Now) step {
+func begin(now Conditions) step {
 	return func(a *Attempt) error { _, err := a.Begin(100, now); return err }
 }
 func wrote(n int) step          { return func(a *Attempt) error { return a.Wrote(n) } }
@@ -20,13 +20,13 @@
 func dial(a *Attempt) error     { return a.Dial() }
 func connect(a *Attempt) error  { return a.Connect() }
 func reading(a *Attempt) error  { return a.Read() }
-func unsure(a *Attempt) error   { return a.Unsure() }
+func unsure(a *Attempt) error   { return a.MarkUncertain() }
 func then(all ...[]step) []step { return slices.Concat(all...) }
 func steps(all ...step) []step  { return all }
 
 var (
 	connected = steps(dial, connect)
-	begun     = then(connected, steps(begin(Now{})))
+	begun     = then(connected, steps(begin(Conditions{})))
 	sent      = then(begun, steps(wrote(100)))
 )
 
@@ -42,11 +42,11 @@
 		"dial fails":                    {steps(dial, fail(Broken)), choice.ConnectFailed, false},
 		"dial hangs":                    {steps(dial, fail(Late)), choice.ConnectFailed, false},
 		"withdrawn while it dials":      {steps(dial, fail(Withdrawn)), choice.Cancelled, false},
-		"idle connection":               {steps(connect, begin(Now{}), wrote(100), reading, ans(choice.OK)), choice.OK, true},
-		"finished before it is sent":    {then(connected, steps(begin(Now{Over: true}))), choice.NotSent, false},
-		"late before it is sent":        {then(connected, steps(begin(Now{Late: true, Retired: true}))), choice.NotSent, false},
-		"drained before it is sent":     {then(connected, steps(begin(Now{Retired: true}))), choice.ConnectFailed, false},
-		"withdrawn before it is sent":   {then(connected, steps(begin(Now{Withdrawn: true, Late: true}))), choice.Cancelled, false},
+		"idle connection":               {steps(connect, begin(Conditions{}), wrote(100), reading, ans(choice.OK)), choice.OK, true},
+		"finished before it is sent":    {then(connected, steps(begin(Conditions{Over: true}))), choice.NotSent, false},
+		"late before it is sent":        {then(connected, steps(begin(Conditions{Late: true, Retired: true}))), choice.NotSent, false},
+		"drained before it is sent":     {then(connected, steps(begin(Conditions{Retired: true}))), choice.ConnectFailed, false},
+		"withdrawn before it is sent":   {then(connected, steps(begin(Conditions{Withdrawn: true, Late: true}))), choice.Cancelled, false},
 		"late in a queue":               {then(connected, steps(fail(Late))), choice.NotSent, false},
 		"breaks in a queue":             {then(connected, steps(fail(Broken))), choice.ConnectFailed, false},
 		"breaks before the last byte":   {then(begun, steps(wrote(99), fail(Broken))), choice.ConnectFailed, false},
@@ -87,8 +87,8 @@
 	}{
 		"dials twice":                {steps(dial), dial},
 		"connects twice":             {connected, connect},
-		"begins without connection":  {nil, begin(Now{})},
-		"begins twice":               {begun, begin(Now{})},
+		"begins without connection":  {nil, begin(Conditions{})},
+		"begins twice":               {begun, begin(Conditions{})},
 		"writes before it begins":    {connected, wrote(1)},
 		"writes less than before":    {then(begun, steps(wrote(50))), wrote(40)},
 		"writes more than there is":  {begun, wrote(101)},
@@ -122,7 +122,7 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		most := 1 + r.IntN(4)
-		p := NewBook(most)
+		p := NewPoolState(most)
 		servers := []*Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 		var granted, waiting []*Conn // connections that have a place, or wait for one, in order
 		var used []*Conn
@@ -139,14 +139,14 @@
 			s := servers[r.IntN(len(servers))]
 			switch r.IntN(8) {
 			case 0, 1:
-				if c := p.Lend(s, choice.Protocols(1), nil); c != nil {
+				if c := p.AcquireIdle(s, choice.Protocols(1), nil); c != nil {
 					if c.State() != InUse || c.Server != s || slices.Contains(used, c) || s.Retired() {
 						t.Fatalf("seed %d: acquired %+v", seed, c)
 					}
 					used = append(used, c)
 					continue
 				}
-				c, evicted := p.Claim(s, choice.Protocols(1))
+				c, evicted := p.ReservePlace(s, choice.Protocols(1))
 				if evicted != nil && (evicted.State() != Closed || slices.Contains(used, evicted)) {
 					t.Fatalf("seed %d: evicted %+v", seed, evicted)
 				}
@@ -162,7 +162,7 @@
 				c := granted[0]
 				granted = granted[1:]
 				if r.IntN(3) == 0 {
-					next, err := p.GiveUp(c)
+					next, err := p.Abort(c)
 					if err != nil || c.State() != Closed {
 						t.Fatalf("seed %d: after the abort: state %v, error %v", seed, c.State(), err)
 					}
@@ -188,25 +188,25 @@
 						t.Fatalf("seed %d: after Spoil: state %v, error %v", seed, c.State(), err)
 					}
 				}
-				kept, next, err := p.Return(c)
+				kept, next, err := p.Release(c)
 				if err != nil || kept != (!spoilt && waited == 0 && !c.Server.Retired()) || !kept && c.State() != Closed {
 					t.Fatalf("seed %d: kept %t, %v, %v", seed, kept, c.State(), err)
 				}
 				grant(next)
-				if _, _, err := p.Return(c); err == nil || c.Spoil() == nil {
+				if _, _, err := p.Release(c); err == nil || c.Spoil() == nil {
 					t.Fatalf("seed %d: released twice", seed)
 				}
 			case 6:
 				if len(waiting) > 0 {
 					i := r.IntN(len(waiting))
-					if next, err := p.GiveUp(waiting[i]); next != nil || err != nil {
+					if next, err := p.Abort(waiting[i]); next != nil || err != nil {
 						t.Fatalf("seed %d: a queued connection released a place when aborted: %v", seed, err)
 					}
 					waiting = slices.Delete(waiting, i, i+1)
 				}
 			case 7:
 				if r.IntN(10) == 0 {
-					closed, next := p.Retire(s)
+					closed, next := p.RetireServer(s)
 					for _, c := range closed {
 						if c.State() != Closed {
 							t.Fatalf("seed %d: state %v after its server retired", seed, c.State())
@@ -217,7 +217,7 @@
 					}
 					servers[slices.Index(servers, s)] = &Server{ID: s.ID}
 				} else if idle := p.Idle(); len(idle) > 0 {
-					next, err := p.Drop(idle[0])
+					next, err := p.CloseIdle(idle[0])
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/decide/life/line.go
+++ b/internal/decide/life/line.go
@@ -12,11 +12,11 @@
 
 // ErrUnexpectedReply reports a reply with a sequence id that no pending call has, such as a second reply to the same call. The
 // server's sequence ids can't be trusted then, and any reply on the connection may belong to another call.
-var ErrForeign = errors.New("lifecycle: reply with the sequence id of no pending call")
+var ErrUnexpectedReply = errors.New("lifecycle: reply with the sequence id of no pending call")
 
 // MultiplexedConn is the state machine of a connection that carries several concurrent attempts, told apart by sequence ids. It
 // is not safe for concurrent use.
-type Line struct {
+type MultiplexedConn struct {
 	slots     map[int32]*Slot // by sequence id
 	queue     []*Slot         // slots that are not written yet, in order
 	seq       int32           // the last one that was assigned
@@ -30,17 +30,19 @@
 // reply is still outstanding.
 type Slot struct {
 	Seq          int32 // sequence id of the call and its reply
-	Life         *Attempt
+	Attempt      *Attempt
 	Host         any // the host's data for the slot
 	writeStarted time.Time
 }
 
 // NewMultiplexedConn returns the state machine of a connection that was established at now.
-func NewLine(now time.Time) *Line { return &Line{slots: map[int32]*Slot{}, lastReply: now} }
+func NewMultiplexedConn(now time.Time) *MultiplexedConn {
+	return &MultiplexedConn{slots: map[int32]*Slot{}, lastReply: now}
+}
 
 // Join gives an attempt a slot and queues it to be written. It returns nil if it has maxSlots slots already, or if the connection
 // accepts no new attempts.
-func (m *Line) Join(a *Attempt, host any, maxSlots int) (*Slot, error) {
+func (m *MultiplexedConn) Join(a *Attempt, host any, maxSlots int) (*Slot, error) {
 	if m.broken || m.suspect || len(m.slots) >= maxSlots {
 		return nil, nil
 	}
@@ -56,14 +58,14 @@
 	if a.stage == Placing { // the connection was dialled for another attempt and is shared
 		err = a.Connect()
 	}
-	s := &Slot{Seq: m.seq, Life: a, Host: host}
+	s := &Slot{Seq: m.seq, Attempt: a, Host: host}
 	m.slots[s.Seq] = s
 	m.queue = append(m.queue, s)
 	return s, err
 }
 
 // Next takes the next slot to write from the queue. It returns nil if there is none.
-func (m *Line) Next() *Slot {
+func (m *MultiplexedConn) Next() *Slot {
 	if m.broken || len(m.queue) == 0 {
 		return nil
 	}
@@ -73,56 +75,56 @@
 }
 
 // Remove frees the slot of an attempt that must not be sent, as its Begin returned.
-func (m *Line) Drop(s *Slot) { delete(m.slots, s.Seq) }
+func (m *MultiplexedConn) Remove(s *Slot) { delete(m.slots, s.Seq) }
 
 // WriteStarted records that the message of an attempt is being written. Until WriteEnded it is unknown how much of it is written.
-func (m *Line) Begun(s *Slot, now time.Time) error {
+func (m *MultiplexedConn) WriteStarted(s *Slot, now time.Time) error {
 	s.writeStarted = now
-	return s.Life.Unsure()
+	return s.Attempt.MarkUncertain()
 }
 
 // WriteEnded records the end of a write, with the number of bytes of the message that were written. If no reply will follow,
 // because the call is oneway or was not written completely, this ends the attempt, unless it has ended before.
-func (m *Line) Wrote(s *Slot, n int, oneway bool) (ended bool, err error) {
-	if s.Life.stage != Ended {
-		err = s.Life.Wrote(n)
+func (m *MultiplexedConn) WriteEnded(s *Slot, n int, oneway bool) (ended bool, err error) {
+	if s.Attempt.stage != Ended {
+		err = s.Attempt.Wrote(n)
 	}
-	if m.slots[s.Seq] != s || !oneway && n == s.Life.size { // the reply was already received, or is still to come
+	if m.slots[s.Seq] != s || !oneway && n == s.Attempt.size { // the reply was already received, or is still to come
 		return false, err
 	}
 	delete(m.slots, s.Seq)
-	switch s.Life.stage {
+	switch s.Attempt.stage {
 	case Ended: // it was abandoned
 		return false, err
 	case Waiting:
-		return true, errors.Join(err, s.Life.Answer(choice.OK))
+		return true, errors.Join(err, s.Attempt.Answer(choice.OK))
 	}
-	return true, errors.Join(err, s.Life.Fail(Broken))
+	return true, errors.Join(err, s.Attempt.Fail(Broken))
 }
 
 // ReplyStarted records the start of a reply with a sequence id and returns the slot that it belongs to.
-func (m *Line) Reply(seq int32, now time.Time) (*Slot, error) {
+func (m *MultiplexedConn) ReplyStarted(seq int32, now time.Time) (*Slot, error) {
 	s := m.slots[seq]
-	if s == nil || s.Life.stage == Ready {
-		return nil, ErrForeign
+	if s == nil || s.Attempt.stage == Ready {
+		return nil, ErrUnexpectedReply
 	}
 	m.lastReply = now
 	return s, nil
 }
 
 // ReplyEnded records the result of a complete reply. It ends the attempt, unless that was abandoned.
-func (m *Line) Answered(s *Slot, r choice.Result) (ended bool, err error) {
+func (m *MultiplexedConn) ReplyEnded(s *Slot, r choice.Result) (ended bool, err error) {
 	delete(m.slots, s.Seq)
-	if s.Life.stage == Ended {
+	if s.Attempt.stage == Ended {
 		return false, nil
 	}
-	return true, errors.Join(s.Life.Read(), s.Life.Answer(r))
+	return true, errors.Join(s.Attempt.Read(), s.Attempt.Answer(r))
 }
 
 // Abandon ends an attempt whose reply is no longer waited for. If the attempt timed out and the connection received no reply at
 // all since the attempt was written, the connection becomes suspect and accepts no new attempts.
-func (m *Line) Abandon(s *Slot, c Cause) error {
-	switch s.Life.stage {
+func (m *MultiplexedConn) Abandon(s *Slot, c Cause) error {
+	switch s.Attempt.stage {
 	case Ready:
 		delete(m.slots, s.Seq)
 		m.queue = slices.DeleteFunc(m.queue, func(o *Slot) bool { return o == s })
@@ -131,23 +133,23 @@
 			m.suspect = true
 		}
 	}
-	return s.Life.Fail(c)
+	return s.Attempt.Fail(c)
 }
 
 // Break marks the connection as broken and ends its attempts with the cause of the first Break: those that can't have run end as
 // never sent. It returns the slots of the attempts that it ended. Attempts that are being written are ended by WriteEnded.
-func (m *Line) Break(c Cause) (ended []*Slot, err error) {
+func (m *MultiplexedConn) Break(c Cause) (ended []*Slot, err error) {
 	if !m.broken {
 		m.broken, m.cause = true, c
 	}
 	for _, seq := range slices.Sorted(maps.Keys(m.slots)) {
 		s := m.slots[seq]
-		if s.Life.stage == Writing {
+		if s.Attempt.stage == Writing {
 			continue
 		}
 		delete(m.slots, seq)
-		if s.Life.stage != Ended {
-			err = errors.Join(err, s.Life.Fail(m.cause))
+		if s.Attempt.stage != Ended {
+			err = errors.Join(err, s.Attempt.Fail(m.cause))
 			ended = append(ended, s)
 		}
 	}
@@ -156,7 +158,7 @@
 }
 
 // Slots returns all slots, ordered by sequence id.
-func (m *Line) Slots() (all []*Slot) {
+func (m *MultiplexedConn) Slots() (all []*Slot) {
 	for _, seq := range slices.Sorted(maps.Keys(m.slots)) {
 		all = append(all, m.slots[seq])
 	}
@@ -164,14 +166,14 @@
 }
 
 // Broken reports whether Break was called: further received data can't be interpreted.
-func (m *Line) Broken() bool { return m.broken }
+func (m *MultiplexedConn) Broken() bool { return m.broken }
 
 // CanRelease reports whether the connection should be released to the pool, and whether it may be reused. It is
 // released when it has no slots left, or, if it can't be reused, when only abandoned attempts are left; then it is closed.
-func (m *Line) Rests(retired bool) (release, reuse bool) {
+func (m *MultiplexedConn) CanRelease(retired bool) (release, reuse bool) {
 	reuse = !m.broken && !m.suspect && !retired
 	for _, s := range m.slots {
-		if reuse || s.Life.stage != Ended {
+		if reuse || s.Attempt.stage != Ended {
 			return false, reuse
 		}
 	}
--- a/internal/decide/life/line_test.go
+++ b/internal/decide/life/line_test.go
@@ -17,15 +17,15 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		now := time.Unix(0, 0)
-		m := NewLine(now)
+		m := NewMultiplexedConn(now)
 		m.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
 		ended := map[*Attempt]bool{}
 		var joined, writing, asked []*Slot // queued; being written; completely written
 		end := func(s *Slot) {
-			if ended[s.Life] || s.Life.Stage() != Ended {
-				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, s.Life.Stage())
+			if ended[s.Attempt] || s.Attempt.Stage() != Ended {
+				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, s.Attempt.Stage())
 			}
-			ended[s.Life] = true
+			ended[s.Attempt] = true
 		}
 		check := func(err error) {
 			if err != nil {
@@ -57,20 +57,20 @@
 					continue
 				}
 				joined = joined[1:]
-				send, err := s.Life.Begin(10, Now{Over: r.IntN(4) == 0})
+				send, err := s.Attempt.Begin(10, Conditions{Over: r.IntN(4) == 0})
 				check(err)
 				if !send {
-					m.Drop(s)
+					m.Remove(s)
 					end(s)
 					continue
 				}
-				check(m.Begun(s, now))
+				check(m.WriteStarted(s, now))
 				writing = append(writing, s)
 			case k == 4 && len(writing) > 0:
 				s := writing[0]
 				writing = writing[1:]
 				oneway := r.IntN(4) == 0
-				over, err := m.Wrote(s, 10, oneway)
+				over, err := m.WriteEnded(s, 10, oneway)
 				check(err)
 				if over {
 					end(s)
@@ -80,7 +80,7 @@
 				}
 			case k == 5 && len(asked) > 0:
 				s := take(&asked)
-				got, err := m.Reply(s.Seq, now)
+				got, err := m.ReplyStarted(s.Seq, now)
 				if m.slots[s.Seq] != s {
 					continue // answered earlier
 				}
@@ -88,14 +88,14 @@
 				if got != s {
 					t.Fatalf("seed %d: the reply was given to another attempt", seed)
 				}
-				over, err := m.Answered(got, choice.Failed)
+				over, err := m.ReplyEnded(got, choice.Failed)
 				check(err)
 				if over {
 					end(s)
-				} else if !ended[s.Life] {
+				} else if !ended[s.Attempt] {
 					t.Fatalf("seed %d: a reply ended no attempt", seed)
 				}
-				if _, err := m.Reply(s.Seq, now); !errors.Is(err, ErrForeign) {
+				if _, err := m.ReplyStarted(s.Seq, now); !errors.Is(err, ErrUnexpectedReply) {
 					t.Fatalf("seed %d: a second reply: %v", seed, err)
 				}
 			case k == 6:
@@ -104,7 +104,7 @@
 						continue
 					}
 					s := (*from)[r.IntN(len(*from))]
-					if ended[s.Life] {
+					if ended[s.Attempt] {
 						continue
 					}
 					check(m.Abandon(s, []Cause{Late, Withdrawn}[r.IntN(2)]))
@@ -112,8 +112,8 @@
 					if from == &joined {
 						joined = slices.DeleteFunc(joined, func(o *Slot) bool { return o == s })
 					}
-					if (from != &joined) != s.Life.CanHaveRun() {
-						t.Fatalf("seed %d: can have run: %t", seed, s.Life.CanHaveRun())
+					if (from != &joined) != s.Attempt.CanHaveRun() {
+						t.Fatalf("seed %d: can have run: %t", seed, s.Attempt.CanHaveRun())
 					}
 				}
 			case k == 7 && r.IntN(10) == 0:
@@ -123,7 +123,7 @@
 					end(s)
 				}
 				for _, s := range writing {
-					over, err := m.Wrote(s, 5, false)
+					over, err := m.WriteEnded(s, 5, false)
 					check(err)
 					if over {
 						end(s)
@@ -134,15 +134,15 @@
 				}
 				joined, writing, asked = nil, nil, nil
 				now = now.Add(time.Second)
-				m = NewLine(now)
+				m = NewMultiplexedConn(now)
 			}
 			live := 0
 			for _, s := range m.Slots() {
-				if !ended[s.Life] {
+				if !ended[s.Attempt] {
 					live++
 				}
 			}
-			if rests, _ := m.Rests(r.IntN(2) == 0); rests && live > 0 {
+			if rests, _ := m.CanRelease(r.IntN(2) == 0); rests && live > 0 {
 				t.Fatalf("seed %d: it can be released with %d attempts pending", seed, live)
 			}
 		}
@@ -153,7 +153,7 @@
 func TestSuspectLine(t *testing.T) {
 	for _, replied := range []bool{true, false} {
 		now := time.Unix(0, 0)
-		m := NewLine(now)
+		m := NewMultiplexedConn(now)
 		var slots []*Slot
 		for range 2 {
 			s, err := m.Join(&Attempt{}, nil, 4)
@@ -161,15 +161,15 @@
 				t.Fatal(err)
 			}
 			now = now.Add(time.Second)
-			s.Life.Begin(1, Now{})
-			m.Begun(s, now)
-			m.Wrote(s, 1, false)
+			s.Attempt.Begin(1, Conditions{})
+			m.WriteStarted(s, now)
+			m.WriteEnded(s, 1, false)
 			slots = append(slots, s)
 		}
 		now = now.Add(time.Second)
 		if replied {
-			m.Reply(slots[1].Seq, now)
-			m.Answered(slots[1], choice.OK)
+			m.ReplyStarted(slots[1].Seq, now)
+			m.ReplyEnded(slots[1], choice.OK)
 		}
 		if err := m.Abandon(slots[0], Late); err != nil {
 			t.Fatal(err)
--- a/internal/decide/listing/listing.go
+++ b/internal/decide/listing/listing.go
@@ -11,14 +11,14 @@
 
 // UnknownVersion stands for the version if that discovery service has not sent a list yet. Versions of another service do
 // not count, as each service may number its lists differently.
-const Unknown = -1
+const UnknownVersion = -1
 
 const (
 	// maxOlderInRow is the number of consecutive older lists that are rejected as mistakes. The next one is accepted:
 	// discovery has restarted and numbers its lists from the start.
 	maxOlderInRow = 3
 	// MaxServers is the maximum number of servers in a list.
-	Most = 50_000
+	MaxServers = 50_000
 )
 
 // Entry is the part of a server's list entry that the checks need.
@@ -37,7 +37,7 @@
 
 // Verdict tells the caller what to apply of a list.
 type Verdict struct {
-	Hold     bool   // apply only its drains; the last good list stays in effect
+	Reject   bool   // apply only its drains; the last good list stays in effect
 	Reason   string // what is wrong with it; empty if nothing is
 	Skip     []int  // indexes of entries to leave out, as another entry of the same server takes precedence; ascending
 	Draining []int  // indexes of entries to apply as draining, whatever their state; of a rejected list, apply only these
@@ -45,31 +45,31 @@
 
 // Checker checks the lists of one discovery service in the order in which they arrive. Create it with New. It is not safe
 // for concurrent use.
-type Keeper struct {
+type Checker struct {
 	version    int64            // of the last accepted list
 	olderInRow int              // consecutive older lists that were rejected
 	known      map[string]Entry // servers by the accepted lists and applied drains, without those that are gone
 }
 
 // New returns a Checker for a service whose last list had the given version, or UnknownVersion.
-func New(version int64) *Keeper { return &Keeper{version: version, known: map[string]Entry{}} }
+func New(version int64) *Checker { return &Checker{version: version, known: map[string]Entry{}} }
 
 // Version returns the version of the last accepted list.
-func (k *Keeper) Version() int64 { return k.version }
+func (k *Checker) Version() int64 { return k.version }
 
 // Check checks a list. Later lists are checked against what was accepted of it.
-func (k *Keeper) Judge(l List) (v Verdict) {
-	older := k.version != Unknown && l.Version < k.version
+func (k *Checker) Check(l List) (v Verdict) {
+	older := k.version != UnknownVersion && l.Version < k.version
 	switch {
-	case len(l.Entries) > Most:
-		return Verdict{Hold: true, Reason: fmt.Sprintf("%d servers, at most %d are accepted", len(l.Entries), Most)}
+	case len(l.Entries) > MaxServers:
+		return Verdict{Reject: true, Reason: fmt.Sprintf("%d servers, at most %d are accepted", len(l.Entries), MaxServers)}
 	case l.Full && len(l.Entries) == 0 && len(k.known) > 0:
-		return Verdict{Hold: true, Reason: fmt.Sprintf("a full list without a server, although %d were known", len(k.known))}
+		return Verdict{Reject: true, Reason: fmt.Sprintf("a full list without a server, although %d were known", len(k.known))}
 	case older && !l.Full:
-		return Verdict{Hold: true, Reason: fmt.Sprintf("a change to version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
+		return Verdict{Reject: true, Reason: fmt.Sprintf("a change to version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
 	case older && k.olderInRow < maxOlderInRow:
 		k.olderInRow++
-		return Verdict{Hold: true, Reason: fmt.Sprintf("version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
+		return Verdict{Reject: true, Reason: fmt.Sprintf("version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
 	case older:
 		v.Reason = fmt.Sprintf("version %d after version %d, accepted as it is the %dth older list in a row", l.Version, k.version, k.olderInRow+1)
 	}
@@ -97,11 +97,11 @@
 		if prev, ok := k.known[e.ID]; older && ok && prev.State == choice.Draining && e.State == choice.Ready && e.Started <= prev.Started {
 			e.State, v.Draining = choice.Draining, append(v.Draining, i)
 		}
-		if e.State == choice.Gone {
+		if e.State == choice.Removed {
 			delete(known, e.ID)
 			continue
 		}
-		if known[e.ID] = e; len(known) > Most {
+		if known[e.ID] = e; len(known) > MaxServers {
 			delete(known, e.ID) // the bound holds for known servers, too
 		}
 	}
@@ -111,8 +111,8 @@
 
 // ApplyDrains records only the drains of a list that is otherwise ignored, and returns the indexes of the entries to apply
 // as draining.
-func (k *Keeper) Drains(l List) []int {
-	if len(l.Entries) > Most {
+func (k *Checker) ApplyDrains(l List) []int {
+	if len(l.Entries) > MaxServers {
 		return nil
 	}
 	return k.recordDrains(l)
@@ -121,14 +121,14 @@
 // recordDrains records as draining the ready or unknown servers that an older list reports as draining or gone, and returns
 // the indexes of their entries. The list may be the only one to report this: a restarted discovery service numbers its
 // lists from the start. If the drain has only been undone since, the next list makes the server ready duplicate.
-func (k *Keeper) recordDrains(l List) (all []int) {
+func (k *Checker) recordDrains(l List) (all []int) {
 	for i, e := range l.Entries {
 		if prev, known := k.known[e.ID]; e.State == choice.Ready || known && (prev.State != choice.Ready || e.Started < prev.Started) {
 			continue
 		}
 		all = append(all, i)
 		e.State = choice.Draining
-		if k.known[e.ID] = e; len(k.known) > Most {
+		if k.known[e.ID] = e; len(k.known) > MaxServers {
 			delete(k.known, e.ID)
 		}
 	}
--- a/internal/decide/listing/listing_test.go
+++ b/internal/decide/listing/listing_test.go
@@ -26,15 +26,15 @@
 		want   Verdict
 	}{
 		"empty first list":                 {nil, List{Version: 1, Full: true}, Verdict{}},
-		"empty after servers":              {[]List{{1, true, ready("a", "b")}}, List{Version: 2, Full: true}, Verdict{Hold: true, Reason: "a full list without a server, although 2 were known"}},
-		"empty after all servers are gone": {[]List{{1, true, ready("a")}, {2, false, []Entry{{ID: "a", State: choice.Gone}}}}, List{Version: 3, Full: true}, Verdict{}},
+		"empty after servers":              {[]List{{1, true, ready("a", "b")}}, List{Version: 2, Full: true}, Verdict{Reject: true, Reason: "a full list without a server, although 2 were known"}},
+		"empty after all servers are gone": {[]List{{1, true, ready("a")}, {2, false, []Entry{{ID: "a", State: choice.Removed}}}}, List{Version: 3, Full: true}, Verdict{}},
 		"an empty change":                  {[]List{{1, true, ready("a")}}, List{Version: 1}, Verdict{}},
-		"back":                             {[]List{{7, true, ready("a")}}, List{3, true, ready("a")}, Verdict{Hold: true, Reason: "version 3 after version 7"}},
-		"an older change":                  {[]List{{7, true, ready("a")}}, List{3, false, ready("b")}, Verdict{Hold: true, Reason: "a change to version 3 after version 7"}},
-		"older, with a drain":              {[]List{{7, true, ready("a", "b")}}, List{3, true, []Entry{{ID: "b"}, draining}}, Verdict{Hold: true, Reason: "version 3 after version 7", Draining: []int{1}}},
-		"an older change, with a drain and a removal": {[]List{{7, true, ready("a", "b")}}, List{3, false, []Entry{{ID: "b", State: choice.Gone}, draining}},
-			Verdict{Hold: true, Reason: "a change to version 3 after version 7", Draining: []int{0, 1}}},
-		"older, with a drain before the restart":   {[]List{{7, true, []Entry{{ID: "a", Started: 6}}}}, List{3, true, []Entry{draining}}, Verdict{Hold: true, Reason: "version 3 after version 7"}},
+		"back":                             {[]List{{7, true, ready("a")}}, List{3, true, ready("a")}, Verdict{Reject: true, Reason: "version 3 after version 7"}},
+		"an older change":                  {[]List{{7, true, ready("a")}}, List{3, false, ready("b")}, Verdict{Reject: true, Reason: "a change to version 3 after version 7"}},
+		"older, with a drain":              {[]List{{7, true, ready("a", "b")}}, List{3, true, []Entry{{ID: "b"}, draining}}, Verdict{Reject: true, Reason: "version 3 after version 7", Draining: []int{1}}},
+		"an older change, with a drain and a removal": {[]List{{7, true, ready("a", "b")}}, List{3, false, []Entry{{ID: "b", State: choice.Removed}, draining}},
+			Verdict{Reject: true, Reason: "a change to version 3 after version 7", Draining: []int{0, 1}}},
+		"older, with a drain before the restart":   {[]List{{7, true, []Entry{{ID: "a", Started: 6}}}}, List{3, true, []Entry{draining}}, Verdict{Reject: true, Reason: "version 3 after version 7"}},
 		"older, with a drain, then the newer list": {[]List{{7, true, ready("a")}, {3, true, []Entry{draining}}}, List{7, true, []Entry{{ID: "a"}}}, Verdict{}},
 		"the fourth older list": {[]List{{7, true, append(ready("b"), draining)}, {3, true, ready("a")}, {3, true, ready("a")}, {3, true, ready("a")}},
 			List{3, true, []Entry{{ID: "a", Started: 5}, {ID: "b"}}},
@@ -47,14 +47,14 @@
 			Verdict{Reason: `server "a" is listed twice`, Skip: []int{0, 2}}},
 		"listed twice, one entry restarted": {nil, List{1, true, []Entry{{ID: "a", Started: 2}, {ID: "a", State: choice.Draining, Started: 1}}},
 			Verdict{Reason: `server "a" is listed twice`, Skip: []int{1}}},
-		"too many servers": {nil, List{1, true, make([]Entry, Most+1)}, Verdict{Hold: true, Reason: "50001 servers, at most 50000 are accepted"}},
+		"too many servers": {nil, List{1, true, make([]Entry, MaxServers+1)}, Verdict{Reject: true, Reason: "50001 servers, at most 50000 are accepted"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := New(Unknown)
+			k := New(UnknownVersion)
 			for _, l := range c.before {
-				k.Judge(l)
+				k.Check(l)
 			}
-			if got := k.Judge(c.l); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", c.want) {
+			if got := k.Check(c.l); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", c.want) {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
 		})
@@ -66,18 +66,18 @@
 // or a restart. The test keeps the applied state independently of the Checker.
 func TestAnyLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := New(Unknown)
+		k := New(UnknownVersion)
 		applied := map[string]Entry{}
-		at := int64(Unknown)
+		at := int64(UnknownVersion)
 		for range rapid.IntRange(1, 30).Draw(t, "lists") {
 			l := List{Version: rapid.Int64Range(0, 6).Draw(t, "version"), Full: rapid.Bool().Draw(t, "full")}
 			for range rapid.IntRange(0, 5).Draw(t, "entries") {
 				l.Entries = append(l.Entries, Entry{ID: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"),
-					State:   rapid.SampledFrom([]choice.State{choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state"),
+					State:   rapid.SampledFrom([]choice.State{choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state"),
 					Started: rapid.Int64Range(0, 2).Draw(t, "started")})
 			}
-			v := k.Judge(l)
-			if v.Hold {
+			v := k.Check(l)
+			if v.Reject {
 				if v.Reason == "" || k.Version() != at {
 					t.Fatalf("rejected with reason %q, version %d, was %d", v.Reason, k.Version(), at)
 				}
@@ -93,7 +93,7 @@
 				}
 				continue
 			}
-			older := at != Unknown && l.Version < at
+			older := at != UnknownVersion && l.Version < at
 			at = l.Version
 			next := map[string]Entry{}
 			if !l.Full {
@@ -123,7 +123,7 @@
 				}
 			}
 			for id, e := range next {
-				if e.State == choice.Gone {
+				if e.State == choice.Removed {
 					delete(next, id)
 				}
 			}
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -19,16 +19,16 @@
 
 // The rules.
 const (
-	Agreed     Rule = iota // all sources that list the server agree
-	Alone                  // only one source lists the server, the others never did
-	Drained                // a source reports it as draining: it gets no new calls, whatever the others report
-	Withdrawn              // a source that listed it reports it as gone or no longer lists it
-	LastWord               // the sources that list it have expired, and no other source is valid either: it stays
-	Lapsed                 // the sources that list it have expired, and another source is still valid: it is removed
-	Guarded                // a source withdrew too many servers at once: the withdrawal is deferred
-	Contradict             // a source withdrew it while its previous report was still valid: the withdrawal is deferred
-	ClosedTier             // the better tiers have enough capacity, so its tier is closed
-	Ramping                // its tier is opening step by step, and its part is not admitted yet
+	Agreed        Rule = iota // all sources that list the server agree
+	Alone                     // only one source lists the server, the others never did
+	Drained                   // a source reports it as draining: it gets no new calls, whatever the others report
+	Withdrawn                 // a source that listed it reports it as gone or no longer lists it
+	LastKnown                 // the sources that list it have expired, and no other source is valid either: it stays
+	Lapsed                    // the sources that list it have expired, and another source is still valid: it is removed
+	Guarded                   // a source withdrew too many servers at once: the withdrawal is deferred
+	Contradictory             // a source withdrew it while its previous report was still valid: the withdrawal is deferred
+	ClosedTier                // the better tiers have enough capacity, so its tier is closed
+	Ramping                   // its tier is opening step by step, and its part is not admitted yet
 )
 
 var ruleNames = [...]string{"agreed", "alone", "drained", "withdrawn", "last word", "lapsed", "guarded", "contradicts itself",
@@ -39,10 +39,10 @@
 
 // Source describes a source of servers. Sources are ordered by priority: each fact is taken from the first one that states it.
 type Source struct {
-	Name   string
-	Hold   time.Duration // how long its last report stays valid once it is unreachable or the report has expired
-	Absent bool          // a full report withdraws the servers that it does not list
-	Guard  bool          // withdrawals of too many servers at once, and ones that contradict a valid report, are deferred
+	Name         string
+	Hold         time.Duration // how long its last report stays valid once it is unreachable or the report has expired
+	RemoveAbsent bool          // a full report withdraws the servers that it does not list
+	Guard        bool          // withdrawals of too many servers at once, and ones that contradict a valid report, are deferred
 }
 
 // Settings configure a Set.
@@ -54,47 +54,47 @@
 	Forget     time.Duration // how long a withdrawal is remembered, at least
 	OpenBelow  float64       // the next tier opens when the better ones have less than this share of the baseline weight
 	CloseAbove float64       // and closes when they have at least this share of it
-	Calm       time.Duration // for which they must have been at or above CloseAbove before the tier closes
+	CloseDelay time.Duration // for which they must have been at or above CloseAbove before the tier closes
 	RampStep   time.Duration // between admitting one part of an opening tier and the next
 	RampParts  int           // number of parts in which a tier opens
 }
 
 // Defaults are the default settings, without any sources.
 var Defaults = Settings{GuardShare: 0.5, GuardLeast: 1, GuardWait: 30 * time.Second, Forget: 10 * time.Minute, OpenBelow: 0.5,
-	CloseAbove: 0.8, Calm: 30 * time.Second, RampStep: 2 * time.Second, RampParts: 4}
+	CloseAbove: 0.8, CloseDelay: 30 * time.Second, RampStep: 2 * time.Second, RampParts: 4}
 
 // Claim is what one source reports about one server.
 type Claim struct {
-	Key     string   // identifies the server within its source
-	ID      string   // identifies it across sources; empty if the source has no ids
-	Addrs   []string // in the order in which to try them
-	State   choice.State
-	Tiered  bool    // Tier is set
-	Tier    int     // the lowest is the best
-	Weight  float64 // 0 is a valid weight
-	Details bool    // the fields below are set
-	Zone    int
-	Cell    int
-	Started time.Duration
-	Speaks  choice.Protocols
-	Multi   bool     // it takes several calls at a time on one connection
-	Shapes  []string // class/version of the message schemas that it accepts
+	Key         string   // identifies the server within its source
+	ID          string   // identifies it across sources; empty if the source has no ids
+	Addrs       []string // in the order in which to try them
+	State       choice.State
+	HasTier     bool    // Tier is set
+	Tier        int     // the lowest is the best
+	Weight      float64 // 0 is a valid weight
+	HasDetails  bool    // the fields below are set
+	Zone        int
+	Cell        int
+	Started     time.Duration
+	Speaks      choice.Protocols
+	Multiplexed bool     // it takes several calls at a time on one connection
+	Shapes      []string // class/version of the message schemas that it accepts
 }
 
 // equal reports whether two claims have the same content.
 func (c *Claim) equal(o *Claim) bool {
 	return slices.Equal(c.Addrs, o.Addrs) && slices.Equal(c.Shapes, o.Shapes) && c.Key == o.Key && c.ID == o.ID &&
-		c.State == o.State && c.Tiered == o.Tiered && c.Tier == o.Tier && c.Weight == o.Weight && c.Details == o.Details &&
-		c.Zone == o.Zone && c.Cell == o.Cell && c.Started == o.Started && c.Speaks == o.Speaks && c.Multi == o.Multi
+		c.State == o.State && c.HasTier == o.HasTier && c.Tier == o.Tier && c.Weight == o.Weight && c.HasDetails == o.HasDetails &&
+		c.Zone == o.Zone && c.Cell == o.Cell && c.Started == o.Started && c.Speaks == o.Speaks && c.Multiplexed == o.Multiplexed
 }
 
 // Report is one update from a source.
 type Report struct {
-	Source  int   // index into Settings.Sources
-	Full    bool  // it lists all servers of the source, not only changes
-	Version int64 // 0 if the source has no versions
-	Claims  []Claim
-	Until   time.Duration // when it expires, on the clock of the `now` arguments; 0 for never
+	Source     int   // index into Settings.Sources
+	Full       bool  // it lists all servers of the source, not only changes
+	Version    int64 // 0 if the source has no versions
+	Claims     []Claim
+	ValidUntil time.Duration // when it expires, on the clock of the `now` arguments; 0 for never
 }
 
 // Set holds the servers of all sources and the merged list. It is not safe for concurrent use.
@@ -214,23 +214,23 @@
 	src.olderSince, src.version = 0, r.Version
 	prevUntil := src.validUntil // until when the previous report is valid
 	firstReport := !src.reported
-	src.reported, src.unreachableSince, src.validUntil = true, 0, r.Until
+	src.reported, src.unreachableSince, src.validUntil = true, 0, r.ValidUntil
 	if src.expired {
 		src.expired = false
 		s.markSourceDirty(src)
 	}
-	if r.Until > 0 {
-		s.schedule(r.Until, nil)
+	if r.ValidUntil > 0 {
+		s.schedule(r.ValidUntil, nil)
 	}
 	var withdrawn []*claim
 	named := make(map[string]bool, len(r.Claims))
 	for i := range r.Claims {
 		c := &r.Claims[i]
-		if c.Key == "" || len(c.Addrs) == 0 && c.State != choice.Gone {
+		if c.Key == "" || len(c.Addrs) == 0 && c.State != choice.Removed {
 			continue
 		}
 		named[c.Key] = true
-		if c.State == choice.Gone {
+		if c.State == choice.Removed {
 			if old := src.claims[c.Key]; old != nil && !old.withdrawn {
 				withdrawn = append(withdrawn, old)
 			}
@@ -238,7 +238,7 @@
 		}
 		s.applyClaim(src, *c, firstReport)
 	}
-	if r.Full && src.Absent {
+	if r.Full && src.RemoveAbsent {
 		for key, c := range src.claims {
 			if !named[key] && !c.withdrawn {
 				withdrawn = append(withdrawn, c)
@@ -260,7 +260,7 @@
 }
 
 // SourceUnreachable records that a source cannot be reached. Its claims stay valid for Source.Hold.
-func (s *Set) Lost(now time.Duration, source int) []ledger.Entry {
+func (s *Set) SourceUnreachable(now time.Duration, source int) []ledger.Entry {
 	s.begin(now)
 	if src := s.sources[source]; src.unreachableSince == 0 {
 		src.unreachableSince = s.now
@@ -276,7 +276,7 @@
 }
 
 // NextTimer returns when Tick has to be called next; any is false if no timer is pending.
-func (s *Set) Next() (at time.Duration, any bool) {
+func (s *Set) NextTimer() (at time.Duration, any bool) {
 	if len(s.timers) == 0 {
 		return 0, false
 	}
@@ -289,7 +289,7 @@
 	if old == nil && len(src.claims) >= maxClaimsPerSource {
 		return
 	}
-	if c.Tiered && (!s.hasTier || c.Tier < s.bestTier) {
+	if c.HasTier && (!s.hasTier || c.Tier < s.bestTier) {
 		s.hasTier, s.bestTier = true, c.Tier
 		for _, o := range s.sources {
 			s.markSourceDirty(o)
@@ -404,7 +404,7 @@
 		case src.Guard && c.State != choice.Draining && tooMany && !s.confirmedElsewhere(c):
 			s.deferWithdrawal(c, s.now+s.settings.GuardWait, Guarded)
 		case src.Guard && c.State != choice.Draining && prevUntil > s.now && !s.confirmedElsewhere(c):
-			s.deferWithdrawal(c, min(prevUntil, s.now+s.settings.GuardWait), Contradict)
+			s.deferWithdrawal(c, min(prevUntil, s.now+s.settings.GuardWait), Contradictory)
 		default:
 			s.withdraw(c)
 		}
@@ -533,16 +533,16 @@
 	case draining != nil:
 		state, d.rule = choice.Draining, Drained
 	case withdrawal != nil && !s.restartedSince(m, withdrawal):
-		state, d.rule = choice.Gone, Withdrawn
+		state, d.rule = choice.Removed, Withdrawn
 	case supported:
 	case lapsed && !s.anySourceValid():
-		d.rule = LastWord
+		d.rule = LastKnown
 	default:
-		state, d.rule = choice.Gone, Lapsed
+		state, d.rule = choice.Removed, Lapsed
 	}
 	d.entry = s.buildEntry(m, first, state)
 	d.tier = s.bestTier
-	if i := slices.IndexFunc(m.claims, func(c *claim) bool { return !c.withdrawn && c.Tiered }); i >= 0 {
+	if i := slices.IndexFunc(m.claims, func(c *claim) bool { return !c.withdrawn && c.HasTier }); i >= 0 {
 		d.tier = m.claims[i].Tier
 	}
 	d.eligible = state == choice.Ready
@@ -557,7 +557,7 @@
 // restartedSince reports whether a source lists the server with a later start time than the withdrawn claim has.
 func (s *Set) restartedSince(m *member, withdrawal *claim) bool {
 	return slices.ContainsFunc(m.claims, func(c *claim) bool {
-		return !c.withdrawn && c.Details && withdrawal.Details && c.Started > withdrawal.Started
+		return !c.withdrawn && c.HasDetails && withdrawal.HasDetails && c.Started > withdrawal.Started
 	})
 }
 
@@ -579,12 +579,12 @@
 		e.Started = m.firstNamed
 	}
 	for _, c := range m.claims {
-		if c.Details && !c.withdrawn {
-			e.Zone, e.Cell, e.Started, e.Speaks, e.Multiplexed, e.Shapes = c.Zone, c.Cell, c.Started, c.Speaks, c.Multi, c.Shapes
+		if c.HasDetails && !c.withdrawn {
+			e.Zone, e.Cell, e.Started, e.Protocols, e.Multiplexed, e.Shapes = c.Zone, c.Cell, c.Started, c.Speaks, c.Multiplexed, c.Shapes
 			return e
 		}
 	}
-	e.Speaks = first.Speaks
+	e.Protocols = first.Speaks
 	return e
 }
 
@@ -592,7 +592,7 @@
 func (s *Set) removeMember(m *member) {
 	m.removed = true
 	e := m.published.entry
-	e.State = choice.Gone
+	e.State = choice.Removed
 	s.publish(m, e, Withdrawn, m.published.tier, false)
 	s.tiers.remove(m)
 	if s.byID[m.id] == m {
@@ -604,11 +604,11 @@
 func (s *Set) publish(m *member, e ledger.Entry, rule Rule, tier int, ready bool) {
 	prev := m.published
 	m.published = decision{entry: e, announced: true, tier: tier, rule: rule, eligible: ready}
-	if !prev.announced && e.State == choice.Gone || prev.announced && sameEntry(prev.entry, e) {
+	if !prev.announced && e.State == choice.Removed || prev.announced && sameEntry(prev.entry, e) {
 		m.published.announced = prev.announced
 		return
 	}
-	m.published.announced = e.State != choice.Gone
+	m.published.announced = e.State != choice.Removed
 	s.changes = append(s.changes, e)
 }
 
@@ -640,11 +640,11 @@
 type Fact struct {
 	Name, Value, Source string
 	Age                 time.Duration // since the source's claim last changed
-	Counts              bool          // the merged list has this value
+	InEffect            bool          // the merged list has this value
 }
 
 // MemberView is a server of the merged list as it is shown to operators.
-type View struct {
+type MemberView struct {
 	ID    string
 	State choice.State
 	Tier  int
@@ -654,11 +654,11 @@
 }
 
 // Members returns all servers, sorted by id, with the facts that each source states.
-func (s *Set) Members() (all []View) {
+func (s *Set) Members() (all []MemberView) {
 	for _, m := range s.byID {
-		v := View{ID: m.id, State: m.published.entry.State, Tier: m.published.tier, Addrs: m.published.entry.Addrs, Rule: m.published.rule}
+		v := MemberView{ID: m.id, State: m.published.entry.State, Tier: m.published.tier, Addrs: m.published.entry.Addrs, Rule: m.published.rule}
 		for _, c := range m.claims {
-			state := [...]string{choice.Ready: "ready", choice.Draining: "draining", choice.Gone: "gone"}[c.State]
+			state := [...]string{choice.Ready: "ready", choice.Draining: "draining", choice.Removed: "gone"}[c.State]
 			if c.withdrawn {
 				state = "withdrawn"
 			}
@@ -668,13 +668,13 @@
 			add("state", state, c.State == v.State)
 			add("addresses", fmt.Sprint(c.Addrs), true)
 			add("weight", fmt.Sprint(c.Weight), c.Weight == m.published.entry.Weight)
-			if c.Tiered {
+			if c.HasTier {
 				add("tier", fmt.Sprint(c.Tier), c.Tier == v.Tier)
 			}
 		}
 		all = append(all, v)
 	}
-	slices.SortFunc(all, func(a, b View) int {
+	slices.SortFunc(all, func(a, b MemberView) int {
 		if a.ID < b.ID {
 			return -1
 		}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -30,7 +30,7 @@
 
 func newHarness(edits ...func(*Settings)) *harness {
 	set := Defaults
-	set.Sources = []Source{{Name: "list", Hold: hold, Absent: true, Guard: true}, {Name: "srv", Hold: hold, Absent: true, Guard: true}}
+	set.Sources = []Source{{Name: "list", Hold: hold, RemoveAbsent: true, Guard: true}, {Name: "srv", Hold: hold, RemoveAbsent: true, Guard: true}}
 	for _, edit := range edits {
 		edit(&set)
 	}
@@ -40,7 +40,7 @@
 // record applies changes to the merged list and returns a copy of them.
 func (b *harness) record(changes []ledger.Entry) []ledger.Entry {
 	for _, e := range changes {
-		if b.published[e.ID] = e; e.State == choice.Gone {
+		if b.published[e.ID] = e; e.State == choice.Removed {
 			delete(b.published, e.ID)
 		}
 	}
@@ -55,7 +55,7 @@
 // advance lets time pass, with a Tick at each time that NextTimer returns and at the end.
 func (b *harness) advance(d time.Duration) {
 	end := b.at + d
-	for next, any := b.Next(); any && next <= end; next, any = b.Next() {
+	for next, any := b.NextTimer(); any && next <= end; next, any = b.NextTimer() {
 		b.at = max(b.at, next)
 		b.record(b.Tick(b.at))
 	}
@@ -87,7 +87,7 @@
 
 // listClaim returns the claim of the list about server i.
 func listClaim(i int, edits ...func(*Claim)) Claim {
-	c := Claim{Key: fmt.Sprint("s", i), ID: fmt.Sprint("s", i), Addrs: []string{addr(i)}, Weight: 1, Details: true}
+	c := Claim{Key: fmt.Sprint("s", i), ID: fmt.Sprint("s", i), Addrs: []string{addr(i)}, Weight: 1, HasDetails: true}
 	for _, e := range edits {
 		e(&c)
 	}
@@ -96,7 +96,7 @@
 
 // srvClaim returns the claim of the SRV records about server i.
 func srvClaim(i int, edits ...func(*Claim)) Claim {
-	c := Claim{Key: fmt.Sprintf("forms-%d.example.org.:8000", i), Addrs: []string{addr(i)}, Weight: 5, Tiered: true, Tier: 10}
+	c := Claim{Key: fmt.Sprintf("forms-%d.example.org.:8000", i), Addrs: []string{addr(i)}, Weight: 5, HasTier: true, Tier: 10}
 	for _, e := range edits {
 		e(&c)
 	}
@@ -125,7 +125,7 @@
 		{"both list it", func(b *harness) {}, "ready", Agreed},
 		{"the list reports it as draining", func(b *harness) { b.report(list, false, 2, listClaim(0, withState(choice.Draining))) }, "draining", Drained},
 		{"SRV reports it as draining", func(b *harness) { b.report(srv, false, 0, srvClaim(0, withState(choice.Draining))) }, "draining", Drained},
-		{"the list reports it as gone, SRV lists it", func(b *harness) { b.report(list, false, 2, listClaim(0, withState(choice.Gone))) }, "", Withdrawn},
+		{"the list reports it as gone, SRV lists it", func(b *harness) { b.report(list, false, 2, listClaim(0, withState(choice.Removed))) }, "", Withdrawn},
 		{"SRV no longer lists it, the list does", func(b *harness) { b.report(srv, true, 0, claims(srvClaim, 4)[1:]...) }, "", Withdrawn},
 		{"a full list no longer has it, SRV does", func(b *harness) { b.report(list, true, 2, claims(listClaim, 4)[1:]...) }, "", Withdrawn},
 		{"withdrawn by SRV and listed by it again", func(b *harness) {
@@ -133,11 +133,11 @@
 			b.report(srv, true, 0, claims(srvClaim, 4)...)
 		}, "ready", Agreed},
 		{"gone from the list for an hour, SRV lists it as before", func(b *harness) {
-			b.report(list, false, 2, listClaim(0, withState(choice.Gone)))
+			b.report(list, false, 2, listClaim(0, withState(choice.Removed)))
 			b.advance(time.Hour)
 		}, "", Withdrawn},
 		{"gone from the list, then restarted", func(b *harness) {
-			b.report(list, false, 2, listClaim(0, withState(choice.Gone)))
+			b.report(list, false, 2, listClaim(0, withState(choice.Removed)))
 			b.report(list, false, 3, listClaim(0, startedAt(b.at)))
 		}, "ready", Agreed},
 		{"drains, and the list reports it as ready without a restart", func(b *harness) {
@@ -148,16 +148,16 @@
 			b.report(srv, false, 0, srvClaim(0, withState(choice.Draining)))
 			b.report(list, true, 2, claims(listClaim, 4)...)
 		}, "draining", Drained},
-		{"the list is unreachable", func(b *harness) { b.record(b.Lost(b.at, list)); b.advance(hold / 2) }, "ready", Agreed},
-		{"the list is unreachable beyond its hold, SRV lists it", func(b *harness) { b.record(b.Lost(b.at, list)); b.advance(2 * hold) }, "ready", Agreed},
+		{"the list is unreachable", func(b *harness) { b.record(b.SourceUnreachable(b.at, list)); b.advance(hold / 2) }, "ready", Agreed},
+		{"the list is unreachable beyond its hold, SRV lists it", func(b *harness) { b.record(b.SourceUnreachable(b.at, list)); b.advance(2 * hold) }, "ready", Agreed},
 		{"all sources are unreachable", func(b *harness) {
-			b.record(b.Lost(b.at, list))
-			b.record(b.Lost(b.at, srv))
+			b.record(b.SourceUnreachable(b.at, list))
+			b.record(b.SourceUnreachable(b.at, srv))
 			b.advance(time.Hour)
-		}, "ready", LastWord},
+		}, "ready", LastKnown},
 		{"drains by the list, which then becomes unreachable", func(b *harness) {
 			b.report(list, false, 2, listClaim(0, withState(choice.Draining)))
-			b.record(b.Lost(b.at, list))
+			b.record(b.SourceUnreachable(b.at, list))
 			b.advance(time.Hour)
 		}, "draining", Drained},
 		{"SRV is suddenly empty", func(b *harness) { b.report(srv, true, 0) }, "ready", Guarded},
@@ -187,12 +187,12 @@
 			b.report(list, true, -1, claims(listClaim, 4)[1:]...)
 		}, "", Withdrawn},
 		{"SRV contradicts its report while that is valid", func(b *harness) {
-			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4), Until: b.at + 20*time.Second}))
-			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4)[1:], Until: b.at + 20*time.Second}))
-		}, "ready", Contradict},
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4), ValidUntil: b.at + 20*time.Second}))
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4)[1:], ValidUntil: b.at + 20*time.Second}))
+		}, "ready", Contradictory},
 		{"SRV contradicts its report until that has expired", func(b *harness) {
-			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4), Until: b.at + 20*time.Second}))
-			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4)[1:], Until: b.at + time.Hour}))
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4), ValidUntil: b.at + 20*time.Second}))
+			b.record(b.Report(b.at, Report{Source: srv, Full: true, Claims: claims(srvClaim, 4)[1:], ValidUntil: b.at + time.Hour}))
 			b.advance(21 * time.Second)
 		}, "", Withdrawn},
 	} {
@@ -257,15 +257,15 @@
 // The platform's list as the only source, which is the default: the merged list follows it, even if it removes all servers.
 func TestListAlone(t *testing.T) {
 	b := newHarness(func(s *Settings) {
-		s.Sources = []Source{{Name: "list", Hold: 100 * 365 * 24 * time.Hour, Absent: true}}
+		s.Sources = []Source{{Name: "list", Hold: 100 * 365 * 24 * time.Hour, RemoveAbsent: true}}
 	})
 	b.report(list, true, 1, claims(listClaim, 4)...)
-	b.record(b.Lost(b.at, list))
+	b.record(b.SourceUnreachable(b.at, list))
 	b.advance(24 * time.Hour)
 	if len(b.published) != 4 || b.rule("s0") != Agreed {
 		t.Errorf("%d servers, rule %v", len(b.published), b.rule("s0"))
 	}
-	b.report(list, false, 2, listClaim(0, withState(choice.Draining)), listClaim(1, withState(choice.Gone)))
+	b.report(list, false, 2, listClaim(0, withState(choice.Draining)), listClaim(1, withState(choice.Removed)))
 	if b.state("s0") != "draining" || b.state("s1") != "" || b.state("s2") != "ready" {
 		t.Errorf("%v", b.published)
 	}
@@ -324,9 +324,9 @@
 	expect("better tier below CloseAbove", 7, 8)
 	report(10)
 	expect("better tier just restored", 10, 8)
-	b.advance(Defaults.Calm / 2)
+	b.advance(Defaults.CloseDelay / 2)
 	expect("restored for less than the close delay", 10, 8)
-	b.advance(Defaults.Calm)
+	b.advance(Defaults.CloseDelay)
 	expect("restored for longer than the close delay", 10, 0)
 	if r := b.rule("srv/" + worse(0).Key); r != ClosedTier {
 		t.Errorf("closed by rule %v", r)
@@ -381,8 +381,8 @@
 			case "one":
 				i := rapid.IntRange(0, n-1).Draw(t, "server")
 				w := &reported[source][i]
-				switch state := rapid.SampledFrom([]choice.State{choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state"); state {
-				case choice.Gone:
+				switch state := rapid.SampledFrom([]choice.State{choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state"); state {
+				case choice.Removed:
 					w.withdrawn = w.withdrawn || w.listed
 					w.listed, w.draining = false, false
 					b.report(source, false, version, make(i, state))
@@ -391,7 +391,7 @@
 					b.report(source, false, version, make(i, state))
 				}
 			case "lost":
-				b.record(b.Lost(b.at, source))
+				b.record(b.SourceUnreachable(b.at, source))
 			case "time":
 				b.at += time.Duration(rapid.Int64Range(0, int64(2*time.Minute)).Draw(t, "pass"))
 				b.record(b.Tick(b.at))
@@ -481,7 +481,7 @@
 	ages := map[string]time.Duration{}
 	for _, f := range all[0].Facts {
 		if f.Name == "weight" {
-			ages[f.Source+" "+f.Value+fmt.Sprint(f.Counts)] = f.Age
+			ages[f.Source+" "+f.Value+fmt.Sprint(f.InEffect)] = f.Age
 		}
 	}
 	if want := map[string]time.Duration{"list 1true": time.Minute, "srv 5false": 0}; !maps.Equal(ages, want) {
--- a/internal/decide/membership/tiers.go
+++ b/internal/decide/membership/tiers.go
@@ -39,7 +39,7 @@
 func (t *tiers) init(s *Set) { t.owner, t.byNumber = s, map[int]*tier{} }
 
 // baselineHalfLife is the time in which the baseline decays to half.
-const wantHalf = time.Hour
+const baselineHalfLife = time.Hour
 
 // effectiveWeight returns what a server adds to its tier's ready weight: a server of weight 0 gets few calls, but some.
 func effectiveWeight(v decision) float64 {
@@ -127,7 +127,7 @@
 	betterWeight := 0.0 // ready weight of the better tiers that are open
 	for i, tr := range t.sorted {
 		if i == 0 {
-			t.baseline = max(t.baseline*math.Exp2(-float64(now-t.baselineAt)/float64(wantHalf)), tr.readyWeight)
+			t.baseline = max(t.baseline*math.Exp2(-float64(now-t.baselineAt)/float64(baselineHalfLife)), tr.readyWeight)
 			t.baselineAt = now
 		}
 		switch {
@@ -139,9 +139,9 @@
 		case i > 0 && tr.open && betterWeight >= set.CloseAbove*t.baseline:
 			if tr.enoughSince == 0 {
 				tr.enoughSince = now
-				t.owner.schedule(now+set.Calm, nil)
+				t.owner.schedule(now+set.CloseDelay, nil)
 			}
-			if now-tr.enoughSince >= set.Calm {
+			if now-tr.enoughSince >= set.CloseDelay {
 				t.close(tr)
 			}
 		default:
--- a/internal/decide/operators/operators.go
+++ b/internal/decide/operators/operators.go
@@ -11,10 +11,10 @@
 
 // MaxOffline is the maximum number of servers that may be offline at a time. Without it the overrides of servers that never return
 // would accumulate, as when servers are replaced while they are offline.
-const Most = 10_000
+const MaxOffline = 10_000
 
 // Set is a set of overrides. The zero value has none. It is not safe for concurrent use.
-type Word struct {
+type Set struct {
 	offline  map[string]time.Duration // by server id: when it was taken offline
 	restored map[string]offlinePeriod // by server id: offline periods of servers that were put back online and are still listed
 }
@@ -23,19 +23,19 @@
 type offlinePeriod struct{ from, to time.Duration }
 
 // IsOffline reports whether an operator has taken a server offline.
-func (o *Word) Out(id string) bool {
+func (o *Set) IsOffline(id string) bool {
 	_, out := o.offline[id]
 	return out
 }
 
 // Offline takes a server offline. It returns false if MaxOffline servers are offline already. For a server that is offline already
 // the first time remains in effect.
-func (o *Word) Offline(now time.Duration, id string) bool {
+func (o *Set) Offline(now time.Duration, id string) bool {
 	if o.offline == nil {
 		o.offline = map[string]time.Duration{}
 	}
-	if !o.Out(id) {
-		if len(o.offline) >= Most {
+	if !o.IsOffline(id) {
+		if len(o.offline) >= MaxOffline {
 			return false
 		}
 		o.offline[id] = now.Truncate(time.Millisecond) // the precision of start times in the server list
@@ -45,7 +45,7 @@
 }
 
 // Online puts a server back online, however often it was taken offline. It returns false if it was not offline.
-func (o *Word) Online(now time.Duration, id string) bool {
+func (o *Set) Online(now time.Duration, id string) bool {
 	from, out := o.offline[id]
 	if !out {
 		return false
@@ -62,8 +62,8 @@
 // says that it is gone. A server that was put back online is assumed to have been restarted meanwhile. The start time in the list
 // is used if it is not before the server was taken offline. Otherwise the list does not know of the restart yet, and may never do;
 // the server then counts as started when it was put back online, so that a cold server is not overloaded.
-func (o *Word) Counts(s choice.Server) choice.Server {
-	if o.Out(s.ID) && s.State == choice.Ready {
+func (o *Set) Apply(s choice.Server) choice.Server {
+	if o.IsOffline(s.ID) && s.State == choice.Ready {
 		s.State = choice.Draining
 	}
 	if period, ok := o.restored[s.ID]; ok && s.Started < period.from {
@@ -73,35 +73,35 @@
 }
 
 // ServerRemoved records that a server is no longer listed. A server that is offline stays so, as it may be listed again.
-func (o *Word) Gone(id string) { delete(o.restored, id) }
+func (o *Set) ServerRemoved(id string) { delete(o.restored, id) }
 
 // Snapshot is the serializable form of a Set, to hand over to another process. Times are Unix milliseconds.
-type Saying struct {
-	Out  map[string]int64    `json:"out,omitempty"`  // by server id: when it was taken offline
-	Back map[string][2]int64 `json:"back,omitempty"` // by server id: start and end of the offline period
+type Snapshot struct {
+	Offline    map[string]int64    `json:"out,omitempty"`  // by server id: when it was taken offline
+	BackOnline map[string][2]int64 `json:"back,omitempty"` // by server id: start and end of the offline period
 }
 
 // Snapshot returns the overrides in serializable form.
-func (o *Word) Saying() Saying {
-	s := Saying{Out: make(map[string]int64, len(o.offline)), Back: make(map[string][2]int64, len(o.restored))}
+func (o *Set) Snapshot() Snapshot {
+	s := Snapshot{Offline: make(map[string]int64, len(o.offline)), BackOnline: make(map[string][2]int64, len(o.restored))}
 	for id, from := range o.offline {
-		s.Out[id] = from.Milliseconds()
+		s.Offline[id] = from.Milliseconds()
 	}
 	for id, period := range o.restored {
-		s.Back[id] = [2]int64{period.from.Milliseconds(), period.to.Milliseconds()}
+		s.BackOnline[id] = [2]int64{period.from.Milliseconds(), period.to.Milliseconds()}
 	}
 	return s
 }
 
 // Restore adds the overrides of another process, up to MaxOffline. A time in the future, which a wrong clock can cause, counts as
 // now: otherwise a server would count as cold until that time.
-func (o *Word) Take(now time.Duration, s Saying) {
+func (o *Set) Restore(now time.Duration, s Snapshot) {
 	notFuture := func(ms int64) time.Duration { return min(now, time.Duration(ms)*time.Millisecond) }
-	for id, from := range s.Out {
+	for id, from := range s.Offline {
 		o.Offline(notFuture(from), id)
 	}
-	for id, period := range s.Back {
-		if len(o.restored) >= Most || o.Out(id) {
+	for id, period := range s.BackOnline {
+		if len(o.restored) >= MaxOffline || o.IsOffline(id) {
 			continue
 		}
 		if o.restored == nil {
@@ -112,6 +112,6 @@
 }
 
 // Copy returns a deep copy.
-func (o *Word) Copy() Word {
-	return Word{offline: maps.Clone(o.offline), restored: maps.Clone(o.restored)}
+func (o *Set) Copy() Set {
+	return Set{offline: maps.Clone(o.offline), restored: maps.Clone(o.restored)}
 }
--- a/internal/decide/relay/relay.go
+++ b/internal/decide/relay/relay.go
@@ -10,16 +10,16 @@
 
 const (
 	// MaxHold is the longest time that an answer of unknown length is held. Such an answer may be short and soon complete.
-	MostHeld = 500 * time.Millisecond
+	MaxHold = 500 * time.Millisecond
 	// MaxHoldLong is the longest time that an answer known to be long is held. It is short, as clients measure the time to the
 	// first byte.
-	MostHeldLong = 100 * time.Millisecond
+	MaxHoldLong = 100 * time.Millisecond
 	// MaxFirstByte is the longest time from the head of an answer to the first byte of its body. Before that byte there is
 	// nothing to relay.
-	MostFirst = 500 * time.Millisecond
+	MaxFirstByte = 500 * time.Millisecond
 	// MaxPause is the longest time since the last received data with which an answer starts to be relayed. A server that makes
 	// progress sends something at least that often; one that does not has probably stopped.
-	MostPause = 300 * time.Millisecond
+	MaxPause = 300 * time.Millisecond
 )
 
 // Verdict tells what to do with a held answer.
@@ -49,20 +49,20 @@
 // maximum number of bytes to hold. If the answer has stopped by half of left it is replaced, but only if it is that of the first attempt:
 // the answer may also be long and its server slow, and then further attempts would do no better. An answer that is not complete at the
 // client's deadline is not relayed.
-func Begin(now, left time.Duration, limit int, first bool) *Held {
+func NewHeld(now, left time.Duration, limit int, first bool) *Held {
 	left = max(left, 0)
-	hold := min(MostHeld, left)
+	hold := min(MaxHold, left)
 	h := &Held{until: now + hold, untilDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
 	if first {
-		untilCheck := min(MostHeld, left/2) // the other half is left for an attempt at another server
-		h.nextCheck, h.maxPause = now+untilCheck, min(MostPause, untilCheck/2)
+		untilCheck := min(MaxHold, left/2) // the other half is left for an attempt at another server
+		h.nextCheck, h.maxPause = now+untilCheck, min(MaxPause, untilCheck/2)
 	}
 	return h
 }
 
 // NewHeldLong is like NewHeld, for an answer that is known to be longer than limit.
-func BeginLong(now, left time.Duration, limit int) *Held {
-	hold := min(MostHeldLong, max(left, 0)/2)
+func NewHeldLong(now, left time.Duration, limit int) *Held {
+	hold := min(MaxHoldLong, max(left, 0)/2)
 	return &Held{until: now + hold, nextCheck: now + hold, limit: limit, lastReceived: now}
 }
 
@@ -77,17 +77,17 @@
 }
 
 // NextCheck returns the time at which Check is to be called.
-func (h *Held) Until() time.Duration {
+func (h *Held) NextCheck() time.Duration {
 	if h.received == 0 {
-		return h.lastReceived + MostFirst
+		return h.lastReceived + MaxFirstByte
 	}
 	return h.nextCheck
 }
 
 // Check returns what to do with an answer that is not complete at now. After Hold, NextCheck returns the time of the next call.
-func (h *Held) Due(now time.Duration) Verdict {
+func (h *Held) Check(now time.Duration) Verdict {
 	switch {
-	case now < h.Until():
+	case now < h.NextCheck():
 		return Hold
 	case h.received == 0, h.firstAttempt && now-h.lastReceived > h.maxPause:
 		return Replace
--- a/internal/decide/relay/relay_test.go
+++ b/internal/decide/relay/relay_test.go
@@ -21,19 +21,19 @@
 		until  time.Duration
 		due    Verdict
 	}{
-		"goes on":                            {Begin(0, long, 64, true), []piece{{100 * ms, 10}, {450 * ms, 10}}, MostHeld, Relay},
-		"has stopped":                        {Begin(0, long, 64, true), []piece{{100 * ms, 10}, {200 * ms, 10}}, MostHeld, Replace},
-		"has stopped, second attempt":        {Begin(0, long, 64, false), []piece{{100 * ms, 10}, {200 * ms, 10}}, MostHeld, Relay},
-		"nothing received":                   {Begin(0, long, 64, true), nil, MostFirst, Replace},
-		"nothing received, second attempt":   {Begin(0, long, 64, false), nil, MostFirst, Replace},
-		"goes on at half of a short time":    {Begin(0, short, 64, true), []piece{{200 * ms, 10}}, 300 * ms, Hold},
-		"stopped at half of a short time":    {Begin(0, short, 64, true), []piece{{100 * ms, 10}}, 300 * ms, Replace},
-		"a short time, second attempt":       {Begin(0, short, 64, false), []piece{{100 * ms, 10}}, MostHeld, Relay},
-		"deadline reached, second attempt":   {Begin(0, 400*ms, 64, false), []piece{{100 * ms, 10}, {350 * ms, 10}}, 400 * ms, Replace},
-		"no time left":                       {Begin(0, -long, 64, true), []piece{{0, 10}}, 0, Replace},
-		"no time left, second attempt":       {Begin(0, -long, 64, false), []piece{{0, 10}}, 0, Replace},
-		"known to be long, stopped":          {BeginLong(0, long, 64), []piece{{0, 10}}, MostHeldLong, Relay},
-		"known to be long, nothing received": {BeginLong(0, long, 64), nil, MostFirst, Replace},
+		"goes on":                            {NewHeld(0, long, 64, true), []piece{{100 * ms, 10}, {450 * ms, 10}}, MaxHold, Relay},
+		"has stopped":                        {NewHeld(0, long, 64, true), []piece{{100 * ms, 10}, {200 * ms, 10}}, MaxHold, Replace},
+		"has stopped, second attempt":        {NewHeld(0, long, 64, false), []piece{{100 * ms, 10}, {200 * ms, 10}}, MaxHold, Relay},
+		"nothing received":                   {NewHeld(0, long, 64, true), nil, MaxFirstByte, Replace},
+		"nothing received, second attempt":   {NewHeld(0, long, 64, false), nil, MaxFirstByte, Replace},
+		"goes on at half of a short time":    {NewHeld(0, short, 64, true), []piece{{200 * ms, 10}}, 300 * ms, Hold},
+		"stopped at half of a short time":    {NewHeld(0, short, 64, true), []piece{{100 * ms, 10}}, 300 * ms, Replace},
+		"a short time, second attempt":       {NewHeld(0, short, 64, false), []piece{{100 * ms, 10}}, MaxHold, Relay},
+		"deadline reached, second attempt":   {NewHeld(0, 400*ms, 64, false), []piece{{100 * ms, 10}, {350 * ms, 10}}, 400 * ms, Replace},
+		"no time left":                       {NewHeld(0, -long, 64, true), []piece{{0, 10}}, 0, Replace},
+		"no time left, second attempt":       {NewHeld(0, -long, 64, false), []piece{{0, 10}}, 0, Replace},
+		"known to be long, stopped":          {NewHeldLong(0, long, 64), []piece{{0, 10}}, MaxHoldLong, Relay},
+		"known to be long, nothing received": {NewHeldLong(0, long, 64), nil, MaxFirstByte, Replace},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := c.held
@@ -42,15 +42,15 @@
 					t.Fatalf("%v after %v", v, p.at)
 				}
 			}
-			if h.Until() != c.until {
-				t.Errorf("held until %v, want %v", h.Until(), c.until)
+			if h.NextCheck() != c.until {
+				t.Errorf("held until %v, want %v", h.NextCheck(), c.until)
 			}
-			if v := h.Due(h.Until()); v != c.due {
+			if v := h.Check(h.NextCheck()); v != c.due {
 				t.Errorf("verdict %v, want %v", v, c.due)
 			}
 		})
 	}
-	h := Begin(0, time.Second, 64, true)
+	h := NewHeld(0, time.Second, 64, true)
 	if h.Received(ms, 64) != Hold || h.Received(2*ms, 1) != Relay {
 		t.Error("the limit on held bytes does not apply")
 	}
@@ -60,16 +60,16 @@
 // than MaxHold.
 func TestHeldOnFromHalfOfTheTime(t *testing.T) {
 	for left, want := range map[time.Duration]Verdict{600 * ms: Relay, 500 * ms: Replace, 200 * ms: Replace} {
-		h := Begin(0, left, 64, true)
+		h := NewHeld(0, left, 64, true)
 		h.Received(left*2/5, 10)
-		if v := h.Due(left / 2); v != Hold {
+		if v := h.Check(left / 2); v != Hold {
 			t.Errorf("%v: %v at half of the time", left, v)
 		}
-		if most := min(MostHeld, left); h.Until() != most {
-			t.Errorf("%v: held until %v", left, h.Until())
+		if most := min(MaxHold, left); h.NextCheck() != most {
+			t.Errorf("%v: held until %v", left, h.NextCheck())
 		}
-		h.Received(h.Until()-ms, 10)
-		if v := h.Due(h.Until()); v != want {
+		h.Received(h.NextCheck()-ms, 10)
+		if v := h.Check(h.NextCheck()); v != want {
 			t.Errorf("%v: %v at the end", left, v)
 		}
 	}
@@ -81,16 +81,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(20*time.Second)).Draw(t, "left"))
 		first := rapid.Bool().Draw(t, "first")
-		most := min(MostHeld, max(left, 0))
-		h, now, last, any := Begin(0, left, 1000, first), time.Duration(0), time.Duration(0), false
-		verdict := h.Due(now)
-		for ; verdict == Hold; verdict = h.Due(now) {
-			if any && now > most || now > max(most, MostFirst) {
+		most := min(MaxHold, max(left, 0))
+		h, now, last, any := NewHeld(0, left, 1000, first), time.Duration(0), time.Duration(0), false
+		verdict := h.Check(now)
+		for ; verdict == Hold; verdict = h.Check(now) {
+			if any && now > most || now > max(most, MaxFirstByte) {
 				t.Fatalf("still held after %v", now)
 			}
 			next := now + time.Duration(rapid.Int64Range(1, int64(400*ms)).Draw(t, "pause"))
-			if next >= h.Until() {
-				now = max(now, h.Until())
+			if next >= h.NextCheck() {
+				now = max(now, h.NextCheck())
 				continue
 			}
 			now, last, any = next, next, true
@@ -101,7 +101,7 @@
 		if verdict == Relay && now >= left {
 			t.Fatalf("relayed after %v of %v", now, left)
 		}
-		if verdict == Relay && first && now-last > MostPause {
+		if verdict == Relay && first && now-last > MaxPause {
 			t.Fatalf("relayed after a pause of %v", now-last)
 		}
 	})
--- a/internal/decide/resolve/answer.go
+++ b/internal/decide/resolve/answer.go
@@ -12,10 +12,10 @@
 
 // Limits on what is taken from one answer.
 const (
-	maxRecords    = 1000            // records of the answer section, and of the additional section
-	maxCNAMEChain = 8               // CNAME records followed one after the other
-	maxTTL        = 24 * time.Hour  // a longer TTL is reduced to this
-	maxNever      = 5 * time.Minute // a longer negative TTL is reduced to this
+	maxRecords     = 1000            // records of the answer section, and of the additional section
+	maxCNAMEChain  = 8               // CNAME records followed one after the other
+	maxTTL         = 24 * time.Hour  // a longer TTL is reduced to this
+	maxNegativeTTL = 5 * time.Minute // a longer negative TTL is reduced to this
 )
 
 // Question is the name and record type of a DNS question.
@@ -32,12 +32,12 @@
 
 // The verdicts.
 const (
-	Good     Verdict = iota // there are records
-	None                    // no such records, or no such name
-	Cut                     // the answer was truncated: ask again over TCP
-	Refusal                 // the server refused or failed to answer: ask another one
-	Nonsense                // the message could not be parsed or exceeds a limit
-	Silence                 // no answer arrived in time, as the caller that owns the sockets reports
+	Good      Verdict = iota // there are records
+	NoRecords                // no such records, or no such name
+	Truncated                // the answer was truncated: ask again over TCP
+	Refused                  // the server refused or failed to answer: ask another one
+	Malformed                // the message could not be parsed or exceeds a limit
+	NoReply                  // no answer arrived in time, as the caller that owns the sockets reports
 )
 
 var verdictNames = [...]string{"good", "none", "cut off", "refused", "nonsense", "silence"}
@@ -55,41 +55,41 @@
 
 // Answer is the evaluated answer to a question.
 type Answer struct {
-	Verdict Verdict
-	Why     string                   // why the verdict is not Good; empty if it is
-	Targets []Target                 // of SRV records
-	Addrs   []netip.Addr             // of A or AAAA records
-	TTL     time.Duration            // for how long it may be used: the lowest of its records
-	Beside  map[string][]netip.Addr  // addresses of other names, from the additional section
-	Lives   map[string]time.Duration // and their TTLs
+	Verdict       Verdict
+	Reason        string                   // why the verdict is not Good; empty if it is
+	Targets       []Target                 // of SRV records
+	Addrs         []netip.Addr             // of A or AAAA records
+	TTL           time.Duration            // for how long it may be used: the lowest of its records
+	Additional    map[string][]netip.Addr  // addresses of other names, from the additional section
+	AdditionalTTL map[string]time.Duration // and their TTLs
 }
 
 // ErrUnrelated is returned for a message that is not an answer to the question. The caller must ignore the message.
-var ErrForeign = errors.New("not an answer to this question")
+var ErrUnrelated = errors.New("not an answer to this question")
 
 // ParseAnswer parses a message received after a question was sent with the given id. It checks that the id and the question
 // match; checking the sender is up to the caller. Malformed answers result in a verdict; the only error is ErrUnrelated.
-func Read(wire []byte, id uint16, q Question) (Answer, error) {
+func ParseAnswer(wire []byte, id uint16, q Question) (Answer, error) {
 	var m dns.Msg
 	if err := m.Unpack(wire); err != nil {
 		if len(wire) >= 2 && uint16(wire[0])<<8|uint16(wire[1]) == id {
-			return Answer{Verdict: Nonsense, Why: fmt.Sprintf("malformed message: %v", err)}, nil
+			return Answer{Verdict: Malformed, Reason: fmt.Sprintf("malformed message: %v", err)}, nil
 		}
-		return Answer{}, ErrForeign
+		return Answer{}, ErrUnrelated
 	}
 	if m.Id != id || !m.Response || m.Opcode != dns.OpcodeQuery || len(m.Question) != 1 || m.Question[0].Qtype != q.Type ||
 		m.Question[0].Qclass != dns.ClassINET || canonicalName(m.Question[0].Name) != q.Name {
-		return Answer{}, ErrForeign
+		return Answer{}, ErrUnrelated
 	}
 	switch {
 	case m.Truncated:
-		return Answer{Verdict: Cut, Why: "the answer is truncated"}, nil
+		return Answer{Verdict: Truncated, Reason: "the answer is truncated"}, nil
 	case m.Rcode == dns.RcodeNameError:
-		return Answer{Verdict: None, Why: "no such name", TTL: negativeTTL(&m)}, nil
+		return Answer{Verdict: NoRecords, Reason: "no such name", TTL: negativeTTL(&m)}, nil
 	case m.Rcode != dns.RcodeSuccess:
-		return Answer{Verdict: Refusal, Why: dns.RcodeToString[m.Rcode]}, nil
+		return Answer{Verdict: Refused, Reason: dns.RcodeToString[m.Rcode]}, nil
 	case len(m.Answer) > maxRecords || len(m.Extra) > maxRecords:
-		return Answer{Verdict: Nonsense, Why: fmt.Sprintf("%d and %d records, at most %d are accepted", len(m.Answer), len(m.Extra), maxRecords)}, nil
+		return Answer{Verdict: Malformed, Reason: fmt.Sprintf("%d and %d records, at most %d are accepted", len(m.Answer), len(m.Extra), maxRecords)}, nil
 	}
 	return collect(&m, q), nil
 }
@@ -109,7 +109,7 @@
 func negativeTTL(m *dns.Msg) time.Duration {
 	for _, r := range m.Ns {
 		if soa, ok := r.(*dns.SOA); ok {
-			return min(recordTTL(soa.Hdr.Ttl), recordTTL(soa.Minttl), maxNever)
+			return min(recordTTL(soa.Hdr.Ttl), recordTTL(soa.Minttl), maxNegativeTTL)
 		}
 	}
 	return 0
@@ -117,7 +117,7 @@
 
 // collect gathers the records that answer the question, following CNAME records, and the additional addresses.
 func collect(m *dns.Msg, q Question) Answer {
-	a := Answer{TTL: maxTTL, Beside: map[string][]netip.Addr{}, Lives: map[string]time.Duration{}}
+	a := Answer{TTL: maxTTL, Additional: map[string][]netip.Addr{}, AdditionalTTL: map[string]time.Duration{}}
 	name := q.Name
 	for hop := 0; ; hop++ {
 		next := ""
@@ -146,20 +146,20 @@
 			break
 		}
 		if name = next; hop >= maxCNAMEChain {
-			return Answer{Verdict: Nonsense, Why: fmt.Sprintf("a chain of more than %d CNAME records", maxCNAMEChain)}
+			return Answer{Verdict: Malformed, Reason: fmt.Sprintf("a chain of more than %d CNAME records", maxCNAMEChain)}
 		}
 	}
 	for _, r := range m.Extra {
 		if ip, ok := addressOf(r); ok {
 			owner, ttl := canonicalName(r.Header().Name), recordTTL(r.Header().Ttl)
-			if old, known := a.Lives[owner]; !known || ttl < old {
-				a.Lives[owner] = ttl
+			if old, known := a.AdditionalTTL[owner]; !known || ttl < old {
+				a.AdditionalTTL[owner] = ttl
 			}
-			a.Beside[owner] = append(a.Beside[owner], ip)
+			a.Additional[owner] = append(a.Additional[owner], ip)
 		}
 	}
 	if len(a.Targets)+len(a.Addrs) == 0 {
-		return Answer{Verdict: None, Why: "no such records", TTL: negativeTTL(m)}
+		return Answer{Verdict: NoRecords, Reason: "no such records", TTL: negativeTTL(m)}
 	}
 	return a
 }
@@ -180,9 +180,9 @@
 	m := new(dns.Msg)
 	m.Id, m.RecursionDesired = id, true
 	m.Question = []dns.Question{{Name: q.Name, Qtype: q.Type, Qclass: dns.ClassINET}}
-	m.SetEdns0(MaxUDP, false)
+	m.SetEdns0(MaxUDPSize, false)
 	return m.Pack()
 }
 
 // MaxUDPSize is the maximum size of an answer over UDP in bytes, which passes without fragmentation.
-const MaxUDP = 1232
+const MaxUDPSize = 1232
--- a/internal/decide/resolve/resolve.go
+++ b/internal/decide/resolve/resolve.go
@@ -21,28 +21,28 @@
 
 // Settings configure a Resolver.
 type Settings struct {
-	Name    string           // of the SRV records, such as _forms._tcp.example.org
-	Servers int              // number of name servers
-	Timeout time.Duration    // for an answer over UDP
-	TCP     time.Duration    // for an answer over TCP
-	Least   time.Duration    // minimum time between two queries of a question, even if the TTL is shorter
-	Most    time.Duration    // maximum time between them, even if the TTL is longer
-	Stale   time.Duration    // how long addresses are used beyond their TTL if no server answers (RFC 8767)
-	Budget  int              // queries per minute
-	Speaks  choice.Protocols // what the servers found speak
-	IPv6    bool             // ask for AAAA
-	IPv4    bool             // ask for A
+	Name        string           // of the SRV records, such as _forms._tcp.example.org
+	Servers     int              // number of name servers
+	Timeout     time.Duration    // for an answer over UDP
+	TCPTimeout  time.Duration    // for an answer over TCP
+	MinInterval time.Duration    // minimum time between two queries of a question, even if the TTL is shorter
+	MaxInterval time.Duration    // maximum time between them, even if the TTL is longer
+	StaleFor    time.Duration    // how long addresses are used beyond their TTL if no server answers (RFC 8767)
+	Budget      int              // queries per minute
+	Speaks      choice.Protocols // what the servers found speak
+	IPv6        bool             // ask for AAAA
+	IPv4        bool             // ask for A
 }
 
 // Defaults are the default settings.
-var Defaults = Settings{Servers: 1, Timeout: time.Second, TCP: 3 * time.Second, Least: time.Second, Most: 5 * time.Minute,
-	Stale: time.Hour, Budget: 600, IPv4: true, IPv6: true}
+var Defaults = Settings{Servers: 1, Timeout: time.Second, TCPTimeout: 3 * time.Second, MinInterval: time.Second, MaxInterval: 5 * time.Minute,
+	StaleFor: time.Hour, Budget: 600, IPv4: true, IPv6: true}
 
 // maxTargets is the maximum number of SRV records that are used.
 const maxTargets = 5000
 
 // Query is a question to be sent now.
-type Ask struct {
+type Query struct {
 	Number  uint64 // identifies the query
 	Server  int    // index of the name server
 	TCP     bool
@@ -51,9 +51,9 @@
 }
 
 // Snapshot holds the servers by the current records, for the membership.
-type Word struct {
-	Claims []membership.Claim // about all servers
-	Until  time.Duration      // when the SRV records expire
+type Snapshot struct {
+	Claims     []membership.Claim // about all servers
+	ValidUntil time.Duration      // when the SRV records expire
 }
 
 // Resolver resolves the SRV records of one service. It is not safe for concurrent use.
@@ -70,7 +70,7 @@
 	scheduled      queue         // questions that are not in flight
 	unresolved     int           // number of questions that are not resolved yet, see questionState
 	changed        bool          // a question was resolved since the last update
-	lastTaken      *Word         // the last one that TakeUpdate returned
+	lastTaken      *Snapshot     // the last one that TakeUpdate returned
 	unreachable    bool          // no server answers for the SRV records, and this was or will be reported
 	unreachableDue bool          // it is to be reported by TakeUpdate
 }
@@ -124,9 +124,9 @@
 }
 
 // Due returns the queries to be sent now, the longest overdue first, and when to call it again: then, or after an answer.
-func (r *Resolver) Due(now time.Duration) (queries []Ask, again time.Duration) {
+func (r *Resolver) Due(now time.Duration) (queries []Query, again time.Duration) {
 	r.advance(now)
-	again = r.now + r.settings.Most
+	again = r.now + r.settings.MaxInterval
 	for len(r.scheduled) > 0 {
 		s := r.scheduled[0]
 		if s.nextAt > r.now {
@@ -185,21 +185,21 @@
 }
 
 // send returns a query of a question and records it as in flight.
-func (r *Resolver) send(s *questionState, tcp bool) Ask {
+func (r *Resolver) send(s *questionState, tcp bool) Query {
 	r.lastNumber++
 	r.tokens--
 	s.inFlight = r.lastNumber
 	r.inFlight[r.lastNumber] = s
-	a := Ask{Number: r.lastNumber, Server: s.server, TCP: tcp, Timeout: r.settings.Timeout, Question: s.question}
+	a := Query{Number: r.lastNumber, Server: s.server, TCP: tcp, Timeout: r.settings.Timeout, Question: s.question}
 	if tcp {
-		a.Timeout = r.settings.TCP
+		a.Timeout = r.settings.TCPTimeout
 	}
 	return a
 }
 
 // HandleAnswer records the outcome of a query and returns a query to be sent at once, if any: over TCP if the answer was
 // truncated, or to the next server if this one failed.
-func (r *Resolver) Answered(now time.Duration, number uint64, tcp bool, a Answer) (more []Ask) {
+func (r *Resolver) HandleAnswer(now time.Duration, number uint64, tcp bool, a Answer) (more []Query) {
 	r.advance(now)
 	s := r.inFlight[number]
 	if s == nil {
@@ -211,20 +211,20 @@
 		return nil // its question is no longer tracked
 	}
 	switch {
-	case a.Verdict == Cut && !tcp:
-		return []Ask{r.send(s, true)}
-	case a.Verdict == Good || a.Verdict == None:
+	case a.Verdict == Truncated && !tcp:
+		return []Query{r.send(s, true)}
+	case a.Verdict == Good || a.Verdict == NoRecords:
 		r.store(s, a)
 		return nil
 	}
 	s.failedServers++
 	if s.server = (s.server + 1) % max(1, r.settings.Servers); s.failedServers < r.settings.Servers && r.tokens >= 1 {
-		return []Ask{r.send(s, false)}
+		return []Query{r.send(s, false)}
 	}
 	r.markResolved(s)
 	s.failedServers = 0
 	s.failedRounds++
-	r.schedule(s, r.now+r.jitter(min(r.settings.Least<<min(s.failedRounds-1, 16), r.settings.Most)))
+	r.schedule(s, r.now+r.jitter(min(r.settings.MinInterval<<min(s.failedRounds-1, 16), r.settings.MaxInterval)))
 	if s.question == r.root && !r.unreachable && (!s.answered || r.now >= s.expires) {
 		r.unreachable, r.unreachableDue = true, true
 	}
@@ -241,9 +241,9 @@
 	r.markResolved(s)
 	s.answered, s.failedServers, s.failedRounds = true, 0, 0
 	s.targets, s.addrs = a.Targets, a.Addrs
-	ttl := min(max(a.TTL, r.settings.Least), r.settings.Most)
-	s.expires = r.now + max(a.TTL, r.settings.Least)
-	r.schedule(s, r.now+max(r.settings.Least, r.jitter(ttl)))
+	ttl := min(max(a.TTL, r.settings.MinInterval), r.settings.MaxInterval)
+	s.expires = r.now + max(a.TTL, r.settings.MinInterval)
+	r.schedule(s, r.now+max(r.settings.MinInterval, r.jitter(ttl)))
 	if s.question == r.root {
 		r.unreachable = false
 		r.trackTargets(s, a)
@@ -261,13 +261,13 @@
 		for _, recordType := range r.recordTypes() {
 			q := Question{t.Host, recordType}
 			wanted[q] = true
-			if additional := ofType(a.Beside[t.Host], recordType); len(additional) > 0 {
+			if additional := ofType(a.Additional[t.Host], recordType); len(additional) > 0 {
 				s := r.track(q)
 				r.markResolved(s)
 				s.answered, s.addrs, s.failedServers, s.failedRounds = true, additional, 0, 0
-				ttl := min(max(a.Lives[t.Host], r.settings.Least), r.settings.Most)
-				s.expires = r.now + max(a.Lives[t.Host], r.settings.Least)
-				r.schedule(s, r.now+max(r.settings.Least, r.jitter(ttl)))
+				ttl := min(max(a.AdditionalTTL[t.Host], r.settings.MinInterval), r.settings.MaxInterval)
+				s.expires = r.now + max(a.AdditionalTTL[t.Host], r.settings.MinInterval)
+				r.schedule(s, r.now+max(r.settings.MinInterval, r.jitter(ttl)))
 			} else {
 				r.track(q)
 			}
@@ -310,12 +310,12 @@
 
 // snapshot returns the servers by the current records. It returns nil while a question is not resolved, and if the records
 // have hosts but none of them has an address, which is no evidence that there are no servers.
-func (r *Resolver) snapshot() *Word {
+func (r *Resolver) snapshot() *Snapshot {
 	root := r.questions[r.root]
 	if !root.answered || r.unresolved > 0 {
 		return nil
 	}
-	w := &Word{Until: root.expires}
+	w := &Snapshot{ValidUntil: root.expires}
 	seen := map[string]bool{}
 	available := false
 	for i, t := range root.targets {
@@ -323,13 +323,13 @@
 			continue
 		}
 		available = true
-		c := membership.Claim{Key: fmt.Sprintf("%s:%d", t.Host, t.Port), Tiered: true, Tier: int(t.Priority), Weight: float64(t.Weight), Speaks: r.settings.Speaks}
+		c := membership.Claim{Key: fmt.Sprintf("%s:%d", t.Host, t.Port), HasTier: true, Tier: int(t.Priority), Weight: float64(t.Weight), Speaks: r.settings.Speaks}
 		if seen[c.Key] {
 			continue // the first of two records with the same host and port is used
 		}
 		seen[c.Key] = true
 		for _, recordType := range r.recordTypes() {
-			if s := r.questions[Question{t.Host, recordType}]; s != nil && s.answered && r.now < s.expires+r.settings.Stale {
+			if s := r.questions[Question{t.Host, recordType}]; s != nil && s.answered && r.now < s.expires+r.settings.StaleFor {
 				for _, ip := range s.addrs {
 					c.Addrs = append(c.Addrs, netip.AddrPortFrom(ip, t.Port).String())
 				}
@@ -347,13 +347,13 @@
 
 // TakeUpdate returns what has changed since its last call: a snapshot if its content or expiry is new, else nil, and whether
 // the name servers have become unreachable, which it reports once.
-func (r *Resolver) Told() (update *Word, unreachable bool) {
+func (r *Resolver) TakeUpdate() (update *Snapshot, unreachable bool) {
 	unreachable, r.unreachableDue = r.unreachableDue, false
 	if !r.changed {
 		return nil, unreachable
 	}
 	r.changed = false
-	if update = r.snapshot(); update == nil || r.lastTaken != nil && update.Until == r.lastTaken.Until && slices.EqualFunc(update.Claims, r.lastTaken.Claims, sameClaim) {
+	if update = r.snapshot(); update == nil || r.lastTaken != nil && update.ValidUntil == r.lastTaken.ValidUntil && slices.EqualFunc(update.Claims, r.lastTaken.Claims, sameClaim) {
 		return nil, unreachable
 	}
 	r.lastTaken = update
