--- a/internal/decide/resolve/resolve_test.go
+++ b/internal/decide/resolve/resolve_test.go
@@ -67,39 +67,39 @@
 		{"a TTL of 0", answer(t, 7, root, 0, service+" 0 SRV 1 2 80 a.example.org."), Good, 1, 0},
 		{"a TTL of 2^31", answer(t, 7, root, 0, service+" 2147483648 SRV 1 2 80 a.example.org."), Good, 1, 0},
 		{"a TTL of 2^31-1", answer(t, 7, root, 0, service+" 2147483647 SRV 1 2 80 a.example.org."), Good, 1, maxTTL},
-		{"records of another name", answer(t, 7, root, 0, "other.example.org. 30 SRV 1 2 80 a.example.org."), None, 0, 0},
-		{"no records, with a negative TTL", answer(t, 7, root, 0, "^example.org. 90 SOA a. b. 1 2 3 4 60"), None, 0, time.Minute},
-		{"no such name", answer(t, 7, root, dns.RcodeNameError, "^example.org. 90 SOA a. b. 1 2 3 4 86400"), None, 0, 90 * time.Second},
-		{"refused", answer(t, 7, root, dns.RcodeRefused), Refusal, 0, 0},
-		{"server failure", answer(t, 7, root, dns.RcodeServerFailure), Refusal, 0, 0},
-		{"a long chain of CNAMEs", answer(t, 7, root, 0, chain...), Nonsense, 0, 0},
-		{"a loop of CNAMEs", answer(t, 7, root, 0, service+" 60 CNAME n.example.org.", "n.example.org. 60 CNAME "+service), Nonsense, 0, 0},
-		{"too many records", answer(t, 7, root, 0, many...), Nonsense, 0, 0},
-		{"half a message", answer(t, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.")[:60], Nonsense, 0, 0},
-		{"a compressed name that points at itself", append(answer(t, 7, root, 0)[:12], 0xc0, 12, 0, 33, 0, 1), Nonsense, 0, 0},
+		{"records of another name", answer(t, 7, root, 0, "other.example.org. 30 SRV 1 2 80 a.example.org."), NoRecords, 0, 0},
+		{"no records, with a negative TTL", answer(t, 7, root, 0, "^example.org. 90 SOA a. b. 1 2 3 4 60"), NoRecords, 0, time.Minute},
+		{"no such name", answer(t, 7, root, dns.RcodeNameError, "^example.org. 90 SOA a. b. 1 2 3 4 86400"), NoRecords, 0, 90 * time.Second},
+		{"refused", answer(t, 7, root, dns.RcodeRefused), Refused, 0, 0},
+		{"server failure", answer(t, 7, root, dns.RcodeServerFailure), Refused, 0, 0},
+		{"a long chain of CNAMEs", answer(t, 7, root, 0, chain...), Malformed, 0, 0},
+		{"a loop of CNAMEs", answer(t, 7, root, 0, service+" 60 CNAME n.example.org.", "n.example.org. 60 CNAME "+service), Malformed, 0, 0},
+		{"too many records", answer(t, 7, root, 0, many...), Malformed, 0, 0},
+		{"half a message", answer(t, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.")[:60], Malformed, 0, 0},
+		{"a compressed name that points at itself", append(answer(t, 7, root, 0)[:12], 0xc0, 12, 0, 33, 0, 1), Malformed, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := Read(c.wire, 7, root)
-			if err != nil || got.Verdict != c.verdict || len(got.Targets) != c.targets || got.TTL != c.ttl && c.verdict <= None {
+			got, err := ParseAnswer(c.wire, 7, root)
+			if err != nil || got.Verdict != c.verdict || len(got.Targets) != c.targets || got.TTL != c.ttl && c.verdict <= NoRecords {
 				t.Errorf("%v, %+v", err, got)
 			}
 		})
 	}
 	cut := answer(t, 7, root, 0, service+" 30 SRV 1 2 80 a.example.org.")
 	cut[2] |= 2
-	if got, err := Read(cut, 7, root); err != nil || got.Verdict != Cut {
+	if got, err := ParseAnswer(cut, 7, root); err != nil || got.Verdict != Truncated {
 		t.Errorf("truncated answer: %v, %+v", err, got)
 	}
 	question := answer(t, 7, root, 0)
 	question[2] &^= 0x80
 	for name, wire := range map[string][]byte{"another id": answer(t, 8, root, 0), "another name": answer(t, 7, Question{"x.", dns.TypeSRV}, 0),
 		"another type": answer(t, 7, Question{service, dns.TypeA}, 0), "a question": question, "one byte": {7}, "nothing": nil} {
-		if got, err := Read(wire, 7, root); !errors.Is(err, ErrForeign) {
+		if got, err := ParseAnswer(wire, 7, root); !errors.Is(err, ErrUnrelated) {
 			t.Errorf("%s: %v, %+v", name, err, got)
 		}
 	}
 	upper := answer(t, 7, Question{strings.ToUpper(service), dns.TypeSRV}, 0, strings.ToUpper(service)+" 30 SRV 1 2 80 A.example.org.")
-	if got, err := Read(upper, 7, root); err != nil || len(got.Targets) != 1 || got.Targets[0].Host != "a.example.org." {
+	if got, err := ParseAnswer(upper, 7, root); err != nil || len(got.Targets) != 1 || got.Targets[0].Host != "a.example.org." {
 		t.Errorf("upper case: %v, %+v", err, got)
 	}
 }
@@ -109,14 +109,14 @@
 	t           *testing.T
 	r           *Resolver
 	at          time.Duration
-	zone        func(a Ask) Answer
-	queries     []Ask
-	snapshot    *Word
+	zone        func(a Query) Answer
+	queries     []Query
+	snapshot    *Snapshot
 	updates     int
 	unreachable int
 }
 
-func newWorld(t *testing.T, set Settings, zone func(Ask) Answer) *world {
+func newWorld(t *testing.T, set Settings, zone func(Query) Answer) *world {
 	set.Name = "_Forms._tcp.example.org"
 	return &world{t: t, r: New(set, 1), at: time.Hour, zone: zone}
 }
@@ -128,11 +128,11 @@
 		for len(due) > 0 {
 			a := due[0]
 			w.queries = append(w.queries, a)
-			if due = append(due[1:], w.r.Answered(w.at, a.Number, a.TCP, w.zone(a))...); len(due) == 0 {
+			if due = append(due[1:], w.r.HandleAnswer(w.at, a.Number, a.TCP, w.zone(a))...); len(due) == 0 {
 				due, again = w.r.Due(w.at) // answers may have made more questions due
 			}
 		}
-		snapshot, unreachable := w.r.Told()
+		snapshot, unreachable := w.r.TakeUpdate()
 		if snapshot != nil {
 			w.snapshot = snapshot
 			w.updates++
@@ -154,8 +154,8 @@
 var ip = netip.MustParseAddr
 
 // zone returns a function that answers queries for a zone with two servers.
-func zone(ttl time.Duration) func(Ask) Answer {
-	return func(a Ask) Answer {
+func zone(ttl time.Duration) func(Query) Answer {
+	return func(a Query) Answer {
 		switch {
 		case a.Type == dns.TypeSRV:
 			return Answer{TTL: ttl, Targets: []Target{{"a.example.org.", 80, 1, 0}, {"b.example.org.", 81, 2, 9}}}
@@ -166,17 +166,17 @@
 		case a.Type == dns.TypeA:
 			return Answer{TTL: ttl, Addrs: []netip.Addr{ip("127.0.0.2")}}
 		}
-		return Answer{Verdict: None, TTL: ttl}
+		return Answer{Verdict: NoRecords, TTL: ttl}
 	}
 }
 
 func TestWord(t *testing.T) {
 	w := newWorld(t, Defaults, zone(time.Minute))
 	w.run(0)
-	want := []membership.Claim{{Key: "a.example.org.:80", Addrs: []string{"[::1]:80", "127.0.0.1:80"}, Tiered: true, Tier: 1},
-		{Key: "b.example.org.:81", Addrs: []string{"127.0.0.2:81"}, Tiered: true, Tier: 2, Weight: 9}}
+	want := []membership.Claim{{Key: "a.example.org.:80", Addrs: []string{"[::1]:80", "127.0.0.1:80"}, HasTier: true, Tier: 1},
+		{Key: "b.example.org.:81", Addrs: []string{"127.0.0.2:81"}, HasTier: true, Tier: 2, Weight: 9}}
 	if w.snapshot == nil || !slices.EqualFunc(w.snapshot.Claims, want, func(a, b membership.Claim) bool { return fmt.Sprint(a) == fmt.Sprint(b) }) ||
-		w.snapshot.Until != time.Hour+time.Minute {
+		w.snapshot.ValidUntil != time.Hour+time.Minute {
 		t.Errorf("%+v", w.snapshot)
 	}
 	if w.queries[0].Question != root || len(w.queries) != 5 {
@@ -219,12 +219,12 @@
 // If name servers fail, the next one is asked, with backoff after each round. Addresses are kept beyond their TTL for a while,
 // the failure is reported once, and updates resume when a server answers again.
 func TestNobodyAnswers(t *testing.T) {
-	for _, verdict := range []Verdict{Silence, Refusal, Nonsense} {
+	for _, verdict := range []Verdict{NoReply, Refused, Malformed} {
 		t.Run(verdict.String(), func(t *testing.T) {
 			set := Defaults
 			set.Servers = 2
 			healthy, up := zone(10*time.Second), true
-			w := newWorld(t, set, func(a Ask) Answer {
+			w := newWorld(t, set, func(a Query) Answer {
 				if up {
 					return healthy(a)
 				}
@@ -244,12 +244,12 @@
 			if w.unreachable != 1 || w.updates > first+8 || servers[0] < 5 || servers[1] < 5 || servers[0] > 30 {
 				t.Errorf("reported as unreachable %d times, %d updates, queries by server %v", w.unreachable, w.updates-first, servers)
 			}
-			if w.snapshot == nil || len(w.snapshot.Claims) != 2 || w.snapshot.Until > time.Hour+10*time.Second {
+			if w.snapshot == nil || len(w.snapshot.Claims) != 2 || w.snapshot.ValidUntil > time.Hour+10*time.Second {
 				t.Errorf("%+v", w.snapshot)
 			}
 			up = true
 			w.run(10 * time.Minute)
-			if w.snapshot.Until < w.at || len(w.snapshot.Claims) != 2 {
+			if w.snapshot.ValidUntil < w.at || len(w.snapshot.Claims) != 2 {
 				t.Errorf("after recovery: %+v at %v", w.snapshot, w.at)
 			}
 		})
@@ -262,21 +262,21 @@
 	set.Servers = 2
 	healthy := zone(time.Minute)
 	first := -1
-	w := newWorld(t, set, func(a Ask) Answer {
+	w := newWorld(t, set, func(a Query) Answer {
 		if a.Question == root && first < 0 {
 			first = a.Server
 		}
 		switch {
 		case a.Question == root && !a.TCP && a.Server == first:
-			return Answer{Verdict: Cut}
+			return Answer{Verdict: Truncated}
 		case a.Question == root && a.Server == first:
-			return Answer{Verdict: Silence}
+			return Answer{Verdict: NoReply}
 		}
 		return healthy(a)
 	})
 	w.run(0)
 	if len(w.queries) < 3 || w.queries[0].TCP || !w.queries[1].TCP || w.queries[1].Server != first || w.queries[2].TCP || w.queries[2].Server == first ||
-		w.queries[1].Timeout != set.TCP || w.snapshot == nil {
+		w.queries[1].Timeout != set.TCPTimeout || w.snapshot == nil {
 		t.Errorf("asked %+v", w.queries)
 	}
 }
@@ -296,14 +296,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			healthy := zone(time.Minute)
-			w := newWorld(t, Defaults, func(a Ask) Answer {
+			w := newWorld(t, Defaults, func(a Query) Answer {
 				switch {
 				case a.Question == root && c.targets == nil:
-					return Answer{Verdict: None, TTL: time.Minute}
+					return Answer{Verdict: NoRecords, TTL: time.Minute}
 				case a.Question == root:
 					return Answer{TTL: time.Minute, Targets: c.targets}
 				case strings.HasPrefix(a.Name, "none."):
-					return Answer{Verdict: None}
+					return Answer{Verdict: NoRecords}
 				}
 				return healthy(a)
 			})
@@ -323,7 +323,7 @@
 	for i := range 4000 {
 		targets = append(targets, Target{fmt.Sprintf("n%d.example.org.", i), 80, 0, 0})
 	}
-	w.zone = func(a Ask) Answer {
+	w.zone = func(a Query) Answer {
 		if a.Question == root {
 			return Answer{TTL: time.Hour, Targets: targets}
 		}
@@ -341,11 +341,11 @@
 	f.Add(answer(f, 7, root, 0, service+" 60 CNAME n.example.org.", "n.example.org. 60 CNAME "+service))
 	f.Add(answer(f, 7, root, dns.RcodeNameError, "^example.org. 90 SOA a. b. 1 2 3 4 86400"))
 	f.Fuzz(func(t *testing.T, wire []byte) {
-		a, err := Read(wire, 7, root)
+		a, err := ParseAnswer(wire, 7, root)
 		if err != nil {
 			return
 		}
-		if len(a.Targets) > maxRecords || len(a.Beside) > maxRecords || a.TTL < 0 || a.TTL > maxTTL || a.Verdict == Good && len(a.Targets) == 0 {
+		if len(a.Targets) > maxRecords || len(a.Additional) > maxRecords || a.TTL < 0 || a.TTL > maxTTL || a.Verdict == Good && len(a.Targets) == 0 {
 			t.Fatalf("%+v", a)
 		}
 	})
--- a/internal/decide/routes/routes.go
+++ b/internal/decide/routes/routes.go
@@ -25,7 +25,7 @@
 }
 
 // Route describes how a call is sent to a server.
-type Way struct {
+type Route struct {
 	To       *Shape           // shape in which the call is sent
 	Protocol choice.Protocols // over which it is sent, one bit
 	Plan     any              // translation plan; nil if the call is sent unchanged
@@ -51,7 +51,7 @@
 
 // AddTranslation adds a translation between two shapes, by name. If a shape has several, the first one whose target a server
 // accepts is used. An error is returned if a shape does not exist.
-func (t *Table) Link(from, to string, plan any) error {
+func (t *Table) AddTranslation(from, to string, plan any) error {
 	f, o := t.Index(from), t.Index(to)
 	if f < 0 || o < 0 {
 		return fmt.Errorf("routes: no shape %q or %q", from, to)
@@ -66,20 +66,20 @@
 }
 
 // CallShape is the shape in which a call was received. The zero value stands for a call without a shape.
-type Tag struct {
+type CallShape struct {
 	Table *Table // the one in use when the call was received
 	Shape int    // index in Table
 	// Protocol is the client's protocol, one bit. To be sent unchanged, the call needs a server that speaks it.
-	Spoken choice.Protocols
+	Protocol choice.Protocols
 }
 
 // IsSet reports whether the call has a shape.
-func (t Tag) Set() bool { return t.Table != nil }
+func (t CallShape) IsSet() bool { return t.Table != nil }
 
 // Settings configure for how long rejections are remembered.
 type Settings struct {
-	Forget     time.Duration // how long a server is not sent a shape after it has rejected it for the first time
-	MostForget time.Duration // maximum of that, which doubles with each further rejection
+	Forget    time.Duration // how long a server is not sent a shape after it has rejected it for the first time
+	MaxForget time.Duration // maximum of that, which doubles with each further rejection
 }
 
 // rejection records that a server has rejected a version as unknown.
@@ -98,15 +98,15 @@
 
 // Limits on the versions of a server, and the layout of the capability bits, which are assigned once per process.
 const (
-	MostVersions = 64 // versions per server; further ones are ignored
-	firstBit     = 16 // the bits below are protocols
-	maxBits      = 64 - firstBit
-	noServer     = 1 << (firstBit - 1) // a bit that no server has: a need of 0 would be met by all of them
+	MaxVersions = 64 // versions per server; further ones are ignored
+	firstBit    = 16 // the bits below are protocols
+	maxBits     = 64 - firstBit
+	noServer    = 1 << (firstBit - 1) // a bit that no server has: a need of 0 would be met by all of them
 )
 
 // ErrTooManyShapes is returned if no capability bits are left for the shapes of a new table. Each pair of version and protocol
 // takes two of the 48 bits, and keeps them until the process ends.
-var ErrBits = errors.New("routes: more than 24 pairs of shape version and protocol since the agent was started, restart it")
+var ErrTooManyShapes = errors.New("routes: more than 24 pairs of shape version and protocol since the agent was started, restart it")
 
 // capability is what a bit stands for: that a server can take calls of a version and protocol, unchanged or translated.
 type capability struct {
@@ -116,7 +116,7 @@
 }
 
 // Router holds the table in use and the state of all servers. It is not safe for concurrent use.
-type Routes struct {
+type Router struct {
 	settings Settings
 	table    *Table
 	bits     map[capability]choice.Protocols
@@ -124,8 +124,8 @@
 }
 
 // New returns a Router without servers. It returns ErrTooManyShapes if the table has too many shapes.
-func New(set Settings, t *Table) (*Routes, error) {
-	r := &Routes{settings: set, bits: map[capability]choice.Protocols{}, servers: map[string]*server{}}
+func New(set Settings, t *Table) (*Router, error) {
+	r := &Router{settings: set, bits: map[capability]choice.Protocols{}, servers: map[string]*server{}}
 	return r, r.assignBits(t)
 }
 
@@ -139,7 +139,7 @@
 
 // assignBits sets the table and assigns bits to its new capabilities. Bits never change their meaning, as calls in flight
 // refer to the ones assigned before.
-func (r *Routes) assignBits(t *Table) error {
+func (r *Router) assignBits(t *Table) error {
 	var added []capability
 	seen := map[capability]bool{}
 	for _, s := range t.shapes {
@@ -153,7 +153,7 @@
 		}
 	}
 	if len(r.bits)+len(added) > maxBits {
-		return ErrBits
+		return ErrTooManyShapes
 	}
 	for _, c := range added {
 		r.bits[c] = 1 << (firstBit + len(r.bits))
@@ -164,7 +164,7 @@
 
 // ReplaceTable sets another table and returns the servers whose capabilities have changed, for the module. On error the old
 // table stays in use.
-func (r *Routes) Replace(t *Table) ([]choice.Server, error) {
+func (r *Router) ReplaceTable(t *Table) ([]choice.Server, error) {
 	before := r.advertiseAll()
 	if err := r.assignBits(t); err != nil {
 		return nil, err
@@ -174,8 +174,8 @@
 
 // Needs returns the capability that a server must have for a call: to take it in any way, or, with untranslated, to take it
 // unchanged.
-func (r *Routes) Needs(t Tag, untranslated bool) choice.Protocols {
-	if bit := r.bits[capability{t.Table.shapes[t.Shape].Version, t.Spoken, untranslated}]; bit != 0 {
+func (r *Router) Needs(t CallShape, untranslated bool) choice.Protocols {
+	if bit := r.bits[capability{t.Table.shapes[t.Shape].Version, t.Protocol, untranslated}]; bit != 0 {
 		return bit
 	}
 	return noServer
@@ -183,16 +183,16 @@
 
 // UpdateServer records a server's entry in the server list and returns the server with its capabilities, for the module. If
 // the server has restarted, or its protocols or shapes have changed, its rejections are forgotten.
-func (r *Routes) Listed(s choice.Server, versions []string) choice.Server {
-	if s.State == choice.Gone {
-		r.Gone(s.ID)
+func (r *Router) UpdateServer(s choice.Server, versions []string) choice.Server {
+	if s.State == choice.Removed {
+		r.RemoveServer(s.ID)
 		return s
 	}
-	if len(versions) > MostVersions {
-		versions = versions[:MostVersions]
+	if len(versions) > MaxVersions {
+		versions = versions[:MaxVersions]
 	}
 	old := r.servers[s.ID]
-	if old == nil || old.listed.Started != s.Started || old.listed.Speaks != s.Speaks || !slices.Equal(old.versions, versions) {
+	if old == nil || old.listed.Started != s.Started || old.listed.Protocols != s.Protocols || !slices.Equal(old.versions, versions) {
 		old = &server{versions: slices.Clone(versions)}
 		r.servers[s.ID] = old
 	}
@@ -201,21 +201,21 @@
 }
 
 // RemoveServer deletes a server.
-func (r *Routes) Gone(id string) { delete(r.servers, id) }
+func (r *Router) RemoveServer(id string) { delete(r.servers, id) }
 
 // advertise returns a server with its capabilities, as the module is to see it.
-func (r *Routes) advertise(s *server) choice.Server {
+func (r *Router) advertise(s *server) choice.Server {
 	out := s.listed
 	for i := range r.table.shapes {
 		shape := &r.table.shapes[i]
 		accepted, translatable := r.accepts(s, shape), r.translatable(s, i)
 		for _, proto := range splitProtocols(shape.Speaks) {
-			untranslated := accepted && s.listed.Speaks&proto != 0
+			untranslated := accepted && s.listed.Protocols&proto != 0
 			if untranslated {
-				out.Speaks |= r.bits[capability{shape.Version, proto, true}]
+				out.Protocols |= r.bits[capability{shape.Version, proto, true}]
 			}
 			if untranslated || translatable {
-				out.Speaks |= r.bits[capability{shape.Version, proto, false}]
+				out.Protocols |= r.bits[capability{shape.Version, proto, false}]
 			}
 		}
 	}
@@ -223,15 +223,15 @@
 }
 
 // translatable reports whether a call of a shape can be translated for a server.
-func (r *Routes) translatable(s *server, shape int) bool {
+func (r *Router) translatable(s *server, shape int) bool {
 	return slices.ContainsFunc(r.table.translations[shape], func(tr translation) bool { return r.accepts(s, &r.table.shapes[tr.to]) })
 }
 
 // accepts reports whether a server accepts a shape: its entry lists the version, and the server has not rejected it. A server
 // that has rejected all versions of the class in its entry was rolled back, or forward. As it checks what it receives, it can
 // be sent other versions of the class, too; it rejects those that it does not know.
-func (r *Routes) accepts(s *server, shape *Shape) bool {
-	if shape.Speaks&s.listed.Speaks == 0 || s.rejects(shape.Version) {
+func (r *Router) accepts(s *server, shape *Shape) bool {
+	if shape.Speaks&s.listed.Protocols == 0 || s.rejects(shape.Version) {
 		return false
 	}
 	if slices.Contains(s.versions, shape.Version) {
@@ -262,33 +262,33 @@
 
 // Route returns how a call is to be sent to a server at present; false if the server cannot take it. A call uses the
 // translations of the table that it started with.
-func (r *Routes) Way(t Tag, id string) (Way, bool) {
+func (r *Router) Route(t CallShape, id string) (Route, bool) {
 	s := r.servers[id]
 	if s == nil {
-		return Way{}, false
+		return Route{}, false
 	}
 	own := &t.Table.shapes[t.Shape]
-	if s.listed.Speaks&t.Spoken != 0 && r.accepts(s, own) {
-		return Way{To: own, Protocol: t.Spoken}, true
+	if s.listed.Protocols&t.Protocol != 0 && r.accepts(s, own) {
+		return Route{To: own, Protocol: t.Protocol}, true
 	}
 	for _, tr := range t.Table.translations[t.Shape] {
 		to := &t.Table.shapes[tr.to]
 		if r.accepts(s, to) {
-			speaks := to.Speaks & s.listed.Speaks
-			if same := speaks & t.Spoken; same != 0 {
+			speaks := to.Speaks & s.listed.Protocols
+			if same := speaks & t.Protocol; same != 0 {
 				speaks = same
 			}
-			return Way{To: to, Protocol: speaks & -speaks, Plan: tr.plan}, true
+			return Route{To: to, Protocol: speaks & -speaks, Plan: tr.plan}, true
 		}
 	}
-	return Way{}, false
+	return Route{}, false
 }
 
 // AnyUntranslated reports whether any ready server takes a call unchanged.
-func (r *Routes) AsItCame(t Tag) bool {
+func (r *Router) AnyUntranslated(t CallShape) bool {
 	needs := r.Needs(t, true)
 	for _, s := range r.servers {
-		if s.listed.State == choice.Ready && needs&^r.advertise(s).Speaks == 0 {
+		if s.listed.State == choice.Ready && needs&^r.advertise(s).Protocols == 0 {
 			return true
 		}
 	}
@@ -297,7 +297,7 @@
 
 // MarkUnknown records that a server, started at the given time, has rejected a version as unknown. It returns the server if its
 // capabilities have changed, for the module.
-func (r *Routes) Unknown(now time.Duration, id string, started time.Duration, version string) []choice.Server {
+func (r *Router) MarkUnknown(now time.Duration, id string, started time.Duration, version string) []choice.Server {
 	s := r.servers[id]
 	if s == nil || s.listed.Started != started {
 		return nil // the rejection is from before a restart
@@ -305,7 +305,7 @@
 	before := r.advertise(s)
 	at := slices.IndexFunc(s.rejections, func(d rejection) bool { return d.version == version })
 	if at < 0 {
-		if len(s.rejections) == MostVersions {
+		if len(s.rejections) == MaxVersions {
 			return nil
 		}
 		s.rejections = append(s.rejections, rejection{version: version, wait: r.settings.Forget})
@@ -315,7 +315,7 @@
 	if d.until > 0 {
 		return nil // already recorded: this call was in flight then
 	}
-	d.until, d.wait = now+d.wait, min(2*d.wait, r.settings.MostForget)
+	d.until, d.wait = now+d.wait, min(2*d.wait, r.settings.MaxForget)
 	if after := r.advertise(s); after != before {
 		return []choice.Server{after}
 	}
@@ -324,7 +324,7 @@
 
 // MarkKnown records that a server has served a call of a version. If the server rejects the version again later, the time for
 // which that counts starts from Settings.Forget again.
-func (r *Routes) Knew(id string, version string) {
+func (r *Router) MarkKnown(id string, version string) {
 	s := r.servers[id]
 	if s == nil || len(s.rejections) == 0 {
 		return
@@ -333,7 +333,7 @@
 }
 
 // Expire ends the rejections that are due and returns the servers whose capabilities have changed, for the module.
-func (r *Routes) Expire(now time.Duration) (changed []choice.Server) {
+func (r *Router) Expire(now time.Duration) (changed []choice.Server) {
 	for _, s := range r.servers {
 		before, due := choice.Server{}, false
 		for i := range s.rejections {
@@ -355,7 +355,7 @@
 }
 
 // NextExpiry returns when Expire has to be called next; any is false if no rejection is in effect.
-func (r *Routes) Next() (at time.Duration, any bool) {
+func (r *Router) NextExpiry() (at time.Duration, any bool) {
 	for _, s := range r.servers {
 		for _, d := range s.rejections {
 			if d.until > 0 && (!any || d.until < at) {
@@ -367,7 +367,7 @@
 }
 
 // advertiseAll returns all servers with their capabilities, by id.
-func (r *Routes) advertiseAll() map[string]choice.Server {
+func (r *Router) advertiseAll() map[string]choice.Server {
 	servers := make(map[string]choice.Server, len(r.servers))
 	for id, s := range r.servers {
 		servers[id] = r.advertise(s)
@@ -376,7 +376,7 @@
 }
 
 // changedSince returns the servers whose capabilities differ from those in before, sorted by id.
-func (r *Routes) changedSince(before map[string]choice.Server) (changed []choice.Server) {
+func (r *Router) changedSince(before map[string]choice.Server) (changed []choice.Server) {
 	for id, s := range r.servers {
 		if now := r.advertise(s); now != before[id] {
 			changed = append(changed, now)
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -26,7 +26,7 @@
 func table(t interface{ Fatal(...any) }) *Table {
 	tab := NewTable([]Shape{{"old", "a/1", http}, {"new", "a/2", http}, {"old-thrift", "a/1", thrift}, {"new-thrift", "a/2", thrift}, {"other", "b/1", http}})
 	for _, l := range [][2]string{{"old", "new"}, {"old-thrift", "new-thrift"}, {"old", "new-thrift"}, {"old-thrift", "new"}} {
-		if err := tab.Link(l[0], l[1], l[0]+" to "+l[1]); err != nil {
+		if err := tab.AddTranslation(l[0], l[1], l[0]+" to "+l[1]); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,8 +34,8 @@
 }
 
 // routes returns a Router over a table.
-func routes(t interface{ Fatal(...any) }, tab *Table) *Routes {
-	r, err := New(Settings{Forget: firstForget, MostForget: mostForget}, tab)
+func routes(t interface{ Fatal(...any) }, tab *Table) *Router {
+	r, err := New(Settings{Forget: firstForget, MaxForget: mostForget}, tab)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,9 @@
 }
 
 // tag returns the CallShape of a call in a shape, from a client that speaks a protocol.
-func (t *Table) tag(name string, spoken choice.Protocols) Tag { return Tag{t, t.Index(name), spoken} }
+func (t *Table) tag(name string, spoken choice.Protocols) CallShape {
+	return CallShape{t, t.Index(name), spoken}
+}
 
 // How a call is sent, by the shape in which it was received and what the server accepts.
 func TestWays(t *testing.T) {
@@ -75,8 +77,8 @@
 	} {
 		r := routes(t, tab)
 		tag := tab.tag(c.from, c.spoken)
-		listed := r.Listed(choice.Server{ID: "s", Speaks: c.speaks}, c.versions)
-		way, ok := r.Way(tag, "s")
+		listed := r.UpdateServer(choice.Server{ID: "s", Protocols: c.speaks}, c.versions)
+		way, ok := r.Route(tag, "s")
 		got := "none"
 		if ok {
 			if got = "as it came"; way.Plan != nil {
@@ -86,10 +88,10 @@
 		if got != c.want || ok && way.Protocol != c.protocol {
 			t.Errorf("%s over %b to a server that accepts %q over %b: %s over %b", c.from, c.spoken, c.versions, c.speaks, got, way.Protocol)
 		}
-		if can := r.Needs(tag, false)&^listed.Speaks == 0; can != ok {
+		if can := r.Needs(tag, false)&^listed.Protocols == 0; can != ok {
 			t.Errorf("%s to %q: the server has the capability: %t", c.from, c.versions, can)
 		}
-		if exact := r.Needs(tag, true)&^listed.Speaks == 0; exact != (ok && way.Plan == nil) {
+		if exact := r.Needs(tag, true)&^listed.Protocols == 0; exact != (ok && way.Plan == nil) {
 			t.Errorf("%s to %q: the server has the capability to take it unchanged: %t", c.from, c.versions, exact)
 		}
 	}
@@ -100,11 +102,11 @@
 func TestDrift(t *testing.T) {
 	tab := table(t)
 	r := routes(t, tab)
-	s := choice.Server{ID: "s", Speaks: http, Started: 5}
-	r.Listed(s, []string{"a/2"})
+	s := choice.Server{ID: "s", Protocols: http, Started: 5}
+	r.UpdateServer(s, []string{"a/2"})
 	tag := tab.tag("old", http)
 	plan := func() any {
-		way, ok := r.Way(tag, "s")
+		way, ok := r.Route(tag, "s")
 		if !ok {
 			return "none"
 		}
@@ -113,20 +115,20 @@
 	if got := plan(); got != "old to new" {
 		t.Fatal(got)
 	}
-	if changed := r.Unknown(10, "s", 4, "a/2"); changed != nil || plan() != "old to new" {
+	if changed := r.MarkUnknown(10, "s", 4, "a/2"); changed != nil || plan() != "old to new" {
 		t.Errorf("a rejection from before a restart counts: %v", changed)
 	}
-	if changed := r.Unknown(10, "s", 5, "a/2"); len(changed) != 1 || plan() != nil {
+	if changed := r.MarkUnknown(10, "s", 5, "a/2"); len(changed) != 1 || plan() != nil {
 		t.Fatalf("%v, %v", changed, plan())
 	}
-	if changed := r.Unknown(11, "s", 5, "a/2"); changed != nil {
+	if changed := r.MarkUnknown(11, "s", 5, "a/2"); changed != nil {
 		t.Errorf("change reported twice: %v", changed)
 	}
-	if changed := r.Unknown(12, "s", 5, "a/1"); len(changed) != 1 || plan() != "none" {
+	if changed := r.MarkUnknown(12, "s", 5, "a/1"); len(changed) != 1 || plan() != "none" {
 		t.Errorf("after it has rejected both versions: %v, %v", changed, plan())
 	}
 	for i, until := range []time.Duration{10 + time.Second, 0, 0, 0} {
-		at, any := r.Next()
+		at, any := r.NextExpiry()
 		if !any || i == 0 && at != until {
 			t.Fatalf("next expiry is %v, %t", at, any)
 		}
@@ -138,28 +140,28 @@
 			t.Fatalf("after expiry %d: %v", i, plan())
 		}
 		began := at + 2
-		r.Unknown(began, "s", 5, "a/2")
-		next, _ := r.Next()
+		r.MarkUnknown(began, "s", 5, "a/2")
+		next, _ := r.NextExpiry()
 		if want := []time.Duration{2 * time.Second, 4 * time.Second, 4 * time.Second, 4 * time.Second}[i]; next-began != want {
 			t.Errorf("rejection %d counts for %v, want %v", i+2, next-began, want)
 		}
 	}
-	r.Listed(s, []string{"a/2"}) // an unchanged entry has no effect
+	r.UpdateServer(s, []string{"a/2"}) // an unchanged entry has no effect
 	if plan() == "old to new" {
 		t.Error("an unchanged list entry ended the rejection")
 	}
 	restarted := s
 	restarted.Started = 6
-	r.Listed(restarted, []string{"a/2"})
-	if _, any := r.Next(); any || plan() != "old to new" {
+	r.UpdateServer(restarted, []string{"a/2"})
+	if _, any := r.NextExpiry(); any || plan() != "old to new" {
 		t.Errorf("after a restart: %v", plan())
 	}
-	r.Unknown(10, "s", 6, "a/2")
-	r.Listed(restarted, []string{"a/1"})
-	if _, any := r.Next(); any || plan() != nil {
+	r.MarkUnknown(10, "s", 6, "a/2")
+	r.UpdateServer(restarted, []string{"a/1"})
+	if _, any := r.NextExpiry(); any || plan() != nil {
 		t.Errorf("after a change of its list entry: %v", plan())
 	}
-	r.Listed(choice.Server{ID: "s", State: choice.Gone}, nil)
+	r.UpdateServer(choice.Server{ID: "s", State: choice.Removed}, nil)
 	if plan() != "none" {
 		t.Errorf("after it was removed: %v", plan())
 	}
@@ -169,12 +171,12 @@
 func TestKnewEndsTheDoubling(t *testing.T) {
 	tab := table(t)
 	r := routes(t, tab)
-	r.Listed(choice.Server{ID: "s", Speaks: http}, []string{"a/2"})
-	r.Unknown(0, "s", 0, "a/2")
+	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
+	r.MarkUnknown(0, "s", 0, "a/2")
 	r.Expire(time.Second)
-	r.Knew("s", "a/2")
-	r.Unknown(time.Second, "s", 0, "a/2")
-	if at, _ := r.Next(); at != 2*time.Second {
+	r.MarkKnown("s", "a/2")
+	r.MarkUnknown(time.Second, "s", 0, "a/2")
+	if at, _ := r.NextExpiry(); at != 2*time.Second {
 		t.Errorf("rejection counts until %v", at)
 	}
 }
@@ -184,37 +186,37 @@
 func TestTablesChange(t *testing.T) {
 	one := table(t)
 	r := routes(t, one)
-	r.Listed(choice.Server{ID: "s", Speaks: http}, []string{"a/2"})
+	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
 	tag := one.tag("old", http)
 	needs := r.Needs(tag, false)
 	two := NewTable([]Shape{{"third", "c/1", http}, {"new", "a/2", http}, {"old", "a/1", http}})
-	if err := two.Link("old", "new", "another"); err != nil {
+	if err := two.AddTranslation("old", "new", "another"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Replace(two); err != nil {
+	if _, err := r.ReplaceTable(two); err != nil {
 		t.Fatal(err)
 	}
 	if got := r.Needs(two.tag("old", http), false); got != needs {
 		t.Errorf("the bit was %b and is now %b", needs, got)
 	}
-	if way, ok := r.Way(tag, "s"); !ok || way.Plan != "old to new" {
+	if way, ok := r.Route(tag, "s"); !ok || way.Plan != "old to new" {
 		t.Errorf("a call of the old table is sent with plan %v", way.Plan)
 	}
-	if way, ok := r.Way(two.tag("old", http), "s"); !ok || way.Plan != "another" {
+	if way, ok := r.Route(two.tag("old", http), "s"); !ok || way.Plan != "another" {
 		t.Errorf("a call of the new table is sent with plan %v", way.Plan)
 	}
 	var many []Shape
 	for i := range 30 {
 		many = append(many, Shape{fmt.Sprint(i), fmt.Sprint("d/", i), http})
 	}
-	if _, err := r.Replace(NewTable(many)); !errors.Is(err, ErrBits) {
+	if _, err := r.ReplaceTable(NewTable(many)); !errors.Is(err, ErrTooManyShapes) {
 		t.Errorf("%v", err)
 	}
-	if way, ok := r.Way(two.tag("old", http), "s"); !ok || way.Plan != "another" {
+	if way, ok := r.Route(two.tag("old", http), "s"); !ok || way.Plan != "another" {
 		t.Errorf("after the error a call is sent with plan %v", way.Plan)
 	}
 	unseen := NewTable([]Shape{{"x", "x/1", http}})
-	if needs := r.Needs(unseen.tag("x", http), false); needs == 0 || needs&r.Listed(choice.Server{ID: "s", Speaks: http | thrift}, []string{"x/1"}).Speaks != 0 {
+	if needs := r.Needs(unseen.tag("x", http), false); needs == 0 || needs&r.UpdateServer(choice.Server{ID: "s", Protocols: http | thrift}, []string{"x/1"}).Protocols != 0 {
 		t.Errorf("a shape of a table never in use needs %b, which servers have", needs)
 	}
 }
@@ -270,14 +272,14 @@
 		id := rapid.SampledFrom(ids).Draw(t, "server")
 		switch rapid.IntRange(0, 4).Draw(t, "step") {
 		case 0:
-			s := choice.Server{ID: id, Speaks: rapid.SampledFrom([]choice.Protocols{http, thrift, compact}).Draw(t, "speaks"), Started: now}
+			s := choice.Server{ID: id, Protocols: rapid.SampledFrom([]choice.Protocols{http, thrift, compact}).Draw(t, "speaks"), Started: now}
 			takes := rapid.SliceOfNDistinct(rapid.SampledFrom(versions), 0, 3, rapid.ID).Draw(t, "versions")
-			if before, known := servers[id]; !known || before.Started != now || speaks[id] != s.Speaks || !slices.Equal(listed[id], takes) {
+			if before, known := servers[id]; !known || before.Started != now || speaks[id] != s.Protocols || !slices.Equal(listed[id], takes) {
 				forgetServer(id)
 			}
-			servers[id], speaks[id], listed[id] = r.Listed(s, takes), s.Speaks, takes
+			servers[id], speaks[id], listed[id] = r.UpdateServer(s, takes), s.Protocols, takes
 		case 1:
-			r.Gone(id)
+			r.RemoveServer(id)
 			delete(servers, id)
 			forgetServer(id)
 		case 2:
@@ -285,25 +287,25 @@
 			version := rapid.SampledFrom(versions).Draw(t, "version")
 			if known {
 				unknown[serverVersion{id, version}] = unknown[serverVersion{id, version}].again(now)
-				apply(r.Unknown(now, id, s.listed.Started, version))
+				apply(r.MarkUnknown(now, id, s.listed.Started, version))
 			}
 		case 3:
 			now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond
 			apply(r.Expire(now))
 		case 4:
 			version := rapid.SampledFrom(versions).Draw(t, "version")
-			r.Knew(id, version)
+			r.MarkKnown(id, version)
 			if unknown[serverVersion{id, version}].until <= now {
 				delete(unknown, serverVersion{id, version})
 			}
 		}
 		for i := range tab.shapes {
 			for _, spoken := range splitProtocols(tab.shapes[i].Speaks) {
-				tag := Tag{tab, i, spoken}
+				tag := CallShape{tab, i, spoken}
 				for _, id := range ids {
-					way, ok := r.Way(tag, id)
+					way, ok := r.Route(tag, id)
 					s, known := servers[id]
-					if bit := known && r.Needs(tag, false)&^s.Speaks == 0; bit != ok {
+					if bit := known && r.Needs(tag, false)&^s.Protocols == 0; bit != ok {
 						t.Fatalf("%s to %s: has the capability: %t, has a route: %t", tab.shapes[i].Name, id, bit, ok)
 					}
 					if !ok {
@@ -325,11 +327,11 @@
 func BenchmarkWay(b *testing.B) {
 	tab := table(b)
 	r := routes(b, tab)
-	r.Listed(choice.Server{ID: "s", Speaks: http}, []string{"a/2"})
+	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
 	tag := tab.tag("old", http)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := r.Way(tag, "s"); !ok || r.Needs(tag, false) == 0 {
+		if _, ok := r.Route(tag, "s"); !ok || r.Needs(tag, false) == 0 {
 			b.Fatal("no route")
 		}
 	}
@@ -338,10 +340,10 @@
 // BenchmarkListed measures the cost of updating a server from the list.
 func BenchmarkListed(b *testing.B) {
 	r := routes(b, table(b))
-	s := choice.Server{ID: "s", Speaks: http}
+	s := choice.Server{ID: "s", Protocols: http}
 	versions := slices.Repeat([]string{"a/2"}, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Listed(s, versions)
+		r.UpdateServer(s, versions)
 	}
 }
--- a/internal/decide/sharing/datagram.go
+++ b/internal/decide/sharing/datagram.go
@@ -12,21 +12,21 @@
 
 // Datagram is a message from one agent to another.
 type Datagram struct {
-	From   company.Word
-	Gen    uint64         // generation of the sender's list
-	At     Cursor         // up to which the sender's list is complete
-	Sort   uint16         // order of rows to which At refers, where it lies within a version
-	Age    time.Duration  // how long ago the sender's list was that of the service
-	Want   bool           // the sender requests what it lacks
-	Busy   bool           // the sender is receiving that from another agent
-	Others []company.Word // heartbeats of other agents
-	Chunk  *Chunk
+	From    company.Heartbeat
+	Gen     uint64              // generation of the sender's list
+	At      Cursor              // up to which the sender's list is complete
+	Order   uint16              // order of rows to which At refers, where it lies within a version
+	Age     time.Duration       // how long ago the sender's list was that of the service
+	Request bool                // the sender requests what it lacks
+	Busy    bool                // the sender is receiving that from another agent
+	Others  []company.Heartbeat // heartbeats of other agents
+	Chunk   *Chunk
 }
 
 // Chunk is a part of a list.
 type Chunk struct {
 	Gen   uint64
-	Sort  uint16 // order of rows to which the cursors refer
+	Order uint16 // order of rows to which the cursors refer
 	After Cursor // an agent that is complete up to After
 	Upto  Cursor // is complete up to Upto with these rows
 	Head  int64  // version of the complete list of the sender
@@ -35,35 +35,35 @@
 
 // Bounds of a datagram's contents.
 const (
-	LeastSize  = 256 // the least that may be configured
-	MostSize   = 8192
-	maxRows    = 256
-	maxOthers  = 256
-	maxIDBytes = 512
-	maxAge     = time.Hour
-	ageUnit    = 10 * time.Millisecond
+	MinDatagramBytes = 256 // the least that may be configured
+	MaxDatagramBytes = 8192
+	maxRows          = 256
+	maxOthers        = 256
+	maxIDBytes       = 512
+	maxAge           = time.Hour
+	ageUnit          = 10 * time.Millisecond
 )
 
 // Wire format, encoded as CBOR arrays. Datagrams of another format version are dropped.
 type (
 	wireDatagram struct {
-		_      struct{} `cbor:",toarray"`
-		Format uint8
-		From   wireHeartbeat
-		Gen    uint64
-		At     wireCursor
-		Sort   uint16
-		Age    uint32
-		Want   bool
-		Busy   bool
-		Others []wireHeartbeat
-		Chunk  *wireChunk
+		_       struct{} `cbor:",toarray"`
+		Format  uint8
+		From    wireHeartbeat
+		Gen     uint64
+		At      wireCursor
+		Order   uint16
+		Age     uint32
+		Request bool
+		Busy    bool
+		Others  []wireHeartbeat
+		Chunk   *wireChunk
 	}
 	wireHeartbeat struct {
 		_     struct{} `cbor:",toarray"`
-		Place uint32
+		Index uint32
 		Epoch uint64
-		Beat  uint32
+		Seq   uint32
 		Flags uint8
 		Age   uint32 // in ageUnit
 	}
@@ -75,18 +75,18 @@
 	wireChunk struct {
 		_           struct{} `cbor:",toarray"`
 		Gen         uint64
-		Sort        uint16
+		Order       uint16
 		After, Upto wireCursor
 		Head        int64
 		Rows        []wireRow
 	}
 	wireRow struct {
-		_     struct{} `cbor:",toarray"`
-		ID    string
-		Stamp int64
-		Gone  bool
-		Less  bool
-		Body  []byte
+		_        struct{} `cbor:",toarray"`
+		ID       string
+		Version  int64
+		Removed  bool
+		Draining bool
+		Body     []byte
 	}
 )
 
@@ -103,23 +103,23 @@
 
 func toAgeUnits(d time.Duration) uint32 { return uint32(min(max(d, 0), maxAge) / ageUnit) }
 
-func encodeHeartbeat(w company.Word) wireHeartbeat {
-	return wireHeartbeat{Place: uint32(w.Place), Epoch: w.Epoch, Beat: w.Beat, Flags: uint8(w.Flags), Age: toAgeUnits(w.Age)}
+func encodeHeartbeat(w company.Heartbeat) wireHeartbeat {
+	return wireHeartbeat{Index: uint32(w.Index), Epoch: w.Epoch, Seq: w.Seq, Flags: uint8(w.Flags), Age: toAgeUnits(w.Age)}
 }
 
 func encodeCursor(c Cursor) wireCursor { return wireCursor{Version: c.Version, ID: c.ID} }
 
 // Encode returns the wire format of a datagram.
 func (d *Datagram) Encode() []byte {
-	wire := wireDatagram{Format: format, From: encodeHeartbeat(d.From), Gen: d.Gen, At: encodeCursor(d.At), Sort: d.Sort,
-		Age: toAgeUnits(d.Age), Want: d.Want, Busy: d.Busy}
+	wire := wireDatagram{Format: format, From: encodeHeartbeat(d.From), Gen: d.Gen, At: encodeCursor(d.At), Order: d.Order,
+		Age: toAgeUnits(d.Age), Request: d.Request, Busy: d.Busy}
 	for _, w := range d.Others {
 		wire.Others = append(wire.Others, encodeHeartbeat(w))
 	}
 	if c := d.Chunk; c != nil {
-		wire.Chunk = &wireChunk{Gen: c.Gen, Sort: c.Sort, After: encodeCursor(c.After), Upto: encodeCursor(c.Upto), Head: c.Head}
+		wire.Chunk = &wireChunk{Gen: c.Gen, Order: c.Order, After: encodeCursor(c.After), Upto: encodeCursor(c.Upto), Head: c.Head}
 		for _, r := range c.Rows {
-			wire.Chunk.Rows = append(wire.Chunk.Rows, wireRow{ID: r.ID, Stamp: r.Stamp, Gone: r.Gone, Less: r.Less, Body: r.Body})
+			wire.Chunk.Rows = append(wire.Chunk.Rows, wireRow{ID: r.ID, Version: r.Version, Removed: r.Removed, Draining: r.Draining, Body: r.Body})
 		}
 	}
 	out, err := cbor.Marshal(wire)
@@ -131,8 +131,8 @@
 
 // Decode parses a datagram. It returns an error for contents that no agent sends.
 func Decode(data []byte) (*Datagram, error) {
-	if len(data) > MostSize {
-		return nil, fmt.Errorf("datagram has %d bytes, at most %d are accepted", len(data), MostSize)
+	if len(data) > MaxDatagramBytes {
+		return nil, fmt.Errorf("datagram has %d bytes, at most %d are accepted", len(data), MaxDatagramBytes)
 	}
 	var wire wireDatagram
 	if err := decoding.Unmarshal(data, &wire); err != nil {
@@ -144,13 +144,13 @@
 	case len(wire.Others) > maxOthers:
 		return nil, fmt.Errorf("datagram has %d heartbeats of others, at most %d are accepted", len(wire.Others), maxOthers)
 	}
-	d := &Datagram{Gen: wire.Gen, Sort: wire.Sort, Want: wire.Want, Busy: wire.Busy}
+	d := &Datagram{Gen: wire.Gen, Order: wire.Order, Request: wire.Request, Busy: wire.Busy}
 	var err error
-	heartbeat := func(w wireHeartbeat) company.Word {
-		if w.Place > 1<<24 {
-			err = errors.Join(err, fmt.Errorf("agent index %d is out of range", w.Place))
+	heartbeat := func(w wireHeartbeat) company.Heartbeat {
+		if w.Index > 1<<24 {
+			err = errors.Join(err, fmt.Errorf("agent index %d is out of range", w.Index))
 		}
-		return company.Word{Place: int(w.Place), Epoch: w.Epoch, Beat: w.Beat, Flags: company.Flags(w.Flags), Age: fromAgeUnits(w.Age)}
+		return company.Heartbeat{Index: int(w.Index), Epoch: w.Epoch, Seq: w.Seq, Flags: company.Flags(w.Flags), Age: fromAgeUnits(w.Age)}
 	}
 	cursor := func(c wireCursor) Cursor {
 		if c.Version < 0 || len(c.ID) > maxIDBytes {
@@ -163,13 +163,13 @@
 		d.Others = append(d.Others, heartbeat(w))
 	}
 	if c := wire.Chunk; c != nil {
-		d.Chunk = &Chunk{Gen: c.Gen, Sort: c.Sort, After: cursor(c.After), Upto: cursor(c.Upto), Head: c.Head}
+		d.Chunk = &Chunk{Gen: c.Gen, Order: c.Order, After: cursor(c.After), Upto: cursor(c.Upto), Head: c.Head}
 		if len(c.Rows) > maxRows || c.Head < 0 || c.Gen == 0 || d.Chunk.After.compare(d.Chunk.Upto) >= 0 ||
 			d.Chunk.Upto.compare(Cursor{c.Head, lastID}) > 0 {
 			err = errors.Join(err, errors.New("invalid bounds of chunk"))
 		}
 		for i, r := range c.Rows {
-			row := Row{r.ID, r.Stamp, r.Gone, r.Less, r.Body}
+			row := Row{r.ID, r.Version, r.Removed, r.Draining, r.Body}
 			if r.ID == "" || len(r.ID) > maxIDBytes || row.cursor().compare(d.Chunk.After) <= 0 || row.cursor().compare(d.Chunk.Upto) > 0 {
 				err = errors.Join(err, fmt.Errorf("row %d is outside of its chunk", i))
 			}
@@ -186,7 +186,7 @@
 
 // chunk returns the rows after a cursor that fit into size bytes, with the cursors; nil if not even the next row fits.
 func (s *versionedList) chunk(after Cursor, room int) *Chunk {
-	c := &Chunk{Gen: s.gen, Sort: s.order, After: after, Upto: s.end(), Head: s.head}
+	c := &Chunk{Gen: s.gen, Order: s.order, After: after, Upto: s.end(), Head: s.head}
 	room -= chunkHeaderBytes + after.encodedBytes() + s.end().encodedBytes()
 	for _, r := range s.byCursor[s.index(after):] {
 		// The chunk's end is the cursor of its last row, or the end of the list.
@@ -228,5 +228,5 @@
 func (c Cursor) encodedBytes() int { return 1 + intBytes(uint64(c.Version)) + textBytes(len(c.ID)) }
 
 func (r *Row) encodedBytes() int {
-	return 1 + textBytes(len(r.ID)) + intBytes(uint64(r.Stamp)) + 2 + textBytes(len(r.Body))
+	return 1 + textBytes(len(r.ID)) + intBytes(uint64(r.Version)) + 2 + textBytes(len(r.Body))
 }
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -18,26 +18,26 @@
 
 // Settings configure a Node, apart from its index.
 type Settings struct {
-	Size     int           // most bytes of a datagram
-	Round    time.Duration // mean time between two digests
-	Fanout   int           // agents that are notified of a change at once
-	Watchers int           // agents that are to watch the service
-	Batch    time.Duration // until further agents try to become watchers; each such delay doubles their number
-	Stale    time.Duration // an agent whose list was not confirmed for this long calls the service itself
-	Calm     time.Duration // how long there must be too many watchers before one ends its watch
+	DatagramBytes  int           // most bytes of a datagram
+	DigestInterval time.Duration // mean time between two digests
+	Fanout         int           // agents that are notified of a change at once
+	Watchers       int           // agents that are to watch the service
+	WatcherDelay   time.Duration // until further agents try to become watchers; each such delay doubles their number
+	StaleAfter     time.Duration // an agent whose list was not confirmed for this long calls the service itself
+	SurplusDelay   time.Duration // how long there must be too many watchers before one ends its watch
 }
 
 // Defaults are the settings where an installation configures none.
-var Defaults = Settings{Size: LeastSize, Round: 400 * time.Millisecond, Fanout: 3, Watchers: 3, Batch: 1500 * time.Millisecond,
-	Stale: 5 * time.Second, Calm: 5 * time.Second}
+var Defaults = Settings{DatagramBytes: MinDatagramBytes, DigestInterval: 400 * time.Millisecond, Fanout: 3, Watchers: 3, WatcherDelay: 1500 * time.Millisecond,
+	StaleAfter: 5 * time.Second, SurplusDelay: 5 * time.Second}
 
 const (
 	// watcherTimeout is the age at which the heartbeat of a watcher expires. Every datagram carries heartbeats of
 	// watchers first.
-	heardOf = 4 * time.Second
+	watcherTimeout = 4 * time.Second
 	// agentTimeout is the age at which the heartbeat of any agent expires: in large fleets a heartbeat takes long to
 	// reach all.
-	gone = 30 * time.Second
+	agentTimeout = 30 * time.Second
 	// callsPerSecond bounds the calls that all agents together make to a service that does not answer, once all have
 	// tried.
 	callsPerSecond = 10
@@ -47,18 +47,18 @@
 	// chunksPerSecond bounds the chunks that an agent sends.
 	chunksPerSecond = 600
 	// firstListTimeout is how long after the response the first list of a watch arrives, if anything has changed.
-	firstList = 100 * time.Millisecond
+	firstListTimeout = 100 * time.Millisecond
 	// resendGap is the time between two requests for a chunk that was lost, stallTimeout how long a transfer may make no
 	// progress before its rest is requested again, and transferTimeout how long before a transfer from another agent may
 	// replace it.
-	gap   = 200 * time.Millisecond
-	idle  = 400 * time.Millisecond
-	stuck = time.Second
+	resendGap       = 200 * time.Millisecond
+	stallTimeout    = 400 * time.Millisecond
+	transferTimeout = time.Second
 	// requestInterval is the time between two requests of an agent that is behind.
-	wantEvery = 100 * time.Millisecond
+	requestInterval = 100 * time.Millisecond
 	// confirmTimeout is how long a list from other agents that removes more than half of the servers waits for
 	// confirmation by the service.
-	doubt = 30 * time.Second
+	confirmTimeout = 30 * time.Second
 )
 
 // ActionKind is what an Action does.
@@ -85,8 +85,8 @@
 // Node decides for one agent. It is not safe for concurrent use.
 type Node struct {
 	settings  Settings
-	peers     *company.Company
-	scheduler *asking.Asker
+	peers     *company.Table
+	scheduler *asking.Scheduler
 	rng       *rand.Rand
 	ranks     []int // by index: agents of lower rank watch first
 	now       time.Duration
@@ -143,7 +143,7 @@
 }
 
 // New returns a Node. The restored list of the given version is not passed on before the service has confirmed it.
-func New(settings Settings, c *company.Company, scheduler *asking.Asker, version int64, restored []Row, seed uint64) *Node {
+func New(settings Settings, c *company.Table, scheduler *asking.Scheduler, version int64, restored []Row, seed uint64) *Node {
 	n := &Node{settings: settings, peers: c, scheduler: scheduler, rng: rand.New(rand.NewPCG(seed, 11)),
 		list: newVersionedList(0, 0), version: max(0, version), restored: restored, deliveredEarly: map[string]bool{}}
 	n.ranks = make([]int, c.Agents())
@@ -178,7 +178,7 @@
 func (n *Node) Start(now time.Duration) []Action {
 	n.advance(now)
 	n.freshAt = n.now // counts as fresh, to wait for other agents before calling the service
-	n.nextDigest = n.now + time.Duration(n.rng.Float64()*float64(n.settings.Round))/4
+	n.nextDigest = n.now + time.Duration(n.rng.Float64()*float64(n.settings.DigestInterval))/4
 	n.updateWatch()
 	return n.actions
 }
@@ -186,14 +186,14 @@
 // Leave notifies some other agents that this one shuts down.
 func (n *Node) Leave(now time.Duration) []Action {
 	n.advance(now)
-	n.peers.Set(company.Leaving, true)
-	n.peers.Set(company.Watching, false)
+	n.peers.SetFlags(company.Leaving, true)
+	n.peers.SetFlags(company.Watching, false)
 	n.gossip()
 	return n.actions
 }
 
 // NextTick returns when Tick has to be called at the latest.
-func (n *Node) Next() time.Duration {
+func (n *Node) NextTick() time.Duration {
 	next := n.nextDigest
 	if n.callAt > 0 && n.watch == watchNone {
 		next = min(next, n.callAt)
@@ -208,7 +208,7 @@
 func (n *Node) Tick(now time.Duration) []Action {
 	n.advance(now)
 	if n.now >= n.nextDigest {
-		n.nextDigest = n.now + time.Duration((0.75+n.rng.Float64()/2)*float64(n.settings.Round))
+		n.nextDigest = n.now + time.Duration((0.75+n.rng.Float64()/2)*float64(n.settings.DigestInterval))
 		if to, ok := n.pickPeer(); ok {
 			n.sendDigest(to, false)
 		}
@@ -242,7 +242,7 @@
 	}
 	for try := range 8 {
 		p := n.rng.IntN(n.peers.Agents())
-		if p != n.peers.Me() && (try == 7 || n.rng.IntN(8) == 0 || n.peers.There(n.now, p, gone)) {
+		if p != n.peers.Me() && (try == 7 || n.rng.IntN(8) == 0 || n.peers.Alive(n.now, p, agentTimeout)) {
 			return p, true
 		}
 	}
@@ -261,13 +261,13 @@
 // newDatagram returns a datagram without a chunk. Its cursor is the one up to which this agent is complete; the sender
 // of a transfer gets the cursor of that transfer instead.
 func (n *Node) newDatagram(to int, request bool) *Datagram {
-	d := &Datagram{From: n.peers.Own(), Gen: n.list.gen, At: n.list.end(), Age: n.now - n.freshAt, Want: request}
+	d := &Datagram{From: n.peers.NextHeartbeat(), Gen: n.list.gen, At: n.list.end(), Age: n.now - n.freshAt, Request: request}
 	if n.list.gen == 0 {
 		d.At = Cursor{}
 	}
 	if t := n.transfer; t != nil {
 		if d.Busy = t.from != to; !d.Busy {
-			d.Gen, d.At, d.Sort = t.gen, t.cursor, t.order
+			d.Gen, d.At, d.Order = t.gen, t.cursor, t.order
 		}
 	}
 	return d
@@ -276,8 +276,8 @@
 // sendDigest sends a datagram with as many heartbeats of others as fit.
 func (n *Node) sendDigest(to int, request bool) {
 	d := n.newDatagram(to, request)
-	room := n.settings.Size - len(d.Encode()) - 2 // for the longer head of the array of heartbeats
-	d.Others = n.peers.Sample(n.now, max(0, min(room/maxHeartbeatBytes, maxOthers)), n.bestWatchers, gone)
+	room := n.settings.DatagramBytes - len(d.Encode()) - 2 // for the longer head of the array of heartbeats
+	d.Others = n.peers.Sample(n.now, max(0, min(room/maxHeartbeatBytes, maxOthers)), n.bestWatchers, agentTimeout)
 	n.emit(Action{Kind: Send, To: to, Datagram: d})
 }
 
@@ -288,7 +288,7 @@
 			return
 		}
 		d := n.newDatagram(to, false)
-		if d.Chunk = n.list.chunk(after, n.settings.Size-len(d.Encode())); d.Chunk == nil {
+		if d.Chunk = n.list.chunk(after, n.settings.DatagramBytes-len(d.Encode())); d.Chunk == nil {
 			return // a row too large for any datagram: an agent that lacks it calls the service
 		}
 		n.tokens--
@@ -298,17 +298,17 @@
 }
 
 // Receive processes a datagram. The host checks that it comes from the address of the agent that it names.
-func (n *Node) Heard(now time.Duration, d *Datagram) []Action {
+func (n *Node) Receive(now time.Duration, d *Datagram) []Action {
 	n.advance(now)
-	if d.From.Place == n.peers.Me() {
+	if d.From.Index == n.peers.Me() {
 		return nil
 	}
-	n.peers.Hear(n.now, d.From)
+	n.peers.Receive(n.now, d.From)
 	for _, w := range d.Others {
-		n.peers.Hear(n.now, w)
+		n.peers.Receive(n.now, w)
 	}
 	if d.Chunk != nil {
-		n.receiveChunk(d.From.Place, d.Chunk)
+		n.receiveChunk(d.From.Index, d.Chunk)
 	}
 	n.reconcile(d)
 	n.updateWatch()
@@ -323,21 +323,21 @@
 	complete := d.At.ID == lastID
 	switch {
 	case d.Gen == n.list.gen && complete && d.At.Version == n.list.head:
-		if n.freshAt = max(n.freshAt, n.now-d.Age); d.Age > n.now-n.freshAt+2*n.settings.Round {
-			n.sendDigest(d.From.Place, false) // that agent only lacks the information that nothing has changed
+		if n.freshAt = max(n.freshAt, n.now-d.Age); d.Age > n.now-n.freshAt+2*n.settings.DigestInterval {
+			n.sendDigest(d.From.Index, false) // that agent only lacks the information that nothing has changed
 		}
 	case d.Gen > n.list.gen || d.Gen == n.list.gen && complete && d.At.Version > n.list.head:
-		if complete && n.transfer == nil && n.now-n.requestedAt >= wantEvery {
+		if complete && n.transfer == nil && n.now-n.requestedAt >= requestInterval {
 			n.requestedAt = n.now
-			n.sendDigest(d.From.Place, true)
+			n.sendDigest(d.From.Index, true)
 		}
-	case d.Busy || d.Chunk != nil && !d.Want: // it receives its list from another agent, or is sending one itself
+	case d.Busy || d.Chunk != nil && !d.Request: // it receives its list from another agent, or is sending one itself
 	default:
 		after := Cursor{}
-		if d.Gen == n.list.gen && n.list.covers(d.At) && (complete || d.Sort == n.list.order) {
+		if d.Gen == n.list.gen && n.list.covers(d.At) && (complete || d.Order == n.list.order) {
 			after = d.At
 		}
-		n.sendChunks(d.From.Place, after, burstChunks)
+		n.sendChunks(d.From.Index, after, burstChunks)
 	}
 }
 
@@ -357,7 +357,7 @@
 		n.applyTransfer(single)
 		return
 	}
-	if t == nil || t.gen < c.Gen || t.from == from && t.order != c.Sort || t.from != from && n.now-t.lastChunkAt > stuck {
+	if t == nil || t.gen < c.Gen || t.from == from && t.order != c.Order || t.from != from && n.now-t.lastChunkAt > transferTimeout {
 		full := c.After == Cursor{}
 		if !full && (c.Gen != n.list.gen || c.After.ID != lastID || c.After.compare(n.list.end()) > 0) {
 			if t != nil && t.from == from {
@@ -365,7 +365,7 @@
 			}
 			return
 		}
-		t = &transfer{from: from, gen: c.Gen, order: c.Sort, full: full, cursor: c.After, requestedAt: n.now}
+		t = &transfer{from: from, gen: c.Gen, order: c.Order, full: full, cursor: c.After, requestedAt: n.now}
 		n.transfer = t
 	}
 	if t.from != from || t.gen != c.Gen {
@@ -394,9 +394,9 @@
 // retryAt returns when to request the rest again: soon where a later chunk shows that one was lost.
 func (t *transfer) retryAt() time.Duration {
 	if len(t.stash) > 0 {
-		return t.requestedAt + gap
+		return t.requestedAt + resendGap
 	}
-	return max(t.lastChunkAt, t.requestedAt) + idle
+	return max(t.lastChunkAt, t.requestedAt) + stallTimeout
 }
 
 // add takes a chunk that continues the transfer, and keeps one that is out of order. It reports whether the transfer has
@@ -431,8 +431,8 @@
 	}
 	var rows []Row
 	for _, r := range t.rows {
-		if old := n.list.rows[r.ID]; (r.Less || r.Gone) && old != nil && !old.Gone && !old.Less &&
-			old.Stamp < r.Stamp && !n.deliveredEarly[r.ID] {
+		if old := n.list.rows[r.ID]; (r.Draining || r.Removed) && old != nil && !old.Removed && !old.Draining &&
+			old.Version < r.Version && !n.deliveredEarly[r.ID] {
 			n.deliveredEarly[r.ID] = true // always a server of the list, which bounds the map
 			rows = append(rows, r)
 		}
@@ -481,11 +481,11 @@
 func (n *Node) suspicious(next *versionedList) bool {
 	had, lost := 0, 0
 	for id, r := range n.list.rows {
-		if r.Gone || r.Less {
+		if r.Removed || r.Draining {
 			continue
 		}
 		had++
-		if f := next.rows[id]; f == nil || f.Gone {
+		if f := next.rows[id]; f == nil || f.Removed {
 			lost++
 		}
 	}
@@ -495,7 +495,7 @@
 	if n.suspectSince == 0 {
 		n.suspectSince = n.now
 	}
-	return n.now-n.suspectSince < doubt
+	return n.now-n.suspectSince < confirmTimeout
 }
 
 // announce delivers changes to the module and sends them to some other agents.
@@ -518,11 +518,11 @@
 
 // WatchAnswered notes that the service has accepted the call: the watch continues from the version with which it was
 // opened.
-func (n *Node) Answered(now time.Duration) []Action {
+func (n *Node) WatchAnswered(now time.Duration) []Action {
 	n.advance(now)
-	n.scheduler.Answered(n.now)
+	n.scheduler.ResponseStarted(n.now)
 	n.watch, n.answeredAt, n.confirmed = watchOpen, n.now, false
-	n.peers.Set(company.Watching, true)
+	n.peers.SetFlags(company.Watching, true)
 	n.gossip()
 	n.updateWatch()
 	return n.actions
@@ -530,9 +530,9 @@
 
 // WatchAlive notes that something was received on the watch. If anything has changed, the first list of a watch comes
 // with the response: if something is received later and there was no list, nothing has changed.
-func (n *Node) Alive(now time.Duration) []Action {
+func (n *Node) WatchAlive(now time.Duration) []Action {
 	n.advance(now)
-	if n.watch == watchOpen && !n.confirmed && n.now-n.answeredAt > firstList {
+	if n.watch == watchOpen && !n.confirmed && n.now-n.answeredAt > firstListTimeout {
 		if n.list.gen == 0 && n.seenVersion == n.version && n.version > 0 {
 			n.resetList(1, n.restored)
 			n.announce(0, nil, false)
@@ -548,21 +548,21 @@
 // confirm notes that the service has confirmed the list.
 func (n *Node) confirm() {
 	n.confirmed, n.suspectSince, n.freshAt = true, 0, n.now
-	n.scheduler.Delivered()
+	n.scheduler.ListReceived()
 }
 
 // resetList starts a new generation of the list from rows.
 func (n *Node) resetList(gen uint64, rows []Row) {
 	n.list, n.transfer, n.restored = newVersionedList(gen, uint16(n.rng.Uint32())), nil, nil
 	for _, r := range rows {
-		r.Stamp = n.version
+		r.Version = n.version
 		n.list.put(r)
 	}
 	n.list.head, n.list.floor = n.version, n.version
 }
 
 // ListReceived processes a list of the watch that was accepted, or changes of it.
-func (n *Node) List(now time.Duration, version int64, full bool, rows []Row) []Action {
+func (n *Node) ListReceived(now time.Duration, version int64, full bool, rows []Row) []Action {
 	n.advance(now)
 	restarted := version < n.seenVersion // accepted all the same: the service has restarted its count of versions
 	n.seenVersion = version
@@ -578,11 +578,11 @@
 	for _, r := range rows {
 		listed[r.ID] = true
 		old := n.list.rows[r.ID]
-		r.Stamp = version
-		if full && old != nil && old.Stamp > version {
+		r.Version = version
+		if full && old != nil && old.Version > version {
 			continue // another agent has sent a later version already
 		}
-		if full && old != nil && !old.Gone && !r.Gone && string(old.Body) == string(r.Body) && !n.deliveredEarly[r.ID] {
+		if full && old != nil && !old.Removed && !r.Removed && string(old.Body) == string(r.Body) && !n.deliveredEarly[r.ID] {
 			continue
 		}
 		if n.put(r) {
@@ -591,8 +591,8 @@
 	}
 	if full {
 		for _, r := range n.list.live() {
-			if !listed[r.ID] && r.Stamp <= version {
-				removed := Row{ID: r.ID, Stamp: version, Gone: true}
+			if !listed[r.ID] && r.Version <= version {
+				removed := Row{ID: r.ID, Version: version, Removed: true}
 				n.put(removed)
 				news = append(news, removed)
 			}
@@ -610,12 +610,12 @@
 
 // WatchEnded notes that the watch, or the call for one, has ended, and that nothing was received for the time silent
 // before that.
-func (n *Node) Over(now, silent time.Duration) []Action {
+func (n *Node) WatchEnded(now, silent time.Duration) []Action {
 	n.advance(now)
 	held := n.watch == watchOpen
 	n.watch = watchNone
-	n.retryAfter, n.retryAt, n.callEnded = n.scheduler.Over(n.now, silent), 0, true
-	n.peers.Set(company.Watching, false)
+	n.retryAfter, n.retryAt, n.callEnded = n.scheduler.CallEnded(n.now, silent), 0, true
+	n.peers.SetFlags(company.Watching, false)
 	if held {
 		n.gossip()
 	}
@@ -625,7 +625,7 @@
 
 // updateWatch decides whether this agent should open or close a watch.
 func (n *Node) updateWatch() {
-	watchers := n.peers.Those(n.now, company.Watching, heardOf)
+	watchers := n.peers.WithFlags(n.now, company.Watching, watcherTimeout)
 	slices.SortFunc(watchers, func(a, b int) int { return n.ranks[a] - n.ranks[b] })
 	n.bestWatchers = watchers[:min(n.settings.Watchers, len(watchers))]
 	ownRank, better := n.ranks[n.peers.Me()], 0
@@ -638,9 +638,9 @@
 			n.surplusSince = 0
 		} else if n.surplusSince == 0 {
 			n.surplusSince = n.now
-		} else if n.now-n.surplusSince > n.settings.Calm {
+		} else if n.now-n.surplusSince > n.settings.SurplusDelay {
 			n.surplusSince, n.watch = 0, watchNone
-			n.peers.Set(company.Watching, false)
+			n.peers.SetFlags(company.Watching, false)
 			n.emit(Action{Kind: Unwatch})
 			n.gossip()
 		}
@@ -648,8 +648,8 @@
 	}
 	n.surplusSince = 0
 	// A list that is being received is waited for, but not forever.
-	receiving := n.transfer != nil && n.now-n.transfer.lastChunkAt < stuck && n.now-n.freshAt < 3*n.settings.Stale
-	stale := n.now-n.freshAt > n.settings.Stale && !receiving || n.suspectSince > 0
+	receiving := n.transfer != nil && n.now-n.transfer.lastChunkAt < transferTimeout && n.now-n.freshAt < 3*n.settings.StaleAfter
+	stale := n.now-n.freshAt > n.settings.StaleAfter && !receiving || n.suspectSince > 0
 	if !stale && len(watchers) >= n.settings.Watchers {
 		n.shortageSince, n.callAt, n.retryAt, n.slotAt, n.callEnded = 0, 0, 0, 0, false
 		return
@@ -661,17 +661,17 @@
 	// has a slot of its own.
 	before, alive := 0, 0
 	for p, rank := range n.ranks {
-		m, known := n.peers.Of(p)
-		age := n.now - m.Said
-		if rank < ownRank && (!known || m.Flags&company.Leaving == 0 && age <= 2*heardOf) {
+		m, known := n.peers.Get(p)
+		age := n.now - m.SentAt
+		if rank < ownRank && (!known || m.Flags&company.Leaving == 0 && age <= 2*watcherTimeout) {
 			before++
 		}
-		if known && age <= gone {
+		if known && age <= agentTimeout {
 			alive++
 		}
 	}
 	if n.callAt = n.shortageSince; before >= n.settings.Watchers {
-		n.callAt += time.Duration(float64(n.settings.Batch) * math.Log2(float64(before)/float64(n.settings.Watchers)+1))
+		n.callAt += time.Duration(float64(n.settings.WatcherDelay) * math.Log2(float64(before)/float64(n.settings.Watchers)+1))
 	}
 	// Agents that are in contact with each other need not all call: one response reaches them all.
 	period := time.Duration(alive) * time.Second / callsPerSecond
@@ -679,13 +679,13 @@
 		n.slotAt = 0
 	} else {
 		if n.slotAt == 0 {
-			n.slotAt = n.scheduler.Turn(n.now, period)
+			n.slotAt = n.scheduler.NextSlot(n.now, period)
 		}
 		n.callAt = min(n.callAt, n.slotAt)
 	}
 	if n.callEnded { // this agent has called before
 		if n.retryAt == 0 {
-			n.retryAt = max(n.retryAfter, n.scheduler.Turn(n.now, period))
+			n.retryAt = max(n.retryAfter, n.scheduler.NextSlot(n.now, period))
 		}
 		n.callAt = n.retryAt
 	}
@@ -693,7 +693,7 @@
 		return
 	}
 	n.callAt, n.retryAt, n.slotAt, n.callEnded, n.watch = 0, 0, 0, false, watchPending
-	n.scheduler.Asked(n.now)
+	n.scheduler.CallStarted(n.now)
 	n.seenVersion = n.version
 	if n.list.gen > 0 {
 		n.seenVersion = n.list.head
--- a/internal/decide/sharing/sharing_test.go
+++ b/internal/decide/sharing/sharing_test.go
@@ -88,10 +88,10 @@
 // publish changes the list of the service.
 func (w *world) publish(r Row) {
 	w.version++
-	r.Stamp = w.version
+	r.Version = w.version
 	w.log = append(w.log, r)
 	w.changedAt = append(w.changedAt, w.now)
-	if r.Gone {
+	if r.Removed {
 		delete(w.rows, r.ID)
 	} else {
 		w.rows[r.ID] = r
@@ -147,7 +147,7 @@
 		switch a.Kind {
 		case Send:
 			data := a.Datagram.Encode()
-			if len(data) > w.set.Size {
+			if len(data) > w.set.DatagramBytes {
 				w.t.Fatalf("datagram has %d bytes", len(data))
 			}
 			w.sent++
@@ -162,7 +162,7 @@
 				h.known = map[string]Row{}
 			}
 			for _, r := range a.Rows {
-				if r.Gone {
+				if r.Removed {
 					delete(h.known, r.ID)
 				} else {
 					h.known[r.ID] = r
@@ -170,7 +170,7 @@
 			}
 		}
 	}
-	if next := h.node.Next(); next != h.timerAt {
+	if next := h.node.NextTick(); next != h.timerAt {
 		h.timerAt = next
 		life := h.life
 		w.at(max(next, w.now), func() {
@@ -203,7 +203,7 @@
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		h.do(h.node.Heard(w.now, d))
+		h.do(h.node.Receive(w.now, d))
 	}
 	for range times {
 		w.after(time.Duration((0.5+w.rng.Float64()/2)*float64(w.delay)), arrive)
@@ -223,11 +223,11 @@
 	end := func(silent time.Duration) {
 		if current() {
 			h.watch++
-			h.do(h.node.Over(w.now, silent))
+			h.do(h.node.WatchEnded(w.now, silent))
 		}
 	}
 	if w.reachable != nil && !w.reachable(h.index) {
-		w.after(asking.Silence, func() { end(asking.Silence) })
+		w.after(asking.WatchSilenceTimeout, func() { end(asking.WatchSilenceTimeout) })
 		return
 	}
 	if w.down {
@@ -247,7 +247,7 @@
 			end(0)
 			return
 		}
-		h.do(h.node.Answered(w.now))
+		h.do(h.node.WatchAnswered(w.now))
 		if version < 1 || version > w.version {
 			var all []Row
 			for _, r := range w.rows {
@@ -264,9 +264,9 @@
 			case w.down:
 				end(0)
 			case w.reachable != nil && !w.reachable(h.index):
-				w.after(asking.Silence, func() { end(asking.Silence) })
+				w.after(asking.WatchSilenceTimeout, func() { end(asking.WatchSilenceTimeout) })
 			default:
-				h.do(h.node.Alive(w.now))
+				h.do(h.node.WatchAlive(w.now))
 				w.after(100*time.Millisecond, ping)
 			}
 		}
@@ -276,7 +276,7 @@
 
 func (h *host) receiveList(watch int, version int64, full bool, rows []Row) {
 	if h.watch == watch && (h.w.reachable == nil || h.w.reachable(h.index)) {
-		h.do(h.node.List(h.w.now, version, full, append([]Row(nil), rows...)))
+		h.do(h.node.ListReceived(h.w.now, version, full, append([]Row(nil), rows...)))
 	}
 }
 
@@ -296,12 +296,12 @@
 	out := fmt.Sprintf("version %d of %d, generation %d, watch %d, stale for %v", version, h.w.version, gen, h.node.watch, h.node.Staleness(h.w.now))
 	for id, r := range h.w.rows {
 		if k := h.known[id]; string(k.Body) != string(r.Body) {
-			out += fmt.Sprintf("; %s is %q of version %d, not %q of version %d", id, k.Body, k.Stamp, r.Body, r.Stamp)
+			out += fmt.Sprintf("; %s is %q of version %d, not %q of version %d", id, k.Body, k.Version, r.Body, r.Version)
 		}
 	}
 	for id, k := range h.known {
 		if _, ok := h.w.rows[id]; !ok {
-			out += fmt.Sprintf("; %s, %q of version %d, was removed", id, k.Body, k.Stamp)
+			out += fmt.Sprintf("; %s, %q of version %d, was removed", id, k.Body, k.Version)
 		}
 	}
 	if t := h.node.transfer; t != nil {
@@ -318,8 +318,8 @@
 	}
 	oldest := h.w.now
 	for id, r := range last {
-		if k, ok := h.known[id]; ok == r.Gone || ok && string(k.Body) != string(r.Body) {
-			oldest = min(oldest, h.w.changedAt[r.Stamp-1])
+		if k, ok := h.known[id]; ok == r.Removed || ok && string(k.Body) != string(r.Body) {
+			oldest = min(oldest, h.w.changedAt[r.Version-1])
 		}
 	}
 	return oldest
@@ -331,7 +331,7 @@
 		return false
 	}
 	for id, r := range h.w.rows {
-		if k, ok := h.known[id]; !ok || string(k.Body) != string(r.Body) || k.Less != r.Less {
+		if k, ok := h.known[id]; !ok || string(k.Body) != string(r.Body) || k.Draining != r.Draining {
 			return false
 		}
 	}
@@ -396,7 +396,7 @@
 			check("seven in ten killed")
 			w.down = true
 			w.run(5 * time.Second)
-			w.publish(Row{ID: "forms-0", Less: true, Body: []byte("drains")})
+			w.publish(Row{ID: "forms-0", Draining: true, Body: []byte("drains")})
 			w.down = false
 			check("after an outage")
 			w.run(20 * time.Second)
@@ -424,9 +424,9 @@
 			id := fmt.Sprint("forms-", w.rng.IntN(60))
 			switch w.rng.IntN(3) {
 			case 0:
-				w.publish(Row{ID: id, Gone: true})
+				w.publish(Row{ID: id, Removed: true})
 			case 1:
-				w.publish(Row{ID: id, Less: true, Body: []byte("drains")})
+				w.publish(Row{ID: id, Draining: true, Body: []byte("drains")})
 			default:
 				w.publish(Row{ID: id, Body: fmt.Appendf(nil, "again %d", w.version)})
 			}
@@ -483,8 +483,8 @@
 	w.partitioned = func(from, to int) bool { return from < 4 != (to < 4) }
 	w.reachable = func(place int) bool { return place < 4 }
 	w.run(10 * time.Second)
-	w.publish(Row{ID: "forms-3", Less: true, Body: []byte("drains")})
-	w.publish(Row{ID: "forms-4", Gone: true})
+	w.publish(Row{ID: "forms-3", Draining: true, Body: []byte("drains")})
+	w.publish(Row{ID: "forms-4", Removed: true})
 	w.run(5 * time.Second)
 	if n := w.countBehind(); n != 36 {
 		t.Errorf("%d agents are behind, not the 36 that are cut off", n)
@@ -506,7 +506,7 @@
 	w := newSettledWorld(t, 20, 10, 1)
 	w.partitioned = func(from, to int) bool { return from == 7 || to == 7 }
 	w.run(3 * time.Second)
-	w.publish(Row{ID: "forms-3", Gone: true})
+	w.publish(Row{ID: "forms-3", Removed: true})
 	w.run(12 * time.Second)
 	if !w.nodes[7].upToDate() || !w.nodes[7].node.Watching() {
 		t.Errorf("cut off from all other agents: %s", w.nodes[7].describe())
@@ -526,12 +526,12 @@
 		}
 	}
 	first.alive = false // its timers and events are lost, which is worse than late
-	w.publish(Row{ID: "forms-3", Less: true, Body: []byte("drains")})
+	w.publish(Row{ID: "forms-3", Draining: true, Body: []byte("drains")})
 	w.run(20 * time.Second)
 	if n := w.countBehind(); n > 0 {
 		t.Errorf("%d agents are behind", n)
 	}
-	w.publish(Row{ID: "forms-4", Gone: true})
+	w.publish(Row{ID: "forms-4", Removed: true})
 	first.alive = true
 	first.do(first.node.Tick(w.now))
 	if took, ok := w.settle(3 * time.Second); !ok {
@@ -564,24 +564,24 @@
 	w := newSettledWorld(t, 3, 10, 1)
 	victim := w.nodes[0]
 	gen, version := victim.node.Version()
-	forged := Datagram{From: company.Word{Place: 1, Epoch: 1 << 50}, Gen: gen + 1, At: Cursor{version + 1, lastID},
-		Chunk: &Chunk{Gen: gen + 1, Upto: Cursor{version + 1, lastID}, Head: version + 1, Rows: []Row{{ID: "forms-1", Stamp: version + 1, Body: []byte("forged")}}}}
-	victim.do(victim.node.Heard(w.now, &forged))
+	forged := Datagram{From: company.Heartbeat{Index: 1, Epoch: 1 << 50}, Gen: gen + 1, At: Cursor{version + 1, lastID},
+		Chunk: &Chunk{Gen: gen + 1, Upto: Cursor{version + 1, lastID}, Head: version + 1, Rows: []Row{{ID: "forms-1", Version: version + 1, Body: []byte("forged")}}}}
+	victim.do(victim.node.Receive(w.now, &forged))
 	if len(victim.known) != 10 {
 		t.Errorf("%d servers are left", len(victim.known))
 	}
 	w.run(8 * time.Second)
-	if !victim.upToDate() || !victim.node.Watching() && victim.node.Staleness(w.now) > w.set.Stale {
+	if !victim.upToDate() || !victim.node.Watching() && victim.node.Staleness(w.now) > w.set.StaleAfter {
 		t.Errorf("the agent has not called the service: %s", victim.describe())
 	}
 	// An older list, and one of the same version, bring nothing back.
-	w.publish(Row{ID: "forms-1", Less: true, Body: []byte("drains")})
+	w.publish(Row{ID: "forms-1", Draining: true, Body: []byte("drains")})
 	w.settle(5 * time.Second)
-	old := Datagram{From: company.Word{Place: 2}, Gen: gen, At: Cursor{version, lastID},
+	old := Datagram{From: company.Heartbeat{Index: 2}, Gen: gen, At: Cursor{version, lastID},
 		Chunk: &Chunk{Gen: gen, After: Cursor{version - 1, lastID}, Upto: Cursor{version, lastID}, Head: version,
-			Rows: []Row{{ID: "forms-1", Stamp: version, Body: []byte("127.0.0.1:1 in service")}}}}
-	victim.do(victim.node.Heard(w.now, &old))
-	if !victim.known["forms-1"].Less {
+			Rows: []Row{{ID: "forms-1", Version: version, Body: []byte("127.0.0.1:1 in service")}}}}
+	victim.do(victim.node.Receive(w.now, &old))
+	if !victim.known["forms-1"].Draining {
 		t.Error("an older list has revived a server")
 	}
 }
@@ -591,11 +591,11 @@
 	w := newSettledWorld(t, 2, 10, 1)
 	h := w.nodes[0]
 	gen, version := h.node.Version()
-	actions := h.node.Heard(w.now, &Datagram{From: company.Word{Place: 1, Epoch: 1 << 50}, Gen: gen, At: Cursor{version + 9, lastID},
+	actions := h.node.Receive(w.now, &Datagram{From: company.Heartbeat{Index: 1, Epoch: 1 << 50}, Gen: gen, At: Cursor{version + 9, lastID},
 		Chunk: &Chunk{Gen: gen, After: Cursor{version, lastID}, Upto: Cursor{version + 2, "forms-5"}, Head: version + 9,
-			Rows: []Row{{ID: "forms-5", Stamp: version + 2, Less: true, Body: []byte("drains")}}}})
+			Rows: []Row{{ID: "forms-5", Version: version + 2, Draining: true, Body: []byte("drains")}}}})
 	h.do(actions)
-	if !h.known["forms-5"].Less {
+	if !h.known["forms-5"].Draining {
 		t.Errorf("%+v", actions)
 	}
 	if _, v := h.node.Version(); v != version {
@@ -603,32 +603,32 @@
 	}
 	// The rest never arrives, and the service has put the server back: that is delivered though the list is as it was.
 	body := h.w.rows["forms-5"].Body
-	h.do(h.node.Heard(w.now, &Datagram{From: company.Word{Place: 1, Epoch: 1<<50 + 1}, Gen: gen, At: Cursor{version + 20, lastID},
-		Chunk: &Chunk{Gen: gen, Sort: 7, After: Cursor{version, lastID}, Upto: Cursor{version + 20, lastID}, Head: version + 20,
-			Rows: []Row{{ID: "forms-5", Stamp: version + 20, Body: body}}}}))
-	if h.known["forms-5"].Less {
+	h.do(h.node.Receive(w.now, &Datagram{From: company.Heartbeat{Index: 1, Epoch: 1<<50 + 1}, Gen: gen, At: Cursor{version + 20, lastID},
+		Chunk: &Chunk{Gen: gen, Order: 7, After: Cursor{version, lastID}, Upto: Cursor{version + 20, lastID}, Head: version + 20,
+			Rows: []Row{{ID: "forms-5", Version: version + 20, Body: body}}}}))
+	if h.known["forms-5"].Draining {
 		t.Error("the server remains draining")
 	}
 }
 
 // A datagram is decoded as it was encoded; contents that no agent sends are an error.
 func TestDatagram(t *testing.T) {
-	d := Datagram{From: company.Word{Place: 3, Epoch: 1 << 41, Beat: 7, Flags: company.Watching}, Gen: 1, At: Cursor{41, lastID}, Age: 1230 * time.Millisecond, Want: true,
-		Others: []company.Word{{Place: 4, Epoch: 5, Age: 20 * time.Millisecond}},
-		Chunk:  &Chunk{Gen: 1, Sort: 9, After: Cursor{40, lastID}, Upto: Cursor{41, lastID}, Head: 41, Rows: []Row{{ID: "a", Stamp: 41, Less: true, Body: []byte("x")}}}}
+	d := Datagram{From: company.Heartbeat{Index: 3, Epoch: 1 << 41, Seq: 7, Flags: company.Watching}, Gen: 1, At: Cursor{41, lastID}, Age: 1230 * time.Millisecond, Request: true,
+		Others: []company.Heartbeat{{Index: 4, Epoch: 5, Age: 20 * time.Millisecond}},
+		Chunk:  &Chunk{Gen: 1, Order: 9, After: Cursor{40, lastID}, Upto: Cursor{41, lastID}, Head: 41, Rows: []Row{{ID: "a", Version: 41, Draining: true, Body: []byte("x")}}}}
 	got, err := Decode(d.Encode())
 	if err != nil || !reflect.DeepEqual(got, &d) {
 		t.Errorf("%+v %+v, %v", got, got.Chunk, err)
 	}
 	for name, spoil := range map[string]func(*Datagram){
-		"a row after its chunk":  func(d *Datagram) { d.Chunk.Rows[0].Stamp = 42 },
-		"a row before its chunk": func(d *Datagram) { d.Chunk.Rows[0].Stamp = 40 },
+		"a row after its chunk":  func(d *Datagram) { d.Chunk.Rows[0].Version = 42 },
+		"a row before its chunk": func(d *Datagram) { d.Chunk.Rows[0].Version = 40 },
 		"backwards":              func(d *Datagram) { d.Chunk.After.Version = 50 },
 		"beyond its head":        func(d *Datagram) { d.Chunk.Head = 7 },
 		"a negative version":     func(d *Datagram) { d.At.Version = -1 },
-		"a high index":           func(d *Datagram) { d.From.Place = 1 << 30 },
-		"too many heartbeats":    func(d *Datagram) { d.Others = make([]company.Word, maxOthers+1) },
-		"too large":              func(d *Datagram) { d.Chunk.Rows[0].Body = make([]byte, MostSize) },
+		"a high index":           func(d *Datagram) { d.From.Index = 1 << 30 },
+		"too many heartbeats":    func(d *Datagram) { d.Others = make([]company.Heartbeat, maxOthers+1) },
+		"too large":              func(d *Datagram) { d.Chunk.Rows[0].Body = make([]byte, MaxDatagramBytes) },
 	} {
 		bad, _ := Decode(d.Encode())
 		spoil(bad)
@@ -645,19 +645,19 @@
 
 // For any input no more than the bounds is kept, and what is decoded can be encoded again.
 func FuzzDecode(f *testing.F) {
-	f.Add((&Datagram{Gen: 1, At: Cursor{2, "x"}, Chunk: &Chunk{Gen: 1, Upto: Cursor{2, "x"}, Head: 2, Rows: []Row{{ID: "a", Stamp: 1}}}}).Encode())
+	f.Add((&Datagram{Gen: 1, At: Cursor{2, "x"}, Chunk: &Chunk{Gen: 1, Upto: Cursor{2, "x"}, Head: 2, Rows: []Row{{ID: "a", Version: 1}}}}).Encode())
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d, err := Decode(data)
 		if err != nil {
 			return
 		}
-		if _, err := Decode(d.Encode()); err != nil && len(d.Encode()) <= MostSize {
+		if _, err := Decode(d.Encode()); err != nil && len(d.Encode()) <= MaxDatagramBytes {
 			t.Errorf("decoding the encoded datagram: %v", err)
 		}
 		c := company.New(company.Settings{Agents: 4, Me: 0, Epoch: 1}, 1)
 		n := New(Defaults, c, asking.New(asking.Settings{Shared: true, Agents: 4}, 1), 0, nil, 1)
 		n.Start(time.Hour)
-		n.Heard(time.Hour+time.Second, d)
+		n.Receive(time.Hour+time.Second, d)
 		n.Tick(time.Hour + 2*time.Second)
 	})
 }
--- a/internal/decide/sharing/sheet.go
+++ b/internal/decide/sharing/sheet.go
@@ -9,11 +9,11 @@
 
 // Row is the entry of one server in a list.
 type Row struct {
-	ID    string
-	Stamp int64 // in which the entry changed last
-	Gone  bool  // a tombstone: the server was removed; kept for a while so that other agents learn of it
-	Less  bool  // the server accepts no new requests
-	Body  []byte
+	ID       string
+	Version  int64 // in which the entry changed last
+	Removed  bool  // a tombstone: the server was removed; kept for a while so that other agents learn of it
+	Draining bool  // the server accepts no new requests
+	Body     []byte
 }
 
 // Cursor is a position in the order of rows, by version and then by id.
@@ -29,7 +29,7 @@
 	return cmp.Or(cmp.Compare(c.Version, o.Version), cmp.Compare(c.ID, o.ID))
 }
 
-func (r *Row) cursor() Cursor { return Cursor{r.Stamp, r.ID} }
+func (r *Row) cursor() Cursor { return Cursor{r.Version, r.ID} }
 
 // versionedList is a list that is at least at a given version. The version of a row is one at which the row was as it
 // is: an agent that received several versions at once may assign a later version than others, but never one earlier than
@@ -60,33 +60,33 @@
 func (s *versionedList) put(r Row) bool {
 	old := s.rows[r.ID]
 	if old != nil {
-		if old.Stamp > r.Stamp {
+		if old.Version > r.Version {
 			return false
 		}
 		i := s.index(old.cursor()) - 1
 		s.byCursor = slices.Delete(s.byCursor, i, i+1)
-		if old.Gone {
+		if old.Removed {
 			s.tombstones--
 		}
 	}
 	row := &r
 	s.rows[r.ID] = row
 	s.byCursor = slices.Insert(s.byCursor, s.index(r.cursor()), row)
-	if r.Gone {
+	if r.Removed {
 		s.tombstones++
 	}
 	for s.tombstones > maxTombstones {
-		i := slices.IndexFunc(s.byCursor, func(r *Row) bool { return r.Gone })
+		i := slices.IndexFunc(s.byCursor, func(r *Row) bool { return r.Removed })
 		first := s.byCursor[i]
-		s.floor = max(s.floor, first.Stamp)
+		s.floor = max(s.floor, first.Version)
 		s.byCursor = slices.Delete(s.byCursor, i, i+1)
 		delete(s.rows, first.ID)
 		s.tombstones--
 	}
 	if old == nil {
-		return !r.Gone
+		return !r.Removed
 	}
-	return old.Gone != r.Gone || !r.Gone && !bytes.Equal(old.Body, r.Body)
+	return old.Removed != r.Removed || !r.Removed && !bytes.Equal(old.Body, r.Body)
 }
 
 // end returns the cursor after all rows.
@@ -99,7 +99,7 @@
 func (s *versionedList) live() []Row {
 	out := make([]Row, 0, len(s.byCursor))
 	for _, r := range s.byCursor {
-		if !r.Gone {
+		if !r.Removed {
 			out = append(out, *r)
 		}
 	}
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -7,23 +7,23 @@
 // The platform sends SIGKILL no sooner after SIGTERM than the longest deadline in the settings, capped at MaxDeadline, plus
 // KillMargin.
 const (
-	LongestDeadline = 3 * time.Second
-	KillMargin      = 700 * time.Millisecond
+	MaxDeadline = 3 * time.Second
+	KillMargin  = 700 * time.Millisecond
 
 	// MaxStall is how long a process may be stalled at any point: when it receives SIGTERM, and again when it writes an answer.
-	Stall = 150 * time.Millisecond
+	MaxStall = 150 * time.Millisecond
 )
 
 const (
 	// writeTime is the time to write the last answers.
 	writeTime = 50 * time.Millisecond
 	// closeMargin is the time that is left until SIGKILL when the last connections are closed.
-	closeTime = 100 * time.Millisecond
+	closeMargin = 100 * time.Millisecond
 	// idleDuration is how long idle connections stay open after SIGTERM, as clients learn of the shutdown only that late.
 	// New connections are accepted for acceptDuration, which is longer, also for clients whose request crossed the close of an idle
 	// connection.
-	idleFor   = 400 * time.Millisecond
-	acceptFor = 500 * time.Millisecond
+	idleDuration   = 400 * time.Millisecond
+	acceptDuration = 500 * time.Millisecond
 )
 
 // Schedule holds the ends of the stages of a shutdown. Times count from SIGTERM.
@@ -36,16 +36,16 @@
 
 // KillAfter returns the earliest time after SIGTERM at which the platform sends SIGKILL.
 func KillAfter(longestDeadline time.Duration) time.Duration {
-	return min(longestDeadline, LongestDeadline) + KillMargin
+	return min(longestDeadline, MaxDeadline) + KillMargin
 }
 
 // Plan returns the schedule for settings with the given longest deadline. A process that is replaced accepts no more connections,
 // as its replacement accepts on the same socket.
 func Plan(longestDeadline time.Duration, replaced bool) Schedule {
 	kill := KillAfter(longestDeadline)
-	plan := Schedule{Idle: idleFor, AnswerBy: kill - 2*Stall - writeTime, CloseBy: kill - closeTime}
+	plan := Schedule{Idle: idleDuration, AnswerBy: kill - 2*MaxStall - writeTime, CloseBy: kill - closeMargin}
 	if !replaced {
-		plan.Accept = acceptFor
+		plan.Accept = acceptDuration
 	}
 	return plan
 }
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -27,10 +27,10 @@
 		deadline := time.Duration(rapid.Int64Range(int64(10*time.Millisecond), int64(time.Hour)).Draw(t, "deadline"))
 		replaced := rapid.Bool().Draw(t, "replaced")
 		plan, kill := Plan(deadline, replaced), KillAfter(deadline)
-		if last := Stall + plan.AnswerBy + Stall + writeTime; last > kill {
+		if last := MaxStall + plan.AnswerBy + MaxStall + writeTime; last > kill {
 			t.Fatalf("the last answer may be written after %v, SIGKILL follows after %v", last, kill)
 		}
-		if deadline <= LongestDeadline && plan.AnswerBy < deadline {
+		if deadline <= MaxDeadline && plan.AnswerBy < deadline {
 			t.Fatalf("answering by %v shortens a deadline of %v", plan.AnswerBy, deadline)
 		}
 		if plan.CloseBy <= plan.AnswerBy || plan.CloseBy >= kill {
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -37,7 +37,7 @@
 // more or less moves the ranks of the others by one position at most, and a server more or less moves none.
 //
 // It takes time in proportion to the number of agents, some 2 ns each.
-func (s *Subset) Place(server string) float64 {
+func (s *Subset) Rank(server string) float64 {
 	h := xxhash.Sum64String(server)
 	if !s.known { // random: no better and no worse than for other agents of unknown index
 		return unit(mix(h ^ mix(s.settings.Seed)))
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -14,7 +14,7 @@
 	for a := range all {
 		s := New(place(a))
 		for i := range servers {
-			if s.Place(fmt.Sprint("forms-", i)) < share {
+			if s.Rank(fmt.Sprint("forms-", i)) < share {
 				all[a] = append(all[a], i)
 			}
 		}
@@ -153,8 +153,8 @@
 func TestPlacesAreBounded(t *testing.T) {
 	for _, set := range []Settings{{}, {Agents: 1}, {Agents: 1, Me: 1, Seed: 3}, {Agents: -5, Me: -5}, {Agents: 1 << 40, Me: 1 << 39}, {Agents: 1 << 40, Me: 7}} {
 		for i := range 4 {
-			p := New(set).Place(fmt.Sprint(i))
-			if p != New(set).Place(fmt.Sprint(i)) || p < 0 || p >= 1 {
+			p := New(set).Rank(fmt.Sprint(i))
+			if p != New(set).Rank(fmt.Sprint(i)) || p < 0 || p >= 1 {
 				t.Errorf("%+v: %v", set, p)
 			}
 		}
@@ -167,7 +167,7 @@
 		b.Run(fmt.Sprint(agents, " agents"), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				s.Place("forms-1")
+				s.Rank("forms-1")
 			}
 		})
 	}
--- a/internal/decide/succession/stored_test.go
+++ b/internal/decide/succession/stored_test.go
@@ -33,8 +33,8 @@
 	if s.Name != "n1" || s.Discovery != "127.0.0.1:58175" || len(s.Listeners) != 1 || s.Listeners[0] != "127.0.0.1:55889" {
 		t.Errorf("name %q, discovery %q, listeners %q", s.Name, s.Discovery, s.Listeners)
 	}
-	if len(s.Said.Out) != 1 || s.Said.Out["s-1"] == 0 || s.Said.Back["s-3"] != [2]int64{1796392854894, 1796392854896} {
-		t.Errorf("overrides %+v", s.Said)
+	if len(s.Overrides.Offline) != 1 || s.Overrides.Offline["s-1"] == 0 || s.Overrides.BackOnline["s-3"] != [2]int64{1796392854894, 1796392854896} {
+		t.Errorf("overrides %+v", s.Overrides)
 	}
 	if s.Learned == nil || len(s.Learned.Classes) != 2 || len(s.Learned.Servers) != 3 {
 		t.Fatalf("learned %+v", s.Learned)
@@ -46,7 +46,7 @@
 	if server.ID != "s-0" || server.Rate < 133 || server.Use != 0.3 || server.Trust != 1 || server.Reported != 309505426*time.Nanosecond || server.Judged != server.Reported {
 		t.Errorf("server %+v", server)
 	}
-	again, err := Frame(s)
+	again, err := Encode(s)
 	if err != nil || !bytes.Equal(again, frame) {
 		t.Errorf("written again, it differs: %v\n%s", err, again)
 	}
--- a/internal/decide/succession/succession.go
+++ b/internal/decide/succession/succession.go
@@ -15,16 +15,16 @@
 
 // State is the state that a process starts with if it replaces another one.
 type State struct {
-	Name      string           `json:"name"`
-	Discovery string           `json:"discovery"`         // address of List's source; list versions differ between sources
-	List      json.RawMessage  `json:"list"`              // the server list, in discovery's format
-	Said      operators.Saying `json:"said"`              // operators' overrides of servers
-	Learned   *choice.Memory   `json:"learned,omitempty"` // what the decision module has learned
-	Listeners []string         `json:"listeners"`         // addresses of the listeners, in the order in which their descriptors are passed
+	Name      string             `json:"name"`
+	Discovery string             `json:"discovery"`         // address of List's source; list versions differ between sources
+	List      json.RawMessage    `json:"list"`              // the server list, in discovery's format
+	Overrides operators.Snapshot `json:"said"`              // operators' overrides of servers
+	Learned   *choice.Memory     `json:"learned,omitempty"` // what the decision module has learned
+	Listeners []string           `json:"listeners"`         // addresses of the listeners, in the order in which their descriptors are passed
 }
 
 // Update is a notification between the old and the new process while both are running.
-type News struct {
+type Update struct {
 	Offline string          `json:"offline,omitempty"` // id of a server that an operator took offline
 	Online  string          `json:"online,omitempty"`  // id of a server that an operator put back online
 	Ended   json.RawMessage `json:"ended,omitempty"`   // entries of servers that are draining or were removed, in discovery's format
@@ -36,7 +36,7 @@
 
 // Applies reports whether the other process's notification that a server is draining or was removed applies. It does not if it is
 // about an earlier start of the server than the one known here, or about a server that is unknown here.
-func Counts(known, notified choice.Server) bool {
+func Applies(known, notified choice.Server) bool {
 	return known.ID == notified.ID && notified.State != choice.Ready && notified.Started >= known.Started
 }
 
@@ -45,23 +45,23 @@
 const (
 	magic = "TBS\x01"
 	// HeaderSize is the size of a frame's header in bytes.
-	HeadSize = len(magic) + 4 + 4
+	HeaderSize = len(magic) + 4 + 4
 	// MaxBodyBytes is the maximum size of a frame's body: a server list of 8 MiB and as much again for the rest.
-	MostBytes = 16 << 20
+	MaxBodyBytes = 16 << 20
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Encode returns a frame with the JSON encoding of v.
-func Frame(v any) ([]byte, error) {
+func Encode(v any) ([]byte, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	if len(body) > MostBytes {
-		return nil, fmt.Errorf("handover: body of %d bytes exceeds the maximum of %d", len(body), MostBytes)
+	if len(body) > MaxBodyBytes {
+		return nil, fmt.Errorf("handover: body of %d bytes exceeds the maximum of %d", len(body), MaxBodyBytes)
 	}
-	out := append(make([]byte, 0, HeadSize+len(body)), magic...)
+	out := append(make([]byte, 0, HeaderSize+len(body)), magic...)
 	out = binary.BigEndian.AppendUint32(out, uint32(len(body)))
 	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(body, crcTable))
 	return append(out, body...), nil
@@ -71,19 +71,19 @@
 var ErrFrame = errors.New("handover: invalid frame")
 
 // DecodeHeader decodes the header of a frame and returns the length and the checksum of its body.
-func Head(head []byte) (length int, sum uint32, err error) {
-	if len(head) != HeadSize || string(head[:len(magic)]) != magic {
+func DecodeHeader(head []byte) (length int, sum uint32, err error) {
+	if len(head) != HeaderSize || string(head[:len(magic)]) != magic {
 		return 0, 0, fmt.Errorf("%w: it begins with %q instead of %q", ErrFrame, head[:min(len(head), len(magic))], magic)
 	}
 	n := binary.BigEndian.Uint32(head[len(magic):])
-	if n > MostBytes {
-		return 0, 0, fmt.Errorf("%w: byte %d: a length of %d exceeds the maximum of %d", ErrFrame, len(magic), n, MostBytes)
+	if n > MaxBodyBytes {
+		return 0, 0, fmt.Errorf("%w: byte %d: a length of %d exceeds the maximum of %d", ErrFrame, len(magic), n, MaxBodyBytes)
 	}
 	return int(n), binary.BigEndian.Uint32(head[len(magic)+4:]), nil
 }
 
 // DecodeBody checks the body of a frame against its checksum and decodes it into into.
-func Body(body []byte, sum uint32, into any) error {
+func DecodeBody(body []byte, sum uint32, into any) error {
 	if got := crc32.Checksum(body, crcTable); got != sum {
 		return fmt.Errorf("%w: checksum is %08x, want %08x", ErrFrame, got, sum)
 	}
--- a/internal/decide/succession/succession_test.go
+++ b/internal/decide/succession/succession_test.go
@@ -10,22 +10,22 @@
 )
 
 func parse(frame []byte, into any) error {
-	n, sum, err := Head(frame[:min(len(frame), HeadSize)])
+	n, sum, err := DecodeHeader(frame[:min(len(frame), HeaderSize)])
 	if err != nil {
 		return err
 	}
-	if len(frame) != HeadSize+n {
+	if len(frame) != HeaderSize+n {
 		return ErrFrame
 	}
-	return Body(frame[HeadSize:], sum, into)
+	return DecodeBody(frame[HeaderSize:], sum, into)
 }
 
 func TestFrame(t *testing.T) {
-	frame, err := Frame(News{Offline: "s-1"})
+	frame, err := Encode(Update{Offline: "s-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var n News
+	var n Update
 	if err := parse(frame, &n); err != nil || n.Offline != "s-1" {
 		t.Errorf("%+v, %v", n, err)
 	}
@@ -36,8 +36,8 @@
 			t.Errorf("byte %d: %v", i, err)
 		}
 	}
-	binary.BigEndian.PutUint32(frame[len(magic):], MostBytes+1)
-	if _, _, err := Head(frame[:HeadSize]); err == nil || !strings.Contains(err.Error(), "byte 4: a length of") {
+	binary.BigEndian.PutUint32(frame[len(magic):], MaxBodyBytes+1)
+	if _, _, err := DecodeHeader(frame[:HeaderSize]); err == nil || !strings.Contains(err.Error(), "byte 4: a length of") {
 		t.Errorf("a length above the maximum: %v", err)
 	}
 }
@@ -49,13 +49,13 @@
 		want            bool
 	}{
 		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5, State: choice.Draining}, true},
-		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5, State: choice.Gone}, true},
+		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5, State: choice.Removed}, true},
 		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 6, State: choice.Draining}, true},
 		{choice.Server{ID: "a", Started: 6}, choice.Server{ID: "a", Started: 5, State: choice.Draining}, false},
 		{choice.Server{ID: "a", Started: 5}, choice.Server{ID: "a", Started: 5}, false},
-		{choice.Server{}, choice.Server{ID: "a", State: choice.Gone}, false},
+		{choice.Server{}, choice.Server{ID: "a", State: choice.Removed}, false},
 	} {
-		if got := Counts(c.known, c.notified); got != c.want {
+		if got := Applies(c.known, c.notified); got != c.want {
 			t.Errorf("known %+v, notified %+v: %t", c.known, c.notified, got)
 		}
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -22,7 +22,7 @@
 	// listStallTimeout limits the time from the start of a list, or from its latest progress, to more progress or its end. If a service
 	// stops in the middle of a list without closing, it is called again soon enough to learn what a silent watch missed. The next call may
 	// take the full silenceTimeout, as the service may just be slow.
-	listStall = time.Second
+	listStallTimeout = time.Second
 )
 
 // Events are the callbacks and options of a watch. The callbacks run on the goroutine that watches.
@@ -32,8 +32,8 @@
 	Established func()     // data was received on the watch, or it was opened after a full list; called once; may be nil
 	Deliver     func(List) // delivers an accepted list
 
-	Whole  bool          // request the full list first
-	Within time.Duration // limits the time to an answer, and that of the full list; 0 for the client's silence timeout
+	Full    bool          // request the full list first
+	Timeout time.Duration // limits the time to an answer, and that of the full list; 0 for the client's silence timeout
 }
 
 // call is one request for the list, and the watch after it.
@@ -47,8 +47,8 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	limit := d.silenceTimeout
-	if events.Within > 0 {
-		limit = events.Within
+	if events.Timeout > 0 {
+		limit = events.Timeout
 	}
 	silence := newSilenceTimer(limit, func(limit time.Duration) { cancel(silenceError(limit)) })
 	defer silence.stop()
@@ -68,9 +68,9 @@
 		reportAlive(a)
 	}
 	fullReceived := false
-	if _, needed := d.version(); needed || events.Whole {
+	if _, needed := d.version(); needed || events.Full {
 		onAnswer, onData := answered, alive
-		if events.Whole {
+		if events.Full {
 			onAnswer, onData = events.Answered, reportAlive // the full list may take as long as the call
 		}
 		if err := d.read(ctx, "", onAnswer, onData, func(l rawList) error {
@@ -150,8 +150,8 @@
 	if by := d.lastDelivery.by; by != nil && by != c && c.started < d.lastDelivery.at && l.Version < d.checker.Version() {
 		return errStale // the answer was late, which does not mean that discovery has restarted its versions
 	}
-	v := d.checker.Judge(l.forCheck())
-	if v.Hold {
+	v := d.checker.Check(l.forCheck())
+	if v.Reject {
 		d.deliverDrains(c, l, v.Draining)
 		return fmt.Errorf("list rejected: %s", v.Reason)
 	}
@@ -183,7 +183,7 @@
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	d.deliverDrains(c, l, d.checker.Drains(l.forCheck()))
+	d.deliverDrains(c, l, d.checker.ApplyDrains(l.forCheck()))
 	return errNotFull
 }
 
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -52,7 +52,7 @@
 func TestDrainBehindSilentWatches(t *testing.T) {
 	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
-	limit := 6*time.Second + 500*time.Millisecond - asking.Silence + silence
+	limit := 6*time.Second + 500*time.Millisecond - asking.WatchSilenceTimeout + silence
 	watch := func(w http.ResponseWriter, r *http.Request) { write(w, inService); <-r.Context().Done() }
 	answers := func(w http.ResponseWriter, r *http.Request) { write(w, draining); <-r.Context().Done() }
 	for name, handlers := range map[string][]func(http.ResponseWriter, *http.Request){
@@ -84,7 +84,7 @@
 				if took := at.Sub(start); took > limit {
 					t.Errorf("received after %v, over %v", took, limit)
 				}
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Fatal("the drain was never received")
 			}
 			<-requests
@@ -212,7 +212,7 @@
 		answers(8, true, both), answers(9, false, entry("b", "terminating")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler))
+	d := New(addr, List{Version: UnknownVersion}, slog.New(slog.DiscardHandler))
 	received := make(chan string, 100)
 	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
 		text := fmt.Sprint(l.Version, " ", l.Full)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -37,12 +37,12 @@
 	client         *http.Client
 	log            *slog.Logger
 
-	mu                sync.Mutex      // held while a list is checked and delivered
-	checker           *listing.Keeper // decides which lists are accepted
-	lastEnd           string          // error of the latest watch, empty if a list has been delivered since
-	drainsUnconfirmed bool            // drains of a rejected list were delivered, and no full list since
-	lastDelivery      delivery        // of an accepted list
-	stalled           bool            // the latest list that started was not complete in time, and none has been since
+	mu                sync.Mutex       // held while a list is checked and delivered
+	checker           *listing.Checker // decides which lists are accepted
+	lastEnd           string           // error of the latest watch, empty if a list has been delivered since
+	drainsUnconfirmed bool             // drains of a rejected list were delivered, and no full list since
+	lastDelivery      delivery         // of an accepted list
+	stalled           bool             // the latest list that started was not complete in time, and none has been since
 }
 
 // delivery records which call delivered a list, and when.
@@ -53,15 +53,15 @@
 
 // UnknownVersion is the version of a list when none has been received from this discovery service yet: another service may count
 // differently.
-const Unknown = listing.Unknown
+const UnknownVersion = listing.UnknownVersion
 
 // New returns a Client that starts from a known list, which may have the version UnknownVersion.
 func New(addr string, known List, log *slog.Logger) *Client {
 	checker := listing.New(known.Version)
-	if known.Version != Unknown {
-		checker.Judge(known.forCheck())
+	if known.Version != UnknownVersion {
+		checker.Check(known.forCheck())
 	}
-	return &Client{addr: addr, checker: checker, silenceTimeout: asking.Silence, stallTimeout: listStall, log: log, client: &http.Client{
+	return &Client{addr: addr, checker: checker, silenceTimeout: asking.WatchSilenceTimeout, stallTimeout: listStallTimeout, log: log, client: &http.Client{
 		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
 			DialContext: dial},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -71,7 +71,7 @@
 // KeepWatching watches the list until ctx ends. It starts each watch from the latest version, at the times that scheduler determines.
 // Without a watch, the agent continues with the list that it has. lost, which may be nil, is called whenever a watch ends. Lists are
 // delivered one after the other, from any goroutine, and none after KeepWatching has returned.
-func (d *Client) KeepWatching(ctx context.Context, scheduler *asking.Asker, deliver func(List), lost func()) {
+func (d *Client) KeepWatching(ctx context.Context, scheduler *asking.Scheduler, deliver func(List), lost func()) {
 	if lost == nil {
 		lost = func() {}
 	}
@@ -83,26 +83,26 @@
 }
 
 // keepWatchingShared is KeepWatching for a service that all agents share. It makes one call at a time.
-func (d *Client) keepWatchingShared(ctx context.Context, scheduler *asking.Asker, deliver func(List), lost func()) {
+func (d *Client) keepWatchingShared(ctx context.Context, scheduler *asking.Scheduler, deliver func(List), lost func()) {
 	contact := newContactLog(d.log)
 	started := clock.Now()
-	events := Events{Answered: func() { contact.callAnswered(started); scheduler.Answered(clock.Now()) }, Alive: contact.dataReceived,
-		Deliver: func(l List) { scheduler.Delivered(); deliver(l) }, Within: asking.CallWait}
-	for next := scheduler.Start(started); ; {
+	events := Events{Answered: func() { contact.callAnswered(started); scheduler.ResponseStarted(clock.Now()) }, Alive: contact.dataReceived,
+		Deliver: func(l List) { scheduler.ListReceived(); deliver(l) }, Timeout: asking.CallTimeout}
+	for next := scheduler.FirstCall(started); ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(next - clock.Now()):
 		}
 		started = clock.Now()
-		scheduler.Asked(started)
+		scheduler.CallStarted(started)
 		contact.callStarted()
 		silent := d.Watch(ctx, events)
 		if ctx.Err() != nil {
 			return
 		}
 		lost()
-		next = scheduler.Over(clock.Now(), silent)
+		next = scheduler.CallEnded(clock.Now(), silent)
 	}
 }
 
@@ -138,5 +138,5 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	version = d.checker.Version()
-	return version, version == Unknown || d.drainsUnconfirmed
+	return version, version == UnknownVersion || d.drainsUnconfirmed
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -69,7 +69,7 @@
 			if got != want {
 				t.Errorf("%q, not %q", got, want)
 			}
-		case <-time.After(testkit.Patience):
+		case <-time.After(testkit.WaitTimeout):
 			t.Fatalf("%q is never received", want)
 		}
 	}
@@ -106,7 +106,7 @@
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("nothing was received")
 	}
 }
@@ -115,7 +115,7 @@
 	good := Entry{ID: "s", Addr: "127.0.0.1:8000", Zone: "b", Cell: 3, State: "in_service", Weight: 1.5, StartedMS: 2000}
 	got, err := good.Server([]string{"a", "b"})
 	want := choice.Server{ID: "s", State: choice.Ready, Zone: 1, Cell: 3, Weight: 1.5, Started: 2 * time.Second,
-		Speaks: protocol.HTTP}
+		Protocols: protocol.HTTP}
 	if err != nil || got != want {
 		t.Errorf("%+v, %v", got, err)
 	}
@@ -167,7 +167,7 @@
 			var got []int64
 			last := make(chan struct{})
 			d := New(s.Listener.Addr().String(), List{Version: 7}, slog.New(slog.NewTextHandler(&log, nil)))
-			d.silenceTimeout, d.stallTimeout = testkit.Patience, testkit.Patience // a slow machine reads the longest list for seconds
+			d.silenceTimeout, d.stallTimeout = testkit.WaitTimeout, testkit.WaitTimeout // a slow machine reads the longest list for seconds
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -207,7 +207,7 @@
 	}))
 	defer s.Close()
 	var got []Entry
-	d := New(s.Listener.Addr().String(), List{Version: Unknown}, slog.New(slog.DiscardHandler))
+	d := New(s.Listener.Addr().String(), List{Version: UnknownVersion}, slog.New(slog.DiscardHandler))
 	d.Watch(context.Background(), Events{Answered: func() {}, Alive: func() {}, Deliver: func(l List) { got = l.Servers }})
 	if len(got) != 2 || got[0].ID != "b" || got[1].ID != "a" || got[1].State != "terminating" {
 		t.Errorf("delivered %+v", got)
--- a/internal/discovery/dnssource/dnssource.go
+++ b/internal/discovery/dnssource/dnssource.go
@@ -30,16 +30,16 @@
 const maxInFlight = 32
 
 // Run queries until the context ends. It calls deliver with each new state of the records, and lost when no name server answers.
-func Run(ctx context.Context, set Settings, deliver func(resolve.Word), lost func()) {
+func Run(ctx context.Context, set Settings, deliver func(resolve.Snapshot), lost func()) {
 	set.Settings.Servers = len(set.Addrs)
 	r := resolve.New(set.Settings, set.Seed)
 	type done struct {
-		query  resolve.Ask
+		query  resolve.Query
 		answer resolve.Answer
 	}
 	answers := make(chan done, maxInFlight)
 	slots := make(chan struct{}, maxInFlight)
-	var queue []resolve.Ask
+	var queue []resolve.Query
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -55,7 +55,7 @@
 			a := queue[0]
 			queue = queue[1:]
 			go func() {
-				answer := Ask(ctx, set.Addrs[a.Server], a)
+				answer := Exchange(ctx, set.Addrs[a.Server], a)
 				<-slots
 				select {
 				case answers <- done{a, answer}:
@@ -63,7 +63,7 @@
 				}
 			}()
 		}
-		snapshot, unreachable := r.Told()
+		snapshot, unreachable := r.TakeUpdate()
 		if snapshot != nil {
 			deliver(*snapshot)
 		}
@@ -76,24 +76,24 @@
 			return
 		case <-timer.C:
 		case d := <-answers:
-			if v := d.answer.Verdict; v != resolve.Good && v != resolve.None {
+			if v := d.answer.Verdict; v != resolve.Good && v != resolve.NoRecords {
 				set.Log.Debug("no answer", "question", d.query.Question.String(), "server", set.Addrs[d.query.Server], "tcp", d.query.TCP,
-					"verdict", v.String(), "why", d.answer.Why)
+					"verdict", v.String(), "why", d.answer.Reason)
 			}
-			queue = append(queue, r.Answered(set.Now(), d.query.Number, d.query.TCP, d.answer)...)
+			queue = append(queue, r.HandleAnswer(set.Now(), d.query.Number, d.query.TCP, d.answer)...)
 		}
 	}
 }
 
 // Exchange sends one query to one server over a socket of its own. The port is a new one each time, and the socket accepts nothing from
 // other servers. Messages that are no answer to the query are ignored.
-func Ask(ctx context.Context, addr string, q resolve.Ask) resolve.Answer {
+func Exchange(ctx context.Context, addr string, q resolve.Query) resolve.Answer {
 	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	id := dns.Id() // from crypto/rand
 	wire, err := resolve.Pack(id, q.Question)
 	if err != nil {
-		return resolve.Answer{Verdict: resolve.Nonsense, Why: err.Error()}
+		return resolve.Answer{Verdict: resolve.Malformed, Reason: err.Error()}
 	}
 	network := "udp"
 	if q.TCP {
@@ -102,7 +102,7 @@
 	}
 	answer, err := exchange(ctx, network, addr, wire, id, q.Question)
 	if err != nil {
-		return resolve.Answer{Verdict: resolve.Silence, Why: err.Error()}
+		return resolve.Answer{Verdict: resolve.NoReply, Reason: err.Error()}
 	}
 	return answer
 }
@@ -126,8 +126,8 @@
 		if err != nil {
 			return resolve.Answer{}, fmt.Errorf("waiting for an answer: %w", err)
 		}
-		answer, err := resolve.Read(buffer[:n], id, q)
-		if errors.Is(err, resolve.ErrForeign) {
+		answer, err := resolve.ParseAnswer(buffer[:n], id, q)
+		if errors.Is(err, resolve.ErrUnrelated) {
 			continue
 		}
 		return answer, err
--- a/internal/discovery/dnssource/dnssource_test.go
+++ b/internal/discovery/dnssource/dnssource_test.go
@@ -17,7 +17,7 @@
 
 // runningSource is a source that Run operates.
 type runningSource struct {
-	snapshots chan resolve.Word
+	snapshots chan resolve.Snapshot
 	lost      chan struct{}
 }
 
@@ -25,22 +25,22 @@
 	t.Helper()
 	set := Settings{Settings: resolve.Defaults, Addrs: servers, Seed: 1, Log: slog.New(slog.DiscardHandler),
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
-	set.Name, set.Timeout, set.TCP, set.Least, set.Most = service, 50*time.Millisecond, 50*time.Millisecond, least, least
+	set.Name, set.Timeout, set.TCPTimeout, set.MinInterval, set.MaxInterval = service, 50*time.Millisecond, 50*time.Millisecond, least, least
 	ctx, cancel := context.WithCancel(context.Background())
-	r := runningSource{make(chan resolve.Word, 1000), make(chan struct{}, 1000)}
+	r := runningSource{make(chan resolve.Snapshot, 1000), make(chan struct{}, 1000)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		Run(ctx, set, func(w resolve.Word) { r.snapshots <- w }, func() { r.lost <- struct{}{} })
+		Run(ctx, set, func(w resolve.Snapshot) { r.snapshots <- w }, func() { r.lost <- struct{}{} })
 	}()
 	t.Cleanup(func() { cancel(); <-ended })
 	return r
 }
 
 // waitFor waits for a snapshot with the given property.
-func (r runningSource) waitFor(t *testing.T, what string, holds func(resolve.Word) bool) {
+func (r runningSource) waitFor(t *testing.T, what string, holds func(resolve.Snapshot) bool) {
 	t.Helper()
-	timeout := time.After(testkit.Patience)
+	timeout := time.After(testkit.WaitTimeout)
 	for {
 		select {
 		case w := <-r.snapshots:
@@ -53,14 +53,14 @@
 	}
 }
 
-func newNames(t *testing.T, records ...string) *standin.Names {
+func newNames(t *testing.T, records ...string) *standin.NameServer {
 	t.Helper()
-	n, err := standin.NewNames()
+	n, err := standin.NewNameServer()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Close)
-	if err := n.Set(records...); err != nil {
+	if err := n.SetZone(records...); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -74,31 +74,31 @@
 	return all
 }
 
-func has(n int) func(resolve.Word) bool {
-	return func(w resolve.Word) bool { return len(w.Claims) == n }
+func has(n int) func(resolve.Snapshot) bool {
+	return func(w resolve.Snapshot) bool { return len(w.Claims) == n }
 }
 
 // For each fault of a name server, another server is queried. Without another one, the loss is reported, and the source recovers with the
 // server.
 func TestFaults(t *testing.T) {
-	for name, fault := range map[string]standin.NameFault{"silent": standin.NameSilent, "cut off, and TCP hangs": standin.NameCutHang,
-		"refused": standin.NameRefused, "fails": standin.NameFails, "another id": standin.NameOtherID, "another port": standin.NameOtherPort,
+	for name, fault := range map[string]standin.NameFault{"silent": standin.NameSilent, "cut off, and TCP hangs": standin.NameTruncatedNoTCP,
+		"refused": standin.NameRefused, "fails": standin.NameServFail, "another id": standin.NameWrongID, "another port": standin.NameWrongPort,
 		"a loop of names": standin.NameLoop} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			bad := newNames(t, records(1, 2)...)
-			bad.Fault(fault)
+			bad.SetFault(fault)
 			alone := start(t, 20*time.Millisecond, bad.Addr())
 			select {
 			case <-alone.lost:
 			case w := <-alone.snapshots:
 				t.Fatalf("delivered %+v", w)
-			case <-time.After(testkit.Patience):
+			case <-time.After(testkit.WaitTimeout):
 				t.Fatal("neither a snapshot nor the loss of all servers is reported")
 			}
 			good := newNames(t, records(1, 2)...)
 			start(t, 20*time.Millisecond, bad.Addr(), good.Addr()).waitFor(t, "by the other server", has(2))
-			bad.Fault(standin.NameWell)
+			bad.SetFault(standin.NameOK)
 			alone.waitFor(t, "when it is well", has(2))
 		})
 	}
@@ -107,7 +107,7 @@
 // A truncated answer is fetched over TCP, and so are 600 records, which fit in no datagram.
 func TestLargeAnswers(t *testing.T) {
 	n := newNames(t, records(60, 3)...)
-	n.Fault(standin.NameCut)
+	n.SetFault(standin.NameTruncated)
 	start(t, time.Second, n.Addr()).waitFor(t, "by TCP", has(3))
 	var many []string
 	for i := range 600 {
@@ -122,14 +122,14 @@
 	n := newNames(t, records(0, 3)...)
 	r := start(t, 20*time.Millisecond, n.Addr())
 	r.waitFor(t, "three servers", has(3))
-	if err := n.Set(records(0, 2)...); err != nil {
+	if err := n.SetZone(records(0, 2)...); err != nil {
 		t.Fatal(err)
 	}
 	r.waitFor(t, "two servers", has(2))
-	n.Fault(standin.NameEmpty)
+	n.SetFault(standin.NameNXDomain)
 	r.waitFor(t, "none", has(0))
-	n.Fault(standin.NameWell)
-	r.waitFor(t, "two again", func(w resolve.Word) bool {
+	n.SetFault(standin.NameOK)
+	r.waitFor(t, "two again", func(w resolve.Snapshot) bool {
 		return len(w.Claims) == 2 && strings.HasPrefix(w.Claims[0].Addrs[0], "[::1]:")
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -45,7 +45,7 @@
 const terminating = "terminating"
 
 var states = map[string]choice.State{"in_service": choice.Ready, terminating: choice.Draining,
-	"terminated": choice.Gone}
+	"terminated": choice.Removed}
 
 // Server converts an entry for the module. Module time is Unix time, so a start time needs no conversion, and 0 still
 // means "long ago".
@@ -68,7 +68,7 @@
 		return choice.Server{}, fmt.Errorf("backend %q: %d addresses, at most %d are accepted", e.ID, len(e.Addrs), maxAddrs)
 	}
 	for _, addr := range append([]string{e.Addr}, e.Addrs...) {
-		if kind, _, target := addresses.Of(addr); kind == addresses.Unix && target != "" {
+		if kind, _, target := addresses.Parse(addr); kind == addresses.Unix && target != "" {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -85,7 +85,7 @@
 	if e.Multiplexed && speaks&protocol.HTTP != 0 {
 		return choice.Server{}, fmt.Errorf("backend %q: HTTP/1.1 is not multiplexed", e.ID)
 	}
-	return choice.Server{Speaks: speaks, Zone: max(slices.Index(zones, e.Zone), 0), Cell: e.Cell,
+	return choice.Server{Protocols: speaks, Zone: max(slices.Index(zones, e.Zone), 0), Cell: e.Cell,
 		Weight: e.Weight, Started: time.Duration(e.StartedMS) * time.Millisecond}, nil
 }
 
@@ -99,7 +99,7 @@
 }
 
 // TrackerEntry converts an entry for the call tracker.
-func (e Entry) Listed(zones []string) (ledger.Entry, error) {
+func (e Entry) TrackerEntry(zones []string) (ledger.Entry, error) {
 	s, err := e.Server(zones)
 	return ledger.Entry{Server: s, Addr: e.Addr, Addrs: e.Addrs, Multiplexed: e.Multiplexed, Shapes: e.Shapes}, err
 }
--- a/internal/discovery/localwatch.go
+++ b/internal/discovery/localwatch.go
@@ -87,11 +87,11 @@
 
 // startCall starts a call. If too many calls are pending, one of them is canceled.
 func (w *localWatch) startCall(ctx context.Context) {
-	if len(w.pending) >= asking.MostPending { // the oldest is kept, as the service may be slow
+	if len(w.pending) >= asking.MaxPending { // the oldest is kept, as the service may be slow
 		w.pending[1].cancel(errSuperseded)
 		w.pending = slices.Delete(w.pending, 1, 2)
 	}
-	options := w.schedule.Call(len(w.pending))
+	options := w.schedule.NextCall(len(w.pending))
 	ctx, cancel := context.WithCancelCause(ctx)
 	c := &localCall{cancel: cancel}
 	w.pending = append(w.pending, c)
@@ -112,8 +112,8 @@
 			w.deliver(l)
 			delivered()
 		},
-		Whole:  options.Whole,
-		Within: options.Within,
+		Full:    options.Full,
+		Timeout: options.Timeout,
 	}
 	w.calls.Go(func() {
 		defer cancel(nil)
@@ -135,7 +135,7 @@
 	switch e.kind {
 	case callDelivered:
 		if w.established == nil { // an established watch may take as long as it needs
-			w.schedule.Delivered(e.took)
+			w.schedule.ListReceived(e.took)
 		}
 	case callEstablished:
 		if w.established == nil && slices.Contains(w.pending, e.call) {
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -42,7 +42,7 @@
 	select {
 	case l := <-lists:
 		return l
-	case <-time.After(testkit.Patience):
+	case <-time.After(testkit.WaitTimeout):
 		t.Fatal("no list is delivered")
 		return List{}
 	}
@@ -67,8 +67,8 @@
 		<-r.Context().Done()
 	})
 	lists := watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler)))
-	testkit.Eventually(t, "the maximum number of calls hangs", func() bool { return made.Load() > 2*asking.MostPending })
-	if n := maxOpen.Load(); n > asking.MostPending+1 { // the end of a call is noticed a little later
+	testkit.Eventually(t, "the maximum number of calls hangs", func() bool { return made.Load() > 2*asking.MaxPending })
+	if n := maxOpen.Load(); n > asking.MaxPending+1 { // the end of a call is noticed a little later
 		t.Errorf("%d concurrent calls", n)
 	}
 	up.Store(true)
@@ -147,7 +147,7 @@
 			}
 			limit := 500 * time.Millisecond
 			if name == "a head alone" { // looks like a watch until it is given up for its silence
-				limit += asking.Silence
+				limit += asking.WatchSilenceTimeout
 			}
 			if took := time.Since(begin); took > limit {
 				t.Errorf("received after %v, over %v", took, limit)
@@ -224,7 +224,7 @@
 	}
 	t.Run("a change after the full list", func(t *testing.T) {
 		addr, _ := startService(t, answers(whole+change), answers("\n"))
-		lists := watchLocally(t, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
+		lists := watchLocally(t, New(addr, List{Version: UnknownVersion}, slog.New(slog.DiscardHandler)))
 		for i, want := range []List{{Version: 8, Full: true}, {Version: 9}} {
 			if l := nextList(t, lists); l.Version != want.Version || l.Full != want.Full {
 				t.Errorf("list %d: %+v", i, l)
@@ -233,7 +233,7 @@
 	})
 	t.Run("a change alone", func(t *testing.T) {
 		addr, requests := startService(t, answers(change), answers(whole), answers("\n"))
-		lists := watchWith(t, sequentialCalls, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
+		lists := watchWith(t, sequentialCalls, New(addr, List{Version: UnknownVersion}, slog.New(slog.DiscardHandler)))
 		if l := nextList(t, lists); l.Full || len(l.Servers) != 1 || l.Servers[0].State != terminating {
 			t.Errorf("only the drains of a change without a full list take effect: %+v", l)
 		}
@@ -244,7 +244,7 @@
 	})
 	t.Run("full not stated", func(t *testing.T) {
 		addr, _ := startService(t, answers(`{"version":8,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}`), answers("\n"))
-		lists := watchLocally(t, New(addr, List{Version: Unknown}, slog.New(slog.DiscardHandler)))
+		lists := watchLocally(t, New(addr, List{Version: UnknownVersion}, slog.New(slog.DiscardHandler)))
 		if l := nextList(t, lists); !l.Full {
 			t.Errorf("an answer to a request for the full list that does not say whether it is full: %+v", l)
 		}
@@ -254,7 +254,7 @@
 // A drain or removal takes effect even if the rest of the entry is invalid.
 func TestDrainOfAnEntryThatIsWrong(t *testing.T) {
 	for _, e := range []Entry{{Addr: "x"}, {}, {Addr: "127.0.0.1:1", Protocol: "odd"}, {Addr: "127.0.0.1:1", Shapes: make([]string, maxShapes+1)}} {
-		for text, state := range map[string]choice.State{"terminating": choice.Draining, "terminated": choice.Gone} {
+		for text, state := range map[string]choice.State{"terminating": choice.Draining, "terminated": choice.Removed} {
 			e.ID, e.State = "s", text
 			if s, err := e.Server(nil); err != nil || s.ID != "s" || s.State != state {
 				t.Errorf("%+v: %+v, %v", e, s, err)
--- a/internal/discovery/silence.go
+++ b/internal/discovery/silence.go
@@ -8,7 +8,7 @@
 
 // suspensionMargin is the lateness of a timer that shows that the process was suspended, and also the time that it takes to read data
 // received meanwhile.
-const standstill = 500 * time.Millisecond
+const suspensionMargin = 500 * time.Millisecond
 
 // silenceError ends a watch on which nothing was received for this long.
 type silenceError time.Duration
@@ -50,10 +50,10 @@
 	passed := time.Since(last.since)
 	switch {
 	case passed < last.limit: // data was received at this moment, and the timer has been reset
-	case passed < last.limit+standstill:
+	case passed < last.limit+suspensionMargin:
 		s.expired(last.limit)
 	default: // the process was suspended, and may not have read what was received meanwhile
-		time.AfterFunc(standstill, func() {
+		time.AfterFunc(suspensionMargin, func() {
 			if s.last.Load() == last {
 				s.expired(last.limit)
 			}
--- a/internal/discovery/standstill_test.go
+++ b/internal/discovery/standstill_test.go
@@ -75,7 +75,7 @@
 	})
 	close(stopped)
 	<-sent
-	time.Sleep(silence + standstill + 100*time.Millisecond) // the suspension itself
+	time.Sleep(silence + suspensionMargin + 100*time.Millisecond) // the suspension itself
 	other.Process.Signal(syscall.SIGCONT)
 	if line := nextLine(); line != "version 9" {
 		t.Errorf("after resuming: %s", line)
--- a/internal/host/accept/accept.go
+++ b/internal/host/accept/accept.go
@@ -15,11 +15,11 @@
 	"ternbeam/internal/sysio/transient"
 )
 
-const logEvery = time.Second // minimum interval between log lines
+const logInterval = time.Second // minimum interval between log lines
 
 // IsFinal reports whether an error of an accept means that nothing more will be accepted: the listener was closed by this process, or
 // its deadline has passed.
-func Final(err error) bool {
+func IsFinal(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -38,7 +38,7 @@
 func NewRetrier(log *slog.Logger) *Retrier { return &Retrier{log: log, sleep: time.Sleep} }
 
 // TotalFailures returns how many accepts have failed since the start.
-func (r *Retrier) Failures() int {
+func (r *Retrier) TotalFailures() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total
@@ -52,7 +52,7 @@
 			r.succeeded()
 			return conn, nil
 		}
-		if Final(err) {
+		if IsFinal(err) {
 			return conn, err
 		}
 		r.sleep(r.failed(err))
@@ -72,7 +72,7 @@
 	r.failures++
 	r.total++
 	now := time.Now()
-	if now.Sub(r.lastLogged) >= logEvery {
+	if now.Sub(r.lastLogged) >= logInterval {
 		r.lastLogged = now
 		r.log.Warn("accepting a connection failed, trying again", "error", err, "in_a_row", r.failures, "in_all", r.total)
 	}
--- a/internal/host/accept/accept_test.go
+++ b/internal/host/accept/accept_test.go
@@ -37,8 +37,8 @@
 					}
 					return "connection", nil
 				})
-				if err != nil || got != "connection" || r.Failures() != times {
-					t.Errorf("%q, %v after %d failures", got, err, r.Failures())
+				if err != nil || got != "connection" || r.TotalFailures() != times {
+					t.Errorf("%q, %v after %d failures", got, err, r.TotalFailures())
 				}
 				if waits[0] != 0 {
 					t.Errorf("waits for %v after a single failure", waits[0])
--- a/internal/host/accept/socket.go
+++ b/internal/host/accept/socket.go
@@ -29,14 +29,14 @@
 }
 
 // openTimeout is how long opening a Socket is retried.
-const openWithin = 4 * time.Second
+const openTimeout = 4 * time.Second
 
 // NewSocket returns a Socket for a listener, which stays open. It retries for up to openTimeout after errors such as a lack of descriptors.
 func NewSocket(l *net.TCPListener) (*Socket, error) {
 	var file *os.File
-	ctx, cancel := context.WithTimeout(context.Background(), openWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	defer cancel()
-	if err := transient.Until(ctx, func() (err error) {
+	if err := transient.Retry(ctx, func() (err error) {
 		file, err = l.File()
 		return err
 	}, func(err error) bool { return !errors.Is(err, net.ErrClosed) }); err != nil {
@@ -54,7 +54,7 @@
 
 // QueuedSince returns the earliest time at which the connection that was accepted last may have entered the queue, which was empty before.
 // It is the zero time if that is unknown.
-func (s *Socket) QueuedSince() time.Time { return s.ready.Since() }
+func (s *Socket) QueuedSince() time.Time { return s.ready.ReadySince() }
 
 // SetDeadline sets the deadline after which Accept fails with os.ErrDeadlineExceeded. The zero time means no deadline.
 func (s *Socket) SetDeadline(t time.Time) error { return s.file.SetReadDeadline(t) }
@@ -99,7 +99,7 @@
 // accept accepts a connection if one is queued. It does not use unix.Accept4, which makes another system call on the connection to
 // determine its protocol, and closes it if that fails.
 func accept(listener int) (accepted int, err error) {
-	err = transient.Uninterrupted(func() (failed error) {
+	err = transient.RetryEINTR(func() (failed error) {
 		accepted, _, failed = syscall.Accept4(listener, unix.SOCK_CLOEXEC)
 		return failed
 	})
--- a/internal/host/accept/socket_test.go
+++ b/internal/host/accept/socket_test.go
@@ -53,7 +53,7 @@
 func TestSocketDeadlineAndClose(t *testing.T) {
 	s, l := newSocket(t)
 	s.SetDeadline(time.Now().Add(time.Millisecond))
-	if _, err := s.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) || !Final(err) {
+	if _, err := s.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) || !IsFinal(err) {
 		t.Errorf("after the deadline: %v", err)
 	}
 	s.SetDeadline(time.Time{})
--- a/internal/host/conntrack/closerace_test.go
+++ b/internal/host/conntrack/closerace_test.go
@@ -18,14 +18,14 @@
 			for range d.tracker.maxConns / idleShareDivisor {
 				dialClient(t, d, "")
 				conn := acceptConn(t, d)
-				d.tracker.Busy(conn)
-				d.tracker.Idle(conn)
+				d.tracker.MarkBusy(conn)
+				d.tracker.MarkIdle(conn)
 			}
 		},
 		"for room": func(t *testing.T, d *Listener) {
 			for range d.tracker.maxConns {
 				dialClient(t, d, "")
-				d.tracker.Busy(acceptConn(t, d))
+				d.tracker.MarkBusy(acceptConn(t, d))
 			}
 		},
 		"as the shutdown begins": func(_ *testing.T, d *Listener) { d.CloseIdle() },
@@ -35,8 +35,8 @@
 			d := newListener(t, 2)
 			dialClient(t, d, "")
 			conn := acceptConn(t, d).(*Conn)
-			d.tracker.Busy(conn)
-			d.tracker.Idle(conn)
+			d.tracker.MarkBusy(conn)
+			d.tracker.MarkIdle(conn)
 			read := lateReader(t, conn)
 			ended := make(chan struct{})
 			go func() {
@@ -46,7 +46,7 @@
 			for what, done := range map[string]<-chan struct{}{"the reader": read, "the tracker": ended} {
 				select {
 				case <-done:
-				case <-time.After(testkit.Patience):
+				case <-time.After(testkit.WaitTimeout):
 					t.Fatalf("%s is blocked forever", what)
 				}
 			}
--- a/internal/host/conntrack/conn.go
+++ b/internal/host/conntrack/conn.go
@@ -90,7 +90,7 @@
 	}
 	c.mu.Unlock()
 	if n > 0 {
-		c.Received(n)
+		c.RecordReceived(n)
 		select {
 		case c.readDone <- struct{}{}:
 		default: // a pending value stands for any number of reads
@@ -103,12 +103,12 @@
 // otherwise the connection would be closed and the data lost.
 func (c *Conn) takeUnread(p []byte) int {
 	for failures := 1; ; failures++ {
-		n, err := peek.Take(c.TCPConn, p)
+		n, err := peek.ReadNow(c.TCPConn, p)
 		if n > 0 {
 			c.stream.Reads().Begin()
-			c.stream.Reads().Took()
+			c.stream.Reads().RecordSuccess()
 		}
-		if n > 0 || !errors.Is(err, peek.ErrUnclear) || failures == transient.MostFailures {
+		if n > 0 || !errors.Is(err, peek.ErrUnknown) || failures == transient.MaxFailures {
 			return n
 		}
 		time.Sleep(transient.Backoff(failures))
@@ -144,7 +144,7 @@
 
 // RecordReadError records the error with which a reader that uses ReadNow stops reading, and why it closes the connection. Cause is
 // NotEnded if the client ended it.
-func (c *Conn) Failed(err error, cause EndCause) {
+func (c *Conn) RecordReadError(err error, cause EndCause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readErr, c.endCause = err, cause
@@ -156,7 +156,7 @@
 	if since, known := peek.SinceLastData(c.TCPConn); known {
 		return since
 	}
-	ready := c.stream.Reads().Since()
+	ready := c.stream.Reads().ReadySince()
 	if ready.IsZero() {
 		return 0
 	}
@@ -164,14 +164,14 @@
 }
 
 // BeingRead reports whether a Read is in progress, which would notice a disconnect at once. ReadDone signals when that changes.
-func (c *Conn) Watched() bool {
+func (c *Conn) BeingRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reading
 }
 
 // ReadDone returns a channel that receives a value when a Read has returned data: the connection may not be being read any more.
-func (c *Conn) Unwatched() <-chan struct{} { return c.readDone }
+func (c *Conn) ReadDone() <-chan struct{} { return c.readDone }
 
 // Disconnected reports, without blocking, whether the client has ended the connection. Data that it sent before can still be read.
 func (c *Conn) Disconnected() bool { return peek.HungUp(c.TCPConn) }
@@ -226,7 +226,7 @@
 }
 
 // HasNoUnread reports whether the connection is certain to be open and without unread data.
-func (c *Conn) Quiet() bool {
+func (c *Conn) HasNoUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.quietLocked()
@@ -270,23 +270,23 @@
 	}
 	reads := c.stream.Reads()
 	reads.Begin()
-	err = transient.Uninterrupted(func() (failed error) {
+	err = transient.RetryEINTR(func() (failed error) {
 		n, failed = syscall.Read(int(fd), p)
 		return failed
 	})
 	if n > 0 {
-		c.Received(n)
+		c.RecordReceived(n)
 	}
 	return max(n, 0), reads.End(fd, unix.POLLIN, err), err
 }
 
 // NewReadTries returns the retry policy of one read, for a reader that uses ReadNow.
-func (c *Conn) ReadTries() socketio.Tries {
+func (c *Conn) NewReadTries() socketio.Tries {
 	return socketio.NewTries("read", c.listener.failures.failed)
 }
 
 // RecordReceived records that n bytes were read.
-func (c *Conn) Received(n int) {
+func (c *Conn) RecordReceived(n int) {
 	c.receivedAt.Store(int64(time.Since(started)))
 	c.receivedBytes.Add(int64(n))
 }
@@ -312,15 +312,15 @@
 	part := probeBuffers.Get().(*[4 << 10]byte)
 	defer probeBuffers.Put(part)
 	for most := 2 * maxBufferedBytes; most > 0; most -= len(part) {
-		n, err := peek.Take(c.TCPConn, part[:])
-		if err == peek.ErrNothing {
-			c.stream.Reads().Empty()
+		n, err := peek.ReadNow(c.TCPConn, part[:])
+		if err == peek.ErrNoData {
+			c.stream.Reads().RecordEmpty()
 		}
 		if n == 0 {
-			return !errors.Is(err, peek.ErrNothing) && !errors.Is(err, peek.ErrUnclear), c.overflowed
+			return !errors.Is(err, peek.ErrNoData) && !errors.Is(err, peek.ErrUnknown), c.overflowed
 		}
-		c.Received(n)
-		c.stream.Reads().Took()
+		c.RecordReceived(n)
+		c.stream.Reads().RecordSuccess()
 		if c.overflowed = c.overflowed || len(c.buffered)+n > maxBufferedBytes; !c.overflowed {
 			c.buffered = append(c.buffered, part[:n]...)
 		}
--- a/internal/host/conntrack/ends_test.go
+++ b/internal/host/conntrack/ends_test.go
@@ -19,11 +19,11 @@
 
 func endCases() []endCase {
 	nothing := func(*Listener, net.Conn) {}
-	answered := func(d *Listener, conn net.Conn) { d.tracker.Busy(conn); d.tracker.Idle(conn) }
+	answered := func(d *Listener, conn net.Conn) { d.tracker.MarkBusy(conn); d.tracker.MarkIdle(conn) }
 	expire := func(_ *Listener, _, conn net.Conn) { conn.SetReadDeadline(time.Unix(1, 0)) }
 	return []endCase{
 		{EndedByClient, answered, func(_ *Listener, client, _ net.Conn) { client.Close() }},
-		{EndedWithRequest, func(d *Listener, conn net.Conn) { d.tracker.Busy(conn) }, expire},
+		{EndedWithRequest, func(d *Listener, conn net.Conn) { d.tracker.MarkBusy(conn) }, expire},
 		{EndedIdle, answered, expire},
 		{EndedSilent, nothing, expire},
 		{EndedForRoom, answered, func(d *Listener, _, conn net.Conn) {
@@ -49,7 +49,7 @@
 				t.Fatal("data was read")
 			}
 			conn.Close()
-			d.tracker.Closed(conn)
+			d.tracker.MarkClosed(conn)
 			ended := d.tracker.Stats().Ended
 			if want := c.cause.String() + " 1"; ended.String() != want {
 				t.Errorf("%q, want %q", ended, want)
@@ -68,7 +68,7 @@
 	dialClient(t, d, "")
 	conn := acceptConn(t, d)
 	d.CloseSilent()
-	d.tracker.Closed(conn) // its reader finds it closed
+	d.tracker.MarkClosed(conn) // its reader finds it closed
 	if ended := d.tracker.Stats().Ended; ended != (EndCounts{EndedForShutdown: 1}) {
 		t.Errorf("%q", ended)
 	}
--- a/internal/host/conntrack/listener.go
+++ b/internal/host/conntrack/listener.go
@@ -92,7 +92,7 @@
 			if err != nil { // the connection is closed already
 				continue
 			}
-			l.tracker.enter(&entry{conn: c, listener: l})
+			l.tracker.add(&entry{conn: c, listener: l})
 			return c, nil
 		case !l.ending.Load():
 			return nil, err
@@ -100,12 +100,12 @@
 			return nil, l.end()
 		}
 		if l.drainBy.IsZero() {
-			l.drainBy = time.Now().Add(mostDrained) // a queue shared by two processes may never be seen empty
+			l.drainBy = time.Now().Add(maxQueueDrain) // a queue shared by two processes may never be seen empty
 			if !l.drainLatest.IsZero() && l.drainLatest.Before(l.drainBy) {
 				l.drainBy = l.drainLatest
 			}
 		}
-		l.SetDeadline(time.Now().Add(drained)) // with an expired deadline even queued connections would not be accepted
+		l.SetDeadline(time.Now().Add(queueEmptyAfter)) // with an expired deadline even queued connections would not be accepted
 	}
 }
 
@@ -132,7 +132,7 @@
 func (l *Listener) CloseSilent() {
 	l.tracker.mu.Lock()
 	defer l.tracker.unlock()
-	l.closeUnbegunLocked(l.tracker.fresh, &l.tracker.stats.EndedSilent)
+	l.closeWithoutDataLocked(l.tracker.fresh, &l.tracker.stats.EndedSilent)
 }
 
 // CloseUnfinished closes the listener's connections without a complete request, including those that have received part of one.
@@ -141,8 +141,8 @@
 	defer l.tracker.unlock()
 	for _, from := range []*list.List{l.tracker.fresh, l.tracker.idle} {
 		l.eachLocked(from, func(v *entry) {
-			l.tracker.stats.EndedBegun++
-			l.tracker.finishLocked(v)
+			l.tracker.stats.EndedPartial++
+			l.tracker.shutDownLocked(v)
 		})
 	}
 }
@@ -153,18 +153,18 @@
 	l.tracker.mu.Lock()
 	defer l.tracker.unlock()
 	l.closeIdle = true
-	l.closeUnbegunLocked(l.tracker.idle, &l.tracker.stats.EndedIdle)
+	l.closeWithoutDataLocked(l.tracker.idle, &l.tracker.stats.EndedIdle)
 }
 
 // closeWithoutDataLocked closes the listener's connections in a queue that have received no part of a request, and counts them.
-func (l *Listener) closeUnbegunLocked(from *list.List, ended *int) {
+func (l *Listener) closeWithoutDataLocked(from *list.List, ended *int) {
 	l.eachLocked(from, func(v *entry) {
 		if v.requestBegun() {
-			l.tracker.stats.KeptBegun++
+			l.tracker.stats.KeptPartial++
 			return
 		}
 		*ended++
-		l.tracker.finishLocked(v)
+		l.tracker.shutDownLocked(v)
 	})
 }
 
@@ -180,7 +180,7 @@
 }
 
 // WaitEmpty waits until the listener, which must have stopped accepting, has no connection left. It returns ctx's error if ctx ends first.
-func (l *Listener) Empty(ctx context.Context) error {
+func (l *Listener) WaitEmpty(ctx context.Context) error {
 	l.tracker.mu.Lock()
 	if l.count == 0 {
 		l.tracker.mu.Unlock()
--- a/internal/host/conntrack/readrace_test.go
+++ b/internal/host/conntrack/readrace_test.go
@@ -19,7 +19,7 @@
 	}
 	dialClient(t, d, "GET /")
 	c := acceptConn(t, d).(*Conn)
-	testkit.Eventually(t, "the request has arrived", func() bool { return !c.Quiet() })
+	testkit.Eventually(t, "the request has arrived", func() bool { return !c.HasNoUnread() })
 	if n, err := c.TCPConn.Read(make([]byte, 10)); n == 0 {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 		dialClient(t, d, "")
 		acceptConn(t, d)
 	}
-	if !d.tracker.Busy(net.Conn(c)) {
+	if !d.tracker.MarkBusy(net.Conn(c)) {
 		t.Error("the connection was closed over a request that had been read")
 	}
 }
--- a/internal/host/conntrack/room.go
+++ b/internal/host/conntrack/room.go
@@ -9,24 +9,24 @@
 
 const (
 	// partialRequestStaleAfter is how long a partly received request may pause before its connection may be closed for another.
-	staleAfter = 500 * time.Millisecond
+	partialRequestStaleAfter = 500 * time.Millisecond
 	// maxYielding limits how many connections may be yielding at a time, that is, are about to be closed by their readers and no longer
 	// count against the limit on connections. When it is reached, accepting waits for some of them, but no longer than maxYieldWait: a reader
 	// needs no longer to close a connection, unless it is suspended.
-	maxYielding = 8
-	yieldWait   = 20 * time.Millisecond
+	maxYielding  = 8
+	maxYieldWait = 20 * time.Millisecond
 
 	// freshGrace is how long a new connection keeps its slot for sending a request, provided that a newcomer does not wait longer than
 	// maxQueueWait for it, in the kernel's queue and here.
-	freshGrace = 300 * time.Millisecond
-	mostQueued = 200 * time.Millisecond
-	roomLook   = 5 * time.Millisecond // how often a waiting newcomer is checked for a request
+	freshGrace         = 300 * time.Millisecond
+	maxQueueWait       = 200 * time.Millisecond
+	graceCheckInterval = 5 * time.Millisecond // how often a waiting newcomer is checked for a request
 
 	// idleShareDivisor is the reciprocal of the share of slots that idle connections may hold for as long as their clients keep them. Beyond
 	// that share, connections that have been idle for surplusIdleAfter are closed, and no others, as a request may be in transit on each
 	// connection that is closed.
 	idleShareDivisor = 2
-	idleAfter        = 2050 * time.Millisecond
+	surplusIdleAfter = 2050 * time.Millisecond
 )
 
 // awaitYielding waits until fewer than maxYielding connections are yielding, or maxYieldWait has passed.
@@ -34,7 +34,7 @@
 	var expired <-chan time.Time
 	for t.yieldingCount() >= maxYielding {
 		if expired == nil {
-			timer := time.NewTimer(yieldWait)
+			timer := time.NewTimer(maxYieldWait)
 			defer timer.Stop()
 			expired = timer.C
 		}
@@ -50,11 +50,11 @@
 // send a request. It does not wait if the newcomer itself has sent data or has waited for maxQueueWait.
 func (t *Tracker) awaitFreshGrace(newcomer *Conn) {
 	for wait := t.freshGraceLeft(); wait > 0; wait = t.freshGraceLeft() {
-		maxWait := mostQueued - newcomer.SinceLastData()
+		maxWait := maxQueueWait - newcomer.SinceLastData()
 		if maxWait <= 0 || newcomer.unread() != peek.UnreadNothing {
 			return
 		}
-		time.Sleep(min(wait, maxWait, roomLook))
+		time.Sleep(min(wait, maxWait, graceCheckInterval))
 	}
 }
 
@@ -86,7 +86,7 @@
 	next := t.idle.Front()
 	for surplus := t.idle.Len() - t.maxConns/idleShareDivisor; surplus > 0 && next != nil && t.yielding < maxYielding; surplus-- {
 		v := next.Value.(*entry)
-		if t.now().Sub(v.queuedAt) < idleAfter {
+		if t.now().Sub(v.queuedAt) < surplusIdleAfter {
 			return
 		}
 		next = next.Next()
@@ -102,7 +102,7 @@
 	now := t.now()
 	for _, eligible := range []func(v *entry) bool{
 		func(v *entry) bool { return !v.requestBegun() },
-		func(v *entry) bool { return now.Sub(v.conn.lastReceived()) > staleAfter },
+		func(v *entry) bool { return now.Sub(v.conn.lastReceived()) > partialRequestStaleAfter },
 	} {
 		for _, from := range []*list.List{t.fresh, t.idle} {
 			if t.yieldOneLocked(from, func(v *entry) bool { return v != newest && eligible(v) }) {
@@ -146,7 +146,7 @@
 	if !v.listener.readerCloses {
 		return !v.requestBegun() && t.closeLocked(v, cause)
 	}
-	if !v.conn.Quiet() {
+	if !v.conn.HasNoUnread() {
 		return false
 	}
 	v.unqueueLocked()
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	drained     = 50 * time.Millisecond  // if no connection arrives for this long, the kernel's accept queue counts as empty
-	mostDrained = 500 * time.Millisecond // how long draining the accept queue may take
+	queueEmptyAfter = 50 * time.Millisecond  // if no connection arrives for this long, the kernel's accept queue counts as empty
+	maxQueueDrain   = 500 * time.Millisecond // how long draining the accept queue may take
 
 	// SilentGrace is how long a connection accepted just before the shutdown has to send a request.
 	SilentGrace = 200 * time.Millisecond
@@ -69,8 +69,8 @@
 	ClosedForRoom int // closed without a request, to make room for others
 	EndedIdle     int // idle ones that their listener's shutdown asked to close, with no data of a request
 	EndedSilent   int // the same, for those that had not sent any data yet
-	KeptBegun     int // left open then, as part of a request had been received
-	EndedBegun    int // asked to close later in the shutdown, without a complete request
+	KeptPartial   int // left open then, as part of a request had been received
+	EndedPartial  int // asked to close later in the shutdown, without a complete request
 
 	Ended EndCounts // closed connections by cause
 
@@ -111,7 +111,7 @@
 }
 
 // add registers an accepted connection, and closes others if there are too many.
-func (t *Tracker) enter(v *entry) {
+func (t *Tracker) add(v *entry) {
 	t.awaitYielding()
 	t.awaitFreshGrace(v.conn)
 	t.mu.Lock()
@@ -134,7 +134,7 @@
 
 // MarkBusy records that a request was read from a connection. It returns false if the Tracker has closed the connection: the caller must
 // drop the request then.
-func (t *Tracker) Busy(c net.Conn) bool {
+func (t *Tracker) MarkBusy(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.unlock()
 	v := t.conns[c]
@@ -156,7 +156,7 @@
 }
 
 // MarkIdle records that a connection has no request any more. The Tracker may close it for room, or as its listener shuts down.
-func (t *Tracker) Idle(c net.Conn) {
+func (t *Tracker) MarkIdle(c net.Conn) {
 	t.mu.Lock()
 	defer t.unlock()
 	v := t.conns[c]
@@ -165,7 +165,7 @@
 	}
 	t.enqueueLocked(v, t.idle)
 	if v.listener.closeIdle {
-		t.finishLocked(v)
+		t.shutDownLocked(v)
 		return
 	}
 	t.endSurplusIdleLocked()
@@ -175,7 +175,7 @@
 }
 
 // AwaitsRequest reports whether a connection is tracked and has no request.
-func (t *Tracker) Waits(c net.Conn) bool {
+func (t *Tracker) AwaitsRequest(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.unlock()
 	v := t.conns[c]
@@ -183,7 +183,7 @@
 }
 
 // MarkClosed records that a connection was closed. Connections that are not tracked are ignored.
-func (t *Tracker) Closed(c net.Conn) {
+func (t *Tracker) MarkClosed(c net.Conn) {
 	t.mu.Lock()
 	defer t.unlock()
 	v := t.conns[c]
@@ -205,10 +205,10 @@
 }
 
 // shutDownLocked closes a connection because its listener shuts down.
-func (t *Tracker) finishLocked(v *entry) {
+func (t *Tracker) shutDownLocked(v *entry) {
 	if !v.listener.readerCloses {
 		t.closeLocked(v, EndedForShutdown)
-	} else if v.conn.Quiet() {
+	} else if v.conn.HasNoUnread() {
 		v.conn.end(EndedForShutdown)
 	}
 }
--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -70,8 +70,8 @@
 	d := newListener(t, 4)
 	idle := dialClient(t, d, "")
 	accepted := acceptConn(t, d)
-	d.tracker.Busy(accepted)
-	d.tracker.Idle(accepted)
+	d.tracker.MarkBusy(accepted)
+	d.tracker.MarkIdle(accepted)
 	partial := dialClient(t, d, "GET /")
 	acceptConn(t, d)
 	var silent []net.Conn
@@ -83,7 +83,7 @@
 		t.Errorf("%d connections", n)
 	}
 	for i, c := range silent {
-		if gone := i < 8; closed(c, map[bool]time.Duration{true: testkit.Patience, false: time.Millisecond}[gone]) != gone {
+		if gone := i < 8; closed(c, map[bool]time.Duration{true: testkit.WaitTimeout, false: time.Millisecond}[gone]) != gone {
 			t.Errorf("silent connection %d closed: %t", i, !gone)
 		}
 	}
@@ -99,18 +99,18 @@
 	for range 2 {
 		clients = append(clients, dialClient(t, d, ""))
 		conns = append(conns, acceptConn(t, d))
-		d.tracker.Busy(conns[len(conns)-1])
+		d.tracker.MarkBusy(conns[len(conns)-1])
 	}
 	newcomer := dialClient(t, d, "")
 	acceptConn(t, d)
-	if !closed(newcomer, testkit.Patience) || d.tracker.Count() != 2 {
+	if !closed(newcomer, testkit.WaitTimeout) || d.tracker.Count() != 2 {
 		t.Errorf("%d connections with two busy ones", d.tracker.Count())
 	}
-	d.tracker.Idle(conns[1])
-	d.tracker.Idle(conns[0])
+	d.tracker.MarkIdle(conns[1])
+	d.tracker.MarkIdle(conns[0])
 	dialClient(t, d, "")
 	acceptConn(t, d)
-	if !closed(clients[1], testkit.Patience) || closed(clients[0], time.Millisecond) {
+	if !closed(clients[1], testkit.WaitTimeout) || closed(clients[0], time.Millisecond) {
 		t.Error("a connection other than the longest idle one was closed")
 	}
 }
@@ -141,7 +141,7 @@
 	acceptConn(t, d)
 	acceptConn(t, d)
 	d.CloseSilent()
-	if !closed(silent, testkit.Patience) || closed(partial, time.Millisecond) || d.tracker.Count() != 1 {
+	if !closed(silent, testkit.WaitTimeout) || closed(partial, time.Millisecond) || d.tracker.Count() != 1 {
 		t.Errorf("%d connections", d.tracker.Count())
 	}
 }
@@ -164,15 +164,15 @@
 			}
 		}
 	}()
-	end := time.Now().Add(AnswerWriteTime + SilentGrace + mostDrained/2) // of the whole agent, before maxQueueDrain has passed
+	end := time.Now().Add(AnswerWriteTime + SilentGrace + maxQueueDrain/2) // of the whole agent, before maxQueueDrain has passed
 	go d.CloseAfter(time.Millisecond, end)
-	for end := time.Now().Add(testkit.Patience); ; {
+	for end := time.Now().Add(testkit.WaitTimeout); ; {
 		c, err := d.Accept()
 		if err != nil {
 			break
 		}
 		c.Close()
-		d.tracker.Closed(c)
+		d.tracker.MarkClosed(c)
 		if time.Now().After(end) {
 			t.Fatal("it does not stop accepting")
 		}
@@ -192,11 +192,11 @@
 		"a new deadline in between": func(c *Conn, client net.Conn) {
 			c.end(EndedForRoom)
 			io.WriteString(client, "GET")
-			c.SetReadDeadline(time.Now().Add(testkit.Patience))
+			c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 		},
 		"data, then the deadline expires": func(c *Conn, client net.Conn) {
 			io.WriteString(client, "GET")
-			testkit.Eventually(t, "the data has arrived", func() bool { return !c.Quiet() })
+			testkit.Eventually(t, "the data has arrived", func() bool { return !c.HasNoUnread() })
 			c.SetReadDeadline(time.Unix(1, 0))
 		},
 	} {
@@ -205,13 +205,13 @@
 			client := dialClient(t, d, "")
 			c := acceptConn(t, d).(*Conn)
 			race(c, client)
-			testkit.Eventually(t, "the data has arrived", func() bool { return !c.Quiet() })
+			testkit.Eventually(t, "the data has arrived", func() bool { return !c.HasNoUnread() })
 			p := make([]byte, 10)
 			if n, err := c.Read(p); string(p[:n]) != "GET" {
 				t.Fatalf("%q, %v", p[:n], err)
 			}
 			io.WriteString(client, " /")
-			testkit.Eventually(t, "more data has arrived", func() bool { return !c.Quiet() })
+			testkit.Eventually(t, "more data has arrived", func() bool { return !c.HasNoUnread() })
 			if n, err := c.Read(p); string(p[:n]) != " /" {
 				t.Errorf("the connection does not continue: %q, %v", p[:n], err)
 			}
@@ -256,7 +256,7 @@
 					if _, err := c.Read(make([]byte, 5)); err != nil {
 						t.Fatal(err)
 					}
-					if since := c.stream.Reads().Since(); since.IsZero() || since.After(dialed) {
+					if since := c.stream.Reads().ReadySince(); since.IsZero() || since.After(dialed) {
 						t.Errorf("it counts as queued since %v after it was dialed", since.Sub(dialed))
 					}
 				}
@@ -278,7 +278,7 @@
 		before := d.tracker.Stats().ClosedUnread
 		dialClient(t, d, data)
 		c := acceptConn(t, d).(*Conn)
-		testkit.Eventually(t, "the data has arrived", func() bool { return c.Quiet() == (data == "") })
+		testkit.Eventually(t, "the data has arrived", func() bool { return c.HasNoUnread() == (data == "") })
 		c.Close()
 		c.Close()
 		if got := d.tracker.Stats().ClosedUnread - before; got != want {
@@ -297,8 +297,8 @@
 	add := func() {
 		clients = append(clients, dialClient(t, d, ""))
 		conn := acceptConn(t, d)
-		d.tracker.Busy(conn)
-		d.tracker.Idle(conn)
+		d.tracker.MarkBusy(conn)
+		d.tracker.MarkIdle(conn)
 	}
 	for range kept {
 		add()
@@ -325,8 +325,8 @@
 		d.readerCloses = readerCloses
 		kept := dialClient(t, d, "")
 		conn := acceptConn(t, d)
-		d.tracker.Busy(conn)
-		d.tracker.Idle(conn)
+		d.tracker.MarkBusy(conn)
+		d.tracker.MarkIdle(conn)
 		const visitors = 12
 		for range visitors {
 			dialClient(t, d, "").Close()
@@ -362,7 +362,7 @@
 
 // Guards against closing connections of clients that send requests rarely while their slots are not needed.
 func TestHalfOfThePlacesMayBeHeldByClientsThatAskRarely(t *testing.T) {
-	const most, rarely = 32, idleAfter + 100*time.Millisecond
+	const most, rarely = 32, surplusIdleAfter + 100*time.Millisecond
 	d := newListener(t, most)
 	now := time.Now()
 	d.tracker.now = func() time.Time { return now }
@@ -373,10 +373,10 @@
 	}
 	for range 3 {
 		for _, conn := range all {
-			if !d.tracker.Busy(conn) {
+			if !d.tracker.MarkBusy(conn) {
 				t.Fatal("a connection was closed before its next request")
 			}
-			d.tracker.Idle(conn)
+			d.tracker.MarkIdle(conn)
 		}
 		now = now.Add(rarely)
 	}
@@ -391,10 +391,10 @@
 	for range most {
 		dialClient(t, d, "")
 		conn := acceptConn(t, d)
-		d.tracker.Busy(conn)
-		d.tracker.Idle(conn)
+		d.tracker.MarkBusy(conn)
+		d.tracker.MarkIdle(conn)
 	}
-	now = now.Add(idleAfter - time.Millisecond)
+	now = now.Add(surplusIdleAfter - time.Millisecond)
 	dialClient(t, d, "GET /")
 	acceptConn(t, d)
 	if ended, want := d.tracker.Stats().Ended, (EndCounts{EndedForRoom: 1}); ended != want {
@@ -419,7 +419,7 @@
 	begin = time.Now()
 	dialClient(t, d, "")
 	acceptConn(t, d)
-	if took := time.Since(begin); took < mostQueued/2 || took > mostQueued+slack {
+	if took := time.Since(begin); took < maxQueueWait/2 || took > maxQueueWait+slack {
 		t.Errorf("a silent newcomer waited for %v", took)
 	}
 	time.Sleep(freshGrace)
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -27,53 +27,53 @@
 )
 
 // ErrCanceled is the cancellation cause of an attempt's context when the module cancels the attempt.
-var ErrWithdrawn = errors.New("canceled by the decision module")
+var ErrCanceled = errors.New("canceled by the decision module")
 
 // Types of the ledger that fronts and transports use.
 type (
-	Call    = ledger.Call
-	Answer  = ledger.Answer
-	Attempt = ledger.Attempt
-	Ending  = ledger.Ending
-	Stats   = ledger.Stats
+	Call           = ledger.Call
+	Answer         = ledger.Answer
+	Attempt        = ledger.Attempt
+	AttemptOutcome = ledger.AttemptOutcome
+	Stats          = ledger.Stats
 )
 
 // The kinds of final answers.
 const (
-	Served    = ledger.Served
-	Refused   = ledger.Refused
-	Failed    = ledger.Failed
-	Duplicate = ledger.Duplicate // a call with this id is in progress
-	Unfit     = ledger.Unfit     // the call could not be translated
+	Served         = ledger.Served
+	Refused        = ledger.Refused
+	Failed         = ledger.Failed
+	Duplicate      = ledger.Duplicate      // a call with this id is in progress
+	Untranslatable = ledger.Untranslatable // the call could not be translated
 )
 
 // Ended returns an Ending that has a result and no answer.
-func Ended(r choice.Result) Ending { return ledger.Ended(r) }
+func ResultOnly(r choice.Result) AttemptOutcome { return ledger.ResultOnly(r) }
 
 // Transport makes attempts at servers of one protocol. Attempt returns when the attempt or its context has ended; the
 // result tells whether the server may have executed the call.
 type Transport interface {
-	Attempt(ctx context.Context, at *Attempt) Ending
+	Attempt(ctx context.Context, at *Attempt) AttemptOutcome
 }
 
 // Settings configure a Core.
 type Settings struct {
-	Module     choice.Settings
-	Seed       uint64
-	Zones      []string
-	MostHeld   int            // limit on calls that are not answered yet; 0 for no limit
-	Known      discovery.List // the list of servers to start with
-	Discovery  string         // address of the list service
-	Asking     asking.Settings
-	Feed       Feed // if not nil, it provides the list; InitialList and Discovery are ignored then
-	Pool       *pool.Pool
-	Transports map[choice.Protocols]Transport // by the protocol that a server speaks
-	Log        *slog.Logger
-	Illegal    func(error)            // is called with illegal state transitions; may be nil
-	Routes     *routes.Routes         // by the shapes of calls; nil if calls have none
-	Publish    bool                   // operations are enabled: Figures are published, and other processes may replace this one
-	Clients    func() conntrack.Stats // counts the connections of clients; may be nil
-	Inherited  *Inheritance           // state of the process that this one replaces; nil if there is none
+	Module        choice.Settings
+	Seed          uint64
+	Zones         []string
+	MaxUnanswered int            // limit on calls that are not answered yet; 0 for no limit
+	InitialList   discovery.List // the list of servers to start with
+	Discovery     string         // address of the list service
+	Pacing        asking.Settings
+	Feed          Feed // if not nil, it provides the list; InitialList and Discovery are ignored then
+	Pool          *pool.Pool
+	Transports    map[choice.Protocols]Transport // by the protocol that a server speaks
+	Log           *slog.Logger
+	OnIllegalStep func(error)            // is called with illegal state transitions; may be nil
+	Routes        *routes.Router         // by the shapes of calls; nil if calls have none
+	OpsEnabled    bool                   // operations are enabled: Figures are published, and other processes may replace this one
+	ClientStats   func() conntrack.Stats // counts the connections of clients; may be nil
+	Inherited     *InheritedState        // state of the process that this one replaces; nil if there is none
 }
 
 // Core is one client-side balancer, which hosts a Ledger. One goroutine, the event loop, owns the Ledger and the timers;
@@ -84,10 +84,10 @@
 	events        chan func()
 	urgent        chan func() // takes precedence over events: operator commands and lists, which do not wait behind queued calls
 	workers       workers
-	abandoned     atomic.Int64           // calls whose clients disconnected before the calls could be submitted
-	malformed     atomic.Int64           // calls that a front could not read; the loop never sees them
-	ready         chan struct{}          // closed when clients may send calls
-	onAnswerBegun func(*Attempt, Ending) // shared by all attempts
+	abandoned     atomic.Int64                   // calls whose clients disconnected before the calls could be submitted
+	malformed     atomic.Int64                   // calls that a front could not read; the loop never sees them
+	ready         chan struct{}                  // closed when clients may send calls
+	onAnswerBegun func(*Attempt, AttemptOutcome) // shared by all attempts
 	figures       atomic.Pointer[Figures]
 	forwards      atomic.Int64 // attempts whose message was written completely
 	clockSteps    clock.Steps  // of the wall clock
@@ -95,7 +95,7 @@
 	undelivered *undeliveredLog // answers that did not reach their clients
 
 	// The following fields are used by the event loop only.
-	ledger       *ledger.Ledger
+	ledger       *ledger.Tracker
 	requests     *requestLog
 	timers       timerHeap
 	discovery    string               // address of the list service being watched
@@ -104,7 +104,7 @@
 	learnedClock func() learned.Clock // nil if no learned state was restored
 	publishedAt  time.Duration        // when the figures were last published
 	list         discovery.List       // the current list
-	subscribers  map[*Other]bool      // other processes of this agent, which are sent this one's news
+	subscribers  map[*Subscriber]bool // other processes of this agent, which are sent this one's news
 }
 
 // New returns a Core; Run starts it. An error means that the module rejects its settings.
@@ -114,12 +114,14 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	requests := newRequestLog(set.Log, set.Module.Classes)
-	callLedger := ledger.New(ledger.Settings{Classes: len(set.Module.Classes), Observe: func(r ledger.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MostHeld: set.MostHeld,
-		Carries: func(needs choice.Protocols) bool { return set.Transports[needs] != nil }, Illegal: set.Illegal, Routes: set.Routes,
-		Places: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Asking.Me, Seed: set.Seed})}, balancer)
+	callLedger := ledger.New(ledger.Settings{Classes: len(set.Module.Classes), Observe: func(r ledger.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MaxUnanswered: set.MaxUnanswered,
+		HasTransport: func(needs choice.Protocols) bool { return set.Transports[needs] != nil }, OnIllegalStep: set.OnIllegalStep, Routes: set.Routes,
+		Places: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Pacing.Me, Seed: set.Seed})}, balancer)
 	c := &Core{set: set, log: set.Log, events: make(chan func(), 1024), urgent: make(chan func()), workers: newWorkers(), ready: make(chan struct{}),
-		ledger: callLedger, requests: requests, undelivered: newUndeliveredLog(set.Log), subscribers: map[*Other]bool{}}
-	c.onAnswerBegun = func(at *Attempt, e Ending) { c.post(func() { c.execute(c.ledger.Begun(c.Now(), at, e)) }) }
+		ledger: callLedger, requests: requests, undelivered: newUndeliveredLog(set.Log), subscribers: map[*Subscriber]bool{}}
+	c.onAnswerBegun = func(at *Attempt, e AttemptOutcome) {
+		c.post(func() { c.execute(c.ledger.RelayStarted(c.Now(), at, e)) })
+	}
 	c.publish() // so that Figures never returns nil
 	return c, nil
 }
@@ -128,9 +130,9 @@
 func (c *Core) Now() time.Duration { return clock.Now() }
 
 // ReplaceRoutes replaces the table of shapes and returns once the new one is in use.
-func (c *Core) Reroute(ctx context.Context, t *routes.Table) error {
+func (c *Core) ReplaceRoutes(ctx context.Context, t *routes.Table) error {
 	result, err := query(ctx, c, func() error {
-		orders, err := c.ledger.Reroute(c.Now(), t)
+		orders, err := c.ledger.ReplaceRoutes(c.Now(), t)
 		c.execute(orders)
 		return err
 	})
@@ -145,7 +147,7 @@
 func (c *Core) postUrgent(ctx context.Context, event func()) { postOn(ctx, c.urgent, event) }
 
 // Ping returns once the event loop has handled all events that were queued before the call, or ctx has ended.
-func (c *Core) Respond(ctx context.Context) {
+func (c *Core) Ping(ctx context.Context) {
 	query(ctx, c, func() struct{} { return struct{}{} })
 }
 
@@ -154,46 +156,46 @@
 
 // BeginShutdown records that the process was asked to terminate at the time signaled. All requests, open ones and later ones, are
 // answered by answerBy.
-func (c *Core) End(signaled, answerBy time.Time) {
+func (c *Core) BeginShutdown(signaled, answerBy time.Time) {
 	c.post(func() {
-		c.requests.shutdownAt = clock.Of(signaled)
-		c.execute(c.ledger.End(c.Now(), clock.Of(answerBy)))
+		c.requests.shutdownAt = clock.FromTime(signaled)
+		c.execute(c.ledger.Shutdown(c.Now(), clock.FromTime(answerBy)))
 	})
 }
 
 // Submit accepts a call from a front. The call gets exactly one final answer, unless its client disconnects.
-func (c *Core) Take(call *Call) {
-	c.post(func() { c.execute(c.ledger.Arrived(c.Now(), call)) })
+func (c *Core) Submit(call *Call) {
+	c.post(func() { c.execute(c.ledger.CallArrived(c.Now(), call)) })
 }
 
 // RequestReceived records that the last byte of a call that was still being received has arrived. Left is the time until its client
 // gives up.
-func (c *Core) Whole(call *Call, left time.Duration) {
+func (c *Core) RequestReceived(call *Call, left time.Duration) {
 	deadline := c.Now() + left
-	c.post(func() { c.execute(c.ledger.Whole(c.Now(), call, deadline)) })
+	c.post(func() { c.execute(c.ledger.RequestComplete(c.Now(), call, deadline)) })
 }
 
 // ClientDisconnected records that the client of a call has disconnected and no longer expects an answer. From this moment on nothing
 // more is sent for the call, however many events are queued before this one.
-func (c *Core) Left(call *Call) {
-	call.Leave()
-	c.post(func() { c.execute(c.ledger.Left(c.Now(), call)) })
+func (c *Core) ClientDisconnected(call *Call) {
+	call.MarkDisconnected()
+	c.post(func() { c.execute(c.ledger.ClientDisconnected(c.Now(), call)) })
 }
 
 // CountAbandoned counts a call whose client disconnected before the call could be submitted.
-func (c *Core) Abandoned() { c.abandoned.Add(1) }
+func (c *Core) CountAbandoned() { c.abandoned.Add(1) }
 
 // CountMalformed counts a call that a front could not read.
-func (c *Core) Malformed() { c.malformed.Add(1) }
+func (c *Core) CountMalformed() { c.malformed.Add(1) }
 
 const (
 	// firstListTimeout is how long the agent waits for the first list before it reports itself ready. emptyListTimeout applies
 	// instead if the agent knows no server and would refuse all calls: a list service that is busy with a whole fleet, if it is not
 	// too slow, needs that long.
-	firstList   = 200 * time.Millisecond
-	anyList     = 5 * time.Second
-	sweepEvery  = time.Second     // between closing server connections that were idle for too long or closed by the server
-	reportEvery = 5 * time.Second // between log lines with the counts
+	firstListTimeout = 200 * time.Millisecond
+	emptyListTimeout = 5 * time.Second
+	sweepInterval    = time.Second     // between closing server connections that were idle for too long or closed by the server
+	reportInterval   = 5 * time.Second // between log lines with the counts
 )
 
 // Run runs the event loop until ctx ends: it handles one event at a time, and timers when they are due.
@@ -202,37 +204,37 @@
 		c.execute(c.ledger.Start(c.Now()))
 		c.startFeed(ctx)
 	} else {
-		c.switchDiscovery(ctx, c.set.Discovery, c.set.Known)
+		c.switchDiscovery(ctx, c.set.Discovery, c.set.InitialList)
 		c.execute(c.ledger.Start(c.Now()))
 		c.inheritOperatorState()
-		c.applyList(c.set.Known)
+		c.applyList(c.set.InitialList)
 		c.inheritLearned()
 		go c.startWatch()
 	}
-	wait := firstList
-	if c.set.Asking.Shared && c.ledger.ServerCount() == 0 {
-		wait = anyList
+	wait := firstListTimeout
+	if c.set.Pacing.Shared && c.ledger.ServerCount() == 0 {
+		wait = emptyListTimeout
 	}
 	first := time.AfterFunc(wait, func() { c.post(c.markReady) })
 	defer first.Stop()
-	sweep, report := time.NewTicker(sweepEvery), time.NewTicker(reportEvery)
+	sweep, report := time.NewTicker(sweepInterval), time.NewTicker(reportInterval)
 	defer sweep.Stop()
 	defer report.Stop()
 	due := time.NewTimer(0)
 	defer due.Stop()
 	var publish <-chan time.Time // nil, which never fires, if figures are not published
-	if c.set.Publish {
-		ticks := time.NewTicker(publishEvery)
+	if c.set.OpsEnabled {
+		ticks := time.NewTicker(publishInterval)
 		defer ticks.Stop()
 		publish = ticks.C
 	}
 	for {
-		if c.set.Publish && c.Now()-c.publishedAt >= publishEvery { // under full load the ticker alone could be late
+		if c.set.OpsEnabled && c.Now()-c.publishedAt >= publishInterval { // under full load the ticker alone could be late
 			c.publish()
 		}
 		for len(c.timers) > 0 && c.timers[0].at <= c.Now() {
 			t := heap.Pop(&c.timers).(timer)
-			c.execute(c.ledger.Fired(c.Now(), t.token))
+			c.execute(c.ledger.TimerFired(c.Now(), t.token))
 		}
 		if len(c.timers) > 0 {
 			due.Reset(c.timers[0].at - c.Now())
@@ -304,37 +306,37 @@
 	open, held := c.ledger.Count()
 	connections, _, waiting := c.set.Pool.Count()
 	if c.set.Routes != nil {
-		c.log.Info("shapes", "translated", s.Translated, "unfit", s.Unfit, "unknown", s.Unknown, "untold", s.Untold)
+		c.log.Info("shapes", "translated", s.Translated, "unfit", s.UntranslatableCalls, "unknown", s.UnknownShapes, "untold", s.UntranslatableReplies)
 	}
-	if c.set.Clients != nil {
-		s := c.set.Clients()
+	if c.set.ClientStats != nil {
+		s := c.set.ClientStats()
 		c.log.Info("client connections", "accepted", s.Accepted, "closed_for_room", s.ClosedForRoom, "closed_unfinished", s.ClosedUnfinished,
 			"closed_unread", s.ClosedUnread, "requests_dropped", s.Dropped, "calls_failed", s.CallsFailed, "ended", s.Ended.String())
 	}
 	c.log.Info("counts", "requests", s.Requests, "served", s.Served, "refused", s.Refused, "failed", s.Failed,
-		"gone", s.Gone, "abandoned", c.abandoned.Load(), "malformed", c.malformed.Load(), "undelivered", c.undelivered.count.Load(), "attempts", s.Attempts, "reports", s.Reports,
-		"results", resultsText(s.Results[:]), "reasons", reasonsText(c.ledger.Reasons()), "open", open, "held", held, "timers", len(c.timers),
+		"gone", s.Disconnected, "abandoned", c.abandoned.Load(), "malformed", c.malformed.Load(), "undelivered", c.undelivered.count.Load(), "attempts", s.Attempts, "reports", s.Reports,
+		"results", resultsText(s.Results[:]), "reasons", reasonsText(c.ledger.ReasonCounts()), "open", open, "held", held, "timers", len(c.timers),
 		"backends", c.ledger.ServerCount(), "connections", connections, "waiting", waiting)
 }
 
 // execute carries out the ledger's orders, one after the other.
-func (c *Core) execute(orders []ledger.Order) {
+func (c *Core) execute(orders []ledger.Command) {
 	for _, o := range orders {
 		switch o.Kind {
 		case ledger.SetTimer:
 			heap.Push(&c.timers, timer{at: o.At, token: o.Token})
-		case ledger.Begin:
+		case ledger.StartAttempt:
 			c.startAttempt(o.Attempt)
-		case ledger.Withdraw:
-			o.Attempt.Withdraw(ErrWithdrawn)
+		case ledger.CancelAttempt:
+			o.Attempt.Cancel(ErrCanceled)
 		case ledger.Reply:
 			o.Call.Answer(o.Answer)
-		case ledger.Retire:
+		case ledger.RetireServer:
 			c.set.Pool.Retire(o.Server)
-		case ledger.Bound:
-			withdraw := o.Attempt.Withdraw
+		case ledger.ShortenDeadline:
+			withdraw := o.Attempt.Cancel
 			time.AfterFunc(o.At-c.Now(), func() { withdraw(context.DeadlineExceeded) })
-		case ledger.Discard:
+		case ledger.DiscardReply:
 			if r, ok := o.Reply.(io.Closer); ok {
 				r.Close()
 			}
@@ -345,17 +347,17 @@
 // startAttempt makes an attempt on a worker goroutine.
 func (c *Core) startAttempt(at *Attempt) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	at.Withdraw, at.Forwards, at.Begun = cancel, &c.forwards, c.onAnswerBegun
+	at.Cancel, at.ForwardedCount, at.OnRelayStart = cancel, &c.forwards, c.onAnswerBegun
 	if at.SendBy != 0 {
-		at.WriteBy = clock.At(at.SendBy)
+		at.WriteBy = clock.ToTime(at.SendBy)
 	}
-	transport, end := c.set.Transports[at.Speaks], clock.At(at.End)
+	transport, end := c.set.Transports[at.Speaks], clock.ToTime(at.Deadline)
 	c.workers.run(func() {
 		ctx, stop := context.WithDeadline(ctx, end)
 		ending := transport.Attempt(ctx, at)
 		stop()
 		cancel(nil)
-		c.post(func() { c.execute(c.ledger.Ended(c.Now(), at, ending)) })
+		c.post(func() { c.execute(c.ledger.AttemptEnded(c.Now(), at, ending)) })
 	})
 }
 
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -9,7 +9,7 @@
 )
 
 // publishInterval is the maximum age of published figures, unless the machine itself is suspended.
-const publishEvery = 100 * time.Millisecond
+const publishInterval = 100 * time.Millisecond
 
 // Figures are metrics for operators, all taken at one moment. They are immutable.
 type Figures struct {
@@ -25,8 +25,8 @@
 // publish publishes the current figures.
 func (c *Core) publish() {
 	open, _ := c.ledger.Count()
-	f := &Figures{Classes: c.ledger.Stats().Classes, Outstanding: open + c.ledger.Passing()}
-	f.Discovered, f.Ejected = c.ledger.Fleet()
+	f := &Figures{Classes: c.ledger.Stats().Classes, Outstanding: open + c.ledger.RelayingCount()}
+	f.Discovered, f.Ejected = c.ledger.FleetCounts()
 	c.publishedAt = c.Now()
 	c.figures.Store(f)
 }
@@ -34,16 +34,16 @@
 // Offline takes a server out of service until Online is called. Once it returns, no new attempt is started at the server. Known is
 // false if there is no such server. An error means that ctx ended first.
 func (c *Core) Offline(ctx context.Context, id string) (known bool, err error) {
-	return c.applyOperatorChange(ctx, id, (*ledger.Ledger).Offline, succession.News{Offline: id})
+	return c.applyOperatorChange(ctx, id, (*ledger.Tracker).Offline, succession.Update{Offline: id})
 }
 
 // Online puts a server back into service.
 func (c *Core) Online(ctx context.Context, id string) (known bool, err error) {
-	return c.applyOperatorChange(ctx, id, (*ledger.Ledger).Online, succession.News{Online: id})
+	return c.applyOperatorChange(ctx, id, (*ledger.Tracker).Online, succession.Update{Online: id})
 }
 
-func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*ledger.Ledger, time.Duration, string) ([]ledger.Order, bool),
-	news succession.News) (known bool, err error) {
+func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*ledger.Tracker, time.Duration, string) ([]ledger.Command, bool),
+	news succession.Update) (known bool, err error) {
 	return queryUrgent(ctx, c, func() bool {
 		orders, known := how(c.ledger, c.Now(), id)
 		c.execute(orders)
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -11,15 +11,15 @@
 )
 
 // recallPeriod is how long after the start servers that enter the list are looked up in the restored state.
-const rememberFor = 10 * time.Minute
+const recallPeriod = 10 * time.Minute
 
 // RestoreLearned hands the event loop what an earlier process had learned. It is called before clients connect.
-func (c *Core) Remember(past *aging.Past, clock func() learned.Clock) {
+func (c *Core) RestoreLearned(past *aging.Restored, clock func() learned.Clock) {
 	c.post(func() {
-		c.ledger.Remember(past)
+		c.ledger.LoadPast(past)
 		c.learnedClock = clock
 		c.recall()
-		time.AfterFunc(rememberFor, func() { c.post(c.ledger.Forget) })
+		time.AfterFunc(recallPeriod, func() { c.post(c.ledger.DropPast) })
 	})
 }
 
@@ -29,7 +29,7 @@
 		return
 	}
 	n, worked := c.ledger.Recall(c.Now(), c.learnedClock())
-	c.set.Pool.Remember(worked)
+	c.set.Pool.RestoreWorking(worked)
 	if n+len(worked) > 0 {
 		c.log.Info("learned: recalled", "servers", n, "addresses", len(worked), "of", c.ledger.ServerCount())
 	}
@@ -40,10 +40,10 @@
 	return query(ctx, c, func() keeping.View {
 		open, _ := c.ledger.Count()
 		load := 0.0
-		if most := c.set.MostHeld; most > 0 {
+		if most := c.set.MaxUnanswered; most > 0 {
 			load = float64(open) / float64(most)
 		}
-		return keeping.View{News: c.ledger.News(), Servers: c.ledger.ServerCount(), Load: load}
+		return keeping.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount(), Load: load}
 	})
 }
 
@@ -51,8 +51,8 @@
 // writing to it.
 func (c *Core) Export(ctx context.Context, into *ledger.Learned) (keeping.View, error) {
 	return query(ctx, c, func() keeping.View {
-		c.ledger.Export(c.Now(), into, c.set.Pool.Worked)
-		return keeping.View{News: c.ledger.News(), Servers: c.ledger.ServerCount()}
+		c.ledger.Export(c.Now(), into, c.set.Pool.LastWorking)
+		return keeping.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount()}
 	})
 }
 
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -20,7 +20,7 @@
 func (c *Core) startFeed(ctx context.Context) {
 	go c.set.Feed(ctx, func(changes []ledger.Entry) {
 		c.postUrgent(ctx, func() {
-			c.execute(c.ledger.List(c.Now(), false, changes))
+			c.execute(c.ledger.UpdateServers(c.Now(), false, changes))
 			c.recall()
 			c.markReady()
 			c.log.Info("list", "changes", len(changes), "backends", c.ledger.ServerCount())
@@ -29,7 +29,7 @@
 }
 
 // SetDiscovery switches to the list service at an address. It has no effect if that one is watched already.
-func (c *Core) Follow(ctx context.Context, addr string) {
+func (c *Core) SetDiscovery(ctx context.Context, addr string) {
 	c.post(func() {
 		if c.set.Feed != nil {
 			c.log.Info("the list comes from the sources of a file, as before")
@@ -37,7 +37,7 @@
 		}
 		c.log.Info("new configuration", "discovery", addr, "before", c.discovery)
 		if addr != c.discovery {
-			c.switchDiscovery(ctx, addr, discovery.List{Version: discovery.Unknown})
+			c.switchDiscovery(ctx, addr, discovery.List{Version: discovery.UnknownVersion})
 			go c.startWatch()
 		}
 	})
@@ -53,7 +53,7 @@
 	c.discovery, c.list.Version = addr, known.Version
 	d := discovery.New(addr, known, c.log)
 	c.startWatch = func() {
-		d.KeepWatching(ctx, asking.New(c.set.Asking, c.set.Seed), func(l discovery.List) {
+		d.KeepWatching(ctx, asking.New(c.set.Pacing, c.set.Seed), func(l discovery.List) {
 			c.postUrgent(ctx, func() {
 				if ctx.Err() == nil {
 					c.applyList(l)
@@ -75,7 +75,7 @@
 	entries := make([]ledger.Entry, 0, len(l.Servers))
 	var draining []string
 	for _, e := range l.Servers {
-		listed, err := e.Listed(c.set.Zones)
+		listed, err := e.TrackerEntry(c.set.Zones)
 		if err != nil {
 			c.log.Error("passing over an entry of the list", "error", err)
 			continue
@@ -85,7 +85,7 @@
 			draining = append(draining, e.ID)
 		}
 	}
-	c.execute(c.ledger.List(c.Now(), l.Full, entries))
+	c.execute(c.ledger.UpdateServers(c.Now(), l.Full, entries))
 	c.recall()
 	c.log.Info("list", "version", l.Version, "full", l.Full, "entries", len(l.Servers), "backends", c.ledger.ServerCount(),
 		"draining", len(draining), "draining_ids", strings.Join(draining[:min(len(draining), maxLoggedServers)], " "))
--- a/internal/host/core/list_test.go
+++ b/internal/host/core/list_test.go
@@ -20,9 +20,9 @@
 func newCore(t *testing.T, addr string, known ...discovery.Entry) *Core {
 	t.Helper()
 	c, err := New(Settings{Module: choice.Settings{Tick: time.Millisecond, MaxAttempts: 2,
-		Classes: []choice.Class{{Name: "pay", Effect: choice.Unsafe, Aim: time.Second, Deadline: time.Minute, Worth: 1}}},
-		Known: discovery.List{Full: true, Servers: known}, Discovery: addr, Log: slog.New(slog.DiscardHandler),
-		Pool: pool.New(pool.Settings{DialTimeout: time.Second, IdleFor: time.Minute, Most: 10})})
+		Classes: []choice.Class{{Name: "pay", Effect: choice.Unsafe, Aim: time.Second, Deadline: time.Minute, Value: 1}}},
+		InitialList: discovery.List{Full: true, Servers: known}, Discovery: addr, Log: slog.New(slog.DiscardHandler),
+		Pool: pool.New(pool.Settings{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 10})})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	c.post(func() {
 		close(waits)
 		<-gate
-		c.switchDiscovery(context.Background(), "127.0.0.1:1", discovery.List{Version: discovery.Unknown})
+		c.switchDiscovery(context.Background(), "127.0.0.1:1", discovery.List{Version: discovery.UnknownVersion})
 	})
 	<-waits
 	close(push)
--- a/internal/host/core/requestlog.go
+++ b/internal/host/core/requestlog.go
@@ -25,7 +25,7 @@
 
 // kindNames are the names of the kinds of final answers in the log.
 var kindNames = [...]string{ledger.Served: "served", ledger.Refused: "refused", ledger.Failed: "failed", ledger.Duplicate: "duplicate",
-	ledger.Unfit: "not translatable"}
+	ledger.Untranslatable: "not translatable"}
 
 // requestLog logs how requests ended. It samples them, and skips those that were served by their first attempt. During shutdown it
 // logs all of them, up to a higher limit. Only the event loop may use it.
@@ -48,7 +48,7 @@
 	limiter := r.normalLimiter
 	if r.shutdownAt > 0 {
 		limiter = r.shutdownLimiter
-	} else if rec.Plain() {
+	} else if rec.ServedFirst() {
 		return
 	}
 	if !limiter.AllowN(now, 1) {
@@ -60,15 +60,15 @@
 		outcome = "disconnected"
 	}
 	fields := []any{"id", rec.ID, "class", r.class(rec.Class), "outcome", outcome, "reason", string(rec.Reason),
-		"took", seconds(rec.Took), "deadline_in", seconds(rec.Left)}
+		"took", seconds(rec.Took), "deadline_in", seconds(rec.Remaining)}
 	if len(rec.Attempts) > 0 {
 		fields = append(fields, "attempts", attemptsText(rec.Attempts))
 	}
 	if c := rec.Connection; c.Requests > 0 {
-		fields = append(fields, "conn_age", seconds(rec.Taken-c.Opened), "conn_requests", c.Requests)
+		fields = append(fields, "conn_age", seconds(rec.Received-c.Opened), "conn_requests", c.Requests)
 	}
 	if r.shutdownAt > 0 {
-		fields = append(fields, "taken_after_signal", seconds(rec.Taken-r.shutdownAt))
+		fields = append(fields, "taken_after_signal", seconds(rec.Received-r.shutdownAt))
 	}
 	if r.suppressed > 0 {
 		fields = append(fields, "lines_suppressed", r.suppressed)
@@ -95,11 +95,11 @@
 		if i > 0 {
 			text.WriteString("; ")
 		}
-		if at.Open {
+		if at.InFlight {
 			fmt.Fprintf(&text, "%s %s open %s-", at.Server, at.Reason, seconds(at.Sent))
 			continue
 		}
-		fmt.Fprintf(&text, "%s %s %s %s-%s", at.Server, at.Reason, at.Result, seconds(at.Sent), seconds(at.Over))
+		fmt.Fprintf(&text, "%s %s %s %s-%s", at.Server, at.Reason, at.Result, seconds(at.Sent), seconds(at.Ended))
 		if at.Cause != nil {
 			cause := at.Cause.Error()
 			fmt.Fprintf(&text, " (%s)", cause[:min(len(cause), maxCauseBytes)])
--- a/internal/host/core/requestlog_test.go
+++ b/internal/host/core/requestlog_test.go
@@ -23,12 +23,12 @@
 func TestRequestLogNamesReasonAndAttempts(t *testing.T) {
 	lines := logged(t, func(r *requestLog) {
 		r.shutdownAt = 10 * time.Second
-		r.observe(time.Now(), ledger.Record{ID: "4f", Taken: 11 * time.Second, Took: 2500 * time.Millisecond, Kind: ledger.Failed,
+		r.observe(time.Now(), ledger.Record{ID: "4f", Received: 11 * time.Second, Took: 2500 * time.Millisecond, Kind: ledger.Failed,
 			Reason: ledger.Reason(choice.DeadlinePassed.String()), Connection: ledger.Connection{Opened: 9 * time.Second, Requests: 3},
 			Attempts: []ledger.AttemptRecord{
-				{Server: "s-1", Reason: choice.FirstAttempt, Result: choice.Reset, Over: time.Second},
-				{Server: "s-2", Reason: choice.Retry, Sent: time.Second, Over: 2 * time.Second, Result: choice.Failed, Cause: errors.New("status 500")},
-				{Server: "s-3", Reason: choice.Retry, Sent: 2 * time.Second, Open: true}}})
+				{Server: "s-1", Reason: choice.FirstAttempt, Result: choice.Reset, Ended: time.Second},
+				{Server: "s-2", Reason: choice.Retry, Sent: time.Second, Ended: 2 * time.Second, Result: choice.Failed, Cause: errors.New("status 500")},
+				{Server: "s-3", Reason: choice.Retry, Sent: 2 * time.Second, InFlight: true}}})
 	})
 	for _, want := range []string{"id=4f", "class=form-check", "outcome=failed", `reason="deadline passed"`, "took=2.500",
 		`attempts="s-1 first reset 0.000-1.000; s-2 retry error 1.000-2.000 (status 500); s-3 retry open 2.000-"`, "conn_age=2.000", "conn_requests=3", "taken_after_signal=1.000"} {
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -13,18 +13,18 @@
 )
 
 // InheritedState is the state that this process takes over from the one that it replaces, in addition to the list of servers.
-type Inheritance struct {
-	Said    operators.Saying
-	Learned *choice.Memory
+type InheritedState struct {
+	Overrides operators.Snapshot
+	Learned   *choice.Memory
 }
 
 // Subscriber is another process of this agent, which receives this process's news while both are serving.
-type Other struct{ notify func(succession.News) }
+type Subscriber struct{ notify func(succession.Update) }
 
 // inheritOperatorState restores the operators' commands. It runs before any server becomes available to calls.
 func (c *Core) inheritOperatorState() {
 	if c.set.Inherited != nil {
-		c.execute(c.ledger.Take(c.Now(), c.set.Inherited.Said))
+		c.execute(c.ledger.RestoreOverrides(c.Now(), c.set.Inherited.Overrides))
 	}
 }
 
@@ -34,7 +34,7 @@
 		return
 	}
 	if c.set.Inherited.Learned != nil {
-		c.ledger.Inherit(c.Now(), *c.set.Inherited.Learned)
+		c.ledger.RestoreLearned(c.Now(), *c.set.Inherited.Learned)
 	}
 	c.set.Inherited = nil
 	c.markReady()
@@ -42,11 +42,11 @@
 
 // HandOver returns the state that a replacing process starts with. From that moment on notify is called with all news that this
 // process receives, until Unsubscribe.
-func (c *Core) Leave(ctx context.Context, notify func(succession.News)) (s succession.State, o *Other, err error) {
-	o = &Other{notify}
+func (c *Core) HandOver(ctx context.Context, notify func(succession.Update)) (s succession.State, o *Subscriber, err error) {
+	o = &Subscriber{notify}
 	s, err = queryUrgent(ctx, c, func() succession.State {
 		c.subscribers[o] = true
-		s := succession.State{Discovery: c.discovery, Said: c.ledger.Saying()}
+		s := succession.State{Discovery: c.discovery, Overrides: c.ledger.Overrides()}
 		if len(c.list.Servers) > 0 {
 			s.List, _ = json.Marshal(c.list) // consists of plain values; nil if encoding fails regardless
 		}
@@ -61,21 +61,21 @@
 }
 
 // Subscribe has notify called with all news that this process receives, until Unsubscribe.
-func (c *Core) Join(notify func(succession.News)) *Other {
-	o := &Other{notify}
+func (c *Core) Subscribe(notify func(succession.Update)) *Subscriber {
+	o := &Subscriber{notify}
 	c.post(func() { c.subscribers[o] = true })
 	return o
 }
 
 // Unsubscribe removes a process that has ended.
-func (c *Core) Part(o *Other) { c.post(func() { delete(c.subscribers, o) }) }
+func (c *Core) Unsubscribe(o *Subscriber) { c.post(func() { delete(c.subscribers, o) }) }
 
 // Broadcast sends news to all other processes of this agent.
-func (c *Core) Tell(n succession.News) { c.post(func() { c.notifySubscribers(n, nil) }) }
+func (c *Core) Broadcast(n succession.Update) { c.post(func() { c.notifySubscribers(n, nil) }) }
 
 // ReceiveNews applies news from another process and forwards it to all others. Of three processes each knows only its predecessor
 // and its successor, so that no news returns to its sender.
-func (c *Core) Hear(ctx context.Context, n succession.News, from *Other) {
+func (c *Core) ReceiveNews(ctx context.Context, n succession.Update, from *Subscriber) {
 	var reported []discovery.Entry
 	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &reported) != nil {
 		reported = nil
@@ -92,9 +92,9 @@
 		}
 		var ended []discovery.Entry
 		for _, e := range reported {
-			known, listed := c.ledger.Listed(e.ID)
+			known, listed := c.ledger.ListedServer(e.ID)
 			s, err := e.Server(c.set.Zones)
-			if listed && err == nil && succession.Counts(known, s) {
+			if listed && err == nil && succession.Applies(known, s) {
 				ended = append(ended, e)
 			}
 		}
@@ -106,7 +106,7 @@
 }
 
 // notifySubscribers sends news to the other processes, except the one that it came from, if any.
-func (c *Core) notifySubscribers(n succession.News, from *Other) {
+func (c *Core) notifySubscribers(n succession.Update, from *Subscriber) {
 	for o := range c.subscribers {
 		if o != from {
 			o.notify(n)
@@ -116,7 +116,7 @@
 
 // recordList updates the current list, and notifies other processes of servers that drain or were removed by the change.
 func (c *Core) recordList(l discovery.List) {
-	if !c.set.Publish { // without operations address there is never another process
+	if !c.set.OpsEnabled { // without operations address there is never another process
 		return
 	}
 	var ended []discovery.Entry
@@ -153,7 +153,7 @@
 	c.list.Version, c.list.Full = l.Version, true
 	if len(ended) > 0 && len(c.subscribers) > 0 {
 		if text, err := json.Marshal(ended); err == nil {
-			c.notifySubscribers(succession.News{Ended: text}, nil)
+			c.notifySubscribers(succession.Update{Ended: text}, nil)
 		}
 	}
 }
--- a/internal/host/core/undelivered.go
+++ b/internal/host/core/undelivered.go
@@ -22,7 +22,7 @@
 
 // RecordUndelivered records that the final answer to a call did not reach its client completely, at which stage and why. Usually
 // the client has disconnected. It is safe for concurrent use.
-func (c *Core) Undelivered(call *Call, kind ledger.Kind, stage string, cause error) {
+func (c *Core) RecordUndelivered(call *Call, kind ledger.AnswerKind, stage string, cause error) {
 	c.undelivered.count.Add(1)
 	if !c.undelivered.limiter.Allow() {
 		return
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -23,11 +23,11 @@
 const (
 	// StallTimeout is how long a partly received answer may pause. An answer that does not continue is invalid, and detecting that only at the
 	// deadline would be too late for another attempt.
-	Stall = 300 * time.Millisecond
+	StallTimeout = 300 * time.Millisecond
 
 	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the deadline in it may be up to 0.15 s too
 	// late, and the process may be suspended for as long in the write itself.
-	mostUnsent = 5 * time.Millisecond
+	maxUnsentAge = 5 * time.Millisecond
 
 	// reservedDivisor is the reciprocal of the share of an attempt's time that is reserved for another attempt, in case an answer keeps
 	// arriving without becoming complete.
@@ -40,26 +40,26 @@
 	stallGrace = 10 * time.Millisecond // extra time for a read whose deadline has passed
 
 	// relayStallTimeout is how long an answer that is being relayed may pause: another attempt could not replace it any more.
-	relayStall = 10 * time.Second
+	relayStallTimeout = 10 * time.Second
 )
 
 // ErrInvalidAnswer means that an answer can't be interpreted and counts as an error of the server.
-var ErrSpoilt = errors.New("spoilt answer")
+var ErrInvalidAnswer = errors.New("spoilt answer")
 
 // Codec encodes the message and decodes the answer of one attempt in a protocol.
-type Talk interface {
+type Codec interface {
 	// Message encodes the call for the server, which is to answer by end. The result is valid until the next call of Message. It is nil
 	// if the message can't be sent any more.
 	Message(end time.Time) []byte
 	// Answer reads one complete answer. Reusable tells whether the connection can carry another call. The error for an answer that can't
 	// be interpreted is an ErrInvalidAnswer.
-	Answer(in *Inflow) (e core.Ending, reusable bool, err error)
+	Answer(in *AnswerReader) (e core.AttemptOutcome, reusable bool, err error)
 }
 
 // StreamingCodec is a Codec whose message may continue after what Message returns. Follow writes the rest, while the answer is
 // awaited, and returns how many bytes of it were written; an error means that it was not written completely. Stop ends a Follow
 // that waits for more data from the client.
-type Following interface {
+type StreamingCodec interface {
 	Follows() bool // if false, Message returns the whole message, and Follow is not called
 	Follow(w net.Conn) (n int, err error)
 	Stop()
@@ -67,20 +67,20 @@
 
 // Transport makes attempts over the connections of a Pool, one at a time on each.
 type Transport struct {
-	Pool  *pool.Pool
-	Stall time.Duration // how long a partly received answer may pause
+	Pool         *pool.Pool
+	StallTimeout time.Duration // how long a partly received answer may pause
 
-	Long  bool // an answer that keeps arriving may take as long as the attempt
-	Begin func(at *core.Attempt) Talk
+	LongAnswers bool // an answer that keeps arriving may take as long as the attempt
+	NewCodec    func(at *core.Attempt) Codec
 }
 
 // Attempt implements core.Transport.
-func (t *Transport) Attempt(ctx context.Context, at *core.Attempt) core.Ending {
-	c, err := t.Pool.Acquire(ctx, at.Server, at.Speaks, &at.Life)
+func (t *Transport) Attempt(ctx context.Context, at *core.Attempt) core.AttemptOutcome {
+	c, err := t.Pool.Acquire(ctx, at.Server, at.Speaks, &at.State)
 	if err != nil {
-		return NoConnection(ctx, at, err)
+		return FailUnconnected(ctx, at, err)
 	}
-	codec := t.Begin(at)
+	codec := t.NewCodec(at)
 	deadline, _ := ctx.Deadline()
 	message, encodedAt := codec.Message(deadline), time.Now()
 	if message == nil { // it can't be sent any more, which counts as late
@@ -88,7 +88,7 @@
 		return Fail(at, life.Late)
 	}
 	size := len(message)
-	stream, _ := codec.(Following)
+	stream, _ := codec.(StreamingCodec)
 	if stream != nil && !stream.Follows() {
 		stream = nil
 	}
@@ -96,8 +96,8 @@
 		size = math.MaxInt // unknown
 	}
 	// Dialing takes time: by now the attempt may not be sent any more, or not on this connection.
-	send := Begin(ctx, at, size)
-	usable := !send || t.Pool.Fit(c)
+	send := BeginSend(ctx, at, size)
+	usable := !send || t.Pool.Usable(c)
 	if !usable {
 		Fail(at, life.Broken) // nothing was written yet
 	}
@@ -106,9 +106,9 @@
 			stream.Stop()
 		}
 		t.Pool.Release(c, usable)
-		return core.Ended(at.Life.Result())
+		return core.ResultOnly(at.State.Result())
 	}
-	if stream == nil && time.Since(encodedAt) > mostUnsent {
+	if stream == nil && time.Since(encodedAt) > maxUnsentAge {
 		message = reencode(at, codec, message, deadline)
 	}
 	e, reuse := t.exchange(ctx, c, at, codec, message, stream, deadline)
@@ -118,62 +118,62 @@
 
 // reencode encodes a message again right before it is written, as less time is left until its deadline. It returns the old message if the
 // new one can't be sent any more.
-func reencode(at *core.Attempt, codec Talk, message []byte, deadline time.Time) []byte {
+func reencode(at *core.Attempt, codec Codec, message []byte, deadline time.Time) []byte {
 	encoded := codec.Message(deadline)
 	if encoded == nil {
 		return message
 	}
 	if len(encoded) != len(message) {
-		at.Heed(at.Life.Sized(len(encoded)))
+		at.ReportIllegalStep(at.State.SetSize(len(encoded)))
 	}
 	return encoded
 }
 
 // BeginSend reports whether an attempt that has a connection may still be sent, and records that it is being sent. Size is the size of
 // the message in bytes.
-func Begin(ctx context.Context, at *core.Attempt, size int) bool {
-	send, err := at.Life.Begin(size, life.Now{Withdrawn: errors.Is(context.Cause(ctx), core.ErrWithdrawn),
+func BeginSend(ctx context.Context, at *core.Attempt, size int) bool {
+	send, err := at.State.Begin(size, life.Conditions{Withdrawn: errors.Is(context.Cause(ctx), core.ErrCanceled),
 		Late: ctx.Err() != nil || !at.WriteBy.IsZero() && !time.Now().Before(at.WriteBy), Over: at.Call.Abandoned(), Retired: at.Server.Retired()})
-	at.Heed(err)
+	at.ReportIllegalStep(err)
 	return send
 }
 
 // FailUnconnected ends an attempt for which the pool returned an error instead of a connection.
-func NoConnection(ctx context.Context, at *core.Attempt, err error) core.Ending {
+func FailUnconnected(ctx context.Context, at *core.Attempt, err error) core.AttemptOutcome {
 	cause := life.Broken
 	switch {
 	case errors.Is(err, pool.ErrNoPlace):
 		cause = life.NoPlace
-	case errors.Is(context.Cause(ctx), core.ErrWithdrawn):
+	case errors.Is(context.Cause(ctx), core.ErrCanceled):
 		cause = life.Withdrawn
 	}
 	return failure(at, cause, err)
 }
 
 // Fail ends an attempt without an answer.
-func Fail(at *core.Attempt, c life.Cause) core.Ending { return failure(at, c, nil) }
+func Fail(at *core.Attempt, c life.Cause) core.AttemptOutcome { return failure(at, c, nil) }
 
 // failure ends an attempt without an answer because of an error, which may be nil.
-func failure(at *core.Attempt, c life.Cause, err error) core.Ending {
-	at.Heed(at.Life.Fail(c))
-	e := core.Ended(at.Life.Result())
+func failure(at *core.Attempt, c life.Cause, err error) core.AttemptOutcome {
+	at.ReportIllegalStep(at.State.Fail(c))
+	e := core.ResultOnly(at.State.Result())
 	e.Cause = err
 	return e
 }
 
 // answerReaders are pooled: a connection needs one only while an answer is read.
-var answerReaders = sync.Pool{New: func() any { return &Inflow{Reader: bufio.NewReaderSize(nil, 4<<10)} }}
+var answerReaders = sync.Pool{New: func() any { return &AnswerReader{Reader: bufio.NewReaderSize(nil, 4<<10)} }}
 
 // exchange sends the message and reads the complete answer. If reuse is true the connection can be used again, otherwise
 // it is closed.
-func (t *Transport) exchange(ctx context.Context, c *pool.Conn, at *core.Attempt, codec Talk, message []byte,
-	stream Following, deadline time.Time) (e core.Ending, reuse bool) {
+func (t *Transport) exchange(ctx context.Context, c *pool.Conn, at *core.Attempt, codec Codec, message []byte,
+	stream StreamingCodec, deadline time.Time) (e core.AttemptOutcome, reuse bool) {
 	c.SetReadDeadline(deadline) // the write deadline is set as writing begins
 	detach := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	in := answerReaders.Get().(*Inflow)
+	in := answerReaders.Get().(*AnswerReader)
 	defer answerReaders.Put(in)
-	in.reset(ctx, at, c.Conn, deadline, t.Stall)
-	in.long, in.detachContext = t.Long, detach
+	in.reset(ctx, at, c.Conn, deadline, t.StallTimeout)
+	in.long, in.detachContext = t.LongAnswers, detach
 	in.send(codec, message, stream)
 	e, reusable, err := codec.Answer(in)
 	reuse = (in.relaying || detach()) && err == nil && reusable && in.Buffered() == 0
@@ -186,19 +186,19 @@
 	}
 	n := max(0, in.bytesSent(true))
 	if in.messageBytes >= 0 && (stream != nil || in.messageBytes != len(message)) { // it was streamed, or encoded again
-		at.Heed(at.Life.Sized(in.messageBytes))
+		at.ReportIllegalStep(at.State.SetSize(in.messageBytes))
 	}
-	at.Heed(at.Life.Wrote(n))
+	at.ReportIllegalStep(at.State.Wrote(n))
 	switch {
 	case err == nil:
 		if in.anyReceived {
-			at.Heed(at.Life.Read())
+			at.ReportIllegalStep(at.State.Read())
 		}
-		at.Heed(at.Life.Answer(e.Result))
+		at.ReportIllegalStep(at.State.Answer(e.Result))
 		return e, reuse
-	case errors.Is(context.Cause(ctx), core.ErrWithdrawn):
+	case errors.Is(context.Cause(ctx), core.ErrCanceled):
 		return Fail(at, life.Withdrawn), false
-	case errors.Is(err, ErrSpoilt):
+	case errors.Is(err, ErrInvalidAnswer):
 		return failure(at, life.Garbled, err), false
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return failure(at, life.Late, err), false
@@ -211,7 +211,7 @@
 
 // AnswerReader reads the answer to a message from a connection and limits the time that it may take. It also writes the message, which may
 // continue while the answer is read. Only the goroutine of its attempt may use it.
-type Inflow struct {
+type AnswerReader struct {
 	*bufio.Reader
 	conn         net.Conn
 	at           *core.Attempt
@@ -238,13 +238,13 @@
 	err error // nil if the message was written completely
 }
 
-func (r *Inflow) reset(ctx context.Context, at *core.Attempt, c net.Conn, deadline time.Time, stallTimeout time.Duration) {
-	*r = Inflow{Reader: r.Reader, conn: c, at: at, ctx: ctx, deadline: deadline, stallTimeout: stallTimeout}
+func (r *AnswerReader) reset(ctx context.Context, at *core.Attempt, c net.Conn, deadline time.Time, stallTimeout time.Duration) {
+	*r = AnswerReader{Reader: r.Reader, conn: c, at: at, ctx: ctx, deadline: deadline, stallTimeout: stallTimeout}
 	r.Reader.Reset(connReader{r})
 }
 
 // send writes the message. A long or streamed one is written while the answer is awaited.
-func (r *Inflow) send(codec Talk, message []byte, stream Following) {
+func (r *AnswerReader) send(codec Codec, message []byte, stream StreamingCodec) {
 	conn, at := r.conn, r.at
 	write := func() writeResult {
 		n, err := r.writeMessage(codec, message, stream != nil)
@@ -256,7 +256,7 @@
 		if err != nil {
 			conn.Close() // the server never executes it, and there is no answer to wait for
 		} else {
-			at.Forwarded()
+			at.MarkForwarded()
 		}
 		return writeResult{n, err}
 	}
@@ -275,18 +275,18 @@
 // writeMessage writes a complete message. If nothing of it can be written for maxUnsentAge, as system calls fail, it checks again whether
 // the message may be sent and encodes it again, as less time is left until its deadline. A streamed message is not encoded again: its time
 // counts from its last byte.
-func (r *Inflow) writeMessage(codec Talk, message []byte, streamed bool) (n int, err error) {
+func (r *AnswerReader) writeMessage(codec Codec, message []byte, streamed bool) (n int, err error) {
 	if streamed {
 		r.setWriteDeadline(r.deadline)
 		return r.conn.Write(message)
 	}
-	r.setWriteDeadline(time.Now().Add(mostUnsent))
+	r.setWriteDeadline(time.Now().Add(maxUnsentAge))
 	n, err = r.conn.Write(message)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && r.maySend() {
 		if message = codec.Message(r.deadline); message == nil {
 			break
 		}
-		r.setWriteDeadline(time.Now().Add(mostUnsent))
+		r.setWriteDeadline(time.Now().Add(maxUnsentAge))
 		n, err = r.conn.Write(message)
 	}
 	if n == 0 && err != nil || n == len(message) {
@@ -298,14 +298,14 @@
 }
 
 // maySend reports whether a message of which nothing has been written may still be sent.
-func (r *Inflow) maySend() bool {
+func (r *AnswerReader) maySend() bool {
 	now := time.Now()
 	return r.ctx.Err() == nil && (r.deadline.IsZero() || now.Before(r.deadline)) && (r.at.WriteBy.IsZero() || now.Before(r.at.WriteBy)) &&
 		!r.at.Call.Abandoned() && !r.at.Server.Retired()
 }
 
 // setWriteDeadline sets the write deadline, which the end of the attempt and the time by which it must be sent may bring forward.
-func (r *Inflow) setWriteDeadline(by time.Time) {
+func (r *AnswerReader) setWriteDeadline(by time.Time) {
 	r.conn.SetWriteDeadline(earliest(by, r.deadline, r.at.WriteBy))
 	if r.ctx.Err() != nil { // the context has just ended, and the expired deadline that it has set must stay
 		r.conn.SetWriteDeadline(time.Unix(1, 0))
@@ -313,7 +313,7 @@
 }
 
 // bytesSent returns how many bytes of the message were written. While writing is in progress it returns -1, or waits if wait is true.
-func (r *Inflow) bytesSent(wait bool) int {
+func (r *AnswerReader) bytesSent(wait bool) int {
 	if r.writtenBytes < 0 {
 		select {
 		case w := <-r.writeDone:
@@ -328,14 +328,14 @@
 }
 
 // recordWrite records the result of writing. It sets the size of the message, which for a streamed one was unknown, if all was written.
-func (r *Inflow) recordWrite(w writeResult) {
+func (r *AnswerReader) recordWrite(w writeResult) {
 	if r.writtenBytes, r.writeErr = w.n, w.err; w.err == nil {
 		r.messageBytes = w.n
 	}
 }
 
 // WaitSent waits until the message is written completely, for a Codec whose call has no answer. It returns an error if it was not.
-func (r *Inflow) Sent() error {
+func (r *AnswerReader) WaitSent() error {
 	if n := r.bytesSent(true); n < r.messageBytes {
 		return fmt.Errorf("%d of %d bytes written", n, r.messageBytes)
 	}
@@ -344,18 +344,18 @@
 
 // Relay starts relaying an answer that is still being received. The attempt's deadline no longer applies to it, and it may pause for up
 // to relayStallTimeout. Relay returns false if the attempt's context has ended already.
-func (r *Inflow) Relay(e core.Ending) bool {
+func (r *AnswerReader) Relay(e core.AttemptOutcome) bool {
 	if !r.detachContext() {
 		return false
 	}
 	r.relaying = true
-	r.at.Begun(r.at, e)
+	r.at.OnRelayStart(r.at, e)
 	return true
 }
 
 // AwaitData waits for the first byte of an answer, or of its next part, until the attempt's deadline. From then on the answer may pause
 // only for StallTimeout, and unless answers may be long it must be complete before the time reserved for another attempt.
-func (r *Inflow) Begin() error {
+func (r *AnswerReader) AwaitData() error {
 	r.setMidAnswer(false)
 	_, err := r.Peek(1)
 	if err == nil {
@@ -366,7 +366,7 @@
 }
 
 // setMidAnswer sets how long the next bytes may take: until the attempt's deadline, or less once an answer is partly received.
-func (r *Inflow) setMidAnswer(midAnswer bool) {
+func (r *AnswerReader) setMidAnswer(midAnswer bool) {
 	if midAnswer == r.midAnswer {
 		return // exchange has set the read deadline
 	}
@@ -382,7 +382,7 @@
 }
 
 // limitPause sets how long a partly received answer may pause from now on.
-func (r *Inflow) limitPause(d time.Duration) {
+func (r *AnswerReader) limitPause(d time.Duration) {
 	r.setReadDeadline(earliest(time.Now().Add(d), r.deadline, r.completeBy))
 }
 
@@ -396,7 +396,7 @@
 	return first
 }
 
-func (r *Inflow) setReadDeadline(by time.Time) {
+func (r *AnswerReader) setReadDeadline(by time.Time) {
 	r.conn.SetReadDeadline(by)
 	if r.ctx.Err() != nil { // the context has just ended, and the expired deadline that it has set must stay
 		r.conn.SetReadDeadline(time.Unix(1, 0))
@@ -405,13 +405,13 @@
 
 // Hold has late called if a partly received answer is not complete by until. If late returns true, reading continues: late has either
 // called Relay, or called Hold again with another time.
-func (r *Inflow) Hold(until time.Time, late func() bool) {
+func (r *AnswerReader) Hold(until time.Time, late func() bool) {
 	r.onLate = late
 	r.setReadDeadline(earliest(until, r.deadline))
 }
 
 // TimeLeft returns the time until the attempt's deadline, or math.MaxInt64 if it has none.
-func (r *Inflow) Left() time.Duration {
+func (r *AnswerReader) TimeLeft() time.Duration {
 	if r.deadline.IsZero() {
 		return math.MaxInt64
 	}
@@ -419,11 +419,11 @@
 }
 
 // connReader reads from the connection for the AnswerReader's buffer.
-type connReader struct{ *Inflow }
+type connReader struct{ *AnswerReader }
 
 func (r connReader) Read(p []byte) (int, error) {
 	if r.relaying {
-		r.conn.SetReadDeadline(time.Now().Add(relayStall))
+		r.conn.SetReadDeadline(time.Now().Add(relayStallTimeout))
 		return r.conn.Read(p)
 	}
 	n, err := r.conn.Read(p)
@@ -441,7 +441,7 @@
 // answer may be relayed or held further.
 func (r connReader) readLate(p []byte) (n int, err error) {
 	if r.onLate != nil {
-		if n, err = peek.Take(r.conn, p); n > 0 || isEnd(err) {
+		if n, err = peek.ReadNow(r.conn, p); n > 0 || isEnd(err) {
 			return n, err
 		}
 		if r.onLate() {
@@ -450,12 +450,12 @@
 	}
 	r.conn.SetReadDeadline(time.Now().Add(stallGrace))
 	if n, err = r.conn.Read(p); errors.Is(err, os.ErrDeadlineExceeded) {
-		err = fmt.Errorf("%w: it does not continue", ErrSpoilt)
+		err = fmt.Errorf("%w: it does not continue", ErrInvalidAnswer)
 	}
 	return n, err
 }
 
 // isEnd reports whether an error of peek.Take means that the connection has ended.
 func isEnd(err error) bool {
-	return !errors.Is(err, peek.ErrNothing) && !errors.Is(err, peek.ErrUnclear) && !errors.Is(err, errors.ErrUnsupported)
+	return !errors.Is(err, peek.ErrNoData) && !errors.Is(err, peek.ErrUnknown) && !errors.Is(err, errors.ErrUnsupported)
 }
