--- a/internal/host/keeper/bench_test.go
+++ b/internal/host/keeper/bench_test.go
@@ -41,7 +41,7 @@
 				}
 				round++
 				state := learned.New(learned.Clock{Wall: time.Hour, Boot: time.Duration(round) * time.Second, BootID: "b"}, "n1", choice.Memory{}, servers, fleet, nil)
-				shared, buckets := keeping.Pick(keeping.Defaults, last, state, nil)
+				shared, buckets := keeping.SelectChanged(keeping.Defaults, last, state, nil)
 				batch, size, err := encodeBatch(state, shared, buckets, len(last.Buckets))
 				if err != nil {
 					b.Fatal(err)
@@ -66,7 +66,7 @@
 
 func (l *loop) View(context.Context) (keeping.View, error) {
 	answer := make(chan keeping.View, 1)
-	l.events <- func() { l.news += 1 << 20; answer <- keeping.View{News: l.news, Servers: len(l.servers)} }
+	l.events <- func() { l.news += 1 << 20; answer <- keeping.View{Updates: l.news, Servers: len(l.servers)} }
 	return <-answer, nil
 }
 
@@ -77,7 +77,7 @@
 			l.servers[i].Rate = 300 - l.servers[i].Rate
 		}
 		into.Servers, into.Fleet = append(into.Servers[:0], l.servers...), append(into.Fleet[:0], l.fleet...)
-		answer <- keeping.View{News: l.news}
+		answer <- keeping.View{Updates: l.news}
 	}
 	return <-answer, nil
 }
@@ -102,12 +102,12 @@
 				})
 				if writing {
 					set := stateconf.Default(b.TempDir())
-					set.Keeping.Look, set.Keeping.Least, set.Keeping.Most, set.Keeping.MostBytes = 100*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond, 1<<40
-					set.End = time.Minute
+					set.WritePolicy.CheckInterval, set.WritePolicy.MinInterval, set.WritePolicy.MaxInterval, set.WritePolicy.BytesPerMinute = 100*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond, 1<<40
+					set.FinalWriteTimeout = time.Minute
 					k := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.DiscardHandler)})
 					go k.Run(l)
-					k.Past()
-					defer func() { k.End(); close(l.events); looping.Wait() }()
+					k.Restored()
+					defer func() { k.Close(); close(l.events); looping.Wait() }()
 				} else {
 					defer func() { close(l.events); looping.Wait() }()
 				}
--- a/internal/host/keeper/keeper.go
+++ b/internal/host/keeper/keeper.go
@@ -35,16 +35,16 @@
 }
 
 // Runner loads and stores the learned state of one agent. Restored, Clock and Close may be called while Run is running.
-type Keeper struct {
+type Runner struct {
 	settings Settings
-	restored chan *aging.Past // receives one value once the folder is read; nil if there is no state
-	stop     chan struct{}    // closed when the agent shuts down
-	stopped  chan struct{}    // closed after the last write
+	restored chan *aging.Restored // receives one value once the folder is read; nil if there is no state
+	stop     chan struct{}        // closed when the agent shuts down
+	stopped  chan struct{}        // closed after the last write
 
 	// The following fields belong to the goroutine of Run.
 	store          *store.Store
-	policy         *keeping.Keeper
-	steps          keeping.Steps
+	policy         *keeping.Policy
+	steps          keeping.ClockSteps
 	startedAt      time.Time
 	lastWritten    learned.State // as written last
 	readOnlyReason error         // why nothing may ever be written
@@ -52,45 +52,45 @@
 }
 
 // New returns a Runner; Run starts it.
-func New(set Settings) *Keeper {
+func New(set Settings) *Runner {
 	if set.FS == nil {
 		set.FS = store.Dir(set.Folder)
 	}
 	if set.Clock == nil {
 		set.Clock = Clock
 	}
-	return &Keeper{settings: set, restored: make(chan *aging.Past, 1), stop: make(chan struct{}), stopped: make(chan struct{})}
+	return &Runner{settings: set, restored: make(chan *aging.Restored, 1), stop: make(chan struct{}), stopped: make(chan struct{})}
 }
 
 // Clock reads the machine's clocks.
-func (r *Keeper) Clock() learned.Clock { return r.settings.Clock() }
+func (r *Runner) Clock() learned.Clock { return r.settings.Clock() }
 
 // Restored waits for the stored state, at most for the time configured; it returns nil if there is none or it was not
 // read in time.
-func (r *Keeper) Past() *aging.Past {
-	timeout := time.NewTimer(r.settings.Load)
+func (r *Runner) Restored() *aging.Restored {
+	timeout := time.NewTimer(r.settings.LoadTimeout)
 	defer timeout.Stop()
 	select {
 	case restored := <-r.restored:
 		return restored
 	case <-timeout.C:
 		r.settings.Log.Warn("learned: the folder was not read in time, nothing is remembered",
-			"folder", r.settings.Folder, "load", r.settings.Load)
+			"folder", r.settings.Folder, "load", r.settings.LoadTimeout)
 		return nil
 	}
 }
 
 // Run reads the folder, and writes to it until Close is called.
-func (r *Keeper) Run(agent Agent) {
+func (r *Runner) Run(agent Agent) {
 	defer close(r.stopped)
 	r.startedAt = time.Now()
-	r.policy = keeping.New(r.settings.Keeping, 0, r.settings.Seed)
+	r.policy = keeping.New(r.settings.WritePolicy, 0, r.settings.Seed)
 	r.restored <- r.load()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	export := new(ledger.Learned)
 	for {
-		wait := time.NewTimer(r.policy.Next() - r.now())
+		wait := time.NewTimer(r.policy.NextCheck() - r.now())
 		select {
 		case <-wait.C:
 		case <-r.stop:
@@ -98,9 +98,9 @@
 			r.writeFinal(agent, export)
 			return
 		}
-		r.steps.Saw(r.settings.Clock())
+		r.steps.Observe(r.settings.Clock())
 		view, err := agent.View(ctx)
-		if err != nil || !r.policy.Looked(r.now(), view) {
+		if err != nil || !r.policy.Check(r.now(), view) {
 			continue
 		}
 		if _, err := agent.Export(ctx, export); err != nil {
@@ -110,23 +110,23 @@
 	}
 }
 
-func (r *Keeper) now() time.Duration { return time.Since(r.startedAt) }
+func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
 // Close writes updates for the last time, and returns when that is done or has taken as long as configured.
-func (r *Keeper) End() {
+func (r *Runner) Close() {
 	close(r.stop)
-	timeout := time.NewTimer(r.settings.End)
+	timeout := time.NewTimer(r.settings.FinalWriteTimeout)
 	defer timeout.Stop()
 	select {
 	case <-r.stopped:
 	case <-timeout.C:
-		r.settings.Log.Warn("learned: the last write was not done in time", "folder", r.settings.Folder, "end", r.settings.End)
+		r.settings.Log.Warn("learned: the last write was not done in time", "folder", r.settings.Folder, "end", r.settings.FinalWriteTimeout)
 	}
 }
 
 // writeFinal makes the last write and releases the folder.
-func (r *Keeper) writeFinal(agent Agent, export *ledger.Learned) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.settings.End)
+func (r *Runner) writeFinal(agent Agent, export *ledger.Learned) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.settings.FinalWriteTimeout)
 	defer cancel()
 	if view, err := agent.Export(ctx, export); err == nil && r.policy.End(view) {
 		r.write(export)
@@ -142,7 +142,7 @@
 const maxLoggedDrops = 16
 
 // load opens the folder and returns the stored state. If another process owns the folder, it is still read.
-func (r *Keeper) load() *aging.Past {
+func (r *Runner) load() *aging.Restored {
 	begin := time.Now()
 	var records map[string]store.Record
 	report, err := r.openStore()
@@ -174,7 +174,7 @@
 		r.readOnlyReason = err
 	}
 	switch {
-	case errors.Is(err, learned.ErrNone):
+	case errors.Is(err, learned.ErrNoState):
 		r.settings.Log.Info("learned: nothing is kept yet", "folder", r.settings.Folder, "left", report.Left)
 		return nil
 	case err != nil:
@@ -188,29 +188,29 @@
 	return aging.New(r.settings.Aging, state)
 }
 
-func (r *Keeper) storeSettings() store.Settings { return Bounds(r.settings.MostBytes) }
+func (r *Runner) storeSettings() store.Settings { return StoreSettings(r.settings.MaxBytes) }
 
 // StoreSettings returns the settings of a store for learned state, with the upgrades of older formats.
-func Bounds(maxBytes int64) store.Settings {
+func StoreSettings(maxBytes int64) store.Settings {
 	var upgrades []store.Upgrade
 	for _, upgrade := range learned.Upgrades {
 		upgrades = append(upgrades, upgrade)
 	}
-	return store.Settings{MostBytes: maxBytes, Upgrades: map[string][]store.Upgrade{learned.Kind: upgrades}}
+	return store.Settings{MaxBytes: maxBytes, Upgrades: map[string][]store.Upgrade{learned.Kind: upgrades}}
 }
 
-func (r *Keeper) openStore() (report store.Report, err error) {
+func (r *Runner) openStore() (report store.Report, err error) {
 	r.store, report, err = store.Open(r.settings.FS, r.storeSettings())
 	return report, err
 }
 
 // readState decodes the state that a store holds.
 func readState(records map[string]store.Record) (learned.State, []learned.Drop, error) {
-	return learned.Read(Records(records))
+	return learned.Read(LearnedRecords(records))
 }
 
 // LearnedRecords returns the records of a store that hold learned state.
-func Records(records map[string]store.Record) map[string]learned.Record {
+func LearnedRecords(records map[string]store.Record) map[string]learned.Record {
 	learnedRecords := map[string]learned.Record{}
 	for name, r := range records {
 		if r.Kind == learned.Kind {
@@ -221,7 +221,7 @@
 }
 
 // logFailureOnce logs a failure if none was logged since the last success.
-func (r *Keeper) logFailureOnce(text string, err error) {
+func (r *Runner) logFailureOnce(text string, err error) {
 	if !r.failureLogged {
 		r.failureLogged = true
 		r.settings.Log.Warn(text, "folder", r.settings.Folder, "error", err)
@@ -229,20 +229,20 @@
 }
 
 // write writes the parts of the learned state that have changed enough.
-func (r *Keeper) write(export *ledger.Learned) {
+func (r *Runner) write(export *ledger.Learned) {
 	if r.readOnlyReason != nil {
 		r.logFailureOnce("learned: not written", r.readOnlyReason)
-		r.policy.Wrote(r.now(), 0, r.readOnlyReason)
+		r.policy.WriteDone(r.now(), 0, r.readOnlyReason)
 		return
 	}
 	begin := time.Now()
-	state := learned.New(r.steps.Saw(r.settings.Clock()), r.settings.Name, export.Memory, export.Servers, export.Fleet, runtime.Gosched)
-	shared, buckets := keeping.Pick(r.settings.Keeping, r.lastWritten, state, runtime.Gosched)
+	state := learned.New(r.steps.Observe(r.settings.Clock()), r.settings.Name, export.Memory, export.Servers, export.Fleet, runtime.Gosched)
+	shared, buckets := keeping.SelectChanged(r.settings.WritePolicy, r.lastWritten, state, runtime.Gosched)
 	batch, size, err := encodeBatch(state, shared, buckets, len(r.lastWritten.Buckets))
 	if err == nil && len(batch) > 0 {
 		err = r.put(batch)
 	}
-	r.policy.Wrote(r.now(), size, err)
+	r.policy.WriteDone(r.now(), size, err)
 	if err != nil {
 		r.logFailureOnce("learned: not written, the agent serves on", err)
 		return
@@ -259,7 +259,7 @@
 }
 
 // recordWritten records what was written: parts that were not written remain as before.
-func (r *Keeper) recordWritten(state learned.State, shared bool, buckets []int) {
+func (r *Runner) recordWritten(state learned.State, shared bool, buckets []int) {
 	if len(r.lastWritten.Buckets) != len(state.Buckets) {
 		r.lastWritten = state
 		return
@@ -273,7 +273,7 @@
 }
 
 // put writes records to the store, and opens it first if that failed before.
-func (r *Keeper) put(batch []store.Record) error {
+func (r *Runner) put(batch []store.Record) error {
 	if r.store == nil {
 		if _, err := r.openStore(); err != nil {
 			return err
@@ -299,7 +299,7 @@
 		runtime.Gosched() // on a single CPU the event loop goes first
 	}
 	for i := len(state.Buckets); i < previousBuckets; i++ {
-		batch = append(batch, store.Record{Name: learned.BucketName(i), Kind: learned.Kind, Format: learned.Format, Gone: true})
+		batch = append(batch, store.Record{Name: learned.BucketName(i), Kind: learned.Kind, Format: learned.Format, Deleted: true})
 	}
 	return batch, size, err
 }
--- a/internal/host/keeper/keeper_test.go
+++ b/internal/host/keeper/keeper_test.go
@@ -31,34 +31,34 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.news += 100
-	return keeping.View{News: a.news, Servers: 2}
+	return keeping.View{Updates: a.news, Servers: 2}
 }
 
 func (a *agent) View(context.Context) (keeping.View, error) { return a.view(), nil }
 
 func (a *agent) Export(_ context.Context, into *ledger.Learned) (keeping.View, error) {
 	v := a.view()
-	*into = ledger.Learned{Fleet: []uint64{1, 2}, Servers: []learned.Server{{Identity: 1, ServerMemory: choice.ServerMemory{ID: "a", Rate: float64(v.News)}}}}
+	*into = ledger.Learned{Fleet: []uint64{1, 2}, Servers: []learned.Server{{Identity: 1, ServerMemory: choice.ServerMemory{ID: "a", Rate: float64(v.Updates)}}}}
 	return v, nil
 }
 
 func quickConfig() stateconf.Config {
 	c := stateconf.Default("/kept")
-	c.Load, c.End = testkit.Patience, testkit.Patience
-	c.Keeping.Look, c.Keeping.Least, c.Keeping.Most = time.Millisecond, time.Millisecond, time.Millisecond
-	c.Keeping.Retry, c.Keeping.MostRetry, c.Keeping.MostBytes = time.Millisecond, time.Millisecond, 1<<40
+	c.LoadTimeout, c.FinalWriteTimeout = testkit.WaitTimeout, testkit.WaitTimeout
+	c.WritePolicy.CheckInterval, c.WritePolicy.MinInterval, c.WritePolicy.MaxInterval = time.Millisecond, time.Millisecond, time.Millisecond
+	c.WritePolicy.RetryDelay, c.WritePolicy.MaxRetryDelay, c.WritePolicy.BytesPerMinute = time.Millisecond, time.Millisecond, 1<<40
 	return c
 }
 
 // runOnce runs a Runner of an agent name until a text is logged, and returns the restored state and the log.
-func runOnce(t *testing.T, fs store.FS, name, logged string) (*aging.Past, string) {
+func runOnce(t *testing.T, fs store.FS, name, logged string) (*aging.Restored, string) {
 	t.Helper()
 	var l testkit.Log
 	k := New(Settings{Config: quickConfig(), Name: name, Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 	go k.Run(new(agent))
-	restored := k.Past()
-	testkit.Eventually(t, "it logs "+logged, func() bool { return l.Has(logged) })
-	k.End()
+	restored := k.Restored()
+	testkit.Eventually(t, "it logs "+logged, func() bool { return l.Contains(logged) })
+	k.Close()
 	return restored, l.String()
 }
 
@@ -69,7 +69,7 @@
 	if restored, log := runOnce(t, fs, "n1", "learned: written"); restored != nil || !strings.Contains(log, "nothing is kept yet") {
 		t.Errorf("restored %v\n%s", restored, log)
 	}
-	if restored, log := runOnce(t, fs, "n1", "learned: written"); restored == nil || restored.Left() != 1 || !strings.Contains(log, "learned: loaded") {
+	if restored, log := runOnce(t, fs, "n1", "learned: written"); restored == nil || restored.Remaining() != 1 || !strings.Contains(log, "learned: loaded") {
 		t.Errorf("restored %v\n%s", restored, log)
 	}
 	before := fs.Files()
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	restored, log := runOnce(t, fs, "n1", `"learned: written"`)
-	if restored == nil || restored.Left() != 1 {
+	if restored == nil || restored.Remaining() != 1 {
 		t.Errorf("restored %v\n%s", restored, log)
 	}
 	records, _, err := store.Peek(fs, store.Settings{})
@@ -172,7 +172,7 @@
 			k := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 			a := new(agent)
 			go k.Run(a)
-			if restored := k.Past(); restored != nil {
+			if restored := k.Restored(); restored != nil {
 				t.Error("a state was restored")
 			}
 			updates := func() uint64 { a.mu.Lock(); defer a.mu.Unlock(); return a.news }
@@ -181,8 +181,8 @@
 				t.Errorf("logged\n%s", log)
 			}
 			fs.heal()
-			testkit.Eventually(t, "it writes again", func() bool { return l.Has("learned: written again") })
-			k.End()
+			testkit.Eventually(t, "it writes again", func() bool { return l.Contains("learned: written again") })
+			k.Close()
 			records, _, err := store.Peek(fs, store.Settings{})
 			if s, _, e := readState(records); err != nil || e != nil || s.Count() != 1 {
 				t.Errorf("%v, %v", err, e)
@@ -201,15 +201,15 @@
 	var l testkit.Log
 	k := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: dir})
 	go k.Run(new(agent))
-	if restored := k.Past(); restored != nil {
+	if restored := k.Restored(); restored != nil {
 		t.Error("a state was restored")
 	}
-	testkit.Eventually(t, "it logs that", func() bool { return l.Has("another process owns the folder") })
+	testkit.Eventually(t, "it logs that", func() bool { return l.Contains("another process owns the folder") })
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it writes", func() bool { return l.Has(`"learned: written"`) })
-	k.End()
+	testkit.Eventually(t, "it writes", func() bool { return l.Contains(`"learned: written"`) })
+	k.Close()
 }
 
 // hungFS is a folder whose operations do not return.
@@ -226,15 +226,15 @@
 // A folder that hangs delays startup and shutdown by no more than configured.
 func TestHungFolder(t *testing.T) {
 	set := quickConfig()
-	set.Load, set.End = 20*time.Millisecond, 20*time.Millisecond
+	set.LoadTimeout, set.FinalWriteTimeout = 20*time.Millisecond, 20*time.Millisecond
 	var l testkit.Log
 	fs := hungFS{crashfs.New(), make(chan struct{})}
 	k := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 	go k.Run(new(agent))
-	if restored := k.Past(); restored != nil {
+	if restored := k.Restored(); restored != nil {
 		t.Error("a state was restored")
 	}
-	k.End()
+	k.Close()
 	if log := l.String(); !strings.Contains(log, "not read in time") || !strings.Contains(log, "not done in time") {
 		t.Errorf("logged\n%s", log)
 	}
--- a/internal/host/members/members.go
+++ b/internal/host/members/members.go
@@ -22,8 +22,8 @@
 type Settings struct {
 	sourceconf.Config
 	Discovery string         // address of the platform's list; empty for none
-	Known     discovery.List // the last known platform's list
-	Asking    asking.Settings
+	LastList  discovery.List // the last known platform's list
+	Pacing    asking.Settings
 	Zones     []string
 	Seed      uint64
 	Log       *slog.Logger
@@ -40,7 +40,7 @@
 }
 
 // noExpiry is how long the reports of a source without a configured limit stay valid.
-const forEver = 100 * 365 * 24 * time.Hour
+const noExpiry = 100 * 365 * 24 * time.Hour
 
 // ListName is the name of the source that is the platform's list.
 const ListName = "list"
@@ -51,16 +51,16 @@
 	m := set.Membership
 	hold := func(d time.Duration) time.Duration {
 		if d == 0 {
-			return forEver
+			return noExpiry
 		}
 		return d
 	}
 	if set.Discovery != "" {
 		h.listSource = 0
-		m.Sources = append(m.Sources, membership.Source{Name: ListName, Hold: hold(set.ListHold), Absent: true, Guard: len(set.DNS) > 0})
+		m.Sources = append(m.Sources, membership.Source{Name: ListName, Hold: hold(set.ListHold), RemoveAbsent: true, Guard: len(set.DNS) > 0})
 	}
 	for _, d := range set.DNS {
-		m.Sources = append(m.Sources, membership.Source{Name: d.Name, Hold: hold(d.Hold), Absent: true, Guard: true})
+		m.Sources = append(m.Sources, membership.Source{Name: d.Name, Hold: hold(d.Hold), RemoveAbsent: true, Guard: true})
 	}
 	h.members = membership.New(m)
 	return h
@@ -69,22 +69,22 @@
 // Feed implements core.Feed: it runs the sources and delivers every change of the list until ctx is done.
 func (h *Host) Feed(ctx context.Context, deliver func([]ledger.Entry)) {
 	if h.listSource >= 0 {
-		if len(h.set.Known.Servers) > 0 {
-			h.report(h.listReport(h.set.Known), deliver)
+		if len(h.set.LastList.Servers) > 0 {
+			h.report(h.listReport(h.set.LastList), deliver)
 		}
 		go h.watch(ctx, deliver)
 	}
 	for i, d := range h.set.DNS {
 		number := h.listSource + 1 + i
 		go dnssource.Run(ctx, dnssource.Settings{Settings: d.Resolve, Addrs: d.Servers, Seed: h.set.Seed + uint64(i), Log: h.set.Log, Now: clock.Now},
-			func(snapshot resolve.Word) {
+			func(snapshot resolve.Snapshot) {
 				h.post(ctx, func() {
-					h.report(membership.Report{Source: number, Full: true, Claims: snapshot.Claims, Until: snapshot.Until}, deliver)
+					h.report(membership.Report{Source: number, Full: true, Claims: snapshot.Claims, ValidUntil: snapshot.ValidUntil}, deliver)
 				})
 			}, func() {
 				h.set.Log.Warn("no name server answers", "name", d.Name)
 				h.post(ctx, func() {
-					h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Lost(clock.Now(), number) })
+					h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.SourceUnreachable(clock.Now(), number) })
 				})
 			})
 	}
@@ -93,7 +93,7 @@
 	for {
 		wait := time.Minute
 		h.mu.Lock()
-		if at, any := h.members.Next(); any {
+		if at, any := h.members.NextTimer(); any {
 			wait = min(wait, max(0, at-clock.Now()))
 		}
 		h.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // Members returns all servers with what the sources report about them. It may be called from any goroutine.
-func (h *Host) Members() []membership.View {
+func (h *Host) Members() []membership.MemberView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.members.Members()
@@ -150,20 +150,20 @@
 		if len(addrs) == 0 {
 			addrs = []string{e.Addr}
 		}
-		r.Claims = append(r.Claims, membership.Claim{Key: s.ID, ID: s.ID, Addrs: addrs, State: s.State, Weight: s.Weight, Details: true,
-			Zone: s.Zone, Cell: s.Cell, Started: s.Started, Speaks: s.Speaks, Multi: e.Multiplexed, Shapes: e.Shapes})
+		r.Claims = append(r.Claims, membership.Claim{Key: s.ID, ID: s.ID, Addrs: addrs, State: s.State, Weight: s.Weight, HasDetails: true,
+			Zone: s.Zone, Cell: s.Cell, Started: s.Started, Speaks: s.Protocols, Multiplexed: e.Multiplexed, Shapes: e.Shapes})
 	}
 	return r
 }
 
 // watch keeps watching the platform's list and reports each update, until ctx is done.
 func (h *Host) watch(ctx context.Context, deliver func([]ledger.Entry)) {
-	discovery.New(h.set.Discovery, h.set.Known, h.set.Log).KeepWatching(ctx, asking.New(h.set.Asking, h.set.Seed), func(l discovery.List) {
+	discovery.New(h.set.Discovery, h.set.LastList, h.set.Log).KeepWatching(ctx, asking.New(h.set.Pacing, h.set.Seed), func(l discovery.List) {
 		r := h.listReport(l)
 		h.post(ctx, func() { h.report(r, deliver) })
 	}, func() {
 		h.post(ctx, func() {
-			h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Lost(clock.Now(), h.listSource) })
+			h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.SourceUnreachable(clock.Now(), h.listSource) })
 		})
 	})
 }
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -29,7 +29,7 @@
 	Listen    string   // UDP address on which other agents reach this one
 	Peers     []string // UDP addresses of all agents, by index
 	Discovery string
-	Known     discovery.List // the list as it was known last
+	LastList  discovery.List // the list as it was known last
 	Asking    asking.Settings
 	Zones     []string
 	Seed      uint64
@@ -46,7 +46,7 @@
 	cancelWatch context.CancelFunc // cancels the watch; nil while there is none
 	delivered   map[string]bool    // ids of the servers that the module knows
 
-	Odd atomic.Int64 // datagrams that no agent can have sent
+	Rejected atomic.Int64 // datagrams that no agent can have sent
 }
 
 // maxQueuedEvents is how many events may wait; further datagrams are dropped, as on any link.
@@ -77,26 +77,26 @@
 	}
 	set.Asking.Agents = len(set.Peers)
 	members := company.New(company.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
-	rows := make([]sharing.Row, 0, len(set.Known.Servers))
-	for _, e := range set.Known.Servers {
+	rows := make([]sharing.Row, 0, len(set.LastList.Servers))
+	for _, e := range set.LastList.Servers {
 		rows = append(rows, encodeRow(e))
 	}
-	h.node = sharing.New(set.Settings, members, asking.New(set.Asking, set.Seed), set.Known.Version, rows, set.Seed)
+	h.node = sharing.New(set.Settings, members, asking.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
 	return h, nil
 }
 
 // Feed implements core.Feed: it delivers every change of the list until the context ends.
 func (h *Host) Feed(ctx context.Context, deliver func([]ledger.Entry)) {
 	defer h.conn.Close()
-	if len(h.settings.Known.Servers) > 0 {
-		h.deliverEntries(h.settings.Known.Servers, false, deliver)
+	if len(h.settings.LastList.Servers) > 0 {
+		h.deliverEntries(h.settings.LastList.Servers, false, deliver)
 	}
 	go h.receive(ctx, deliver)
 	h.apply(ctx, h.node.Start(clock.Now()), deliver)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(max(0, h.node.Next()-clock.Now()))
+		timer.Reset(max(0, h.node.NextTick()-clock.Now()))
 		select {
 		case <-ctx.Done():
 			h.apply(ctx, h.node.Leave(clock.Now()), deliver)
@@ -112,7 +112,7 @@
 // receive reads datagrams until the socket is closed. It drops those that do not come from the address of the agent that
 // they name.
 func (h *Host) receive(ctx context.Context, deliver func([]ledger.Entry)) {
-	buffer := make([]byte, sharing.MostSize+1)
+	buffer := make([]byte, sharing.MaxDatagramBytes+1)
 	for {
 		n, from, err := h.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -122,14 +122,14 @@
 			continue // an ICMP error for an earlier datagram: that agent is not reachable
 		}
 		d, err := sharing.Decode(buffer[:n])
-		if err != nil || d.From.Place >= len(h.addrs) || h.addrs[d.From.Place] != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
-			if h.Odd.Add(1) == 1 {
+		if err != nil || d.From.Index >= len(h.addrs) || h.addrs[d.From.Index] != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
+			if h.Rejected.Add(1) == 1 {
 				h.settings.Log.Warn("a datagram that no agent can have sent, further ones are counted only", "from", from, "bytes", n, "error", err)
 			}
 			continue
 		}
 		select {
-		case h.events <- func() { h.apply(ctx, h.node.Heard(clock.Now(), d), deliver) }:
+		case h.events <- func() { h.apply(ctx, h.node.Receive(clock.Now(), d), deliver) }:
 		default:
 		}
 	}
@@ -166,12 +166,12 @@
 	var changes []ledger.Entry
 	named := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		listed, err := e.Listed(h.settings.Zones)
+		listed, err := e.TrackerEntry(h.settings.Zones)
 		if err != nil {
 			h.settings.Log.Error("passing over an entry of the list", "error", err)
 			continue
 		}
-		if named[e.ID] = true; listed.State == choice.Gone {
+		if named[e.ID] = true; listed.State == choice.Removed {
 			delete(h.delivered, e.ID)
 		} else {
 			h.delivered[e.ID] = true
@@ -182,7 +182,7 @@
 		for id := range h.delivered {
 			if !named[id] {
 				delete(h.delivered, id)
-				changes = append(changes, ledger.Entry{Server: choice.Server{ID: id, State: choice.Gone}})
+				changes = append(changes, ledger.Entry{Server: choice.Server{ID: id, State: choice.Removed}})
 			}
 		}
 	}
@@ -193,7 +193,7 @@
 
 // openWatch opens a watch that continues from the current list.
 func (h *Host) openWatch(ctx context.Context, version int64, deliver func([]ledger.Entry)) {
-	known := h.settings.Known
+	known := h.settings.LastList
 	if gen, _ := h.node.Version(); gen > 0 {
 		known.Servers = nil
 		for _, r := range h.node.Rows() {
@@ -217,18 +217,18 @@
 	d := discovery.New(h.settings.Discovery, known, h.settings.Log)
 	go func() {
 		silent := d.Watch(ctx, discovery.Events{
-			Within:   asking.CallWait,
-			Answered: func() { post(func() []sharing.Action { return h.node.Answered(clock.Now()) }) },
-			Alive:    func() { post(func() []sharing.Action { return h.node.Alive(clock.Now()) }) },
+			Timeout:  asking.CallTimeout,
+			Answered: func() { post(func() []sharing.Action { return h.node.WatchAnswered(clock.Now()) }) },
+			Alive:    func() { post(func() []sharing.Action { return h.node.WatchAlive(clock.Now()) }) },
 			Deliver: func(l discovery.List) {
 				rows := make([]sharing.Row, 0, len(l.Servers))
 				for _, e := range l.Servers {
 					rows = append(rows, encodeRow(e))
 				}
-				post(func() []sharing.Action { return h.node.List(clock.Now(), l.Version, l.Full, rows) })
+				post(func() []sharing.Action { return h.node.ListReceived(clock.Now(), l.Version, l.Full, rows) })
 			},
 		})
-		post(func() []sharing.Action { return h.node.Over(clock.Now(), silent) })
+		post(func() []sharing.Action { return h.node.WatchEnded(clock.Now(), silent) })
 	}()
 }
 
@@ -272,12 +272,12 @@
 	if err != nil {
 		panic(err) // plain values always encode
 	}
-	return sharing.Row{ID: e.ID, Gone: e.State == "terminated", Less: e.State == "terminating", Body: text}
+	return sharing.Row{ID: e.ID, Removed: e.State == "terminated", Draining: e.State == "terminating", Body: text}
 }
 
 // decodeRow decodes the entry of a row.
 func decodeRow(r sharing.Row) (discovery.Entry, error) {
-	if r.Gone {
+	if r.Removed {
 		return discovery.Entry{ID: r.ID, State: "terminated"}, nil
 	}
 	var b entryBody
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -48,13 +48,13 @@
 		c.Close()
 	}
 	set := sharing.Defaults
-	set.Round, set.Stale, set.Batch = 50*time.Millisecond, time.Hour, time.Hour // agents of high rank number never call the service here
+	set.DigestInterval, set.StaleAfter, set.WatcherDelay = 50*time.Millisecond, time.Hour, time.Hour // agents of high rank number never call the service here
 	set.Watchers = 1
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	t.Cleanup(func() { cancel(); all.Wait() })
 	for i := range n {
-		h, err := New(Settings{Settings: set, Listen: g.addrs[i], Peers: g.addrs, Discovery: list, Known: known, Seed: uint64(i),
+		h, err := New(Settings{Settings: set, Listen: g.addrs[i], Peers: g.addrs, Discovery: list, LastList: known, Seed: uint64(i),
 			Asking: asking.Settings{Shared: true, Me: i, MustAsk: 10 * time.Second}, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
@@ -65,7 +65,7 @@
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				for _, e := range changes {
-					if g.known[i][e.ID] = e.State; e.State == choice.Gone {
+					if g.known[i][e.ID] = e.State; e.State == choice.Removed {
 						delete(g.known[i], e.ID)
 					}
 				}
@@ -106,14 +106,14 @@
 	}
 	defer stranger.Close()
 	forged := sharing.Datagram{Gen: 99, At: sharing.Cursor{Version: 99, ID: "x"}}
-	forged.From.Place = 1
-	for _, data := range [][]byte{forged.Encode(), []byte("noise"), make([]byte, sharing.MostSize)} {
+	forged.From.Index = 1
+	for _, data := range [][]byte{forged.Encode(), []byte("noise"), make([]byte, sharing.MaxDatagramBytes)} {
 		if _, err := stranger.WriteTo(data, net.UDPAddrFromAddrPort(netip.MustParseAddrPort(g.addrs[0]))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	testkit.Eventually(t, "they are counted", func() bool { return g.hosts[0].Odd.Load() == 3 })
-	list.Tell(discovery.Entry{ID: "s3", Addr: "127.0.0.1:1003", State: "terminating", Weight: 1}, discovery.Entry{ID: "s4", State: "terminated"})
+	testkit.Eventually(t, "they are counted", func() bool { return g.hosts[0].Rejected.Load() == 3 })
+	list.Update(discovery.Entry{ID: "s3", Addr: "127.0.0.1:1003", State: "terminating", Weight: 1}, discovery.Entry{ID: "s4", State: "terminated"})
 	everywhere("all receive the change", func(i int) bool {
 		drains, _ := g.of(i, "s3")
 		_, there := g.of(i, "s4")
@@ -134,7 +134,7 @@
 		if err != nil || !reflect.DeepEqual(got, e) {
 			t.Errorf("%+v, %v, not %+v", got, err, e)
 		}
-		if r.Less != (e.State == "terminating") || r.Gone || len(r.Body) > 120 {
+		if r.Draining != (e.State == "terminating") || r.Removed || len(r.Body) > 120 {
 			t.Errorf("%+v", r)
 		}
 	}
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -17,7 +17,7 @@
 	"ternbeam/internal/sysio/socketio"
 )
 
-// ErrNoSlot means that every slot for a connection is in use by an attempt and none was released before the context ended.
+// ErrNoPlace means that every slot for a connection is in use by an attempt and none was released before the context ended.
 var ErrNoPlace = errors.New("no connection slot is free")
 
 // Conn is a connection to a server.
@@ -31,20 +31,20 @@
 
 // Settings configure a Pool.
 type Settings struct {
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // net.Dialer's if nil
-	DialTimeout time.Duration                                                     // includes the wait for a slot
-	IdleFor     time.Duration                                                     // how long an idle connection is kept and may be used again
-	Rest        time.Duration                                                     // idle time of HTTP connections before reuse; ReuseDelay if 0
-	Most        int                                                               // maximum number of connections to all servers
-	Illegal     func(error)                                                       // is called with illegal state transitions; may be nil
-	Addresses   addresses.Settings                                                // how servers with several addresses are dialed
+	Dial          func(ctx context.Context, network, addr string) (net.Conn, error) // net.Dialer's if nil
+	DialTimeout   time.Duration                                                     // includes the wait for a slot
+	IdleTimeout   time.Duration                                                     // how long an idle connection is kept and may be used again
+	ReuseDelay    time.Duration                                                     // idle time of HTTP connections before reuse; ReuseDelay if 0
+	MaxConns      int                                                               // maximum number of connections to all servers
+	OnIllegalStep func(error)                                                       // is called with illegal state transitions; may be nil
+	Addresses     addresses.Settings                                                // how servers with several addresses are dialed
 }
 
 const (
 	// ReuseDelay is how long an HTTP connection must stay silent after an answer before it carries the next request. HTTP/1.1
 	// does not match answers to requests: a duplicate answer, which a server may send some milliseconds late, would be taken for
 	// the answer to the next request. The duplicates that were observed arrived within 5.4 ms.
-	Rest = 10 * time.Millisecond
+	ReuseDelay = 10 * time.Millisecond
 
 	// maxReuseWaits limits how many attempts wait for the reuse delay of a connection while there are free slots for new ones.
 	// Waiting costs less than a handshake. Where calls arrive so fast that more attempts would wait, a new connection is dialed,
@@ -53,7 +53,7 @@
 
 	// recheckAfter is the age of the last check of an idle connection at which it is checked again before it is written to. The
 	// steps in between take less time, unless the process is suspended.
-	lookAgain = 5 * time.Millisecond
+	recheckAfter = 5 * time.Millisecond
 )
 
 // Pool holds the connections to all servers. It is safe for concurrent use.
@@ -61,9 +61,9 @@
 	set Settings
 
 	mu         sync.Mutex
-	book       *life.Book
+	book       *life.PoolState
 	granted    map[*life.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
-	addrs      *addresses.Book
+	addrs      *addresses.History
 	extraDials int // dials in progress beyond the first of each race
 	reuseWaits int // attempts that wait for the reuse delay of a connection
 	startedAt  time.Time
@@ -74,25 +74,25 @@
 	if set.Dial == nil {
 		set.Dial = new(net.Dialer).DialContext
 	}
-	if set.Illegal == nil {
-		set.Illegal = func(error) {}
+	if set.OnIllegalStep == nil {
+		set.OnIllegalStep = func(error) {}
 	}
-	if set.Rest == 0 {
-		set.Rest = Rest
+	if set.ReuseDelay == 0 {
+		set.ReuseDelay = ReuseDelay
 	}
-	return &Pool{set: set, book: life.NewBook(set.Most), granted: map[*life.Conn]chan struct{}{},
-		addrs: addresses.NewBook(set.Addresses), startedAt: time.Now()}
+	return &Pool{set: set, book: life.NewPoolState(set.MaxConns), granted: map[*life.Conn]chan struct{}{},
+		addrs: addresses.NewHistory(set.Addresses), startedAt: time.Now()}
 }
 
 // Acquire returns an idle connection for a protocol, or dials a new one. A server that supports several protocols speaks
-// only one of them on each connection. It returns ErrNoSlot if no slot becomes free in time, or the error
+// only one of them on each connection. It returns ErrNoPlace if no slot becomes free in time, or the error
 // of the dial.
 func (p *Pool) Acquire(ctx context.Context, s *life.Server, speaks choice.Protocols, at *life.Attempt) (*Conn, error) {
 	p.mu.Lock()
-	for l := p.book.Lend(s, speaks, p.reusable); l != nil; l = p.book.Lend(s, speaks, p.reusable) {
+	for l := p.book.AcquireIdle(s, speaks, p.reusable); l != nil; l = p.book.AcquireIdle(s, speaks, p.reusable) {
 		c := l.Host.(*Conn)
 		if left := p.reuseWait(c); left > 0 {
-			if open, _, _ := p.book.Count(); p.reuseWaits >= maxReuseWaits && open < p.set.Most {
+			if open, _, _ := p.book.Count(); p.reuseWaits >= maxReuseWaits && open < p.set.MaxConns {
 				p.returnLocked(c, true)
 				break // dial a new one
 			}
@@ -135,13 +135,13 @@
 // usable reports whether an idle connection may carry a request: its server has not closed it and is not about to, and has sent no
 // unsolicited data, which would be taken for the next answer.
 func (p *Pool) usable(c *Conn) bool {
-	return time.Since(c.idleSince) < p.set.IdleFor && peek.Silent(c.Conn)
+	return time.Since(c.idleSince) < p.set.IdleTimeout && peek.HasNoUnread(c.Conn)
 }
 
 // Usable reports whether a request may still be written to a connection. It is called right before the first byte is written: the
 // process may have been suspended since a connection was acquired from the idle ones.
-func (p *Pool) Fit(c *Conn) bool {
-	return c.checkedAt.IsZero() || time.Since(c.checkedAt) < lookAgain || p.usable(c)
+func (p *Pool) Usable(c *Conn) bool {
+	return c.checkedAt.IsZero() || time.Since(c.checkedAt) < recheckAfter || p.usable(c)
 }
 
 // reuseWait returns how long a connection must still stay idle before it can be reused. It may be negative.
@@ -149,7 +149,7 @@
 	if c.state.Speaks&protocol.HTTP == 0 { // Thrift replies carry the ids of their calls
 		return 0
 	}
-	return p.set.Rest - time.Since(c.idleSince)
+	return p.set.ReuseDelay - time.Since(c.idleSince)
 }
 
 func (p *Pool) reusable(l *life.Conn) bool { return p.reuseWait(l.Host.(*Conn)) <= 0 }
@@ -174,25 +174,25 @@
 // dial connects to a server, at whichever of its addresses connects first.
 func (p *Pool) dial(ctx context.Context, s *life.Server) (net.Conn, error) {
 	if len(s.Addrs) < 2 {
-		_, network, target := addresses.Of(s.Addr)
+		_, network, target := addresses.Parse(s.Addr)
 		return p.set.Dial(ctx, network, target)
 	}
 	return p.race(ctx, s)
 }
 
 // LastWorking returns the one of a server's addresses that last connected successfully, or "" if none is known.
-func (p *Pool) Worked(addrs []string) string {
+func (p *Pool) LastWorking(addrs []string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addrs.Best(time.Since(p.startedAt), addrs)
+	return p.addrs.LastConnected(time.Since(p.startedAt), addrs)
 }
 
 // RestoreWorking records addresses that connected successfully in an earlier process.
-func (p *Pool) Remember(worked []string) {
+func (p *Pool) RestoreWorking(worked []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, addr := range worked {
-		p.addrs.Worked(time.Since(p.startedAt), addr)
+		p.addrs.RecordSuccess(time.Since(p.startedAt), addr)
 	}
 }
 
@@ -208,7 +208,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.mu.Lock()
-	r := p.addrs.Race(time.Since(p.startedAt), s.Addrs)
+	r := p.addrs.NewRace(time.Since(p.startedAt), s.Addrs)
 	p.mu.Unlock()
 	results := make(chan dialResult, len(s.Addrs)) // buffered so that late dials do not block
 	pending, extra := 0, 0
@@ -228,8 +228,8 @@
 	for {
 		p.mu.Lock()
 		open, _, _ := p.book.Count()
-		toDial := r.Start(time.Since(p.startedAt), p.set.Most-open-p.extraDials+extra)
-		due, more := r.Due()
+		toDial := r.Start(time.Since(p.startedAt), p.set.MaxConns-open-p.extraDials+extra)
+		due, more := r.NextStart()
 		p.extraDials -= extra
 		extra = max(0, pending+len(toDial)-1)
 		p.extraDials += extra
@@ -237,7 +237,7 @@
 		for _, addr := range toDial {
 			pending++
 			go func() {
-				_, network, target := addresses.Of(addr)
+				_, network, target := addresses.Parse(addr)
 				conn, err := p.set.Dial(ctx, network, target)
 				results <- dialResult{addr, conn, err}
 			}()
@@ -268,7 +268,7 @@
 		case <-next:
 		case <-ctx.Done():
 			p.mu.Lock()
-			r.GaveUp(time.Since(p.startedAt))
+			r.TimedOut(time.Since(p.startedAt))
 			p.mu.Unlock()
 			return nil, errors.Join(context.Cause(ctx), lastErr)
 		}
@@ -278,13 +278,13 @@
 // reportIllegal reports an illegal state transition.
 func (p *Pool) reportIllegal(err error) {
 	if err != nil {
-		p.set.Illegal(err)
+		p.set.OnIllegalStep(err)
 	}
 }
 
 // claimLocked waits for a slot for a connection.
 func (p *Pool) claimLocked(ctx context.Context, s *life.Server, speaks choice.Protocols) (*life.Conn, error) {
-	l, evicted := p.book.Claim(s, speaks)
+	l, evicted := p.book.ReservePlace(s, speaks)
 	if evicted != nil {
 		evicted.Host.(*Conn).Close()
 	}
@@ -307,7 +307,7 @@
 }
 
 func (p *Pool) giveUpLocked(l *life.Conn) {
-	next, err := p.book.GiveUp(l)
+	next, err := p.book.Abort(l)
 	p.reportIllegal(err)
 	p.grantLocked(next)
 }
@@ -335,7 +335,7 @@
 	if !reuse {
 		p.reportIllegal(c.state.Spoil())
 	}
-	kept, next, err := p.book.Return(c.state)
+	kept, next, err := p.book.Release(c.state)
 	p.reportIllegal(err)
 	if !kept {
 		c.Close()
@@ -348,9 +348,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.book.Idle() {
-		if c := l.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleFor || !peek.Silent(c.Conn) {
+		if c := l.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleTimeout || !peek.HasNoUnread(c.Conn) {
 			c.Close()
-			next, err := p.book.Drop(l)
+			next, err := p.book.CloseIdle(l)
 			p.reportIllegal(err)
 			p.grantLocked(next)
 		}
@@ -361,7 +361,7 @@
 func (p *Pool) Retire(s *life.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeLocked(p.book.Retire(s))
+	p.closeLocked(p.book.RetireServer(s))
 }
 
 // closeLocked closes connections that the book drops, and wakes the attempts that are given their slots.
@@ -374,10 +374,10 @@
 
 // SetMaxConns changes the maximum number of connections. If there are more, idle ones are closed now, the longest idle first, and
 // those in use when they are released.
-func (p *Pool) Bound(most int) {
+func (p *Pool) SetMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeLocked(p.book.Bound(most))
+	p.closeLocked(p.book.SetLimit(most))
 }
 
 // Count returns how many slots are in use, how many of them by idle connections, and how many attempts wait for a slot.
--- a/internal/host/pool/race_test.go
+++ b/internal/host/pool/race_test.go
@@ -52,7 +52,7 @@
 }
 
 func newPool(n *network, most int) *Pool {
-	return New(Settings{Dial: n.dial, DialTimeout: time.Second, IdleFor: time.Minute, Most: most, Addresses: addresses.Defaults})
+	return New(Settings{Dial: n.dial, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: most, Addresses: addresses.Defaults})
 }
 
 // A first address that does not answer costs the fallback delay once per pool, and nothing if a pool was given the addresses that
@@ -69,7 +69,7 @@
 			firstDial := timeDial(t, first, s)
 			secondDial := timeDial(t, first, s)
 			next := newPool(&network{hangs: []string{deadAddr}}, 10)
-			next.Remember([]string{first.Worked(s.Addrs)}) // as restored after a restart
+			next.RestoreWorking([]string{first.LastWorking(s.Addrs)}) // as restored after a restart
 			restoredDial := timeDial(t, next, s)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/host/stallwatch/stallwatch_test.go
+++ b/internal/host/stallwatch/stallwatch_test.go
@@ -17,12 +17,12 @@
 	w.Run(t.Context(),
 		Check{"stuck", func(context.Context) { <-release }},
 		Check{"well", func(context.Context) {}})
-	testkit.Eventually(t, "the stall is logged", func() bool { return log.Has(`msg="a part of the process has stalled" part=stuck`) })
-	if !log.Has("TestStallsAreLogged") {
+	testkit.Eventually(t, "the stall is logged", func() bool { return log.Contains(`msg="a part of the process has stalled" part=stuck`) })
+	if !log.Contains("TestStallsAreLogged") {
 		t.Errorf("no stacks in the log: %s", log)
 	}
 	close(release)
-	testkit.Eventually(t, "its end is logged", func() bool { return log.Has(`msg="a stall is over" part=stuck`) })
+	testkit.Eventually(t, "its end is logged", func() bool { return log.Contains(`msg="a stall is over" part=stuck`) })
 	if strings.Contains(log.String(), "part=well") {
 		t.Errorf("a part that makes progress was logged: %s", log)
 	}
--- a/internal/host/successor/successor.go
+++ b/internal/host/successor/successor.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	patience = time.Second // limit for one attempt to claim
+	attemptTimeout = time.Second // limit for one attempt to claim
 
 	// claimTimeout limits the retries of a failing claim: a start without the old state is better than a late start.
-	claimWithin = 2 * time.Second
-	maxRefusals = 5 // refused connections after which no process counts as running
+	claimTimeout = 2 * time.Second
+	maxRefusals  = 5 // refused connections after which no process counts as running
 
-	sayWithin        = 100 * time.Millisecond // limit for sending one update
+	sendTimeout      = 100 * time.Millisecond // limit for sending one update
 	maxQueuedUpdates = 256                    // updates that may wait to be sent; beyond it the link is closed
 	maxLinks         = 4                      // concurrent claims and links
 	maxListeners     = 4                      // listeners that can be handed over
@@ -38,17 +38,17 @@
 // Link is the connection between the old and the new process while both run. Its methods are safe for concurrent use.
 type Link struct {
 	conn    net.Conn
-	updates chan succession.News
+	updates chan succession.Update
 	once    sync.Once
 	done    chan struct{}
 }
 
 func newLink(c *net.UnixConn) *Link {
-	return &Link{conn: socketio.Wrap(c), updates: make(chan succession.News, maxQueuedUpdates), done: make(chan struct{})}
+	return &Link{conn: socketio.Wrap(c), updates: make(chan succession.Update, maxQueuedUpdates), done: make(chan struct{})}
 }
 
 // Send queues an update for the other process. It does not block: if the queue is full the link is closed.
-func (l *Link) Say(n succession.News) {
+func (l *Link) Send(n succession.Update) {
 	select {
 	case l.updates <- n:
 	default:
@@ -62,16 +62,16 @@
 }
 
 // Run sends queued updates and calls receive for each update from the other process, until the link is closed or the other process has ended.
-func (l *Link) Run(receive func(succession.News)) {
+func (l *Link) Run(receive func(succession.Update)) {
 	go func() {
 		for {
 			select {
 			case <-l.done:
 				return
 			case n := <-l.updates:
-				frame, err := succession.Frame(n)
+				frame, err := succession.Encode(n)
 				if err == nil {
-					l.conn.SetWriteDeadline(time.Now().Add(sayWithin))
+					l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 					_, err = l.conn.Write(frame)
 				}
 				if err != nil {
@@ -84,7 +84,7 @@
 	defer l.Close()
 	l.conn.SetReadDeadline(time.Time{})
 	for {
-		var n succession.News
+		var n succession.Update
 		if err := read(l.conn, &n); err != nil {
 			return
 		}
@@ -94,11 +94,11 @@
 
 // read reads one frame and decodes it.
 func read(from io.Reader, into any) error {
-	head := make([]byte, succession.HeadSize)
+	head := make([]byte, succession.HeaderSize)
 	if _, err := io.ReadFull(from, head); err != nil {
 		return err
 	}
-	n, sum, err := succession.Head(head)
+	n, sum, err := succession.DecodeHeader(head)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	if _, err := io.ReadFull(from, body); err != nil {
 		return err
 	}
-	return succession.Body(body, sum, into)
+	return succession.DecodeBody(body, sum, into)
 }
 
 // hello is the first message of a process that claims the state.
@@ -115,25 +115,25 @@
 }
 
 // Result is what a successful claim yields to the new process.
-type Heir struct {
+type Result struct {
 	State     succession.State
 	Listeners []*net.TCPListener
 	Link      *Link
 }
 
 // ErrNoPredecessor is returned by Claim if no process is running that could hand over its state.
-var ErrNobody = errors.New("no running process to take over from")
+var ErrNoPredecessor = errors.New("no running process to take over from")
 
 // errOtherName means that the running process belongs to an agent with another name.
 var errOtherName = errors.New("the running process belongs to another agent")
 
 // Claim asks the running process of the agent with this name for its state and listeners, and retries for claimTimeout at most. If it returns an
 // error, all received descriptors are closed.
-func Claim(path, name string) (r *Heir, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), claimWithin)
+func Claim(path, name string) (r *Result, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	refusals := 0
-	err = transient.Until(ctx, func() error {
+	err = transient.Retry(ctx, func() error {
 		r, err = claimOnce(path, name)
 		return err
 	}, func(err error) bool {
@@ -143,13 +143,13 @@
 		return !errors.Is(err, os.ErrNotExist) && !errors.Is(err, errOtherName) && refusals < maxRefusals
 	})
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("%w: %w", ErrNobody, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoPredecessor, err)
 	}
 	return r, err
 }
 
-func claimOnce(path, name string) (*Heir, error) {
-	c, err := net.DialTimeout("unix", path, patience)
+func claimOnce(path, name string) (*Result, error) {
+	c, err := net.DialTimeout("unix", path, attemptTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -162,13 +162,13 @@
 	return r, nil
 }
 
-func claim(conn *net.UnixConn, name string) (_ *Heir, err error) {
-	conn.SetDeadline(time.Now().Add(patience))
-	frame, err := succession.Frame(hello{name})
+func claim(conn *net.UnixConn, name string) (_ *Result, err error) {
+	conn.SetDeadline(time.Now().Add(attemptTimeout))
+	frame, err := succession.Encode(hello{name})
 	if err != nil {
 		return nil, err
 	}
-	r := &Heir{Link: newLink(conn)}
+	r := &Result{Link: newLink(conn)}
 	if _, err := r.Link.conn.Write(frame); err != nil {
 		return nil, fmt.Errorf("claiming: %w", err)
 	}
@@ -240,7 +240,7 @@
 }
 
 // Server hands the state of this process to processes that claim it.
-type Offer struct {
+type Server struct {
 	name   string
 	listen *net.UnixListener
 	log    *slog.Logger
@@ -248,7 +248,7 @@
 }
 
 // NewServer listens on path and replaces a socket that another process has there, so that the next claim comes to this process.
-func NewOffer(path, name string, log *slog.Logger) (*Offer, error) {
+func NewServer(path, name string, log *slog.Logger) (*Server, error) {
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(own) // left by an earlier process with the same id
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
@@ -261,16 +261,16 @@
 		os.Remove(own)
 		return nil, err
 	}
-	return &Offer{name: name, listen: l, log: log, slots: make(chan struct{}, maxLinks)}, nil
+	return &Server{name: name, listen: l, log: log, slots: make(chan struct{}, maxLinks)}, nil
 }
 
 // Close stops accepting claims. Open links are not closed.
-func (s *Offer) Close() error { return s.listen.Close() }
+func (s *Server) Close() error { return s.listen.Close() }
 
 // Serve answers claims until Close. It calls handOver for each valid claim, which returns the state and the listeners to hand over and
 // subscribes the link to all updates after that state. It then calls linked, even if the claim failed and the link is closed; linked must run
 // the link and return when it has ended.
-func (s *Offer) Serve(handOver func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
+func (s *Server) Serve(handOver func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
 	retry := accept.NewRetrier(s.log)
 	for {
 		conn, err := accept.Do(retry, s.listen.AcceptUnix)
@@ -295,19 +295,19 @@
 	}
 }
 
-func (s *Offer) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
+func (s *Server) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
 	defer func() {
 		if err != nil {
 			l.Close()
 		}
 	}()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(attemptTimeout))
 	var claim hello
 	if err := read(l.conn, &claim); err != nil {
 		return err
 	}
 	if claim.Name != s.name {
-		if frame, err := succession.Frame(succession.State{Name: s.name}); err == nil { // so that it does not retry
+		if frame, err := succession.Encode(succession.State{Name: s.name}); err == nil { // so that it does not retry
 			l.conn.Write(append([]byte{0}, frame...))
 		}
 		return fmt.Errorf("agent %q claims the state of agent %q", claim.Name, s.name)
@@ -316,7 +316,7 @@
 	if err != nil {
 		return err
 	}
-	frame, err := succession.Frame(state)
+	frame, err := succession.Encode(state)
 	if err != nil {
 		return err
 	}
--- a/internal/host/successor/successor_test.go
+++ b/internal/host/successor/successor_test.go
@@ -17,7 +17,7 @@
 	path     string
 	listen   *net.TCPListener
 	links    chan *Link
-	received chan succession.News
+	received chan succession.Update
 	ended    chan struct{}
 }
 
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	o := &oldProcess{path: filepath.Join(t.TempDir(), "s"), listen: l.(*net.TCPListener), links: make(chan *Link, 8), received: make(chan succession.News, 8),
+	o := &oldProcess{path: filepath.Join(t.TempDir(), "s"), listen: l.(*net.TCPListener), links: make(chan *Link, 8), received: make(chan succession.Update, 8),
 		ended: make(chan struct{}, 8)}
-	offer, err := NewOffer(o.path, "n1", slog.New(slog.DiscardHandler))
+	offer, err := NewServer(o.path, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 		return succession.State{Name: "n1", Listeners: []string{l.Addr().String()}}, []*net.TCPListener{o.listen}, nil
 	}, func(link *Link) {
 		o.links <- link
-		link.Run(func(n succession.News) { o.received <- n })
+		link.Run(func(n succession.Update) { o.received <- n })
 		o.ended <- struct{}{}
 	})
 	return o
@@ -65,14 +65,14 @@
 	c.Close()
 	h.Listeners[0].Close()
 	old := <-o.links
-	received := make(chan succession.News, 1)
+	received := make(chan succession.Update, 1)
 	done := make(chan struct{})
 	go func() {
-		h.Link.Run(func(n succession.News) { received <- n })
+		h.Link.Run(func(n succession.Update) { received <- n })
 		close(done)
 	}()
-	old.Say(succession.News{Offline: "a"})
-	h.Link.Say(succession.News{Online: "b"})
+	old.Send(succession.Update{Offline: "a"})
+	h.Link.Send(succession.Update{Online: "b"})
 	if n := <-received; n.Offline != "a" {
 		t.Errorf("the new process received %+v", n)
 	}
@@ -87,7 +87,7 @@
 // A claim that breaks off at any point, or is invalid, does not affect the old process.
 func TestClaimsThatBreak(t *testing.T) {
 	o := startOldProcess(t)
-	frame, err := succession.Frame(hello{"n1"})
+	frame, err := succession.Encode(hello{"n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 		t.Errorf("a message that is not a claim was answered")
 	}
 	c.Close()
-	if _, err := Claim(o.path, "n2"); err == nil || errors.Is(err, ErrNobody) {
+	if _, err := Claim(o.path, "n2"); err == nil || errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("another agent's claim: %v", err)
 	}
 	h, err := Claim(o.path, "n1")
@@ -132,18 +132,18 @@
 // Claim fails with ErrNoPredecessor if there is no socket file or nobody listens on it, and with another error if the answer is unreadable.
 func TestNothingToClaim(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNobody) {
+	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("no socket file: %v", err)
 	}
-	first, err := NewOffer(path, "n1", slog.New(slog.DiscardHandler))
+	first, err := NewServer(path, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.Close()
-	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNobody) {
+	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("a stale socket file: %v", err)
 	}
-	second, err := NewOffer(path, "n1", slog.New(slog.DiscardHandler)) // replaces the socket at the path
+	second, err := NewServer(path, "n1", slog.New(slog.DiscardHandler)) // replaces the socket at the path
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,6 +161,6 @@
 			}
 		}()
 		_, err = Claim(path+".raw", "n1")
-		return err != nil && !errors.Is(err, ErrNobody)
+		return err != nil && !errors.Is(err, ErrNoPredecessor)
 	})
 }
--- a/internal/http/httpback/crossing_test.go
+++ b/internal/http/httpback/crossing_test.go
@@ -56,16 +56,16 @@
 }
 
 // httpAttempt makes an attempt over HTTP that has a deadline.
-func httpAttempt(t *testing.T, u *exchange.Transport, id string, s *life.Server) core.Ending {
+func httpAttempt(t *testing.T, u *exchange.Transport, id string, s *life.Server) core.AttemptOutcome {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
 	a := attempt(id, s)
 	a.Speaks = protocol.HTTP
 	return u.Attempt(ctx, a)
 }
 
-func bodyOf(e core.Ending) string {
+func bodyOf(e core.AttemptOutcome) string {
 	if r, ok := e.Reply.(*httpmsg.Reply); ok {
 		return string(r.Body)
 	}
@@ -86,7 +86,7 @@
 		}
 		fmt.Fprint(c, answerWithID(id))
 	})
-	u := newTransport(pool.Settings{Rest: 300 * time.Millisecond})
+	u := newTransport(pool.Settings{ReuseDelay: 300 * time.Millisecond})
 	for i := range 3 {
 		id := fmt.Sprint("call-", i)
 		if e := httpAttempt(t, u, id, b); e.Result != choice.OK || bodyOf(e) != id {
@@ -118,7 +118,7 @@
 			fmt.Fprint(c, answerWithID(id))
 		}
 	})
-	u := newTransport(pool.Settings{Rest: reuseDelay, Most: maxConns})
+	u := newTransport(pool.Settings{ReuseDelay: reuseDelay, MaxConns: maxConns})
 	burst := func() {
 		var all sync.WaitGroup
 		for i := range calls {
@@ -150,19 +150,19 @@
 func TestWithdrawnWhileItRests(t *testing.T) {
 	var seen testkit.Counter
 	b := startServer(t, func(_ http.ResponseWriter, r *http.Request) { seen.Add(r) })
-	u := newTransport(pool.Settings{Rest: testkit.Patience})
+	u := newTransport(pool.Settings{ReuseDelay: testkit.WaitTimeout})
 	if e := httpAttempt(t, u, "first", b); e.Result != choice.OK {
 		t.Fatalf("result %d", e.Result)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan core.Ending)
+	ended := make(chan core.AttemptOutcome)
 	second := attempt("second", b)
 	second.Speaks = protocol.HTTP
 	go func() { ended <- u.Attempt(ctx, second) }()
 	testkit.Eventually(t, "the second attempt waits", func() bool { return idleConns(u) == 0 })
 	cancel()
-	if e := <-ended; e.Result != choice.NotSent || seen.Of("second") != 0 {
-		t.Errorf("result %d, %d requests", e.Result, seen.Of("second"))
+	if e := <-ended; e.Result != choice.NotSent || seen.Count("second") != 0 {
+		t.Errorf("result %d, %d requests", e.Result, seen.Count("second"))
 	}
 	if openConns(u) != 1 || idleConns(u) != 1 {
 		t.Errorf("%d connections open, %d idle", openConns(u), idleConns(u))
@@ -171,8 +171,8 @@
 
 // withStall returns u with a call of stall between the check of the connection and the first byte written.
 func withStall(u *exchange.Transport, stall func()) *exchange.Transport {
-	begin := u.Begin
-	u.Begin = func(at *core.Attempt) exchange.Talk { stall(); return begin(at) }
+	begin := u.NewCodec
+	u.NewCodec = func(at *core.Attempt) exchange.Codec { stall(); return begin(at) }
 	return u
 }
 
@@ -187,7 +187,7 @@
 		}
 	})
 	calls := 0
-	u := withStall(newTransport(pool.Settings{Rest: time.Nanosecond}), func() {
+	u := withStall(newTransport(pool.Settings{ReuseDelay: time.Nanosecond}), func() {
 		if calls++; calls == 2 {
 			c := <-closed
 			c.Close()
@@ -199,8 +199,8 @@
 	}
 	a := attempt("second", b)
 	a.Speaks = protocol.HTTP
-	if e := u.Attempt(context.Background(), a); e.Result != choice.ConnectFailed || a.Life.CanHaveRun() {
-		t.Errorf("result %d, can have run: %t", e.Result, a.Life.CanHaveRun())
+	if e := u.Attempt(context.Background(), a); e.Result != choice.ConnectFailed || a.State.CanHaveRun() {
+		t.Errorf("result %d, can have run: %t", e.Result, a.State.CanHaveRun())
 	}
 	if e := httpAttempt(t, u, "third", b); e.Result != choice.OK || bodyOf(e) != "third" {
 		t.Errorf("result %d, %q", e.Result, bodyOf(e))
--- a/internal/http/httpback/fuzz_test.go
+++ b/internal/http/httpback/fuzz_test.go
@@ -43,7 +43,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		ans, err := readAnswer(bufio.NewReader(bytes.NewReader(text)), func() error { return nil }, []string{"X-Receipt"})
 		switch {
-		case err != nil && !errors.Is(err, exchange.ErrSpoilt) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) &&
+		case err != nil && !errors.Is(err, exchange.ErrInvalidAnswer) && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) &&
 			!strings.Contains(err.Error(), "chunk"):
 			t.Fatalf("error %v", err)
 		case err == nil && len(ans.body) > httpmsg.MaxBody:
--- a/internal/http/httpback/httpback.go
+++ b/internal/http/httpback/httpback.go
@@ -27,9 +27,9 @@
 // New returns a transport over pool p. fields names the values that are read from load reports. If long is true, long answers are
 // relayed while they are received; otherwise an answer longer than httpmsg.MaxBody is invalid.
 func New(p *pool.Pool, fields []string, long bool) *exchange.Transport {
-	return &exchange.Transport{Pool: p, Stall: exchange.Stall, Long: long, Begin: func(at *core.Attempt) exchange.Talk {
+	return &exchange.Transport{Pool: p, StallTimeout: exchange.StallTimeout, LongAnswers: long, NewCodec: func(at *core.Attempt) exchange.Codec {
 		c := &codec{request: at.Payload.(*httpmsg.Request), host: hostHeader(at.Server.Addr), fields: fields, firstAttempt: at.Number == 0}
-		c.bufferAnswer = !long || at.Way.Plan != nil || len(c.request.Wanted) > 0 || c.request.Unknown != 0
+		c.bufferAnswer = !long || at.Way.Plan != nil || len(c.request.ReplyHeaders) > 0 || c.request.UnknownShapeStatus != 0
 		return c
 	}}
 }
@@ -38,9 +38,9 @@
 	request      *httpmsg.Request
 	host         string
 	fields       []string
-	firstAttempt bool             // of the call
-	bufferAnswer bool             // answers are not relayed while they are received, because their shape matters
-	body         *httpmsg.Outflow // of a request that is forwarded while it is received
+	firstAttempt bool                  // of the call
+	bufferAnswer bool                  // answers are not relayed while they are received, because their shape matters
+	body         *httpmsg.UploadReader // of a request that is forwarded while it is received
 }
 
 // hostHeader returns the Host header for an address. A Unix socket has no host, but RFC 9110, section 7.2, requires the header.
@@ -71,17 +71,17 @@
 	m := make([]byte, 0, 512+len(r.Body))
 	m = append(append(append(append(m, r.Method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	m = append(append(m, c.host...), "\r\n"...)
-	for _, names := range [...][]string{forwardedHeaders, r.Pass} {
+	for _, names := range [...][]string{forwardedHeaders, r.ForwardHeaders} {
 		for _, name := range names {
 			for _, v := range r.Header[name] {
 				m = append(append(append(append(m, name...), ": "...), v...), "\r\n"...)
 			}
 		}
 	}
-	for _, h := range r.Fields {
+	for _, h := range r.HeaderFields {
 		m = append(append(append(append(m, h[0]...), ": "...), h[1]...), "\r\n"...)
 	}
-	if r.Upload != nil && !r.Upload.Whole() { // the client's time counts from the last byte
+	if r.Upload != nil && !r.Upload.Complete() { // the client's time counts from the last byte
 		m = append(append(append(m, "X-Time-Left: "...), r.Header.Get("X-Time-Left")...), "\r\n"...)
 	} else if !end.IsZero() {
 		m = append(m, "X-Time-Left: "...)
@@ -105,21 +105,21 @@
 }
 
 // Answer reads one answer.
-func (c *codec) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
-	h, err := readHeads(in.Reader, in.Begin, c.request.Wanted)
+func (c *codec) Answer(in *exchange.AnswerReader) (core.AttemptOutcome, bool, error) {
+	h, err := readHeads(in.Reader, in.AwaitData, c.request.ReplyHeaders)
 	if err != nil {
-		return core.Ending{}, false, err
+		return core.AttemptOutcome{}, false, err
 	}
 	if h.mayRelay() && !c.bufferAnswer {
 		return c.receiveLong(in, h)
 	}
 	ans, err := readBody(in.Reader, h)
 	if err != nil {
-		return core.Ending{}, false, err
+		return core.AttemptOutcome{}, false, err
 	}
 	e := ans.outcome(c.fields)
 	// Only the server's explicit statement that it has not begun proves that the call never ran.
-	if ans.unprocessed && ans.status == c.request.Unknown {
+	if ans.unprocessed && ans.status == c.request.UnknownShapeStatus {
 		e.Result, e.ShapeUnknown = choice.Rejected, true
 	}
 	return e, ans.reusable, nil
@@ -180,7 +180,7 @@
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
 		if len(line) > 0 && (line[0] == ' ' || line[0] == '\t') { // obsolete line folding, see RFC 9112, section 5.2
-			return nil, fmt.Errorf("%w: a header folded over several lines", exchange.ErrSpoilt)
+			return nil, fmt.Errorf("%w: a header folded over several lines", exchange.ErrInvalidAnswer)
 		}
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		for _, wanted := range names {
@@ -285,14 +285,14 @@
 func parseAnyHead(text []byte) (head, error) {
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 	if err != nil || resp.StatusCode == http.StatusSwitchingProtocols {
-		return head{}, fmt.Errorf("%w: status %.20q, %v", exchange.ErrSpoilt, text, err)
+		return head{}, fmt.Errorf("%w: status %.20q, %v", exchange.ErrInvalidAnswer, text, err)
 	}
 	h := head{status: resp.StatusCode, length: resp.ContentLength, close: resp.Close,
 		chunked:     slices.Contains(resp.TransferEncoding, "chunked"),
 		unprocessed: resp.Header.Get("X-Unprocessed") == "1", contentType: resp.Header.Get("Content-Type"),
 		reportCount: len(resp.Header["X-Backend-Load"]), report: resp.Header.Get("X-Backend-Load")}
 	if h.chunked && bytes.Contains(bytes.ToLower(text), []byte("\ncontent-length:")) {
-		return head{}, fmt.Errorf("%w: both Content-Length and Transfer-Encoding", exchange.ErrSpoilt)
+		return head{}, fmt.Errorf("%w: both Content-Length and Transfer-Encoding", exchange.ErrInvalidAnswer)
 	}
 	return h, nil
 }
@@ -303,7 +303,7 @@
 	if start, err := r.Peek(len(protocol)); err != nil {
 		return nil, err
 	} else if string(start) != protocol {
-		return nil, fmt.Errorf("%w: it begins with %q", exchange.ErrSpoilt, start)
+		return nil, fmt.Errorf("%w: it begins with %q", exchange.ErrInvalidAnswer, start)
 	}
 	for {
 		line, err := r.ReadSlice('\n')
@@ -311,7 +311,7 @@
 		head = append(head, line...)
 		switch {
 		case len(head) > limit:
-			return nil, fmt.Errorf("%w: the head is too long", exchange.ErrSpoilt)
+			return nil, fmt.Errorf("%w: the head is too long", exchange.ErrInvalidAnswer)
 		case err == bufio.ErrBufferFull:
 		case err != nil:
 			return nil, err
@@ -327,7 +327,7 @@
 	ans = answer{head: h}
 	switch {
 	case h.length > httpmsg.MaxBody:
-		return ans, fmt.Errorf("%w: the body is too long", exchange.ErrSpoilt)
+		return ans, fmt.Errorf("%w: the body is too long", exchange.ErrInvalidAnswer)
 	case h.chunked:
 		ans.body, err = readToEnd(httputil.NewChunkedReader(r))
 		ans.reusable = err == nil && !h.close && readTrailer(r) == nil
@@ -344,7 +344,7 @@
 func readToEnd(r io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, httpmsg.MaxBody+1))
 	if len(body) > httpmsg.MaxBody {
-		return nil, fmt.Errorf("%w: the body is too long", exchange.ErrSpoilt)
+		return nil, fmt.Errorf("%w: the body is too long", exchange.ErrInvalidAnswer)
 	}
 	return body, err
 }
@@ -369,8 +369,8 @@
 
 // outcome returns the outcome of an attempt with this answer. Only a complete 200 counts as served, and only an answer that states
 // so proves that the request never ran.
-func (ans answer) outcome(fields []string) core.Ending {
-	e := core.Ended(choice.Failed)
+func (ans answer) outcome(fields []string) core.AttemptOutcome {
+	e := core.ResultOnly(choice.Failed)
 	if ans.status != http.StatusOK {
 		e.Cause = statusError(ans.status)
 	}
@@ -402,7 +402,7 @@
 			continue
 		}
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-		if err != nil || !wire.Sane(x) {
+		if err != nil || !wire.PlausibleFigure(x) {
 			return choice.NoReport
 		}
 		wire.SetField(&report, name, x)
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -28,12 +28,12 @@
 // newTransport returns a transport over a pool of its own, with generous defaults for settings that are left out.
 func newTransport(set pool.Settings) *exchange.Transport {
 	if set.DialTimeout == 0 {
-		set.DialTimeout = testkit.Patience
+		set.DialTimeout = testkit.WaitTimeout
 	}
-	if set.Most == 0 {
-		set.Most = 100
+	if set.MaxConns == 0 {
+		set.MaxConns = 100
 	}
-	set.IdleFor = time.Minute
+	set.IdleTimeout = time.Minute
 	return New(pool.New(set), []string{"util", "qps", "eps"}, false)
 }
 
@@ -61,13 +61,13 @@
 		want      choice.Result
 	}{
 		"nothing":            {func(*exchange.Transport, *core.Attempt, context.CancelCauseFunc) {}, choice.OK},
-		"answered":           {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.End() }, choice.NotSent},
-		"client disconnects": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.Leave() }, choice.NotSent},
+		"answered":           {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.Abort() }, choice.NotSent},
+		"client disconnects": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.MarkDisconnected() }, choice.NotSent},
 		"client disconnects, not reported": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) {
 			a.Call.Disconnected = func() bool { return true }
 		}, choice.NotSent},
 		"drains":              {func(u *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { u.Pool.Retire(a.Server) }, choice.ConnectFailed},
-		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrWithdrawn) }, choice.Cancelled},
+		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Cancelled},
 		"send window is over": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.WriteBy = time.Now() }, choice.NotSent},
 		"deadline is over":    {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
 	} {
@@ -81,7 +81,7 @@
 				c.meanwhile(u, a, cancel)
 				return conn, err
 			}})
-			got, sent := u.Attempt(ctx, a).Result, seen.Of("id")
+			got, sent := u.Attempt(ctx, a).Result, seen.Count("id")
 			if want := map[bool]int{true: 1}[c.want == choice.OK]; got != c.want || sent != want {
 				t.Errorf("result %d, not %d; the backend got %d requests, not %d", got, c.want, sent, want)
 			}
@@ -111,7 +111,7 @@
 		"503 unprocessed": {choice.Rejected, false}, "200": {choice.OK, false}} {
 		a := attempt(id, b)
 		p := a.Payload.(*httpmsg.Request)
-		p.Unknown, p.Wanted, p.Pass = 415, []string{"X-Receipt"}, []string{"X-Kiosk"}
+		p.UnknownShapeStatus, p.ReplyHeaders, p.ForwardHeaders = 415, []string{"X-Receipt"}, []string{"X-Kiosk"}
 		e := u.Attempt(context.Background(), a)
 		if e.Result != c.want || e.ShapeUnknown != c.unknown {
 			t.Errorf("%s: result %d, shape unknown: %t", id, e.Result, e.ShapeUnknown)
@@ -147,7 +147,7 @@
 		t.Fatalf("result %d, %d idle connections", got, idleConns(u))
 	}
 	breaks.Store(true)
-	if got := do("half written"); got != choice.ConnectFailed || seen.Of("half written") != 0 {
+	if got := do("half written"); got != choice.ConnectFailed || seen.Count("half written") != 0 {
 		t.Errorf("result %d of a request whose write was incomplete", got)
 	}
 	if openConns(u) != 0 {
@@ -171,20 +171,20 @@
 // scriptedServer starts a server that answers with the given texts.
 func scriptedServer(t *testing.T, answers ...string) (*life.Server, *atomic.Int32) {
 	t.Helper()
-	addr, accepted := testkit.Texts(t, answers...)
+	addr, accepted := testkit.ServeRaw(t, answers...)
 	return &life.Server{ID: "b", Addr: addr}, accepted
 }
 
-func replyBody(e core.Ending) string {
+func replyBody(e core.AttemptOutcome) string {
 	if r, ok := e.Reply.(*httpmsg.Reply); ok {
 		return string(r.Body)
 	}
 	return ""
 }
 
-func exchangeOnce(t *testing.T, u *exchange.Transport, b *life.Server, id string) core.Ending {
+func exchangeOnce(t *testing.T, u *exchange.Transport, b *life.Server, id string) core.AttemptOutcome {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
 	return u.Attempt(ctx, attempt(id, b))
 }
@@ -326,9 +326,9 @@
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	b, accepted := scriptedServer(t, good, good)
 	u := newTransport(pool.Settings{})
-	u.Stall = 50 * time.Millisecond
+	u.StallTimeout = 50 * time.Millisecond
 	exchangeOnce(t, u, b, "first")
-	time.Sleep(3 * u.Stall)
+	time.Sleep(3 * u.StallTimeout)
 	if got := exchangeOnce(t, u, b, "second"); got.Result != choice.OK || accepted.Load() != 1 {
 		t.Errorf("result %d, %d connections", got.Result, accepted.Load())
 	}
@@ -376,7 +376,7 @@
 	}
 	first := dialled
 	io.WriteString(<-conns, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-	testkit.Eventually(t, "the bytes have arrived", func() bool { return !peek.Silent(first) })
+	testkit.Eventually(t, "the bytes have arrived", func() bool { return !peek.HasNoUnread(first) })
 	if got := exchangeOnce(t, u, b, "second"); got.Result != choice.OK || len(replyBody(got)) != 0 {
 		t.Errorf("result %d, %q", got.Result, replyBody(got))
 	}
@@ -415,7 +415,7 @@
 	}})
 	a := attempt("id", &life.Server{ID: "b", Addr: l.Addr().String()})
 	a.Payload.(*httpmsg.Request).Body = make([]byte, httpmsg.MaxBody)
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
 	if got := u.Attempt(ctx, a).Result; got != choice.Rejected || openConns(u) != 0 {
 		t.Errorf("result %d, %d connections", got, openConns(u))
@@ -435,7 +435,7 @@
 	}
 	x, y := startServer(t, serve), startServer(t, serve)
 	var patient atomic.Bool
-	u := newTransport(pool.Settings{Most: 1})
+	u := newTransport(pool.Settings{MaxConns: 1})
 	do := func(id string, b *life.Server) choice.Result {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		defer cancel()
--- a/internal/http/httpback/long.go
+++ b/internal/http/httpback/long.go
@@ -68,7 +68,7 @@
 
 // mayRelay reports whether an answer may be relayed while it is received: it is served, and long or of unknown length.
 func (h *head) mayRelay() bool {
-	return h.status == http.StatusOK && (h.length > httpmsg.MaxBody && h.length <= httpmsg.MaxLong ||
+	return h.status == http.StatusOK && (h.length > httpmsg.MaxBody && h.length <= httpmsg.MaxStreamedBody ||
 		h.length < 0 && (h.chunked || h.close))
 }
 
@@ -81,7 +81,7 @@
 // relayedAnswer is an answer that may be long. It is held at first, then written to a pipe from which its client reads.
 type relayedAnswer struct {
 	codec    *codec
-	in       *exchange.Inflow
+	in       *exchange.AnswerReader
 	head     head
 	held     *relay.Held
 	buffered []byte         // received while the answer is held
@@ -89,10 +89,10 @@
 }
 
 // receiveLong reads an answer that may be long. One that is complete before it has to be relayed is treated like a short one.
-func (c *codec) receiveLong(in *exchange.Inflow, h head) (core.Ending, bool, error) {
-	r := &relayedAnswer{codec: c, in: in, head: h, held: relay.Begin(clock.Now(), in.Left(), httpmsg.MaxBody, c.firstAttempt)}
+func (c *codec) receiveLong(in *exchange.AnswerReader, h head) (core.AttemptOutcome, bool, error) {
+	r := &relayedAnswer{codec: c, in: in, head: h, held: relay.NewHeld(clock.Now(), in.TimeLeft(), httpmsg.MaxBody, c.firstAttempt)}
 	if h.length >= 0 {
-		r.held = relay.BeginLong(clock.Now(), in.Left(), httpmsg.MaxBody)
+		r.held = relay.NewHeldLong(clock.Now(), in.TimeLeft(), httpmsg.MaxBody)
 	}
 	in.Hold(r.holdUntil(), r.holdExpired)
 	body := io.Reader(in.Reader)
@@ -114,7 +114,7 @@
 	if r.pipe != nil {
 		r.pipe.CloseWithError(err)
 	}
-	return core.Ending{}, false, err
+	return core.AttemptOutcome{}, false, err
 }
 
 // receive reads the body to its end. It returns the number of bytes, and the error that ended the body: io.EOF for an orderly end.
@@ -124,7 +124,7 @@
 	for err == nil {
 		var n int
 		n, err = body.Read(buffer[:])
-		if received += int64(n); received > httpmsg.MaxLong {
+		if received += int64(n); received > httpmsg.MaxStreamedBody {
 			err = errTooLong
 		}
 		if n == 0 {
@@ -155,11 +155,11 @@
 }
 
 // holdUntil returns when holdExpired has to be called, as a time.Time.
-func (r *relayedAnswer) holdUntil() time.Time { return clock.At(r.held.Until()) }
+func (r *relayedAnswer) holdUntil() time.Time { return clock.ToTime(r.held.NextCheck()) }
 
 // holdExpired is called when the held answer is not complete in time. It reports whether reading the answer continues.
 func (r *relayedAnswer) holdExpired() bool {
-	switch r.held.Due(clock.Now()) {
+	switch r.held.Check(clock.Now()) {
 	case relay.Hold:
 		r.in.Hold(r.holdUntil(), r.holdExpired)
 		return true
@@ -183,10 +183,10 @@
 }
 
 // outcome returns the outcome of an attempt whose answer is complete.
-func (r *relayedAnswer) outcome() core.Ending {
+func (r *relayedAnswer) outcome() core.AttemptOutcome {
 	if r.pipe != nil {
 		r.pipe.Close()
-		return core.Ended(choice.OK)
+		return core.ResultOnly(choice.OK)
 	}
 	return answer{head: r.head, body: r.buffered}.outcome(r.codec.fields)
 }
--- a/internal/http/httpfront/answer.go
+++ b/internal/http/httpfront/answer.go
@@ -12,7 +12,7 @@
 
 // statuses maps the kind of a final answer to its HTTP status.
 var statuses = [...]int{core.Served: http.StatusOK, core.Refused: http.StatusServiceUnavailable,
-	core.Failed: http.StatusBadGateway, core.Duplicate: http.StatusConflict, core.Unfit: http.StatusUnprocessableEntity}
+	core.Failed: http.StatusBadGateway, core.Duplicate: http.StatusConflict, core.Untranslatable: http.StatusUnprocessableEntity}
 
 // The stages at which delivering an answer may fail, as logged.
 const (
@@ -28,7 +28,7 @@
 
 // writeFinal writes the final answer to a client that is connected. If it can't be written completely, the connection is closed and the
 // failure is logged.
-func (f *Front) final(w http.ResponseWriter, in *http.Request, call *core.Call, ans core.Answer) {
+func (f *Front) writeFinal(w http.ResponseWriter, in *http.Request, call *core.Call, ans core.Answer) {
 	if f.shuttingDown.Load() {
 		endConnection(w, in)
 	}
@@ -36,24 +36,24 @@
 	if err == nil {
 		return
 	}
-	f.core.Undelivered(call, ans.Kind, err.stage, err.cause)
+	f.core.RecordUndelivered(call, ans.Kind, err.stage, err.cause)
 	panic(http.ErrAbortHandler) // net/http would treat a partly written answer as complete
 }
 
 // answerDisconnected answers a request whose client has disconnected. Normally nobody reads this answer; a client that still
 // does must not mistake the close for an empty answer.
-func (f *Front) abandon(w http.ResponseWriter, in *http.Request) {
+func (f *Front) answerDisconnected(w http.ResponseWriter, in *http.Request) {
 	w.Header().Set("Connection", "close")
-	f.writeAnswer(w, in, core.Answer{Kind: core.Failed}, lateWrite)
+	f.writeAnswer(w, in, core.Answer{Kind: core.Failed}, minWriteTimeout)
 }
 
 // writeTimeout returns how long a client may accept nothing of its answer. An answer is useful until answerGrace after the client's
 // deadline: a waiting client is not given up earlier, whatever delays the answer.
 func (f *Front) writeTimeout(call *core.Call) time.Duration {
 	if f.longBodies {
-		return writePause
+		return writeStallTimeout
 	}
-	return max(lateWrite, call.Deadline+answerGrace-f.core.Now())
+	return max(minWriteTimeout, call.Deadline+answerGrace-f.core.Now())
 }
 
 // writeAnswer writes a complete answer. It returns nil or the reason why the answer could not be written.
@@ -109,7 +109,7 @@
 		w.Header()["Content-Length"] = []string{strconv.FormatInt(reply.Length, 10)}
 	}
 	write := func(part []byte) *deliveryError {
-		control.SetWriteDeadline(time.Now().Add(writePause))
+		control.SetWriteDeadline(time.Now().Add(writeStallTimeout))
 		if err := writeAndFlush(w, control, part); err != nil {
 			return &deliveryError{stageWrite, err}
 		}
--- a/internal/http/httpfront/crossing_test.go
+++ b/internal/http/httpfront/crossing_test.go
@@ -34,13 +34,13 @@
 // stubServers is a transport without sockets: it passes each attempt to the test and ends it with the outcome that the test provides.
 type stubServers struct {
 	started  chan *core.Attempt
-	outcomes chan core.Ending
+	outcomes chan core.AttemptOutcome
 
 	mu   sync.Mutex
 	seen map[string]int // number of attempts by call ID
 }
 
-func (s *stubServers) Attempt(ctx context.Context, at *core.Attempt) core.Ending {
+func (s *stubServers) Attempt(ctx context.Context, at *core.Attempt) core.AttemptOutcome {
 	s.mu.Lock()
 	s.seen[at.Call.ID]++
 	s.mu.Unlock()
@@ -49,10 +49,10 @@
 	case e := <-s.outcomes:
 		return e
 	case <-ctx.Done():
-		if errors.Is(context.Cause(ctx), core.ErrWithdrawn) {
-			return core.Ended(choice.Cancelled)
+		if errors.Is(context.Cause(ctx), core.ErrCanceled) {
+			return core.ResultOnly(choice.Cancelled)
 		}
-		return core.Ended(choice.TimedOut)
+		return core.ResultOnly(choice.TimedOut)
 	}
 }
 
@@ -66,7 +66,7 @@
 func (s *stubServers) answerAll(ctx context.Context) {
 	for {
 		select {
-		case s.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}:
+		case s.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}:
 		case <-s.started:
 		case <-ctx.Done():
 			return
@@ -85,17 +85,17 @@
 // newTestFront returns a testFront that does not serve yet, with at most maxClients connections.
 func newTestFront(t *testing.T, maxClients int) *testFront {
 	t.Helper()
-	cfg, err := config.Parse(standin.Platform{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Cancel: true, MostTries: 6, Deadline: time.Minute}.Config())
+	cfg, err := config.Parse(standin.Platform{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", CanCancel: true, MaxAttempts: 6, Deadline: time.Minute}.Config())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testFront{servers: &stubServers{started: make(chan *core.Attempt, 1<<14), outcomes: make(chan core.Ending), seen: map[string]int{}}, conns: make(chan *conntrack.Conn, 1<<14)} // more than any test sends: a full channel would block accepting
+	r := &testFront{servers: &stubServers{started: make(chan *core.Attempt, 1<<14), outcomes: make(chan core.AttemptOutcome), seen: map[string]int{}}, conns: make(chan *conntrack.Conn, 1<<14)} // more than any test sends: a full channel would block accepting
 	known := discovery.List{Full: true}
 	for i := range 64 { // enough that the attempts that a test leaves unanswered don't make the servers look silent
 		known.Servers = append(known.Servers, discovery.Entry{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", Zone: "z", State: "in_service"})
 	}
-	c, err := core.New(core.Settings{Module: cfg.Module, Zones: cfg.Host.Zones, Known: known, Discovery: cfg.Discovery, Log: slog.New(slog.DiscardHandler),
-		Pool:       pool.New(pool.Settings{DialTimeout: time.Second, IdleFor: time.Minute, Most: 10}),
+	c, err := core.New(core.Settings{Module: cfg.Module, Zones: cfg.Host.Zones, InitialList: known, Discovery: cfg.Discovery, Log: slog.New(slog.DiscardHandler),
+		Pool:       pool.New(pool.Settings{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 10}),
 		Transports: map[choice.Protocols]core.Transport{protocol.HTTP: r.servers}})
 	if err != nil {
 		t.Fatal(err)
@@ -121,11 +121,11 @@
 // panickingShapes panics on some requests.
 type panickingShapes struct{}
 
-func (panickingShapes) HTTP(_ string, r *httpmsg.Request) (tag routes.Tag, keyLast bool, err error) {
+func (panickingShapes) HTTP(_ string, r *httpmsg.Request) (tag routes.CallShape, keyLast bool, err error) {
 	if strings.Contains(r.URL.Path, "panic") {
 		panic("planted")
 	}
-	return routes.Tag{}, true, nil
+	return routes.CallShape{}, true, nil
 }
 
 // Guards against a connection that closes without an answer when the handler of its request panics.
@@ -134,7 +134,7 @@
 	r.WithShapes(panickingShapes{})
 	r.serve()
 	client := r.dial(t)
-	client.SetDeadline(time.Now().Add(testkit.Patience))
+	client.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	send(t, client, strings.Replace(requestsByKind["safe"]("panics"), "/form-check/k", "/form-check/panic", 1))
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
@@ -149,7 +149,7 @@
 // stop shuts the front down as the agent does, but stops accepting at once. The shutdown ends closeBy from now.
 func (r *testFront) stop(closeBy time.Duration) {
 	begin := time.Now()
-	r.core.End(begin, begin.Add(closeBy-conntrack.AnswerWriteTime))
+	r.core.BeginShutdown(begin, begin.Add(closeBy-conntrack.AnswerWriteTime))
 	r.Stop(begin, shutdown.Schedule{Accept: time.Nanosecond, AnswerBy: closeBy - conntrack.AnswerWriteTime, CloseBy: closeBy})
 }
 
@@ -209,7 +209,7 @@
 }
 
 // neverRan is the outcome of an attempt that has not run, so that another one is made if the call is still wanted.
-var neverRan = core.Ended(choice.ConnectFailed)
+var neverRan = core.ResultOnly(choice.ConnectFailed)
 
 // net/http reads no further than the first byte behind a request, so it does not notice the disconnect of a client that has sent more.
 // Neither the waiting request nor the one behind it may be forwarded after the disconnect.
@@ -224,9 +224,9 @@
 					at := <-r.servers.started
 					go io.WriteString(c, more) // it may not all be accepted
 					served := <-r.conns
-					testkit.Eventually(t, "data is received behind the request", func() bool { return !peek.Silent(served) || served.ReceivedBytes() > len(request("a")) })
+					testkit.Eventually(t, "data is received behind the request", func() bool { return !peek.HasNoUnread(served) || served.ReceivedBytes() > len(request("a")) })
 					disconnect(c, reset)
-					testkit.Eventually(t, "the disconnect is noticed", at.Call.Over)
+					testkit.Eventually(t, "the disconnect is noticed", at.Call.Finished)
 					select {
 					case r.servers.outcomes <- neverRan:
 					case <-time.After(10 * time.Millisecond): // the attempt was canceled before
@@ -234,7 +234,7 @@
 					testkit.Eventually(t, "the connection is released", func() bool { return r.tracker.Count() == 0 })
 					testkit.Eventually(t, "the call is released", func() bool {
 						s := r.core.Snapshot()
-						return s.Open == 0 && s.Held == 0 && s.Stats.Gone == 1
+						return s.Open == 0 && s.Held == 0 && s.Stats.Disconnected == 1
 					})
 					if a, b := r.servers.attempts("a"), r.servers.attempts("b"); a != 1 || b != 0 {
 						t.Errorf("%d attempts for the first request, %d for the one behind it", a, b)
@@ -273,7 +273,7 @@
 	c := r.serve().dial(t)
 	send(t, c, requestsByKind["keyed"]("a"))
 	<-r.servers.started
-	r.servers.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
+	r.servers.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
 	if status, body := read(t, c); status != http.StatusOK || body != "done" {
 		t.Errorf("%d %q", status, body)
 	}
@@ -281,7 +281,7 @@
 
 func read(t *testing.T, c net.Conn) (status int, body string) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(testkit.Patience))
+	c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -298,7 +298,7 @@
 	t.Helper()
 	send(t, c, requestsByKind["safe"]("before"))
 	<-r.servers.started
-	r.servers.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{}}
+	r.servers.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{}}
 	if status, _ := read(t, c); status != http.StatusOK {
 		t.Fatal(status)
 	}
@@ -327,7 +327,7 @@
 			c := r.serve().dial(t)
 			r.serveOne(t, c)
 			first := <-r.conns
-			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.Waits(first) })
+			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.AwaitsRequest(first) })
 			for i := range 3 {
 				id := fmt.Sprint("other", i)
 				send(t, r.dial(t), requestsByKind["safe"](id))
@@ -364,7 +364,7 @@
 			closed := make(chan net.Conn, 10)
 			r.http.ConnState = func(c net.Conn, state http.ConnState) {
 				if state == http.StateActive && crossing.Load() { // the request has been read, but its handler has not run
-					r.tracker.Closed(c.(*recordingConn).Conn)
+					r.tracker.MarkClosed(c.(*recordingConn).Conn)
 				}
 				r.connState(c, state)
 				if state == http.StateClosed && crossing.Load() {
@@ -374,7 +374,7 @@
 			c := r.serve().dial(t)
 			r.serveOne(t, c)
 			first := <-r.conns
-			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.Waits(first) })
+			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.AwaitsRequest(first) })
 			crossing.Store(true)
 			send(t, c, request("a"))
 			if conn := <-closed; conn != net.Conn(first) { // nobody serves it any more
@@ -413,7 +413,7 @@
 				r := newTestFront(t, 10).serve()
 				c, rest := r.sendHalf(t, fresh, request("a"))
 				stopped := make(chan struct{})
-				go func() { r.stop(testkit.Patience); close(stopped) }()
+				go func() { r.stop(testkit.WaitTimeout); close(stopped) }()
 				testkit.Eventually(t, "the agent no longer accepts", func() bool {
 					other, err := net.Dial("tcp", r.addr)
 					if err == nil {
@@ -425,7 +425,7 @@
 				r.listener.CloseSilent() // as the agent does a little later
 				send(t, c, rest)
 				<-r.servers.started
-				r.servers.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
+				r.servers.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
 				if status, body := read(t, c); status != http.StatusOK || body != "done" {
 					t.Errorf("%d %q", status, body)
 				}
@@ -443,7 +443,7 @@
 	send(t, busy, requestsByKind["unsafe"]("a"))
 	<-r.servers.started
 	stopped := make(chan struct{})
-	go func() { r.stop(testkit.Patience); close(stopped) }()
+	go func() { r.stop(testkit.WaitTimeout); close(stopped) }()
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the idle connection closes with %v", err)
 	}
@@ -453,7 +453,7 @@
 	case r.servers.outcomes <- neverRan:
 	}
 	<-r.servers.started // the attempt never ran, so another one is made
-	r.servers.outcomes <- core.Ended(choice.Failed)
+	r.servers.outcomes <- core.ResultOnly(choice.Failed)
 	if status, _ := read(t, busy); status != http.StatusBadGateway {
 		t.Error(status)
 	}
@@ -463,9 +463,9 @@
 // Guards against a leaked stream, with a writer that waits for a reader, when an answer starts as its client disconnects.
 func TestAnswerThatNobodyTakesIsClosed(t *testing.T) {
 	for name, cross := range map[string]func(h answerSlot, ans core.Answer){
-		"the answer first":     func(h answerSlot, ans core.Answer) { h.deliver(ans); h.call.Leave(); h.clear() },
-		"the disconnect first": func(h answerSlot, ans core.Answer) { h.call.Leave(); h.clear(); h.deliver(ans) },
-		"between":              func(h answerSlot, ans core.Answer) { h.call.Leave(); h.deliver(ans); h.clear() },
+		"the answer first":     func(h answerSlot, ans core.Answer) { h.deliver(ans); h.call.MarkDisconnected(); h.discard() },
+		"the disconnect first": func(h answerSlot, ans core.Answer) { h.call.MarkDisconnected(); h.discard(); h.deliver(ans) },
+		"between":              func(h answerSlot, ans core.Answer) { h.call.MarkDisconnected(); h.deliver(ans); h.discard() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			in, out := io.Pipe()
@@ -494,7 +494,7 @@
 		}
 	}()
 	longest := time.Duration(0)
-	for round := 0; r.core.Snapshot().Stats.Gone < 1000; round++ { // some are answered before
+	for round := 0; r.core.Snapshot().Stats.Disconnected < 1000; round++ { // some are answered before
 		if round == 20 {
 			t.Fatal("most clients are answered before they disconnect")
 		}
@@ -529,10 +529,10 @@
 		largest := time.Duration(0)
 		for len(disconnected) > 0 {
 			for id, at := range disconnected {
-				if attempts[id].Call.Over() {
+				if attempts[id].Call.Finished() {
 					largest = max(largest, time.Since(at))
 					delete(disconnected, id)
-				} else if time.Since(at) > testkit.Patience {
+				} else if time.Since(at) > testkit.WaitTimeout {
 					t.Fatalf("the disconnect of %s is not noticed", id)
 				}
 			}
@@ -544,16 +544,16 @@
 		testkit.Eventually(t, "everything is released", func() bool {
 			for range 200 { // attempts already sent go on until their answer or deadline
 				select {
-				case r.servers.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{}}:
+				case r.servers.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{}}:
 				default:
 				}
 			}
 			s := r.core.Snapshot()
-			ended := s.Stats.Gone + s.Stats.Served + s.Stats.Refused + s.Stats.Failed // disconnected before being read: no requests
+			ended := s.Stats.Disconnected + s.Stats.Served + s.Stats.Refused + s.Stats.Failed // disconnected before being read: no requests
 			return s.Open == 0 && s.Held == 0 && ended == s.Stats.Requests && r.tracker.Count() == 0
 		})
 	}
-	t.Logf("%d disconnects, the longest noticed after %v", r.core.Snapshot().Stats.Gone, longest)
+	t.Logf("%d disconnects, the longest noticed after %v", r.core.Snapshot().Stats.Disconnected, longest)
 }
 
 // A request is completely received when the agent is about to exit, and its own deadline is later than that. As the request was
@@ -605,11 +605,13 @@
 			c := r.serve().dial(t)
 			sendBoth(t, c, func() { <-r.servers.started })
 			conn := <-r.conns
-			testkit.Eventually(t, "the next request is read ahead", func() bool { return conn.ReceivedBytes() == 2*len(requestsByKind["safe"]("a")) && peek.Silent(conn) })
+			testkit.Eventually(t, "the next request is read ahead", func() bool {
+				return conn.ReceivedBytes() == 2*len(requestsByKind["safe"]("a")) && peek.HasNoUnread(conn)
+			})
 			in := bufio.NewReader(c)
-			c.SetReadDeadline(time.Now().Add(testkit.Patience))
+			c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 			for i := range 2 {
-				r.servers.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
+				r.servers.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
 				resp, err := http.ReadResponse(in, nil)
 				if err != nil {
 					t.Fatalf("answer %d: %v", i, err)
@@ -634,18 +636,18 @@
 			send(t, half, request("b")[:20])
 			r.serve()
 			<-r.servers.started
-			r.servers.outcomes <- core.Ending{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
+			r.servers.outcomes <- core.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: &httpmsg.Reply{Body: []byte("done")}}
 			if status, body := read(t, c); status != http.StatusOK || body != "done" {
 				t.Errorf("%d %q", status, body)
 			}
 			for name, c := range map[string]net.Conn{"half": half, "none": none} {
-				c.SetReadDeadline(time.Now().Add(testkit.Patience))
+				c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 				if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("the client %q is waited for", name)
 				}
 			}
-			if s := r.core.Snapshot(); s.Stats.Gone != 0 || s.Stats.Requests != 1 {
-				t.Errorf("%d requests, %d disconnected", s.Stats.Requests, s.Stats.Gone)
+			if s := r.core.Snapshot(); s.Stats.Disconnected != 0 || s.Stats.Requests != 1 {
+				t.Errorf("%d requests, %d disconnected", s.Stats.Requests, s.Stats.Disconnected)
 			}
 		})
 	}
@@ -665,7 +667,7 @@
 				if more != "" {
 					send(t, c, more)
 					conn := <-r.conns
-					testkit.Eventually(t, "the connection is no longer being read", func() bool { return !conn.Watched() })
+					testkit.Eventually(t, "the connection is no longer being read", func() bool { return !conn.BeingRead() })
 				}
 				if at.Call.Abandoned() {
 					t.Fatal("the client is still connected")
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -33,9 +33,9 @@
 	readTimeout = 2500 * time.Millisecond // for head and body
 	// idleTimeout limits how long the connection of a client that never returns is kept. When idle connections use up too much of the
 	// connection limit, the tracker ends them much earlier.
-	idleTimeout = 10 * time.Minute
-	lateWrite   = time.Second            // minimum time for which a client may accept nothing of its answer
-	answerGrace = 500 * time.Millisecond // an answer is still useful for this long after the client's deadline
+	idleTimeout     = 10 * time.Minute
+	minWriteTimeout = time.Second            // minimum time for which a client may accept nothing of its answer
+	answerGrace     = 500 * time.Millisecond // an answer is still useful for this long after the client's deadline
 )
 
 // Front is the HTTP/1.1 side of the agent that faces its clients.
@@ -57,7 +57,7 @@
 type Shapes interface {
 	// HTTP returns the shape of a request of the given class, and whether the last segment of its path is the key. It returns
 	// the zero Tag for a class without shapes, and an error if the request has none of the shapes of its class.
-	HTTP(class string, r *httpmsg.Request) (tag routes.Tag, keyLast bool, err error)
+	HTTP(class string, r *httpmsg.Request) (tag routes.CallShape, keyLast bool, err error)
 }
 
 // WithShapes makes the Front determine the shapes of requests. It must be called before Serve.
@@ -70,14 +70,14 @@
 	handler := func(w http.ResponseWriter, in *http.Request) {
 		defer f.answerPanic(w, in)
 		// False if closed while the request was being read: its client retries, and the request must not take effect twice.
-		if !f.tracker.Busy(clientConnOf(in).conn) {
+		if !f.tracker.MarkBusy(clientConnOf(in).conn) {
 			f.log.Warn("request dropped as its connection had been closed", "id", in.Header.Get("X-Correlation-Id"))
 			panic(http.ErrAbortHandler)
 		}
 		clientConnOf(in).answerStarted = false
 		clientConnOf(in).recorder.headRead(in)
 		if in.URL.Path != "/ready" {
-			f.request(w, in)
+			f.handleRequest(w, in)
 			return
 		}
 		if f.shuttingDown.Load() {
@@ -91,12 +91,12 @@
 		}
 	}
 	head, read := headTimeout, readTimeout
-	if f.longBodies = cfg.Long(); f.longBodies {
+	if f.longBodies = cfg.AllowsLongBodies(); f.longBodies {
 		head, read = longHeadTimeout, longHeadTimeout // bodies have timeouts of their own
 	}
-	f.budget.Most = cfg.Limits.HeapLimit() / uploadHeapDivisor
+	f.budget.MaxBytes = cfg.Limits.HeapLimit() / uploadHeapDivisor
 	f.http = &http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: head, ReadTimeout: read,
-		WriteTimeout: cfg.LongestDeadline() + lateWrite, IdleTimeout: idleTimeout, MaxHeaderBytes: httpmsg.MaxHead,
+		WriteTimeout: cfg.MaxDeadline() + minWriteTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: httpmsg.MaxHead,
 		ConnState: f.connState, ConnContext: f.withClientConn, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
 	return f
 }
@@ -112,7 +112,7 @@
 		panic(cause)
 	}
 	f.log.Error("the handling of a request panicked", "id", in.Header.Get("X-Correlation-Id"), "cause", cause, "stack", string(debug.Stack()))
-	f.abandon(w, in)
+	f.answerDisconnected(w, in)
 }
 
 // connState is the ConnState callback of the HTTP server. It keeps the tracker up to date.
@@ -121,9 +121,9 @@
 	switch state {
 	case http.StateIdle:
 		conn.(*recordingConn).requestDone()
-		f.tracker.Idle(c)
+		f.tracker.MarkIdle(c)
 	case http.StateClosed, http.StateHijacked:
-		f.tracker.Closed(c)
+		f.tracker.MarkClosed(c)
 	}
 }
 
@@ -193,7 +193,7 @@
 func (f *Front) waitEmpty(deadline time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	return f.listener.Empty(ctx) == nil
+	return f.listener.WaitEmpty(ctx) == nil
 }
 
 // startStageLog logs the beginning of a shutdown and returns a function that logs each further stage.
@@ -202,7 +202,7 @@
 	return func(name string) {
 		s := f.tracker.Stats()
 		f.log.Info("shutdown", "stage", name, "after", time.Since(begin).Round(time.Millisecond), "connections", f.tracker.Count(), "accepted", s.Accepted,
-			"closed_for_room", s.ClosedForRoom, "ended_idle", s.EndedIdle, "ended_silent", s.EndedSilent, "kept_begun", s.KeptBegun, "ended_begun", s.EndedBegun)
+			"closed_for_room", s.ClosedForRoom, "ended_idle", s.EndedIdle, "ended_silent", s.EndedSilent, "kept_begun", s.KeptPartial, "ended_begun", s.EndedPartial)
 	}
 }
 
@@ -215,7 +215,7 @@
 }
 
 // handleRequest handles one request of the application.
-func (f *Front) request(w http.ResponseWriter, in *http.Request) {
+func (f *Front) handleRequest(w http.ResponseWriter, in *http.Request) {
 	call, body, err := f.parse(in, w)
 	if err != nil {
 		status := http.StatusBadRequest
@@ -225,7 +225,7 @@
 		case errors.Is(err, errFraming):
 			status = http.StatusLengthRequired
 		}
-		f.core.Malformed()                    // not logged one by one: there may be thousands
+		f.core.CountMalformed()               // not logged one by one: there may be thousands
 		w.Header().Set("Connection", "close") // the client may have sent anything behind the request
 		http.Error(w, err.Error(), status)
 		return
@@ -241,24 +241,24 @@
 	}
 	// While a long body is being received, its reader detects a disconnect. A client that is gone at this point disconnected while an
 	// earlier request was handled, or long ago: there is nobody to forward this request for.
-	if !call.Coming && gone() {
-		f.core.Abandoned()
-		f.abandon(w, in)
+	if !call.BodyPending && gone() {
+		f.core.CountAbandoned()
+		f.answerDisconnected(w, in)
 		return
 	}
 	slot := newAnswerSlot(call)
-	defer slot.clear()
+	defer slot.discard()
 	call.Answer = slot.deliver
 	client.requests++
 	call.Disconnected = client.conn.Disconnected
 	call.Connection = ledger.Connection{Opened: client.opened, Requests: client.requests}
-	f.core.Take(call)
+	f.core.Submit(call)
 	// Some clients send one request and keep their connection forever. Near the connection limit, the connection closes after the
 	// first answer; a client that does return opens another one.
 	if client.requests == 1 && f.tracker.NearlyFull() {
 		endConnection(w, in)
 	}
-	if call.Coming {
+	if call.BodyPending {
 		defer body.stop() // however the call ends
 		broken, err := body.pump(f.core, call), error(nil)
 		select {
@@ -266,23 +266,23 @@
 			if body.stop() {
 				w.Header().Set("Connection", "close") // the rest of the request is not read
 			}
-			f.final(w, in, call, ans)
+			f.writeFinal(w, in, call, ans)
 			return
 		case err = <-broken: // nil if the body is complete
 		}
 		if err != nil {
-			f.core.Malformed()
+			f.core.CountMalformed()
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
 	if ans, ok := f.await(in.Context(), client.conn, slot.answers, gone); ok {
-		f.final(w, in, call, ans)
+		f.writeFinal(w, in, call, ans)
 		return
 	}
-	f.core.Left(call)
-	f.abandon(w, in)
+	f.core.ClientDisconnected(call)
+	f.answerDisconnected(w, in)
 }
 
 // await waits for the answer to a call. It returns false if the client disconnects first. Meanwhile net/http reads the connection
@@ -296,11 +296,11 @@
 			return ans, true
 		case <-ctx.Done():
 			return core.Answer{}, false
-		case <-conn.Unwatched():
+		case <-conn.ReadDone():
 			ticker.Reset(f.probeInterval)
 		case <-ticker.C:
 			switch {
-			case conn.Watched():
+			case conn.BeingRead():
 				ticker.Stop()
 			case gone():
 				return core.Answer{}, false
@@ -320,13 +320,13 @@
 
 // deliver is the Call.Answer callback.
 func (s answerSlot) deliver(ans core.Answer) {
-	if s.answers <- ans; s.call.Gone() {
-		s.clear()
+	if s.answers <- ans; s.call.ClientDisconnected() {
+		s.discard()
 	}
 }
 
 // discard closes an answer that was not taken. If there is none yet, deliver discards it once the client has disconnected.
-func (s answerSlot) clear() {
+func (s answerSlot) discard() {
 	select {
 	case ans := <-s.answers:
 		if r, ok := ans.Reply.(io.Closer); ok {
@@ -366,7 +366,7 @@
 	waited := client.conn.SinceLastData() // the client counts from when it sent the request
 	wait = max(0, wait-waited)
 	call.Deadline = f.core.Now() + wait // counted from the last byte
-	if call.Coming {
+	if call.BodyPending {
 		body.timeLeft = wait
 		call.Deadline += body.maxReadTime()
 	}
@@ -387,7 +387,7 @@
 	cfg, h := f.cfg, in.Header
 	payload := &httpmsg.Request{Method: in.Method, URL: in.URL, Header: h}
 	call = &core.Call{Payload: payload}
-	call.Needs = protocol.HTTP
+	call.RequiredProtocols = protocol.HTTP
 	for _, name := range singleHeaders {
 		if len(h[name]) > 1 {
 			return nil, 0, fmt.Errorf("%s given %d times", name, len(h[name]))
@@ -398,18 +398,18 @@
 	}
 	parts := strings.Split(strings.Trim(in.URL.Path, "/"), "/")
 	name := h.Get("X-Service-Class")
-	call.Class = cfg.Class(name)
+	call.Class = cfg.ClassIndex(name)
 	keyLast := true
 	if f.shapes != nil && call.Class >= 0 {
 		if call.Tag, keyLast, err = f.shapes.HTTP(name, payload); err != nil {
 			return nil, 0, err
 		}
 	}
-	if call.Class < 0 || parts[0] != name && !call.Tag.Set() {
+	if call.Class < 0 || parts[0] != name && !call.Tag.IsSet() {
 		return nil, 0, fmt.Errorf("class %q in X-Service-Class, %q in the path", name, parts[0])
 	}
 	effect := cfg.Module.Classes[call.Class].Effect
-	if !call.Tag.Set() { // otherwise the shape determines the method, and whether there is a body
+	if !call.Tag.IsSet() { // otherwise the shape determines the method, and whether there is a body
 		if in.Method != methods[effect] {
 			return nil, 0, fmt.Errorf("method %s for class %q", in.Method, name)
 		}
@@ -420,7 +420,7 @@
 	if keyed := h.Get("Idempotency-Key") != ""; keyed != (effect == choice.Keyed) {
 		return nil, 0, fmt.Errorf("Idempotency-Key given: %t, for class %q", keyed, name)
 	}
-	if call.Tenant = cfg.Tenant(h.Get("X-Account")); call.Tenant < 0 {
+	if call.Tenant = cfg.TenantIndex(h.Get("X-Account")); call.Tenant < 0 {
 		return nil, 0, fmt.Errorf("unknown X-Account %q", h.Get("X-Account"))
 	}
 	seconds, err := strconv.ParseFloat(h.Get("X-Time-Left"), 64)
@@ -430,7 +430,7 @@
 	if len(parts) > 1 && keyLast {
 		call.Key = parts[len(parts)-1]
 	}
-	call.Again = h.Get("X-Repeat") == "1"
+	call.ClientRetry = h.Get("X-Repeat") == "1"
 	maxWait := cfg.Module.Classes[call.Class].Deadline
 	return call, time.Duration(min(seconds, maxWait.Seconds()) * float64(time.Second)), nil
 }
--- a/internal/http/httpfront/long.go
+++ b/internal/http/httpfront/long.go
@@ -20,7 +20,7 @@
 	bodyGrace   = 1500 * time.Millisecond
 	minBodyRate = 48_000 // bytes per second
 
-	writePause        = 10 * time.Second // how long a client may accept nothing of an answer
+	writeStallTimeout = 10 * time.Second // how long a client may accept nothing of an answer
 	uploadHeapDivisor = 4                // 1/uploadHeapDivisor of the heap holds bodies that are kept for another attempt
 )
 
@@ -84,12 +84,12 @@
 // readBody reads a short body completely. Of a long body it reads the beginning; the rest is forwarded as it arrives.
 func (f *Front) readBody(in *http.Request, w http.ResponseWriter, call *core.Call) (*incomingBody, error) {
 	payload := call.Payload.(*httpmsg.Request)
-	long := f.longBodies && !call.Tag.Set()
+	long := f.longBodies && !call.Tag.IsSet()
 	switch {
 	case in.ContentLength > httpmsg.MaxBody && !long:
 		return nil, &http.MaxBytesError{Limit: httpmsg.MaxBody} // without reading it
-	case in.ContentLength > httpmsg.MaxLong:
-		return nil, &http.MaxBytesError{Limit: httpmsg.MaxLong}
+	case in.ContentLength > httpmsg.MaxStreamedBody:
+		return nil, &http.MaxBytesError{Limit: httpmsg.MaxStreamedBody}
 	case in.ContentLength < 0 && !long:
 		return nil, errFraming
 	case in.ContentLength == 0:
@@ -122,8 +122,8 @@
 		return nil, fmt.Errorf("%w: %w", errBody, err)
 	}
 	a.upload = httpmsg.NewUpload(in.ContentLength, &f.budget)
-	a.upload.Fill(first, a.quit)
-	payload.Upload, call.Coming = a.upload, true
+	a.upload.Append(first, a.quit)
+	payload.Upload, call.BodyPending = a.upload, true
 	return a, nil
 }
 
@@ -134,7 +134,7 @@
 func (a *incomingBody) maxReadTime() time.Duration {
 	length := a.upload.Length()
 	if length < 0 {
-		length = httpmsg.MaxLong
+		length = httpmsg.MaxStreamedBody
 	}
 	return bodyGrace + time.Duration(length)*time.Second/minBodyRate
 }
@@ -149,23 +149,23 @@
 		part := make([]byte, httpmsg.PartSize)
 		for {
 			n, err := a.Read(part)
-			if total += int64(n); total > httpmsg.MaxLong {
-				err = &http.MaxBytesError{Limit: httpmsg.MaxLong}
+			if total += int64(n); total > httpmsg.MaxStreamedBody {
+				err = &http.MaxBytesError{Limit: httpmsg.MaxStreamedBody}
 			}
 			if err != nil && err != io.EOF {
-				c.Left(call) // before an attempt fails because of it, which would be retried
-				a.upload.End(err)
+				c.ClientDisconnected(call) // before an attempt fails because of it, which would be retried
+				a.upload.Finish(err)
 				ended <- fmt.Errorf("%w: %w", errBody, err)
 				return
 			}
-			if n > 0 && !a.upload.Fill(part[:n], a.quit) {
+			if n > 0 && !a.upload.Append(part[:n], a.quit) {
 				return
 			}
 			if err == io.EOF {
 				a.control.SetReadDeadline(time.Time{}) // otherwise it would also end the wait for the client's disconnect
 				a.complete = true
-				a.upload.End(nil)
-				c.Whole(call, a.timeLeft)
+				a.upload.Finish(nil)
+				c.RequestReceived(call, a.timeLeft)
 				ended <- nil
 				return
 			}
--- a/internal/http/httpfront/tape.go
+++ b/internal/http/httpfront/tape.go
@@ -125,7 +125,7 @@
 	c.mu.Lock()
 	readBeyond := c.requestEnd != unknownEnd && c.received > c.requestEnd
 	c.mu.Unlock()
-	return readBeyond || !c.Quiet()
+	return readBeyond || !c.HasNoUnread()
 }
 
 // hasAmbiguousLength reports whether a head that may be that of the chunked request has a Content-Length too, or no such head is
--- a/internal/http/httpfront/tape_test.go
+++ b/internal/http/httpfront/tape_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client.SetDeadline(time.Now().Add(testkit.Patience))
+	client.SetDeadline(time.Now().Add(testkit.WaitTimeout))
 	t.Cleanup(func() { client.Close() })
 	return client, sent
 }
--- a/internal/http/httpmsg/httpmsg.go
+++ b/internal/http/httpmsg/httpmsg.go
@@ -11,7 +11,7 @@
 	// MaxBody limits the bytes of a body that is read completely. A body that has a shape is limited to this too.
 	MaxBody = 64 << 10
 	// MaxStreamedBody limits the bytes of a body that is forwarded while it is received.
-	MaxLong = 32 << 20
+	MaxStreamedBody = 32 << 20
 	// MaxHead limits the bytes of the head of a request or an answer.
 	MaxHead = 16 << 10
 )
@@ -25,13 +25,13 @@
 	Upload *Upload // in place of Body, for a body that is forwarded while it is received
 
 	// The following fields are for calls that have a shape.
-	Pass    []string // further headers that are forwarded to a server, in canonical form
-	Wanted  []string // further headers of the answer that are returned to the client
-	Unknown int      // the status of a server that does not know the shape; 0 for none
+	ForwardHeaders     []string // further headers that are forwarded to a server, in canonical form
+	ReplyHeaders       []string // further headers of the answer that are returned to the client
+	UnknownShapeStatus int      // the status of a server that does not know the shape; 0 for none
 
 	// A translated request has these in place of URL and Header.
-	Target string
-	Fields [][2]string
+	Target       string
+	HeaderFields [][2]string
 }
 
 // Reply is a server's answer to a call that it served.
--- a/internal/http/httpmsg/upload.go
+++ b/internal/http/httpmsg/upload.go
@@ -22,29 +22,29 @@
 	dropped  int64         // bytes dropped, which precede the first of the parts
 	received int64         // bytes received in total
 	limit    int64         // bytes that may be held
-	readers  map[*Outflow]bool
+	readers  map[*UploadReader]bool
 	err      error // io.EOF when the body is complete
 }
 
 // Budget bounds the bytes that all uploads together keep for further attempts.
 type Budget struct {
-	Most int64
-	used atomic.Int64
+	MaxBytes int64
+	used     atomic.Int64
 }
 
 const (
 	// PartSize is the number of bytes of a long body that are moved at a time.
 	PartSize = 32 << 10
 	// MinBuffered is the number of bytes that every upload may hold.
-	Window = 64 << 10
+	MinBuffered = 64 << 10
 	// maxKeptBytes is the number of bytes that an upload keeps for another attempt if the budget has room.
 	maxKeptBytes = 1 << 20
 )
 
 // NewUpload returns an empty Upload for a body of the given length, -1 if unknown. It reserves room in the budget until Close.
 func NewUpload(length int64, b *Budget) *Upload {
-	u := &Upload{budget: b, length: length, changed: make(chan struct{}), limit: Window, readers: map[*Outflow]bool{}}
-	if b.used.Add(maxKeptBytes) <= b.Most {
+	u := &Upload{budget: b, length: length, changed: make(chan struct{}), limit: MinBuffered, readers: map[*UploadReader]bool{}}
+	if b.used.Add(maxKeptBytes) <= b.MaxBytes {
 		u.limit = maxKeptBytes
 	} else {
 		b.used.Add(-maxKeptBytes)
@@ -56,7 +56,7 @@
 func (u *Upload) Length() int64 { return u.length }
 
 // Complete reports whether the last byte has been received.
-func (u *Upload) Whole() bool {
+func (u *Upload) Complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err == io.EOF
@@ -69,7 +69,7 @@
 
 // Append adds a copy of part, which has at most PartSize bytes. It waits until there is room, and returns false if giveUp is closed
 // before that.
-func (u *Upload) Fill(part []byte, giveUp <-chan struct{}) bool {
+func (u *Upload) Append(part []byte, giveUp <-chan struct{}) bool {
 	for {
 		u.mu.Lock()
 		u.dropLocked(int64(len(part)))
@@ -119,7 +119,7 @@
 }
 
 // Finish marks the end of the body. err is nil if the body is complete; otherwise readers get it after the data received.
-func (u *Upload) End(err error) {
+func (u *Upload) Finish(err error) {
 	if err == nil {
 		err = io.EOF
 	}
@@ -133,7 +133,7 @@
 
 // Close releases what is kept. No further attempt can read the body.
 func (u *Upload) Close() {
-	u.End(io.ErrUnexpectedEOF)
+	u.Finish(io.ErrUnexpectedEOF)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.limit == maxKeptBytes {
@@ -144,19 +144,19 @@
 }
 
 // Open returns a reader of the body from its first byte on, for one attempt, or ErrDropped. The reader must be closed.
-func (u *Upload) Open() (*Outflow, error) {
+func (u *Upload) Open() (*UploadReader, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.dropped > 0 {
 		return nil, ErrDropped
 	}
-	r := &Outflow{upload: u, stop: make(chan struct{})}
+	r := &UploadReader{upload: u, stop: make(chan struct{})}
 	u.readers[r] = true
 	return r, nil
 }
 
 // UploadReader reads the body for one attempt.
-type Outflow struct {
+type UploadReader struct {
 	upload *Upload
 	offset int64
 	once   sync.Once
@@ -164,7 +164,7 @@
 }
 
 // Next returns the next part, which must not be changed, or io.EOF after the last. It waits until more data is received.
-func (r *Outflow) Next() ([]byte, error) {
+func (r *UploadReader) Next() ([]byte, error) {
 	u := r.upload
 	for {
 		u.mu.Lock()
@@ -197,7 +197,7 @@
 }
 
 // Close ends the reading.
-func (r *Outflow) Close() {
+func (r *UploadReader) Close() {
 	r.once.Do(func() {
 		close(r.stop)
 		r.upload.mu.Lock()
--- a/internal/http/httpmsg/upload_test.go
+++ b/internal/http/httpmsg/upload_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-func newBudget(keeps int64) *Budget { return &Budget{Most: keeps * maxKeptBytes} }
+func newBudget(keeps int64) *Budget { return &Budget{MaxBytes: keeps * maxKeptBytes} }
 
 // readN reads n bytes of an UploadReader, or up to its end.
-func readN(t *testing.T, o *Outflow, n int) (got []byte) {
+func readN(t *testing.T, o *UploadReader, n int) (got []byte) {
 	t.Helper()
 	for len(got) < n {
 		p, err := o.Next()
@@ -33,7 +33,7 @@
 	for i := range 1000 {
 		part := bytes.Repeat([]byte{byte(i)}, i%97)
 		want = append(want, part...)
-		u.Fill(part, nil)
+		u.Append(part, nil)
 	}
 	if n := len(u.parts); n > len(want)/PartSize+1 {
 		t.Errorf("%d parts for %d bytes", n, len(want))
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.End(nil)
+	u.Finish(nil)
 	if got := readN(t, second, len(want)+1); !bytes.Equal(got, want) || !bytes.HasPrefix(want, half) {
 		t.Errorf("%d bytes, not the %d received", len(got), len(want))
 	}
-	if !u.Whole() {
+	if !u.Complete() {
 		t.Error("the upload is not complete")
 	}
 }
@@ -60,14 +60,14 @@
 // Without room, appending waits for a reader, and what was read is dropped: then no other reader can start.
 func TestUploadBoundsWhatItKeeps(t *testing.T) {
 	b := newBudget(0)
-	u := NewUpload(10*Window, b)
+	u := NewUpload(10*MinBuffered, b)
 	part := bytes.Repeat([]byte{1}, PartSize)
-	for range Window / PartSize {
-		u.Fill(part, nil)
+	for range MinBuffered / PartSize {
+		u.Append(part, nil)
 	}
 	giveUp := make(chan struct{})
 	close(giveUp)
-	if u.Fill(part, giveUp) {
+	if u.Append(part, giveUp) {
 		t.Error("it holds more than MinBuffered bytes")
 	}
 	o, err := u.Open()
@@ -75,14 +75,14 @@
 		t.Fatal(err)
 	}
 	done := make(chan []byte)
-	go func() { done <- readN(t, o, 10*Window) }()
-	for range 8 * Window / PartSize {
-		if !u.Fill(part, nil) {
+	go func() { done <- readN(t, o, 10*MinBuffered) }()
+	for range 8 * MinBuffered / PartSize {
+		if !u.Append(part, nil) {
 			t.Fatal("no room although it is read")
 		}
 	}
-	u.End(nil)
-	if got := <-done; len(got) != 9*Window {
+	u.Finish(nil)
+	if got := <-done; len(got) != 9*MinBuffered {
 		t.Errorf("%d bytes", len(got))
 	}
 	if _, err := u.Open(); !errors.Is(err, ErrDropped) {
@@ -97,7 +97,7 @@
 func TestUploadEnds(t *testing.T) {
 	b := newBudget(1)
 	u, poor := NewUpload(-1, b), NewUpload(-1, b)
-	if u.limit != maxKeptBytes || poor.limit != Window {
+	if u.limit != maxKeptBytes || poor.limit != MinBuffered {
 		t.Errorf("%d and %d kept", u.limit, poor.limit)
 	}
 	o, err := u.Open()
@@ -110,7 +110,7 @@
 		ended <- err
 	}()
 	broken := errors.New("broken")
-	u.End(broken)
+	u.Finish(broken)
 	if err := <-ended; err != broken {
 		t.Errorf("%v", err)
 	}
--- a/internal/http/httpops/httpops.go
+++ b/internal/http/httpops/httpops.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	headTimeout    = time.Second // a complete request is answered within this time, an incomplete one gets no answer
+	requestTimeout = time.Second // a complete request is answered within this time, an incomplete one gets no answer
 	maxHeaderBytes = 8 << 10
 	maxIDBytes     = 256
 )
@@ -52,7 +52,7 @@
 	mux.HandleFunc("GET /control/counters", s.counters)
 	mux.HandleFunc("POST /control/backends/{id}/offline", s.overrideHandler("out by hand", agent.Offline))
 	mux.HandleFunc("POST /control/backends/{id}/online", s.overrideHandler("put back by hand", agent.Online))
-	s.http = &http.Server{ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout, WriteTimeout: 2 * headTimeout,
+	s.http = &http.Server{ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnContext: withConn, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if !s.conns.requestReceived(connOf(r.Context())) {
@@ -127,7 +127,7 @@
 			http.Error(w, fmt.Sprintf("an id of at most %d printable characters is wanted", maxIDBytes), http.StatusBadRequest)
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), headTimeout/2)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout/2)
 		defer cancel()
 		known, err := apply(ctx, id)
 		switch {
--- a/internal/lab/crashfs/crashfs.go
+++ b/internal/lab/crashfs/crashfs.go
@@ -20,7 +20,7 @@
 type FS struct {
 	CrashAfter int                          // number of modifying operations after which it crashes; never if negative
 	Fail       func(op, name string) error  // if not nil, called for each operation; its error is the error of the operation
-	Room       int                          // maximum total size of the files in bytes; no limit if 0
+	MaxBytes   int                          // maximum total size of the files in bytes; no limit if 0
 	Ops        []string                     // the modifying operations so far
 	names      map[string]*inode            // as seen by programs
 	durable    map[string]*inode            // those that survive a crash
@@ -45,7 +45,7 @@
 }
 
 // FromFiles returns a folder with the given files, all synced.
-func Of(files map[string][]byte) *FS {
+func FromFiles(files map[string][]byte) *FS {
 	f := New()
 	for name, text := range files {
 		n := &inode{bytes: slices.Clone(text), durable: slices.Clone(text)}
@@ -184,10 +184,10 @@
 }
 
 func (f *FS) freeBytes() int {
-	if f.Room == 0 {
+	if f.MaxBytes == 0 {
 		return 1 << 30
 	}
-	room := f.Room
+	room := f.MaxBytes
 	for _, n := range f.names {
 		room -= len(n.bytes)
 	}
@@ -227,7 +227,7 @@
 
 // CrashStates iterates over every folder that may be found after a crash at this point: each unsynced change of names
 // survived or did not, and so did each unsynced write or a part of it, independently of their order.
-func (f *FS) Crashes() iter.Seq[*FS] {
+func (f *FS) CrashStates() iter.Seq[*FS] {
 	return func(yield func(*FS) bool) {
 		for some := range 1 << len(f.pending) {
 			at := maps.Clone(f.durable)
@@ -249,7 +249,7 @@
 						files[name] = bytes[n]
 					}
 				}
-				return yield(Of(files))
+				return yield(FromFiles(files))
 			}) {
 				return
 			}
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -21,16 +21,16 @@
 type Fleet struct {
 	Agents, Servers int
 	Rate            float64       // calls per second, all agents together
-	Unequal         float64       // inequality of the agents' shares of the calls: standard deviation of the shares' logarithms
-	Use             float64       // utilization of the servers by these calls while all are healthy
+	Inequality      float64       // inequality of the agents' shares of the calls: standard deviation of the shares' logarithms
+	Utilization     float64       // utilization of the servers by these calls while all are healthy
 	Keyed           float64       // share of the calls that are of the keyed class
 	Reports         bool          // answers report the server's load
 	Silent          float64       // share of the servers that stop answering
 	Warm            time.Duration // time before they stop answering
-	For             time.Duration // how long they do not answer
+	SilentFor       time.Duration // how long they do not answer
 	After           time.Duration // time measured after they answer again
 	Seed            uint64
-	Place           func(agent int) (me, agents int) // rank and number of agents that an agent believes; nil for the true ones
+	BelievedRank    func(agent int) (me, agents int) // rank and number of agents that an agent believes; nil for the true ones
 }
 
 // Result holds the figures of a measurement.
@@ -45,27 +45,27 @@
 }
 
 const (
-	service = 50 * time.Millisecond // mean work of a call
-	cores   = 1                     // cores of a server
-	settle  = 3 * time.Second       // initial time that is not measured
+	meanWork   = 50 * time.Millisecond // mean work of a call
+	cores      = 1                     // cores of a server
+	settleTime = 3 * time.Second       // initial time that is not measured
 )
 
 // Measure simulates a fleet. It returns an error if a figure of f is out of range.
 func Measure(f Fleet) (Result, error) {
-	if f.Agents < 1 || f.Servers < 1 || !(f.Rate > 0) || !(f.Use > 0) || f.Warm <= settle || f.For < 0 || f.After < 0 || f.Silent < 0 || f.Silent > 1 || f.Keyed < 0 || f.Keyed > 1 {
+	if f.Agents < 1 || f.Servers < 1 || !(f.Rate > 0) || !(f.Utilization > 0) || f.Warm <= settleTime || f.SilentFor < 0 || f.After < 0 || f.Silent < 0 || f.Silent > 1 || f.Keyed < 0 || f.Keyed > 1 {
 		return Result{}, errors.New("a fleet needs agents, servers, a rate and a utilization above 0, shares from 0 to 1, and more than 3 s before servers fall silent")
 	}
-	speed := f.Rate / float64(f.Servers) / f.Use * service.Seconds() / cores
+	speed := f.Rate / float64(f.Servers) / f.Utilization * meanWork.Seconds() / cores
 	class := func(name string, effect choice.Effect, value float64) choice.Class {
-		return choice.Class{Name: name, Effect: effect, Window: 2 * time.Second, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Worth: value}
+		return choice.Class{Name: name, Effect: effect, DedupWindow: 2 * time.Second, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: value}
 	}
-	cfg := sim.Config{Agents: f.Agents, Rate: f.Rate, Reports: f.Reports, Seed: f.Seed, Network: time.Millisecond, Place: f.Place,
-		Mix: []float64{1 - f.Keyed, f.Keyed}, Work: []time.Duration{service, service},
-		Module: choice.Settings{Tick: 5 * time.Millisecond, MaxAttempts: 3, CanCancel: true, ParallelCopies: true,
+	cfg := sim.Config{Agents: f.Agents, Rate: f.Rate, Reports: f.Reports, Seed: f.Seed, Network: time.Millisecond, BelievedRank: f.BelievedRank,
+		Mix: []float64{1 - f.Keyed, f.Keyed}, Work: []time.Duration{meanWork, meanWork},
+		Module: choice.Settings{Tick: 5 * time.Millisecond, MaxAttempts: 3, CanCancel: true, ParallelAttempts: true,
 			Classes: []choice.Class{class("form-check", choice.Safe, 2), class("refund-record", choice.Keyed, 10)}}}
 	rng := rand.New(rand.NewPCG(f.Seed, 3))
 	for range f.Agents {
-		cfg.Shares = append(cfg.Shares, math.Exp(f.Unequal*rng.NormFloat64()))
+		cfg.Shares = append(cfg.Shares, math.Exp(f.Inequality*rng.NormFloat64()))
 	}
 	for i := range f.Servers {
 		cfg.Servers = append(cfg.Servers, sim.Server{ID: fmt.Sprint("forms-", i), Cores: cores, Speed: speed})
@@ -74,13 +74,13 @@
 	for _, i := range rng.Perm(f.Servers)[:int(f.Silent*float64(f.Servers))] {
 		silenced[cfg.Servers[i].ID] = true
 	}
-	silentFrom, silentUntil := sim.Base+f.Warm, sim.Base+f.Warm+f.For
+	silentFrom, silentUntil := sim.StartTime+f.Warm, sim.StartTime+f.Warm+f.SilentFor
 	end := silentUntil + f.After
 	calls := map[string]int{}
-	r := Result{Silent: make([]int, seconds(f.For)), Back: make([]int, seconds(f.After))}
-	cfg.Got = func(at time.Duration, _ int, server string) {
+	r := Result{Silent: make([]int, seconds(f.SilentFor)), Back: make([]int, seconds(f.After))}
+	cfg.OnAttempt = func(at time.Duration, _ int, server string) {
 		switch {
-		case at >= sim.Base+settle && at < silentFrom:
+		case at >= sim.StartTime+settleTime && at < silentFrom:
 			calls[server]++
 		case silenced[server] && at >= silentFrom && at < silentUntil:
 			r.Silent[int((at-silentFrom)/time.Second)]++
@@ -94,13 +94,13 @@
 	}
 	setSilent := func(silent bool) {
 		for id := range silenced {
-			w.Mute(id, silent)
+			w.SetSilent(id, silent)
 		}
 	}
-	w.At(silentFrom, func() { setSilent(true) })
-	w.At(silentUntil, func() { setSilent(false) })
+	w.Schedule(silentFrom, func() { setSilent(true) })
+	w.Schedule(silentUntil, func() { setSilent(false) })
 	w.RunUntil(end + 3*time.Second)
-	r.Spread = spread.Of(f.Servers, calls)
+	r.Spread = spread.Compute(f.Servers, calls)
 	var latencies []time.Duration
 	for _, c := range w.Calls() {
 		if c.At >= end {
@@ -115,15 +115,15 @@
 				r.Failed++
 			}
 		}
-		if c.At >= sim.Base+settle && c.Kind == ledger.Served {
-			latencies = append(latencies, c.Answered-c.At)
+		if c.At >= sim.StartTime+settleTime && c.Kind == ledger.Served {
+			latencies = append(latencies, c.AnsweredAt-c.At)
 		}
 	}
 	if len(latencies) > 0 {
 		slices.Sort(latencies)
 		r.P50, r.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 	}
-	r.Trials = spread.Tried(r.Silent, len(silenced))
+	r.Trials = spread.SteadyRate(r.Silent, len(silenced))
 	return r, nil
 }
 
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -8,7 +8,7 @@
 
 // testFleet returns 60 agents and 30 servers at 45 % utilization.
 func testFleet() Fleet {
-	return Fleet{Agents: 60, Servers: 30, Rate: 300, Use: 0.45, Warm: 15 * time.Second, Seed: 1}
+	return Fleet{Agents: 60, Servers: 30, Rate: 300, Utilization: 0.45, Warm: 15 * time.Second, Seed: 1}
 }
 
 // Servers that stay silent receive about one attempt from each agent, and then attempts at a rate that does not depend on the number
@@ -16,7 +16,7 @@
 func TestSilentServersAreTriedInTurns(t *testing.T) {
 	for _, agents := range []int{20, 60, 240} {
 		f := testFleet()
-		f.Agents, f.Reports, f.Silent, f.For, f.After = agents, true, 0.2, 20*time.Second, 10*time.Second
+		f.Agents, f.Reports, f.Silent, f.SilentFor, f.After = agents, true, 0.2, 20*time.Second, 10*time.Second
 		r, err := Measure(f)
 		if err != nil {
 			t.Fatal(err)
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Place = func(int) (me, agents int) { return -1, f.Agents }
+	f.BelievedRank = func(int) (me, agents int) { return -1, f.Agents }
 	unranked, err := Measure(f)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 }
 
 func TestFleetsThatCantBe(t *testing.T) {
-	for _, f := range []Fleet{{}, {Agents: 1, Servers: 1, Rate: 1, Use: 1}, {Agents: 1, Servers: 1, Rate: 1, Use: 1, Warm: time.Minute, Silent: 2}} {
+	for _, f := range []Fleet{{}, {Agents: 1, Servers: 1, Rate: 1, Utilization: 1}, {Agents: 1, Servers: 1, Rate: 1, Utilization: 1, Warm: time.Minute, Silent: 2}} {
 		if _, err := Measure(f); err == nil {
 			t.Errorf("no error for %+v", f)
 		}
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -40,7 +40,7 @@
 type demo struct {
 	opts    Options
 	list    *standin.List
-	groups  [2]*standin.Pod
+	groups  [2]*standin.DedupGroup
 	hangs   atomic.Bool
 	started time.Time
 	mu      sync.Mutex
@@ -64,7 +64,7 @@
 // Run runs the demo. It returns an error if a call was lost, an effect happened twice, or a call was sent to a server after
 // its drain.
 func Run(o Options) error {
-	d := &demo{opts: o, groups: [2]*standin.Pod{standin.NewPod(), standin.NewPod()}, tally: map[string]*tally{}}
+	d := &demo{opts: o, groups: [2]*standin.DedupGroup{standin.NewDedupGroup(), standin.NewDedupGroup()}, tally: map[string]*tally{}}
 	for _, p := range protocols {
 		d.tally[p] = &tally{}
 	}
@@ -112,14 +112,14 @@
 func (d *demo) startServer(spec, group, generation int) (*server, error) {
 	o := fleet[spec]
 	o.ID = fmt.Sprintf("%s-%d.%d", o.ID, group, generation)
-	o.Pod, o.Cell, o.Service, o.Most = d.groups[group], group, 8*time.Millisecond, 40
+	o.DedupGroup, o.Cell, o.ServiceTime, o.MaxCalls = d.groups[group], group, 8*time.Millisecond, 40
 	if generation > 0 {
-		o.ColdFrom, o.ColdFor = 0.2, d.opts.For/6
+		o.SlowStartMinShare, o.SlowStartWindow = 0.2, d.opts.For/6
 	}
 	first := group == 0 && generation == 0
 	o.Script = func(standin.Call) standin.Step {
 		if first && d.hangs.Load() {
-			return standin.Step{Fault: standin.Silence}
+			return standin.Step{Fault: standin.NoReply}
 		}
 		return standin.Step{}
 	}
@@ -131,14 +131,14 @@
 	d.mu.Lock()
 	d.all = append(d.all, started)
 	d.mu.Unlock()
-	d.list.Tell(s.Entry())
+	d.list.Update(s.Entry())
 	return started, nil
 }
 
 // startAgent starts an agent and returns the addresses that it listens on and a function that stops it.
 func (d *demo) startAgent() (addrs []string, stop func() error, err error) {
-	p := standin.Platform{Listen: "127.0.0.1:0", Discovery: d.list.Addr(), Deadline: 3 * time.Second, Cancel: true,
-		MaxRetryAfter: time.Second, ColdFor: d.opts.For / 6}
+	p := standin.Platform{Listen: "127.0.0.1:0", Discovery: d.list.Addr(), Deadline: 3 * time.Second, CanCancel: true,
+		MaxRetryAfter: time.Second, SlowStartWindow: d.opts.For / 6}
 	cfg, service, err := p.Load()
 	if err != nil {
 		return nil, nil, err
@@ -226,11 +226,11 @@
 		}
 		d.servers[i] = fresh
 		old.Drain()
-		d.list.Tell(old.Entry())
+		d.list.Update(old.Entry())
 		time.AfterFunc(time.Second, func() { // its calls have ended by then
 			e := old.Entry()
 			e.State = "terminated"
-			d.list.Tell(e)
+			d.list.Update(e)
 		})
 		time.Sleep(pause)
 	}
@@ -241,17 +241,17 @@
 func (d *demo) runKiosk(ctx context.Context, k standin.Kiosk, protocol string, i int) {
 	rng := rand.New(rand.NewPCG(uint64(i), uint64(len(protocol))))
 	for n := 0; ctx.Err() == nil; n++ {
-		a := standin.Ask{ID: fmt.Sprintf("%s-%d-%d", protocol, i, n), Tenant: standin.Tenants[i%len(standin.Tenants)],
-			Key: fmt.Sprint("form", rng.IntN(1000)), Left: 3 * time.Second, Text: "a form"}
+		a := standin.Request{ID: fmt.Sprintf("%s-%d-%d", protocol, i, n), Tenant: standin.Tenants[i%len(standin.Tenants)],
+			Key: fmt.Sprint("form", rng.IntN(1000)), TimeLeft: 3 * time.Second, Text: "a form"}
 		switch x := rng.IntN(20); {
 		case x < 14:
 			a.Method, a.Text = standin.Check, ""
 		case x < 19:
-			a.Method, a.Idempotency = standin.Record, "once-"+a.ID
+			a.Method, a.IdempotencyKey = standin.Record, "once-"+a.ID
 		default:
 			a.Method = standin.Pay
 		}
-		ans := k.Ask(a)
+		ans := k.Do(a)
 		d.mu.Lock()
 		t := d.tally[protocol]
 		t.kinds[ans.Kind]++
@@ -278,7 +278,7 @@
 		}
 	}
 	d.printf("%d served, %d refused, %d failed, %d lost", sum[standin.Served], sum[standin.Refused], sum[standin.Failed],
-		sum[standin.Lost]+sum[standin.TurnedDown])
+		sum[standin.Lost]+sum[standin.BadRequest])
 }
 
 // report prints the final table and returns an error if anything went wrong.
@@ -288,7 +288,7 @@
 	lost := 0
 	for _, p := range protocols {
 		t := d.tally[p]
-		lostCalls := t.kinds[standin.Lost] + t.kinds[standin.TurnedDown]
+		lostCalls := t.kinds[standin.Lost] + t.kinds[standin.BadRequest]
 		lost += lostCalls
 		slices.Sort(t.took)
 		at := func(q float64) time.Duration {
@@ -303,13 +303,13 @@
 	w.Flush()
 	late, duplicates := 0, 0
 	for _, s := range d.all {
-		late += s.Late()
+		late += s.LateCalls()
 	}
 	for _, p := range d.groups {
-		duplicates += p.Doubles()
+		duplicates += p.DuplicateEffects()
 	}
 	// A key that took effect in both groups is a duplicate as well.
-	duplicates += len(standin.Shared(d.groups[0], d.groups[1]))
+	duplicates += len(standin.CommonEffects(d.groups[0], d.groups[1]))
 	fmt.Fprintf(d.opts.Out, "\nduplicate effects: %d\ncalls sent to a server after its drain: %d\n", duplicates, late)
 	if lost+duplicates+late > 0 {
 		return fmt.Errorf("%d calls lost, %d duplicate effects, %d calls after a drain", lost, duplicates, late)
--- a/internal/lab/drive/drive.go
+++ b/internal/lab/drive/drive.go
@@ -21,7 +21,7 @@
 )
 
 // ErrNotForceable is returned if the order of a trace cannot be forced with sockets.
-var ErrNotForced = errors.New("the order cannot be forced with sockets")
+var ErrNotForceable = errors.New("the order cannot be forced with sockets")
 
 // errOtherDraw means that the balancer drew other random numbers than in the trace. Another seed may help.
 var errOtherDraw = errors.New("the balancer drew other random numbers than in the trace")
@@ -31,12 +31,12 @@
 	Protocol    string // http, thrift-binary or thrift-compact
 	Multiplexed bool
 	Deadline    time.Duration // of every call
-	Patience    time.Duration // limit for each step of the agent
+	StepTimeout time.Duration // limit for each step of the agent
 	Seeds       int           // maximum seeds to try until the balancer draws as in the trace
 }
 
 // Run drives a trace. It returns nil if the agent behaved as in the trace.
-func Story(ctx context.Context, cfg explore.Config, trace []explore.Step, o Options) error {
+func Run(ctx context.Context, cfg explore.Config, trace []explore.Step, o Options) error {
 	events, outcomes, err := explore.Play(cfg, trace)
 	if err != nil {
 		return err
@@ -50,11 +50,11 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%w: tried %d seeds: %w", ErrNotForced, o.Seeds, err)
+	return fmt.Errorf("%w: tried %d seeds: %w", ErrNotForceable, o.Seeds, err)
 }
 
 // CheckForceable returns ErrNotForceable if the order of a trace cannot be forced with sockets.
-func Possible(cfg explore.Config, trace []explore.Step) error {
+func CheckForceable(cfg explore.Config, trace []explore.Step) error {
 	events, _, err := explore.Play(cfg, trace)
 	if err == nil {
 		_, err = planFaults(cfg, events)
@@ -66,16 +66,16 @@
 type attemptID struct{ call, number int }
 
 // faults maps the outcomes of an attempt that a server has received to the faults of the stand-in servers.
-var faults = map[explore.Kind]standin.Fault{explore.AnswerOK: standin.None, explore.AnswerError: standin.Error,
-	explore.AnswerReject: standin.Reject, explore.AnswerTwice: standin.TwoReplies, explore.AnswerGarbled: standin.Spoilt,
-	explore.Reset: standin.ResetBefore, explore.Hang: standin.Silence}
+var faults = map[explore.StepKind]standin.Fault{explore.AnswerOK: standin.None, explore.AnswerError: standin.Error,
+	explore.AnswerReject: standin.Reject, explore.AnswerTwice: standin.TwoReplies, explore.AnswerGarbled: standin.InvalidBytes,
+	explore.Reset: standin.ResetBefore, explore.Hang: standin.NoReply}
 
 // unforcedKinds are steps that happen without being forced, or whose position in the order is not observable from outside.
-var unforcedKinds = []explore.Kind{explore.Acquire, explore.DialSucceeds, explore.Send, explore.Return, explore.TimeOut, explore.Fire}
+var unforcedKinds = []explore.StepKind{explore.Acquire, explore.DialSucceeds, explore.Send, explore.Release, explore.TimeOut, explore.FireTimer}
 
 // StepKinds returns the kinds of steps that a trace to be driven may contain.
-func Kinds() []explore.Kind {
-	kinds := append([]explore.Kind{explore.Ask, explore.Leave, explore.Drain, explore.Gone, explore.Time, explore.Take,
+func StepKinds() []explore.StepKind {
+	kinds := append([]explore.StepKind{explore.CallArrives, explore.ClientDisconnects, explore.Drain, explore.ServerRemoved, explore.AdvanceTime, explore.TakeEnd,
 		explore.WriteAll}, unforcedKinds...)
 	for k := range faults {
 		kinds = append(kinds, k)
@@ -88,7 +88,7 @@
 	plan := map[attemptID]standin.Fault{}
 	written := map[attemptID]bool{}
 	if cfg.Past != explore.NoPast {
-		return nil, fmt.Errorf("%w: the balancer has a past", ErrNotForced)
+		return nil, fmt.Errorf("%w: the balancer has a past", ErrNotForceable)
 	}
 	timePassed := false
 	for i, e := range events {
@@ -99,21 +99,21 @@
 			written[at] = true
 		case answers && written[at]:
 			plan[at] = fault
-		case e.Kind == explore.Time:
+		case e.Kind == explore.AdvanceTime:
 			timePassed = true
-		case e.Kind == explore.Take && timePassed:
-			if plan[at] != standin.Silence {
-				return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForced, e.Step)
+		case e.Kind == explore.TakeEnd && timePassed:
+			if plan[at] != standin.NoReply {
+				return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForceable, e.Step)
 			}
-		case e.Kind <= explore.Drain || e.Kind == explore.Gone || e.Kind == explore.Take:
+		case e.Kind <= explore.Drain || e.Kind == explore.ServerRemoved || e.Kind == explore.TakeEnd:
 			if timePassed {
-				return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForced, e.Step)
+				return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForceable, e.Step)
 			}
 		case !slices.Contains(unforcedKinds, e.Kind):
-			return nil, fmt.Errorf("step %d: %w: %v", i+1, ErrNotForced, e.Step)
+			return nil, fmt.Errorf("step %d: %w: %v", i+1, ErrNotForceable, e.Step)
 		}
 		if e.Kind == explore.Send && timePassed {
-			return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForced, e.Step)
+			return nil, fmt.Errorf("step %d: %w: %v after time has passed", i+1, ErrNotForceable, e.Step)
 		}
 	}
 	return plan, nil
@@ -142,7 +142,7 @@
 var methods = map[choice.Effect]standin.Method{choice.Safe: standin.Check, choice.Keyed: standin.Record, choice.Unsafe: standin.Pay}
 
 // driveOnce drives the trace with one seed.
-func driveOnce(ctx context.Context, cfg explore.Config, events []explore.Event, outcomes []explore.Fate, plan map[attemptID]standin.Fault,
+func driveOnce(ctx context.Context, cfg explore.Config, events []explore.Event, outcomes []explore.CallOutcome, plan map[attemptID]standin.Fault,
 	o Options, seed int) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -183,11 +183,11 @@
 			return err
 		}
 		s.servers = append(s.servers, server)
-		list.Tell(server.Entry())
+		list.Update(server.Entry())
 	}
-	p := standin.Platform{Discovery: list.Addr(), Known: list.Full(), Deadline: s.options.Deadline, Aim: 16 * s.options.Deadline,
-		Window: 2 * s.options.Deadline, MostTries: cfg.Attempts, Cancel: true, Listen: "127.0.0.1:0"}
-	p.Known.Version = 0 // older than the list, so that the watch delivers an update and the agent is ready at once
+	p := standin.Platform{Discovery: list.Addr(), InitialList: list.Full(), Deadline: s.options.Deadline, Aim: 16 * s.options.Deadline,
+		DedupWindow: 2 * s.options.Deadline, MaxAttempts: cfg.Attempts, CanCancel: true, Listen: "127.0.0.1:0"}
+	p.InitialList.Version = 0 // older than the list, so that the watch delivers an update and the agent is ready at once
 	conf, service, err := p.Load()
 	if err != nil {
 		return err
@@ -245,7 +245,7 @@
 
 // waitUntil waits until a condition holds, which the agent or a server brings about.
 func (s *harness) waitUntil(ctx context.Context, condition string, holds func() (bool, error)) error {
-	end := time.NewTimer(s.options.Patience)
+	end := time.NewTimer(s.options.StepTimeout)
 	defer end.Stop()
 	for {
 		if ok, err := holds(); ok || err != nil {
@@ -255,7 +255,7 @@
 		case <-s.changed:
 		case <-time.After(200 * time.Microsecond): // the agent sends no notifications, so its state is polled
 		case <-end.C:
-			return fmt.Errorf("not observed within %v: %s", s.options.Patience, condition)
+			return fmt.Errorf("not observed within %v: %s", s.options.StepTimeout, condition)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -280,17 +280,17 @@
 }
 
 // step makes one step of the trace happen, and waits until the agent has processed it.
-func (s *harness) step(ctx context.Context, e explore.Event, outcomes []explore.Fate, results *int) error {
+func (s *harness) step(ctx context.Context, e explore.Event, outcomes []explore.CallOutcome, results *int) error {
 	at := attemptID{e.Call, e.Attempt}
 	switch e.Kind {
-	case explore.Ask:
-		a := standin.Ask{Method: methods[outcomes[e.Call].Effect], ID: fmt.Sprint("call-", e.Call), Tenant: standin.Tenants[0],
-			Key: "form", Left: s.options.Deadline, Leave: s.disconnect[e.Call]}
+	case explore.CallArrives:
+		a := standin.Request{Method: methods[outcomes[e.Call].Effect], ID: fmt.Sprint("call-", e.Call), Tenant: standin.Tenants[0],
+			Key: "form", TimeLeft: s.options.Deadline, Cancel: s.disconnect[e.Call]}
 		if a.Method == standin.Record {
-			a.Idempotency = "once-" + a.ID
+			a.IdempotencyKey = "once-" + a.ID
 		}
 		before := s.agent.Snapshot().Stats.Requests
-		go func() { s.answers[e.Call] <- s.kiosk.Ask(a) }()
+		go func() { s.answers[e.Call] <- s.kiosk.Do(a) }()
 		return s.waitUntil(ctx, "the agent receives the call", func() (bool, error) {
 			return s.agent.Snapshot().Stats.Requests > before, nil
 		})
@@ -309,8 +309,8 @@
 			return err
 		}
 		return s.bindServer(e.Server, server)
-	case explore.Take:
-		if s.plan[at] != standin.Silence {
+	case explore.TakeEnd:
+		if s.plan[at] != standin.NoReply {
 			s.mu.Lock()
 			close(s.release[at])
 			s.mu.Unlock()
@@ -323,11 +323,11 @@
 			}
 			return n >= *results, nil
 		})
-	case explore.Leave:
-		before := s.agent.Snapshot().Stats.Gone
+	case explore.ClientDisconnects:
+		before := s.agent.Snapshot().Stats.Disconnected
 		close(s.disconnect[e.Call])
-		return s.waitUntil(ctx, "the client has disconnected", func() (bool, error) { return s.agent.Snapshot().Stats.Gone > before, nil })
-	case explore.Drain, explore.Gone:
+		return s.waitUntil(ctx, "the client has disconnected", func() (bool, error) { return s.agent.Snapshot().Stats.Disconnected > before, nil })
+	case explore.Drain, explore.ServerRemoved:
 		return s.changeList(ctx, e)
 	}
 	return nil
@@ -342,17 +342,17 @@
 	}
 	entry := s.servers[server].Entry()
 	entry.State = "terminating"
-	if e.Kind == explore.Gone {
+	if e.Kind == explore.ServerRemoved {
 		entry.State = "terminated"
 	}
-	s.list.Tell(entry)
+	s.list.Update(entry)
 	return s.waitUntil(ctx, "the agent has received the list", func() (bool, error) {
 		return !slices.Contains(s.agent.Snapshot().Servers, entry.ID), nil
 	})
 }
 
 // compare compares the outcomes of the calls with those of the trace.
-func (s *harness) compare(ctx context.Context, outcomes []explore.Fate) error {
+func (s *harness) compare(ctx context.Context, outcomes []explore.CallOutcome) error {
 	var mismatches []string
 	for i, f := range outcomes {
 		if !f.Asked || f.Left {
@@ -383,14 +383,14 @@
 		if f.Effect == choice.Unsafe {
 			effects := 0
 			for _, server := range s.servers {
-				effects += server.Pod().Effects(fmt.Sprint("call-", i))
+				effects += server.DedupGroup().Effects(fmt.Sprint("call-", i))
 			}
 			if effects != f.Runs {
 				mismatches = append(mismatches, fmt.Sprintf("call %d took effect %d times, not %d", i, effects, f.Runs))
 			}
 		}
 	}
-	if n := s.agent.Illegal(); n > 0 {
+	if n := s.agent.IllegalSteps(); n > 0 {
 		mismatches = append(mismatches, fmt.Sprintf("%d illegal state transitions", n))
 	}
 	if len(mismatches) > 0 {
@@ -400,4 +400,4 @@
 }
 
 // answerKinds maps the answers of the trace to those that kiosks observe.
-var answerKinds = map[ledger.Kind]standin.Kind{ledger.Served: standin.Served, ledger.Refused: standin.Refused, ledger.Failed: standin.Failed}
+var answerKinds = map[ledger.AnswerKind]standin.AnswerKind{ledger.Served: standin.Served, ledger.Refused: standin.Refused, ledger.Failed: standin.Failed}
--- a/internal/lab/drive/drive_test.go
+++ b/internal/lab/drive/drive_test.go
@@ -29,11 +29,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var forceable [][]explore.Step
-			explore.Stories(cfg, Kinds(), func(trace []explore.Step) bool {
-				err := Possible(cfg, trace)
+			explore.ForEachTrace(cfg, StepKinds(), func(trace []explore.Step) bool {
+				err := CheckForceable(cfg, trace)
 				if err == nil {
 					forceable = append(forceable, trace)
-				} else if !errors.Is(err, ErrNotForced) {
+				} else if !errors.Is(err, ErrNotForceable) {
 					t.Fatal(err)
 				}
 				return true
@@ -46,7 +46,7 @@
 				if name == "two" && o.Multiplexed {
 					continue // what breaks the connection for one call also breaks it for the other
 				}
-				o.Deadline, o.Patience, o.Seeds = 2*time.Second, 10*time.Second, 16
+				o.Deadline, o.StepTimeout, o.Seeds = 2*time.Second, 10*time.Second, 16
 				t.Run(o.Protocol, func(t *testing.T) {
 					t.Parallel()
 					var driven, otherDraws atomic.Int32
@@ -55,8 +55,8 @@
 						slots <- struct{}{}
 						all.Go(func() {
 							defer func() { <-slots }()
-							switch err := Story(t.Context(), cfg, trace, o); {
-							case errors.Is(err, ErrNotForced):
+							switch err := Run(t.Context(), cfg, trace, o); {
+							case errors.Is(err, ErrNotForceable):
 								otherDraws.Add(1)
 							case err != nil:
 								t.Errorf("%v: %v", trace, err)
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -22,16 +22,16 @@
 		t.Run(name, func(t *testing.T) {
 			r := Explore(cfg, 1<<20)
 			if r.Fault != "" {
-				Replay(cfg, r.Story, os.Stdout)
+				Replay(cfg, r.Trace, os.Stdout)
 				t.Fatalf("%s", r.Fault)
 			}
-			if !r.Complete || r.Ends == 0 {
+			if !r.Complete || r.EndStates == 0 {
 				t.Errorf("%+v", r)
 			}
 			for k, n := range r.Steps {
 				all.Steps[k] += n
 			}
-			t.Logf("%d states, %d transitions, depth %d, %d ends, %v", r.States, r.Transitions, r.Depth, r.Ends, r.Took)
+			t.Logf("%d states, %d transitions, depth %d, %d ends, %v", r.States, r.Transitions, r.Depth, r.EndStates, r.Elapsed)
 		})
 	}
 	if untaken := all.Untaken(); len(untaken) > 0 {
@@ -43,17 +43,17 @@
 // disconnected.
 func outcomes(w *world, found map[string]bool) {
 	for _, t := range w.attempts {
-		if t.Life.Stage() == life.Ended {
-			found[fmt.Sprint(t.call, t.Number, t.Server.ID, t.Life.Result(), t.mayHaveRun, t.notSent)] = true
+		if t.State.Stage() == life.Ended {
+			found[fmt.Sprint(t.call, t.Number, t.Server.ID, t.State.Result(), t.mayHaveRun, t.notSent)] = true
 		}
 	}
 	for i, c := range w.calls {
 		live := slices.ContainsFunc(w.attempts, func(t *attempt) bool { return t.call == i })
-		if !live && c.arrived && c.tracked.Over() && !w.tracker.Knows(c.tracked) {
+		if !live && c.arrived && c.tracked.Finished() && !w.tracker.Holds(c.tracked) {
 			runs := make([]string, len(c.runs))
 			for i, r := range c.runs {
 				if runs[i] = r.server; c.effect == choice.Keyed { // for others no property checks the time
-					runs[i] += " " + (r.at - start).String()
+					runs[i] += " " + (r.at - startTime).String()
 				}
 			}
 			slices.Sort(runs)            // runs at the same time are in any order
@@ -74,10 +74,10 @@
 		"one place":         {Servers: 1, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 1, Lists: 1, Leaves: 1},
 		"two calls":         {Servers: 2, Calls: []choice.Effect{choice.Unsafe, choice.Safe}, Attempts: 1, Places: 2},
 		"two calls, change": {Servers: 1, Calls: []choice.Effect{choice.Unsafe, choice.Safe}, Attempts: 1, Places: 1, Lists: 1},
-		"copies":            {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 2, Past: Quick},
+		"copies":            {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 2, Past: QuickServers},
 		"a race of dials":   {Servers: 1, Calls: []choice.Effect{choice.Unsafe}, Attempts: 1, Places: 2, Lists: 1, Races: true},
 		"more changes":      {Servers: 1, Calls: []choice.Effect{choice.Unsafe}, Attempts: 1, Places: 1, Lists: 2, More: true},
-		"withdrawals":       {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Past: Quick},
+		"withdrawals":       {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Past: QuickServers},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -94,7 +94,7 @@
 					outcomes(w, all)
 				}
 				found[i], reports[i] = all, x.run(1<<21)
-				if r := reports[i]; r.Fault != "" || !r.Complete || r.Ends == 0 {
+				if r := reports[i]; r.Fault != "" || !r.Complete || r.EndStates == 0 {
 					t.Fatalf("%+v", r)
 				}
 			}
@@ -206,12 +206,12 @@
 // connection, or to be written, until the first attempt's deduplication window had passed, and the call ran twice.
 func TestKeyedRepeatIsWrittenWithinItsWindow(t *testing.T) {
 	cfg := Worlds["keyed"]
-	before := []Step{{Kind: Ask}, {Kind: Acquire}, {Kind: DialSucceeds}, {Kind: Send}, {Kind: WriteAll}, {Kind: AnswerError},
-		{Kind: Return}, {Kind: Take}, {Kind: Acquire, N: 1}}
+	before := []Step{{Kind: CallArrives}, {Kind: Acquire}, {Kind: DialSucceeds}, {Kind: Send}, {Kind: WriteAll}, {Kind: AnswerError},
+		{Kind: Release}, {Kind: TakeEnd}, {Kind: Acquire, N: 1}}
 	for name, after := range map[string][]Step{
-		"while it is written": {{Kind: Send, N: 1}, {Kind: Rest, N: 1}, {Kind: Time}, {Kind: Rest, N: 1}, {Kind: Time},
+		"while it is written": {{Kind: Send, N: 1}, {Kind: Pause, N: 1}, {Kind: AdvanceTime}, {Kind: Pause, N: 1}, {Kind: AdvanceTime},
 			{Kind: WriteAll, N: 1}},
-		"while it waits to be sent": {{Kind: Rest, N: 1}, {Kind: Time}, {Kind: Time}, {Kind: Send, N: 1}, {Kind: WriteAll, N: 1}},
+		"while it waits to be sent": {{Kind: Pause, N: 1}, {Kind: AdvanceTime}, {Kind: AdvanceTime}, {Kind: Send, N: 1}, {Kind: WriteAll, N: 1}},
 	} {
 		trace := slices.Concat(before, after)
 		if _, err := Replay(cfg, trace[:len(trace)-1], io.Discard); err != nil {
@@ -225,21 +225,21 @@
 
 // A trace that is encoded and decoded is unchanged, and decoding an invalid one is an error.
 func TestStoriesAreKept(t *testing.T) {
-	cfg, steps := Worlds["keyed"], []Step{{Kind: Ask, Most: true}, {Kind: Acquire}, {Kind: DialFails}, {Kind: Take}}
-	text, err := Tell(cfg, "none", steps)
+	cfg, steps := Worlds["keyed"], []Step{{Kind: CallArrives, Most: true}, {Kind: Acquire}, {Kind: DialFails}, {Kind: TakeEnd}}
+	text, err := EncodeTrace(cfg, "none", steps)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gotCfg, got, err := Read(text)
+	gotCfg, got, err := DecodeTrace(text)
 	if err != nil || !slices.Equal(got, steps) || !reflect.DeepEqual(gotCfg, cfg) {
 		t.Errorf("%+v %v, %v", gotCfg, got, err)
 	}
 	for _, bad := range []string{"", "{}", `{"World":{"Servers":99}}`, strings.Replace(string(text), "dial fails", "dances", 1)} {
-		if _, _, err := Read([]byte(bad)); err == nil {
+		if _, _, err := DecodeTrace([]byte(bad)); err == nil {
 			t.Errorf("no error for %q", bad)
 		}
 	}
-	if _, err := Replay(cfg, []Step{{Kind: Take}}, io.Discard); err == nil {
+	if _, err := Replay(cfg, []Step{{Kind: TakeEnd}}, io.Discard); err == nil {
 		t.Error("a step that is not possible was played")
 	}
 }
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -22,8 +22,8 @@
 // that release one.
 func (w *world) resumeAfterPoolChange(s *life.Server, idle bool) {
 	for _, t := range w.attempts {
-		releases := t.Life.Stage() == life.Ended && t.conn != nil
-		acquires := t.Life.Stage() == life.Placing
+		releases := t.State.Stage() == life.Ended && t.conn != nil
+		acquires := t.State.Stage() == life.Placing
 		if !w.hasSparePlaces() && (releases || acquires) || t.Server == s && (releases || acquires && idle) {
 			t.paused = false
 		}
@@ -33,7 +33,7 @@
 // resumeReady resumes the paused attempts of a call that are ready to be sent.
 func (w *world) resumeReady(i int) {
 	for _, t := range w.attempts {
-		if t.call == i && t.Life.Stage() == life.Ready {
+		if t.call == i && t.State.Stage() == life.Ready {
 			t.paused = false
 		}
 	}
@@ -42,21 +42,21 @@
 // acquire takes an idle connection without stray bytes, or reserves a new one.
 func (w *world) acquire(t *attempt) {
 	tookIdle := false
-	for c := w.pool.Lend(t.Server, t.Call.Needs, nil); c != nil; c = w.pool.Lend(t.Server, t.Call.Needs, nil) {
+	for c := w.pool.AcquireIdle(t.Server, t.Call.RequiredProtocols, nil); c != nil; c = w.pool.AcquireIdle(t.Server, t.Call.RequiredProtocols, nil) {
 		tookIdle = true
 		if !c.Host.(*connData).strayBytes {
-			t.Heed(t.Life.Connect())
+			t.ReportIllegalStep(t.State.Connect())
 			w.carry(t, c)
 			w.resumeAfterPoolChange(t.Server, true)
 			return
 		}
-		t.Heed(c.Spoil())
+		t.ReportIllegalStep(c.Spoil())
 		if w.releaseConn(c) {
 			w.violate("a connection with stray bytes is kept in the pool")
 			return
 		}
 	}
-	c, evicted := w.pool.Claim(t.Server, t.Call.Needs)
+	c, evicted := w.pool.ReservePlace(t.Server, t.Call.RequiredProtocols)
 	if evicted != nil {
 		evicted.Host.(*connData).attempt = -1
 	}
@@ -70,7 +70,7 @@
 // placeGranted starts the dial of the attempt whose queued connection got a place.
 func (w *world) placeGranted(c *life.Conn) {
 	for _, t := range w.attempts {
-		if c != nil && t.conn == c && t.Life.Stage() == life.Placing {
+		if c != nil && t.conn == c && t.State.Stage() == life.Placing {
 			w.dial(t)
 			t.paused = false
 		}
@@ -79,9 +79,9 @@
 
 // dial starts to dial one address, or a race if the server has two.
 func (w *world) dial(t *attempt) {
-	t.Heed(t.Life.Dial())
+	t.ReportIllegalStep(t.State.Dial())
 	if w.cfg.Races {
-		t.race = w.dialHistory.Race(w.now, w.addrsOf(t.Server.ID))
+		t.race = w.dialHistory.NewRace(w.now, w.addrsOf(t.Server.ID))
 		t.race.Start(w.now, w.spareDials())
 	}
 }
@@ -98,14 +98,14 @@
 }
 
 // raceOptions returns the possible steps of a race, except those of its first dial.
-func (w *world) raceOptions(t *attempt) (all []Kind) {
+func (w *world) raceOptions(t *attempt) (all []StepKind) {
 	if t.race == nil {
 		return nil
 	}
-	if _, more := t.race.Due(); more && len(t.race.Out()) <= w.spareDials() {
+	if _, more := t.race.NextStart(); more && len(t.race.Dialing()) <= w.spareDials() {
 		all = append(all, DialNext)
 	}
-	if len(t.race.Out()) > 1 {
+	if len(t.race.Dialing()) > 1 {
 		all = append(all, SecondSucceeds, SecondFails)
 	}
 	return all
@@ -119,19 +119,19 @@
 // dialSucceeded reports the success of one of an attempt's dials. A connection that does not win the race is closed at
 // once.
 func (w *world) dialSucceeded(t *attempt, n int) {
-	if t.race == nil || t.race.Connected(w.now, t.race.Out()[n]) {
+	if t.race == nil || t.race.Connected(w.now, t.race.Dialing()[n]) {
 		w.connOpened(t)
 	}
 }
 
 // dialFailed reports the failure of one of an attempt's dials.
 func (w *world) dialFailed(t *attempt, n int) {
-	if t.race == nil || t.race.Failed(w.now, t.race.Out()[n]) {
+	if t.race == nil || t.race.Failed(w.now, t.race.Dialing()[n]) {
 		w.fail(t, life.Broken)
 		return
 	}
 	w.startDials(t, w.now)
-	if len(t.race.Out()) == 0 {
+	if len(t.race.Dialing()) == 0 {
 		w.violate("attempt %d has no dial in progress, and its race has not failed", t.index)
 	}
 }
@@ -139,7 +139,7 @@
 // idleConn returns the idle connection that an attempt would get, or nil.
 func (w *world) idleConn(t *attempt) (last *life.Conn) {
 	for _, c := range w.pool.Idle() {
-		if c.Server == t.Server && c.Speaks == t.Call.Needs {
+		if c.Server == t.Server && c.Speaks == t.Call.RequiredProtocols {
 			last = c
 		}
 	}
@@ -160,7 +160,7 @@
 
 func (w *world) releaseConn(c *life.Conn) (kept bool) {
 	c.Host.(*connData).attempt = -1
-	kept, next, err := w.pool.Return(c)
+	kept, next, err := w.pool.Release(c)
 	if err != nil {
 		w.violate("%v", err)
 	}
@@ -170,22 +170,22 @@
 
 // connOpened continues an attempt whose dial succeeded.
 func (w *world) connOpened(t *attempt) {
-	t.Heed(t.Life.Connect())
-	t.Heed(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
+	t.ReportIllegalStep(t.State.Connect())
+	t.ReportIllegalStep(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
 	w.carry(t, t.conn)
 }
 
 // conditionsFor returns the conditions under which an attempt would be sent now.
-func (w *world) conditionsFor(t *attempt) life.Now {
-	return life.Now{Withdrawn: t.hostCanceled, Late: w.now >= t.End || t.SendBy != 0 && w.now >= t.SendBy,
-		Over: t.Call.Over(), Retired: t.Server.Retired()}
+func (w *world) conditionsFor(t *attempt) life.Conditions {
+	return life.Conditions{Withdrawn: t.hostCanceled, Late: w.now >= t.Deadline || t.SendBy != 0 && w.now >= t.SendBy,
+		Over: t.Call.Finished(), Retired: t.Server.Retired()}
 }
 
 // send checks whether the attempt may still be sent, and starts sending.
 func (w *world) send(t *attempt) {
 	now := w.conditionsFor(t)
-	ok, err := t.Life.Begin(messageSize, now)
-	t.Heed(err)
+	ok, err := t.State.Begin(messageSize, now)
+	t.ReportIllegalStep(err)
 	if !ok {
 		t.notSent = true
 		w.checkEnding(t)
@@ -196,7 +196,7 @@
 
 // write reports that n bytes were written.
 func (w *world) write(t *attempt, n int) {
-	t.Heed(t.Life.Wrote(n))
+	t.ReportIllegalStep(t.State.Wrote(n))
 	if n == messageSize {
 		w.recordRun(t)
 	}
@@ -212,8 +212,8 @@
 
 // answer ends an attempt with its server's answer.
 func (w *world) answer(t *attempt, r choice.Result) {
-	t.Heed(t.Life.Read())
-	t.Heed(t.Life.Answer(r))
+	t.ReportIllegalStep(t.State.Read())
+	t.ReportIllegalStep(t.State.Answer(r))
 	if r == choice.Rejected && t.mayHaveRun {
 		w.undoRun(t)
 	}
@@ -222,7 +222,7 @@
 
 // fail ends an attempt without an answer; its connection is not reused.
 func (w *world) fail(t *attempt, cause life.Cause) {
-	t.Heed(t.Life.Fail(cause))
+	t.ReportIllegalStep(t.State.Fail(cause))
 	w.spoil(t)
 	w.checkEnding(t)
 }
@@ -235,7 +235,7 @@
 	}
 	switch t.conn.State() {
 	case life.InUse, life.Retiring:
-		t.Heed(t.conn.Spoil())
+		t.ReportIllegalStep(t.conn.Spoil())
 	}
 	if w.hasSparePlaces() && !w.cfg.allOrders() {
 		w.releaseAttemptConn(t)
@@ -248,8 +248,8 @@
 	t.conn = nil
 	switch c.State() {
 	case life.Queued, life.Dialled:
-		next, err := w.pool.GiveUp(c)
-		t.Heed(err)
+		next, err := w.pool.Abort(c)
+		t.ReportIllegalStep(err)
 		w.placeGranted(next)
 		if !w.hasSparePlaces() {
 			w.resumeAfterPoolChange(c.Server, false)
@@ -264,9 +264,9 @@
 // takeEnd lets the core's loop process the end of an attempt.
 func (w *world) takeEnd(t *attempt) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(o *attempt) bool { return o == t })
-	e := ledger.Ended(t.Life.Result())
+	e := ledger.ResultOnly(t.State.Result())
 	if e.Result == choice.OK {
 		e.Reply = t.Attempt
 	}
-	w.execute(w.tracker.Ended(w.now, t.Attempt, e))
+	w.execute(w.tracker.AttemptEnded(w.now, t.Attempt, e))
 }
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -27,21 +27,21 @@
 	}
 	unsentCalls := 0
 	for _, c := range w.calls {
-		if !c.arrived && w.now == start {
+		if !c.arrived && w.now == startTime {
 			unsentCalls++
 		}
 	}
-	num(int(w.now-start), w.listChanges, w.operatorChanges, w.disconnects, unsentCalls, w.tracker.Passing())
+	num(int(w.now-startTime), w.listChanges, w.operatorChanges, w.disconnects, unsentCalls, w.tracker.RelayingCount())
 	switch {
 	case exact:
 		dst = w.balancer.Fingerprint(dst)
 	case w.hasOpenCalls() || unsentCalls > 0: // else the balancer has nothing left to decide
-		dst = w.balancer.Outlook(dst, choice.Ahead{Now: w.now, Requests: unsentCalls, Looks: w.cfg.Past != NoPast})
+		dst = w.balancer.ReducedFingerprint(dst, choice.Remaining{Now: w.now, Requests: unsentCalls, HealthChecks: w.cfg.Past != NoPast})
 	}
 	timers := make([]int, 0, 8)
 	for _, t := range w.timers {
-		if w.balancer.Heeds(t.token) {
-			timers = append(timers, int(t.at-start))
+		if w.balancer.TimerPending(t.token) {
+			timers = append(timers, int(t.at-startTime))
 		}
 	}
 	slices.Sort(timers)
@@ -60,9 +60,9 @@
 		live[t.call]++
 	}
 	for i, c := range w.calls {
-		flag(c.arrived, c.disconnected, c.tracked.Over(), w.tracker.Knows(c.tracked))
+		flag(c.arrived, c.disconnected, c.tracked.Finished(), w.tracker.Holds(c.tracked))
 		num(len(c.answers))
-		if !exact && len(c.answers)+live[i] > 0 && live[i] == 0 && !w.tracker.Knows(c.tracked) {
+		if !exact && len(c.answers)+live[i] > 0 && live[i] == 0 && !w.tracker.Holds(c.tracked) {
 			continue // no more steps for it
 		}
 		num(c.attemptCount)
@@ -73,14 +73,14 @@
 		case exact || c.effect == choice.Keyed:
 			for _, r := range c.runs {
 				dst = append(append(dst, r.server...), 0)
-				num(int(r.at - start))
+				num(int(r.at - startTime))
 			}
 		case c.effect == choice.Unsafe: // properties check only whether an unsafe call has runs, and not the runs of a safe one
 			num(len(c.runs))
 		}
 	}
 	for _, t := range w.attempts {
-		a := t.Life
+		a := t.State
 		stage := a.Stage()
 		switch {
 		case !exact && t.hung && stage == life.Writing && t.SendBy == 0:
@@ -102,7 +102,7 @@
 	}
 	if w.cfg.Races {
 		for _, s := range w.servers {
-			for _, addr := range w.dialHistory.Order(w.now, w.addrsOf(s.ID)) {
+			for _, addr := range w.dialHistory.Sorted(w.now, w.addrsOf(s.ID)) {
 				dst = append(append(dst, addr...), 0)
 			}
 		}
@@ -110,12 +110,12 @@
 			if t.race == nil {
 				continue
 			}
-			_, more := t.race.Due()
+			_, more := t.race.NextStart()
 			flag(more)
-			for _, addr := range t.race.Out() {
+			for _, addr := range t.race.Dialing() {
 				dst = append(append(dst, addr...), 0)
 			}
-			num(len(t.race.Out()), t.sendCount)
+			num(len(t.race.Dialing()), t.sendCount)
 		}
 	}
 	for _, c := range w.pool.Idle() { // correct code has no such idle connection
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -18,7 +18,7 @@
 // muxConn is a connection that carries several attempts.
 type muxConn struct {
 	conn    *life.Conn
-	state   *life.Line
+	state   *life.MultiplexedConn
 	writing []*life.Slot // slots being written, in order
 }
 
@@ -50,7 +50,7 @@
 // otherDialing returns another attempt that is dialing the same server, or nil.
 func (w *world) otherDialing(t *attempt) *attempt {
 	for _, o := range w.attempts {
-		if o != t && o.Server == t.Server && o.conn != nil && o.Life.Stage() <= life.Dialling {
+		if o != t && o.Server == t.Server && o.conn != nil && o.State.Stage() <= life.Dialling {
 			return o
 		}
 	}
@@ -60,15 +60,15 @@
 // canJoin reports whether a multiplexed connection in use has a free slot for an attempt.
 func (w *world) canJoin(t *attempt) bool {
 	return slices.ContainsFunc(w.muxConns, func(l *muxConn) bool {
-		_, reuse := l.state.Rests(false)
+		_, reuse := l.state.CanRelease(false)
 		return l.conn.Server == t.Server && l.conn.State() != life.Idle && reuse && len(l.state.Slots()) < maxAttemptsPerMuxConn
 	})
 }
 
 // muxOptions returns the steps that an attempt's host, its network or its server may take now, if connections are
 // multiplexed.
-func (w *world) muxOptions(t *attempt) (all []Kind) {
-	stage := t.Life.Stage()
+func (w *world) muxOptions(t *attempt) (all []StepKind) {
+	stage := t.State.Stage()
 	l, s := w.slotOf(t)
 	switch {
 	case stage == life.Ended:
@@ -77,8 +77,8 @@
 		w.violate("attempt %d has lost its slot on its connection", t.index)
 		return nil
 	case t.hostCanceled && (stage != life.Placing || t.awaitsDial):
-		all = append(all, Withdraw)
-	case w.now >= t.End && (stage != life.Placing || t.awaitsDial):
+		all = append(all, Cancel)
+	case w.now >= t.Deadline && (stage != life.Placing || t.awaitsDial):
 		all = append(all, TimeOut)
 	}
 	switch stage {
@@ -90,13 +90,13 @@
 		case w.canJoin(t) || w.otherDialing(t) != nil || w.idleConn(t) == nil:
 			all = append(all, Acquire)
 		default:
-			all = append(all, Acquire, AcquireSpoken, AcquireClosed)
+			all = append(all, Acquire, AcquireStrayBytes, AcquireClosed)
 		}
 	case life.Dialling:
 		all = append(all, DialSucceeds, DialFails)
 	case life.Ready:
 		for _, o := range l.state.Slots() { // in the order of sending
-			if o.Life.Stage() == life.Ready {
+			if o.Attempt.Stage() == life.Ready {
 				if o == s {
 					all = append(all, Send)
 				}
@@ -118,7 +118,7 @@
 func (w *world) muxConnSteps() (all []Step) {
 	for i, l := range w.muxConns {
 		if w.abandonedSlot(l) != nil {
-			all = append(all, Step{Kind: ReplyLate, N: uint8(i)})
+			all = append(all, Step{Kind: LateReply, N: uint8(i)})
 		}
 		inTime := true
 		for _, s := range l.writing {
@@ -128,7 +128,7 @@
 		if len(l.writing) > 0 {
 			all = append(all, Step{Kind: WriteFails, N: uint8(i)})
 			if inTime { // after the write deadline the write cannot complete
-				all = append(all, Step{Kind: WriteTold, N: uint8(i)})
+				all = append(all, Step{Kind: WriteCompletes, N: uint8(i)})
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 // abandonedSlot returns the first slot of a connection whose attempt was written and then abandoned, or nil.
 func (w *world) abandonedSlot(l *muxConn) *life.Slot {
 	for _, s := range l.state.Slots() {
-		if s.Life.Stage() == life.Ended && !slices.Contains(l.writing, s) {
+		if s.Attempt.Stage() == life.Ended && !slices.Contains(l.writing, s) {
 			return s
 		}
 	}
@@ -146,28 +146,28 @@
 }
 
 // applyToMuxConn applies a step of a multiplexed connection.
-func (w *world) applyToMuxConn(l *muxConn, k Kind) {
+func (w *world) applyToMuxConn(l *muxConn, k StepKind) {
 	switch k {
-	case ReplyLate:
+	case LateReply:
 		w.deliverReply(l, w.abandonedSlot(l).Seq, nil, choice.OK)
-	case WriteTold, WriteFails:
+	case WriteCompletes, WriteFails:
 		w.writeEnded(l, l.writing[0], k)
 	}
 	w.releaseUnusedMuxConns()
 }
 
 // applyMux applies a step of an attempt on a multiplexed connection: of its host, its network or its server.
-func (w *world) applyMux(t *attempt, k Kind) {
+func (w *world) applyMux(t *attempt, k StepKind) {
 	l, s := w.slotOf(t)
 	switch k {
-	case AcquireSpoken, AcquireClosed:
+	case AcquireStrayBytes, AcquireClosed:
 		c := w.idleConn(t)
-		if k == AcquireSpoken {
-			t.Heed(w.pool.Lend(c.Server, c.Speaks, nil).Spoil())
+		if k == AcquireStrayBytes {
+			t.ReportIllegalStep(w.pool.AcquireIdle(c.Server, c.Speaks, nil).Spoil())
 			w.releaseConn(c)
 		} else {
-			next, err := w.pool.Drop(c)
-			t.Heed(err)
+			next, err := w.pool.CloseIdle(c)
+			t.ReportIllegalStep(err)
 			w.placeGranted(next)
 		}
 		w.removeMuxConn(c)
@@ -177,9 +177,9 @@
 	case NoPlace:
 		w.failUnconnected(t, life.NoPlace)
 	case DialSucceeds:
-		t.Heed(t.Life.Connect())
-		t.Heed(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
-		l = &muxConn{conn: t.conn, state: life.NewLine(w.clock())}
+		t.ReportIllegalStep(t.State.Connect())
+		t.ReportIllegalStep(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
+		l = &muxConn{conn: t.conn, state: life.NewMultiplexedConn(w.clock())}
 		t.conn = nil
 		w.muxConns = append(w.muxConns, l)
 		w.joinConn(l, t)
@@ -191,17 +191,17 @@
 		if next := l.state.Next(); next != s {
 			w.violate("attempt %d is sent out of order", t.index)
 		}
-		if w.send(t); t.Life.Stage() == life.Ended {
-			l.state.Drop(s)
+		if w.send(t); t.State.Stage() == life.Ended {
+			l.state.Remove(s)
 		} else {
-			t.Heed(l.state.Begun(s, w.clock()))
+			t.ReportIllegalStep(l.state.WriteStarted(s, w.clock()))
 			w.recordRun(t) // from here on the attempt may have run
 			l.writing = append(l.writing, s)
 		}
 	case WriteCut:
 		w.writeEnded(l, s, k)
 	case AnswerOK, AnswerError, AnswerEarlyError, AnswerReject, AnswerEarly, AnswerTwice:
-		r := map[Kind]choice.Result{AnswerError: choice.Failed, AnswerEarlyError: choice.Failed,
+		r := map[StepKind]choice.Result{AnswerError: choice.Failed, AnswerEarlyError: choice.Failed,
 			AnswerReject: choice.Rejected, AnswerEarly: choice.Rejected}[k] // else OK
 		w.deliverReply(l, s.Seq, t, r)
 		if k == AnswerTwice {
@@ -211,7 +211,7 @@
 		w.breakMuxConn(l, life.Garbled)
 	case Reset:
 		w.breakMuxConn(l, life.Broken)
-	case Withdraw, TimeOut:
+	case Cancel, TimeOut:
 		cause := life.Withdrawn
 		if k == TimeOut {
 			cause = life.Late
@@ -224,7 +224,7 @@
 			w.dialEnded(t, false)
 			break
 		}
-		t.Heed(l.state.Abandon(s, cause))
+		t.ReportIllegalStep(l.state.Abandon(s, cause))
 		w.checkEnding(t)
 	}
 	w.releaseUnusedMuxConns()
@@ -241,8 +241,8 @@
 		t.awaitsDial = true
 		return
 	}
-	if c := w.pool.Lend(t.Server, t.Call.Needs, nil); c != nil {
-		t.Heed(t.Life.Connect())
+	if c := w.pool.AcquireIdle(t.Server, t.Call.RequiredProtocols, nil); c != nil {
+		t.ReportIllegalStep(t.State.Connect())
 		for _, l := range w.muxConns {
 			if l.conn == c && !w.joinConn(l, t) {
 				w.violate("an idle multiplexed connection accepts no attempt")
@@ -250,18 +250,18 @@
 		}
 		return
 	}
-	c, evicted := w.pool.Claim(t.Server, t.Call.Needs)
+	c, evicted := w.pool.ReservePlace(t.Server, t.Call.RequiredProtocols)
 	if evicted != nil {
 		w.removeMuxConn(evicted)
 	}
 	if t.conn = c; c.State() == life.Dialled {
-		t.Heed(t.Life.Dial())
+		t.ReportIllegalStep(t.State.Dial())
 	}
 }
 
 func (w *world) joinConn(l *muxConn, t *attempt) bool {
-	s, err := l.state.Join(&t.Life, t.Attempt, maxAttemptsPerMuxConn)
-	t.Heed(err)
+	s, err := l.state.Join(&t.State, t.Attempt, maxAttemptsPerMuxConn)
+	t.ReportIllegalStep(err)
 	return s != nil
 }
 
@@ -279,11 +279,11 @@
 // failUnconnected ends an attempt that has no connection.
 func (w *world) failUnconnected(t *attempt, cause life.Cause) {
 	t.awaitsDial = false
-	t.Heed(t.Life.Fail(cause))
+	t.ReportIllegalStep(t.State.Fail(cause))
 	if t.conn != nil {
-		next, err := w.pool.GiveUp(t.conn)
+		next, err := w.pool.Abort(t.conn)
 		t.conn = nil
-		t.Heed(err)
+		t.ReportIllegalStep(err)
 		w.placeGranted(next)
 	}
 	w.checkEnding(t)
@@ -291,29 +291,29 @@
 
 // writeEnded ends a write. Either all of it was written, or all attempts before last were written completely, last
 // partly or not at all, and the attempts after it not at all.
-func (w *world) writeEnded(l *muxConn, last *life.Slot, k Kind) {
+func (w *world) writeEnded(l *muxConn, last *life.Slot, k StepKind) {
 	n := messageSize
 	for _, s := range l.writing {
-		if s == last && k != WriteTold {
-			n = map[Kind]int{WriteCut: messageSize - 1}[k]
+		if s == last && k != WriteCompletes {
+			n = map[StepKind]int{WriteCut: messageSize - 1}[k]
 		}
 		t := w.attemptOf(s)
-		if n < messageSize && t != nil && t.Life.Stage() != life.Ended { // the server has not received it
+		if n < messageSize && t != nil && t.State.Stage() != life.Ended { // the server has not received it
 			w.undoRun(t)
 		}
-		ended, err := l.state.Wrote(s, n, false)
+		ended, err := l.state.WriteEnded(s, n, false)
 		if err != nil {
 			w.violate("%v", err)
 		}
 		if ended {
 			w.slotEnded(s)
 		}
-		if s == last && k != WriteTold {
+		if s == last && k != WriteCompletes {
 			n = 0
 		}
 	}
 	l.writing = nil
-	if k != WriteTold || l.state.Broken() {
+	if k != WriteCompletes || l.state.Broken() {
 		w.breakMuxConn(l, life.Broken)
 	}
 }
@@ -327,7 +327,7 @@
 
 // deliverReply delivers a reply with the given sequence id. intended is the attempt that the server replies to, or nil.
 func (w *world) deliverReply(l *muxConn, seq int32, intended *attempt, r choice.Result) {
-	s, err := l.state.Reply(seq, w.clock())
+	s, err := l.state.ReplyStarted(seq, w.clock())
 	if err != nil {
 		w.breakMuxConn(l, life.Garbled)
 		return
@@ -338,7 +338,7 @@
 	if r == choice.Rejected && intended != nil {
 		w.undoRun(intended)
 	}
-	ended, err := l.state.Answered(s, r)
+	ended, err := l.state.ReplyEnded(s, r)
 	if err != nil {
 		w.violate("%v", err)
 	}
@@ -368,11 +368,11 @@
 // releaseUnusedMuxConns releases the multiplexed connections that carry nothing any more.
 func (w *world) releaseUnusedMuxConns() {
 	for _, l := range slices.Clone(w.muxConns) {
-		release, reuse := l.state.Rests(l.conn.Server.Retired())
+		release, reuse := l.state.CanRelease(l.conn.Server.Retired())
 		if !release || len(l.writing) > 0 || l.conn.State() == life.Idle {
 			continue
 		}
-		if slices.ContainsFunc(l.state.Slots(), func(s *life.Slot) bool { return s.Life.Stage() != life.Ended }) {
+		if slices.ContainsFunc(l.state.Slots(), func(s *life.Slot) bool { return s.Attempt.Stage() != life.Ended }) {
 			w.violate("a multiplexed connection that carries an attempt is released")
 		}
 		if !reuse {
@@ -392,11 +392,11 @@
 }
 
 // copyMuxConns returns deep copies of the multiplexed connections.
-func (w *world) copyMuxConns(copies *ledger.Twins, conns *life.Twins[life.Conn]) (all []*muxConn) {
+func (w *world) copyMuxConns(copies *ledger.Copies, conns *life.Copies[life.Conn]) (all []*muxConn) {
 	for _, l := range w.muxConns {
-		slots := life.Twins[life.Slot]{Fill: func(s, dst *life.Slot) {
+		slots := life.Copies[life.Slot]{Fill: func(s, dst *life.Slot) {
 			at := copies.Attempts.Of(s.Host.(*ledger.Attempt))
-			s.CopyTo(dst, &at.Life, at)
+			s.CopyTo(dst, &at.State, at)
 		}}
 		dup := &muxConn{conn: conns.Of(l.conn), state: l.state.Copy(&slots)}
 		for _, s := range l.writing {
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -18,16 +18,16 @@
 	{"connection kept whose server sent a second answer", "internal/decide/life/conn.go", "if c.State() == InUse && len(p.queue) == 0 && p.taken <= p.limit {", "if c.State() != Closed && len(p.queue) == 0 {", "one-place"},
 	{"sent to a server after its drain", "internal/decide/life/attempt.go", "case now.Retired:", "case now.Retired && now.Late:", "unsafe"},
 	{"window not looked at when a repeat is written", "choice/choice.go", "first != nil && r.class.Effect == Keyed {", "first != nil && r.class.Effect == Unsafe {", "keyed"},
-	{"window counted from the repeat", "choice/choice.go", "send.Within = first.sent", "send.Within = b.now", "keyed"},
+	{"window counted from the repeat", "choice/choice.go", "send.SendWithin = first.sent", "send.SendWithin = b.now", "keyed"},
 	{"group of a keyed call not looked at", "choice/choice.go", "return s.Cell == first.srv.Cell", "return true", "keyed"},
 	{"unsafe call sent again", "choice/choice.go", "case first == nil || c.Effect == Safe:", "case first == nil || c.Effect != Keyed:", "unsafe"},
 	{"place leaked where a dial is given up", "internal/decide/life/conn.go", "\t\treturn nil, nil\n\t}\n\treturn p.freePlace(), nil", "\t}\n\treturn nil, nil", "withdrawn"},
-	{"withdrawn copy's reply wins", "internal/decide/ledger/ledger.go", "if call == nil || call.finished.Load() {", "if call == nil || call.Over() && call.inFlight == 0 {", "copies"},
+	{"withdrawn copy's reply wins", "internal/decide/ledger/ledger.go", "if call == nil || call.finished.Load() {", "if call == nil || call.Finished() && call.inFlight == 0 {", "copies"},
 	{"sent after it was withdrawn", "internal/decide/life/attempt.go", "case now.Withdrawn:", "case now.Withdrawn && now.Late:", "withdrawn"},
 	{"withdrawn and told as never run", "internal/decide/life/attempt.go", "case c == Withdrawn:\n\t\ta.end(choice.Cancelled)", "case c == Withdrawn:\n\t\ta.end(choice.ConnectFailed)", "withdrawn"},
 	{"sequence id used again while its reply may come", "internal/decide/life/line.go", "if m.seq++; m.slots[m.seq] == nil {", "if m.seq = 1; true {", "line"},
-	{"what is being written on a line counts as never run", "internal/decide/life/line.go", "return s.Life.Unsure()", "return nil", "line"},
-	{"line given back with a call on it", "internal/decide/life/line.go", "if reuse || s.Life.stage != Ended {", "if false && s != nil {", "line"},
+	{"what is being written on a line counts as never run", "internal/decide/life/line.go", "return s.Attempt.MarkUncertain()", "return nil", "line"},
+	{"line given back with a call on it", "internal/decide/life/line.go", "if reuse || s.Attempt.stage != Ended {", "if false && s != nil {", "line"},
 	{"early error told as never run", "internal/decide/life/attempt.go", "answered := a.stage == Ended && (a.result == choice.OK || a.result == choice.Failed)", "answered := false", "unsafe"},
 	{"count not lowered on what is not sent", "internal/decide/ledger/ledger.go", "\tcall.inFlight--\n", "\tif e.Result != choice.NotSent {\n\t\tcall.inFlight--\n\t}\n", "unsafe"},
 	{"sent after the final answer", "internal/decide/life/attempt.go", "case now.Late || now.Over:", "case now.Late:", "unsafe"},
@@ -42,12 +42,12 @@
 	{"retired server's attempts are sent", "internal/decide/life/attempt.go", "case now.Retired:\n\t\ta.end(choice.ConnectFailed)", "case false:", "changes"},
 	{"every dial that succeeds wins", "internal/decide/addresses/addresses.go", "wins = !r.won", "wins = true", "races"},
 	{"race lost while a dial is out", "internal/decide/addresses/addresses.go", "return !r.won && len(r.dialing) == 0 && r.next >= len(r.addrs)", "return false", "races"},
-	{"server that is out by hand is sent to", "internal/decide/operators/operators.go", "if o.Out(s.ID) && s.State == choice.Ready {", "if false {", "by-hand"},
+	{"server that is out by hand is sent to", "internal/decide/operators/operators.go", "if o.IsOffline(s.ID) && s.State == choice.Ready {", "if false {", "by-hand"},
 	{"word of the operators is kept and not carried out", "internal/decide/ledger/operators.go", "\tif listed {\n", "\tif false {\n", "back"},
-	{"list's word undoes the operators'", "internal/decide/ledger/ledger.go", "\t\te.Server = t.overrides.Counts(e.Server)\n", "\t\tif len(entries) == 0 || !t.overrides.Out(e.ID) || full || e.Started != 0 {\n\t\t\te.Server = t.overrides.Counts(e.Server)\n\t\t}\n", "by-hand"},
-	{"answer that has begun comes after another", "internal/decide/ledger/long.go", "\tif call.Over() {", "\tif false {", "passing"},
+	{"list's word undoes the operators'", "internal/decide/ledger/ledger.go", "\t\te.Server = t.overrides.Apply(e.Server)\n", "\t\tif len(entries) == 0 || !t.overrides.IsOffline(e.ID) || full || e.Started != 0 {\n\t\t\te.Server = t.overrides.Apply(e.Server)\n\t\t}\n", "by-hand"},
+	{"answer that has begun comes after another", "internal/decide/ledger/long.go", "\tif call.Finished() {", "\tif false {", "passing"},
 	{"answer that has begun is not counted to its end", "internal/decide/ledger/long.go", "\tt.relaying--\n", "", "passing"},
-	{"answered after its client left", "internal/decide/ledger/ledger.go", "\tt.stats.Gone++\n\tt.markFinished(call)\n", "\tt.stats.Gone++\n", "unsafe"},
+	{"answered after its client left", "internal/decide/ledger/ledger.go", "\tt.stats.Disconnected++\n\tt.markFinished(call)\n", "\tt.stats.Disconnected++\n", "unsafe"},
 }
 
 // The explorer finds each planted bug. The program is built from the sources with an overlay that has only that change.
@@ -59,7 +59,7 @@
 			overlay := testkit.Overlay(t, bug.file, bug.old, bug.new)
 			program := filepath.Join(t.TempDir(), "explore")
 			build := exec.Command("go", "build", "-overlay", overlay, "-o", program, "./cmd/ternbeam-explore")
-			build.Dir = testkit.Root(t)
+			build.Dir = testkit.ModuleRoot(t)
 			if out, err := build.CombinedOutput(); err != nil {
 				t.Fatalf("%v\n%s", err, out)
 			}
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -22,13 +22,13 @@
 		w.violate("%s is answered after its client disconnected", c.tracked.ID)
 	case len(c.answers) > 1:
 		w.violate("%s is answered twice", c.tracked.ID)
-	case w.now > start+deadline:
+	case w.now > startTime+callDeadline:
 		w.violate("%s is answered after its deadline", c.tracked.ID)
 	}
 	if a.Kind == ledger.Served {
 		at, ok := a.Reply.(*ledger.Attempt)
 		relaying := ok && slices.ContainsFunc(w.attempts, func(t *attempt) bool { return t.Attempt == at && t.relayStarted })
-		if !ok || at.Call != c.tracked || !relaying && at.Life.Result() != choice.OK {
+		if !ok || at.Call != c.tracked || !relaying && at.State.Result() != choice.OK {
 			w.violate("%s is served an answer that is not its own", c.tracked.ID)
 		}
 	}
@@ -75,7 +75,7 @@
 		w.violate("attempt %d of %s is sent to %s after its drain", t.Number, c.tracked.ID, t.Server.ID)
 	case conn.Host.(*connData).peer != now:
 		w.violate("attempt %d of %s is sent on a connection to the former process of %s", t.Number, c.tracked.ID, t.Server.ID)
-	case w.now >= start+deadline:
+	case w.now >= startTime+callDeadline:
 		w.violate("attempt %d of %s is sent after its deadline", t.Number, c.tracked.ID)
 	case t.balancerCanceled:
 		w.violate("attempt %d of %s is sent after it was canceled", t.Number, c.tracked.ID)
@@ -91,7 +91,7 @@
 		w.violate("%s may run at %s and again at %s", c.tracked.ID, first.server, last.server)
 	case first.cell != last.cell:
 		w.violate("%s may run at %s and, in another deduplication scope, at %s", c.tracked.ID, first.server, last.server)
-	case last.at-first.at >= window:
+	case last.at-first.at >= dedupWindow:
 		w.violate("%s may run at %s and, after its deduplication window, at %s", c.tracked.ID, first.server, last.server)
 	}
 	w.checkRefusal(c)
@@ -99,12 +99,12 @@
 
 // checkEnding checks that an attempt reported as never run has not run.
 func (w *world) checkEnding(t *attempt) {
-	r := t.Life.Result()
+	r := t.State.Result()
 	never := r == choice.Rejected || r == choice.ConnectFailed || r == choice.NotSent
 	if never && t.mayHaveRun {
 		w.violate("attempt %d of %s is reported as never run, but may have run", t.Number, t.Call.ID)
 	}
-	if t.mayHaveRun && !t.Life.CanHaveRun() {
+	if t.mayHaveRun && !t.State.CanHaveRun() {
 		w.violate("attempt %d of %s may have run, but its state machine says that it cannot have", t.Number, t.Call.ID)
 	}
 }
@@ -112,7 +112,7 @@
 // checkBegun checks that an answer whose relay has started is either given to the client or discarded.
 func (w *world) checkBegun(t *attempt) {
 	c := w.callOf(t)
-	given := len(c.answers) > 0 && c.answers[0] == ledger.Served && w.tracker.Passes(c.tracked, t.Attempt)
+	given := len(c.answers) > 0 && c.answers[0] == ledger.Served && w.tracker.IsRelaying(c.tracked, t.Attempt)
 	if given == t.replyDropped {
 		w.violate("the relay of the answer to %s has started; given: %t, discarded: %t", c.tracked.ID, given, t.replyDropped)
 	}
@@ -127,12 +127,12 @@
 		}
 	}
 	for _, t := range w.attempts {
-		w.violate("attempt %d of %s is still %v at the end", t.Number, t.Call.ID, t.Life.Stage())
+		w.violate("attempt %d of %s is still %v at the end", t.Number, t.Call.ID, t.State.Stage())
 	}
 	if open, held := w.tracker.Count(); open != 0 || held != 0 {
 		w.violate("%d calls open and %d held at the end", open, held)
 	}
-	if n := w.tracker.Passing(); n != 0 {
+	if n := w.tracker.RelayingCount(); n != 0 {
 		w.violate("%d answers are still being relayed at the end", n)
 	}
 	for _, l := range w.muxConns { // one on which a late reply may still arrive stays in use
--- a/internal/lab/explore/search.go
+++ b/internal/lab/explore/search.go
@@ -17,12 +17,12 @@
 	States      int // distinct states reached
 	Transitions int // steps tried
 	Depth       int // levels of the breadth-first search
-	Ends        int // states in which nothing more can happen
-	Took        time.Duration
+	EndStates   int // states in which nothing more can happen
+	Elapsed     time.Duration
 	Complete    bool           // not ended by the limit on states
 	Steps       [kindCount]int // how often each kind of step was taken
 	Fault       string         // the first violated property, or empty
-	Story       []Step         // a shortest trace to it
+	Trace       []Step         // a shortest trace to it
 }
 
 // fingerprint identifies a state.
@@ -96,7 +96,7 @@
 }
 
 func (x *explorer) done() Report {
-	x.report.States, x.report.Took = len(x.nodes), time.Since(x.started)
+	x.report.States, x.report.Elapsed = len(x.nodes), time.Since(x.started)
 	return x.report
 }
 
@@ -137,7 +137,7 @@
 		return false
 	}
 	if c.fault != "" {
-		r.Fault, r.Story = c.fault, x.withForcedSteps(append(x.traceTo(c.parent), c.step))
+		r.Fault, r.Trace = c.fault, x.withForcedSteps(append(x.traceTo(c.parent), c.step))
 		return false
 	}
 	if _, known := x.seen[c.fingerprint]; known {
@@ -146,7 +146,7 @@
 	x.seen[c.fingerprint] = struct{}{}
 	x.nodes = append(x.nodes, node{c.parent, c.step})
 	if c.end {
-		r.Ends++
+		r.EndStates++
 	}
 	return !c.end && !c.stuck
 }
