--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -10,62 +10,62 @@
 )
 
 // StepKind says what happens in a step.
-type Kind uint8
+type StepKind uint8
 
 // The values of StepKind.
 const (
-	Ask              Kind = iota // a client sends a call; N is the call
-	Leave                        // a client disconnects; N is the call
-	Drain                        // the list reports that a server drains; N is the server, up to PutOnline
-	Restart                      // the list reports that a server has restarted at its address
-	Gone                         // the list reports that a server was removed
-	Missing                      // a full list arrives that lacks a server
-	Moves                        // the list reports another address of a server
-	TakenOut                     // the operators take a server offline
-	PutBack                      // they put it back online, after a restart that the list has not reported
-	Time                         // time advances to the next moment that makes a difference
-	Fire                         // the loop fires the next timer that is due
-	Take                         // the loop processes the end of an attempt; N is the attempt from here on
-	TakeBegun                    // the loop processes that the relay of its answer has started
-	Acquire                      // the attempt asks for a connection
-	AcquireSpoken                // the same; the idle connection that it would get has received unsolicited bytes
-	AcquireClosed                // the same; that connection was idle for too long or closed by its server
-	NoPlace                      // it stops waiting for a place in the pool
-	DialSucceeds                 // its dial succeeds
-	DialFails                    // its dial fails
-	DialNext                     // its dial takes long, and the next address is dialed in parallel
-	SecondSucceeds               // the dial that was started second succeeds
-	SecondFails                  // that dial fails
-	LoserConnects                // a dial succeeds after another one has
-	Send                         // it is sent, if the check before sending allows it
-	WriteAll                     // its last byte is written
-	WriteNone                    // the connection breaks before any byte is written
-	WriteCut                     // the same, before the last byte is written
-	WriteUnsure                  // the connection breaks, and it is unknown how much was written
-	AnswerEarly                  // the server rejects it before all is written
-	AnswerEarlyError             // the server answers with an error before all is written
-	AnswerOK                     // the server serves it
-	AnswerError                  // the server answers with an error
-	AnswerReject                 // the server rejects it
-	AnswerTwice                  // the server serves it and sends the reply twice
-	AnswerGarbled                // the server's answer cannot be parsed
-	AnswerBegins                 // the server's answer is long, and its relay to the client starts
-	AnswerEnds                   // that answer is complete
-	AnswerBreaks                 // the server breaks it off
-	Reset                        // the connection breaks after the last byte was written
-	Hang                         // no more network events for it
-	Rest                         // its host pauses until something that it depends on changes
-	Return                       // its connection is released
-	Withdraw                     // its host processes the cancellation
-	TimeOut                      // its host processes that its deadline has passed
-	ReplyLate                    // a reply to an abandoned attempt arrives; N is the multiplexed connection from here on
-	WriteTold                    // the write in progress on it completes
-	WriteFails                   // the connection breaks before anything of that write is sent
+	CallArrives       StepKind = iota // a client sends a call; N is the call
+	ClientDisconnects                 // a client disconnects; N is the call
+	Drain                             // the list reports that a server drains; N is the server, up to PutOnline
+	Restart                           // the list reports that a server has restarted at its address
+	ServerRemoved                     // the list reports that a server was removed
+	MissingFromList                   // a full list arrives that lacks a server
+	AddressChanges                    // the list reports another address of a server
+	TakenOffline                      // the operators take a server offline
+	PutOnline                         // they put it back online, after a restart that the list has not reported
+	AdvanceTime                       // time advances to the next moment that makes a difference
+	FireTimer                         // the loop fires the next timer that is due
+	TakeEnd                           // the loop processes the end of an attempt; N is the attempt from here on
+	TakeRelayStart                    // the loop processes that the relay of its answer has started
+	Acquire                           // the attempt asks for a connection
+	AcquireStrayBytes                 // the same; the idle connection that it would get has received unsolicited bytes
+	AcquireClosed                     // the same; that connection was idle for too long or closed by its server
+	NoPlace                           // it stops waiting for a place in the pool
+	DialSucceeds                      // its dial succeeds
+	DialFails                         // its dial fails
+	DialNext                          // its dial takes long, and the next address is dialed in parallel
+	SecondSucceeds                    // the dial that was started second succeeds
+	SecondFails                       // that dial fails
+	LoserConnects                     // a dial succeeds after another one has
+	Send                              // it is sent, if the check before sending allows it
+	WriteAll                          // its last byte is written
+	WriteNone                         // the connection breaks before any byte is written
+	WriteCut                          // the same, before the last byte is written
+	WriteUncertain                    // the connection breaks, and it is unknown how much was written
+	AnswerEarly                       // the server rejects it before all is written
+	AnswerEarlyError                  // the server answers with an error before all is written
+	AnswerOK                          // the server serves it
+	AnswerError                       // the server answers with an error
+	AnswerReject                      // the server rejects it
+	AnswerTwice                       // the server serves it and sends the reply twice
+	AnswerGarbled                     // the server's answer cannot be parsed
+	AnswerBegins                      // the server's answer is long, and its relay to the client starts
+	AnswerEnds                        // that answer is complete
+	AnswerBreaks                      // the server breaks it off
+	Reset                             // the connection breaks after the last byte was written
+	Hang                              // no more network events for it
+	Pause                             // its host pauses until something that it depends on changes
+	Release                           // its connection is released
+	Cancel                            // its host processes the cancellation
+	TimeOut                           // its host processes that its deadline has passed
+	LateReply                         // a reply to an abandoned attempt arrives; N is the multiplexed connection from here on
+	WriteCompletes                    // the write in progress on it completes
+	WriteFails                        // the connection breaks before anything of that write is sent
 	kindCount
 )
 
 // mayDraw reports whether the balancer may draw random numbers in such a step.
-func (k Kind) mayDraw() bool { return k == Ask || k == Fire || k == Take }
+func (k StepKind) mayDraw() bool { return k == CallArrives || k == FireTimer || k == TakeEnd }
 
 var kindNames = [kindCount]string{"asks", "leaves", "drains", "restarts", "is gone", "is missing from the whole list", "moves",
 	"is taken out", "is put back",
@@ -83,7 +83,7 @@
 
 // Step is one event.
 type Step struct {
-	Kind Kind
+	Kind StepKind
 	N    uint8 // index of the call, server, attempt or multiplexed connection, depending on Kind
 	Most bool  // random draws of the balancer return the greatest value, else the least
 }
@@ -95,16 +95,16 @@
 		draw = ", chance gives the most"
 	}
 	switch {
-	case s.Kind <= Leave:
+	case s.Kind <= ClientDisconnects:
 		return fmt.Sprintf("the client of call %d %s%s", s.N, kindNames[s.Kind], draw)
-	case s.Kind == TakenOut || s.Kind == PutBack:
+	case s.Kind == TakenOffline || s.Kind == PutOnline:
 		return fmt.Sprintf("the operators: server %d %s", s.N, kindNames[s.Kind])
-	case s.Kind <= Moves:
+	case s.Kind <= AddressChanges:
 		return fmt.Sprintf("the list says: server %d %s", s.N, kindNames[s.Kind])
-	case s.Kind <= Fire:
+	case s.Kind <= FireTimer:
 		return kindNames[s.Kind] + draw
 	}
-	if s.Kind >= ReplyLate {
+	if s.Kind >= LateReply {
 		return fmt.Sprintf("line %d %s", s.N, kindNames[s.Kind])
 	}
 	return fmt.Sprintf("attempt %d %s%s", s.N, kindNames[s.Kind], draw)
@@ -126,127 +126,127 @@
 
 // loopSteps returns the possible steps of the core's loop, the clock, clients, the list and the operators.
 func (w *world) loopSteps() (all []Step) {
-	add := func(k Kind, n int) { all = append(all, Step{Kind: k, N: uint8(n)}) }
+	add := func(k StepKind, n int) { all = append(all, Step{Kind: k, N: uint8(n)}) }
 	for i, c := range w.calls {
-		if !c.arrived && w.now == start {
-			add(Ask, i)
+		if !c.arrived && w.now == startTime {
+			add(CallArrives, i)
 			break // calls of one effect differ only in their names; others arrive in this order
 		}
 	}
 	for i, c := range w.calls {
 		if c.arrived && !c.disconnected && len(c.answers) == 0 && w.disconnects < w.cfg.Leaves {
-			add(Leave, i)
+			add(ClientDisconnects, i)
 		}
 	}
 	for i, s := range w.servers {
 		if w.listChanges < w.cfg.Lists && s.State == choice.Ready {
 			add(Drain, i)
 			add(Restart, i)
-			add(Gone, i)
+			add(ServerRemoved, i)
 			if w.cfg.More {
-				add(Missing, i)
-				add(Moves, i)
+				add(MissingFromList, i)
+				add(AddressChanges, i)
 			}
 		}
 	}
 	for i, s := range w.servers {
 		switch {
-		case w.operatorChanges >= w.cfg.Words || s.State == choice.Gone:
+		case w.operatorChanges >= w.cfg.Words || s.State == choice.Removed:
 		case w.offline[i]:
-			add(PutBack, i)
+			add(PutOnline, i)
 		default:
-			add(TakenOut, i)
+			add(TakenOffline, i)
 		}
 	}
 	inFlight := false
 	for _, t := range w.attempts {
 		switch {
 		case t.relayPending: // it is queued ahead of the attempt's end
-			add(TakeBegun, t.index)
-		case t.Life.Stage() == life.Ended && t.conn == nil:
-			add(Take, t.index)
+			add(TakeRelayStart, t.index)
+		case t.State.Stage() == life.Ended && t.conn == nil:
+			add(TakeEnd, t.index)
 		}
 		inFlight = true
 	}
 	for len(w.timers) > 0 { // timers that the balancer ignores are no steps
 		i := w.nextTimer(w.now)
-		if i < 0 || w.balancer.Heeds(w.timers[i].token) {
+		if i < 0 || w.balancer.TimerPending(w.timers[i].token) {
 			break
 		}
 		w.removeTimer(i)
 	}
 	if w.nextTimer(w.now) >= 0 {
-		add(Fire, 0)
+		add(FireTimer, 0)
 	} else if (inFlight || w.hasOpenCalls()) && w.nextMoment() > 0 {
-		add(Time, 0)
+		add(AdvanceTime, 0)
 	}
 	return all
 }
 
 // options returns the steps that an attempt's host, its network or its server may take now. There are none for a paused
 // attempt. If the host may pause, that is one of the steps.
-func (w *world) options(t *attempt) []Kind {
+func (w *world) options(t *attempt) []StepKind {
 	if w.cfg.Lines {
 		return w.muxOptions(t)
 	}
 	if t.paused && !w.cfg.allOrders() {
 		return nil
 	}
-	var all []Kind
-	orPause := func(may bool) []Kind {
+	var all []StepKind
+	orPause := func(may bool) []StepKind {
 		if may && len(all) > 0 && !w.cfg.allOrders() {
-			all = append(all, Rest)
+			all = append(all, Pause)
 		}
 		return all
 	}
-	orHang := func() []Kind {
+	orHang := func() []StepKind {
 		if !w.cfg.allOrders() {
 			all = append(all, Hang)
 		}
 		return all
 	}
 	if t.hung || w.cfg.allOrders() { // what ends a wait for the network
-		switch stage := t.Life.Stage(); {
+		switch stage := t.State.Stage(); {
 		case stage != life.Dialling && stage != life.Writing && stage != life.Waiting:
 		case t.hostCanceled:
-			all = append(all, Withdraw)
+			all = append(all, Cancel)
 		case stage == life.Writing && t.SendBy != 0 && w.now >= t.SendBy:
 			all = append(all, WriteCut) // the write deadline has passed
-		case w.now >= t.End:
+		case w.now >= t.Deadline:
 			all = append(all, TimeOut)
 		}
-		if t.hung && t.Life.Stage() != life.Ended {
+		if t.hung && t.State.Stage() != life.Ended {
 			return all
 		}
 	}
-	switch t.Life.Stage() {
+	switch t.State.Stage() {
 	case life.Placing:
 		switch {
 		case t.conn != nil: // waits for a place in the pool
 			all = append(all, NoPlace)
 		case w.idleConn(t) != nil:
-			all = append(all, Acquire, AcquireSpoken, AcquireClosed)
+			all = append(all, Acquire, AcquireStrayBytes, AcquireClosed)
 		default:
 			all = append(all, Acquire)
 		}
-		return orPause(!w.hasSparePlaces() && (t.conn == nil || w.now < t.End))
+		return orPause(!w.hasSparePlaces() && (t.conn == nil || w.now < t.Deadline))
 	case life.Dialling:
 		all = append(all, DialSucceeds, DialFails)
 		all = append(all, w.raceOptions(t)...)
 		return orHang()
 	case life.Ready:
 		all = append(all, Send)
-		if t.race != nil && len(t.race.Out()) > 0 {
+		if t.race != nil && len(t.race.Dialing()) > 0 {
 			all = append(all, LoserConnects)
 		}
-		return orPause(!t.hostCanceled && w.now < t.End)
+		return orPause(!t.hostCanceled && w.now < t.Deadline)
 	case life.Writing:
 		if t.SendBy == 0 || w.now < t.SendBy { // after the write deadline these are impossible
-			all = append(all, WriteAll, WriteUnsure, AnswerEarlyError)
+			all = append(all, WriteAll, WriteUncertain, AnswerEarlyError)
 		}
 		all = append(all, WriteNone, WriteCut, AnswerEarly)
 		if w.callOf(t).effect == choice.Keyed { // the time of writing matters
-			orPause(w.now < t.End)
+			orPause(w.now < t.Deadline)
 		}
 		return orHang()
 	case life.Waiting:
@@ -254,7 +254,7 @@
 		if w.cfg.Streams {
 			all = append(all, AnswerBegins)
 		}
-		if t.race != nil && len(t.race.Out()) > 0 {
+		if t.race != nil && len(t.race.Dialing()) > 0 {
 			all = append(all, LoserConnects)
 		}
 		return orHang()
@@ -262,7 +262,7 @@
 		return append(all, AnswerEnds, AnswerBreaks)
 	}
 	if t.conn != nil {
-		all = append(all, Return)
+		all = append(all, Release)
 	}
 	return orPause(!w.hasSparePlaces())
 }
@@ -270,42 +270,42 @@
 // apply applies one step to the world.
 func (w *world) apply(s Step) {
 	w.chance.most = s.Most
-	if s.Kind < Take {
+	if s.Kind < TakeEnd {
 		w.applyOutside(s)
 		return
 	}
-	if s.Kind >= ReplyLate {
+	if s.Kind >= LateReply {
 		w.applyToMuxConn(w.muxConns[s.N], s.Kind)
 		return
 	}
 	t := w.attemptByIndex(int(s.N))
-	if w.cfg.Lines && s.Kind != Take {
+	if w.cfg.Lines && s.Kind != TakeEnd {
 		w.applyMux(t, s.Kind)
 		return
 	}
 	switch s.Kind {
-	case Take:
+	case TakeEnd:
 		w.takeEnd(t)
-	case TakeBegun:
+	case TakeRelayStart:
 		t.relayPending = false
-		w.execute(w.tracker.Begun(w.now, t.Attempt, ledger.Ending{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
+		w.execute(w.tracker.RelayStarted(w.now, t.Attempt, ledger.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
 		w.checkBegun(t)
 	case AnswerBegins:
-		t.Heed(t.Life.Read())
+		t.ReportIllegalStep(t.State.Read())
 		t.relayPending, t.relayStarted = true, true
 	case AnswerEnds:
-		t.Heed(t.Life.Answer(choice.OK))
+		t.ReportIllegalStep(t.State.Answer(choice.OK))
 		w.checkEnding(t)
 	case AnswerBreaks:
 		w.fail(t, life.Broken)
 	case Acquire:
 		w.acquire(t)
-	case AcquireSpoken:
+	case AcquireStrayBytes:
 		w.idleConn(t).Host.(*connData).strayBytes = true
 		w.acquire(t)
 	case AcquireClosed:
-		next, err := w.pool.Drop(w.idleConn(t))
-		t.Heed(err)
+		next, err := w.pool.CloseIdle(w.idleConn(t))
+		t.ReportIllegalStep(err)
 		w.placeGranted(next)
 		w.resumeAfterPoolChange(t.Server, true)
 		w.acquire(t)
@@ -316,7 +316,7 @@
 	case DialFails:
 		w.dialFailed(t, 0)
 	case DialNext:
-		due, _ := t.race.Due()
+		due, _ := t.race.NextStart()
 		w.startDials(t, due)
 	case SecondSucceeds:
 		w.dialSucceeded(t, 1)
@@ -333,8 +333,8 @@
 	case WriteCut:
 		w.write(t, messageSize-1)
 		w.fail(t, life.Broken)
-	case WriteUnsure:
-		t.Heed(t.Life.Unsure())
+	case WriteUncertain:
+		t.ReportIllegalStep(t.State.MarkUncertain())
 		w.recordRun(t)
 		w.fail(t, life.Broken)
 	case AnswerOK:
@@ -357,21 +357,21 @@
 		w.answer(t, choice.Failed)
 		w.spoil(t)
 	case AnswerGarbled:
-		t.Heed(t.Life.Read())
+		t.ReportIllegalStep(t.State.Read())
 		w.fail(t, life.Garbled)
 	case Reset:
 		w.fail(t, life.Broken)
 	case Hang:
 		t.hung = true
-	case Rest:
+	case Pause:
 		t.paused = true
-	case Return:
+	case Release:
 		w.releaseAttemptConn(t)
-	case Withdraw:
+	case Cancel:
 		w.fail(t, life.Withdrawn)
 	case TimeOut:
 		cause := life.Late
-		if t.Life.Stage() == life.Dialling {
+		if t.State.Stage() == life.Dialling {
 			cause = life.Broken // as reported by the dial
 		}
 		w.fail(t, cause)
@@ -381,44 +381,44 @@
 // applyOutside applies a step of the loop, the clock, a client, the list or the operators.
 func (w *world) applyOutside(s Step) {
 	switch s.Kind {
-	case Ask:
+	case CallArrives:
 		c := w.calls[s.N]
-		c.arrived, c.tracked.Deadline = true, start+deadline
-		w.execute(w.tracker.Arrived(w.now, c.tracked))
-	case Leave:
+		c.arrived, c.tracked.Deadline = true, startTime+callDeadline
+		w.execute(w.tracker.CallArrived(w.now, c.tracked))
+	case ClientDisconnects:
 		w.disconnects++
 		w.calls[s.N].disconnected = true
-		w.execute(w.tracker.Left(w.now, w.calls[s.N].tracked))
+		w.execute(w.tracker.ClientDisconnected(w.now, w.calls[s.N].tracked))
 		w.resumeReady(int(s.N))
-	case Drain, Restart, Gone, Missing, Moves:
+	case Drain, Restart, ServerRemoved, MissingFromList, AddressChanges:
 		w.listChanges++
 		e := &w.servers[s.N]
 		switch s.Kind {
 		case Drain:
 			e.State = choice.Draining
-		case Gone:
-			e.State = choice.Gone
-		case Missing:
-			e.State = choice.Gone
+		case ServerRemoved:
+			e.State = choice.Removed
+		case MissingFromList:
+			e.State = choice.Removed
 			var others []ledger.Entry
 			for i, o := range w.servers {
 				if o.State == choice.Ready {
 					others = append(others, w.listEntry(i))
 				}
 			}
-			w.execute(w.tracker.List(w.now, true, others))
+			w.execute(w.tracker.UpdateServers(w.now, true, others))
 			return
-		case Moves:
+		case AddressChanges:
 			w.moves[s.N]++
 		case Restart:
-			e.Started = start
+			e.Started = startTime
 		}
-		w.execute(w.tracker.List(w.now, false, []ledger.Entry{w.listEntry(int(s.N))}))
-	case TakenOut, PutBack:
+		w.execute(w.tracker.UpdateServers(w.now, false, []ledger.Entry{w.listEntry(int(s.N))}))
+	case TakenOffline, PutOnline:
 		w.operatorChanges++
-		w.offline[s.N] = s.Kind == TakenOut
+		w.offline[s.N] = s.Kind == TakenOffline
 		override := w.tracker.Offline
-		if s.Kind == PutBack {
+		if s.Kind == PutOnline {
 			override = w.tracker.Online
 			w.offlineRestarts[s.N]++
 		}
@@ -427,11 +427,11 @@
 			w.violate("the operators' command for server %d is rejected", s.N)
 		}
 		w.execute(commands)
-	case Time:
+	case AdvanceTime:
 		w.now = w.nextMoment()
 		w.resumeByTime()
-	case Fire:
-		w.execute(w.tracker.Fired(w.now, w.removeTimer(w.nextTimer(w.now)).token))
+	case FireTimer:
+		w.execute(w.tracker.TimerFired(w.now, w.removeTimer(w.nextTimer(w.now)).token))
 	}
 }
 
@@ -444,7 +444,7 @@
 // written, those that may no longer be sent, and those that wait for a place.
 func (w *world) resumeByTime() {
 	for _, t := range w.attempts {
-		switch t.Life.Stage() {
+		switch t.State.Stage() {
 		case life.Ready:
 			if w.conditionsFor(t).Late {
 				t.paused = false
@@ -460,4 +460,4 @@
 }
 
 // elapsedMS returns the time since the exploration began, in milliseconds.
-func (w *world) elapsedMS() float64 { return float64(w.now-start) / float64(time.Millisecond) }
+func (w *world) elapsedMS() float64 { return float64(w.now-startTime) / float64(time.Millisecond) }
--- a/internal/lab/explore/story.go
+++ b/internal/lab/explore/story.go
@@ -10,31 +10,31 @@
 )
 
 // TraceFile is a trace as stored in a file.
-type Story struct {
+type TraceFile struct {
 	World Config
 	Fault string `json:",omitempty"` // the property that is violated at the end
-	Steps []Telling
+	Steps []TraceStep
 }
 
 // TraceStep is a step as stored in a file.
-type Telling struct {
+type TraceStep struct {
 	What string // name of the step's kind
 	N    int
 	Most bool `json:",omitempty"`
 }
 
 // EncodeTrace encodes a trace for a file, as JSON.
-func Tell(cfg Config, fault string, steps []Step) ([]byte, error) {
-	s := Story{World: cfg, Fault: fault}
+func EncodeTrace(cfg Config, fault string, steps []Step) ([]byte, error) {
+	s := TraceFile{World: cfg, Fault: fault}
 	for _, step := range steps {
-		s.Steps = append(s.Steps, Telling{What: kindNames[step.Kind], N: int(step.N), Most: step.Most})
+		s.Steps = append(s.Steps, TraceStep{What: kindNames[step.Kind], N: int(step.N), Most: step.Most})
 	}
 	return json.MarshalIndent(s, "", "  ")
 }
 
 // DecodeTrace decodes a trace from the content of a file.
-func Read(text []byte) (Config, []Step, error) {
-	var s Story
+func DecodeTrace(text []byte) (Config, []Step, error) {
+	var s TraceFile
 	if err := json.Unmarshal(text, &s); err != nil {
 		return Config{}, nil, err
 	}
@@ -47,7 +47,7 @@
 		if kind < 0 || t.N < 0 || t.N > 255 {
 			return Config{}, nil, fmt.Errorf("step %d: %q with N %d is not a valid step", i+1, t.What, t.N)
 		}
-		steps = append(steps, Step{Kind: Kind(kind), N: uint8(t.N), Most: t.Most})
+		steps = append(steps, Step{Kind: StepKind(kind), N: uint8(t.N), Most: t.Most})
 	}
 	return s.World, steps, nil
 }
@@ -61,24 +61,24 @@
 }
 
 // CallOutcome is the outcome of a call at the end of a trace.
-type Fate struct {
+type CallOutcome struct {
 	Effect choice.Effect
-	Asked  bool        // its client has sent it
-	Left   bool        // its client has disconnected
-	Answer ledger.Kind // if Asked and not Left
-	Runs   int         // how often a server may have executed it
+	Asked  bool              // its client has sent it
+	Left   bool              // its client has disconnected
+	Answer ledger.AnswerKind // if Asked and not Left
+	Runs   int               // how often a server may have executed it
 }
 
 // Play plays a trace and returns its events and the outcomes of the calls. The trace must lead to an end state and
 // violate no property.
-func Play(cfg Config, trace []Step) (events []Event, outcomes []Fate, err error) {
+func Play(cfg Config, trace []Step) (events []Event, outcomes []CallOutcome, err error) {
 	w := newWorld(&cfg)
 	for i, s := range trace {
 		if !slices.Contains(w.enabled(), Step{Kind: s.Kind, N: s.N}) {
 			return nil, nil, fmt.Errorf("step %d: %v: not possible in this state", i+1, s)
 		}
 		e := Event{Step: s, Call: int(s.N)}
-		if s.Kind >= Take {
+		if s.Kind >= TakeEnd {
 			t := w.attemptByIndex(int(s.N))
 			e.Call, e.Attempt = t.call, t.Number
 			e.Server = slices.IndexFunc(w.servers, func(o choice.Server) bool { return o.ID == t.Server.ID })
@@ -93,7 +93,7 @@
 		return nil, nil, fmt.Errorf("the trace violates a property: %s", w.fault)
 	}
 	for _, c := range w.calls {
-		f := Fate{Effect: c.effect, Asked: c.arrived, Left: c.disconnected, Runs: len(c.runs)}
+		f := CallOutcome{Effect: c.effect, Asked: c.arrived, Left: c.disconnected, Runs: len(c.runs)}
 		if len(c.answers) > 0 {
 			f.Answer = c.answers[0]
 		}
@@ -104,11 +104,11 @@
 
 // ForEachTrace calls yield with each trace of a small world to its end that consists only of the given kinds of steps,
 // until yield returns false.
-func Stories(cfg Config, kinds []Kind, yield func([]Step) bool) {
+func ForEachTrace(cfg Config, kinds []StepKind, yield func([]Step) bool) {
 	newWorld(&cfg).forEachTrace(kinds, nil, yield)
 }
 
-func (w *world) forEachTrace(kinds []Kind, trace []Step, yield func([]Step) bool) (goOn bool) {
+func (w *world) forEachTrace(kinds []StepKind, trace []Step, yield func([]Step) bool) (goOn bool) {
 	if len(w.enabled()) == 0 {
 		if end, _ := w.atEnd(); end {
 			return yield(slices.Clone(trace))
@@ -150,24 +150,24 @@
 	"one-place":   {Servers: 1, Calls: []choice.Effect{choice.Unsafe, choice.Safe}, Attempts: 1, Places: 1, Lists: 1, Cells: 1},
 	"two-places":  {Servers: 1, Calls: []choice.Effect{choice.Unsafe, choice.Safe}, Attempts: 2, Places: 2, Cells: 1},
 	"three":       {Servers: 2, Calls: []choice.Effect{choice.Safe, choice.Keyed, choice.Unsafe}, Attempts: 1, Places: 3, Cells: 2},
-	"copies":      {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Leaves: 1, Cells: 1, Past: Losing},
-	"withdrawn":   {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Leaves: 1, Cells: 1, Past: Quick},
+	"copies":      {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Leaves: 1, Cells: 1, Past: LostCalls},
+	"withdrawn":   {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Leaves: 1, Cells: 1, Past: QuickServers},
 	"changes":     {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 1, Lists: 2, More: true, Cells: 1},
 	"reuse":       {Servers: 1, Calls: []choice.Effect{choice.Safe, choice.Unsafe}, Attempts: 1, Places: 1, Lists: 1, More: true, Cells: 1},
 	"races":       {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Lists: 1, Leaves: 1, Cells: 1, Races: true},
 	"race-place":  {Servers: 1, Calls: []choice.Effect{choice.Keyed, choice.Safe}, Attempts: 1, Places: 2, Cells: 1, Races: true},
 	"line":        {Servers: 1, Calls: []choice.Effect{choice.Unsafe, choice.Safe}, Attempts: 1, Places: 1, Cells: 1, Lines: true},
 	"lines":       {Servers: 1, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 1, Lists: 1, Leaves: 1, Cells: 1, Lines: true},
-	"line-late":   {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 1, Cells: 1, Past: Quick, Lines: true},
-	"ill":         {Servers: 4, Calls: []choice.Effect{choice.Unsafe}, Attempts: 3, Places: 3, Leaves: 1, Cells: 2, Past: Ill},
-	"ill-keyed":   {Servers: 4, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Cells: 2, Past: Ill},
-	"ill-two":     {Servers: 4, Calls: []choice.Effect{choice.Safe, choice.Unsafe}, Attempts: 1, Places: 1, Cells: 2, Past: Ill},
-	"out":         {Servers: 4, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Lists: 1, Cells: 2, Past: Out},
-	"out-keyed":   {Servers: 4, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Lists: 1, Cells: 2, Past: Out},
-	"absurd":      {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 3, Places: 2, Cells: 2, Leaves: 1, Past: Absurd},
+	"line-late":   {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 1, Cells: 1, Past: QuickServers, Lines: true},
+	"ill":         {Servers: 4, Calls: []choice.Effect{choice.Unsafe}, Attempts: 3, Places: 3, Leaves: 1, Cells: 2, Past: AllFailing},
+	"ill-keyed":   {Servers: 4, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Cells: 2, Past: AllFailing},
+	"ill-two":     {Servers: 4, Calls: []choice.Effect{choice.Safe, choice.Unsafe}, Attempts: 1, Places: 1, Cells: 2, Past: AllFailing},
+	"out":         {Servers: 4, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Lists: 1, Cells: 2, Past: NoCapacity},
+	"out-keyed":   {Servers: 4, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Lists: 1, Cells: 2, Past: NoCapacity},
+	"absurd":      {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 3, Places: 2, Cells: 2, Leaves: 1, Past: InvalidMemory},
 	"by-hand":     {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 1, Lists: 1, Words: 2, Cells: 1},
 	"back":        {Servers: 1, Calls: []choice.Effect{choice.Safe, choice.Unsafe}, Attempts: 1, Places: 1, Words: 2, Cells: 1},
 	"passing":     {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Leaves: 1, Lists: 1, Cells: 1, Streams: true},
-	"two-passing": {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Leaves: 1, Cells: 1, Past: Losing, Streams: true},
-	"late":        {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 1, Leaves: 1, Cells: 1, Past: Losing},
+	"two-passing": {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Leaves: 1, Cells: 1, Past: LostCalls, Streams: true},
+	"late":        {Servers: 2, Calls: []choice.Effect{choice.Safe}, Attempts: 2, Places: 1, Leaves: 1, Cells: 1, Past: LostCalls},
 }
--- a/internal/lab/explore/world.go
+++ b/internal/lab/explore/world.go
@@ -40,22 +40,22 @@
 
 // The values of Past. With any but NoPast the balancer evaluates health while calls are open.
 const (
-	NoPast Past = ""
-	Losing Past = "losing" // servers lost some calls: late attempts get a parallel attempt
-	Quick  Past = "quick"  // servers answered so quickly that late attempts are canceled
+	NoPast       Past = ""
+	LostCalls    Past = "losing" // servers lost some calls: late attempts get a parallel attempt
+	QuickServers Past = "quick"  // servers answered so quickly that late attempts are canceled
 
 	// Extreme states restored from an earlier agent.
-	Ill    Past = "ill"    // all servers fail, one is ejected and due for a trial, all calls were lost and took no time
-	Out    Past = "out"    // one server is ejected for good, the others have no capacity, all calls took forever
-	Absurd Past = "absurd" // invalid figures, unknown servers, other start times
+	AllFailing    Past = "ill"    // all servers fail, one is ejected and due for a trial, all calls were lost and took no time
+	NoCapacity    Past = "out"    // one server is ejected for good, the others have no capacity, all calls took forever
+	InvalidMemory Past = "absurd" // invalid figures, unknown servers, other start times
 )
 
 // pastMemories holds the state that the balancer restores for such pasts.
 var pastMemories = map[Past]choice.Memory{
-	Ill: newMemory(choice.ServerMemory{Failing: 1, Ejected: true, Rate: 1e30, Trust: 1}, choice.ClassMemory{Usual: 1, Least: 1, Trust: 1}, 1),
-	Out: newMemory(choice.ServerMemory{Failing: 1, Ejected: true, Trial: math.MaxInt64, Rate: 1e-30, Use: 1, Trust: 1},
+	AllFailing: newMemory(choice.ServerMemory{Failing: 1, Ejected: true, Rate: 1e30, Trust: 1}, choice.ClassMemory{Usual: 1, Least: 1, Trust: 1}, 1),
+	NoCapacity: newMemory(choice.ServerMemory{Failing: 1, Ejected: true, Trial: math.MaxInt64, Rate: 1e-30, Use: 1, Trust: 1},
 		choice.ClassMemory{Usual: math.MaxInt64, Least: math.MaxInt64, Trust: 1}, 0),
-	Absurd: newMemory(choice.ServerMemory{Started: 1, Failing: math.NaN(), Ejected: true, Trial: math.MinInt64, Rate: math.Inf(1), Use: -1,
+	InvalidMemory: newMemory(choice.ServerMemory{Started: 1, Failing: math.NaN(), Ejected: true, Trial: math.MinInt64, Rate: math.Inf(1), Use: -1,
 		Trust: math.NaN()}, choice.ClassMemory{Usual: math.MinInt64, Least: math.MaxInt64, Trust: math.Inf(-1)}, math.NaN()),
 }
 
@@ -72,12 +72,12 @@
 
 // Times in the world, and the size of a message.
 const (
-	start       = time.Minute
-	window      = 60 * time.Millisecond // deduplication window of keyed calls
-	deadline    = 100 * time.Millisecond
-	aim         = 1600 * time.Millisecond // the first health evaluation comes after all calls have ended
-	nearAim     = 400 * time.Millisecond  // health is evaluated every 50 ms
-	messageSize = 3                       // bytes
+	startTime    = time.Minute
+	dedupWindow  = 60 * time.Millisecond // deduplication window of keyed calls
+	callDeadline = 100 * time.Millisecond
+	aim          = 1600 * time.Millisecond // the first health evaluation comes after all calls have ended
+	shortAim     = 400 * time.Millisecond  // health is evaluated every 50 ms
+	messageSize  = 3                       // bytes
 )
 
 // drawSource is a random source that returns the least or the greatest value, as the step requires.
@@ -100,10 +100,10 @@
 	settings        choice.Settings
 	now             time.Duration
 	chance          *drawSource
-	tracker         *ledger.Ledger
+	tracker         *ledger.Tracker
 	balancer        *choice.Balancer
-	pool            *life.Book
-	dialHistory     *addresses.Book
+	pool            *life.PoolState
+	dialHistory     *addresses.History
 	muxConns        []*muxConn // in use or idle
 	timers          []timer
 	calls           []*call
@@ -130,7 +130,7 @@
 	effect       choice.Effect
 	arrived      bool
 	disconnected bool
-	answers      []ledger.Kind
+	answers      []ledger.AnswerKind
 	runs         []run
 	attemptCount int
 }
@@ -210,17 +210,17 @@
 
 // newWorld returns the initial state of the world.
 func newWorld(cfg *Config) *world {
-	w := &world{cfg: cfg, now: start, chance: &drawSource{}}
+	w := &world{cfg: cfg, now: startTime, chance: &drawSource{}}
 	w.settings = choice.Settings{Balancers: 1, Tick: time.Millisecond, MaxAttempts: cfg.Attempts, CanCancel: true,
-		ParallelCopies: cfg.Past == Losing}
+		ParallelAttempts: cfg.Past == LostCalls}
 	effects := []choice.Effect{choice.Safe, choice.Keyed, choice.Unsafe}
 	for _, e := range effects {
-		c := choice.Class{Name: fmt.Sprint(e), Effect: e, Aim: aim, Deadline: deadline, Worth: 1}
+		c := choice.Class{Name: fmt.Sprint(e), Effect: e, Aim: aim, Deadline: callDeadline, Value: 1}
 		if cfg.Past != NoPast {
-			c.Aim = nearAim
+			c.Aim = shortAim
 		}
 		if e == choice.Keyed {
-			c.Group, c.Window = choice.GroupCell, window
+			c.DedupScope, c.DedupWindow = choice.DedupCell, dedupWindow
 		}
 		w.settings.Classes = append(w.settings.Classes, c)
 	}
@@ -229,7 +229,7 @@
 		panic(err) // the settings are constants and valid
 	}
 	w.tracker = ledger.New(w.trackerSettings(), cancelObserver{w.balancer, w})
-	w.pool, w.dialHistory = life.NewBook(cfg.Places), addresses.NewBook(addresses.Defaults)
+	w.pool, w.dialHistory = life.NewPoolState(cfg.Places), addresses.NewHistory(addresses.Defaults)
 	var entries []ledger.Entry
 	for i := range cfg.Servers {
 		s := choice.Server{ID: fmt.Sprint("server ", i), Cell: i % max(1, cfg.Cells)}
@@ -238,16 +238,16 @@
 		entries = append(entries, w.listEntry(i))
 	}
 	if cfg.Past != NoPast {
-		w.now = start - time.Second // from then on health is evaluated every 50 ms
+		w.now = startTime - time.Second // from then on health is evaluated every 50 ms
 	}
 	w.execute(w.tracker.Start(w.now))
-	w.execute(w.tracker.List(w.now, true, entries))
+	w.execute(w.tracker.UpdateServers(w.now, true, entries))
 	w.runPast(cfg.Past)
 	if m, ok := pastMemories[cfg.Past]; ok {
-		w.fireUntil(start)
-		w.balancer.Recall(start, m)
+		w.fireUntil(startTime)
+		w.balancer.Recall(startTime, m)
 	}
-	w.now = start
+	w.now = startTime
 	for i, e := range cfg.Calls {
 		c := &call{effect: e}
 		c.tracked = &ledger.Call{Request: choice.Request{ID: fmt.Sprint("call ", i), Class: slices.Index(effects, e)}}
@@ -258,17 +258,17 @@
 
 // trackerSettings returns the settings of the call tracker.
 func (w *world) trackerSettings() ledger.Settings {
-	return ledger.Settings{MaxAttempts: w.cfg.Attempts, Carries: func(choice.Protocols) bool { return true },
-		Illegal: func(err error) { w.violate("%v", err) }}
+	return ledger.Settings{MaxAttempts: w.cfg.Attempts, HasTransport: func(choice.Protocols) bool { return true },
+		OnIllegalStep: func(err error) { w.violate("%v", err) }}
 }
 
 // runPast gives the balancer its past: calls that are served, and one that is lost by a server which answers others.
 func (w *world) runPast(past Past) {
 	var callTime time.Duration
 	switch past {
-	case Losing:
+	case LostCalls:
 		callTime = 10 * time.Millisecond
-	case Quick:
+	case QuickServers:
 		callTime = time.Millisecond
 	default:
 		return
@@ -276,34 +276,34 @@
 	var lost *ledger.Attempt
 	for n := 0; ; n++ {
 		at := w.now + time.Millisecond
-		last := at+deadline >= start // a call from here on would not end before the exploration begins
+		last := at+callDeadline >= startTime // a call from here on would not end before the exploration begins
 		w.fireUntil(at)
 		if w.now = at; last {
 			break
 		}
-		c := &ledger.Call{Request: choice.Request{ID: fmt.Sprint("before ", n), Class: n % len(w.settings.Classes), Deadline: at + deadline}}
-		for _, o := range w.setTimers(w.tracker.Arrived(at, c)) {
-			if o.Kind != ledger.Begin {
+		c := &ledger.Call{Request: choice.Request{ID: fmt.Sprint("before ", n), Class: n % len(w.settings.Classes), Deadline: at + callDeadline}}
+		for _, o := range w.setTimers(w.tracker.CallArrived(at, c)) {
+			if o.Kind != ledger.StartAttempt {
 				continue
 			}
-			if past == Losing && lost == nil && at+2*deadline >= start {
+			if past == LostCalls && lost == nil && at+2*callDeadline >= startTime {
 				lost = o.Attempt
 				continue
 			}
-			w.setTimers(w.tracker.Ended(at+callTime, o.Attempt, ledger.Ended(choice.OK)))
+			w.setTimers(w.tracker.AttemptEnded(at+callTime, o.Attempt, ledger.ResultOnly(choice.OK)))
 		}
 	}
 	if lost != nil {
-		w.setTimers(w.tracker.Ended(w.now, lost, ledger.Ended(choice.TimedOut)))
+		w.setTimers(w.tracker.AttemptEnded(w.now, lost, ledger.ResultOnly(choice.TimedOut)))
 	}
-	w.fireUntil(start) // timers of ended calls, and a health evaluation without findings
+	w.fireUntil(startTime) // timers of ended calls, and a health evaluation without findings
 }
 
 // fireUntil fires the timers that are due at the given time or before, while the past is played.
 func (w *world) fireUntil(at time.Duration) {
 	for i := w.nextTimer(at); i >= 0; i = w.nextTimer(at) {
 		t := w.removeTimer(i)
-		w.setTimers(w.tracker.Fired(t.at, t.token))
+		w.setTimers(w.tracker.TimerFired(t.at, t.token))
 	}
 }
 
@@ -315,7 +315,7 @@
 }
 
 // setTimers carries out the commands that set timers, and returns the others.
-func (w *world) setTimers(commands []ledger.Order) (others []ledger.Order) {
+func (w *world) setTimers(commands []ledger.Command) (others []ledger.Command) {
 	for _, o := range commands {
 		if o.Kind == ledger.SetTimer {
 			w.timers = append(w.timers, timer{o.At, o.Token})
@@ -328,14 +328,14 @@
 
 // copy returns a deep copy of the world.
 func (w *world) copy() *world {
-	copies := ledger.NewTwins()
+	copies := ledger.NewCopies()
 	c := &world{cfg: w.cfg, settings: w.settings, now: w.now, chance: &drawSource{}, timers: slices.Clone(w.timers),
 		servers: slices.Clone(w.servers), moves: slices.Clone(w.moves), offline: slices.Clone(w.offline),
 		offlineRestarts: slices.Clone(w.offlineRestarts), operatorChanges: w.operatorChanges,
 		attemptsStarted: w.attemptsStarted, listChanges: w.listChanges, disconnects: w.disconnects, fault: w.fault}
-	c.balancer = w.balancer.Copy(c.chance)
+	c.balancer = w.balancer.Clone(c.chance)
 	c.tracker = w.tracker.Copy(c.trackerSettings(), cancelObserver{c.balancer, c}, copies)
-	conns := life.Twins[life.Conn]{Fill: func(o, dst *life.Conn) {
+	conns := life.Copies[life.Conn]{Fill: func(o, dst *life.Conn) {
 		var host any
 		if data, ok := o.Host.(*connData); ok {
 			dup := *data
@@ -355,7 +355,7 @@
 	for i, t := range w.attempts {
 		dup := *t
 		dup.Attempt = copies.Attempts.Of(t.Attempt)
-		dup.Illegal = func(err error) { c.violate("%v", err) }
+		dup.OnIllegalStep = func(err error) { c.violate("%v", err) }
 		dup.conn, dup.race = conns.Of(t.conn), t.race.Copy(c.dialHistory)
 		c.attempts[i] = &dup
 	}
@@ -370,14 +370,14 @@
 }
 
 // execute carries out the tracker's commands, as the core does.
-func (w *world) execute(commands []ledger.Order) {
+func (w *world) execute(commands []ledger.Command) {
 	for _, o := range commands {
 		switch o.Kind {
 		case ledger.SetTimer:
 			w.timers = append(w.timers, timer{o.At, o.Token})
-		case ledger.Begin:
+		case ledger.StartAttempt:
 			w.startAttempt(o.Attempt)
-		case ledger.Withdraw:
+		case ledger.CancelAttempt:
 			for _, t := range w.attempts {
 				if t.Attempt == o.Attempt {
 					t.hostCanceled, t.paused = true, false
@@ -390,20 +390,20 @@
 					w.resumeReady(i)
 				}
 			}
-		case ledger.Discard:
+		case ledger.DiscardReply:
 			for _, t := range w.attempts {
 				if t.Attempt == o.Reply {
 					t.replyDropped = true
 				}
 			}
-		case ledger.Retire:
-			closed, _ := w.pool.Retire(o.Server)
+		case ledger.RetireServer:
+			closed, _ := w.pool.RetireServer(o.Server)
 			for _, c := range closed {
 				c.Host.(*connData).attempt = -1
 				w.removeMuxConn(c)
 			}
 			for _, t := range w.attempts {
-				if t.Server == o.Server && t.Life.Stage() == life.Ready {
+				if t.Server == o.Server && t.State.Stage() == life.Ready {
 					t.paused = false
 				}
 			}
@@ -466,12 +466,12 @@
 		}
 	}
 	if slices.Contains(w.cfg.Calls, choice.Keyed) {
-		add(start + window/2)
-		add(start + window)
+		add(startTime + dedupWindow/2)
+		add(startTime + dedupWindow)
 	}
 	if w.cfg.Past != NoPast {
-		add(start + nearAim/8)
+		add(startTime + shortAim/8)
 	}
-	add(start + deadline)
+	add(startTime + callDeadline)
 	return next
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -35,7 +35,7 @@
 	*Scenario
 	number     int
 	record     *Record
-	book       *standin.Book
+	book       *standin.VersionedList
 	list       *List
 	relay      *relay // nil if agents do not exchange lists
 	groups     map[string][]int
@@ -80,7 +80,7 @@
 // Run runs a scenario to its end or until ctx is canceled. It leaves no processes behind.
 // It returns an error if the run could not be completed; violated expectations are in the Report.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
-	f := &fleet{Scenario: s, number: int(runCount.Add(1)) % 900, record: NewRecord(), book: standin.NewBook(), groups: map[string][]int{}, rng: rand.New(rand.NewPCG(s.Seed, 0)), progress: o.Progress}
+	f := &fleet{Scenario: s, number: int(runCount.Add(1)) % 900, record: NewRecord(), book: standin.NewVersionedList(), groups: map[string][]int{}, rng: rand.New(rand.NewPCG(s.Seed, 0)), progress: o.Progress}
 	if f.progress == nil {
 		f.progress = func(string) {}
 	}
@@ -105,12 +105,12 @@
 	}
 	report.Events, _ = f.record.Since(0)
 	for _, s := range f.servers {
-		report.Doubles += s.pod.Doubles() // each server deduplicates on its own
+		report.Doubles += s.pod.DuplicateEffects() // each server deduplicates on its own
 		report.Push = max(report.Push, s.maxOverload())
 		for _, other := range f.servers[:s.number] {
-			for _, id := range standin.Shared(s.pod, other.pod) {
+			for _, id := range standin.CommonEffects(s.pod, other.pod) {
 				agent, call := parseCallID(id)
-				report.Twice = append(report.Twice, Twice{Agent: agent, Call: call, Servers: [2]string{other.id, s.id}})
+				report.Twice = append(report.Twice, DuplicateEffect{Agent: agent, Call: call, Servers: [2]string{other.id, s.id}})
 			}
 		}
 	}
@@ -122,20 +122,20 @@
 // build starts the servers, the list service and the relay, and prepares the agents without starting them.
 func (f *fleet) build(o Options) error {
 	for i := range f.Servers {
-		s := &server{id: fmt.Sprint("forms-", i), number: i, cell: i, opts: f.Server, pod: standin.NewPod(), record: f.record, now: f.record.Now}
+		s := &server{id: fmt.Sprint("forms-", i), number: i, cell: i, opts: f.Server, pod: standin.NewDedupGroup(), record: f.record, now: f.record.Now}
 		f.servers = append(f.servers, s)
 		if err := s.start(f.Cold); err != nil {
 			return err
 		}
-		f.book.Tell(s.entry())
+		f.book.Update(s.entry())
 	}
-	f.book.Forget()
+	f.book.DropHistory()
 	var err error
 	callWork, mustAsk := f.All/time.Duration(f.Agents), f.MustAsk
 	if f.Pushed {
 		callWork, mustAsk = 0, 0
 	}
-	if f.list, err = NewList(ListOptions{Agents: f.Agents, Each: callWork, Patience: f.Patience, Book: f.book}, f.record); err != nil {
+	if f.list, err = NewList(ListOptions{Agents: f.Agents, CallWork: callWork, MaxWait: f.Patience, Book: f.book}, f.record); err != nil {
 		return err
 	}
 	var peers []string
@@ -148,9 +148,9 @@
 	known := f.initialList()
 	for i := range f.Agents {
 		me, number := placements[f.Places](i, f.Agents)
-		p := standin.Platform{Name: fmt.Sprint("n", i), Listen: f.listenAddr(i), Discovery: f.list.Addr(i), Known: known, Seed: f.Seed<<20 + uint64(i) + 1,
-			Balancers: number, Me: me, MustAsk: mustAsk, Deadline: f.Kiosks.Left, ColdFrom: f.Server.ColdFrom, ColdFor: f.Server.ColdFor,
-			ConnectTimeout: 250 * time.Millisecond, Cancel: true, Peers: peers}
+		p := standin.Platform{Name: fmt.Sprint("n", i), Listen: f.listenAddr(i), Discovery: f.list.Addr(i), InitialList: known, Seed: f.Seed<<20 + uint64(i) + 1,
+			Balancers: number, Index: me, MaxPollInterval: mustAsk, Deadline: f.Kiosks.Left, SlowStartMinShare: f.Server.ColdFrom, SlowStartWindow: f.Server.ColdFor,
+			ConnectTimeout: 250 * time.Millisecond, CanCancel: true, Peers: peers}
 		if f.Talk {
 			p.PeerListen = f.peerAddr(i)
 		}
@@ -170,7 +170,7 @@
 		time.Sleep(every)
 		now := f.record.Now()
 		if stalled := now - last - every; stalled > every {
-			f.record.Put(Event{Kind: Stall, Agent: -1, Took: stalled})
+			f.record.AddEvent(Event{Kind: MachineStalled, Agent: -1, Took: stalled})
 		}
 		last = now
 	}
@@ -240,7 +240,7 @@
 		sentBefore, bytesBefore = f.relay.sent()
 	}
 	if number == 0 {
-		f.record.Add(Mended, -1, "cold start")
+		f.record.Add(FaultEnded, -1, "cold start")
 		if err := forEach(f.agents, (*process).start); err != nil {
 			return StepReport{}, err
 		}
@@ -253,8 +253,8 @@
 	var plan []action
 	for _, a := range step.Faults {
 		inject, end := f.prepareFault(a)
-		plan = append(plan, action{a.At, func() error { f.record.Add(Fault, -1, a.Kind); return inject() }},
-			action{a.At + a.For, func() error { f.record.Add(Mended, -1, a.Kind); return end() }})
+		plan = append(plan, action{a.At, func() error { f.record.Add(FaultStarted, -1, a.Kind); return inject() }},
+			action{a.At + a.For, func() error { f.record.Add(FaultEnded, -1, a.Kind); return end() }})
 	}
 	slices.SortStableFunc(plan, func(a, b action) int { return cmp.Compare(a.at, b.at) })
 	for _, m := range plan {
@@ -301,7 +301,7 @@
 		return f.prepareServerFault(a)
 	}
 	targets := f.faultTargets(a)
-	if a.Kind == Away && a.How == Full {
+	if a.Kind == ListFault && a.How == Full {
 		targets = f.agents
 	}
 	switch a.Kind {
@@ -315,19 +315,19 @@
 	for _, a := range targets {
 		numbers = append(numbers, a.number)
 	}
-	if a.Kind == Cut {
+	if a.Kind == Partition {
 		f.partitions++
 		side := f.partitions
 		return func() error { f.relay.partition(numbers, side); return nil }, func() error { f.relay.partition(numbers, 0); return nil }
 	}
-	if a.How == Hushes {
-		return func() error { f.list.Hush(numbers...); return nil }, func() error { return nil }
+	if a.How == SilencesWatches {
+		return func() error { f.list.SilenceWatches(numbers...); return nil }, func() error { return nil }
 	}
 	return func() error {
-		f.list.Bounds(a.Late, int(a.Share*float64(f.Agents)+0.5))
-		f.list.Be(a.How, numbers...)
+		f.list.SetLimits(a.Late, int(a.Share*float64(f.Agents)+0.5))
+		f.list.SetMode(a.How, numbers...)
 		return nil
-	}, func() error { f.list.Be(Up, numbers...); return nil }
+	}, func() error { f.list.SetMode(Up, numbers...); return nil }
 }
 
 // faultTargets draws the agents that a fault affects. Faults of one group affect the same agents, or all others.
@@ -359,20 +359,20 @@
 		if err := s.start(true); err != nil {
 			return err
 		}
-		f.record.Add(Serves, -1, s.id)
-		f.book.Tell(s.entry())
+		f.record.Add(ServerInService, -1, s.id)
+		f.book.Update(s.entry())
 		return nil
 	}
 	switch a.Kind {
-	case Mute:
+	case SilenceServers:
 		return forTargets(func(s *server) error { s.setSilent(true); return nil }), forTargets(func(s *server) error { s.setSilent(false); return nil })
-	case Crash:
+	case CrashServers:
 		return forTargets(func(s *server) error { s.stop(); return nil }), forTargets(restart)
 	}
 	return forTargets(func(s *server) error {
 		s.startDraining()
-		f.record.Add(Drains, -1, s.id)
-		f.book.Tell(s.entry())
+		f.record.Add(ServerDraining, -1, s.id)
+		f.book.Update(s.entry())
 		return nil
 	}), forTargets(restart)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -118,9 +118,9 @@
 	started, died := 0, 0
 	for _, e := range r.Events {
 		switch e.Kind {
-		case Started:
+		case ProcessStarted:
 			started++
-		case Died:
+		case ProcessExited:
 			died++
 		}
 	}
@@ -325,8 +325,8 @@
 func TestListService(t *testing.T) {
 	const agents = 8
 	record := NewRecord()
-	l, err := NewList(ListOptions{Agents: agents, Each: 100 * time.Millisecond, Patience: 250 * time.Millisecond,
-		Book: standin.NewBook()}, record)
+	l, err := NewList(ListOptions{Agents: agents, CallWork: 100 * time.Millisecond, MaxWait: 250 * time.Millisecond,
+		Book: standin.NewVersionedList()}, record)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -359,11 +359,11 @@
 		t.Errorf("all work ends after %v, without that of calls given up", workEnd)
 	}
 	allAgents := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	l.Be(Refuses, allAgents...)
+	l.SetMode(Refuses, allAgents...)
 	if resp, err := client.Get("http://" + l.Addr(0) + "/v1/endpoints"); err != nil || resp.StatusCode != 503 {
 		t.Errorf("mode Refuses: no status 503, error %v", err)
 	}
-	l.Be(Resets, allAgents...)
+	l.SetMode(Resets, allAgents...)
 	if _, err := client.Get("http://" + l.Addr(0) + "/v1/endpoints"); err == nil {
 		t.Error("mode Resets: no error")
 	}
@@ -376,25 +376,25 @@
 		text, err := bufio.NewReader(resp.Body).ReadString('\n')
 		return resp.StatusCode, text, err
 	}
-	l.Be(Breaks, allAgents...)
+	l.SetMode(Breaks, allAgents...)
 	if status, text, err := get(0); status != 200 || err == nil || !strings.Contains(text, "forms-0") {
 		t.Errorf("mode Breaks: status %d, line %q, error %v", status, text, err)
 	}
-	l.Bounds(l.opts.Patience+time.Millisecond, 0)
-	l.Be(Late, allAgents...)
+	l.SetLimits(l.opts.MaxWait+time.Millisecond, 0)
+	l.SetMode(Late, allAgents...)
 	if status, _, _ := get(0); status != 503 {
 		t.Errorf("mode Late, beyond the maximum wait: status %d", status)
 	}
-	l.Be(Full, allAgents...)
+	l.SetMode(Full, allAgents...)
 	if status, _, _ := get(0); status != 503 {
 		t.Errorf("mode Full, without room: status %d", status)
 	}
-	l.opts.Book.Tell(discovery.Entry{ID: "new", State: "in_service"})
-	l.Be(Old, allAgents...)
+	l.opts.Book.Update(discovery.Entry{ID: "new", State: "in_service"})
+	l.SetMode(Old, allAgents...)
 	if status, text, _ := get(0); status != 200 || strings.Contains(text, "new") {
 		t.Errorf("mode Old: status %d, line %q", status, text)
 	}
-	l.Be(Up, allAgents...)
+	l.SetMode(Up, allAgents...)
 	if status, text, _ := get(0); status != 200 || !strings.Contains(text, "new") {
 		t.Errorf("mode Up: status %d, line %q", status, text)
 	}
@@ -407,10 +407,10 @@
 // The figures of a step are computed correctly from records made by hand.
 func TestStepReport(t *testing.T) {
 	s := time.Second
-	events := []Event{{At: 0, Kind: Mended, Agent: -1}, {At: s, Kind: Called, Agent: 0, Said: Answered}, {At: s, Kind: Began, Agent: 0},
-		{At: 2 * s, Kind: Called, Agent: 1, Said: GivenUp}, {At: 3 * s, Kind: Called, Agent: 1, Said: Answered}, {At: 4 * s, Kind: Began, Agent: 1},
-		{At: 5 * s, Kind: Ended, Agent: 0}, {At: 5 * s, Kind: Called, Agent: 0, Said: Down}, {At: 6 * s, Kind: Mended, Agent: -1},
-		{At: 8 * s, Kind: Called, Agent: 0, Said: Answered}, {At: 8 * s, Kind: Began, Agent: 0}, {At: 9 * s, Kind: Began, Agent: 0}, {At: 9 * s, Kind: Ended, Agent: 0}}
+	events := []Event{{At: 0, Kind: FaultEnded, Agent: -1}, {At: s, Kind: ListCalled, Agent: 0, Said: Answered}, {At: s, Kind: WatchStarted, Agent: 0},
+		{At: 2 * s, Kind: ListCalled, Agent: 1, Said: GivenUp}, {At: 3 * s, Kind: ListCalled, Agent: 1, Said: Answered}, {At: 4 * s, Kind: WatchStarted, Agent: 1},
+		{At: 5 * s, Kind: WatchEnded, Agent: 0}, {At: 5 * s, Kind: ListCalled, Agent: 0, Said: Down}, {At: 6 * s, Kind: FaultEnded, Agent: -1},
+		{At: 8 * s, Kind: ListCalled, Agent: 0, Said: Answered}, {At: 8 * s, Kind: WatchStarted, Agent: 0}, {At: 9 * s, Kind: WatchStarted, Agent: 0}, {At: 9 * s, Kind: WatchEnded, Agent: 0}}
 	first := newStepReport(Step{}, 2, 2, 0, events[:6])
 	if first.All != 4*s || first.Calls != 3 || first.GivenUp != 1 || first.Most != 2 || first.Holding != 2 {
 		t.Errorf("%+v", first)
@@ -419,7 +419,7 @@
 	if second.All != 2*s || second.Calls != 1 || second.Down != 1 || second.Holding != 2 || second.Mended != 6*s {
 		t.Errorf("%+v", second)
 	}
-	r := &Report{Scenario: &Scenario{Agents: 2}, Steps: []StepReport{first, second}, Events: []Event{{Kind: Died, Said: "on its own: x"}}}
+	r := &Report{Scenario: &Scenario{Agents: 2}, Steps: []StepReport{first, second}, Events: []Event{{Kind: ProcessExited, Said: "on its own: x"}}}
 	r.Steps[0].Step.Within, r.Steps[0].Step.Calls = 3*s, 1
 	r.Steps[1].Holding = 1
 	r.check()
@@ -430,15 +430,15 @@
 
 // Calls to silent servers are counted by second.
 func TestSilentCount(t *testing.T) {
-	received := func(at time.Duration, id string) Event { return Event{At: at, Kind: Got, Said: id} }
-	events := []Event{received(sec, "a"), {At: 2 * sec, Kind: Mutes, Agent: -1, Said: "a"}, received(2*sec+ms, "a"), received(3*sec, "b"), received(4*sec+ms, "a"), received(4*sec+2*ms, "a"),
-		{At: 5 * sec, Kind: Speaks, Agent: -1, Said: "a"}, received(6*sec, "a")}
+	received := func(at time.Duration, id string) Event { return Event{At: at, Kind: CallReceived, Said: id} }
+	events := []Event{received(sec, "a"), {At: 2 * sec, Kind: ServerSilenced, Agent: -1, Said: "a"}, received(2*sec+ms, "a"), received(3*sec, "b"), received(4*sec+ms, "a"), received(4*sec+2*ms, "a"),
+		{At: 5 * sec, Kind: ServerAnswersAgain, Agent: -1, Said: "a"}, received(6*sec, "a")}
 	r := newStepReport(Step{}, 1, 4, 0, events)
-	if !slices.Equal(r.Silent, []int{1, 0, 2}) || !slices.Equal(r.Back, []int{0, 1}) || r.Muted != 1 || r.Tried() != 0 {
+	if !slices.Equal(r.Silent, []int{1, 0, 2}) || !slices.Equal(r.Back, []int{0, 1}) || r.Muted != 1 || r.SteadyRate() != 0 {
 		t.Errorf("%+v", r)
 	}
-	if r.Silent = []int{90, 40, 30, 20, 10, 6, 2}; r.Tried() != 4 {
-		t.Errorf("%v calls per second at each server after the first 5 s, want 4", r.Tried())
+	if r.Silent = []int{90, 40, 30, 20, 10, 6, 2}; r.SteadyRate() != 4 {
+		t.Errorf("%v calls per second at each server after the first 5 s, want 4", r.SteadyRate())
 	}
 }
 
@@ -448,7 +448,7 @@
 	var events []Event
 	for id, n := range map[string]int{"a": 150, "b": 100, "c": 50} {
 		for range n {
-			events = append(events, Event{At: sec, Kind: Got, Said: id})
+			events = append(events, Event{At: sec, Kind: CallReceived, Said: id})
 		}
 	}
 	r := newStepReport(Step{Name: "it", Even: 4}, 1, 4, 0, events) // a fourth server received no calls
@@ -489,7 +489,7 @@
 		t.Fatal(err)
 	}
 	events, _ := record.Since(0)
-	if last := events[len(events)-1]; last.Kind != Died || last.Said != "" {
+	if last := events[len(events)-1]; last.Kind != ProcessExited || last.Said != "" {
 		t.Errorf("%+v", last)
 	}
 }
--- a/internal/lab/fleet/html.go
+++ b/internal/lab/fleet/html.go
@@ -24,17 +24,17 @@
 }
 
 // curveInterval is the distance between the points of a curve.
-const curvesStep = 250 * time.Millisecond
+const curveInterval = 250 * time.Millisecond
 
 // rateCurve returns the rate per second of the events that match.
 func rateCurve(name string, events []Event, end time.Duration, matches func(Event) bool) curve {
-	c := curve{name: name, points: make(plotter.XYs, int(end/curvesStep)+1)}
+	c := curve{name: name, points: make(plotter.XYs, int(end/curveInterval)+1)}
 	for i := range c.points {
-		c.points[i].X = (time.Duration(i) * curvesStep).Seconds()
+		c.points[i].X = (time.Duration(i) * curveInterval).Seconds()
 	}
 	for _, e := range events {
-		if at := int(e.At / curvesStep); matches(e) && at < len(c.points) {
-			c.points[at].Y += 1 / curvesStep.Seconds()
+		if at := int(e.At / curveInterval); matches(e) && at < len(c.points) {
+			c.points[at].Y += 1 / curveInterval.Seconds()
 		}
 	}
 	return c
@@ -45,11 +45,11 @@
 	c := curve{name: "hold a watch"}
 	open, holding := map[int]int{}, 0
 	for _, e := range events {
-		if e.Kind != Began && e.Kind != Ended {
+		if e.Kind != WatchStarted && e.Kind != WatchEnded {
 			continue
 		}
 		c.points = append(c.points, plotter.XY{X: e.At.Seconds(), Y: float64(holding)})
-		if e.Kind == Began {
+		if e.Kind == WatchStarted {
 			if open[e.Agent]++; open[e.Agent] == 1 {
 				holding++
 			}
@@ -122,12 +122,12 @@
 	open, from := 0, time.Duration(0)
 	for _, e := range events {
 		switch {
-		case e.Kind == Fault:
+		case e.Kind == FaultStarted:
 			if open == 0 {
 				from = e.At
 			}
 			open++
-		case e.Kind == Mended && open > 0:
+		case e.Kind == FaultEnded && open > 0:
 			if open--; open == 0 {
 				all = append(all, span{from, e.At})
 			}
@@ -165,10 +165,10 @@
 		end = max(end, r.Events[n-1].At)
 	}
 	called := func(how string) curve {
-		return rateCurve(how, r.Events, end, func(e Event) bool { return e.Kind == Called && e.Said == how })
+		return rateCurve(how, r.Events, end, func(e Event) bool { return e.Kind == ListCalled && e.Said == how })
 	}
 	answered := func(how string) curve {
-		return rateCurve(how, r.Events, end, func(e Event) bool { return e.Kind == Answer && e.Said == how })
+		return rateCurve(how, r.Events, end, func(e Event) bool { return e.Kind == KioskAnswered && e.Said == how })
 	}
 	plots := []struct {
 		title, unit string
@@ -182,7 +182,7 @@
 			title, unit string
 			curves      []curve
 		}{"Answers to kiosks", "per second", []curve{answered(standin.Served.String()), answered(standin.Refused.String()), answered(standin.Failed.String()),
-			answered(standin.Lost.String()), answered(Unreached)}})
+			answered(standin.Lost.String()), answered(Unreachable)}})
 	}
 	data := struct {
 		R     *Report
--- a/internal/lab/fleet/kiosk.go
+++ b/internal/lab/fleet/kiosk.go
@@ -42,10 +42,10 @@
 		case <-ctx.Done():
 			return nil
 		}
-		ask := standin.Ask{Method: standin.Check, ID: callID(agent, call), Tenant: standin.Tenants[rng.IntN(len(standin.Tenants))], Key: "k", Left: opts.Left}
+		ask := standin.Request{Method: standin.Check, ID: callID(agent, call), Tenant: standin.Tenants[rng.IntN(len(standin.Tenants))], Key: "k", TimeLeft: opts.Left}
 		switch x := rng.Float64(); {
 		case x < opts.Keyed:
-			ask.Method, ask.Idempotency = standin.Record, ask.ID
+			ask.Method, ask.IdempotencyKey = standin.Record, ask.ID
 		case x < opts.Keyed+opts.Unsafe:
 			ask.Method = standin.Pay
 		}
@@ -56,12 +56,12 @@
 		}
 		open.Go(func() {
 			defer func() { <-slots }()
-			answer := k.Ask(ask)
+			answer := k.Do(ask)
 			kind := answer.Kind.String()
 			if errors.Is(answer.Err, syscall.ECONNREFUSED) {
-				kind = Unreached
+				kind = Unreachable
 			}
-			record.Put(Event{Kind: Answer, Agent: agent, Call: call, Said: kind, Took: answer.Took})
+			record.AddEvent(Event{Kind: KioskAnswered, Agent: agent, Call: call, Said: kind, Took: answer.Took})
 		})
 	}
 }
--- a/internal/lab/fleet/list.go
+++ b/internal/lab/fleet/list.go
@@ -16,9 +16,9 @@
 // ListOptions configures a List.
 type ListOptions struct {
 	Agents   int
-	Each     time.Duration // time of work for a call
-	Patience time.Duration // a call that has waited this long is answered 503; its work is done all the same
-	Book     *standin.Book // the list
+	CallWork time.Duration          // time of work for a call
+	MaxWait  time.Duration          // a call that has waited this long is answered 503; its work is done all the same
+	Book     *standin.VersionedList // the list
 }
 
 // Mode is how a List behaves towards an agent at the moment.
@@ -26,15 +26,15 @@
 
 // The modes of a List. In those up to Full it accepts calls.
 const (
-	Up      Mode = iota
-	Late         // answers every call after a fixed time, regardless of the queue
-	Breaks       // closes the connection in the middle of the list
-	Old          // serves the list as it was at the start, without changes
-	Full         // accepts only a limited number of watches
-	Refuses      // answers 503 at once; watches end
-	Resets       // resets connections; watches end
-	Silent       // accepts connections, but sends nothing, on watches neither
-	Hushes       // used only in scenarios, for SilenceWatches: open watches become silent for good, and new calls are not affected
+	Up              Mode = iota
+	Late                 // answers every call after a fixed time, regardless of the queue
+	Breaks               // closes the connection in the middle of the list
+	Old                  // serves the list as it was at the start, without changes
+	Full                 // accepts only a limited number of watches
+	Refuses              // answers 503 at once; watches end
+	Resets               // resets connections; watches end
+	Silent               // accepts connections, but sends nothing, on watches neither
+	SilencesWatches      // used only in scenarios, for SilenceWatches: open watches become silent for good, and new calls are not affected
 )
 
 // acceptsCalls reports whether calls are queued and answered.
@@ -44,10 +44,10 @@
 func (m Mode) servesCurrentList() bool { return m == Up || m == Late }
 
 // modesByName has the modes by their names in scenarios.
-var modesByName = map[string]Mode{"late": Late, "breaks": Breaks, "old": Old, "full": Full, "refuses": Refuses, "resets": Resets, "silent": Silent, "hushes": Hushes}
+var modesByName = map[string]Mode{"late": Late, "breaks": Breaks, "old": Old, "full": Full, "refuses": Refuses, "resets": Resets, "silent": Silent, "hushes": SilencesWatches}
 
 // heartbeatInterval is the interval of empty lines on a watch without changes.
-const heartbeat = 2 * time.Second
+const heartbeatInterval = 2 * time.Second
 
 // List is a model of a list service that works through calls one after the other. Each agent has its own address at the service,
 // which identifies the agent. Its methods are safe for concurrent use.
@@ -108,14 +108,14 @@
 }
 
 // SetLimits sets the time to an answer in mode Late and the number of watches in mode Full.
-func (l *List) Bounds(answerDelay time.Duration, maxWatches int) {
+func (l *List) SetLimits(answerDelay time.Duration, maxWatches int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answerDelay, l.maxWatches = answerDelay, maxWatches
 }
 
 // SilenceWatches makes the open watches of some agents silent for good.
-func (l *List) Hush(agents ...int) {
+func (l *List) SilenceWatches(agents ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range agents {
@@ -132,7 +132,7 @@
 
 // SetMode sets the mode for some agents. If they are all agents, the queued work is dropped:
 // work that was accepted before an outage is lost when the service is back.
-func (l *List) Be(m Mode, agents ...int) {
+func (l *List) SetMode(m Mode, agents ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(agents) == len(l.modes) {
@@ -142,9 +142,9 @@
 	for _, a := range agents {
 		switch before := l.modes[a]; {
 		case before.servesCurrentList() && !m.servesCurrentList():
-			l.record.Add(LostList, a, "")
+			l.record.Add(ListUnreachable, a, "")
 		case !before.servesCurrentList() && m.servesCurrentList():
-			l.record.Add(HasList, a, "")
+			l.record.Add(ListReachable, a, "")
 		}
 		l.modes[a], affected[a] = m, true
 	}
@@ -191,14 +191,14 @@
 	case m == Full && l.watches >= l.maxWatches:
 		return Refuses, l.changed, 0, false
 	case m == Late:
-		return m, l.changed, min(l.answerDelay, l.opts.Patience), l.answerDelay <= l.opts.Patience
+		return m, l.changed, min(l.answerDelay, l.opts.MaxWait), l.answerDelay <= l.opts.MaxWait
 	}
 	if l.idleAt.Before(now) {
 		l.idleAt = now
 	}
-	l.idleAt = l.idleAt.Add(l.opts.Each)
-	if wait = l.idleAt.Sub(now); wait > l.opts.Patience {
-		return m, l.changed, l.opts.Patience, false
+	l.idleAt = l.idleAt.Add(l.opts.CallWork)
+	if wait = l.idleAt.Sub(now); wait > l.opts.MaxWait {
+		return m, l.changed, l.opts.MaxWait, false
 	}
 	return m, l.changed, wait, true
 }
@@ -209,7 +209,7 @@
 	how := Answered
 	switch {
 	case mode == Silent:
-		l.record.Add(Called, agent, Hung)
+		l.record.Add(ListCalled, agent, Hung)
 		<-r.Context().Done()
 		return
 	case !mode.acceptsCalls():
@@ -217,7 +217,7 @@
 	case !served:
 		how = GivenUp
 	}
-	l.record.Add(Called, agent, how)
+	l.record.Add(ListCalled, agent, how)
 	for waited := time.After(wait); waited != nil; {
 		select {
 		case <-waited:
@@ -260,7 +260,7 @@
 				l.watches += 2
 			}
 			l.mu.Unlock()
-			l.record.Add(map[bool]string{true: Began, false: Ended}[count], agent, "")
+			l.record.Add(map[bool]string{true: WatchStarted, false: WatchEnded}[count], agent, "")
 		}
 	}
 	defer setCounted(false)
@@ -268,10 +268,10 @@
 	if old {
 		lines.Encode(l.initial)
 	}
-	ticker := time.NewTicker(heartbeat)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false { // the first line of a watch is sent at once, even without a change
-		change, changed := l.opts.Book.Since(version)
+		change, changed := l.opts.Book.ChangesSince(version)
 		setCounted(mode.acceptsCalls() && mode != Old)
 		if mode == Silent || mode == Old { // the connection stays open
 			changed = nil
@@ -287,7 +287,7 @@
 			}
 			for id, state := range last {
 				if state != "in_service" {
-					l.record.Add(Told, agent, id)
+					l.record.Add(DrainNotified, agent, id)
 				}
 			}
 		} else if flush() != nil {
@@ -299,7 +299,7 @@
 			before := silences
 			if mode, modeChanged, silences = l.agentState(agent); silences != before && counted {
 				setCounted(false)
-				l.record.Add(Hushed, agent, "")
+				l.record.Add(WatchSilenced, agent, "")
 				<-r.Context().Done()
 				return
 			}
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -62,7 +62,7 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	a.record.Add(Started, a.number, "")
+	a.record.Add(ProcessStarted, a.number, "")
 	ended := make(chan struct{})
 	a.cmd, a.exited, a.killed = cmd, ended, false
 	go func() {
@@ -74,7 +74,7 @@
 			detail = fmt.Sprintf("on its own: %v", err)
 		}
 		a.cmd = nil
-		a.record.Add(Died, a.number, detail)
+		a.record.Add(ProcessExited, a.number, detail)
 		close(ended)
 	}()
 	return nil
@@ -92,9 +92,9 @@
 	}
 	switch s {
 	case syscall.SIGSTOP:
-		a.record.Add(Stopped, a.number, "")
+		a.record.Add(ProcessStopped, a.number, "")
 	case syscall.SIGCONT:
-		a.record.Add(Resumed, a.number, "")
+		a.record.Add(ProcessResumed, a.number, "")
 	}
 	if err := a.cmd.Process.Signal(s); !errors.Is(err, os.ErrProcessDone) {
 		return err
--- a/internal/lab/fleet/record.go
+++ b/internal/lab/fleet/record.go
@@ -7,27 +7,27 @@
 
 // The kinds of events in a record. Event.Said has further data where that is noted here.
 const (
-	Called   = "called"     // an agent called the list service; Said is how the call ended
-	Began    = "began"      // a watch of an agent delivered its first line
-	Ended    = "ended"      // that watch ended
-	Hushed   = "hushed"     // that watch was silenced; it counts as ended
-	LostList = "list lost"  // an agent can no longer get the current list from the list service
-	HasList  = "list there" // it can again
-	Fault    = "fault"      // a fault was injected; Said is its kind
-	Mended   = "mended"     // that fault ended
-	Started  = "started"    // an agent's process started
-	Died     = "died"       // an agent's process exited; Said is empty if the fleet killed it, else the cause
-	Stopped  = "stopped"    // an agent's process was stopped (SIGSTOP)
-	Resumed  = "resumed"    // it was continued (SIGCONT)
-	Told     = "told"       // the list service sent an agent the information that the server in Said drains or was removed
-	Drains   = "drains"     // in the list, the server in Said is now draining or removed
-	Serves   = "serves"     // in the list, the server in Said is now in service
-	Mutes    = "mutes"      // the server in Said stopped answering
-	Speaks   = "speaks"     // it answers again
-	Got      = "got"        // the server in Said received an agent's call
-	Fell     = "fell"       // the server in Said crashed of overload while it was cold
-	Answer   = "answer"     // an agent's kiosk received an answer after Took; Said is the kind of answer
-	Stall    = "stall"      // the machine itself stalled for Took
+	ListCalled         = "called"     // an agent called the list service; Said is how the call ended
+	WatchStarted       = "began"      // a watch of an agent delivered its first line
+	WatchEnded         = "ended"      // that watch ended
+	WatchSilenced      = "hushed"     // that watch was silenced; it counts as ended
+	ListUnreachable    = "list lost"  // an agent can no longer get the current list from the list service
+	ListReachable      = "list there" // it can again
+	FaultStarted       = "fault"      // a fault was injected; Said is its kind
+	FaultEnded         = "mended"     // that fault ended
+	ProcessStarted     = "started"    // an agent's process started
+	ProcessExited      = "died"       // an agent's process exited; Said is empty if the fleet killed it, else the cause
+	ProcessStopped     = "stopped"    // an agent's process was stopped (SIGSTOP)
+	ProcessResumed     = "resumed"    // it was continued (SIGCONT)
+	DrainNotified      = "told"       // the list service sent an agent the information that the server in Said drains or was removed
+	ServerDraining     = "drains"     // in the list, the server in Said is now draining or removed
+	ServerInService    = "serves"     // in the list, the server in Said is now in service
+	ServerSilenced     = "mutes"      // the server in Said stopped answering
+	ServerAnswersAgain = "speaks"     // it answers again
+	CallReceived       = "got"        // the server in Said received an agent's call
+	ServerOverloaded   = "fell"       // the server in Said crashed of overload while it was cold
+	KioskAnswered      = "answer"     // an agent's kiosk received an answer after Took; Said is the kind of answer
+	MachineStalled     = "stall"      // the machine itself stalled for Took
 )
 
 // How a call to the list service ended.
@@ -39,7 +39,7 @@
 )
 
 // Unreachable is the kind of answer to a call to an agent that does not listen. The other kinds are defined in package standin.
-const Unreached = "unreached"
+const Unreachable = "unreached"
 
 // Event is one observation by the servers, clients, the list service or the fleet itself.
 type Event struct {
@@ -69,11 +69,11 @@
 
 // Add appends an event with the current time.
 func (r *Record) Add(kind string, agent int, said string) {
-	r.Put(Event{Kind: kind, Agent: agent, Said: said})
+	r.AddEvent(Event{Kind: kind, Agent: agent, Said: said})
 }
 
 // AddEvent appends an event and sets its time to the current time.
-func (r *Record) Put(e Event) {
+func (r *Record) AddEvent(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.At = r.Now()
--- a/internal/lab/fleet/relay.go
+++ b/internal/lab/fleet/relay.go
@@ -18,7 +18,7 @@
 }
 
 // maxReplayDelay limits the time after which a datagram is delivered again (LinkOptions.Late).
-const late = 10 * time.Second
+const maxReplayDelay = 10 * time.Second
 
 // relay forwards datagrams between agents. Each agent has an address at the relay: its peers send to this address, and receive its
 // datagrams from it.
@@ -122,7 +122,7 @@
 		delays = append(delays, delay())
 	}
 	if r.rng.Float64() < r.opts.Late {
-		delays = append(delays, time.Duration(r.rng.Float64()*float64(late)))
+		delays = append(delays, time.Duration(r.rng.Float64()*float64(maxReplayDelay)))
 	}
 	return delays
 }
--- a/internal/lab/fleet/relay_test.go
+++ b/internal/lab/fleet/relay_test.go
@@ -33,7 +33,7 @@
 	}
 	read := func() (string, string) {
 		buffer := make([]byte, 100)
-		socks[1].SetReadDeadline(time.Now().Add(testkit.Patience))
+		socks[1].SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
 		n, from, err := socks[1].ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			t.Fatal(err)
@@ -72,7 +72,7 @@
 			prompt := 0
 			for _, d := range delays {
 				switch {
-				case d > late:
+				case d > maxReplayDelay:
 					t.Fatalf("delay of %v", d)
 				case d > 200*time.Millisecond:
 					replayed++
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -16,29 +16,29 @@
 type Report struct {
 	Scenario *Scenario
 	Steps    []StepReport
-	Faults   []string      // violated expectations; empty if the run is good
-	Behind   time.Duration // longest time for which an agent kept sending to a server after the list had marked it draining
-	Doubles  int           // duplicate effects
-	Twice    []Twice       // the duplicate effects at two servers
-	Stalls   int           // number of stalls of the machine itself
-	Stood    time.Duration // longest stall
-	Void     string        // why the run is not valid; empty if it is
-	Push     float64       // highest load that a cold server received, as a multiple of its capacity at the time
-	Events   []Event       // the whole record
+	Faults   []string          // violated expectations; empty if the run is good
+	Behind   time.Duration     // longest time for which an agent kept sending to a server after the list had marked it draining
+	Doubles  int               // duplicate effects
+	Twice    []DuplicateEffect // the duplicate effects at two servers
+	Stalls   int               // number of stalls of the machine itself
+	Stood    time.Duration     // longest stall
+	Void     string            // why the run is not valid; empty if it is
+	Push     float64           // highest load that a cold server received, as a multiple of its capacity at the time
+	Events   []Event           // the whole record
 }
 
 // DuplicateEffect is a call that had its effect at two servers that do not deduplicate between each other.
-type Twice struct {
+type DuplicateEffect struct {
 	Agent, Call int
 	Servers     [2]string // ids
 }
 
 // history describes the call by the events of the record.
-func (t Twice) history(events []Event) string {
+func (t DuplicateEffect) history(events []Event) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "call %d of agent %d took effect at %s and %s:", t.Call, t.Agent, t.Servers[0], t.Servers[1])
 	for _, e := range events {
-		processEvent := e.Kind == Stopped || e.Kind == Resumed || e.Kind == Died || e.Kind == Started
+		processEvent := e.Kind == ProcessStopped || e.Kind == ProcessResumed || e.Kind == ProcessExited || e.Kind == ProcessStarted
 		if e.Agent == t.Agent && (e.Call == t.Call || processEvent) {
 			fmt.Fprintf(&b, " %v %s", e.At.Round(time.Millisecond), strings.TrimSpace(e.Kind+" "+e.Said))
 		}
@@ -77,7 +77,7 @@
 }
 
 // SteadyRate returns the mean number of calls per second that each silent server received, after the first 5 s.
-func (r *StepReport) Tried() float64 { return spread.Tried(r.Silent, r.Muted) }
+func (r *StepReport) SteadyRate() float64 { return spread.SteadyRate(r.Silent, r.Muted) }
 
 // recovered reports whether all agents have recovered.
 func (r *StepReport) recovered(agents int) bool {
@@ -91,7 +91,7 @@
 func newStepReport(step Step, agents, servers int, begin time.Duration, events []Event) StepReport {
 	r := StepReport{Step: step, Begin: begin, Mended: begin, Answers: map[string]int{}}
 	for _, e := range events {
-		if e.Kind == Mended && e.At >= begin {
+		if e.Kind == FaultEnded && e.At >= begin {
 			r.Mended = e.At
 		}
 	}
@@ -101,9 +101,9 @@
 	back, lastBackAt := map[string]bool{}, time.Duration(0)
 	for _, e := range events {
 		switch e.Kind {
-		case Began, Ended:
+		case WatchStarted, WatchEnded:
 			before := open[e.Agent]
-			if e.Kind == Began {
+			if e.Kind == WatchStarted {
 				open[e.Agent]++
 			} else {
 				open[e.Agent]--
@@ -116,16 +116,16 @@
 			case open[e.Agent] == 0:
 				r.Holding--
 			}
-		case Mutes:
+		case ServerSilenced:
 			if len(silent) == 0 {
 				firstSilentAt = e.At
 			}
 			silent[e.Said] = true
 			r.Muted = max(r.Muted, len(silent))
-		case Speaks:
+		case ServerAnswersAgain:
 			delete(silent, e.Said)
 			back[e.Said], lastBackAt = true, e.At
-		case Got:
+		case CallReceived:
 			if e.At >= begin {
 				received[e.Said]++
 			}
@@ -135,7 +135,7 @@
 			if e.At >= begin && len(silent) == 0 && back[e.Said] {
 				r.Back = countBySecond(r.Back, e.At-lastBackAt)
 			}
-		case Called:
+		case ListCalled:
 			if e.At < begin {
 				continue
 			}
@@ -149,7 +149,7 @@
 			if e.Said == GivenUp {
 				r.GivenUp++
 			}
-		case Answer:
+		case KioskAnswered:
 			if e.At >= begin {
 				r.Answers[e.Said]++
 			}
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	r.Spread = spread.Of(servers, received)
+	r.Spread = spread.Compute(servers, received)
 	return r
 }
 
@@ -176,11 +176,11 @@
 	fault := func(format string, args ...any) { r.Faults = append(r.Faults, fmt.Sprintf(format, args...)) }
 	for _, e := range r.Events {
 		switch {
-		case e.Kind == Died && e.Said != "":
+		case e.Kind == ProcessExited && e.Said != "":
 			fault("agent %d exited %v after the start, %s", e.Agent, e.At.Round(time.Millisecond), e.Said)
-		case e.Kind == Fell:
+		case e.Kind == ServerOverloaded:
 			fault("rule 4: %s crashed of overload %v after the start", e.Said, e.At.Round(time.Millisecond))
-		case e.Kind == Stall:
+		case e.Kind == MachineStalled:
 			r.Stalls, r.Stood = r.Stalls+1, max(r.Stood, e.Took)
 		}
 	}
@@ -202,7 +202,7 @@
 	for _, f := range stale {
 		fault("%s", f)
 	}
-	if r.Stood > noise {
+	if r.Stood > machineNoise {
 		r.Void = fmt.Sprintf("the machine stalled for %v", r.Stood)
 	}
 	for _, s := range r.Steps {
@@ -218,7 +218,7 @@
 		if limit := s.Step.Even * s.Spread.Chance; limit > 0 && s.Spread.Variation > limit {
 			fault("%s: calls per server vary by %.3f of the mean, limit %.3f", s.Step.Name, s.Spread.Variation, limit)
 		}
-		if rate := s.Tried(); s.Step.Tried > 0 && rate > s.Step.Tried {
+		if rate := s.SteadyRate(); s.Step.Tried > 0 && rate > s.Step.Tried {
 			fault("%s: %.2f calls per second at each silent server, limit %.2f", s.Step.Name, rate, s.Step.Tried)
 		}
 		if limit := s.Step.Calls * float64(agents); limit > 0 && float64(s.Calls) > limit {
@@ -269,7 +269,7 @@
 
 // writeAnswers writes a table of the answers to kiosks and the distribution of calls over servers.
 func (r *Report) writeAnswers(w io.Writer) error {
-	kinds := []string{standin.Served.String(), standin.Refused.String(), standin.Failed.String(), standin.Lost.String(), Unreached}
+	kinds := []string{standin.Served.String(), standin.Refused.String(), standin.Failed.String(), standin.Lost.String(), Unreachable}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "answers\t%s\tcalls per server\tlargest/mean\tvariation\tby chance\t\n", strings.Join(kinds, "\t"))
 	for _, s := range r.Steps {
@@ -284,7 +284,7 @@
 	}
 	for _, s := range r.Steps {
 		if len(s.Silent) > 0 {
-			fmt.Fprintf(w, "%s: calls to %d silent servers, by second: %v; after the first 5 s %.2f per second at each\n", s.Step.Name, s.Muted, s.Silent, s.Tried())
+			fmt.Fprintf(w, "%s: calls to %d silent servers, by second: %v; after the first 5 s %.2f per second at each\n", s.Step.Name, s.Muted, s.Silent, s.SteadyRate())
 		}
 		if len(s.Back) > 0 {
 			fmt.Fprintf(w, "%s: calls to servers that answer again, by second: %v\n", s.Step.Name, s.Back)
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -13,11 +13,11 @@
 	drainGrace = standin.DrainGrace + 50*time.Millisecond
 	// notifiedAfter is the time after the silencing of a watch from which on the agent counts as notified of changes of the list,
 	// whether or not it received them.
-	toldAfter = 6 * time.Second
+	notifiedAfter = 6 * time.Second
 	// answerGrace is how long after a call's deadline its answer may arrive.
 	answerGrace = 70 * time.Millisecond
 	// machineNoise is the delay that the machine adds to both, with many processes on few cores.
-	noise = 200 * time.Millisecond
+	machineNoise = 200 * time.Millisecond
 )
 
 // downtimes has, by agent, the spans in which its process did not run or was stopped.
@@ -41,11 +41,11 @@
 	d, since := downtimes{}, map[int]time.Duration{}
 	for _, e := range events {
 		switch e.Kind {
-		case Died, Stopped:
+		case ProcessExited, ProcessStopped:
 			if _, down := since[e.Agent]; !down {
 				since[e.Agent] = e.At
 			}
-		case Started, Resumed:
+		case ProcessStarted, ProcessResumed:
 			if from, down := since[e.Agent]; down {
 				d[e.Agent] = append(d[e.Agent], span{from, e.At})
 				delete(since, e.Agent)
@@ -62,10 +62,10 @@
 func checkAnswers(events []Event, left time.Duration) (faults []string) {
 	d := downtimesOf(events, time.Hour)
 	for _, e := range events {
-		if e.Kind != Answer || d.any(e.Agent, e.At-e.Took-noise, e.At+noise) { // clients notice the exit of a process before the fleet does
+		if e.Kind != KioskAnswered || d.any(e.Agent, e.At-e.Took-machineNoise, e.At+machineNoise) { // clients notice the exit of a process before the fleet does
 			continue
 		}
-		switch late := e.Took > left+answerGrace+noise; {
+		switch late := e.Took > left+answerGrace+machineNoise; {
 		case e.Said == standin.Lost.String():
 			faults = append(faults, fmt.Sprintf("%v: call to agent %d lost after %v", e.At, e.Agent, e.Took))
 		case late:
@@ -101,43 +101,43 @@
 	resumed := downtimes{}
 	for _, e := range events {
 		switch e.Kind {
-		case Drains:
+		case ServerDraining:
 			draining[e.Said] = e.At
-		case Serves:
+		case ServerInService:
 			delete(draining, e.Said)
 			for i := range knowledge {
 				delete(knowledge[i].notified, e.Said)
 			}
-		case Started:
+		case ProcessStarted:
 			knowledge[e.Agent] = listKnowledge{notified: map[string]time.Duration{}, lastContact: e.At, validUntil: e.At + mustAsk, unreachable: knowledge[e.Agent].unreachable, reachableSince: e.At}
-		case LostList:
+		case ListUnreachable:
 			knowledge[e.Agent].unreachable = true
-		case HasList:
+		case ListReachable:
 			knowledge[e.Agent].unreachable, knowledge[e.Agent].reachableSince = false, e.At
-		case Began:
+		case WatchStarted:
 			knowledge[e.Agent].watches++
 			knowledge[e.Agent].silenced = false
-		case Hushed:
+		case WatchSilenced:
 			knowledge[e.Agent].silenced, knowledge[e.Agent].silencedAt = true, e.At
-		case Ended:
+		case WatchEnded:
 			agent := &knowledge[e.Agent]
 			if agent.watches--; agent.watches == 0 {
 				agent.lastContact, agent.validUntil = e.At, e.At+mustAsk
 			}
-		case Called:
+		case ListCalled:
 			agent := &knowledge[e.Agent]
 			if agent.lastContact = e.At; e.Said == Answered {
 				agent.validUntil = e.At + mustAsk
 			} else {
 				agent.validUntil = e.At + 4*mustAsk
 			}
-		case Told:
+		case DrainNotified:
 			if _, known := knowledge[e.Agent].notified[e.Said]; !known {
 				knowledge[e.Agent].notified[e.Said] = e.At
 			}
-		case Resumed: // calls of a process that was just continued are exempt: it could not know of the drain
-			resumed[e.Agent] = append(resumed[e.Agent], span{e.At, e.At + drainGrace + noise})
-		case Got:
+		case ProcessResumed: // calls of a process that was just continued are exempt: it could not know of the drain
+			resumed[e.Agent] = append(resumed[e.Agent], span{e.At, e.At + drainGrace + machineNoise})
+		case CallReceived:
 			if e.Agent < 0 || e.Agent >= agents {
 				continue
 			}
@@ -155,10 +155,10 @@
 			if !pushed && !known && agent.watches == 0 && e.At > agent.validUntil {
 				notified, known = max(since+mustAsk, agent.validUntil), e.At >= since+mustAsk
 			}
-			if assumed := max(since, agent.silencedAt+toldAfter); agent.silenced && e.At >= assumed && (!known || assumed < notified) {
+			if assumed := max(since, agent.silencedAt+notifiedAfter); agent.silenced && e.At >= assumed && (!known || assumed < notified) {
 				notified, known = assumed, true
 			}
-			if known && e.At > notified+drainGrace+noise {
+			if known && e.At > notified+drainGrace+machineNoise {
 				faults = append(faults, fmt.Sprintf("%v: agent %d sent to %s %v after it was notified of the drain", e.At, e.Agent, e.Said, e.At-notified))
 			}
 		}
@@ -172,19 +172,19 @@
 	draining, exempt := map[string]time.Duration{}, downtimes{}
 	for _, e := range events {
 		switch e.Kind {
-		case Drains:
+		case ServerDraining:
 			draining[e.Said] = e.At
-		case Serves:
+		case ServerInService:
 			delete(draining, e.Said)
-		case Started, Resumed: // a process that just started or was continued could not know of the drain
+		case ProcessStarted, ProcessResumed: // a process that just started or was continued could not know of the drain
 			exempt[e.Agent] = append(exempt[e.Agent], span{e.At, e.At + bound})
-		case Got:
+		case CallReceived:
 			since, isDraining := draining[e.Said]
 			if !isDraining || e.Agent < 0 || exempt.any(e.Agent, e.At-time.Millisecond, e.At) {
 				continue
 			}
 			behind := e.At - since
-			if longest = max(longest, behind); bound > 0 && behind > bound+drainGrace+noise {
+			if longest = max(longest, behind); bound > 0 && behind > bound+drainGrace+machineNoise {
 				faults = append(faults, fmt.Sprintf("%v: agent %d sent to %s, which had been draining in the list for %v", e.At, e.Agent, e.Said, behind))
 			}
 		}
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -57,18 +57,20 @@
 
 // The kinds of faults.
 const (
-	Kill = "kill" // SIGKILL; the agent starts again with the same name when the fault ends
-	Stop = "stop" // SIGSTOP, and SIGCONT when the fault ends
-	Away = "list" // the list service is in another mode than Up
-	Cut  = "cut"  // datagrams between the affected agents and the others are lost
+	Kill      = "kill" // SIGKILL; the agent starts again with the same name when the fault ends
+	Stop      = "stop" // SIGSTOP, and SIGCONT when the fault ends
+	ListFault = "list" // the list service is in another mode than Up
+	Partition = "cut"  // datagrams between the affected agents and the others are lost
 
-	Mute  = "silent" // servers accept connections and calls, but never answer
-	Crash = "crash"  // servers refuse connections; they start again cold when the fault ends
-	Drain = "drain"  // servers are marked draining in the list; when the fault ends, they start again cold and are listed as in service
+	SilenceServers = "silent" // servers accept connections and calls, but never answer
+	CrashServers   = "crash"  // servers refuse connections; they start again cold when the fault ends
+	DrainServers   = "drain"  // servers are marked draining in the list; when the fault ends, they start again cold and are listed as in service
 )
 
 // isServerFault reports whether faults of a kind affect servers, not agents.
-func isServerFault(kind string) bool { return kind == Mute || kind == Crash || kind == Drain }
+func isServerFault(kind string) bool {
+	return kind == SilenceServers || kind == CrashServers || kind == DrainServers
+}
 
 // The lists that agents may have at their first start.
 const (
@@ -166,14 +168,14 @@
 	var in scenarioFile
 	f := conffile.Read(text, &in)
 	s := &Scenario{Agents: 12, Servers: 4, Known: KnownWhole, MustAsk: 10 * time.Second, All: time.Second, Patience: 2 * time.Second}
-	f.Count("agents", in.Agents, 1, 5000, &s.Agents)
-	f.Count("servers", in.Servers, 1, 5000, &s.Servers)
+	f.Int("agents", in.Agents, 1, 5000, &s.Agents)
+	f.Int("servers", in.Servers, 1, 5000, &s.Servers)
 	seed := 1
-	f.Count("seed", in.Seed, 0, 1<<31, &seed)
+	f.Int("seed", in.Seed, 0, 1<<31, &seed)
 	s.Seed = uint64(seed)
-	f.Span("must_ask_s", in.MustAskS, time.Second, 1, 3600, &s.MustAsk)
-	f.Span("list.all_s", in.List.AllS, time.Second, 0.001, 3600, &s.All)
-	f.Span("list.patience_s", in.List.PatienceS, time.Second, 0.01, 3600, &s.Patience)
+	f.Duration("must_ask_s", in.MustAskS, time.Second, 1, 3600, &s.MustAsk)
+	f.Duration("list.all_s", in.List.AllS, time.Second, 0.001, 3600, &s.All)
+	f.Duration("list.patience_s", in.List.PatienceS, time.Second, 0.01, 3600, &s.Patience)
 	if s.Pushed = in.List.Pushed; s.Pushed && (in.List.AllS != nil || in.MustAskS != nil) {
 		f.Problem("list.pushed", "agents do not call for a list that is pushed: all_s and must_ask_s have no effect")
 	}
@@ -186,29 +188,29 @@
 		f.Problem("places", "%v", err)
 	}
 	s.Kiosks = KioskOptions{Left: 2 * time.Second, Keyed: 0.3}
-	f.Share("calls.rate", in.Calls.Rate, 0, 1000, &s.Kiosks.Rate)
-	f.Span("calls.left_ms", in.Calls.LeftMS, time.Millisecond, 10, 60_000, &s.Kiosks.Left)
-	f.Share("calls.keyed", in.Calls.Keyed, 0, 1, &s.Kiosks.Keyed)
-	f.Share("calls.unsafe", in.Calls.Unsafe, 0, 1, &s.Kiosks.Unsafe)
+	f.Float("calls.rate", in.Calls.Rate, 0, 1000, &s.Kiosks.Rate)
+	f.Duration("calls.left_ms", in.Calls.LeftMS, time.Millisecond, 10, 60_000, &s.Kiosks.Left)
+	f.Float("calls.keyed", in.Calls.Keyed, 0, 1, &s.Kiosks.Keyed)
+	f.Float("calls.unsafe", in.Calls.Unsafe, 0, 1, &s.Kiosks.Unsafe)
 	if s.Kiosks.Keyed+s.Kiosks.Unsafe > 1 {
 		f.Problem("calls.unsafe", "calls.keyed and calls.unsafe together must not exceed 1")
 	}
 	s.Talk = in.Peers.Talk
-	f.Share("peers.loss", in.Peers.Loss, 0, 1, &s.Links.Loss)
-	f.Share("peers.twice", in.Peers.Twice, 0, 1, &s.Links.Twice)
-	f.Share("peers.late", in.Peers.Late, 0, 1, &s.Links.Late)
-	f.Span("peers.delay_ms", in.Peers.DelayMS, time.Millisecond, 0, 60_000, &s.Links.Delay)
-	f.Span("peers.stale_s", in.Peers.StaleS, time.Second, 0, 3600, &s.Stale)
+	f.Float("peers.loss", in.Peers.Loss, 0, 1, &s.Links.Loss)
+	f.Float("peers.twice", in.Peers.Twice, 0, 1, &s.Links.Twice)
+	f.Float("peers.late", in.Peers.Late, 0, 1, &s.Links.Late)
+	f.Duration("peers.delay_ms", in.Peers.DelayMS, time.Millisecond, 0, 60_000, &s.Links.Delay)
+	f.Duration("peers.stale_s", in.Peers.StaleS, time.Second, 0, 3600, &s.Stale)
 	s.Cold = in.Server.Cold
 	s.Server = ServerOptions{Capacity: 100, Service: 20 * time.Millisecond, Queue: time.Second, ColdFrom: 0.33, ColdFor: 8 * time.Second, Push: 3,
 		FallIn: 3 * time.Second, Reports: in.Server.Reports == nil || *in.Server.Reports}
-	f.Share("server.capacity", in.Server.Capacity, 0.1, 1e5, &s.Server.Capacity)
-	f.Span("server.service_ms", in.Server.ServiceMS, time.Millisecond, 0, 60_000, &s.Server.Service)
-	f.Span("server.queue_ms", in.Server.QueueMS, time.Millisecond, 0, 60_000, &s.Server.Queue)
-	f.Share("server.cold_from", in.Server.ColdFrom, 0.01, 1, &s.Server.ColdFrom)
-	f.Span("server.cold_s", in.Server.ColdS, time.Second, 0, 3600, &s.Server.ColdFor)
-	f.Share("server.push", in.Server.Push, 1, 1000, &s.Server.Push)
-	f.Span("server.push_s", in.Server.PushS, time.Second, 0.1, 60, &s.Server.FallIn)
+	f.Float("server.capacity", in.Server.Capacity, 0.1, 1e5, &s.Server.Capacity)
+	f.Duration("server.service_ms", in.Server.ServiceMS, time.Millisecond, 0, 60_000, &s.Server.Service)
+	f.Duration("server.queue_ms", in.Server.QueueMS, time.Millisecond, 0, 60_000, &s.Server.Queue)
+	f.Float("server.cold_from", in.Server.ColdFrom, 0.01, 1, &s.Server.ColdFrom)
+	f.Duration("server.cold_s", in.Server.ColdS, time.Second, 0, 3600, &s.Server.ColdFor)
+	f.Float("server.push", in.Server.Push, 1, 1000, &s.Server.Push)
+	f.Duration("server.push_s", in.Server.PushS, time.Second, 0.1, 60, &s.Server.FallIn)
 	if len(in.Step) == 0 || len(in.Step) > maxSteps {
 		f.Problem("step", "1 to %d steps are required, there are %d", maxSteps, len(in.Step))
 	}
@@ -218,34 +220,34 @@
 		if out.Served && s.Kiosks.Rate == 0 {
 			f.Problem(key+".served", "there are no calls: calls.rate is 0")
 		}
-		f.Span(key+".stay_s", step.StayS, time.Second, 0, 3600, &out.Stay)
+		f.Duration(key+".stay_s", step.StayS, time.Second, 0, 3600, &out.Stay)
 		if out.Name == "" {
 			f.Problem(key+".name", "is required")
 		}
-		f.Span(key+".limit_s", step.LimitS, time.Second, 0.1, 3600, &out.Limit)
-		f.Span(key+".within", step.Within, s.All, 0, 1000, &out.Within)
-		f.Share(key+".calls", step.Calls, 0, 1e6, &out.Calls)
-		f.Share(key+".even", step.Even, 1, 1000, &out.Even)
-		f.Share(key+".tried", step.Tried, 0, 1e6, &out.Tried)
+		f.Duration(key+".limit_s", step.LimitS, time.Second, 0.1, 3600, &out.Limit)
+		f.Duration(key+".within", step.Within, s.All, 0, 1000, &out.Within)
+		f.Float(key+".calls", step.Calls, 0, 1e6, &out.Calls)
+		f.Float(key+".even", step.Even, 1, 1000, &out.Even)
+		f.Float(key+".tried", step.Tried, 0, 1e6, &out.Tried)
 		if len(step.Fault) > maxSteps {
 			f.Problem(key+".fault", "at most %d faults are allowed, there are %d", maxSteps, len(step.Fault))
 		}
 		for j, fault := range step.Fault {
 			key := fmt.Sprintf("%s.fault.%d", key, j)
 			a := Action{Kind: fault.Kind, Share: 1, Group: fault.Group, Others: fault.Others}
-			f.Span(key+".at_s", fault.AtS, time.Second, 0, 3600, &a.At)
-			f.Span(key+".late_ms", fault.LateMS, time.Millisecond, 0, 60_000, &a.Late)
-			f.Span(key+".for_s", fault.ForS, time.Second, 0, 3600, &a.For)
-			f.Share(key+".share", fault.Share, 0, 1, &a.Share)
+			f.Duration(key+".at_s", fault.AtS, time.Second, 0, 3600, &a.At)
+			f.Duration(key+".late_ms", fault.LateMS, time.Millisecond, 0, 60_000, &a.Late)
+			f.Duration(key+".for_s", fault.ForS, time.Second, 0, 3600, &a.For)
+			f.Float(key+".share", fault.Share, 0, 1, &a.Share)
 			switch a.Kind {
-			case Kill, Stop, Cut, Mute, Crash, Drain:
-				if a.Kind == Cut && !s.Talk {
+			case Kill, Stop, Partition, SilenceServers, CrashServers, DrainServers:
+				if a.Kind == Partition && !s.Talk {
 					f.Problem(key+".kind", "agents do not exchange lists: peers.talk is not true")
 				}
 				if fault.How != "" {
 					f.Problem(key+".how", "allowed only for kind list")
 				}
-			case Away:
+			case ListFault:
 				if a.How = modesByName[fault.How]; a.How == Up {
 					f.Problem(key+".how", "must be late, breaks, old, full, refuses, resets, silent or hushes")
 				}
@@ -260,7 +262,7 @@
 }
 
 // Override replaces figures of the scenario by those that are given: not 0, nil or empty. It returns an error for unknown places.
-func (s *Scenario) Change(agents, servers int, all, rate *float64, seed *uint64, places string) error {
+func (s *Scenario) Override(agents, servers int, all, rate *float64, seed *uint64, places string) error {
 	if places != "" {
 		if err := s.setPlaces(places); err != nil {
 			return fmt.Errorf("places: %w", err)
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -31,7 +31,7 @@
 	number int
 	cell   int
 	opts   ServerOptions
-	pod    *standin.Pod
+	pod    *standin.DedupGroup
 	record *Record
 	now    func() time.Duration
 
@@ -51,7 +51,7 @@
 func (s *server) start(cold bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	running, err := standin.Start(standin.Options{ID: s.id, Protocol: "http", Cell: s.cell, Pod: s.pod, Script: s.handleCall, Load: s.load, NoLoad: !s.opts.Reports})
+	running, err := standin.Start(standin.Options{ID: s.id, Protocol: "http", Cell: s.cell, DedupGroup: s.pod, Script: s.handleCall, Load: s.load, NoLoad: !s.opts.Reports})
 	if err != nil {
 		return err
 	}
@@ -75,9 +75,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.silent = silent; silent {
-		s.record.Add(Mutes, -1, s.id)
+		s.record.Add(ServerSilenced, -1, s.id)
 	} else {
-		s.record.Add(Speaks, -1, s.id)
+		s.record.Add(ServerAnswersAgain, -1, s.id)
 	}
 }
 
@@ -124,14 +124,14 @@
 // handleCall decides how a call is answered, in order of arrival.
 func (s *server) handleCall(c standin.Call) standin.Step {
 	agent, call := parseCallID(c.ID)
-	s.record.Put(Event{Kind: Got, Agent: agent, Call: call, Said: s.id})
+	s.record.AddEvent(Event{Kind: CallReceived, Agent: agent, Call: call, Said: s.id})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, capacity := s.now(), s.capacity()
 	s.recordArrival(now, capacity)
 	switch {
 	case s.silent:
-		return standin.Step{Fault: standin.Silence}
+		return standin.Step{Fault: standin.NoReply}
 	case s.running == nil:
 		return standin.Step{Fault: standin.ResetBefore}
 	}
@@ -159,7 +159,7 @@
 	expected := sum / float64(len(s.capacities)) * s.opts.FallIn.Seconds()
 	s.peakOverload = max(s.peakOverload, math.Max(0, float64(len(s.arrivals))-overloadSlack)/expected)
 	if s.peakOverload > s.opts.Push {
-		s.record.Add(Fell, -1, s.id)
+		s.record.Add(ServerOverloaded, -1, s.id)
 		s.running.Close()
 		s.running = nil
 	}
--- a/internal/lab/killer/killer.go
+++ b/internal/lab/killer/killer.go
@@ -38,14 +38,14 @@
 
 // Result counts what a run observed.
 type Result struct {
-	Fell   map[string]int // kills, by the operation on the state folder that was in progress
-	Left   map[string]int // kills, by the state of the folder afterwards
-	Starts map[string]int // starts, by the state that the agent logged as loaded
-	Faults []string       // incorrect starts and folders
+	KilledDuring map[string]int // kills, by the operation on the state folder that was in progress
+	LeftBehind   map[string]int // kills, by the state of the folder afterwards
+	StartedFrom  map[string]int // starts, by the state that the agent logged as loaded
+	Faults       []string       // incorrect starts and folders
 }
 
 // stepTimeout limits every wait for something that must happen.
-const patience = 20 * time.Second
+const stepTimeout = 20 * time.Second
 
 const stateFile = `folder = %q
 load_ms = 5000
@@ -77,7 +77,7 @@
 // Result.Faults, not as an error.
 func Run(o Options) (Result, error) {
 	w := &world{opts: o, folder: filepath.Join(o.Dir, "kept"), rng: rand.New(rand.NewPCG(o.Seed, 2)),
-		result: Result{Fell: map[string]int{}, Left: map[string]int{}, Starts: map[string]int{}}}
+		result: Result{KilledDuring: map[string]int{}, LeftBehind: map[string]int{}, StartedFrom: map[string]int{}}}
 	list, err := standin.NewList()
 	if err != nil {
 		return w.result, err
@@ -85,12 +85,12 @@
 	defer list.Close()
 	w.list = list
 	for i := range 4 {
-		s, err := standin.Start(standin.Options{ID: fmt.Sprint("forms-", i), Protocol: "http", Service: time.Millisecond})
+		s, err := standin.Start(standin.Options{ID: fmt.Sprint("forms-", i), Protocol: "http", ServiceTime: time.Millisecond})
 		if err != nil {
 			return w.result, err
 		}
 		defer s.Close()
-		list.Tell(s.Entry())
+		list.Update(s.Entry())
 	}
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	listen := free.Addr().String()
 	free.Close()
-	p := standin.Platform{Listen: listen, Discovery: list.Addr(), Known: list.Full()}
+	p := standin.Platform{Listen: listen, Discovery: list.Addr(), InitialList: list.Full()}
 	config := filepath.Join(o.Dir, "config.json")
 	if err := errors.Join(os.Mkdir(w.folder, 0o700), os.WriteFile(config, p.Config(), 0o600),
 		os.WriteFile(filepath.Join(o.Dir, "state.toml"), fmt.Appendf(nil, stateFile, w.folder), 0o600)); err != nil {
@@ -150,7 +150,7 @@
 
 // wait waits until n lines contain a text.
 func (j *agentLog) wait(text string, n int) error {
-	timeout := time.After(patience)
+	timeout := time.After(stepTimeout)
 	for {
 		got, next := j.count(text)
 		if got >= n {
@@ -217,7 +217,7 @@
 	}
 	agent.Wait()
 	reading.Wait()
-	w.result.Fell[operation]++
+	w.result.KilledDuring[operation]++
 	writes, _ := log.count(writtenText)
 	return w.checkFolder(n, writes)
 }
@@ -226,7 +226,7 @@
 func (w *world) sendCalls(ctx context.Context, first int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		id := strconv.Itoa(first + i)
-		w.kiosk.Ask(standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: "k" + id, Left: time.Second, Leave: ctx.Done()})
+		w.kiosk.Do(standin.Request{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: "k" + id, TimeLeft: time.Second, Cancel: ctx.Done()})
 	}
 }
 
@@ -240,28 +240,28 @@
 	without, _ := log.count(nothingKeptText)
 	switch {
 	case with == 1 && without == 0:
-		w.result.Starts["what was kept"]++
+		w.result.StartedFrom["what was kept"]++
 	case without == 1 && with == 0:
-		w.result.Starts["nothing"]++
+		w.result.StartedFrom["nothing"]++
 		if w.confirmed {
 			w.addFault("run %d: the agent started without stored state, although a write had been confirmed", n)
 		}
 	default:
-		w.result.Starts["neither"]++
+		w.result.StartedFrom["neither"]++
 		w.addFault("run %d: the log does not say once, and only once, whether stored state was loaded or missing", n)
 	}
 }
 
 // checkFolder checks the folder after a kill against the writes that the agent had confirmed.
 func (w *world) checkFolder(n, writes int) error {
-	records, report, err := store.Peek(store.Dir(w.folder), keeper.Bounds(0))
+	records, report, err := store.Peek(store.Dir(w.folder), keeper.StoreSettings(0))
 	if err != nil {
 		return err
 	}
 	w.confirmed = w.confirmed || writes > 0
-	state, dropped, err := learned.Read(keeper.Records(records))
+	state, dropped, err := learned.Read(keeper.LearnedRecords(records))
 	switch {
-	case errors.Is(err, learned.ErrNone) && !w.confirmed:
+	case errors.Is(err, learned.ErrNoState) && !w.confirmed:
 	case err != nil || len(dropped) > 0:
 		w.addFault("run %d: reading the stored state: error %v, dropped %v", n, err, dropped)
 	case state.Shared.Agent != "n0":
@@ -274,7 +274,7 @@
 		w.addFault("run %d: %d writes confirmed, but the log contains only %d", n, writes, report.Batches)
 	}
 	w.generation = report.From
-	w.result.Left[w.describeFolder(report)]++
+	w.result.LeftBehind[w.describeFolder(report)]++
 	return nil
 }
 
@@ -360,11 +360,11 @@
 }
 
 // WriteTable writes the result as tables of text.
-func (r Result) Table(out io.Writer) {
+func (r Result) WriteTable(out io.Writer) {
 	for _, t := range []struct {
 		title string
 		rows  map[string]int
-	}{{"killed in", r.Fell}, {"left", r.Left}, {"began with", r.Starts}} {
+	}{{"killed in", r.KilledDuring}, {"left", r.LeftBehind}, {"began with", r.StartedFrom}} {
 		fmt.Fprintf(out, "%s:\n", t.title)
 		for _, name := range slices.Sorted(maps.Keys(t.rows)) {
 			fmt.Fprintf(out, "  %-40s %5d\n", name, t.rows[name])
--- a/internal/lab/killer/killer_test.go
+++ b/internal/lab/killer/killer_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "ternbeam")
 	build := exec.Command("go", append(append([]string{"build"}, flags...), "-o", program, "./cmd/ternbeam")...)
-	build.Dir = testkit.Root(t)
+	build.Dir = testkit.ModuleRoot(t)
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -28,9 +28,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Table(t.Output())
-	if len(r.Faults) > 0 || r.Starts["what was kept"] < kills-1 {
-		t.Errorf("%d faults in starts %v", len(r.Faults), r.Starts)
+	r.WriteTable(t.Output())
+	if len(r.Faults) > 0 || r.StartedFrom["what was kept"] < kills-1 {
+		t.Errorf("%d faults in starts %v", len(r.Faults), r.StartedFrom)
 	}
 }
 
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -116,7 +116,7 @@
 var errNotServed = errors.New("the call was not served")
 
 // Call makes one call and reads its answer.
-func (c *Client) Ask() error {
+func (c *Client) Call() error {
 	c.n++
 	id := c.name + strconv.Itoa(c.n)
 	if c.protocol == "http" {
@@ -187,17 +187,17 @@
 }
 
 // Stats are the results of a run: numbers of calls and quantiles of their latencies.
-type Figures struct {
+type Stats struct {
 	Calls, Failed  int           // Calls counts the served calls only
 	Took           time.Duration // of the whole run
 	P50, P99, P999 time.Duration
 }
 
 // Run runs clients for the duration d, each with one connection and one call at a time. It returns an error if a connection failed.
-func Run(protocol, addr, name string, clients int, d time.Duration) (Figures, error) {
+func Run(protocol, addr, name string, clients int, d time.Duration) (Stats, error) {
 	var mu sync.Mutex
 	var all []time.Duration
-	var f Figures
+	var f Stats
 	var first error
 	var done sync.WaitGroup
 	begin := time.Now()
@@ -213,7 +213,7 @@
 			var broken error
 			for time.Since(begin) < d && broken == nil {
 				at := time.Now()
-				switch err := c.Ask(); {
+				switch err := c.Call(); {
 				case err == nil:
 					took = append(took, time.Since(at))
 				case errors.Is(err, errNotServed):
@@ -241,5 +241,5 @@
 
 // Platform returns the configuration of an agent for measurements, with high limits.
 func Platform(listen string) standin.Platform {
-	return standin.Platform{Listen: listen, Sockets: 1 << 16, MostHeld: 1 << 20}
+	return standin.Platform{Listen: listen, Sockets: 1 << 16, MaxOpenCalls: 1 << 20}
 }
--- a/internal/lab/replay/bench_test.go
+++ b/internal/lab/replay/bench_test.go
@@ -36,13 +36,13 @@
 			b.ReportAllocs()
 			b.SetParallelism(8)
 			b.RunParallel(func(pb *testing.PB) {
-				p := w.Player(testkit.Patience)
+				p := w.Player(testkit.WaitTimeout)
 				defer p.Close()
 				for pb.Next() {
 					o := o
 					n := ids.Add(1)
 					o.Key = fmt.Appendf(nil, "k-%d", n)
-					m, err := p.Ask(o.exchange(fmt.Sprint("b-", n), c.client))
+					m, err := p.Do(o.exchange(fmt.Sprint("b-", n), c.client))
 					if err != nil || unserved(m) {
 						b.Errorf("received %v, %v", m, err)
 						return
--- a/internal/lab/replay/hard_test.go
+++ b/internal/lab/replay/hard_test.go
@@ -16,7 +16,7 @@
 )
 
 // refund returns the first refund of the corpus with the given key.
-func refund(t testing.TB, key string) Old {
+func refund(t testing.TB, key string) OldRefund {
 	o := load(t)[0]
 	o.Key = []byte(key)
 	return o
@@ -25,9 +25,9 @@
 // ask sends one request on a new connection and returns the answer.
 func (w *World) ask(t testing.TB, e Exchange) Message {
 	t.Helper()
-	p := w.Player(testkit.Patience)
+	p := w.Player(testkit.WaitTimeout)
 	defer p.Close()
-	m, err := p.Ask(e)
+	m, err := p.Do(e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 // in the same deduplication group. It must have the same key and id, so that the group drops it as a duplicate.
 func TestRepeatInAnotherShapeIsDropped(t *testing.T) {
 	for _, key := range []string{"once", "%41 é+", strings.Repeat("k", 4090)} {
-		pod := standin.NewPod()
+		pod := standin.NewDedupGroup()
 		var first atomic.Bool
 		lose := func(c standin.Call) standin.Step {
 			if first.CompareAndSwap(false, true) {
@@ -52,15 +52,15 @@
 			}
 			first.Store(false)
 			id := fmt.Sprint("r-", tries)
-			w := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}, Pod: pod, Script: lose},
-				standin.Options{ID: "new", Protocol: "thrift-compact", Shapes: []string{"2"}, Pod: pod, Script: lose})
+			w := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}, DedupGroup: pod, Script: lose},
+				standin.Options{ID: "new", Protocol: "thrift-compact", Shapes: []string{"2"}, DedupGroup: pod, Script: lose})
 			own := fmt.Sprint(tries, key)
 			m := w.ask(t, refund(t, own).HTTP(id))
-			saw := w.Saw(id)
+			saw := w.Deliveries(id)
 			if m.Status != 200 || len(saw) != 2 || pod.Effects(own) != 1 {
 				t.Fatalf("received %v, %d deliveries, %d effects", m, len(saw), pod.Effects(own))
 			}
-			if saw[0].Idempotency != own || saw[1].Idempotency != own || saw[0].Refund != saw[1].Refund {
+			if saw[0].IdempotencyKey != own || saw[1].IdempotencyKey != own || saw[0].Refund != saw[1].Refund {
 				t.Fatalf("servers received %+v", saw)
 			}
 			if saw[0].Version == "1" && saw[1].Version == "2" {
@@ -72,19 +72,19 @@
 
 // An answer that cannot be represented in the client's shape arrives after the effect. The call must fail and not be retried.
 func TestReplyThatCannotBeToldIsAFailure(t *testing.T) {
-	odd := func(standin.Call) standin.Step { return standin.Step{Fault: standin.OddReply} }
+	odd := func(standin.Call) standin.Step { return standin.Step{Fault: standin.UndefinedValue} }
 	for _, client := range protocols {
 		for _, server := range protocols {
-			pod := standin.NewPod()
-			w := newWorld(t, standin.Platform{}, standin.Options{ID: "a", Protocol: server, Shapes: []string{"2"}, Pod: pod, Script: odd},
-				standin.Options{ID: "b", Protocol: server, Shapes: []string{"2"}, Pod: pod, Script: odd})
+			pod := standin.NewDedupGroup()
+			w := newWorld(t, standin.Platform{}, standin.Options{ID: "a", Protocol: server, Shapes: []string{"2"}, DedupGroup: pod, Script: odd},
+				standin.Options{ID: "b", Protocol: server, Shapes: []string{"2"}, DedupGroup: pod, Script: odd})
 			m := w.ask(t, refund(t, "once").exchange("o-1", client))
 			failed := m.Status == 502
 			if client != "http" {
-				result, err := standin.ReadThrift(m.Thrift)
+				result, err := standin.DecodeThrift(m.Thrift)
 				failed = err == nil && result[2] != nil && result[0] == nil && result[1] == nil
 			}
-			if saw := w.Saw("o-1"); !failed || len(saw) != 1 || pod.Effects("once") != 1 {
+			if saw := w.Deliveries("o-1"); !failed || len(saw) != 1 || pod.Effects("once") != 1 {
 				t.Errorf("%s to %s: received %v, %d deliveries, %d effects", client, server, m, len(saw), pod.Effects("once"))
 			}
 		}
@@ -111,15 +111,15 @@
 	if m := w.ask(t, refund(t, "short").HTTP("g-0")); m.Status != 200 {
 		t.Errorf("received %v", m)
 	}
-	if m := w.ask(t, long.HTTP("g-1")); m.Status != 422 || !strings.Contains(string(m.Body), "200") || len(w.Saw("g-1")) > 0 {
-		t.Errorf("received %v %s, deliveries %v", m, m.Body, w.Saw("g-1"))
+	if m := w.ask(t, long.HTTP("g-1")); m.Status != 422 || !strings.Contains(string(m.Body), "200") || len(w.Deliveries("g-1")) > 0 {
+		t.Errorf("received %v %s, deliveries %v", m, m.Body, w.Deliveries("g-1"))
 	}
 	w = world(new, standin.Options{ID: "new2", Protocol: "http", Shapes: []string{"2"}}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}})
 	for i := range 20 {
 		id := fmt.Sprint("g-", i)
 		long.Key = []byte(id)
-		if m := w.ask(t, long.HTTP(id)); m.Status != 200 || len(w.Saw(id)) != 1 || w.Saw(id)[0].Version != "1" {
-			t.Fatalf("received %v, deliveries %+v", m, w.Saw(id))
+		if m := w.ask(t, long.HTTP(id)); m.Status != 200 || len(w.Deliveries(id)) != 1 || w.Deliveries(id)[0].Version != "1" {
+			t.Fatalf("received %v, deliveries %+v", m, w.Deliveries(id))
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	}
 	old := w.Servers[1]
 	old.Drain()
-	w.List.Tell(old.Entry())
+	w.List.Update(old.Entry())
 	testkit.Eventually(t, "the call is refused as untranslatable", func() bool {
 		m := w.ask(t, odd.HTTP(fmt.Sprint("v-", time.Now().UnixNano())))
 		return m.Status == 422 && strings.Contains(string(m.Body), "first")
@@ -151,7 +151,7 @@
 	w := newWorld(t, standin.Platform{MaxRetryAfter: time.Second}, standin.Options{ID: "a", Protocol: "http", Shapes: []string{"3"}})
 	began := time.Now()
 	m := w.ask(t, refund(t, "k").HTTP("n-1"))
-	if m.Status != 503 || len(m.Headers) != 1 || m.Headers[0][0] != "Retry-After" || len(w.Saw("n-1")) > 0 || time.Since(began) > 2*time.Second {
+	if m.Status != 503 || len(m.Headers) != 1 || m.Headers[0][0] != "Retry-After" || len(w.Deliveries("n-1")) > 0 || time.Since(began) > 2*time.Second {
 		t.Errorf("received %v after %v", m, time.Since(began))
 	}
 	odd := refund(t, "k").HTTP("n-2")
@@ -180,10 +180,10 @@
 		}
 		return standin.Step{}
 	}
-	pod := standin.NewPod()
+	pod := standin.NewDedupGroup()
 	w, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(*text.Load())) },
-		slog.New(slog.NewTextHandler(log, nil)), standin.Options{ID: "a", Protocol: "http", Shapes: []string{"2"}, Pod: pod, Script: script},
-		standin.Options{ID: "b", Protocol: "thrift-binary", Shapes: []string{"2"}, Pod: pod, Script: script})
+		slog.New(slog.NewTextHandler(log, nil)), standin.Options{ID: "a", Protocol: "http", Shapes: []string{"2"}, DedupGroup: pod, Script: script},
+		standin.Options{ID: "b", Protocol: "thrift-binary", Shapes: []string{"2"}, DedupGroup: pod, Script: script})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,22 +193,22 @@
 	<-held
 	text.Store(&second)
 	w.Reload()
-	testkit.Eventually(t, "the new file is in use", func() bool { return log.Has("new shapes") })
+	testkit.Eventually(t, "the new file is in use", func() bool { return log.Contains("new shapes") })
 	m2 := w.ask(t, refund(t, "k2").HTTP("m-2"))
 	close(go1)
 	m1 := <-answered
-	saw := w.Saw("m-1")
+	saw := w.Deliveries("m-1")
 	if m1.Status != 200 || m2.Status != 200 || len(saw) != 2 || saw[0].Refund.Goods != "jewellery" || saw[1].Refund != saw[0].Refund {
 		t.Errorf("received %v, servers received %+v", m1, saw)
 	}
-	if saw := w.Saw("m-2"); len(saw) != 1 || saw[0].Refund.Goods != "other" {
+	if saw := w.Deliveries("m-2"); len(saw) != 1 || saw[0].Refund.Goods != "other" {
 		t.Errorf("after the change servers received %+v", saw)
 	}
 	broken := "shapes"
 	text.Store(&broken)
 	w.Reload()
-	testkit.Eventually(t, "the invalid file is refused", func() bool { return log.Has("keeping the old shapes") })
-	if m := w.ask(t, refund(t, "k3").HTTP("m-3")); m.Status != 200 || w.Saw("m-3")[0].Refund.Goods != "other" {
+	testkit.Eventually(t, "the invalid file is refused", func() bool { return log.Contains("keeping the old shapes") })
+	if m := w.ask(t, refund(t, "k3").HTTP("m-3")); m.Status != 200 || w.Deliveries("m-3")[0].Refund.Goods != "other" {
 		t.Errorf("received %v", m)
 	}
 }
@@ -219,8 +219,8 @@
 	for _, protocol := range protocols {
 		t.Run(protocol, func(t *testing.T) {
 			var refused atomic.Int32
-			drifted := func(forget string) (*World, *standin.Pod) {
-				pod := standin.NewPod()
+			drifted := func(forget string) (*World, *standin.DedupGroup) {
+				pod := standin.NewDedupGroup()
 				count := func(c standin.Call) {
 					if c.Version == "2" {
 						refused.Add(1)
@@ -229,8 +229,8 @@
 				text := strings.Replace(deploy.Translate, "forget_s = 5.0", "forget_s = "+forget, 1)
 				// The list reports version 2, but the servers accept version 1.
 				w, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(text)) }, slog.New(slog.DiscardHandler),
-					standin.Options{ID: "a", Protocol: protocol, Shapes: []string{"1"}, Listed: []string{"2"}, Pod: pod, Saw: count},
-					standin.Options{ID: "b", Protocol: protocol, Shapes: []string{"1"}, Listed: []string{"2"}, Pod: pod, Saw: count})
+					standin.Options{ID: "a", Protocol: protocol, Shapes: []string{"1"}, ListedShapes: []string{"2"}, DedupGroup: pod, OnCall: count},
+					standin.Options{ID: "b", Protocol: protocol, Shapes: []string{"1"}, ListedShapes: []string{"2"}, DedupGroup: pod, OnCall: count})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -241,7 +241,7 @@
 			for i := range 20 {
 				id := fmt.Sprint("d-", i)
 				m := w.ask(t, refund(t, id).exchange(id, protocol))
-				saw := w.Saw(id)
+				saw := w.Deliveries(id)
 				if last := saw[len(saw)-1]; unserved(m) || last.Version != "1" || pod.Effects(id) != 1 {
 					t.Fatalf("call %d: received %v, servers received %+v", i, m, saw)
 				}
@@ -266,6 +266,6 @@
 	if m.Thrift == nil {
 		return m.Status != 200
 	}
-	result, err := standin.ReadThrift(m.Thrift)
+	result, err := standin.DecodeThrift(m.Thrift)
 	return err != nil || result[0] == nil
 }
--- a/internal/lab/replay/recording.go
+++ b/internal/lab/replay/recording.go
@@ -39,16 +39,16 @@
 
 // Limits of a recording.
 const (
-	MostLine      = 1 << 20 // bytes in a line
-	MostExchanges = 1 << 20
+	MaxLineBytes = 1 << 20 // bytes in a line
+	MaxExchanges = 1 << 20
 
-	maxFrameBytes = MostLine / 2 // bytes in a Thrift frame or a request body
+	maxFrameBytes = MaxLineBytes / 2 // bytes in a Thrift frame or a request body
 )
 
 // ReadRecording reads a recording, which has one line of JSON for each exchange. Errors give the number of the line.
-func Read(in io.Reader) (all []Exchange, err error) {
+func ReadRecording(in io.Reader) (all []Exchange, err error) {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, MostLine)
+	lines.Buffer(nil, MaxLineBytes)
 	n := 0
 	for lines.Scan() {
 		n++
@@ -66,8 +66,8 @@
 			return nil, fmt.Errorf("line %d: protocol: %q is neither http nor thrift", n, e.Protocol)
 		case (e.Protocol == "thrift") != (e.Request.Thrift != nil):
 			return nil, fmt.Errorf("line %d: request.thrift64: it is required for protocol thrift and not allowed for http", n)
-		case len(all) == MostExchanges:
-			return nil, fmt.Errorf("line %d: more than %d exchanges", n, MostExchanges)
+		case len(all) == MaxExchanges:
+			return nil, fmt.Errorf("line %d: more than %d exchanges", n, MaxExchanges)
 		}
 		all = append(all, e)
 	}
@@ -150,7 +150,7 @@
 	defer r.Body.Close()
 	answer.Status = r.StatusCode
 	answer.Headers = headers(r.Header)
-	answer.Body, err = io.ReadAll(io.LimitReader(r.Body, MostLine))
+	answer.Body, err = io.ReadAll(io.LimitReader(r.Body, MaxLineBytes))
 	return answer, !r.Close, err
 }
 
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -49,13 +49,13 @@
 			return w, err
 		}
 	}
-	p.Listen, p.Discovery, p.Known = "127.0.0.1:0", w.List.Addr(), w.List.Full()
-	p.Known.Version = 0 // makes the first watch answer contain the list, so that the agent is ready at once
+	p.Listen, p.Discovery, p.InitialList = "127.0.0.1:0", w.List.Addr(), w.List.Full()
+	p.InitialList.Version = 0 // makes the first watch answer contain the list, so that the agent is ready at once
 	cfg, service, err := p.Load()
 	if err != nil {
 		return w, err
 	}
-	if w.Agent, err = agent.NewWith(cfg, agent.Options{Service: service, Shapes: shapes}, log); err != nil {
+	if w.Agent, err = agent.NewWithOptions(cfg, agent.Options{Service: service, Shapes: shapes}, log); err != nil {
 		return w, err
 	}
 	addrs, err := w.Agent.Listen()
@@ -77,8 +77,8 @@
 
 // Add starts another server and adds it to the list. It must not be called concurrently with itself or Close.
 func (w *World) Add(opts standin.Options) (*standin.Server, error) {
-	also := opts.Saw
-	opts.Saw = func(c standin.Call) {
+	also := opts.OnCall
+	opts.OnCall = func(c standin.Call) {
 		w.mu.Lock()
 		w.deliveries[c.ID] = append(w.deliveries[c.ID], c)
 		w.mu.Unlock()
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	w.Servers = append(w.Servers, s)
-	w.List.Tell(s.Entry())
+	w.List.Update(s.Entry())
 	return s, nil
 }
 
@@ -99,7 +99,7 @@
 func (w *World) Reload() { w.reload <- os.Interrupt }
 
 // Deliveries returns the deliveries of a call to servers, in order.
-func (w *World) Saw(id string) []standin.Call {
+func (w *World) Deliveries(id string) []standin.Call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.deliveries[id])
@@ -134,13 +134,13 @@
 func (p *Player) Close() { p.close() }
 
 // Do sends the request of an exchange and returns the answer.
-func (p *Player) Ask(e Exchange) (Message, error) { return p.ask(e.Protocol, e.Request) }
+func (p *Player) Do(e Exchange) (Message, error) { return p.ask(e.Protocol, e.Request) }
 
 // Report is the result of a comparison.
 type Report struct {
-	Same      int      // number of calls without a difference
-	Unfit     []string // calls that the new shape cannot represent, which were refused before anything was sent
-	Different []string // calls with a difference, and which
+	Same           int      // number of calls without a difference
+	Untranslatable []string // calls that the new shape cannot represent, which were refused before anything was sent
+	Different      []string // calls with a difference, and which
 }
 
 // Compare sends the requests of exchanges to a World of the old shape and to one of the new shape. It compares the answers to
@@ -157,9 +157,9 @@
 		if err == nil {
 			name += " (" + id + ")"
 		}
-		want, err1 := before.Ask(e)
-		got, err2 := after.Ask(e)
-		there, here := old.Saw(id), new.Saw(id)
+		want, err1 := before.Do(e)
+		got, err2 := after.Do(e)
+		there, here := old.Deliveries(id), new.Deliveries(id)
 		say := func(format string, args ...any) {
 			r.Different = append(r.Different, name+": "+fmt.Sprintf(format, args...))
 		}
@@ -169,17 +169,17 @@
 		case err1 != nil || err2 != nil:
 			say("request failed: %v with the old servers, %v with the new ones", err1, err2)
 		case unfit(got) && len(here) == 0:
-			r.Unfit = append(r.Unfit, name+": "+refusalText(got))
+			r.Untranslatable = append(r.Untranslatable, name+": "+refusalText(got))
 		case !got.same(want):
 			say("the client received %v, with the old servers %v", got, want)
 		case len(there) != len(here):
 			say("%d deliveries to the new servers, %d to the old ones", len(here), len(there))
-		case len(here) == 1 && (here[0].Refund != there[0].Refund || here[0].Broken != there[0].Broken):
-			say("a new server received %+v %s, an old one %+v %s", here[0].Refund, here[0].Broken, there[0].Refund, there[0].Broken)
-		case len(here) == 1 && (here[0].Idempotency != key || there[0].Idempotency != key):
-			say("key %q was received as %q", key, here[0].Idempotency)
-		case len(here) == 1 && (here[0].Tenant != there[0].Tenant || here[0].Again != there[0].Again):
-			say("tenant %q, repeat %t; the old servers received %q, %t", here[0].Tenant, here[0].Again, there[0].Tenant, there[0].Again)
+		case len(here) == 1 && (here[0].Refund != there[0].Refund || here[0].ParseError != there[0].ParseError):
+			say("a new server received %+v %s, an old one %+v %s", here[0].Refund, here[0].ParseError, there[0].Refund, there[0].ParseError)
+		case len(here) == 1 && (here[0].IdempotencyKey != key || there[0].IdempotencyKey != key):
+			say("key %q was received as %q", key, here[0].IdempotencyKey)
+		case len(here) == 1 && (here[0].Tenant != there[0].Tenant || here[0].ClientRetry != there[0].ClientRetry):
+			say("tenant %q, repeat %t; the old servers received %q, %t", here[0].Tenant, here[0].ClientRetry, there[0].Tenant, there[0].ClientRetry)
 		default:
 			r.Same++
 		}
@@ -205,7 +205,7 @@
 	if m.Thrift == nil {
 		return string(m.Body)
 	}
-	exception, err := standin.ReadThrift(m.Thrift)
+	exception, err := standin.DecodeThrift(m.Thrift)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -29,7 +29,7 @@
 // protocols are the protocols of clients, and of servers as named in the list.
 var protocols = []string{"http", "thrift-binary", "thrift-compact"}
 
-func (o Old) exchange(id, protocol string) Exchange {
+func (o OldRefund) exchange(id, protocol string) Exchange {
 	if protocol == "http" {
 		return o.HTTP(id)
 	}
@@ -51,28 +51,28 @@
 				for i, o := range all {
 					id := fmt.Sprint("c-", i)
 					switch {
-					case o.Only != "" && !strings.HasPrefix(client, o.Only) && o.Only != client:
-					case o.Only == "thrift" && server == "http": // the key is not allowed in a header
+					case o.OnlyProtocol != "" && !strings.HasPrefix(client, o.OnlyProtocol) && o.OnlyProtocol != client:
+					case o.OnlyProtocol == "thrift" && server == "http": // the key is not allowed in a header
 						unfit = append(unfit, o.exchange(id, client))
-					case o.Fate == "served":
+					case o.Expected == "served":
 						served = append(served, o.exchange(id, client))
 					default:
 						unfit = append(unfit, o.exchange(id, client))
 					}
 				}
-				r := Compare(old, new, served, testkit.Patience)
+				r := Compare(old, new, served, testkit.WaitTimeout)
 				if r.Same != len(served) {
-					t.Errorf("%d of %d are the same, unfit %q, different %q", r.Same, len(served), first(r.Unfit), first(r.Different))
+					t.Errorf("%d of %d are the same, unfit %q, different %q", r.Same, len(served), first(r.Untranslatable), first(r.Different))
 				}
-				r = Compare(old, new, unfit, testkit.Patience)
-				if len(r.Unfit) != len(unfit) {
-					t.Errorf("%d of %d are unfit, same %d, different %q", len(r.Unfit), len(unfit), r.Same, first(r.Different))
+				r = Compare(old, new, unfit, testkit.WaitTimeout)
+				if len(r.Untranslatable) != len(unfit) {
+					t.Errorf("%d of %d are unfit, same %d, different %q", len(r.Untranslatable), len(unfit), r.Same, first(r.Different))
 				}
 				for version, w := range map[string]*World{"1": old, "2": new} {
-					if saw := w.Saw("c-0"); len(saw) != 1 || saw[0].Version != version {
+					if saw := w.Deliveries("c-0"); len(saw) != 1 || saw[0].Version != version {
 						t.Errorf("servers of version %s received %+v", version, saw)
 					}
-					if n := w.Agent.Illegal(); n > 0 {
+					if n := w.Agent.IllegalSteps(); n > 0 {
 						t.Errorf("%d illegal state transitions", n)
 					}
 				}
@@ -95,7 +95,7 @@
 	}{
 		"goods swapped": {text: wrong, want: "a new server received"},
 		"reply swapped": {text: strings.Replace(deploy.Translate, `paid = "true", pending = "false"`, `paid = "false", pending = "true"`, 1), want: "the client received"},
-		"an error":      {text: deploy.Translate, script: standin.First(9, standin.Step{Fault: standin.Error}), want: "the client received"},
+		"an error":      {text: deploy.Translate, script: standin.FirstDeliveries(9, standin.Step{Fault: standin.Error}), want: "the client received"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			new, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(c.text)) },
--- a/internal/lab/replay/tap.go
+++ b/internal/lab/replay/tap.go
@@ -41,10 +41,10 @@
 const maxInFlight = 4096
 
 // Recorded returns how many exchanges were recorded.
-func (t *Tap) Kept() int64 { return t.recorded.Load() }
+func (t *Tap) Recorded() int64 { return t.recorded.Load() }
 
 // Dropped returns how many exchanges were not recorded.
-func (t *Tap) Left() int64 { return t.dropped.Load() }
+func (t *Tap) Dropped() int64 { return t.dropped.Load() }
 
 // Run accepts connections of one protocol, http or thrift, and records to out until the context ends or the listener fails.
 // It takes ownership of the listener.
@@ -100,7 +100,7 @@
 			r.Out.URL.Scheme, r.Out.URL.Host, r.Out.Host = "http", t.To, r.In.Host
 		},
 		ModifyResponse: func(r *http.Response) error {
-			body, err := io.ReadAll(io.LimitReader(r.Body, MostLine))
+			body, err := io.ReadAll(io.LimitReader(r.Body, MaxLineBytes))
 			if err != nil {
 				return err
 			}
--- a/internal/lab/replay/tap_test.go
+++ b/internal/lab/replay/tap_test.go
@@ -38,7 +38,7 @@
 			var out bytes.Buffer
 			done := make(chan error, 1)
 			go func() { done <- tap.Run(ctx, protocol, l, &out) }()
-			p := newPlayer(l.Addr().String(), l.Addr().String(), testkit.Patience)
+			p := newPlayer(l.Addr().String(), l.Addr().String(), testkit.WaitTimeout)
 			for i, o := range all {
 				e := o.exchange(string(rune('a'+i)), client)
 				m, err := p.ask(e.Protocol, e.Request)
@@ -46,13 +46,13 @@
 					t.Fatalf("received %v, %v", m, err)
 				}
 			}
-			testkit.Eventually(t, "all exchanges are recorded", func() bool { return tap.Kept() == int64(len(all)) })
+			testkit.Eventually(t, "all exchanges are recorded", func() bool { return tap.Recorded() == int64(len(all)) })
 			p.close()
 			end()
-			if err := <-done; err != nil || tap.Left() > 0 {
-				t.Fatalf("%v, %d exchanges dropped", err, tap.Left())
+			if err := <-done; err != nil || tap.Dropped() > 0 {
+				t.Fatalf("%v, %d exchanges dropped", err, tap.Dropped())
 			}
-			recorded, err := Read(bytes.NewReader(out.Bytes()))
+			recorded, err := ReadRecording(bytes.NewReader(out.Bytes()))
 			if err != nil || len(recorded) != len(all) {
 				t.Fatalf("%d exchanges, %v", len(recorded), err)
 			}
@@ -66,7 +66,7 @@
 				}
 			}
 			r := Compare(newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: client, Shapes: []string{"1"}, NoLoad: true}),
-				newWorld(t, standin.Platform{}, standin.Options{ID: "new", Protocol: "http", Shapes: []string{"2"}}), recorded, testkit.Patience)
+				newWorld(t, standin.Platform{}, standin.Options{ID: "new", Protocol: "http", Shapes: []string{"2"}}), recorded, testkit.WaitTimeout)
 			if r.Same != len(all) {
 				t.Errorf("%+v", r)
 			}
@@ -125,12 +125,12 @@
 func TestReadProblems(t *testing.T) {
 	good := `{"protocol":"http","request":{"method":"GET","target":"/"},"answer":{}}` + "\n"
 	for text, want := range map[string]string{good + "{": "line 2", good + `{"protocol":"smtp"}`: "line 2: protocol", good + `{"protocol":"thrift","request":{}}`: "line 2: request.thrift64",
-		`{"protocl":"http"}`: "protocl", strings.Repeat(" ", MostLine+1): "line 1"} {
-		if _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
+		`{"protocl":"http"}`: "protocl", strings.Repeat(" ", MaxLineBytes+1): "line 1"} {
+		if _, err := ReadRecording(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.80q: %v", text, err)
 		}
 	}
-	if all, err := Read(strings.NewReader("\n" + good)); err != nil || len(all) != 1 {
+	if all, err := ReadRecording(strings.NewReader("\n" + good)); err != nil || len(all) != 1 {
 		t.Errorf("%v, %v", all, err)
 	}
 }
--- a/internal/lab/replay/wording.go
+++ b/internal/lab/replay/wording.go
@@ -9,23 +9,23 @@
 )
 
 // OldRefund is a refund in the old shape, with the texts that a client sends.
-type Old struct {
-	Name   string  `json:"name"`
-	Key    []byte  `json:"key64"` // the idempotency key
-	Form   string  `json:"form"`
-	Amount string  `json:"amount"`
-	Bought string  `json:"bought"`
-	Goods  string  `json:"goods"`
-	First  string  `json:"first"`
-	Last   string  `json:"last"`
-	Memo   *string `json:"memo,omitempty"`
-	Body   string  `json:"body,omitempty"` // HTTP body to use instead of a form built from the fields above
-	Fate   string  `json:"fate"`           // expected outcome: served, or unfit, which is refused because the new shape cannot represent it
-	Only   string  `json:"only,omitempty"` // the only protocol that can carry it; empty for all
+type OldRefund struct {
+	Name         string  `json:"name"`
+	Key          []byte  `json:"key64"` // the idempotency key
+	Form         string  `json:"form"`
+	Amount       string  `json:"amount"`
+	Bought       string  `json:"bought"`
+	Goods        string  `json:"goods"`
+	First        string  `json:"first"`
+	Last         string  `json:"last"`
+	Memo         *string `json:"memo,omitempty"`
+	Body         string  `json:"body,omitempty"` // HTTP body to use instead of a form built from the fields above
+	Expected     string  `json:"fate"`           // expected outcome: served, or unfit, which is refused because the new shape cannot represent it
+	OnlyProtocol string  `json:"only,omitempty"` // the only protocol that can carry it; empty for all
 }
 
 // HTTP encodes the refund as an HTTP request with the given correlation id.
-func (o Old) HTTP(id string) Exchange {
+func (o OldRefund) HTTP(id string) Exchange {
 	body := o.Body
 	if body == "" {
 		pairs := []string{"amount=" + url.QueryEscape(o.Amount), "bought=" + url.QueryEscape(o.Bought), "goods=" + url.QueryEscape(o.Goods),
@@ -42,13 +42,13 @@
 }
 
 // Thrift encodes the refund as a Thrift call with the given correlation id, with the Apache library.
-func (o Old) Thrift(id string, compact bool) Exchange {
+func (o OldRefund) Thrift(id string, compact bool) Exchange {
 	args := map[int16]any{1: map[int16]any{1: id, 2: standin.Tenants[0], 3: o.Form, 4: string(o.Key), 5: int64(5000), 6: true},
 		2: o.Amount, 3: o.Bought, 4: o.Goods, 5: o.First, 6: o.Last}
 	if o.Memo != nil {
 		args[7] = *o.Memo
 	}
-	return Exchange{Protocol: "thrift", Request: Message{Thrift: standin.WordThrift("refund", 7, args, compact)}}
+	return Exchange{Protocol: "thrift", Request: Message{Thrift: standin.EncodeThrift("refund", 7, args, compact)}}
 }
 
 // envelope returns the correlation id and idempotency key of a request. It reads Thrift with the Apache library.
@@ -64,7 +64,7 @@
 		}
 	} else {
 		var args map[int16]any
-		if args, err = standin.ReadThrift(e.Request.Thrift); err == nil {
+		if args, err = standin.DecodeThrift(e.Request.Thrift); err == nil {
 			h, _ := args[1].(map[int16]any)
 			id, _ = h[1].(string)
 			key, _ = h[4].(string)
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -22,13 +22,13 @@
 )
 
 // WorldConfig returns the configuration of the experiment: twelve servers, of which two are slow and one is silent.
-func World(rate float64, reports bool, seed uint64) sim.Config {
+func WorldConfig(rate float64, reports bool, seed uint64) sim.Config {
 	cfg := sim.Config{Rate: rate, Reports: reports, Seed: seed, Network: time.Millisecond, Mix: []float64{0.6, 0.3, 0.1},
 		Work: []time.Duration{20 * time.Millisecond, 30 * time.Millisecond, 40 * time.Millisecond},
 		Module: choice.Settings{Balancers: 1, Tick: time.Millisecond, MaxAttempts: 3, CanCancel: true, Classes: []choice.Class{
-			{Name: "form-check", Effect: choice.Safe, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 2},
-			{Name: "refund-record", Effect: choice.Keyed, Window: 2 * time.Second, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 10},
-			{Name: "pay-out", Effect: choice.Unsafe, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Worth: 10}}}}
+			{Name: "form-check", Effect: choice.Safe, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Value: 2},
+			{Name: "refund-record", Effect: choice.Keyed, DedupWindow: 2 * time.Second, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Value: 10},
+			{Name: "pay-out", Effect: choice.Unsafe, Aim: 300 * time.Millisecond, Deadline: 600 * time.Millisecond, Value: 10}}}}
 	for i := range 12 {
 		s := sim.Server{ID: fmt.Sprintf("forms-%02d", i), Cores: 2, Speed: 1}
 		switch i {
@@ -43,21 +43,21 @@
 }
 
 const (
-	warm     = 30 * time.Second // run time of the first agent
-	measured = 10 * time.Second // measured time of its successor
-	drained  = time.Second      // after it, until all its calls have ended
+	warmupTime   = 30 * time.Second // run time of the first agent
+	measuredTime = 10 * time.Second // measured time of its successor
+	drainTime    = time.Second      // after it, until all its calls have ended
 )
 
 // Variant is a way to restart: what of the first agent's learned state its successor starts with.
 type Variant struct {
-	Name string
-	Past func(stored learned.State, seed uint64) *aging.Past // nil to start without
-	Stay bool                                                // no restart
+	Name      string
+	Restore   func(stored learned.State, seed uint64) *aging.Restored // nil to start without
+	NoRestart bool                                                    // no restart
 }
 
 // storedFor returns a Variant.Restore for which the state was stored the given time ago.
-func storedFor(age time.Duration) func(learned.State, uint64) *aging.Past {
-	return func(stored learned.State, _ uint64) *aging.Past {
+func storedFor(age time.Duration) func(learned.State, uint64) *aging.Restored {
+	return func(stored learned.State, _ uint64) *aging.Restored {
 		return aging.New(aging.Defaults, makeOlder(stored, age))
 	}
 }
@@ -74,20 +74,20 @@
 
 // Variants lists the variants that are compared.
 var Variants = []Variant{
-	{Name: "no restart", Stay: true},
-	{Name: "file of 2 s", Past: storedFor(2 * time.Second)},
-	{Name: "file of 1 min", Past: storedFor(time.Minute)},
-	{Name: "file of 1 h", Past: storedFor(time.Hour)},
-	{Name: "file of 1 day", Past: storedFor(24 * time.Hour)},
-	{Name: Without},
+	{Name: "no restart", NoRestart: true},
+	{Name: "file of 2 s", Restore: storedFor(2 * time.Second)},
+	{Name: "file of 1 min", Restore: storedFor(time.Minute)},
+	{Name: "file of 1 h", Restore: storedFor(time.Hour)},
+	{Name: "file of 1 day", Restore: storedFor(24 * time.Hour)},
+	{Name: WithoutState},
 }
 
 // WithoutState is the name of the variant without stored state, the baseline of Compare.
-const Without = "without"
+const WithoutState = "without"
 
 // WrongState is a Variant.Restore that replaces the stored figures of each server and class by random ones, with an age of two minutes on
 // average.
-func Wrong(stored learned.State, seed uint64) *aging.Past {
+func WrongState(stored learned.State, seed uint64) *aging.Restored {
 	return aging.New(aging.Defaults, falsify(stored, seed))
 }
 
@@ -121,18 +121,18 @@
 	if err != nil {
 		return 0, err
 	}
-	w.RunUntil(sim.Base + warm)
-	if !v.Stay {
-		var past *aging.Past
-		if v.Past != nil {
-			past = v.Past(w.Kept(), cfg.Seed)
+	w.RunUntil(sim.StartTime + warmupTime)
+	if !v.NoRestart {
+		var past *aging.Restored
+		if v.Restore != nil {
+			past = v.Restore(w.Export(), cfg.Seed)
 		}
 		if err := w.Restart(past); err != nil {
 			return 0, err
 		}
 	}
-	w.RunUntil(sim.Base + warm + measured + drained)
-	return w.Lost(sim.Base+warm, sim.Base+warm+measured), nil
+	w.RunUntil(sim.StartTime + warmupTime + measuredTime + drainTime)
+	return w.LostShare(sim.StartTime+warmupTime, sim.StartTime+warmupTime+measuredTime), nil
 }
 
 // Row summarizes the losses of a variant over all seeds, as shares of the value.
@@ -178,7 +178,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for j := range jobs {
-				loss, err := Loss(World(rate, reports, uint64(j[1]+1)), variants[j[0]])
+				loss, err := Loss(WorldConfig(rate, reports, uint64(j[1]+1)), variants[j[0]])
 				mu.Lock()
 				losses[j[0]][j[1]] = loss
 				if err != nil {
@@ -200,7 +200,7 @@
 		rows = append(rows, NewRow(v.Name, losses[i]))
 	}
 	for _, baseline := range rows {
-		if baseline.Name != Without {
+		if baseline.Name != WithoutState {
 			continue
 		}
 		for i := range rows {
--- a/internal/lab/rollout/rollout.go
+++ b/internal/lab/rollout/rollout.go
@@ -24,30 +24,30 @@
 	Client   string // http, thrift-binary or thrift-compact
 	Old, New string // protocols of the old and the new servers
 	// NoShapes keeps all servers at the old shape, with an agent without shapes.
-	Plain bool
+	NoShapes bool
 	// StaleList makes the list still report version 2 for servers that were rolled back.
-	Stale   bool
-	Servers int
-	Rate    float64       // calls per second
-	Every   time.Duration // interval between replacements
-	Hang    time.Duration // duration of the hang of one server, halfway through
-	Service time.Duration // duration of a call
-	Seed    uint64
-	Text    string // shapes and mappings as TOML; the sample file if empty
+	StaleList       bool
+	Servers         int
+	Rate            float64       // calls per second
+	ReplaceInterval time.Duration // interval between replacements
+	HangTime        time.Duration // duration of the hang of one server, halfway through
+	ServiceTime     time.Duration // duration of a call
+	Seed            uint64
+	ShapesText      string // shapes and mappings as TOML; the sample file if empty
 }
 
 // Result counts what clients and servers observed.
 type Result struct {
 	Calls, Served, Late, Refused, Failed, Other int // calls by answer; Served within aim, Late after it
 	Deliveries                                  int
-	Full                                        int           // calls that a server rejected because too many were in flight
-	Unknown                                     int           // calls that reached a server that does not know their shape
-	Follow                                      time.Duration // longest time from the first such call to a server until the next one that it accepts
+	RejectedFull                                int           // calls that a server rejected because too many were in flight
+	UnknownShape                                int           // calls that reached a server that does not know their shape
+	AdaptTime                                   time.Duration // longest time from the first such call to a server until the next one that it accepts
 	Misread                                     int           // deliveries whose content differs from what the client sent
-	Keys                                        int           // deliveries whose idempotency key differs from what the client sent
-	Doubles                                     int           // duplicate effects
+	WrongKeys                                   int           // deliveries whose idempotency key differs from what the client sent
+	DuplicateEffects                            int           // duplicate effects
 	AfterDrain                                  int           // calls that arrived too long after the start of a drain
-	Worst                                       float64       // share of the calls served in time, in the worst second
+	WorstSecond                                 float64       // share of the calls served in time, in the worst second
 }
 
 // aim is the time within which an answer counts as in time.
@@ -61,20 +61,20 @@
 
 // Run runs a rolling deploy and returns what was observed.
 func Run(set Settings) (Result, error) {
-	text := set.Text
+	text := set.ShapesText
 	if text == "" {
 		text = deploy.Translate
 	}
 	shapes := func() (*translate.Set, error) { return translate.Compile([]byte(text)) }
-	if set.Plain {
+	if set.NoShapes {
 		shapes = nil
 	}
-	p := &play{set: set, group: standin.NewPod(), sent: map[string]sentRefund{}, firstUnknown: map[string]time.Time{}}
+	p := &play{set: set, group: standin.NewDedupGroup(), sent: map[string]sentRefund{}, firstUnknown: map[string]time.Time{}}
 	var first []standin.Options
 	for i := range set.Servers {
 		first = append(first, p.server(i, "old", false))
 	}
-	w, err := replay.NewWorld(standin.Platform{Deadline: 2 * time.Second, MaxRetryAfter: time.Second, Cancel: true, MostTries: 5}, shapes,
+	w, err := replay.NewWorld(standin.Platform{Deadline: 2 * time.Second, MaxRetryAfter: time.Second, CanCancel: true, MaxAttempts: 5}, shapes,
 		slog.New(slog.DiscardHandler), first...)
 	if err != nil {
 		return Result{}, err
@@ -83,7 +83,7 @@
 	p.world = w
 	replaced := make(chan error, 1)
 	go func() { replaced <- p.replace() }()
-	length := time.Duration(2*set.Servers+3) * set.Every
+	length := time.Duration(2*set.Servers+3) * set.ReplaceInterval
 	p.load(length)
 	if err := <-replaced; err != nil {
 		return Result{}, err
@@ -99,7 +99,7 @@
 type play struct {
 	set   Settings
 	world *replay.World
-	group *standin.Pod
+	group *standin.DedupGroup
 	hung  atomic.Bool
 
 	mu           sync.Mutex
@@ -112,47 +112,47 @@
 
 // server returns the options of the server at a place in a stage: old, new or back (rolled back).
 func (p *play) server(place int, stage string, slow bool) standin.Options {
-	o := standin.Options{ID: fmt.Sprintf("%s-%02d", stage, place), Protocol: p.set.Old, Shapes: []string{"1"}, Pod: p.group, Most: maxCalls,
-		Service: p.set.Service, ColdFrom: 0.4}
+	o := standin.Options{ID: fmt.Sprintf("%s-%02d", stage, place), Protocol: p.set.Old, Shapes: []string{"1"}, DedupGroup: p.group, MaxCalls: maxCalls,
+		ServiceTime: p.set.ServiceTime, SlowStartMinShare: 0.4}
 	if slow {
-		o.ColdFor = 2 * time.Second
+		o.SlowStartWindow = 2 * time.Second
 	}
-	if stage == "new" && !p.set.Plain {
+	if stage == "new" && !p.set.NoShapes {
 		o.Protocol, o.Shapes = p.set.New, []string{"2"}
 	}
-	if stage == "back" && p.set.Stale {
-		o.Listed = []string{"2"}
+	if stage == "back" && p.set.StaleList {
+		o.ListedShapes = []string{"2"}
 	}
 	version := o.Shapes[0]
 	hangs := stage == "new" && place == p.set.Servers/2
 	o.Script = func(standin.Call) standin.Step {
 		if hangs && p.hung.Load() {
-			return standin.Step{Fault: standin.Silence}
+			return standin.Step{Fault: standin.NoReply}
 		}
 		return standin.Step{}
 	}
-	o.Saw = func(c standin.Call) {
+	o.OnCall = func(c standin.Call) {
 		now := time.Now()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.result.Deliveries++
 		want := p.sent[c.ID]
 		if c.Version != version {
-			p.result.Unknown++
+			p.result.UnknownShape++
 			if _, any := p.firstUnknown[o.ID]; !any {
 				p.firstUnknown[o.ID] = now
 			}
 		} else {
 			if first := p.firstUnknown[o.ID]; !first.IsZero() {
-				p.result.Follow = max(p.result.Follow, now.Sub(first))
+				p.result.AdaptTime = max(p.result.AdaptTime, now.Sub(first))
 				p.firstUnknown[o.ID] = time.Time{}
 			}
-			if c.Broken != "" || c.Refund != want.refund {
+			if c.ParseError != "" || c.Refund != want.refund {
 				p.result.Misread++
 			}
 		}
-		if c.Idempotency != want.key {
-			p.result.Keys++
+		if c.IdempotencyKey != want.key {
+			p.result.WrongKeys++
 		}
 	}
 	return o
@@ -161,7 +161,7 @@
 // replace replaces the old servers by new ones and then rolls them back.
 func (p *play) replace() error {
 	now := append([]*standin.Server{}, p.world.Servers...)
-	tick := time.NewTicker(p.set.Every)
+	tick := time.NewTicker(p.set.ReplaceInterval)
 	defer tick.Stop()
 	var ends sync.WaitGroup
 	defer ends.Wait()
@@ -175,21 +175,21 @@
 			}
 			now[i] = s
 			old.Drain()
-			p.world.List.Tell(old.Entry())
+			p.world.List.Update(old.Entry())
 			ends.Go(func() {
 				time.Sleep(linger)
 				removed := old.Entry()
 				removed.State = "terminated"
-				p.world.List.Tell(removed)
+				p.world.List.Update(removed)
 				p.mu.Lock()
-				p.result.AfterDrain += old.Late()
+				p.result.AfterDrain += old.LateCalls()
 				p.mu.Unlock()
 				old.Close()
 			})
 		}
 		if stage == "new" {
 			p.hung.Store(true)
-			time.AfterFunc(p.set.Hang, func() { p.hung.Store(false) })
+			time.AfterFunc(p.set.HangTime, func() { p.hung.Store(false) })
 		}
 	}
 	return nil
@@ -233,7 +233,7 @@
 	id, key := fmt.Sprint("c-", j.i), fmt.Sprintf("key %d %%41 é", j.i)
 	day := time.Unix(0, 0).UTC().AddDate(0, 0, j.pence%20000)
 	goods := j.pence % 3
-	o := replay.Old{Key: []byte(key), Form: "GB/" + id, Amount: fmt.Sprintf("%d.%02d", j.pence/100, j.pence%100), Bought: day.Format("02/01/2006"),
+	o := replay.OldRefund{Key: []byte(key), Form: "GB/" + id, Amount: fmt.Sprintf("%d.%02d", j.pence/100, j.pence%100), Bought: day.Format("02/01/2006"),
 		Goods: string("WJO"[goods]), First: "Élise", Last: "MacLeod " + id}
 	p.mu.Lock()
 	p.sent[id] = sentRefund{standin.Refund{Form: o.Form, Pence: int64(j.pence), Bought: day.Format("2006-01-02"),
@@ -243,7 +243,7 @@
 	if p.set.Client != "http" {
 		e = o.Thrift(id, p.set.Client == "thrift-compact")
 	}
-	m, err := player.Ask(e)
+	m, err := player.Do(e)
 	took := time.Since(j.at)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -268,7 +268,7 @@
 }
 
 // answerKind classifies an answer.
-func answerKind(m replay.Message) standin.Kind {
+func answerKind(m replay.Message) standin.AnswerKind {
 	if m.Thrift == nil {
 		switch m.Status {
 		case 200:
@@ -278,17 +278,17 @@
 		case 502:
 			return standin.Failed
 		}
-		return standin.TurnedDown
+		return standin.BadRequest
 	}
-	result, err := standin.ReadThrift(m.Thrift)
+	result, err := standin.DecodeThrift(m.Thrift)
 	if err == nil {
-		for field, kind := range map[int16]standin.Kind{0: standin.Served, 1: standin.Refused, 2: standin.Failed} {
+		for field, kind := range map[int16]standin.AnswerKind{0: standin.Served, 1: standin.Refused, 2: standin.Failed} {
 			if _, is := result[field].(map[int16]any); is {
 				return kind
 			}
 		}
 	}
-	return standin.TurnedDown
+	return standin.BadRequest
 }
 
 // count returns the totals after the run.
@@ -296,26 +296,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.result
-	r.Doubles = p.group.Doubles()
-	r.Worst = 1
+	r.DuplicateEffects = p.group.DuplicateEffects()
+	r.WorstSecond = 1
 	for _, s := range p.seconds {
 		if s[0] > 0 {
-			r.Worst = min(r.Worst, float64(s[1])/float64(s[0]))
+			r.WorstSecond = min(r.WorstSecond, float64(s[1])/float64(s[0]))
 		}
 	}
 	for _, s := range p.world.Servers {
-		r.Full += s.TurnedAway()
+		r.RejectedFull += s.RejectedCalls()
 	}
 	return r
 }
 
 // WriteTable writes a table with one row for each result.
-func Table(out io.Writer, sets []Settings, results []Result) error {
+func WriteTable(out io.Writer, sets []Settings, results []Result) error {
 	t := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "\tcalls\tserved in time\tworst second\tlate\trefused\tfailed\tother\tdeliveries\tunknown shape\tfollowed in\tfull\tmisread\tkeys\tdoubles\tafter drain")
 	for i, r := range results {
 		fmt.Fprintf(t, "%s\t%d\t%.2f %%\t%.1f %%\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%d\t%d\t%d\t%d\t%d\n", sets[i].Name, r.Calls, 100*float64(r.Served)/float64(r.Calls),
-			100*r.Worst, r.Late, r.Refused, r.Failed, r.Other, r.Deliveries, r.Unknown, r.Follow.Round(time.Millisecond), r.Full, r.Misread, r.Keys, r.Doubles, r.AfterDrain)
+			100*r.WorstSecond, r.Late, r.Refused, r.Failed, r.Other, r.Deliveries, r.UnknownShape, r.AdaptTime.Round(time.Millisecond), r.RejectedFull, r.Misread, r.WrongKeys, r.DuplicateEffects, r.AfterDrain)
 	}
 	return t.Flush()
 }
--- a/internal/lab/rollout/rollout_test.go
+++ b/internal/lab/rollout/rollout_test.go
@@ -14,25 +14,25 @@
 func TestRollout(t *testing.T) {
 	for _, set := range []Settings{
 		{Name: "http", Client: "http", Old: "http", New: "http"},
-		{Name: "binary to compact, list stale", Client: "thrift-binary", Old: "thrift-binary", New: "thrift-compact", Stale: true},
+		{Name: "binary to compact, list stale", Client: "thrift-binary", Old: "thrift-binary", New: "thrift-compact", StaleList: true},
 		{Name: "http to compact", Client: "http", Old: "http", New: "thrift-compact"},
 	} {
 		t.Run(set.Name, func(t *testing.T) {
 			t.Parallel()
-			set.Servers, set.Rate, set.Every, set.Hang, set.Service, set.Seed = 4, 60, 500*time.Millisecond, time.Second, 10*time.Millisecond, 1
+			set.Servers, set.Rate, set.ReplaceInterval, set.HangTime, set.ServiceTime, set.Seed = 4, 60, 500*time.Millisecond, time.Second, 10*time.Millisecond, 1
 			r, err := Run(set)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Misread+r.Keys+r.Doubles+r.AfterDrain > 0 || r.Other > 0 {
+			if r.Misread+r.WrongKeys+r.DuplicateEffects+r.AfterDrain > 0 || r.Other > 0 {
 				t.Errorf("%+v", r)
 			}
 			if r.Served < r.Calls*8/10 || r.Deliveries < r.Calls {
 				t.Errorf("%d of %d served: %+v", r.Served, r.Calls, r)
 			}
 			// Calls may be retried because of the hang, so several calls in flight may each reach a server that was rolled back.
-			if !set.Stale && r.Unknown > 0 || set.Stale && r.Unknown == 0 {
-				t.Errorf("%d calls reached a server that does not know their shape", r.Unknown)
+			if !set.StaleList && r.UnknownShape > 0 || set.StaleList && r.UnknownShape == 0 {
+				t.Errorf("%d calls reached a server that does not know their shape", r.UnknownShape)
 			}
 		})
 	}
@@ -41,7 +41,7 @@
 // A mapping that changes the meaning for the servers must be detected from what the servers received.
 func TestRolloutSeesMisreading(t *testing.T) {
 	wrong := strings.Replace(deploy.Translate, `W = "watch", J = "jewellery"`, `W = "jewellery", J = "watch"`, 1)
-	r, err := Run(Settings{Client: "http", Old: "http", New: "http", Servers: 2, Rate: 40, Every: 300 * time.Millisecond, Seed: 1, Text: wrong})
+	r, err := Run(Settings{Client: "http", Old: "http", New: "http", Servers: 2, Rate: 40, ReplaceInterval: 300 * time.Millisecond, Seed: 1, ShapesText: wrong})
 	if err != nil || r.Misread == 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -33,26 +33,26 @@
 
 // Config configures a World.
 type Config struct {
-	Module  choice.Settings
-	Servers []Server
-	Agents  int             // 0 means 1
-	Rate    float64         // calls per second, all agents together
-	Shares  []float64       // relative share of the calls of each agent; nil for equal shares
-	Mix     []float64       // share of the calls of each class
-	Work    []time.Duration // mean work of a call, by class; exponentially distributed
-	Network time.Duration   // one-way latency
-	Reports bool            // answers report the server's load
-	Told    bool            // agents start without servers and know only those passed to UpdateList
-	Seed    uint64
+	Module     choice.Settings
+	Servers    []Server
+	Agents     int             // 0 means 1
+	Rate       float64         // calls per second, all agents together
+	Shares     []float64       // relative share of the calls of each agent; nil for equal shares
+	Mix        []float64       // share of the calls of each class
+	Work       []time.Duration // mean work of a call, by class; exponentially distributed
+	Network    time.Duration   // one-way latency
+	Reports    bool            // answers report the server's load
+	StartEmpty bool            // agents start without servers and know only those passed to UpdateList
+	Seed       uint64
 
 	// BelievedRank returns the rank of an agent among all agents and their number, as the agent believes. nil for the true values.
-	Place func(agent int) (me, agents int)
+	BelievedRank func(agent int) (me, agents int)
 	// OnAttempt, if not nil, is called for each attempt that reaches a server.
-	Got func(at time.Duration, agent int, server string)
+	OnAttempt func(at time.Duration, agent int, server string)
 }
 
 // StartTime is the time of the balancers' clock at which a World starts.
-const Base = 1000 * time.Hour
+const StartTime = 1000 * time.Hour
 
 // bootID is the boot id of the simulated machine that the agents run on.
 const bootID = "00000000-0000-4000-8000-000000000001"
@@ -75,18 +75,18 @@
 // agent is one run of an agent process: a restarted agent is a new one.
 type agent struct {
 	number   int
-	tracker  *ledger.Ledger
+	tracker  *ledger.Tracker
 	stopped  bool
 	attempts map[*ledger.Attempt]*attempt
 }
 
 // Call is a client's call and its result.
 type Call struct {
-	At       time.Duration // of arrival
-	Class    int
-	Kind     ledger.Kind
-	Answered time.Duration // 0 if its agent stopped before
-	Attempts int
+	At         time.Duration // of arrival
+	Class      int
+	Kind       ledger.AnswerKind
+	AnsweredAt time.Duration // 0 if its agent stopped before
+	Attempts   int
 }
 
 type attempt struct {
@@ -131,7 +131,7 @@
 // New returns a World whose agents start without learned state. It returns an error if the lengths in cfg do not match or the
 // rate is not above 0.
 func New(cfg Config) (*World, error) {
-	w := &World{cfg: cfg, now: Base, servers: map[string]*server{}, arrivals: rand.New(rand.NewPCG(cfg.Seed, 1))}
+	w := &World{cfg: cfg, now: StartTime, servers: map[string]*server{}, arrivals: rand.New(rand.NewPCG(cfg.Seed, 1))}
 	if len(cfg.Mix) != len(cfg.Module.Classes) || len(cfg.Work) != len(cfg.Module.Classes) || !(cfg.Rate > 0) {
 		return nil, fmt.Errorf("the simulation needs a rate above 0, and a share and a mean work for each of its %d classes", len(cfg.Module.Classes))
 	}
@@ -212,8 +212,8 @@
 	w.calls = append(w.calls, c)
 	call := &ledger.Call{Request: choice.Request{ID: fmt.Sprint(number), Class: class, Deadline: w.now + w.cfg.Module.Classes[class].Deadline,
 		Key: fmt.Sprint("k", number)}, Payload: &payload{number, c}}
-	call.Answer = func(a ledger.Answer) { c.Kind, c.Answered = a.Kind, w.now }
-	w.execute(agent, agent.tracker.Arrived(w.now, call))
+	call.Answer = func(a ledger.Answer) { c.Kind, c.AnsweredAt = a.Kind, w.now }
+	w.execute(agent, agent.tracker.CallArrived(w.now, call))
 }
 
 type payload struct {
@@ -222,10 +222,10 @@
 }
 
 // startAgent starts an agent, with the learned state of an earlier one if past is not nil.
-func (w *World) startAgent(number int, past *aging.Past, seed uint64) error {
+func (w *World) startAgent(number int, past *aging.Restored, seed uint64) error {
 	me, agents := number, w.cfg.Agents
-	if w.cfg.Place != nil {
-		me, agents = w.cfg.Place(number)
+	if w.cfg.BelievedRank != nil {
+		me, agents = w.cfg.BelievedRank(number)
 	}
 	settings, agentSeed := w.cfg.Module, w.cfg.Seed+seed+uint64(number)<<32
 	settings.Balancers = agents
@@ -235,47 +235,47 @@
 	}
 	a := &agent{number: number, attempts: map[*ledger.Attempt]*attempt{}}
 	a.tracker = ledger.New(ledger.Settings{MaxAttempts: settings.MaxAttempts,
-		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), Carries: func(choice.Protocols) bool { return true }}, module)
+		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), HasTransport: func(choice.Protocols) bool { return true }}, module)
 	w.agents[number] = a
 	w.execute(a, a.tracker.Start(w.now))
 	var entries []ledger.Entry
 	for _, s := range w.cfg.Servers {
-		if w.cfg.Told {
+		if w.cfg.StartEmpty {
 			break
 		}
 		entries = append(entries, ledger.Entry{Server: choice.Server{ID: s.ID, Weight: 1}, Addr: s.ID})
 	}
 	if past != nil {
-		a.tracker.Remember(past)
+		a.tracker.LoadPast(past)
 	}
-	w.execute(a, a.tracker.List(w.now, true, entries))
+	w.execute(a, a.tracker.UpdateServers(w.now, true, entries))
 	a.tracker.Recall(w.now, w.Clock())
 	return nil
 }
 
 // AddServer starts a server. Agents do not know it until UpdateList is called with it.
-func (w *World) Add(s Server) { w.servers[s.ID] = &server{Server: s, averagedAt: w.now} }
+func (w *World) AddServer(s Server) { w.servers[s.ID] = &server{Server: s, averagedAt: w.now} }
 
 // KillServer stops a server: it refuses connections, and its open calls are never answered.
-func (w *World) Kill(id string) {
+func (w *World) KillServer(id string) {
 	s := w.servers[id]
 	s.dead, s.Silent, s.queue = true, true, nil
 }
 
 // Schedule runs a function at a virtual time, or at once if that has passed.
-func (w *World) At(at time.Duration, run func()) { w.scheduleAfter(at-w.now, run) }
+func (w *World) Schedule(at time.Duration, run func()) { w.scheduleAfter(at-w.now, run) }
 
 // SetSilent makes a server accept calls without answering, or answer again. Calls received while it was silent are never
 // answered.
-func (w *World) Mute(id string, silent bool) { w.servers[id].Silent = silent }
+func (w *World) SetSilent(id string, silent bool) { w.servers[id].Silent = silent }
 
 // UpdateList passes changes of the server list to the agents. The address of a server is its id here.
-func (w *World) Tell(changes []ledger.Entry) {
+func (w *World) UpdateList(changes []ledger.Entry) {
 	if len(changes) == 0 {
 		return
 	}
 	for _, a := range w.agents {
-		w.execute(a, a.tracker.List(w.now, false, changes))
+		w.execute(a, a.tracker.UpdateServers(w.now, false, changes))
 	}
 }
 
@@ -283,34 +283,34 @@
 func (w *World) Clock() learned.Clock { return learned.Clock{Wall: w.now, Boot: w.now, BootID: bootID} }
 
 // Export returns the learned state that the first agent would persist now.
-func (w *World) Kept() learned.State {
+func (w *World) Export() learned.State {
 	var l ledger.Learned
 	w.agents[0].tracker.Export(w.now, &l, nil)
 	return learned.New(w.Clock(), "sim", l.Memory, l.Servers, l.Fleet, nil)
 }
 
 // Restart stops the first agent, whose open calls are lost, and starts its successor, with learned state if past is not nil.
-func (w *World) Restart(past *aging.Past) error {
+func (w *World) Restart(past *aging.Restored) error {
 	w.agents[0].stopped = true
 	return w.startAgent(0, past, 1)
 }
 
 // execute carries out the commands of an agent's call tracker.
-func (w *World) execute(a *agent, commands []ledger.Order) {
+func (w *World) execute(a *agent, commands []ledger.Command) {
 	for _, o := range slices.Clone(commands) { // carrying one out may lead to new commands
 		switch o.Kind {
 		case ledger.SetTimer:
 			token := o.Token
 			w.scheduleAfter(o.At-w.now, func() {
 				if !a.stopped {
-					w.execute(a, a.tracker.Fired(w.now, token))
+					w.execute(a, a.tracker.TimerFired(w.now, token))
 				}
 			})
-		case ledger.Begin:
+		case ledger.StartAttempt:
 			w.startAttempt(a, o.Attempt)
-		case ledger.Withdraw:
+		case ledger.CancelAttempt:
 			if t := a.attempts[o.Attempt]; t != nil {
-				w.scheduleAfter(0, func() { w.endAttempt(a, t, ledger.Ended(choice.Cancelled)) })
+				w.scheduleAfter(0, func() { w.endAttempt(a, t, ledger.ResultOnly(choice.Cancelled)) })
 			}
 		case ledger.Reply:
 			o.Call.Answer(o.Answer)
@@ -323,23 +323,23 @@
 	a.attempts[tracked] = t
 	p := tracked.Payload.(*payload)
 	p.call.Attempts++
-	w.scheduleAfter(tracked.End-w.now, func() { w.endAttempt(a, t, ledger.Ended(choice.TimedOut)) })
+	w.scheduleAfter(tracked.Deadline-w.now, func() { w.endAttempt(a, t, ledger.ResultOnly(choice.TimedOut)) })
 	s := w.servers[tracked.Server.Addr]
 	mean := float64(w.cfg.Work[tracked.Call.Class])
 	work := time.Duration(-math.Log(w.random(p.number, "work"))*mean/s.Speed) + 1
 	w.scheduleAfter(w.cfg.Network, func() {
-		if w.cfg.Got != nil {
-			w.cfg.Got(w.now, a.number, tracked.Server.Addr)
+		if w.cfg.OnAttempt != nil {
+			w.cfg.OnAttempt(w.now, a.number, tracked.Server.Addr)
 		}
 		switch {
 		case s == nil || s.dead:
-			w.scheduleAfter(w.cfg.Network, func() { w.endAttempt(a, t, ledger.Ended(choice.ConnectFailed)) })
+			w.scheduleAfter(w.cfg.Network, func() { w.endAttempt(a, t, ledger.ResultOnly(choice.ConnectFailed)) })
 			return
 		case s.Silent:
 			return
 		}
 		w.serve(s, &job{work, func() {
-			e := ledger.Ended(choice.OK)
+			e := ledger.ResultOnly(choice.OK)
 			if w.cfg.Reports {
 				e.Report = s.report(w.now)
 			}
@@ -348,13 +348,13 @@
 	})
 }
 
-func (w *World) endAttempt(a *agent, t *attempt, e ledger.Ending) {
+func (w *World) endAttempt(a *agent, t *attempt, e ledger.AttemptOutcome) {
 	if t.ended || a.stopped {
 		return
 	}
 	t.ended = true
 	delete(a.attempts, t.tracked)
-	w.execute(a, a.tracker.Ended(w.now, t.tracked, e))
+	w.execute(a, a.tracker.AttemptEnded(w.now, t.tracked, e))
 }
 
 // serve makes a server work on a job, or queue it. Calls that the agent canceled are worked on all the same, as real servers do.
@@ -368,7 +368,7 @@
 	w.scheduleAfter(j.work, func() {
 		s.updateAverages(w.now)
 		s.busy--
-		s.rate += 1 / horizon.Seconds()
+		s.rate += 1 / reportHorizon.Seconds()
 		if !s.dead {
 			j.done()
 		}
@@ -381,11 +381,11 @@
 }
 
 // reportHorizon is the time constant of the averages that servers report.
-const horizon = time.Second
+const reportHorizon = time.Second
 
 // updateAverages decays the server's averages up to now.
 func (s *server) updateAverages(now time.Duration) {
-	keep := math.Exp(-float64(now-s.averagedAt) / float64(horizon))
+	keep := math.Exp(-float64(now-s.averagedAt) / float64(reportHorizon))
 	s.rate *= keep
 	s.utilization = s.utilization*keep + (1-keep)*float64(s.busy)/float64(s.Cores)
 	s.averagedAt = now
@@ -401,19 +401,19 @@
 // LostShare returns the share of the value of the calls that arrived from from until to (exclusive) that was lost. A call that
 // is served within its class's aim earns its full value, one served at the deadline nothing, with a linear decrease between;
 // all other calls earn nothing.
-func (w *World) Lost(from, to time.Duration) float64 {
+func (w *World) LostShare(from, to time.Duration) float64 {
 	total, lost := 0.0, 0.0
 	for _, c := range w.calls {
 		if c.At < from || c.At >= to {
 			continue
 		}
 		class := w.cfg.Module.Classes[c.Class]
-		total += class.Worth
+		total += class.Value
 		earned := 0.0
-		if took := c.Answered - c.At; c.Answered > 0 && c.Kind == ledger.Served {
+		if took := c.AnsweredAt - c.At; c.AnsweredAt > 0 && c.Kind == ledger.Served {
 			earned = min(1, max(0, float64(class.Deadline-took)/float64(class.Deadline-class.Aim)))
 		}
-		lost += class.Worth * (1 - earned)
+		lost += class.Value * (1 - earned)
 	}
 	if total == 0 {
 		return 0
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -13,11 +13,11 @@
 // Runs with the same seed are identical, and runs with different seeds differ.
 func TestSameSeedSameRun(t *testing.T) {
 	play := func(seed uint64) []*sim.Call {
-		w, err := sim.New(restart.World(100, true, seed))
+		w, err := sim.New(restart.WorldConfig(100, true, seed))
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.RunUntil(sim.Base + 5*time.Second)
+		w.RunUntil(sim.StartTime + 5*time.Second)
 		return w.Calls()
 	}
 	if a, b := play(1), play(1); !reflect.DeepEqual(a, b) {
@@ -32,7 +32,7 @@
 // servers serve none.
 func TestCallsEnd(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		cfg := restart.World(100, true, 1)
+		cfg := restart.WorldConfig(100, true, 1)
 		for i := range cfg.Servers {
 			cfg.Servers[i].Speed, cfg.Servers[i].Silent = 1, silent
 		}
@@ -40,14 +40,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.RunUntil(sim.Base + 10*time.Second)
+		w.RunUntil(sim.StartTime + 10*time.Second)
 		served, all := 0, 0
 		for _, c := range w.Calls() {
-			if c.At > sim.Base+9*time.Second {
+			if c.At > sim.StartTime+9*time.Second {
 				continue
 			}
 			all++
-			if c.Answered == 0 || c.Answered-c.At > cfg.Module.Classes[c.Class].Deadline {
+			if c.AnsweredAt == 0 || c.AnsweredAt-c.At > cfg.Module.Classes[c.Class].Deadline {
 				t.Fatalf("%+v", c)
 			}
 			if c.Kind == ledger.Served {
@@ -57,7 +57,7 @@
 		if all < 800 || silent && served > 0 || !silent && served < all*99/100 {
 			t.Errorf("silent %t: %d of %d calls served", silent, served, all)
 		}
-		if lost := w.Lost(sim.Base, sim.Base+9*time.Second); silent && lost != 1 || !silent && lost > 0.02 {
+		if lost := w.LostShare(sim.StartTime, sim.StartTime+9*time.Second); silent && lost != 1 || !silent && lost > 0.02 {
 			t.Errorf("silent %t: lost share %v", silent, lost)
 		}
 	}
--- a/internal/lab/spread/spread.go
+++ b/internal/lab/spread/spread.go
@@ -16,7 +16,7 @@
 
 // Compute returns the Spread of the number of calls per server. received has the calls by server id; the rest of the
 // servers received none.
-func Of(servers int, received map[string]int) (s Spread) {
+func Compute(servers int, received map[string]int) (s Spread) {
 	all := make([]float64, 0, servers)
 	for _, calls := range received {
 		all = append(all, float64(calls))
@@ -38,7 +38,7 @@
 
 // SteadyRate returns the mean number of attempts per second that each of the silent servers received after the first 5 s.
 // perSecond has the attempts at all of them together, by second. The result is 0 if there is nothing to count.
-func Tried(perSecond []int, servers int) (mean float64) {
+func SteadyRate(perSecond []int, servers int) (mean float64) {
 	if len(perSecond) <= settleSeconds || servers == 0 {
 		return 0
 	}
--- a/internal/lab/standin/http.go
+++ b/internal/lab/standin/http.go
@@ -40,8 +40,8 @@
 	}
 	left, _ := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
 	return r, Call{Method: Method(method), ID: r.Header.Get("X-Correlation-Id"), Tenant: r.Header.Get("X-Account"),
-		Idempotency: r.Header.Get("Idempotency-Key"), Left: time.Duration(left * float64(time.Second)),
-		Again: r.Header.Get("X-Repeat") == "1", Text: string(body)}, nil
+		IdempotencyKey: r.Header.Get("Idempotency-Key"), TimeLeft: time.Duration(left * float64(time.Second)),
+		ClientRetry: r.Header.Get("X-Repeat") == "1", Text: string(body)}, nil
 }
 
 func (httpEncoder) reply(r reply) []byte {
--- a/internal/lab/standin/kiosk.go
+++ b/internal/lab/standin/kiosk.go
@@ -18,39 +18,39 @@
 )
 
 // Request is a request that a kiosk sends.
-type Ask struct {
-	Method      Method
-	ID          string
-	Tenant      string
-	Key         string
-	Idempotency string        // of a Record call
-	Left        time.Duration // time until the deadline, as stated in the call
-	Text        string
-	Repeat      bool            // marks it as a retry by the client
-	Leave       <-chan struct{} // when closed, the kiosk disconnects without waiting for the answer; may be nil
+type Request struct {
+	Method         Method
+	ID             string
+	Tenant         string
+	Key            string
+	IdempotencyKey string        // of a Record call
+	TimeLeft       time.Duration // time until the deadline, as stated in the call
+	Text           string
+	ClientRetry    bool            // marks it as a retry by the client
+	Cancel         <-chan struct{} // when closed, the kiosk disconnects without waiting for the answer; may be nil
 }
 
 // AnswerKind is the kind of an answer that a kiosk receives.
-type Kind int
+type AnswerKind int
 
 // The kinds of answers.
 const (
-	Served Kind = iota
+	Served AnswerKind = iota
 	Refused
 	Failed
-	TurnedDown // rejected as malformed or unknown
+	BadRequest // rejected as malformed or unknown
 	Lost       // the connection ended without an answer
 	Sent       // a oneway call, which has no answer
 )
 
 // String returns the name of the kind.
-func (k Kind) String() string {
+func (k AnswerKind) String() string {
 	return [...]string{"served", "refused", "failed", "turned down", "lost", "sent"}[k]
 }
 
 // Answer is the answer that a kiosk receives, or the error in its place.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	Text       string
 	RetryAfter time.Duration
 	Took       time.Duration
@@ -60,13 +60,13 @@
 // Kiosk is a client with a pool of connections. It is safe for concurrent use.
 type Kiosk interface {
 	// Do sends a request and waits for its answer, for no longer than the deadline and answerGrace.
-	Ask(Ask) Answer
+	Do(Request) Answer
 	// Close closes the idle connections.
 	Close()
 }
 
 // answerGrace is how long a kiosk waits for an answer beyond the deadline of its call. It also limits dialing.
-const slack = 2 * time.Second
+const answerGrace = 2 * time.Second
 
 // NewKiosk returns a kiosk that speaks http, thrift-binary or thrift-compact to the agent at addr.
 func NewKiosk(protocol, addr string) (Kiosk, error) {
@@ -80,14 +80,14 @@
 }
 
 // onCancel calls do when the kiosk disconnects, unless stop is called before.
-func (a *Ask) onCancel(do func()) (stop func()) {
-	if a.Leave == nil {
+func (a *Request) onCancel(do func()) (stop func()) {
+	if a.Cancel == nil {
 		return func() {}
 	}
 	done := make(chan struct{})
 	go func() {
 		select {
-		case <-a.Leave:
+		case <-a.Cancel:
 			do()
 		case <-done:
 		}
@@ -102,15 +102,15 @@
 
 func (k *httpKiosk) Close() { k.client.CloseIdleConnections() }
 
-func (k *httpKiosk) Ask(a Ask) Answer {
+func (k *httpKiosk) Do(a Request) Answer {
 	begin := time.Now()
 	ans := k.roundTrip(a)
 	ans.Took = time.Since(begin)
 	return ans
 }
 
-func (k *httpKiosk) roundTrip(a Ask) Answer {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Left+slack)
+func (k *httpKiosk) roundTrip(a Request) Answer {
+	ctx, cancel := context.WithTimeout(context.Background(), a.TimeLeft+answerGrace)
 	defer cancel()
 	defer a.onCancel(cancel)()
 	method, body := http.MethodPost, io.Reader(strings.NewReader(a.Text))
@@ -122,13 +122,13 @@
 		return Answer{Kind: Lost, Err: err}
 	}
 	for name, value := range map[string]string{"X-Correlation-Id": a.ID, "X-Service-Class": Classes[a.Method],
-		"X-Account": a.Tenant, "X-Time-Left": strconv.FormatFloat(a.Left.Seconds(), 'f', 3, 64),
-		"Idempotency-Key": a.Idempotency} {
+		"X-Account": a.Tenant, "X-Time-Left": strconv.FormatFloat(a.TimeLeft.Seconds(), 'f', 3, 64),
+		"Idempotency-Key": a.IdempotencyKey} {
 		if value != "" {
 			req.Header.Set(name, value)
 		}
 	}
-	if a.Repeat {
+	if a.ClientRetry {
 		req.Header.Set("X-Repeat", "1")
 	}
 	resp, err := k.client.RoundTrip(req)
@@ -149,7 +149,7 @@
 		after, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		ans.RetryAfter = time.Duration(after * float64(time.Second))
 	case resp.StatusCode < 500:
-		ans.Kind = TurnedDown
+		ans.Kind = BadRequest
 	}
 	return ans
 }
@@ -195,20 +195,20 @@
 		k.idle = k.idle[:n-1]
 		return c, nil
 	}
-	c, err := net.DialTimeout("tcp", k.addr, slack)
+	c, err := net.DialTimeout("tcp", k.addr, answerGrace)
 	if err != nil {
 		return nil, err
 	}
 	return &thriftConn{Conn: c, client: ThriftClient(c, k.compact)}, nil
 }
 
-func (k *thriftKiosk) Ask(a Ask) Answer {
+func (k *thriftKiosk) Do(a Request) Answer {
 	begin := time.Now()
 	c, err := k.conn()
 	if err != nil {
 		return Answer{Kind: Lost, Err: err, Took: time.Since(begin)}
 	}
-	c.SetDeadline(begin.Add(a.Left + slack))
+	c.SetDeadline(begin.Add(a.TimeLeft + answerGrace))
 	stop := a.onCancel(func() { c.Close() })
 	ans := callThrift(c.client, a)
 	stop()
@@ -232,13 +232,13 @@
 }
 
 // callThrift makes one call with the generated client.
-func callThrift(c *formapi.FormServiceClient, a Ask) Answer {
+func callThrift(c *formapi.FormServiceClient, a Request) Answer {
 	ctx := context.Background()
-	left := a.Left.Milliseconds()
+	left := a.TimeLeft.Milliseconds()
 	h := &formapi.Header{CorrelationId: a.ID, Tenant: a.Tenant, Key: optional(a.Key),
-		IdempotencyKey: optional(a.Idempotency), TimeLeftMs: &left}
-	if a.Repeat {
-		h.Repeat = &a.Repeat
+		IdempotencyKey: optional(a.IdempotencyKey), TimeLeftMs: &left}
+	if a.ClientRetry {
+		h.Repeat = &a.ClientRetry
 	}
 	var text string
 	var err error
@@ -274,7 +274,7 @@
 	case errors.As(err, &failed):
 		return Answer{Kind: Failed, Text: failed.GetReason(), Err: err}
 	case errors.As(err, &application):
-		return Answer{Kind: TurnedDown, Text: application.Error(), Err: err}
+		return Answer{Kind: BadRequest, Text: application.Error(), Err: err}
 	}
 	return Answer{Kind: Lost, Err: err}
 }
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -12,7 +12,7 @@
 )
 
 // VersionedList is a list of servers with the log of its changes. It is safe for concurrent use.
-type Book struct {
+type VersionedList struct {
 	mu      sync.Mutex
 	entries map[string]discovery.Entry
 	version int64
@@ -22,13 +22,13 @@
 }
 
 // NewVersionedList returns an empty VersionedList.
-func NewBook() *Book {
-	return &Book{entries: map[string]discovery.Entry{}, changed: make(chan struct{})}
+func NewVersionedList() *VersionedList {
+	return &VersionedList{entries: map[string]discovery.Entry{}, changed: make(chan struct{})}
 }
 
 // List is a list service: an HTTP server with a VersionedList that agents query or watch.
 type List struct {
-	*Book
+	*VersionedList
 	listener net.Listener
 	http     *http.Server
 }
@@ -42,9 +42,9 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &List{Book: NewBook(), listener: listen}
+	l := &List{VersionedList: NewVersionedList(), listener: listen}
 	l.http = &http.Server{Handler: http.HandlerFunc(l.serve), ReadHeaderTimeout: 5 * time.Second}
-	l.Tell(entries...)
+	l.Update(entries...)
 	go l.http.Serve(listen)
 	return l, nil
 }
@@ -56,7 +56,7 @@
 func (l *List) Close() { l.http.Close() }
 
 // Update adds or changes entries and wakes the watches. An entry in state terminated is removed.
-func (l *Book) Tell(entries ...discovery.Entry) {
+func (l *VersionedList) Update(entries ...discovery.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range entries {
@@ -72,20 +72,20 @@
 }
 
 // DropHistory drops the log of changes: a query from an earlier version gets the full list.
-func (l *Book) Forget() {
+func (l *VersionedList) DropHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.oldest = l.version
 }
 
 // Full returns the full list.
-func (l *Book) Full() discovery.List {
+func (l *VersionedList) Full() discovery.List {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fullLocked()
 }
 
-func (l *Book) fullLocked() discovery.List {
+func (l *VersionedList) fullLocked() discovery.List {
 	full := discovery.List{Version: l.version, Full: true, Servers: []discovery.Entry{}}
 	for _, e := range l.entries {
 		full.Servers = append(full.Servers, e)
@@ -95,7 +95,7 @@
 
 // ChangesSince returns the changes after a version, or the full list if that version is unknown, and a channel that is
 // closed at the next change.
-func (l *Book) Since(version int64) (discovery.List, <-chan struct{}) {
+func (l *VersionedList) ChangesSince(version int64) (discovery.List, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if version < l.oldest || version > l.version {
@@ -118,7 +118,7 @@
 	fmt.Sscan(r.URL.Query().Get("index"), &version)
 	flush := http.NewResponseController(w).Flush
 	for {
-		change, changed := l.Since(version)
+		change, changed := l.ChangesSince(version)
 		if change.Full || len(change.Servers) > 0 {
 			lines.Encode(change)
 			version = change.Version
--- a/internal/lab/standin/names.go
+++ b/internal/lab/standin/names.go
@@ -13,20 +13,20 @@
 
 // The faults. NameOK is none.
 const (
-	NameWell      NameFault = iota
-	NameSilent              // no answer
-	NameCut                 // truncated over UDP, complete over TCP
-	NameCutHang             // truncated over UDP, no answer over TCP
-	NameRefused             // REFUSED
-	NameFails               // SERVFAIL
-	NameOtherID             // an answer with a wrong id only
-	NameOtherPort           // an answer from a wrong port only
-	NameLoop                // a message with a compression pointer that points to itself
-	NameEmpty               // NXDOMAIN
+	NameOK             NameFault = iota
+	NameSilent                   // no answer
+	NameTruncated                // truncated over UDP, complete over TCP
+	NameTruncatedNoTCP           // truncated over UDP, no answer over TCP
+	NameRefused                  // REFUSED
+	NameServFail                 // SERVFAIL
+	NameWrongID                  // an answer with a wrong id only
+	NameWrongPort                // an answer from a wrong port only
+	NameLoop                     // a message with a compression pointer that points to itself
+	NameNXDomain                 // NXDOMAIN
 )
 
 // NameServer is a DNS server with one zone. It answers over UDP and TCP on the same port.
-type Names struct {
+type NameServer struct {
 	addr    string
 	servers []*dns.Server
 
@@ -39,8 +39,8 @@
 }
 
 // NewNameServer starts a name server on a free loopback port. It runs until Close.
-func NewNames() (*Names, error) {
-	n := &Names{zone: map[dns.Question][]dns.RR{}, removedAt: map[string]time.Time{}, streaks: map[string]int{}}
+func NewNameServer() (*NameServer, error) {
+	n := &NameServer{zone: map[dns.Question][]dns.RR{}, removedAt: map[string]time.Time{}, streaks: map[string]int{}}
 	packets, streams, err := listenOnOnePort()
 	if err != nil {
 		return nil, err
@@ -71,31 +71,31 @@
 }
 
 // Addr returns the address that the server listens on.
-func (n *Names) Addr() string { return n.addr }
+func (n *NameServer) Addr() string { return n.addr }
 
 // Close stops the server.
-func (n *Names) Close() {
+func (n *NameServer) Close() {
 	for _, s := range n.servers {
 		s.Shutdown()
 	}
 }
 
 // SetFault sets the fault of all further answers.
-func (n *Names) Fault(f NameFault) {
+func (n *NameServer) SetFault(f NameFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fault = f
 }
 
 // Queries returns how many queries were received.
-func (n *Names) Asked() int {
+func (n *NameServer) Queries() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.queries
 }
 
 // SetZone replaces the zone by records in zone file format.
-func (n *Names) Set(records ...string) error {
+func (n *NameServer) SetZone(records ...string) error {
 	zone := map[dns.Question][]dns.RR{}
 	for _, text := range records {
 		r, err := dns.NewRR(text)
@@ -113,7 +113,7 @@
 
 // TargetRemoved returns the time of the first answer without a target that the answer before it contained.
 // known is false if the target was never removed or is back.
-func (n *Names) Withdrawn(target string) (at time.Time, known bool) {
+func (n *NameServer) TargetRemoved(target string) (at time.Time, known bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at, known = n.removedAt[dns.CanonicalName(target)]
@@ -121,13 +121,13 @@
 }
 
 // TargetStreak returns how many consecutive answers, up to the latest, contained a target.
-func (n *Names) Named(target string) int {
+func (n *NameServer) TargetStreak(target string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.streaks[dns.CanonicalName(target)]
 }
 
-func (n *Names) answer(w dns.ResponseWriter, ask *dns.Msg) {
+func (n *NameServer) answer(w dns.ResponseWriter, ask *dns.Msg) {
 	n.mu.Lock()
 	n.queries++
 	fault := n.fault
@@ -137,7 +137,7 @@
 		q := ask.Question[0]
 		q.Name = dns.CanonicalName(q.Name)
 		m.Answer = n.zone[q]
-		if q.Qtype == dns.TypeSRV && fault == NameWell {
+		if q.Qtype == dns.TypeSRV && fault == NameOK {
 			n.recordLocked(m.Answer)
 		}
 	}
@@ -146,8 +146,8 @@
 	switch fault {
 	case NameSilent:
 		return
-	case NameCut, NameCutHang:
-		if tcp && fault == NameCutHang {
+	case NameTruncated, NameTruncatedNoTCP:
+		if tcp && fault == NameTruncatedNoTCP {
 			return
 		}
 		if !tcp {
@@ -155,13 +155,13 @@
 		}
 	case NameRefused:
 		m.Answer, m.Rcode = nil, dns.RcodeRefused
-	case NameFails:
+	case NameServFail:
 		m.Answer, m.Rcode = nil, dns.RcodeServerFailure
-	case NameEmpty:
+	case NameNXDomain:
 		m.Answer, m.Rcode = nil, dns.RcodeNameError
-	case NameOtherID:
+	case NameWrongID:
 		m.Id++
-	case NameOtherPort:
+	case NameWrongPort:
 		if wire, err := m.Pack(); err == nil {
 			if c, err := net.Dial("udp", w.RemoteAddr().String()); err == nil {
 				c.Write(wire)
@@ -179,7 +179,7 @@
 }
 
 // recordLocked records which targets an answer contains and which it no longer contains.
-func (n *Names) recordLocked(records []dns.RR) {
+func (n *NameServer) recordLocked(records []dns.RR) {
 	now := map[string]int{}
 	for _, r := range records {
 		if srv, ok := r.(*dns.SRV); ok {
--- a/internal/lab/standin/shapes.go
+++ b/internal/lab/standin/shapes.go
@@ -39,7 +39,7 @@
 }
 
 // ErrUnknownShape is the error for a message in a shape that the server does not know.
-var ErrShape = errors.New("unknown shape")
+var ErrUnknownShape = errors.New("unknown shape")
 
 // shaped is a call in a shape, of either protocol.
 type shaped struct {
@@ -112,17 +112,17 @@
 		s.version = "2"
 		s.refund, s.err = parseNewJSON(body)
 	default:
-		s.err = ErrShape
+		s.err = ErrUnknownShape
 	}
 	call.setShape(&s)
-	return call, &shapedHTTP{s, call.Idempotency}, nil
+	return call, &shapedHTTP{s, call.IdempotencyKey}, nil
 }
 
 // setShape sets the fields of the call that depend on its shape.
 func (c *Call) setShape(s *shaped) {
 	c.Version, c.Refund, c.Key = s.version, s.refund, s.refund.Form
 	if s.err != nil {
-		c.Broken = s.err.Error()
+		c.ParseError = s.err.Error()
 	}
 }
 
@@ -246,7 +246,7 @@
 	}
 	left, _ := h[5].(int64)
 	again, _ := h[6].(bool)
-	call := Call{Method: Record, ID: text(h, 1), Tenant: text(h, 2), Idempotency: text(h, 4), Left: time.Duration(left) * time.Millisecond, Again: again}
+	call := Call{Method: Record, ID: text(h, 1), Tenant: text(h, 2), IdempotencyKey: text(h, 4), TimeLeft: time.Duration(left) * time.Millisecond, ClientRetry: again}
 	s := &f.shaped
 	switch f.name {
 	case "refund":
@@ -256,9 +256,9 @@
 		s.version = "2"
 		s.refund, s.err = parseNewStruct(text(h, 3), args)
 	default:
-		s.err = ErrShape
+		s.err = ErrUnknownShape
 	}
-	f.key = call.Idempotency
+	f.key = call.IdempotencyKey
 	call.setShape(s)
 	return call, f, nil
 }
@@ -414,7 +414,7 @@
 }
 
 // EncodeThrift encodes a Thrift call from its arguments by id, without the frame.
-func WordThrift(method string, seq int32, args map[int16]any, compact bool) []byte {
+func EncodeThrift(method string, seq int32, args map[int16]any, compact bool) []byte {
 	f := thriftEncoder{protocol: protocolOf([]byte{0x80}), name: method, seq: seq}
 	if compact {
 		f.protocol = protocolOf([]byte{thrift.COMPACT_PROTOCOL_ID})
@@ -423,7 +423,7 @@
 }
 
 // DecodeThrift decodes the struct of a Thrift message without its frame, and returns the fields by id.
-func ReadThrift(message []byte) (map[int16]any, error) {
+func DecodeThrift(message []byte) (map[int16]any, error) {
 	if len(message) == 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -32,20 +32,20 @@
 
 // Call is a call that a server has received completely.
 type Call struct {
-	Method      Method
-	ID          string
-	Key         string // of the object that the call is about
-	Idempotency string
-	Left        time.Duration // until the deadline
-	Text        string
-	Delivery    int // how often the group has received this id, including this time
+	Method         Method
+	ID             string
+	Key            string // of the object that the call is about
+	IdempotencyKey string
+	TimeLeft       time.Duration // until the deadline
+	Text           string
+	Delivery       int // how often the group has received this id, including this time
 
 	// The following fields are set only by servers with Options.Shapes, except for Tenant and ClientRetry in HTTP.
-	Tenant  string
-	Again   bool   // marked as a retry by the client
-	Version string // of the shape of the message
-	Refund  Refund
-	Broken  string // why the message cannot be parsed in that shape; empty if it can
+	Tenant      string
+	ClientRetry bool   // marked as a retry by the client
+	Version     string // of the shape of the message
+	Refund      Refund
+	ParseError  string // why the message cannot be parsed in that shape; empty if it can
 }
 
 // Fault is a fault of a server during a call.
@@ -53,20 +53,20 @@
 
 // The faults. The call takes effect with all of them except Reject and UnknownShape.
 const (
-	None         Fault = iota
-	Reject             // rejected as not processed
-	Error              // an error answer; the call may have taken effect
-	Silence            // no answer; the connection stays open
-	ResetBefore        // the connection is reset before the reply
-	CutReply           // the connection is closed in the middle of the reply
-	Trickle            // the reply is sent one byte every 20 ms
-	ResetAfter         // the connection is reset right after the reply
-	Spoilt             // invalid bytes instead of a reply
-	WrongSeq           // a reply to another call; in HTTP, which has no sequence numbers, invalid bytes
-	TwoReplies         // the reply is sent twice
-	HugeReply          // a reply with a length prefix of 2 GiB
-	UnknownShape       // rejected as not processed because the shape is unknown
-	OddReply           // for calls with a shape: a reply with a value that the shape does not define
+	None           Fault = iota
+	Reject               // rejected as not processed
+	Error                // an error answer; the call may have taken effect
+	NoReply              // no answer; the connection stays open
+	ResetBefore          // the connection is reset before the reply
+	CutReply             // the connection is closed in the middle of the reply
+	Trickle              // the reply is sent one byte every 20 ms
+	ResetAfter           // the connection is reset right after the reply
+	InvalidBytes         // invalid bytes instead of a reply
+	WrongSeq             // a reply to another call; in HTTP, which has no sequence numbers, invalid bytes
+	TwoReplies           // the reply is sent twice
+	HugeReply            // a reply with a length prefix of 2 GiB
+	UnknownShape         // rejected as not processed because the shape is unknown
+	UndefinedValue       // for calls with a shape: a reply with a value that the shape does not define
 )
 
 // Step is what a server does with a call.
@@ -81,7 +81,7 @@
 type Script func(Call) Step
 
 // FirstDeliveries returns a Script that applies a Step to the first n deliveries of each call and serves the others normally.
-func First(n int, s Step) Script {
+func FirstDeliveries(n int, s Step) Script {
 	return func(c Call) Step {
 		if c.Delivery <= n {
 			return s
@@ -91,7 +91,7 @@
 }
 
 // DedupGroup is the state of a group of servers that deduplicate keyed calls among them. It is safe for concurrent use.
-type Pod struct {
+type DedupGroup struct {
 	mu         sync.Mutex
 	effects    map[string]int
 	receipts   map[string]string
@@ -99,26 +99,26 @@
 }
 
 // NewDedupGroup returns an empty DedupGroup.
-func NewPod() *Pod {
-	return &Pod{effects: map[string]int{}, receipts: map[string]string{}, deliveries: map[string]int{}}
+func NewDedupGroup() *DedupGroup {
+	return &DedupGroup{effects: map[string]int{}, receipts: map[string]string{}, deliveries: map[string]int{}}
 }
 
 // Effects returns how often a call took effect. key is its idempotency key or, if it has none, its id.
-func (p *Pod) Effects(key string) int {
+func (p *DedupGroup) Effects(key string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.effects[key]
 }
 
 // Deliveries returns how often the servers completely received a call with this id.
-func (p *Pod) Deliveries(id string) int {
+func (p *DedupGroup) Deliveries(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.deliveries[id]
 }
 
 // DuplicateEffects returns the number of repeated effects, over all calls other than Check.
-func (p *Pod) Doubles() (n int) {
+func (p *DedupGroup) DuplicateEffects() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, times := range p.effects {
@@ -127,7 +127,7 @@
 	return n
 }
 
-func (p *Pod) deliver(id string) int {
+func (p *DedupGroup) deliver(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.deliveries[id]++
@@ -135,18 +135,18 @@
 }
 
 // run applies the effect of a call, unless it is a duplicate of a keyed call, and returns the text of the reply.
-func (p *Pod) run(c Call) string {
+func (p *DedupGroup) run(c Call) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch c.Method {
 	case Check:
 		return "checked " + c.Key + " " + c.Text
 	case Record:
-		if p.receipts[c.Idempotency] == "" {
-			p.effects[c.Idempotency]++
-			p.receipts[c.Idempotency] = "receipt of " + c.Idempotency
+		if p.receipts[c.IdempotencyKey] == "" {
+			p.effects[c.IdempotencyKey]++
+			p.receipts[c.IdempotencyKey] = "receipt of " + c.IdempotencyKey
 		}
-		return p.receipts[c.Idempotency]
+		return p.receipts[c.IdempotencyKey]
 	}
 	p.effects[c.ID]++
 	return "receipt of " + c.ID
@@ -154,21 +154,21 @@
 
 // Options configure a Server.
 type Options struct {
-	ID          string
-	Protocol    string // as in the list: http, thrift, thrift-binary or thrift-compact; http if empty
-	Multiplexed bool
-	Pod         *Pod // a new one if nil
-	Cell        int
-	Script      Script
-	Service     time.Duration                    // duration of a call
-	Most        int                              // maximum number of calls in flight; others are rejected. 0 for no limit
-	ColdFrom    float64                          // share of the full speed at the start
-	ColdFor     time.Duration                    // time until the full speed is reached
-	NoLoad      bool                             // do not report the load
-	Load        func() (util, perSecond float64) // reported instead of the measured load; may be nil
-	Shapes      []string                         // accept only refunds in these versions of their shape; calls of all classes if nil
-	Listed      []string                         // versions that the list entry contains; Shapes if nil
-	Saw         func(Call)                       // called for each completely received call; may be nil
+	ID                string
+	Protocol          string // as in the list: http, thrift, thrift-binary or thrift-compact; http if empty
+	Multiplexed       bool
+	DedupGroup        *DedupGroup // a new one if nil
+	Cell              int
+	Script            Script
+	ServiceTime       time.Duration                    // duration of a call
+	MaxCalls          int                              // maximum number of calls in flight; others are rejected. 0 for no limit
+	SlowStartMinShare float64                          // share of the full speed at the start
+	SlowStartWindow   time.Duration                    // time until the full speed is reached
+	NoLoad            bool                             // do not report the load
+	Load              func() (util, perSecond float64) // reported instead of the measured load; may be nil
+	Shapes            []string                         // accept only refunds in these versions of their shape; calls of all classes if nil
+	ListedShapes      []string                         // versions that the list entry contains; Shapes if nil
+	OnCall            func(Call)                       // called for each completely received call; may be nil
 }
 
 // Server is a form server. It is safe for concurrent use.
@@ -197,8 +197,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if opts.Pod == nil {
-		opts.Pod = NewPod()
+	if opts.DedupGroup == nil {
+		opts.DedupGroup = NewDedupGroup()
 	}
 	s := &Server{opts: opts, listener: l, started: time.Now(), closed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go s.accept()
@@ -209,20 +209,20 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // DedupGroup returns the group that the server belongs to.
-func (s *Server) Pod() *Pod { return s.opts.Pod }
+func (s *Server) DedupGroup() *DedupGroup { return s.opts.DedupGroup }
 
 // Entry returns the server's entry for the list.
 func (s *Server) Entry() discovery.Entry {
 	e := discovery.Entry{ID: s.opts.ID, Addr: s.Addr(), Zone: "z", Cell: s.opts.Cell, State: "in_service", Weight: 1,
 		Protocol: s.opts.Protocol, Multiplexed: s.opts.Multiplexed}
-	listed := s.opts.Listed
+	listed := s.opts.ListedShapes
 	if listed == nil {
 		listed = s.opts.Shapes
 	}
 	for _, version := range listed {
 		e.Shapes = append(e.Shapes, Classes[Record]+"/"+version)
 	}
-	if s.opts.ColdFor > 0 {
+	if s.opts.SlowStartWindow > 0 {
 		e.StartedMS = s.started.UnixMilli()
 	}
 	s.mu.Lock()
@@ -241,14 +241,14 @@
 }
 
 // LateCalls returns how many calls arrived later than DrainGrace after the start of the drain.
-func (s *Server) Late() int {
+func (s *Server) LateCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.late
 }
 
 // RejectedCalls returns how many calls were rejected because Options.MaxCalls were in flight.
-func (s *Server) TurnedAway() int {
+func (s *Server) RejectedCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rejected
@@ -355,37 +355,37 @@
 
 // call handles one call as the script says. It reports whether the connection remains usable.
 func (s *Server) call(c net.Conn, write *sync.Mutex, call Call, f replyEncoder) bool {
-	call.Delivery = s.opts.Pod.deliver(call.ID)
+	call.Delivery = s.opts.DedupGroup.deliver(call.ID)
 	var step Step
 	if s.opts.Script != nil {
 		step = s.opts.Script(call)
 	}
 	answer := reply{fault: step.Fault}
-	if step.Fault == OddReply {
+	if step.Fault == UndefinedValue {
 		answer.fault, answer.undefined = None, true
 	}
 	if s.opts.Shapes != nil && answer.fault == None {
 		switch known := slices.Contains(s.opts.Shapes, call.Version); {
 		case !known:
 			answer.fault = UnknownShape
-		case call.Broken != "":
+		case call.ParseError != "":
 			answer.fault = Error
 		}
 	}
-	if s.opts.Saw != nil {
-		s.opts.Saw(call)
+	if s.opts.OnCall != nil {
+		s.opts.OnCall(call)
 	}
 	s.mu.Lock()
-	if s.opts.Most > 0 && s.inFlight >= s.opts.Most {
+	if s.opts.MaxCalls > 0 && s.inFlight >= s.opts.MaxCalls {
 		answer.fault = Reject
 		s.rejected++
 	}
 	s.inFlight++
 	answer.load = s.loadLocked()
 	s.mu.Unlock()
-	if answer.fault != Reject && answer.fault != UnknownShape && call.Broken == "" {
-		answer.text = s.opts.Pod.run(call)
-		s.wait(s.opts.Service, step)
+	if answer.fault != Reject && answer.fault != UnknownShape && call.ParseError == "" {
+		answer.text = s.opts.DedupGroup.run(call)
+		s.wait(s.opts.ServiceTime, step)
 	} else {
 		s.wait(0, step)
 	}
@@ -405,16 +405,16 @@
 		return &load{inFlight: float64(s.inFlight), util: util, qps: perSecond}
 	}
 	l := &load{inFlight: float64(s.inFlight), qps: float64(s.completed) / max(1, time.Since(s.started).Seconds())}
-	if s.opts.Most > 0 {
-		l.util = float64(s.inFlight) / float64(s.opts.Most)
+	if s.opts.MaxCalls > 0 {
+		l.util = float64(s.inFlight) / float64(s.opts.MaxCalls)
 	}
 	return l
 }
 
 // wait blocks for the duration of a call, with the slow start and the delays of the step.
 func (s *Server) wait(took time.Duration, step Step) {
-	if age := time.Since(s.started); age < s.opts.ColdFor {
-		warm := s.opts.ColdFrom + (1-s.opts.ColdFrom)*float64(age)/float64(s.opts.ColdFor)
+	if age := time.Since(s.started); age < s.opts.SlowStartWindow {
+		warm := s.opts.SlowStartMinShare + (1-s.opts.SlowStartMinShare)*float64(age)/float64(s.opts.SlowStartWindow)
 		took = time.Duration(float64(took) / warm)
 	}
 	if took += step.Delay; took > 0 {
@@ -436,7 +436,7 @@
 	write.Lock()
 	defer write.Unlock()
 	switch step.Fault {
-	case Silence:
+	case NoReply:
 		if !s.opts.Multiplexed {
 			io.Copy(io.Discard, c) // until the peer closes the connection
 			return false
@@ -466,7 +466,7 @@
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 		return false
-	case Spoilt:
+	case InvalidBytes:
 		c.Write([]byte("\x8e\x1f\x00\x07noise, and no reply at all"))
 		return true
 	case HugeReply:
@@ -489,7 +489,7 @@
 }
 
 // CommonEffects returns the keys of the calls that took effect in both groups.
-func Shared(a, b *Pod) (keys []string) {
+func CommonEffects(a, b *DedupGroup) (keys []string) {
 	a.mu.Lock()
 	for key := range a.effects {
 		keys = append(keys, key)
--- a/internal/lab/standin/thrift.go
+++ b/internal/lab/standin/thrift.go
@@ -90,8 +90,8 @@
 		return Call{}, nil, err
 	}
 	f.method = call.Method
-	call.ID, call.Key, call.Idempotency = h.CorrelationId, h.GetKey(), h.GetIdempotencyKey()
-	call.Left = time.Duration(h.GetTimeLeftMs()) * time.Millisecond
+	call.ID, call.Key, call.IdempotencyKey = h.CorrelationId, h.GetKey(), h.GetIdempotencyKey()
+	call.TimeLeft = time.Duration(h.GetTimeLeftMs()) * time.Millisecond
 	return call, f, nil
 }
 
--- a/internal/lab/sysfault/busy.go
+++ b/internal/lab/sysfault/busy.go
@@ -14,7 +14,7 @@
 type Period struct{ From, To time.Time }
 
 // minBusy is the length from which on busy periods are recorded; shorter ones are dropped.
-const leastBusy = 20 * time.Millisecond
+const minBusy = 20 * time.Millisecond
 
 // busyPeriods records the periods in which a tracer was continuously busy. A call made in such a period may have waited from its beginning
 // to its end.
@@ -43,7 +43,7 @@
 func (b *busyPeriods) markIdle() {
 	b.waited = b.processorWait()
 	now := time.Now()
-	if b.busySince.IsZero() || now.Sub(b.busySince) < leastBusy {
+	if b.busySince.IsZero() || now.Sub(b.busySince) < minBusy {
 		return
 	}
 	b.mu.Lock()
