--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -27,31 +27,31 @@
 
 // The system calls that can be chosen: those that Go programs make on sockets, and some on files.
 const (
-	Read      Call = unix.SYS_READ
-	Write     Call = unix.SYS_WRITE
-	Receive   Call = unix.SYS_RECVFROM
-	Accept    Call = unix.SYS_ACCEPT4
-	Connect   Call = unix.SYS_CONNECT
-	NewSocket Call = unix.SYS_SOCKET
-	Poll      Call = unix.SYS_PPOLL // golang.org/x/sys implements poll(2) with it
-	EpollAdd  Call = unix.SYS_EPOLL_CTL
-	GetOption Call = unix.SYS_GETSOCKOPT
-	SetOption Call = unix.SYS_SETSOCKOPT
-	LocalName Call = unix.SYS_GETSOCKNAME
-	PeerName  Call = unix.SYS_GETPEERNAME
-	Control   Call = unix.SYS_FCNTL
-	Shutdown  Call = unix.SYS_SHUTDOWN
-	Bind      Call = unix.SYS_BIND
-	SendWith  Call = unix.SYS_SENDMSG // with it, descriptors are passed along with data
-	RecvWith  Call = unix.SYS_RECVMSG
-	Rename    Call = unix.SYS_RENAMEAT
-	OpenFile  Call = unix.SYS_OPENAT
-	Close     Call = unix.SYS_CLOSE // a real close frees the descriptor whatever it returns; a call that is made to fail leaves it open
+	Read        Call = unix.SYS_READ
+	Write       Call = unix.SYS_WRITE
+	RecvFrom    Call = unix.SYS_RECVFROM
+	Accept      Call = unix.SYS_ACCEPT4
+	Connect     Call = unix.SYS_CONNECT
+	NewSocket   Call = unix.SYS_SOCKET
+	Poll        Call = unix.SYS_PPOLL // golang.org/x/sys implements poll(2) with it
+	EpollCtl    Call = unix.SYS_EPOLL_CTL
+	GetSockOpt  Call = unix.SYS_GETSOCKOPT
+	SetSockOpt  Call = unix.SYS_SETSOCKOPT
+	GetSockName Call = unix.SYS_GETSOCKNAME
+	GetPeerName Call = unix.SYS_GETPEERNAME
+	Fcntl       Call = unix.SYS_FCNTL
+	Shutdown    Call = unix.SYS_SHUTDOWN
+	Bind        Call = unix.SYS_BIND
+	SendMsg     Call = unix.SYS_SENDMSG // with it, descriptors are passed along with data
+	RecvMsg     Call = unix.SYS_RECVMSG
+	Rename      Call = unix.SYS_RENAMEAT
+	OpenFile    Call = unix.SYS_OPENAT
+	Close       Call = unix.SYS_CLOSE // a real close frees the descriptor whatever it returns; a call that is made to fail leaves it open
 )
 
-var callNames = map[Call]string{Read: "read", Write: "write", Receive: "recvfrom", Accept: "accept4", Connect: "connect", NewSocket: "socket",
-	Poll: "ppoll", EpollAdd: "epoll_ctl", GetOption: "getsockopt", SetOption: "setsockopt", LocalName: "getsockname", PeerName: "getpeername",
-	Control: "fcntl", Shutdown: "shutdown", Close: "close", Bind: "bind", SendWith: "sendmsg", RecvWith: "recvmsg", Rename: "renameat", OpenFile: "openat"}
+var callNames = map[Call]string{Read: "read", Write: "write", RecvFrom: "recvfrom", Accept: "accept4", Connect: "connect", NewSocket: "socket",
+	Poll: "ppoll", EpollCtl: "epoll_ctl", GetSockOpt: "getsockopt", SetSockOpt: "setsockopt", GetSockName: "getsockname", GetPeerName: "getpeername",
+	Fcntl: "fcntl", Shutdown: "shutdown", Close: "close", Bind: "bind", SendMsg: "sendmsg", RecvMsg: "recvmsg", Rename: "renameat", OpenFile: "openat"}
 
 // String returns the name of the system call.
 func (c Call) String() string { return callNames[c] }
@@ -95,7 +95,7 @@
 
 // StalledPeriods returns the periods of at least the given length in which chosen calls of the process waited for the tracer, either
 // because of Outcome.Hold or because the tracer itself was delayed on a busy machine.
-func (p *Process) Standstills(least time.Duration) []Period { return p.busy.atLeast(least) }
+func (p *Process) StalledPeriods(least time.Duration) []Period { return p.busy.atLeast(least) }
 
 // Ended returns a channel that is closed when the process and all of its threads have ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
@@ -341,9 +341,9 @@
 	case OpenFile, Rename:
 		event.Path = readPath(tid, uintptr(regs.Rsi))
 	case Poll: // its first argument points to an array in the process, so the sockets are not looked up
-	case EpollAdd:
+	case EpollCtl:
 		event.Socket = t.socket(int(int32(regs.Rdx)))
-	case GetOption, SetOption:
+	case GetSockOpt, SetSockOpt:
 		event.Socket = t.socket(int(int32(regs.Rdi)))
 		event.Option = Option{Level: int(int32(regs.Rsi)), Name: int(int32(regs.Rdx))}
 	default:
--- a/internal/lab/testkit/log.go
+++ b/internal/lab/testkit/log.go
@@ -27,4 +27,4 @@
 }
 
 // Contains reports whether text has been logged.
-func (l *Log) Has(text string) bool { return strings.Contains(l.String(), text) }
+func (l *Log) Contains(text string) bool { return strings.Contains(l.String(), text) }
--- a/internal/lab/testkit/planted.go
+++ b/internal/lab/testkit/planted.go
@@ -10,7 +10,7 @@
 )
 
 // ModuleRoot returns the folder that holds go.mod, searching upwards from the working directory.
-func Root(t testing.TB) string {
+func ModuleRoot(t testing.TB) string {
 	t.Helper()
 	dir, err := os.Getwd()
 	for ; err == nil; dir = filepath.Dir(dir) {
@@ -29,7 +29,7 @@
 // file, and returns the name of the overlay file. file is relative to the module's root and must contain old exactly once.
 func Overlay(t testing.TB, file, old, new string) string {
 	t.Helper()
-	dir, source := t.TempDir(), filepath.Join(Root(t), file)
+	dir, source := t.TempDir(), filepath.Join(ModuleRoot(t), file)
 	text, err := os.ReadFile(source)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 func GoTest(t testing.TB, overlay, pkg, run string) (out string, err error) {
 	t.Helper()
 	test := exec.CommandContext(t.Context(), "go", "test", "-vet=off", "-count=1", "-overlay", overlay, "-run", run, pkg)
-	test.Dir = Root(t)
+	test.Dir = ModuleRoot(t)
 	text, err := test.CombinedOutput()
 	return string(text), err
 }
--- a/internal/lab/testkit/testkit.go
+++ b/internal/lab/testkit/testkit.go
@@ -14,12 +14,12 @@
 )
 
 // WaitTimeout limits every wait for something that must happen. It is far longer than any wait is expected to take.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // Eventually polls holds every millisecond until it returns true, and fails the test after WaitTimeout.
 func Eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
@@ -44,7 +44,7 @@
 }
 
 // Count returns how many requests with an id were received.
-func (c *Counter) Of(id string) int {
+func (c *Counter) Count(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts[id]
@@ -59,7 +59,7 @@
 
 // ServeRaw runs an HTTP server that answers each request on a connection with the next of these texts, byte for byte, and
 // then keeps the connection open without sending anything. accepted counts the connections.
-func Texts(t testing.TB, answers ...string) (addr string, accepted *atomic.Int32) {
+func ServeRaw(t testing.TB, answers ...string) (addr string, accepted *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/settings/conffile/conffile.go
+++ b/internal/settings/conffile/conffile.go
@@ -123,17 +123,17 @@
 }
 
 // Float is Number for a value that is stored as it is.
-func (f *File) Share(key string, given *float64, lowest, highest float64, into *float64) {
+func (f *File) Float(key string, given *float64, lowest, highest float64, into *float64) {
 	f.Number(key, given, lowest, highest, func(x float64) { *into = x })
 }
 
 // Duration is Number for a duration that the file gives in a unit. The bounds are in the same unit.
-func (f *File) Span(key string, given *float64, unit time.Duration, lowest, highest float64, into *time.Duration) {
+func (f *File) Duration(key string, given *float64, unit time.Duration, lowest, highest float64, into *time.Duration) {
 	f.Number(key, given, lowest, highest, func(x float64) { *into = time.Duration(x * float64(unit)) })
 }
 
 // Int is Number for an integer.
-func (f *File) Count(key string, given *int, lowest, highest int, into *int) {
+func (f *File) Int(key string, given *int, lowest, highest int, into *int) {
 	switch {
 	case given == nil:
 	case *given < lowest || *given > highest:
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -37,20 +37,20 @@
 	Ops       string // address of the operators' listener; empty for none
 	Limits    Limits
 
-	Path   string // of the file that the configuration was read from
-	Seed   uint64
-	Known  discovery.List  // the list of servers at start-up
-	Module choice.Settings // parsed by the same code as in the simulator's adapter
-	Asking asking.Settings // when the list is requested from the discovery service
-	Peers  Peers           // addresses for the exchange of lists between agents
-	Fields []string        // names of the figures in a load report, in their order
-	Host   HostSettings
+	Path         string // of the file that the configuration was read from
+	Seed         uint64
+	InitialList  discovery.List  // the list of servers at start-up
+	Module       choice.Settings // parsed by the same code as in the simulator's adapter
+	Pacing       asking.Settings // when the list is requested from the discovery service
+	Peers        Peers           // addresses for the exchange of lists between agents
+	ReportFields []string        // names of the figures in a load report, in their order
+	Host         HostSettings
 }
 
 // Peers holds the addresses of the agents that front the same servers.
 type Peers struct {
 	Listen string   // this agent's own address; empty where agents exchange no lists
-	All    []string // of all agents, by their index
+	Addrs  []string // of all agents, by their index
 }
 
 // HostSettings is the part of the settings that concerns the host and not the choice module.
@@ -132,8 +132,8 @@
 		return nil, fmt.Errorf("%w: missing", errSettings)
 	}
 	cfg := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Ops: file.Ops,
-		Limits: file.Limits, Known: file.Known, Peers: Peers{file.PeerListen, file.Peers}}
-	cfg.Known.Full = true
+		Limits: file.Limits, InitialList: file.Known, Peers: Peers{file.PeerListen, file.Peers}}
+	cfg.InitialList.Full = true
 	var err error
 	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		h := fnv.New64a() // any text is a valid seed
@@ -144,8 +144,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errSettings, err)
 	}
-	cfg.Module, cfg.Fields, cfg.Asking = set.Module, set.Fields, asking.Settings(set.List)
-	cfg.Module.Stall = shutdown.Stall
+	cfg.Module, cfg.ReportFields, cfg.Pacing = set.Module, set.ReportFields, asking.Settings(set.Pacing)
+	cfg.Module.MaxSendDelay = shutdown.MaxStall
 	if err := json.Unmarshal(file.Settings, &cfg.Host); err != nil {
 		return nil, fmt.Errorf("%w: %w", errSettings, err)
 	}
@@ -155,26 +155,26 @@
 				Err: fmt.Errorf("class %q is streamed, which this agent cannot serve", c.Name)})
 		}
 	}
-	if cfg.Module.Probes {
+	if cfg.Module.CanProbe {
 		return nil, fmt.Errorf("%w: %w", errSettings, &wire.KeyError{Key: "Ceilings.Probes",
 			Err: errors.New("probes are allowed, which this agent cannot send")})
 	}
 	if cfg.Limits.Sockets <= 0 {
 		cfg.Limits.Sockets = 1024
 	}
-	if cfg.Limits.Sockets < LeastSockets {
-		return nil, fmt.Errorf("limits: %d sockets are too few, at least %d are needed", cfg.Limits.Sockets, LeastSockets)
+	if cfg.Limits.Sockets < MinSockets {
+		return nil, fmt.Errorf("limits: %d sockets are too few, at least %d are needed", cfg.Limits.Sockets, MinSockets)
 	}
 	return cfg, nil
 }
 
 // MinSockets is the smallest limit on file descriptors with which an agent can run.
-const LeastSockets = 64
+const MinSockets = 64
 
 // reservedSockets is the number of descriptors that are used for neither clients nor backends: the listener's two, calls to
 // discovery (pacing.MaxPending), the poller, the standard streams, the second descriptor of a connection that is being
 // accepted, and one more connection while another one closes.
-const reservedSockets = 26 + asking.MostPending
+const reservedSockets = 26 + asking.MaxPending
 
 // ClientSockets returns the number of descriptors for client connections. At most a third of all descriptors is used for
 // connections with requests; the rest of the clients' share is for those that are idle or have sent nothing yet.
@@ -196,7 +196,7 @@
 
 // AllowsLongBodies reports whether bodies may be longer than 64 KiB and use every framing of HTTP/1.1. Without an operators'
 // listener the platform's rules are stricter: an answer that violates them is invalid, and another server can be tried at once.
-func (c *Config) Long() bool { return c.Ops != "" }
+func (c *Config) AllowsLongBodies() bool { return c.Ops != "" }
 
 // ConnectTimeout returns the timeout for dialing a backend.
 func (c *Config) ConnectTimeout() time.Duration {
@@ -208,7 +208,7 @@
 
 // IdleTimeout returns how long an idle connection to a backend may be reused. A backend closes it after ConnIdleNs; a
 // request written at that moment would be reset, so the agent closes the connection well before.
-func (c *Config) IdleFor() time.Duration {
+func (c *Config) IdleTimeout() time.Duration {
 	if ns := c.Host.Ceilings.ConnIdleNs; ns > 0 {
 		return time.Duration(ns) * 4 / 5
 	}
@@ -216,7 +216,7 @@
 }
 
 // MaxDeadline returns the longest time that a client may wait for an answer.
-func (c *Config) LongestDeadline() (longest time.Duration) {
+func (c *Config) MaxDeadline() (longest time.Duration) {
 	for _, class := range c.Module.Classes {
 		longest = max(longest, class.Deadline)
 	}
@@ -224,12 +224,12 @@
 }
 
 // ClassIndex returns the index of a class, or -1.
-func (c *Config) Class(name string) int {
+func (c *Config) ClassIndex(name string) int {
 	return slices.IndexFunc(c.Module.Classes, func(class choice.Class) bool { return class.Name == name })
 }
 
 // TenantIndex returns the index of a tenant, or -1. Without configured tenants it returns 0 for any name.
-func (c *Config) Tenant(name string) int {
+func (c *Config) TenantIndex(name string) int {
 	if len(c.Host.Tenants) == 0 {
 		return 0
 	}
--- a/internal/settings/config/where.go
+++ b/internal/settings/config/where.go
@@ -12,7 +12,7 @@
 )
 
 // WithPosition adds to an error of Parse the line and the key that it concerns, as far as they are known.
-func Where(text []byte, err error) error {
+func WithPosition(text []byte, err error) error {
 	var syntaxErr *json.SyntaxError
 	var typeErr *json.UnmarshalTypeError
 	var keyErr *wire.KeyError
--- a/internal/settings/peerconf/peerconf.go
+++ b/internal/settings/peerconf/peerconf.go
@@ -26,14 +26,14 @@
 	var in file
 	src := conffile.Read(text, &in)
 	s, l := sharing.Defaults, &in.Lists
-	src.Count("lists.size", l.Size, sharing.LeastSize, sharing.MostSize, &s.Size)
-	src.Span("lists.round_ms", l.RoundMS, time.Millisecond, 50, 10_000, &s.Round)
-	src.Count("lists.fanout", l.Fanout, 1, 16, &s.Fanout)
-	src.Count("lists.watchers", l.Watchers, 1, 100, &s.Watchers)
-	src.Span("lists.batch_ms", l.BatchMS, time.Millisecond, 100, 60_000, &s.Batch)
-	src.Span("lists.stale_s", l.StaleS, time.Second, 1, 600, &s.Stale)
-	src.Span("lists.calm_s", l.CalmS, time.Second, 1, 600, &s.Calm)
-	if s.Stale < 4*s.Round {
+	src.Int("lists.size", l.Size, sharing.MinDatagramBytes, sharing.MaxDatagramBytes, &s.DatagramBytes)
+	src.Duration("lists.round_ms", l.RoundMS, time.Millisecond, 50, 10_000, &s.DigestInterval)
+	src.Int("lists.fanout", l.Fanout, 1, 16, &s.Fanout)
+	src.Int("lists.watchers", l.Watchers, 1, 100, &s.Watchers)
+	src.Duration("lists.batch_ms", l.BatchMS, time.Millisecond, 100, 60_000, &s.WatcherDelay)
+	src.Duration("lists.stale_s", l.StaleS, time.Second, 1, 600, &s.StaleAfter)
+	src.Duration("lists.calm_s", l.CalmS, time.Second, 1, 600, &s.SurplusDelay)
+	if s.StaleAfter < 4*s.DigestInterval {
 		src.Problem("lists.stale_s", "must be at least four times round_ms")
 	}
 	if err := src.Err(); err != nil {
--- a/internal/settings/sourceconf/sourceconf.go
+++ b/internal/settings/sourceconf/sourceconf.go
@@ -78,26 +78,26 @@
 	IPv4         *bool    `toml:"ipv4"`
 }
 
-var addressKinds = map[string]addresses.Kind{"unix": addresses.Unix, "ipv6": addresses.IPv6, "ipv4": addresses.IPv4, "name": addresses.Name}
+var addressKinds = map[string]addresses.Kind{"unix": addresses.Unix, "ipv6": addresses.IPv6, "ipv4": addresses.IPv4, "name": addresses.Hostname}
 
 // Parse parses such a file. The error joins all problems, each with its line and key.
 func Parse(text []byte) (*Config, error) {
 	var f file
 	src := conffile.Read(text, &f)
 	c := &Config{Membership: membership.Defaults, Addresses: addresses.Defaults}
-	src.Span("list.hold_s", f.List.HoldS, time.Second, 0, 86_400, &c.ListHold)
+	src.Duration("list.hold_s", f.List.HoldS, time.Second, 0, 86_400, &c.ListHold)
 	m, g, t := &c.Membership, &f.Guard, &f.Tiers
-	src.Share("guard.share", g.Share, 0, 1, &m.GuardShare)
-	src.Count("guard.least", g.Least, 0, 100_000, &m.GuardLeast)
-	src.Span("guard.wait_s", g.WaitS, time.Second, 0, 3600, &m.GuardWait)
-	src.Share("tiers.open_below", t.OpenBelow, 0, 1, &m.OpenBelow)
-	src.Share("tiers.close_above", t.CloseAbove, 0, 10, &m.CloseAbove)
+	src.Float("guard.share", g.Share, 0, 1, &m.GuardShare)
+	src.Int("guard.least", g.Least, 0, 100_000, &m.GuardLeast)
+	src.Duration("guard.wait_s", g.WaitS, time.Second, 0, 3600, &m.GuardWait)
+	src.Float("tiers.open_below", t.OpenBelow, 0, 1, &m.OpenBelow)
+	src.Float("tiers.close_above", t.CloseAbove, 0, 10, &m.CloseAbove)
 	if m.CloseAbove < m.OpenBelow {
 		src.Problem("tiers.close_above", "must not be below open_below")
 	}
-	src.Span("tiers.calm_s", t.CalmS, time.Second, 0, 3600, &m.Calm)
-	src.Span("tiers.ramp_step_s", t.RampStepS, time.Second, 0, 600, &m.RampStep)
-	src.Count("tiers.ramp_parts", t.RampParts, 1, 100, &m.RampParts)
+	src.Duration("tiers.calm_s", t.CalmS, time.Second, 0, 3600, &m.CloseDelay)
+	src.Duration("tiers.ramp_step_s", t.RampStepS, time.Second, 0, 600, &m.RampStep)
+	src.Int("tiers.ramp_parts", t.RampParts, 1, 100, &m.RampParts)
 	a, d := &c.Addresses, &f.Addresses
 	if d.Order != nil {
 		a.Order = nil
@@ -109,12 +109,12 @@
 			a.Order = append(a.Order, kind)
 		}
 	}
-	src.Span("addresses.delay_ms", d.DelayMS, time.Millisecond, 10, 5000, &a.Delay)
-	src.Span("addresses.avoid_s", d.AvoidS, time.Second, 0.01, 3600, &a.Avoid)
-	src.Span("addresses.most_avoid_s", d.MostAvoidS, time.Second, 0.01, 86_400, &a.MostAvoid)
-	src.Span("addresses.remember_s", d.RememberS, time.Second, 0, 86_400, &a.Remember)
-	src.Count("addresses.most", d.Most, 1, 8, &a.Most)
-	if a.MostAvoid < a.Avoid {
+	src.Duration("addresses.delay_ms", d.DelayMS, time.Millisecond, 10, 5000, &a.Delay)
+	src.Duration("addresses.avoid_s", d.AvoidS, time.Second, 0.01, 3600, &a.Avoid)
+	src.Duration("addresses.most_avoid_s", d.MostAvoidS, time.Second, 0.01, 86_400, &a.MaxAvoid)
+	src.Duration("addresses.remember_s", d.RememberS, time.Second, 0, 86_400, &a.Remember)
+	src.Int("addresses.most", d.Most, 1, 8, &a.MaxDials)
+	if a.MaxAvoid < a.Avoid {
 		src.Problem("addresses.most_avoid_s", "must not be below avoid_s")
 	}
 	if len(f.DNS) > maxSources {
@@ -151,13 +151,13 @@
 	}
 	s := &d.Resolve
 	s.Name, s.Speaks = t.Name, protocols
-	src.Span("dns.hold_s", t.HoldS, time.Second, 0, 86_400, &d.Hold)
-	src.Span("dns.timeout_ms", t.TimeoutMS, time.Millisecond, 10, 30_000, &s.Timeout)
-	src.Span("dns.tcp_timeout_ms", t.TCPTimeoutMS, time.Millisecond, 10, 30_000, &s.TCP)
-	src.Span("dns.least_s", t.LeastS, time.Second, 0.05, 3600, &s.Least)
-	src.Span("dns.most_s", t.MostS, time.Second, 0.05, 86_400, &s.Most)
-	src.Span("dns.stale_s", t.StaleS, time.Second, 0, 604_800, &s.Stale)
-	src.Count("dns.budget", t.Budget, 1, 100_000, &s.Budget)
+	src.Duration("dns.hold_s", t.HoldS, time.Second, 0, 86_400, &d.Hold)
+	src.Duration("dns.timeout_ms", t.TimeoutMS, time.Millisecond, 10, 30_000, &s.Timeout)
+	src.Duration("dns.tcp_timeout_ms", t.TCPTimeoutMS, time.Millisecond, 10, 30_000, &s.TCPTimeout)
+	src.Duration("dns.least_s", t.LeastS, time.Second, 0.05, 3600, &s.MinInterval)
+	src.Duration("dns.most_s", t.MostS, time.Second, 0.05, 86_400, &s.MaxInterval)
+	src.Duration("dns.stale_s", t.StaleS, time.Second, 0, 604_800, &s.StaleFor)
+	src.Int("dns.budget", t.Budget, 1, 100_000, &s.Budget)
 	if t.IPv6 != nil {
 		s.IPv6 = *t.IPv6
 	}
@@ -167,7 +167,7 @@
 	if !s.IPv4 && !s.IPv6 {
 		problem("ipv4", "one of ipv4 and ipv6 must be true")
 	}
-	if s.Most < s.Least {
+	if s.MaxInterval < s.MinInterval {
 		problem("most_s", "must not be below least_s")
 	}
 	return d
--- a/internal/settings/stateconf/stateconf.go
+++ b/internal/settings/stateconf/stateconf.go
@@ -12,18 +12,18 @@
 
 // Config is the content of such a file.
 type Config struct {
-	Folder    string
-	Load      time.Duration // the longest time that a start waits for the folder
-	End       time.Duration // the longest time for the last write at shutdown
-	MostBytes int64         // limit on the size of all files together
-	Keeping   keeping.Settings
-	Aging     aging.Settings
+	Folder            string
+	LoadTimeout       time.Duration // the longest time that a start waits for the folder
+	FinalWriteTimeout time.Duration // the longest time for the last write at shutdown
+	MaxBytes          int64         // limit on the size of all files together
+	WritePolicy       keeping.Settings
+	Aging             aging.Settings
 }
 
 // Default returns the configuration with a folder and the defaults for all else.
 func Default(folder string) Config {
-	return Config{Folder: folder, Load: 200 * time.Millisecond, End: 300 * time.Millisecond, MostBytes: 64 << 20,
-		Keeping: keeping.Defaults, Aging: aging.Defaults}
+	return Config{Folder: folder, LoadTimeout: 200 * time.Millisecond, FinalWriteTimeout: 300 * time.Millisecond, MaxBytes: 64 << 20,
+		WritePolicy: keeping.Defaults, Aging: aging.Defaults}
 }
 
 // file is the layout of the file. A key that is absent has its default.
@@ -66,30 +66,30 @@
 		src.Problem("folder", "must be the full path of a folder")
 	}
 	const year = 31_536_000
-	src.Span("load_ms", f.LoadMS, time.Millisecond, 0, 5000, &c.Load)
-	src.Number("most_mib", f.MostMiB, 1, 1024, func(x float64) { c.MostBytes = int64(x * (1 << 20)) })
-	k, w := &c.Keeping, &f.Write
-	src.Span("write.look_ms", w.LookMS, time.Millisecond, 20, 60_000, &k.Look)
-	src.Span("write.least_s", w.LeastS, time.Second, 0.02, 3600, &k.Least)
-	src.Span("write.most_s", w.MostS, time.Second, 0.02, 86_400, &k.Most)
-	if k.Most < k.Least {
+	src.Duration("load_ms", f.LoadMS, time.Millisecond, 0, 5000, &c.LoadTimeout)
+	src.Number("most_mib", f.MostMiB, 1, 1024, func(x float64) { c.MaxBytes = int64(x * (1 << 20)) })
+	k, w := &c.WritePolicy, &f.Write
+	src.Duration("write.look_ms", w.LookMS, time.Millisecond, 20, 60_000, &k.CheckInterval)
+	src.Duration("write.least_s", w.LeastS, time.Second, 0.02, 3600, &k.MinInterval)
+	src.Duration("write.most_s", w.MostS, time.Second, 0.02, 86_400, &k.MaxInterval)
+	if k.MaxInterval < k.MinInterval {
 		src.Problem("write.most_s", "must not be below least_s")
 	}
-	src.Share("write.enough", w.Enough, 0, 1000, &k.Enough)
-	src.Number("write.busy", w.Busy, 0.01, 1, func(x float64) { k.Busy = x })
-	src.Number("write.kib_a_minute", w.KiBAMinute, 1, 1<<20, func(x float64) { k.MostBytes = x * (1 << 10) })
-	src.Share("write.change", w.Change, 0, 1000, &k.Change)
-	src.Span("write.stale_s", w.StaleS, time.Second, 1, 86_400, &k.Stale)
-	src.Span("write.end_ms", w.EndMS, time.Millisecond, 0, 10_000, &c.End)
+	src.Float("write.enough", w.Enough, 0, 1000, &k.UpdateShare)
+	src.Number("write.busy", w.Busy, 0.01, 1, func(x float64) { k.BusyLoad = x })
+	src.Number("write.kib_a_minute", w.KiBAMinute, 1, 1<<20, func(x float64) { k.BytesPerMinute = x * (1 << 10) })
+	src.Float("write.change", w.Change, 0, 1000, &k.MinDistance)
+	src.Duration("write.stale_s", w.StaleS, time.Second, 1, 86_400, &k.StaleAfter)
+	src.Duration("write.end_ms", w.EndMS, time.Millisecond, 0, 10_000, &c.FinalWriteTimeout)
 	a, h := &c.Aging, &f.HalfLife
-	src.Span("half_life.capacity_s", h.CapacityS, time.Second, 1, year, &a.Capacity)
-	src.Span("half_life.failing_s", h.FailingS, time.Second, 1, year, &a.Failing)
-	src.Span("half_life.ejection_s", h.EjectionS, time.Second, 1, year, &a.Ejection)
-	src.Span("half_life.times_s", h.TimesS, time.Second, 1, year, &a.Times)
-	src.Span("half_life.traffic_s", h.TrafficS, time.Second, 1, year, &a.Traffic)
-	src.Span("half_life.cold_s", h.ColdS, time.Second, 1, year, &a.Cold)
-	src.Span("half_life.address_s", h.AddressS, time.Second, 1, year, &a.Address)
-	src.Share("bounds.bend", f.Bounds.Bend, 1, 16, &a.Bend)
-	src.Span("bounds.forget_h", f.Bounds.ForgetH, time.Hour, 0.001, 8760, &a.Forget)
+	src.Duration("half_life.capacity_s", h.CapacityS, time.Second, 1, year, &a.Capacity)
+	src.Duration("half_life.failing_s", h.FailingS, time.Second, 1, year, &a.Failing)
+	src.Duration("half_life.ejection_s", h.EjectionS, time.Second, 1, year, &a.Ejection)
+	src.Duration("half_life.times_s", h.TimesS, time.Second, 1, year, &a.Times)
+	src.Duration("half_life.traffic_s", h.TrafficS, time.Second, 1, year, &a.Traffic)
+	src.Duration("half_life.cold_s", h.ColdS, time.Second, 1, year, &a.Cold)
+	src.Duration("half_life.address_s", h.AddressS, time.Second, 1, year, &a.Address)
+	src.Float("bounds.bend", f.Bounds.Bend, 1, 16, &a.ClampFactor)
+	src.Duration("bounds.forget_h", f.Bounds.ForgetH, time.Hour, 0.001, 8760, &a.MaxAge)
 	return c, src.Err()
 }
--- a/internal/settings/wire/decode.go
+++ b/internal/settings/wire/decode.go
@@ -174,14 +174,14 @@
 		return d.members(v)
 	case "Inbound":
 		return choice.Request{ID: d.str(v, "Tid"), Class: d.int(v, "Category"), Tenant: d.int(v, "Billing"),
-			Key: d.str(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), Again: d.flag(v, "Repeat")}
+			Key: d.str(v, "Resource"), Deadline: d.time(v, "ExpiresNs"), ClientRetry: d.flag(v, "Repeat")}
 	case "Answer":
 		return choice.Outcome{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo"), Server: d.name(v, "Backend"),
 			Result: d.result(v), Took: d.time(v, "LagNs"), Closed: d.flag(v, "Last"), Report: d.report(v, fields)}
 	case "Established":
-		return choice.Streaming{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
+		return choice.StreamStarted{Request: d.str(v, "Tid"), Attempt: d.int(v, "RoundNo")}
 	case "Dropped":
-		return choice.ClientGone{Request: d.str(v, "Tid")}
+		return choice.ClientDisconnected{Request: d.str(v, "Tid")}
 	case "Health":
 		return choice.Probed{Server: d.name(v, "Backend"), Result: d.result(v), Took: d.time(v, "LagNs"),
 			Report: d.report(v, fields)}
@@ -225,7 +225,7 @@
 		case "draining":
 			s.State = choice.Draining
 		case "gone":
-			s.State = choice.Gone
+			s.State = choice.Removed
 		default:
 			d.fail("unknown Mode %q", mode)
 		}
@@ -337,6 +337,6 @@
 	if err != nil {
 		d.fail("BootInfo: %v", err)
 	}
-	d.reportFields[instance] = set.Fields
+	d.reportFields[instance] = set.ReportFields
 	return set
 }
--- a/internal/settings/wire/settings.go
+++ b/internal/settings/wire/settings.go
@@ -38,13 +38,13 @@
 
 // Settings is the parsed settings object.
 type Settings struct {
-	Module choice.Settings
-	List   List
-	Fields []string // the names of the figures in a load report, in their order
+	Module       choice.Settings
+	Pacing       Pacing
+	ReportFields []string // the names of the figures in a load report, in their order
 }
 
 // Pacing says when the list of servers is requested. Its fields are those of pacing.Settings, to which it is converted.
-type List struct {
+type Pacing struct {
 	Shared     bool          // one service serves the list to all agents
 	Agents, Me int           // the number of agents, and this one's index
 	MustAsk    time.Duration // the longest time without a request for the list; 0 for no bound
@@ -53,7 +53,7 @@
 
 var (
 	effects = []string{choice.Safe: "repeatable", choice.Keyed: "by_key", choice.Unsafe: "once"}
-	groups  = []string{choice.GroupAll: "all", choice.GroupZone: "zone", choice.GroupCell: "cell"}
+	groups  = []string{choice.DedupAll: "all", choice.DedupZone: "zone", choice.DedupCell: "cell"}
 )
 
 // ParseSettings parses the settings object of an instance, for the simulator's adapter as well as for the real agent. An
@@ -64,7 +64,7 @@
 		return Settings{}, err
 	}
 	module, err := boot.settings()
-	return Settings{Module: module, Fields: boot.Report.Fields, List: List{Shared: boot.Discovery == "subscribe",
+	return Settings{Module: module, ReportFields: boot.Report.Fields, Pacing: Pacing{Shared: boot.Discovery == "subscribe",
 		Agents: boot.Balancers, Me: boot.Me, MustAsk: time.Duration(boot.Rules.MustAskInNs), Grace: time.Duration(boot.Rules.DrainGraceNs)}}, err
 }
 
@@ -81,7 +81,7 @@
 func (e *KeyError) Unwrap() error { return e.Err }
 
 // PlausibleFigure reports whether a figure of a load report is plausible: from 0 to 1e6, and not NaN.
-func Sane(x float64) bool {
+func PlausibleFigure(x float64) bool {
 	const maxFigure = 1e6           // more than any real figure
 	return x >= 0 && x <= maxFigure // false for NaN
 }
@@ -104,20 +104,20 @@
 
 func (b *bootInfo) settings() (choice.Settings, error) {
 	s := choice.Settings{
-		Balancers:      b.Balancers,
-		Tick:           time.Duration(b.TickNs),
-		Zone:           b.Zone,
-		CrossZonePrice: b.Prices.CrossZone,
-		ListWeights:    b.WeightKind == "nominal" || b.WeightKind == "rough",
-		WarmKeys:       b.Domain.WarmKeys,
-		Probes:         b.Ceilings.Probes,
-		ProbePrice:     b.Prices.Probe,
-		ReportsLoad:    slices.Contains(b.Report.Fields, "inflight"),
-		MaxAttempts:    b.Ceilings.MostTries,
-		ParallelCopies: b.Ceilings.ParallelTries,
-		CanCancel:      b.Ceilings.MayCancel,
-		ColdFrom:       b.Rules.ColdFrom,
-		ColdFor:        time.Duration(b.Rules.ColdNs),
+		Balancers:         b.Balancers,
+		Tick:              time.Duration(b.TickNs),
+		Zone:              b.Zone,
+		CrossZoneCost:     b.Prices.CrossZone,
+		UseListWeights:    b.WeightKind == "nominal" || b.WeightKind == "rough",
+		KeyAffinity:       b.Domain.WarmKeys,
+		CanProbe:          b.Ceilings.Probes,
+		ProbeCost:         b.Prices.Probe,
+		ReportsInFlight:   slices.Contains(b.Report.Fields, "inflight"),
+		MaxAttempts:       b.Ceilings.MostTries,
+		ParallelAttempts:  b.Ceilings.ParallelTries,
+		CanCancel:         b.Ceilings.MayCancel,
+		SlowStartMinShare: b.Rules.ColdFrom,
+		SlowStartWindow:   time.Duration(b.Rules.ColdNs),
 	}
 	if b.Ceilings.RetryAfter {
 		s.MaxRetryAfter = time.Duration(b.Ceilings.MaxRetryAfterNs)
@@ -131,8 +131,8 @@
 			return s, &KeyError{fmt.Sprintf("Classes.%d.Group", i), fmt.Errorf("class %q has the unknown Group %q", c.Name, c.Group)}
 		}
 		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Effect: choice.Effect(effect),
-			Group: choice.Group(max(group, 0)), Window: time.Duration(c.WindowNs), Aim: time.Duration(c.AimNs),
-			Deadline: time.Duration(c.DeadlineNs), Worth: c.Worth})
+			DedupScope: choice.DedupScope(max(group, 0)), DedupWindow: time.Duration(c.WindowNs), Aim: time.Duration(c.AimNs),
+			Deadline: time.Duration(c.DeadlineNs), Value: c.Worth})
 	}
 	return s, nil
 }
--- a/internal/settings/wire/wire_test.go
+++ b/internal/settings/wire/wire_test.go
@@ -54,20 +54,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.Module.WarmKeys || m.Settings.Module.Zone != 2 ||
-		m.Settings.Module.Classes[1].Group != choice.GroupCell || m.Settings.Module.MaxRetryAfter != 9 ||
-		m.Settings.Module.Tick != 4*time.Millisecond || !m.Settings.Module.ListWeights ||
-		m.Settings.List != (List{Shared: true, Agents: 3, Me: 2, MustAsk: 7}) {
+	if m := got[0]; m.Kind != Launch || m.Seed != 1<<63-1 || !m.Settings.Module.KeyAffinity || m.Settings.Module.Zone != 2 ||
+		m.Settings.Module.Classes[1].DedupScope != choice.DedupCell || m.Settings.Module.MaxRetryAfter != 9 ||
+		m.Settings.Module.Tick != 4*time.Millisecond || !m.Settings.Module.UseListWeights ||
+		m.Settings.Pacing != (Pacing{Shared: true, Agents: 3, Me: 2, MustAsk: 7}) {
 		t.Errorf("launch: %+v", m)
 	}
 	report := choice.NoReport
 	report.Util, report.Rate = 0.5, 70
 	want := []choice.Event{
-		choice.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, Again: true},
+		choice.Request{ID: "bb39", Class: 1, Key: "k:1", Deadline: 77, ClientRetry: true},
 		choice.Outcome{Request: "bb39", Attempt: 2, Server: "10.0.0.1:1", Result: choice.Rejected, Took: 8, Report: report},
 		choice.Outcome{Request: "bb39", Server: "10.0.0.1:1", Closed: true, Report: choice.NoReport},
-		choice.ClientGone{Request: "bb39"},
-		choice.Streaming{Request: "bb39", Attempt: 1},
+		choice.ClientDisconnected{Request: "bb39"},
+		choice.StreamStarted{Request: "bb39", Attempt: 1},
 		choice.Probed{Server: "10.0.0.1:1", Result: choice.TimedOut, Took: 4, Report: choice.NoReport},
 		choice.TimerFired{Token: 1 << 63},
 	}
@@ -106,7 +106,7 @@
 	if !first.Full || len(first.Servers) != 1 || first.Servers[0] != want {
 		t.Errorf("first list: %+v", first)
 	}
-	if second.Full || len(second.Servers) != 2 || second.Servers[0].State != choice.Gone ||
+	if second.Full || len(second.Servers) != 2 || second.Servers[0].State != choice.Removed ||
 		second.Servers[1].State != choice.Draining {
 		t.Errorf("second list: %+v", second)
 	}
@@ -158,7 +158,7 @@
 func TestLongLine(t *testing.T) {
 	pad := strings.Repeat("x", 3<<20)
 	got, err := read(t, launch, `{"type":"Dropped","I":"agent_1","Tid":"`+pad+`"}`)
-	if err != nil || got[1].Event.(choice.ClientGone).Request != pad {
+	if err != nil || got[1].Event.(choice.ClientDisconnected).Request != pad {
 		t.Errorf("a line of 3 MiB: %v", err)
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -14,7 +14,7 @@
 
 // rec returns a record, or the deletion of one if body is empty.
 func rec(name, body string) store.Record {
-	return store.Record{Name: name, Kind: "text", Format: 1, Body: []byte(body), Gone: body == ""}
+	return store.Record{Name: name, Kind: "text", Format: 1, Body: []byte(body), Deleted: body == ""}
 }
 
 // putSequence is a sequence of puts to a folder, with a new process at the start of each part.
@@ -33,7 +33,7 @@
 				return want
 			}
 			for _, r := range batch {
-				if want[r.Name] = string(r.Body); r.Gone {
+				if want[r.Name] = string(r.Body); r.Deleted {
 					delete(want, r.Name)
 				}
 			}
@@ -77,7 +77,7 @@
 
 func long(c string) string { return strings.Repeat(c, 300) }
 
-var plain = putSequence{set: store.Settings{MostLog: 700}, parts: [][][]store.Record{
+var plain = putSequence{set: store.Settings{MaxLogBytes: 700}, parts: [][][]store.Record{
 	{{rec("a", "1")}, {rec("a", "2"), rec("b", long("x"))}, {rec("b", ""), rec("c", long("y"))}, {rec("c", long("z"))}, {rec("a", "3")}},
 	{{rec("d", "4")}, {rec("a", "")}},
 }}
@@ -104,10 +104,10 @@
 		t.Run(name, func(t *testing.T) {
 			states, ops := 0, 0
 			for at := 0; ; at++ {
-				fs := crashfs.Of(c.initial)
+				fs := crashfs.FromFiles(c.initial)
 				fs.CrashAfter = at
 				done, err := c.play(fs)
-				for left := range fs.Crashes() {
+				for left := range fs.CrashStates() {
 					states++
 					files := left.Files()
 					got, report, openErr := bodies(left, c.set)
@@ -163,7 +163,7 @@
 			for i := range text {
 				cut := maps.Clone(files)
 				cut[name] = text[:i]
-				got, report, err := bodies(crashfs.Of(cut), plain.set)
+				got, report, err := bodies(crashfs.FromFiles(cut), plain.set)
 				was := false
 				for n := 0; n <= done; n++ {
 					was = was || maps.Equal(got, puts.expected(map[string]string{}, n))
@@ -176,7 +176,7 @@
 					bad := maps.Clone(files)
 					bad[name] = append([]byte{}, text...)
 					bad[name][i] ^= mask
-					got, report, err := bodies(crashfs.Of(bad), plain.set)
+					got, report, err := bodies(crashfs.FromFiles(bad), plain.set)
 					was := false
 					for n := 0; n <= done; n++ {
 						was = was || maps.Equal(got, puts.expected(map[string]string{}, n))
@@ -229,7 +229,7 @@
 		if err := st.Put(rec("last", "x")); err != nil {
 			t.Fatal(err)
 		}
-		for left := range fs.Crashes() {
+		for left := range fs.CrashStates() {
 			if got, report, err := bodies(left, plain.set); err != nil || !maps.Equal(got, want) {
 				t.Fatalf("operation %d: %v, %v, %+v", op, err, got, report)
 			}
@@ -247,21 +247,21 @@
 	if err := st.Put(rec("a", "1")); err != nil {
 		t.Fatal(err)
 	}
-	fs.Room = 200
+	fs.MaxBytes = 200
 	if err := st.Put(rec("b", long("b"))); err == nil {
 		t.Fatal("a put on a full disk succeeded")
 	}
 	if err := st.Put(rec("c", "c")); err == nil { // still no room, as b has to be written too
 		t.Fatal("a put on a full disk succeeded")
 	}
-	if got, _, err := bodies(crashfs.Of(fs.Files()), store.Settings{}); err != nil || got["a"] != "1" {
+	if got, _, err := bodies(crashfs.FromFiles(fs.Files()), store.Settings{}); err != nil || got["a"] != "1" {
 		t.Fatalf("%v, %v", got, err)
 	}
-	fs.Room = 0
+	fs.MaxBytes = 0
 	if err := st.Put(rec("d", "d")); err != nil {
 		t.Fatal(err)
 	}
-	if got, _, err := bodies(crashfs.Of(fs.Files()), store.Settings{}); err != nil || len(got) != 4 {
+	if got, _, err := bodies(crashfs.FromFiles(fs.Files()), store.Settings{}); err != nil || len(got) != 4 {
 		t.Fatalf("%v, %v", got, err)
 	}
 }
--- a/internal/store/frames/frames.go
+++ b/internal/store/frames/frames.go
@@ -23,21 +23,21 @@
 )
 
 // FileKind distinguishes snapshots and logs.
-type Sort byte
+type FileKind byte
 
 // The kinds of files.
 const (
-	Snapshot Sort = 's'
-	Log      Sort = 'l'
+	Snapshot FileKind = 's'
+	Log      FileKind = 'l'
 )
 
 // Record is a named value. Its kind and format number define how to interpret its body, which the store does not do.
 type Record struct {
-	Name   string `cbor:"1,keyasint"`
-	Kind   string `cbor:"2,keyasint"`
-	Format uint32 `cbor:"3,keyasint"`
-	Body   []byte `cbor:"4,keyasint"`
-	Gone   bool   `cbor:"5,keyasint,omitempty"` // the record with this name is deleted; Body is not used
+	Name    string `cbor:"1,keyasint"`
+	Kind    string `cbor:"2,keyasint"`
+	Format  uint32 `cbor:"3,keyasint"`
+	Body    []byte `cbor:"4,keyasint"`
+	Deleted bool   `cbor:"5,keyasint,omitempty"` // the record with this name is deleted; Body is not used
 }
 
 // Check returns an error if the record's name or kind is invalid.
@@ -84,14 +84,14 @@
 }
 
 // EncodeHeader encodes the header of a file.
-func Head(kind Sort, generation uint64) []byte {
+func EncodeHeader(kind FileKind, generation uint64) []byte {
 	b := binary.LittleEndian.AppendUint16([]byte(magic), Version)
 	b = binary.LittleEndian.AppendUint64(append(b, byte(kind)), generation)
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
 // EncodeBatch encodes a frame with a batch. number is the frame's index in its file.
-func Batch(generation uint64, number int, batch []Record) ([]byte, error) {
+func EncodeBatch(generation uint64, number int, batch []Record) ([]byte, error) {
 	if len(batch) > MaxRecords {
 		return nil, fmt.Errorf("batch of %d records, at most %d are allowed", len(batch), MaxRecords)
 	}
@@ -104,7 +104,7 @@
 }
 
 // EncodeEnd encodes the last frame of a file with this number of records. A log that is still written to has none.
-func End(generation uint64, number, records int) ([]byte, error) {
+func EncodeEnd(generation uint64, number, records int) ([]byte, error) {
 	return encodeFrame(generation, number, payload{End: &end{Records: records}})
 }
 
@@ -144,7 +144,7 @@
 }
 
 // Decode decodes a file of a kind and generation, up to its first fault.
-func Read(kind Sort, generation uint64, file []byte) (c Contents) {
+func Decode(kind FileKind, generation uint64, file []byte) (c Contents) {
 	if c.Fault = decodeHeader(kind, generation, file); c.Fault != nil {
 		return c
 	}
@@ -177,7 +177,7 @@
 	return c
 }
 
-func decodeHeader(kind Sort, generation uint64, file []byte) error {
+func decodeHeader(kind FileKind, generation uint64, file []byte) error {
 	switch {
 	case len(file) == 0:
 		return errors.New("byte 0: the file is empty")
@@ -194,7 +194,7 @@
 	switch v := binary.LittleEndian.Uint16(body); {
 	case v != Version:
 		return fmt.Errorf("%w %d, this program reads %d", ErrVersion, v, Version)
-	case Sort(body[2]) != kind:
+	case FileKind(body[2]) != kind:
 		return fmt.Errorf("byte %d: file kind %q, want %q", len(magic)+2, body[2], kind)
 	case binary.LittleEndian.Uint64(body[3:]) != generation:
 		return fmt.Errorf("byte %d: generation %d, want %d", len(magic)+3, binary.LittleEndian.Uint64(body[3:]), generation)
--- a/internal/store/frames/recover.go
+++ b/internal/store/frames/recover.go
@@ -12,13 +12,13 @@
 // File is a file in a store's folder.
 type File struct {
 	Name       string
-	Sort       Sort
+	Kind       FileKind
 	Generation uint64
 }
 
 // Name returns the name of a file.
-func Name(kind Sort, generation uint64) string {
-	return fmt.Sprintf("%s-%016x", map[Sort]string{Snapshot: "snapshot", Log: "log"}[kind], generation)
+func Name(kind FileKind, generation uint64) string {
+	return fmt.Sprintf("%s-%016x", map[FileKind]string{Snapshot: "snapshot", Log: "log"}[kind], generation)
 }
 
 // Unfinished is the suffix of files that are still being written. Recover ignores them.
@@ -33,11 +33,11 @@
 	case !found || err != nil:
 		return f, false
 	case kind == "snapshot":
-		f.Sort = Snapshot
+		f.Kind = Snapshot
 	case kind == "log":
-		f.Sort = Log
+		f.Kind = Log
 	}
-	return f, f.Sort != 0 && Name(f.Sort, generation) == name
+	return f, f.Kind != 0 && Name(f.Kind, generation) == name
 }
 
 // Drop is data that a recovery skipped.
@@ -68,7 +68,7 @@
 			continue
 		}
 		got.Newest = max(got.Newest, f.Generation)
-		if f.Sort == Log {
+		if f.Kind == Log {
 			logs[f.Generation] = f
 		} else {
 			snapshots = append(snapshots, f)
@@ -79,7 +79,7 @@
 		file, err := read(f.Name)
 		c := Contents{Fault: err}
 		if err == nil {
-			c = Read(f.Sort, f.Generation, file)
+			c = Decode(f.Kind, f.Generation, file)
 		}
 		if c.Fault != nil {
 			got.Dropped = append(got.Dropped, Drop{f.Name, len(file) - c.Valid, c.Fault.Error()})
@@ -124,7 +124,7 @@
 // Apply applies a batch to records by name.
 func Apply(to map[string]Record, batch []Record) {
 	for _, r := range batch {
-		if r.Gone {
+		if r.Deleted {
 			delete(to, r.Name)
 		} else {
 			to[r.Name] = r
@@ -133,15 +133,15 @@
 }
 
 // EncodeSnapshot encodes a snapshot of records in the order of their names. frameBytes is the approximate payload of a frame in bytes.
-func Words(generation uint64, records map[string]Record, frameBytes int) ([]byte, error) {
-	b, number := Head(Snapshot, generation), 0
+func EncodeSnapshot(generation uint64, records map[string]Record, frameBytes int) ([]byte, error) {
+	b, number := EncodeHeader(Snapshot, generation), 0
 	var batch []Record
 	size := 0
 	flush := func() error {
 		if len(batch) == 0 {
 			return nil
 		}
-		f, err := Batch(generation, number, batch)
+		f, err := EncodeBatch(generation, number, batch)
 		b, batch, size, number = append(b, f...), batch[:0], 0, number+1
 		return err
 	}
@@ -156,6 +156,6 @@
 	if err := flush(); err != nil {
 		return nil, err
 	}
-	f, err := End(generation, number, len(records))
+	f, err := EncodeEnd(generation, number, len(records))
 	return append(b, f...), err
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -51,9 +51,9 @@
 
 // Settings configure a store.
 type Settings struct {
-	MostBytes   int64                // maximum size of names, kinds and bodies of all records; 0 for 64 MiB
-	MostLog     int64                // size in bytes above which a log that is also larger than all records is compacted; 0 for 256 KiB
-	MostRecords int                  // maximum number of records; 0 for 65,536
+	MaxBytes    int64                // maximum size of names, kinds and bodies of all records; 0 for 64 MiB
+	MaxLogBytes int64                // size in bytes above which a log that is also larger than all records is compacted; 0 for 256 KiB
+	MaxRecords  int                  // maximum number of records; 0 for 65,536
 	Upgrades    map[string][]Upgrade // by kind; element i converts format i+1 to i+2
 }
 
@@ -63,16 +63,16 @@
 			*x = other
 		}
 	}
-	or(&s.MostBytes, 64<<20)
-	or(&s.MostLog, 256<<10)
-	if s.MostRecords == 0 {
-		s.MostRecords = frames.MaxRecords
+	or(&s.MaxBytes, 64<<20)
+	or(&s.MaxLogBytes, 256<<10)
+	if s.MaxRecords == 0 {
+		s.MaxRecords = frames.MaxRecords
 	}
 	return s
 }
 
 // maxFileSize is the maximum size in bytes of a file to read: all records, an oversized log and the framing.
-func (s Settings) maxFileSize() int64 { return 3*s.MostBytes + 2*s.MostLog + frames.MaxFrame }
+func (s Settings) maxFileSize() int64 { return 3*s.MaxBytes + 2*s.MaxLogBytes + frames.MaxFrame }
 
 // Report describes what was found when a store was opened.
 type Report struct {
@@ -197,7 +197,7 @@
 	}
 	for _, r := range batch {
 		s.bytes -= size(s.records[r.Name])
-		if !r.Gone {
+		if !r.Deleted {
 			s.bytes += size(r)
 		}
 		frames.Apply(s.records, []Record{r})
@@ -209,7 +209,7 @@
 	if err := s.append(batch); err != nil {
 		return err
 	}
-	if s.logSize > max(s.set.MostLog, s.bytes) {
+	if s.logSize > max(s.set.MaxLogBytes, s.bytes) {
 		s.Compact() // if it fails, the batch is durable nevertheless, and the next Put tries again
 	}
 	return nil
@@ -230,26 +230,26 @@
 		if !ok {
 			before, ok = s.records[r.Name]
 		}
-		if ok && !before.Gone {
+		if ok && !before.Deleted {
 			bytes -= size(before)
 			count--
 		}
-		if !r.Gone {
+		if !r.Deleted {
 			bytes += size(r)
 			count++
 		}
 		last[r.Name] = r
 	}
-	if bytes > s.set.MostBytes || count > s.set.MostRecords || len(batch) > frames.MaxRecords {
-		return fmt.Errorf("%w: %d bytes in %d records, at most %d and %d are allowed", ErrTooLarge, bytes, count, s.set.MostBytes,
-			s.set.MostRecords)
+	if bytes > s.set.MaxBytes || count > s.set.MaxRecords || len(batch) > frames.MaxRecords {
+		return fmt.Errorf("%w: %d bytes in %d records, at most %d and %d are allowed", ErrTooLarge, bytes, count, s.set.MaxBytes,
+			s.set.MaxRecords)
 	}
 	return nil
 }
 
 // append adds a batch to the log. After a failure the content of the file is unknown, so nothing more is added to it.
 func (s *Store) append(batch []Record) error {
-	f, err := frames.Batch(s.newest, s.logFrames, batch)
+	f, err := frames.EncodeBatch(s.newest, s.logFrames, batch)
 	if err == nil {
 		_, err = s.log.Write(f)
 	}
@@ -288,7 +288,7 @@
 			err = fmt.Errorf("writing generation %d: %w", g, err)
 		}
 	}()
-	text, err := frames.Words(g, s.records, snapshotFrameBytes)
+	text, err := frames.EncodeSnapshot(g, s.records, snapshotFrameBytes)
 	if err != nil {
 		return err
 	}
@@ -305,7 +305,7 @@
 	if err != nil {
 		return err
 	}
-	head := frames.Head(frames.Log, g)
+	head := frames.EncodeHeader(frames.Log, g)
 	if _, err = log.Write(head); err == nil {
 		err = log.Sync()
 	}
@@ -317,7 +317,7 @@
 		return err
 	}
 	if old != nil { // without the seal, a fallback to the previous generation would only lose the later logs
-		if seal, err := frames.End(g-1, s.logFrames, s.logRecords); err == nil {
+		if seal, err := frames.EncodeEnd(g-1, s.logFrames, s.logRecords); err == nil {
 			old.Write(seal)
 		}
 	}
@@ -347,7 +347,7 @@
 	}
 	before := uint64(0)
 	for _, name := range names {
-		if f, ok := frames.Parse(name); ok && f.Sort == frames.Snapshot && f.Generation < g {
+		if f, ok := frames.Parse(name); ok && f.Kind == frames.Snapshot && f.Generation < g {
 			before = max(before, f.Generation)
 		}
 	}
--- a/internal/sysio/peek/peek.go
+++ b/internal/sysio/peek/peek.go
@@ -15,10 +15,10 @@
 )
 
 // ErrNoData is returned by ReadNow if the connection is open and has no unread data.
-var ErrNothing = errors.New("no data on the connection")
+var ErrNoData = errors.New("no data on the connection")
 
 // ErrUnknown is returned by ReadNow if a system call failed, so that it is unknown whether there is data or whether the connection is open.
-var ErrUnclear = errors.New("the system call failed")
+var ErrUnknown = errors.New("the system call failed")
 
 // Unread describes what has arrived on a connection and has not been read.
 type Unread int
@@ -38,9 +38,9 @@
 	switch {
 	case n > 0:
 		return UnreadData
-	case errors.Is(err, ErrNothing):
+	case errors.Is(err, ErrNoData):
 		return UnreadNothing
-	case errors.Is(err, ErrUnclear):
+	case errors.Is(err, ErrUnknown):
 		return UnreadUnknown
 	}
 	return UnreadEnd
@@ -48,14 +48,14 @@
 
 // HasNoUnread reports whether it is certain that a connection has neither unread data nor an unread end. It reads nothing. No other goroutine
 // may be reading from the connection.
-func Silent(c net.Conn) bool { return UnreadOf(c) == UnreadNothing }
+func HasNoUnread(c net.Conn) bool { return UnreadOf(c) == UnreadNothing }
 
 // HasData reports whether it is certain that a connection has unread data.
 func HasData(c net.Conn) bool { return UnreadOf(c) == UnreadData }
 
 // ReadNow reads available data from a connection without waiting. At the end of the stream it returns 0 and an error other than ErrNoData
 // and ErrUnknown.
-func Take(c net.Conn, p []byte) (n int, err error) { return receive(c, p, 0) }
+func ReadNow(c net.Conn, p []byte) (n int, err error) { return receive(c, p, 0) }
 
 func receive(c net.Conn, p []byte, flags int) (n int, err error) {
 	var failed error
@@ -67,9 +67,9 @@
 	}
 	switch {
 	case failed == unix.EAGAIN:
-		return 0, ErrNothing
+		return 0, ErrNoData
 	case failed != nil && StateOf(c) != Ended: // a later call may succeed
-		return 0, fmt.Errorf("%w: %w", ErrUnclear, failed)
+		return 0, fmt.Errorf("%w: %w", ErrUnknown, failed)
 	case failed != nil:
 		return 0, failed
 	case n == 0:
@@ -98,7 +98,7 @@
 
 // The states.
 const (
-	Unclear State = iota // the system call failed
+	Unknown State = iota // the system call failed
 	Open                 // this side may send and receive; the other side may have closed its sending side
 	Ended                // by a reset or an error, by both sides, or closed on this side
 )
@@ -114,7 +114,7 @@
 	})
 	switch {
 	case err == nil && failed != nil:
-		return Unclear
+		return Unknown
 	case err != nil, ask[0].Revents&(unix.POLLERR|unix.POLLHUP|unix.POLLNVAL) != 0:
 		return Ended
 	}
@@ -149,6 +149,6 @@
 		return err
 	}
 	return raw.Control(func(fd uintptr) {
-		transient.Uninterrupted(func() error { return call(int(fd)) })
+		transient.RetryEINTR(func() error { return call(int(fd)) })
 	})
 }
--- a/internal/sysio/socketio/readiness.go
+++ b/internal/sysio/socketio/readiness.go
@@ -41,20 +41,20 @@
 		return false
 	}
 	if err == nil {
-		r.Took()
+		r.RecordSuccess()
 	}
 	return true
 }
 
 // RecordSuccess records that a non-blocking call has read data.
-func (r *Readiness) Took() { r.latest.Store(int64(r.since)) }
+func (r *Readiness) RecordSuccess() { r.latest.Store(int64(r.since)) }
 
 // RecordEmpty records that a non-blocking call has found no data.
-func (r *Readiness) Empty() { r.since = time.Since(origin) }
+func (r *Readiness) RecordEmpty() { r.since = time.Since(origin) }
 
 // ReadySince returns the earliest time at which the descriptor may have become ready before the latest successful call, or the zero time
 // if that is unknown.
-func (r *Readiness) Since() time.Time {
+func (r *Readiness) ReadySince() time.Time {
 	latest := r.latest.Load()
 	if latest == 0 {
 		return time.Time{}
--- a/internal/sysio/socketio/readiness_test.go
+++ b/internal/sysio/socketio/readiness_test.go
@@ -35,7 +35,7 @@
 		io.WriteString(other, "request")
 		awaitData(t, c)
 		read(t, c)
-		if since := c.Reads().Since(); !since.Equal(start) {
+		if since := c.Reads().ReadySince(); !since.Equal(start) {
 			t.Errorf("ready since %v, want %v", since, start)
 		}
 	}
@@ -64,7 +64,7 @@
 		io.WriteString(other, "request")
 	})
 	read(t, c)
-	if since, began := c.Reads().Since(), <-written; since.Before(began) || since.After(woken) {
+	if since, began := c.Reads().ReadySince(), <-written; since.Before(began) || since.After(woken) {
 		t.Errorf("ready since %v after the write and %v after the wait", since.Sub(began), since.Sub(woken))
 	}
 	if calls != 1+failures+1 {
@@ -77,12 +77,12 @@
 	c, other := pair(t)
 	c.Reads().StartAt(time.Now().Add(-time.Hour))
 	before := time.Now()
-	c.Reads().Empty()
+	c.Reads().RecordEmpty()
 	after := time.Now()
 	io.WriteString(other, "request")
 	awaitData(t, c)
 	read(t, c)
-	if since := c.Reads().Since(); since.Before(before) || since.After(after) {
+	if since := c.Reads().ReadySince(); since.Before(before) || since.After(after) {
 		t.Errorf("ready since %v after the empty read", since.Sub(after))
 	}
 }
--- a/internal/sysio/socketio/socketio.go
+++ b/internal/sysio/socketio/socketio.go
@@ -95,7 +95,7 @@
 // WriteNow writes as much as possible without waiting, regardless of the write deadline, and returns the number of bytes written.
 func (c *Conn) WriteNow(p []byte) (written int) {
 	c.raw.Control(func(fd uintptr) {
-		transient.Uninterrupted(func() (failed error) {
+		transient.RetryEINTR(func() (failed error) {
 			for written < len(p) && failed == nil {
 				var n int
 				n, failed = syscall.Write(int(fd), p[written:])
@@ -172,7 +172,7 @@
 	if err == syscall.EAGAIN && t.failures == 1 { // data or the end may have arrived just now
 		return true
 	}
-	if Over(conn, err) || t.failures > transient.MostFailures {
+	if ConnEnded(conn, err) || t.failures > transient.MaxFailures {
 		return false
 	}
 	if t.observe != nil {
@@ -191,12 +191,12 @@
 
 // ConnEnded reports whether a connection has ended, after a call on it failed with err. If poll(2) fails it retries for some seconds at most
 // (transient.MaxFailures) and then returns true.
-func Over(conn net.Conn, err error) bool {
+func ConnEnded(conn net.Conn, err error) bool {
 	if errno := syscall.Errno(0); !errors.As(err, &errno) { // closed on this side, or the deadline has passed
 		return true
 	}
-	for failures := 1; failures <= transient.MostFailures; failures++ {
-		if state := peek.StateOf(conn); state != peek.Unclear {
+	for failures := 1; failures <= transient.MaxFailures; failures++ {
+		if state := peek.StateOf(conn); state != peek.Unknown {
 			return state == peek.Ended
 		}
 		time.Sleep(transient.Backoff(failures))
--- a/internal/sysio/transient/transient_test.go
+++ b/internal/sysio/transient/transient_test.go
@@ -18,7 +18,7 @@
 
 func TestUntil(t *testing.T) {
 	calls := 0
-	if err := Until(context.Background(), func() error {
+	if err := Retry(context.Background(), func() error {
 		if calls++; calls < 4 {
 			return failure(syscall.ENFILE)
 		}
@@ -26,19 +26,19 @@
 	}, isENFILE); err != nil || calls != 4 {
 		t.Errorf("%v in %d calls", err, calls)
 	}
-	if err := Until(context.Background(), func() error { return os.ErrNotExist }, isENFILE); err != os.ErrNotExist {
+	if err := Retry(context.Background(), func() error { return os.ErrNotExist }, isENFILE); err != os.ErrNotExist {
 		t.Error(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if err := Until(ctx, func() error { return failure(syscall.ENFILE) }, isENFILE); !errors.Is(err, syscall.ENFILE) {
+	if err := Retry(ctx, func() error { return failure(syscall.ENFILE) }, isENFILE); !errors.Is(err, syscall.ENFILE) {
 		t.Error(err)
 	}
 }
 
 func TestTellingFirst(t *testing.T) {
 	var notified []error
-	retry := TellingFirst(func(err error) { notified = append(notified, err) }, isENFILE)
+	retry := NotifyFirst(func(err error) { notified = append(notified, err) }, isENFILE)
 	first, second := failure(syscall.ENFILE), failure(syscall.EMFILE)
 	if !retry(first) || retry(second) || len(notified) != 1 || notified[0] != first {
 		t.Errorf("notified of %v", notified)
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -45,7 +45,7 @@
 }
 
 func newMultiplexer(p *pool.Pool, m *thriftmap.Map) *multiplexer {
-	return &multiplexer{pool: p, maxFrame: m.MaxFrame, maxCalls: m.ServerCalls, busy: map[connKey][]*muxConn{},
+	return &multiplexer{pool: p, maxFrame: m.MaxFrame, maxCalls: m.MaxServerCalls, busy: map[connKey][]*muxConn{},
 		dials: map[connKey]*pendingDial{}}
 }
 
@@ -57,7 +57,7 @@
 	conn *pool.Conn
 
 	mu      sync.Mutex
-	state   *life.Line
+	state   *life.MultiplexedConn
 	writing bool
 }
 
@@ -67,15 +67,15 @@
 	at   *core.Attempt
 	call *thriftmap.Call
 	slot *life.Slot
-	done chan core.Ending
+	done chan core.AttemptOutcome
 }
 
 // attempt makes one attempt.
-func (m *multiplexer) attempt(ctx context.Context, at *core.Attempt) core.Ending {
-	a := &muxAttempt{ctx: ctx, at: at, call: at.Payload.(*thriftmap.Call), done: make(chan core.Ending, 1)}
+func (m *multiplexer) attempt(ctx context.Context, at *core.Attempt) core.AttemptOutcome {
+	a := &muxAttempt{ctx: ctx, at: at, call: at.Payload.(*thriftmap.Call), done: make(chan core.AttemptOutcome, 1)}
 	mc, err := m.join(ctx, a)
 	if err != nil {
-		return exchange.NoConnection(ctx, at, err)
+		return exchange.FailUnconnected(ctx, at, err)
 	}
 	select {
 	case e := <-a.done:
@@ -114,7 +114,7 @@
 	d := &pendingDial{ended: make(chan struct{})}
 	m.dials[k] = d
 	m.mu.Unlock()
-	c, err := m.pool.Acquire(ctx, a.at.Server, k.speaks, &a.at.Life)
+	c, err := m.pool.Acquire(ctx, a.at.Server, k.speaks, &a.at.State)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.dials, k)
@@ -127,7 +127,7 @@
 	}
 	mc, _ := c.Session.(*muxConn)
 	if mc == nil {
-		mc = &muxConn{m: m, key: k, conn: c, state: life.NewLine(time.Now())}
+		mc = &muxConn{m: m, key: k, conn: c, state: life.NewMultiplexedConn(time.Now())}
 		c.Session = mc
 		go mc.read()
 	}
@@ -143,8 +143,8 @@
 func (mc *muxConn) enqueue(a *muxAttempt, maxCalls int) bool {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
-	slot, err := mc.state.Join(&a.at.Life, a, maxCalls)
-	a.at.Heed(err)
+	slot, err := mc.state.Join(&a.at.State, a, maxCalls)
+	a.at.ReportIllegalStep(err)
 	if slot == nil {
 		return false
 	}
@@ -167,7 +167,7 @@
 	for {
 		buf, out, ends = buf[:0], out[:0], ends[:0]
 		// A server that does not read blocks all calls on the connection, so writes have the time limit for pauses within an answer.
-		deadline := time.Now().Add(exchange.Stall)
+		deadline := time.Now().Add(exchange.StallTimeout)
 		mc.mu.Lock()
 		for len(buf) < maxBatchBytes {
 			slot := mc.state.Next()
@@ -177,15 +177,15 @@
 			a := slot.Host.(*muxAttempt)
 			end, _ := a.ctx.Deadline()
 			before := len(buf)
-			buf = a.call.Frame(buf, slot.Seq, time.Until(end))
+			buf = a.call.AppendRequest(buf, slot.Seq, time.Until(end))
 			// Conditions may have changed since the call was queued.
-			if !exchange.Begin(a.ctx, a.at, len(buf)-before) {
+			if !exchange.BeginSend(a.ctx, a.at, len(buf)-before) {
 				buf = buf[:before]
-				mc.state.Drop(slot)
-				a.done <- core.Ended(a.at.Life.Result())
+				mc.state.Remove(slot)
+				a.done <- core.ResultOnly(a.at.State.Result())
 				continue
 			}
-			a.at.Heed(mc.state.Begun(slot, time.Now()))
+			a.at.ReportIllegalStep(mc.state.WriteStarted(slot, time.Now()))
 			if w := a.at.WriteBy; !w.IsZero() && w.Before(deadline) {
 				deadline = w
 			}
@@ -203,14 +203,14 @@
 		mc.mu.Lock()
 		begin := 0
 		for i, a := range out {
-			ended, problem := mc.state.Wrote(a.slot, min(ends[i], max(begin, n))-begin, a.call.Method.Oneway)
+			ended, problem := mc.state.WriteEnded(a.slot, min(ends[i], max(begin, n))-begin, a.call.Method.Oneway)
 			begin = ends[i]
-			a.at.Heed(problem)
+			a.at.ReportIllegalStep(problem)
 			if n >= ends[i] {
-				a.at.Forwarded()
+				a.at.MarkForwarded()
 			}
 			if ended {
-				a.done <- core.Ended(a.at.Life.Result())
+				a.done <- core.ResultOnly(a.at.State.Result())
 			}
 		}
 		if err != nil || mc.state.Broken() { // the reader may have failed during the write
@@ -226,13 +226,13 @@
 	ended, err := mc.state.Break(c)
 	for _, s := range ended {
 		a := s.Host.(*muxAttempt)
-		a.at.Heed(err)
-		a.done <- core.Ended(a.at.Life.Result())
+		a.at.ReportIllegalStep(err)
+		a.done <- core.ResultOnly(a.at.State.Result())
 	}
 }
 
 // abandon stops waiting for an attempt's reply, unless it has arrived meanwhile.
-func (mc *muxConn) abandon(a *muxAttempt) core.Ending {
+func (mc *muxConn) abandon(a *muxAttempt) core.AttemptOutcome {
 	mc.mu.Lock()
 	defer mc.releaseIfIdle()
 	defer mc.mu.Unlock()
@@ -242,11 +242,11 @@
 	default:
 	}
 	cause := life.Late
-	if errors.Is(context.Cause(a.ctx), core.ErrWithdrawn) {
+	if errors.Is(context.Cause(a.ctx), core.ErrCanceled) {
 		cause = life.Withdrawn
 	}
-	a.at.Heed(mc.state.Abandon(a.slot, cause))
-	return core.Ended(a.at.Life.Result())
+	a.at.ReportIllegalStep(mc.state.Abandon(a.slot, cause))
+	return core.ResultOnly(a.at.State.Result())
 }
 
 // read reads replies until the connection ends.
@@ -260,7 +260,7 @@
 			continue
 		}
 		cause := life.Broken
-		if errors.Is(err, exchange.ErrSpoilt) || errors.Is(err, os.ErrDeadlineExceeded) {
+		if errors.Is(err, exchange.ErrInvalidAnswer) || errors.Is(err, os.ErrDeadlineExceeded) {
 			cause = life.Garbled
 		}
 		mc.mu.Lock()
@@ -272,7 +272,7 @@
 }
 
 // maxReplyTime is how long a reply may take from its first byte to its last. The other calls on its connection wait for it.
-const mostReply = 5 * time.Second
+const maxReplyTime = 5 * time.Second
 
 // replyReader reads replies from a connection. A reply that has begun may pause for exchange.StallTimeout and must be complete within maxReplyTime.
 type replyReader struct {
@@ -289,15 +289,15 @@
 // begin sets the deadlines of a reply that has begun.
 func (r *replyReader) begin() {
 	now := time.Now()
-	r.completeBy = now.Add(mostReply)
-	r.conn.SetReadDeadline(now.Add(exchange.Stall))
+	r.completeBy = now.Add(maxReplyTime)
+	r.conn.SetReadDeadline(now.Add(exchange.StallTimeout))
 }
 
 // Read implements io.Reader. It extends the read deadline while a reply arrives.
 func (r *replyReader) Read(b []byte) (int, error) {
 	n, err := r.conn.Read(b)
 	if n > 0 && !r.completeBy.IsZero() {
-		deadline := time.Now().Add(exchange.Stall)
+		deadline := time.Now().Add(exchange.StallTimeout)
 		if r.completeBy.Before(deadline) {
 			deadline = r.completeBy
 		}
@@ -320,17 +320,17 @@
 	}
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
-	slot, err := mc.state.Reply(h.Seq, time.Now())
+	slot, err := mc.state.ReplyStarted(h.Seq, time.Now())
 	if err != nil {
-		return fmt.Errorf("%w: %w: sequence id %d", exchange.ErrSpoilt, err, h.Seq)
+		return fmt.Errorf("%w: %w: sequence id %d", exchange.ErrInvalidAnswer, err, h.Seq)
 	}
 	a := slot.Host.(*muxAttempt)
 	e, err := outcome(a.call, h, message, h.Seq)
 	if err != nil {
 		return err // the caller breaks the connection, which ends this call too
 	}
-	ended, err := mc.state.Answered(slot, e.Result)
-	a.at.Heed(err)
+	ended, err := mc.state.ReplyEnded(slot, e.Result)
+	a.at.ReportIllegalStep(err)
 	if ended {
 		a.done <- e
 	}
@@ -352,7 +352,7 @@
 		return // already idle or closed
 	}
 	mc.mu.Lock()
-	idle, reuse := mc.state.Rests(mc.key.server.Retired())
+	idle, reuse := mc.state.CanRelease(mc.key.server.Retired())
 	idle = idle && !mc.writing
 	mc.mu.Unlock()
 	if !idle {
--- a/internal/thrift/thriftback/serial.go
+++ b/internal/thrift/thriftback/serial.go
@@ -29,7 +29,7 @@
 func New(p *pool.Pool, m *thriftmap.Map) *Transport {
 	t := &Transport{multi: newMultiplexer(p, m)}
 	var seq atomic.Int32
-	t.serial = &exchange.Transport{Pool: p, Stall: exchange.Stall, Begin: func(at *core.Attempt) exchange.Talk {
+	t.serial = &exchange.Transport{Pool: p, StallTimeout: exchange.StallTimeout, NewCodec: func(at *core.Attempt) exchange.Codec {
 		// A sequence id that has not been used recently on any connection, so that a late reply to an earlier call matches no other call.
 		return &codec{call: at.Payload.(*thriftmap.Call), seq: seq.Add(1), maxFrame: m.MaxFrame}
 	}}
@@ -37,7 +37,7 @@
 }
 
 // Attempt implements core.Transport.
-func (t *Transport) Attempt(ctx context.Context, at *core.Attempt) core.Ending {
+func (t *Transport) Attempt(ctx context.Context, at *core.Attempt) core.AttemptOutcome {
 	if at.Server.Multiplexed {
 		return t.multi.attempt(ctx, at)
 	}
@@ -53,20 +53,20 @@
 
 // Message returns the frame to send.
 func (c *codec) Message(end time.Time) []byte {
-	return c.call.Frame(make([]byte, 0, len(c.call.Message)+16), c.seq, time.Until(end))
+	return c.call.AppendRequest(make([]byte, 0, len(c.call.Message)+16), c.seq, time.Until(end))
 }
 
 // Answer reads the reply. A oneway has none, so its success only means that it was written.
-func (c *codec) Answer(in *exchange.Inflow) (core.Ending, bool, error) {
+func (c *codec) Answer(in *exchange.AnswerReader) (core.AttemptOutcome, bool, error) {
 	if c.call.Method.Oneway {
-		return core.Ended(choice.OK), true, in.Sent()
+		return core.ResultOnly(choice.OK), true, in.WaitSent()
 	}
-	if err := in.Begin(); err != nil {
-		return core.Ending{}, false, err
+	if err := in.AwaitData(); err != nil {
+		return core.AttemptOutcome{}, false, err
 	}
 	h, message, err := readMessage(in, c.maxFrame)
 	if err != nil {
-		return core.Ending{}, false, err
+		return core.AttemptOutcome{}, false, err
 	}
 	e, err := outcome(c.call, h, message, c.seq)
 	return e, true, err
@@ -78,18 +78,18 @@
 		h, err = thriftwire.ReadHead(message)
 	}
 	if errors.Is(err, thriftwire.ErrMalformed) {
-		err = fmt.Errorf("%w: %w", exchange.ErrSpoilt, err)
+		err = fmt.Errorf("%w: %w", exchange.ErrInvalidAnswer, err)
 	}
 	return h, message, err
 }
 
 // outcome converts a reply to the outcome of the attempt.
-func outcome(call *thriftmap.Call, h thriftwire.Head, message []byte, seq int32) (core.Ending, error) {
+func outcome(call *thriftmap.Call, h thriftwire.Head, message []byte, seq int32) (core.AttemptOutcome, error) {
 	out, err := call.ReadReply(h, message, seq)
 	if err != nil {
-		return core.Ending{}, fmt.Errorf("%w: %w", exchange.ErrSpoilt, err)
+		return core.AttemptOutcome{}, fmt.Errorf("%w: %w", exchange.ErrInvalidAnswer, err)
 	}
-	e := core.Ending{Result: out.Result, Report: out.Report, ShapeUnknown: out.ShapeUnknown}
+	e := core.AttemptOutcome{Result: out.Result, Report: out.Report, ShapeUnknown: out.ShapeUnknown}
 	if out.Result == choice.OK {
 		e.Reply = &thriftmap.Reply{Head: h, Message: message}
 	}
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -44,9 +44,9 @@
 func newTransport(t testing.TB, set pool.Settings) *transport {
 	t.Helper()
 	if set.DialTimeout == 0 {
-		set.DialTimeout = testkit.Patience
+		set.DialTimeout = testkit.WaitTimeout
 	}
-	set.IdleFor, set.Most = time.Minute, 100
+	set.IdleTimeout, set.MaxConns = time.Minute, 100
 	p, m := pool.New(set), service(t)
 	return &transport{Transport: New(p, m), t: t, pool: p, m: m}
 }
@@ -55,7 +55,7 @@
 	thriftwire.Compact: protocol.ThriftCompact}
 
 // try makes one attempt at a payOut or a note and returns its outcome.
-func (tr *transport) try(ctx context.Context, s *life.Server, e thriftwire.Encoding, method, id string) core.Ending {
+func (tr *transport) try(ctx context.Context, s *life.Server, e thriftwire.Encoding, method, id string) core.AttemptOutcome {
 	return tr.Attempt(ctx, tr.attempt(s, e, method, id))
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	return &core.Attempt{Call: &core.Call{Request: choice.Request{ID: id, Needs: encodings[e]}, Payload: call}, Server: s, Payload: call, Speaks: encodings[e]}
+	return &core.Attempt{Call: &core.Call{Request: choice.Request{ID: id, RequiredProtocols: encodings[e]}, Payload: call}, Server: s, Payload: call, Speaks: encodings[e]}
 }
 
 func within(t testing.TB, d time.Duration) context.Context {
@@ -104,7 +104,7 @@
 	return s, &life.Server{ID: "s", Addr: s.Addr(), Multiplexed: o.Multiplexed}
 }
 
-func text(e core.Ending) string {
+func text(e core.AttemptOutcome) string {
 	r, ok := e.Reply.(*thriftmap.Reply)
 	if !ok {
 		return ""
@@ -129,16 +129,16 @@
 				return standin.Step{Fault: standin.CutReply, Cut: n}
 			}})
 			tr := newTransport(t, pool.Settings{})
-			whole := tr.try(within(t, testkit.Patience), server, e, "payOut", "whole")
+			whole := tr.try(within(t, testkit.WaitTimeout), server, e, "payOut", "whole")
 			if text(whole) != "receipt of whole" {
 				t.Fatalf("%+v", whole)
 			}
 			size := 4 + len(whole.Reply.(*thriftmap.Reply).Message)
 			for n = 1; n < size; n++ {
 				id := fmt.Sprintf("cut%d", n)
-				if got := tr.try(within(t, testkit.Patience), server, e, "payOut", id); got.Result != choice.Reset || s.Pod().Deliveries(id) != 1 {
+				if got := tr.try(within(t, testkit.WaitTimeout), server, e, "payOut", id); got.Result != choice.Reset || s.DedupGroup().Deliveries(id) != 1 {
 					t.Errorf("%v, multiplexed %t, %d of %d bytes: result %d after %d deliveries", e, multiplexed, n, size, got.Result,
-						s.Pod().Deliveries(id))
+						s.DedupGroup().Deliveries(id))
 				}
 			}
 			testkit.Eventually(t, "all connections are closed", func() bool { return tr.open() == 0 })
@@ -156,7 +156,7 @@
 	for i := range 200 {
 		all.Go(func() {
 			id := fmt.Sprint("id", i*i*i)
-			if got := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", id); text(got) != "receipt of "+id {
+			if got := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", id); text(got) != "receipt of "+id {
 				t.Errorf("%s: result %d, %q", id, got.Result, text(got))
 			}
 		})
@@ -167,7 +167,7 @@
 	}
 	testkit.Eventually(t, "the connection is idle", func() bool { _, idle, _ := tr.pool.Count(); return idle == 1 })
 	// The other encoding gets its own connection.
-	if got := tr.try(within(t, testkit.Patience), server, thriftwire.Compact, "payOut", "compact"); text(got) != "receipt of compact" || s.Accepted() != 2 {
+	if got := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Compact, "payOut", "compact"); text(got) != "receipt of compact" || s.Accepted() != 2 {
 		t.Errorf("result %d, %d connections", got.Result, s.Accepted())
 	}
 }
@@ -175,7 +175,7 @@
 // A reply without a call, or a second reply to one, breaks the connection, because no call may get another call's reply. The calls on it count as
 // possibly executed.
 func TestForeignReplies(t *testing.T) {
-	for _, fault := range []standin.Fault{standin.WrongSeq, standin.TwoReplies, standin.Spoilt} {
+	for _, fault := range []standin.Fault{standin.WrongSeq, standin.TwoReplies, standin.InvalidBytes} {
 		release := make(chan struct{})
 		_, server := start(t, standin.Options{ID: "s", Multiplexed: true, Script: func(c standin.Call) standin.Step {
 			if c.ID == "waits" {
@@ -187,10 +187,10 @@
 			return standin.Step{}
 		}})
 		tr := newTransport(t, pool.Settings{})
-		waits := make(chan core.Ending, 1)
-		go func() { waits <- tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "waits") }()
+		waits := make(chan core.AttemptOutcome, 1)
+		go func() { waits <- tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", "waits") }()
 		testkit.Eventually(t, "the call is in flight", func() bool { return tr.open() == 1 })
-		odd := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "odd")
+		odd := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", "odd")
 		if want := map[bool]choice.Result{true: choice.OK, false: choice.Failed}[fault == standin.TwoReplies]; odd.Result != want {
 			t.Errorf("fault %d: result %d", fault, odd.Result)
 		}
@@ -199,7 +199,7 @@
 		}
 		for i := range 3 {
 			id := fmt.Sprint("after", i)
-			if got := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", id); text(got) != "receipt of "+id {
+			if got := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", id); text(got) != "receipt of "+id {
 				t.Errorf("fault %d: %s got %q, result %d", fault, id, text(got), got.Result)
 			}
 		}
@@ -219,21 +219,21 @@
 	}})
 	tr := newTransport(t, pool.Settings{})
 	ctx, withdraw := context.WithCancelCause(context.Background())
-	got := make(chan core.Ending, 1)
+	got := make(chan core.AttemptOutcome, 1)
 	go func() { got <- tr.try(ctx, server, thriftwire.Binary, "payOut", "withdrawn") }()
-	testkit.Eventually(t, "the server has received the call", func() bool { return s.Pod().Deliveries("withdrawn") == 1 })
-	withdraw(core.ErrWithdrawn)
+	testkit.Eventually(t, "the server has received the call", func() bool { return s.DedupGroup().Deliveries("withdrawn") == 1 })
+	withdraw(core.ErrCanceled)
 	if e := <-got; e.Result != choice.Cancelled {
 		t.Errorf("result %d of the canceled call", e.Result)
 	}
 	// The connection still serves other calls, which the late reply does not disturb.
-	if e := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "next"); text(e) != "receipt of next" || s.Accepted() != 1 {
+	if e := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", "next"); text(e) != "receipt of next" || s.Accepted() != 1 {
 		t.Errorf("result %d, %d connections", e.Result, s.Accepted())
 	}
 	if e := tr.try(within(t, 50*time.Millisecond), server, thriftwire.Binary, "payOut", "late"); e.Result != choice.TimedOut {
 		t.Errorf("result %d of the call that timed out", e.Result)
 	}
-	if e := tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", "new"); text(e) != "receipt of new" || s.Accepted() != 2 {
+	if e := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", "new"); text(e) != "receipt of new" || s.Accepted() != 2 {
 		t.Errorf("after a call without any data: result %d, %d connections", e.Result, s.Accepted())
 	}
 	close(release)
@@ -286,8 +286,8 @@
 	}{
 		"nothing":   {func(*transport, *core.Attempt, context.CancelCauseFunc) {}, choice.OK},
 		"drains":    {func(tr *transport, at *core.Attempt, _ context.CancelCauseFunc) { tr.pool.Retire(at.Server) }, choice.ConnectFailed},
-		"answered":  {func(_ *transport, at *core.Attempt, _ context.CancelCauseFunc) { at.Call.End() }, choice.NotSent},
-		"withdrawn": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrWithdrawn) }, choice.Cancelled},
+		"answered":  {func(_ *transport, at *core.Attempt, _ context.CancelCauseFunc) { at.Call.Abort() }, choice.NotSent},
+		"withdrawn": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Cancelled},
 		"time over": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -297,8 +297,8 @@
 				conn, err := new(net.Dialer).DialContext(ctx, network, addr)
 				return blockedConn{conn, gate, began}, err
 			}})
-			first, second := make(chan core.Ending, 1), make(chan core.Ending, 1)
-			go func() { first <- tr.try(within(t, testkit.Patience), server, thriftwire.Compact, "payOut", "first") }()
+			first, second := make(chan core.AttemptOutcome, 1), make(chan core.AttemptOutcome, 1)
+			go func() { first <- tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Compact, "payOut", "first") }()
 			<-began
 			ctx, withdraw := context.WithCancelCause(context.Background())
 			at := tr.attempt(server, thriftwire.Compact, "payOut", "second")
@@ -309,7 +309,7 @@
 				if got := <-second; got.Result != c.want {
 					t.Errorf("result %d", got.Result)
 				}
-				second <- core.Ended(c.want)
+				second <- core.ResultOnly(c.want)
 			}
 			close(gate)
 			if got := <-second; got.Result != c.want {
@@ -318,7 +318,7 @@
 			if got := <-first; text(got) != "receipt of first" {
 				t.Errorf("the call in flight: result %d", got.Result)
 			}
-			if n := s.Pod().Deliveries("second"); n != map[bool]int{true: 1}[c.want == choice.OK] {
+			if n := s.DedupGroup().Deliveries("second"); n != map[bool]int{true: 1}[c.want == choice.OK] {
 				t.Errorf("the queued call arrived %d times", n)
 			}
 			if name == "drains" {
@@ -336,7 +336,7 @@
 		for _, mc := range conns {
 			mc.mu.Lock()
 			for _, s := range mc.state.Slots() {
-				if s.Life.Stage() == life.Ready {
+				if s.Attempt.Stage() == life.Ready {
 					n++
 				}
 			}
@@ -354,10 +354,10 @@
 		conn, err := new(net.Dialer).DialContext(ctx, network, addr)
 		return blockedConn{conn, gate, began}, err
 	}})
-	results := map[string]chan core.Ending{}
+	results := map[string]chan core.AttemptOutcome{}
 	for i, id := range []string{"writing", "queued"} {
-		results[id] = make(chan core.Ending, 1)
-		go func() { results[id] <- tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", id) }()
+		results[id] = make(chan core.AttemptOutcome, 1)
+		go func() { results[id] <- tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", id) }()
 		if i == 0 {
 			<-began
 		} else {
@@ -387,13 +387,13 @@
 		return nil, io.ErrClosedPipe
 	}})
 	server := &life.Server{ID: "s", Addr: "127.0.0.1:1", Multiplexed: true}
-	results := make(chan core.Ending, 10)
+	results := make(chan core.AttemptOutcome, 10)
 	var begun sync.WaitGroup
 	for i := range 10 {
 		begun.Add(1)
 		go func() {
 			begun.Done()
-			results <- tr.try(within(t, testkit.Patience), server, thriftwire.Binary, "payOut", fmt.Sprint(i))
+			results <- tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Binary, "payOut", fmt.Sprint(i))
 		}()
 	}
 	begun.Wait()
@@ -415,15 +415,15 @@
 		s, server := start(t, standin.Options{ID: "s", Multiplexed: multiplexed})
 		tr := newTransport(t, pool.Settings{})
 		for i := range 5 {
-			if got := tr.try(within(t, testkit.Patience), server, thriftwire.Compact, "note", fmt.Sprint("n", i)); got.Result != choice.OK || got.Reply != nil {
+			if got := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Compact, "note", fmt.Sprint("n", i)); got.Result != choice.OK || got.Reply != nil {
 				t.Errorf("result %d", got.Result)
 			}
-			if got := tr.try(within(t, testkit.Patience), server, thriftwire.Compact, "payOut", fmt.Sprint("p", i)); got.Result != choice.OK {
+			if got := tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Compact, "payOut", fmt.Sprint("p", i)); got.Result != choice.OK {
 				t.Errorf("result %d", got.Result)
 			}
 		}
 		for i := range 5 {
-			testkit.Eventually(t, "the note arrives", func() bool { return s.Pod().Deliveries(fmt.Sprint("n", i)) == 1 })
+			testkit.Eventually(t, "the note arrives", func() bool { return s.DedupGroup().Deliveries(fmt.Sprint("n", i)) == 1 })
 		}
 		if s.Accepted() != 1 {
 			t.Errorf("%d connections", s.Accepted())
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -58,16 +58,16 @@
 // errStopping ends an idle connection when the agent shuts down.
 var errStopping = errors.New("the agent is shutting down")
 
-func (f *Front) open(conn *conntrack.Conn) {
+func (f *Front) serveConn(conn *conntrack.Conn) {
 	c := &client{front: f, conn: conn}
 	c.changed.L = &c.mu
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
-		f.tracker.Closed(conn)
+		f.tracker.MarkClosed(conn)
 		return
 	}
-	c.raw, c.fill = raw, c.read
+	c.raw, c.fill = raw, c.readNow
 	f.mu.Lock()
 	f.clients[c] = true
 	f.mu.Unlock()
@@ -79,14 +79,14 @@
 
 // serve reads calls until the client disconnects or the connection must be closed.
 func (c *client) serve() {
-	err := c.take()
+	err := c.readCalls()
 	if errors.Is(err, errStopping) {
-		c.conn.Failed(os.ErrDeadlineExceeded, conntrack.EndedForShutdown)
+		c.conn.RecordReadError(os.ErrDeadlineExceeded, conntrack.EndedForShutdown)
 	} else {
-		c.conn.Failed(err, conntrack.NotEnded)
+		c.conn.RecordReadError(err, conntrack.NotEnded)
 	}
 	if !errors.Is(err, errProtocol) && !errors.Is(err, errStopping) {
-		c.die()
+		c.abort()
 	}
 	c.mu.Lock()
 	// Answer the calls that were accepted before, then close the connection.
@@ -96,13 +96,13 @@
 	c.readEnded, c.closed = true, true
 	c.mu.Unlock()
 	c.conn.Close()
-	c.front.tracker.Closed(c.conn)
-	c.leave()
+	c.front.tracker.MarkClosed(c.conn)
+	c.forgetIfDone()
 }
 
 // abort closes the connection of a client that has disconnected, and reports to the core that its unanswered calls have lost their client.
 // Oneway calls continue: their clients may disconnect.
-func (c *client) die() {
+func (c *client) abort() {
 	c.mu.Lock()
 	var pending []*core.Call
 	if !c.closed {
@@ -119,28 +119,28 @@
 	c.mu.Unlock()
 	c.conn.Close()
 	for _, call := range pending { // not under the lock, as the core's loop may be waiting for it
-		c.front.core.Left(call)
+		c.front.core.ClientDisconnected(call)
 	}
 }
 
 // forgetIfDone removes the client once its connection is closed and it has no calls in flight.
-func (c *client) leave() {
+func (c *client) forgetIfDone() {
 	c.mu.Lock()
 	done := c.readEnded && c.closed && c.inFlight == 0
 	c.mu.Unlock()
 	if done {
-		c.front.forget(c)
+		c.front.remove(c)
 	}
 }
 
 // readCalls reads and handles frames in a loop. It always returns a non-nil error.
-func (c *client) take() error {
+func (c *client) readCalls() error {
 	for {
-		message, arrival, err := c.next()
+		message, arrival, err := c.readFrame()
 		if err != nil {
 			return err
 		}
-		if err := c.message(message, arrival); err != nil {
+		if err := c.handleMessage(message, arrival); err != nil {
 			return err
 		}
 	}
@@ -148,30 +148,30 @@
 
 // markBusy marks the connection as busy for a call that has arrived. It returns false if the tracker closed the connection while the call was being
 // read: the client will retry elsewhere, and the call must not take effect twice.
-func (c *client) begin() bool {
+func (c *client) markBusy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.called = true; c.busy {
 		return true
 	}
-	c.busy = c.front.tracker.Busy(c.conn)
+	c.busy = c.front.tracker.MarkBusy(c.conn)
 	return c.busy
 }
 
 // handleMessage handles one message. An error ends reading.
-func (c *client) message(message []byte, arrival time.Duration) error {
-	if !c.begin() {
+func (c *client) handleMessage(message []byte, arrival time.Duration) error {
+	if !c.markBusy() {
 		return net.ErrClosed
 	}
 	h, err := thriftwire.ReadHead(message)
 	if err != nil {
-		c.front.core.Malformed()
+		c.front.core.CountMalformed()
 		return fmt.Errorf("%w: %w", errProtocol, err)
 	}
 	if c.encoding == 0 {
 		c.encoding = h.Encoding
 	} else if h.Encoding != c.encoding {
-		c.front.core.Malformed()
+		c.front.core.CountMalformed()
 		return errProtocol
 	}
 	method := c.front.service.Method(h.Name(message))
@@ -182,22 +182,22 @@
 		call, err = c.front.call(read, arrival)
 	}
 	if err != nil {
-		c.front.core.Malformed()
+		c.front.core.CountMalformed()
 		if oneway {
 			return nil // the client waits for no answer
 		}
 		refusal := &thriftmap.Refusal{Kind: thriftwire.InternalError, Text: err.Error()}
 		errors.As(err, &refusal)
-		s := c.enter(nil, h.Seq, false)
-		c.answered(s, thriftmap.Application(nil, h, message, refusal.Kind, refusal.Text))
+		s := c.addCall(nil, h.Seq, false)
+		c.queueAnswer(s, thriftmap.AppendException(nil, h, message, refusal.Kind, refusal.Text))
 		return nil
 	}
-	s := c.enter(call, h.Seq, oneway)
+	s := c.addCall(call, h.Seq, oneway)
 	switch {
 	case s == nil && oneway:
 		return net.ErrClosed
 	case s == nil: // too many calls in flight; the core has not seen this one
-		c.answered(c.enter(nil, h.Seq, false), read.Refused(nil, 0))
+		c.queueAnswer(c.addCall(nil, h.Seq, false), read.AppendRefusal(nil, 0))
 		return nil
 	}
 	if !oneway { // the client of a oneway may disconnect
@@ -205,12 +205,12 @@
 	}
 	call.Answer = func(ans core.Answer) {
 		if oneway {
-			c.done()
+			c.finishOneway()
 			return
 		}
-		c.answered(s, encode(read, ans))
+		c.queueAnswer(s, encode(read, ans))
 	}
-	c.front.core.Take(call)
+	c.front.core.Submit(call)
 	return nil
 }
 
@@ -219,26 +219,26 @@
 	switch ans.Kind {
 	case core.Served:
 		if r, ok := ans.Reply.(*thriftmap.Reply); ok {
-			return read.Served(make([]byte, 0, len(r.Message)+16), r)
+			return read.AppendReply(make([]byte, 0, len(r.Message)+16), r)
 		}
 	case core.Refused:
-		return read.Refused(nil, ans.After)
-	case core.Unfit: // a request that can't be translated is the client's fault, like one that can't be read
-		return read.Application(nil, thriftwire.ProtocolError, ans.Cause.Error())
+		return read.AppendRefusal(nil, ans.After)
+	case core.Untranslatable: // a request that can't be translated is the client's fault, like one that can't be read
+		return read.AppendException(nil, thriftwire.ProtocolError, ans.Cause.Error())
 	case core.Duplicate:
-		return read.Failed(nil, "a call with this correlation id is under way")
+		return read.AppendFailure(nil, "a call with this correlation id is under way")
 	}
-	return read.Failed(nil, "failed")
+	return read.AppendFailure(nil, "failed")
 }
 
 // addCall adds a call to the order of answers. It returns nil if the client has the maximum number of calls in flight. A oneway gets no answer, so
 // it waits until there is room instead. A nil call stands for one that is answered at once.
-func (c *client) enter(call *core.Call, seq int32, oneway bool) *slot {
+func (c *client) addCall(call *core.Call, seq int32, oneway bool) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &slot{call: call, seq: seq}
 	if call != nil {
-		c.awaitLocked(func() bool { return oneway && c.inFlight >= c.front.service.MaxCalls })
+		c.waitWhileLocked(func() bool { return oneway && c.inFlight >= c.front.service.MaxCalls })
 		if c.inFlight >= c.front.service.MaxCalls {
 			return nil
 		}
@@ -251,18 +251,18 @@
 }
 
 // finishOneway records that a oneway has finished.
-func (c *client) done() {
+func (c *client) finishOneway() {
 	c.mu.Lock()
 	c.inFlight--
 	c.changed.Broadcast()
-	c.idleLocked()
+	c.markIdleLocked()
 	c.mu.Unlock()
-	c.leave()
+	c.forgetIfDone()
 }
 
 // queueAnswer stores an answer and queues all answers that can be sent now: in the order of the calls or, if the configuration allows any order,
 // in the order of calls with the same sequence id, whose answers could not be told apart otherwise.
-func (c *client) answered(s *slot, frame []byte) {
+func (c *client) queueAnswer(s *slot, frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -281,7 +281,7 @@
 		}
 		c.waiting = c.waiting[n:]
 	} else {
-		c.sendFreeLocked()
+		c.queueUnblockedLocked()
 	}
 	if len(c.unsent) > 0 && !c.writing {
 		c.writing = true
@@ -290,7 +290,7 @@
 }
 
 // queueUnblockedLocked queues all answers that do not wait for an earlier call with the same sequence id.
-func (c *client) sendFreeLocked() {
+func (c *client) queueUnblockedLocked() {
 	kept := c.waiting[:0]
 	for _, s := range c.waiting {
 		held := s.frame == nil
@@ -317,37 +317,37 @@
 		c.mu.Unlock()
 		c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.conn.Write(b); err != nil {
-			c.die()
+			c.abort()
 		}
 		c.mu.Lock()
 		c.changed.Broadcast()
 	}
 	c.writing = false
 	c.changed.Broadcast()
-	c.idleLocked()
+	c.markIdleLocked()
 }
 
 // markIdleLocked reports to the tracker that the connection is idle, if it is. The tracker may then close it to make room for another, and an agent
 // that is shutting down closes it.
-func (c *client) idleLocked() {
-	if !c.restsLocked() || c.closed || !c.busy {
+func (c *client) markIdleLocked() {
+	if !c.isIdleLocked() || c.closed || !c.busy {
 		return
 	}
 	c.busy = false
-	c.front.tracker.Idle(c.conn)
+	c.front.tracker.MarkIdle(c.conn)
 	if c.front.stopping.Load() {
 		c.wake()
 	}
 }
 
 // isIdleLocked reports whether no call is in flight and no answer is waiting to be sent.
-func (c *client) restsLocked() bool { return c.inFlight == 0 && len(c.waiting) == 0 && !c.writing }
+func (c *client) isIdleLocked() bool { return c.inFlight == 0 && len(c.waiting) == 0 && !c.writing }
 
 // waitForRoom blocks the reader while too many answers wait to be sent to the client.
 func (c *client) waitForRoom() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaitLocked(func() bool { return len(c.waiting) >= 2*c.front.service.MaxCalls || len(c.unsent) > maxUnsentBytes })
+	c.waitWhileLocked(func() bool { return len(c.waiting) >= 2*c.front.service.MaxCalls || len(c.unsent) > maxUnsentBytes })
 	if c.closed {
 		return net.ErrClosed
 	}
@@ -357,7 +357,7 @@
 // waitWhileLocked blocks the reader while the client has too much in flight. As nothing is read meanwhile, a disconnect would go unnoticed, so the
 // connection is probed for one every conntrack.ProbeInterval. A disconnect behind more unread data than the kernel buffers is noticed only once
 // that data is read.
-func (c *client) awaitLocked(full func() bool) {
+func (c *client) waitWhileLocked(full func() bool) {
 	if c.closed || !full() {
 		return
 	}
@@ -372,7 +372,7 @@
 				return
 			case <-probe.C:
 				if peek.HungUp(c.conn) {
-					c.die()
+					c.abort()
 					return
 				}
 			}
@@ -384,11 +384,11 @@
 }
 
 // readFrame reads one frame. It checks the length before allocating memory. arrival is the time of the frame's first byte.
-func (c *client) next() (message []byte, arrival time.Duration, err error) {
+func (c *client) readFrame() (message []byte, arrival time.Duration, err error) {
 	if err := c.waitForRoom(); err != nil {
 		return nil, 0, err
 	}
-	if err := c.await(); err != nil {
+	if err := c.awaitFrame(); err != nil {
 		return nil, 0, err
 	}
 	waited := c.conn.SinceLastData() // the client's time limit counts from when it sent the call
@@ -401,7 +401,7 @@
 	}
 	n, err := thriftwire.FrameLength(prefix, c.front.service.MaxFrame)
 	if err != nil {
-		c.front.core.Malformed()
+		c.front.core.CountMalformed()
 		return nil, 0, fmt.Errorf("%w: %w", errProtocol, err)
 	}
 	message = make([]byte, n)
@@ -410,11 +410,11 @@
 }
 
 // awaitFrame waits for the first byte of a frame, until the idle timeout or the shutdown of the agent.
-func (c *client) await() error {
+func (c *client) awaitFrame() error {
 	for c.start == c.end {
 		stopping := c.front.stopping.Load()
 		c.mu.Lock()
-		idle, fresh := c.restsLocked(), !c.called
+		idle, fresh := c.isIdleLocked(), !c.called
 		var deadline time.Time // at shutdown the tracker closes connections without a call
 		if idle && !stopping {
 			deadline = time.Now().Add(c.front.service.IdleTimeout)
@@ -424,10 +424,10 @@
 		if stopping != c.front.stopping.Load() {
 			continue // otherwise the deadline set above would cancel the effect of wake
 		}
-		if stopping && idle && !fresh && peek.Silent(c.conn) {
+		if stopping && idle && !fresh && peek.HasNoUnread(c.conn) {
 			return errStopping
 		}
-		switch err := c.more(); {
+		switch err := c.readChunk(); {
 		case err == nil:
 			return nil
 		case !errors.Is(err, os.ErrDeadlineExceeded):
@@ -448,18 +448,18 @@
 			c.start += n
 			to = to[n:]
 			if c.start == c.end {
-				c.drop()
+				c.releaseChunk()
 			}
 		}
 		if len(to) == 0 {
 			return nil
 		}
-		switch err := c.more(); {
+		switch err := c.readChunk(); {
 		case err == nil:
 		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline):
 			c.conn.SetReadDeadline(deadline) // woken by the shutdown
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.front.core.Malformed()
+			c.front.core.CountMalformed()
 			return fmt.Errorf("%w: timeout in the middle of a frame", errProtocol)
 		default:
 			return err
@@ -467,15 +467,15 @@
 	}
 }
 
-func (c *client) drop() {
+func (c *client) releaseChunk() {
 	chunks.Put(c.chunk)
 	c.chunk, c.start, c.end = nil, 0, 0
 }
 
 // readChunk waits for data and reads it into a new chunk. System calls that fail are retried while the connection is open, because a connected client
 // still waits for its answers.
-func (c *client) more() error {
-	tries := c.conn.ReadTries()
+func (c *client) readChunk() error {
+	tries := c.conn.NewReadTries()
 	for {
 		err := c.raw.Read(c.fill)
 		if err == nil {
@@ -488,7 +488,7 @@
 }
 
 // readNow is called when the descriptor may be readable. It keeps a chunk only if there was data.
-func (c *client) read(fd uintptr) bool {
+func (c *client) readNow(fd uintptr) bool {
 	chunk := chunks.Get().(*[]byte)
 	n, done, err := c.conn.ReadNow(fd, *chunk)
 	if n > 0 {
--- a/internal/thrift/thriftfront/client_test.go
+++ b/internal/thrift/thriftfront/client_test.go
@@ -50,7 +50,7 @@
 	w.Encoding = thriftwire.Binary
 	w.Head(thriftwire.Call, []byte("payOut"), []byte{0, 0, 0, 7})
 	w.Stop()
-	if err := c.message(w.Buf, 0); !errors.Is(err, net.ErrClosed) {
+	if err := c.handleMessage(w.Buf, 0); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the call was accepted: %v", err)
 	}
 	if c.inFlight != 0 || len(c.waiting) != 0 {
@@ -62,9 +62,9 @@
 // it has answered it.
 func TestClientLeavesAsACallIsRefused(t *testing.T) {
 	c, _ := newTestClient(t, 10)
-	s := c.enter(nil, 1, false)
-	c.die()
-	c.answered(s, []byte("refused"))
+	s := c.addCall(nil, 1, false)
+	c.abort()
+	c.queueAnswer(s, []byte("refused"))
 	if c.inFlight != 0 || len(c.waiting) != 0 || len(c.unsent) != 0 {
 		t.Errorf("%d calls, %d answers, %d bytes left for a disconnected client", c.inFlight, len(c.waiting), len(c.unsent))
 	}
--- a/internal/thrift/thriftfront/front.go
+++ b/internal/thrift/thriftfront/front.go
@@ -30,7 +30,7 @@
 // Front is the Thrift server that the agent's clients connect to.
 type Front struct {
 	cfg         *config.Config
-	shapes      Shapes // nil if calls have no shapes
+	shapes      ShapeFinder // nil if calls have no shapes
 	service     *thriftmap.Map
 	core        *core.Core
 	log         *slog.Logger
@@ -46,14 +46,14 @@
 }
 
 // ShapeFinder determines the shapes of calls.
-type Shapes interface {
+type ShapeFinder interface {
 	// Thrift returns the shape of a call in an encoding. The result is the zero CallShape if the call's class has no shapes. It is an error if
 	// none of the class's shapes has the call's method.
-	Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.Tag, error)
+	Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.CallShape, error)
 }
 
 // WithShapes sets how the Front determines the shapes of calls. It must be called before Serve.
-func (f *Front) WithShapes(s Shapes) { f.shapes = s }
+func (f *Front) WithShapes(s ShapeFinder) { f.shapes = s }
 
 // New returns a Front that accepts connections from a listener through a connection tracker.
 func New(cfg *config.Config, m *thriftmap.Map, c *core.Core, d *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		f.open(c.(*conntrack.Conn))
+		f.serveConn(c.(*conntrack.Conn))
 	}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // remove removes a client that has no calls in flight.
-func (f *Front) forget(c *client) {
+func (f *Front) remove(c *client) {
 	f.mu.Lock()
 	delete(f.clients, c)
 	f.mu.Unlock()
@@ -123,22 +123,22 @@
 // call converts a call as read into one for the core. An error is a *thriftmap.Refusal to send to the client.
 func (f *Front) call(read *thriftmap.Call, arrival time.Duration) (*core.Call, error) {
 	call := &core.Call{Payload: read}
-	if call.Tenant = f.cfg.Tenant(read.Tenant); call.Tenant < 0 {
+	if call.Tenant = f.cfg.TenantIndex(read.Tenant); call.Tenant < 0 {
 		return nil, &thriftmap.Refusal{Kind: thriftwire.ProtocolError, Text: fmt.Sprintf("unknown tenant %q", read.Tenant)}
 	}
 	if call.ID = read.ID; call.ID == "" {
 		call.ID = fmt.Sprint(f.idPrefix, f.assignedIDs.Add(1))
 	}
-	call.Class, call.Key, call.Again, call.Needs = read.Method.Class, read.Key, read.Again, requiredProtocol[read.Head.Encoding]
+	call.Class, call.Key, call.ClientRetry, call.RequiredProtocols = read.Method.Class, read.Key, read.ClientRetry, requiredProtocol[read.Head.Encoding]
 	if f.shapes != nil {
 		var err error
-		if call.Tag, err = f.shapes.Thrift(read, call.Needs); err != nil {
+		if call.Tag, err = f.shapes.Thrift(read, call.RequiredProtocols); err != nil {
 			return nil, &thriftmap.Refusal{Kind: thriftwire.UnknownMethod, Text: err.Error()}
 		}
 	}
 	left := f.cfg.Module.Classes[call.Class].Deadline
-	if read.Left > 0 {
-		left = min(left, read.Left)
+	if read.TimeLeft > 0 {
+		left = min(left, read.TimeLeft)
 	}
 	call.Deadline = arrival + left
 	return call, nil
--- a/internal/thrift/thriftmap/call.go
+++ b/internal/thrift/thriftmap/call.go
@@ -69,14 +69,14 @@
 	Head    thriftwire.Head
 	Message []byte
 
-	ID     string // correlation id; empty if the service has none
-	Tenant string
-	Key    string        // key of the resource that the call is about; empty if there is none
-	Again  bool          // the client says that this is a retry
-	Left   time.Duration // the client's remaining time; 0 if not given
+	ID          string // correlation id; empty if the service has none
+	Tenant      string
+	Key         string        // key of the resource that the call is about; empty if there is none
+	ClientRetry bool          // the client says that this is a retry
+	TimeLeft    time.Duration // the client's remaining time; 0 if not given
 
-	Idempotency string // idempotency key, any bytes; empty if there is none
-	Unknown     int32  // type of the application exception with which a server says that it does not know the call's shape; 0 for none
+	IdempotencyKey   string // idempotency key, any bytes; empty if there is none
+	UnknownShapeType int32  // type of the application exception with which a server says that it does not know the call's shape; 0 for none
 
 	left thriftwire.Field
 }
@@ -123,23 +123,23 @@
 	if c.Key, err = textField(message, found[keySlot], "key", false); err != nil {
 		return nil, err
 	}
-	if c.Idempotency, err = idempotencyKey(message, found[idempotencySlot]); err != nil {
+	if c.IdempotencyKey, err = idempotencyKey(message, found[idempotencySlot]); err != nil {
 		return nil, err
 	}
 	if method.effect == choice.Keyed && !found[idempotencySlot].Found() {
 		return nil, refusal(thriftwire.ProtocolError, "no idempotency key")
 	}
-	if method.effect == choice.Keyed && c.Idempotency == "" {
+	if method.effect == choice.Keyed && c.IdempotencyKey == "" {
 		return nil, refusal(thriftwire.ProtocolError, "the idempotency key is empty")
 	}
 	if f := found[repeatSlot]; f.Found() {
 		if f.Type != thriftwire.Bool && !f.Type.Integer() {
 			return nil, refusal(thriftwire.ProtocolError, "the repeat mark is of type %d", f.Type)
 		}
-		c.Again = f.Bits != 0
+		c.ClientRetry = f.Bits != 0
 	}
 	if c.left = found[timeSlot]; c.left.Found() {
-		if c.Left, err = timeLeft(c.left, method.timeUnit); err != nil {
+		if c.TimeLeft, err = timeLeft(c.left, method.timeUnit); err != nil {
 			return nil, err
 		}
 	}
@@ -203,7 +203,7 @@
 
 // AppendRequest appends the call as a frame for a server, with the agent's own sequence id and the time that remains now. Everything else is as
 // the client sent it.
-func (c *Call) Frame(to []byte, seq int32, left time.Duration) []byte {
+func (c *Call) AppendRequest(to []byte, seq int32, left time.Duration) []byte {
 	var seqBytes, leftBytes [10]byte
 	edits := make([]thriftwire.Edit, 0, 2)
 	h := c.Head
@@ -263,7 +263,7 @@
 	if h.Type == thriftwire.Exception {
 		// The call may have been executed whatever the exception says, unless it is the one that the call's shape defines for an unknown shape.
 		var kind [1]thriftwire.Field
-		if c.Unknown != 0 && exceptionKind.Scan(h, message, kind[:]) == nil && kind[0].Type == thriftwire.I32 && kind[0].Int() == int64(c.Unknown) {
+		if c.UnknownShapeType != 0 && exceptionKind.Scan(h, message, kind[:]) == nil && kind[0].Type == thriftwire.I32 && kind[0].Int() == int64(c.UnknownShapeType) {
 			out.Result, out.ShapeUnknown = choice.Rejected, true
 		}
 		return out, nil
@@ -296,7 +296,7 @@
 			if !f.Found() || !f.Type.Integer() && f.Type != thriftwire.Double {
 				continue
 			}
-			if *to = f.Float(); !wire.Sane(*to) {
+			if *to = f.Float(); !wire.PlausibleFigure(*to) {
 				return choice.NoReport
 			}
 			any = true
@@ -309,17 +309,17 @@
 }
 
 // AppendReply appends a server's reply as a frame for the client, with the bytes of the client's sequence id.
-func (c *Call) Served(to []byte, r *Reply) []byte {
+func (c *Call) AppendReply(to []byte, r *Reply) []byte {
 	return thriftwire.AppendFrame(to, r.Message, thriftwire.Edit{At: int32(r.Head.SeqAt), End: int32(r.Head.SeqEnd),
 		With: c.Head.RawSeq(c.Message)})
 }
 
 // AppendRefusal appends a refusal as a frame: the declared exception with the time after which to retry, or an application exception if the
 // method declares none.
-func (c *Call) Refused(to []byte, after time.Duration) []byte {
+func (c *Call) AppendRefusal(to []byte, after time.Duration) []byte {
 	m := c.Method
 	if m.refusedField == 0 {
-		return c.Application(to, thriftwire.InternalError, fmt.Sprintf("refused: try again after %v", after))
+		return c.AppendException(to, thriftwire.InternalError, fmt.Sprintf("refused: try again after %v", after))
 	}
 	return c.frame(to, func(w *thriftwire.Writer) {
 		w.Head(thriftwire.Reply, c.Head.Name(c.Message), c.Head.RawSeq(c.Message))
@@ -333,10 +333,10 @@
 }
 
 // AppendFailure appends a failure as a frame: the declared exception, or an application exception if the method declares none.
-func (c *Call) Failed(to []byte, reason string) []byte {
+func (c *Call) AppendFailure(to []byte, reason string) []byte {
 	m := c.Method
 	if m.failedField == 0 {
-		return c.Application(to, thriftwire.InternalError, reason)
+		return c.AppendException(to, thriftwire.InternalError, reason)
 	}
 	return c.frame(to, func(w *thriftwire.Writer) {
 		w.Head(thriftwire.Reply, c.Head.Name(c.Message), c.Head.RawSeq(c.Message))
@@ -350,14 +350,14 @@
 }
 
 // AppendException appends an application exception as a frame that answers the call.
-func (c *Call) Application(to []byte, kind int32, text string) []byte {
-	return Application(to, c.Head, c.Message, kind, text)
+func (c *Call) AppendException(to []byte, kind int32, text string) []byte {
+	return AppendException(to, c.Head, c.Message, kind, text)
 }
 
 // AppendException appends an application exception as a frame that answers a message with this head.
-func Application(to []byte, h thriftwire.Head, message []byte, kind int32, text string) []byte {
+func AppendException(to []byte, h thriftwire.Head, message []byte, kind int32, text string) []byte {
 	w := thriftwire.Writer{Encoding: h.Encoding}
-	w.Application(h.Name(message), h.RawSeq(message), kind, text)
+	w.ApplicationException(h.Name(message), h.RawSeq(message), kind, text)
 	return thriftwire.AppendFrame(to, w.Buf)
 }
 
--- a/internal/thrift/thriftmap/call_test.go
+++ b/internal/thrift/thriftmap/call_test.go
@@ -85,16 +85,16 @@
 	m := parse(t)
 	for _, e := range encodings {
 		c := read(t, m, submit(e))
-		if c.ID != "" || c.Tenant != "leith" || c.Key != "123456" || !c.Again || c.Left != 1500*time.Millisecond {
+		if c.ID != "" || c.Tenant != "leith" || c.Key != "123456" || !c.ClientRetry || c.TimeLeft != 1500*time.Millisecond {
 			t.Errorf("%v: %+v", e, c)
 		}
-		frame := c.Frame(nil, 5, 250*time.Millisecond)
+		frame := c.AppendRequest(nil, 5, 250*time.Millisecond)
 		on := read(t, m, frame[4:])
-		if on.Head.Seq != 5 || on.Left != 250*time.Millisecond || on.Key != c.Key {
+		if on.Head.Seq != 5 || on.TimeLeft != 250*time.Millisecond || on.Key != c.Key {
 			t.Errorf("%v: forwarded as %+v", e, on)
 		}
 		// Restoring the old values restores the original message.
-		back := on.Frame(nil, 77, 1500*time.Millisecond)
+		back := on.AppendRequest(nil, 77, 1500*time.Millisecond)
 		if !bytes.Equal(back[4:], c.Message) {
 			t.Errorf("%v: % x\nbecame % x", e, c.Message, back[4:])
 		}
@@ -132,7 +132,7 @@
 		resetCall.Head(thriftwire.Call, []byte("Reset"), thriftwire.AppendSeq(nil, e, 1))
 		resetCall.Stop()
 		calls := map[string]*Call{"Submit": read(t, m, submit(e)), "Reset": read(t, m, resetCall.Buf), "Shaped": read(t, m, submit(e))}
-		calls["Shaped"].Unknown = 1
+		calls["Shaped"].UnknownShapeType = 1
 		for name, c := range map[string]struct {
 			method string
 			reply  []byte
@@ -195,7 +195,7 @@
 func TestRefusalRoundsUp(t *testing.T) {
 	m := parse(t)
 	for _, e := range encodings {
-		frame := read(t, m, submit(e)).Refused(nil, 1200*time.Millisecond)
+		frame := read(t, m, submit(e)).AppendRefusal(nil, 1200*time.Millisecond)
 		h, err := thriftwire.ReadHead(frame[4:])
 		if err != nil {
 			t.Fatal(err)
@@ -206,7 +206,7 @@
 			t.Errorf("%v: %+v, %v", e, found, err)
 		}
 		// A method that declares no exception is answered with an application exception.
-		frame = read(t, m, submit(e)).Failed(nil, "failed")
+		frame = read(t, m, submit(e)).AppendFailure(nil, "failed")
 		if h, err := thriftwire.ReadHead(frame[4:]); err != nil || h.Type != thriftwire.Exception || h.Seq != 77 {
 			t.Errorf("%v: %+v, %v", e, h, err)
 		}
--- a/internal/thrift/thriftmap/file.go
+++ b/internal/thrift/thriftmap/file.go
@@ -76,14 +76,14 @@
 
 // Map is a parsed configuration. It is safe for concurrent use.
 type Map struct {
-	Listen       string        // address that clients connect to
-	MaxFrame     int           // maximum size of a frame in bytes
-	MaxCalls     int           // maximum calls in flight per client connection
-	ServerCalls  int           // maximum calls in flight per connection to a multiplexed server
-	AnyOrder     bool          // replies to a client may be sent in any order
-	IdleTimeout  time.Duration // after which an idle client connection is closed
-	FrameTimeout time.Duration // from the first to the last byte of a client's frame
-	methods      map[string]*Method
+	Listen         string        // address that clients connect to
+	MaxFrame       int           // maximum size of a frame in bytes
+	MaxCalls       int           // maximum calls in flight per client connection
+	MaxServerCalls int           // maximum calls in flight per connection to a multiplexed server
+	AnyOrder       bool          // replies to a client may be sent in any order
+	IdleTimeout    time.Duration // after which an idle client connection is closed
+	FrameTimeout   time.Duration // from the first to the last byte of a client's frame
+	methods        map[string]*Method
 }
 
 // Limits and defaults of the configuration's numbers. Frame sizes are in bytes, timeouts in milliseconds.
@@ -125,9 +125,9 @@
 		f.Problem("listen", "%v", err)
 	}
 	m.MaxFrame = number("max_frame_bytes", in.MaxFrameBytes, defaultFrame, minFrame, maxFrame)
-	depth := number("max_depth", in.MaxDepth, defaultDepth, 2, thriftwire.MostDepth)
+	depth := number("max_depth", in.MaxDepth, defaultDepth, 2, thriftwire.MaxDepth)
 	m.MaxCalls = number("max_calls_per_connection", in.MaxCalls, defaultCalls, 1, maxCalls)
-	m.ServerCalls = number("max_calls_per_server_connection", in.MultiplexedCalls, defaultServerCalls, 1, maxServerCalls)
+	m.MaxServerCalls = number("max_calls_per_server_connection", in.MultiplexedCalls, defaultServerCalls, 1, maxServerCalls)
 	m.IdleTimeout = time.Duration(number("idle_timeout_ms", in.IdleTimeoutMS, defaultIdle, 1, maxIdle)) * time.Millisecond
 	m.FrameTimeout = time.Duration(number("frame_timeout_ms", in.FrameTimeoutMS, defaultFrameTimeout, 1,
 		maxFrameTimeout)) * time.Millisecond
--- a/internal/thrift/thriftmap/file_test.go
+++ b/internal/thrift/thriftmap/file_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Listen != "127.0.0.1:9090" || m.MaxFrame != 65536 || m.MaxCalls != 64 || m.ServerCalls != 256 || m.AnyOrder ||
+	if m.Listen != "127.0.0.1:9090" || m.MaxFrame != 65536 || m.MaxCalls != 64 || m.MaxServerCalls != 256 || m.AnyOrder ||
 		m.IdleTimeout != 5*time.Minute || m.FrameTimeout != 2500*time.Millisecond {
 		t.Errorf("%+v", m)
 	}
--- a/internal/thrift/thriftwire/thriftwire.go
+++ b/internal/thrift/thriftwire/thriftwire.go
@@ -78,7 +78,7 @@
 var ErrMalformed = errors.New("malformed Thrift message")
 
 // ErrUnknownField means that a message contains a field that is not in a strict Plan.
-var ErrUnasked = errors.New("a field that is not known")
+var ErrUnknownField = errors.New("a field that is not known")
 
 func malformed(at int, format string, args ...any) error {
 	return fmt.Errorf("%w: byte %d: %s", ErrMalformed, at, fmt.Sprintf(format, args...))
@@ -517,7 +517,7 @@
 		}
 		w := s.plan.want(node, id)
 		if s.plan.strict && node >= 0 && (w == nil || w.slot < 0 && t != Struct) {
-			return fmt.Errorf("byte %d: %w: number %d", at, ErrUnasked, id)
+			return fmt.Errorf("byte %d: %w: number %d", at, ErrUnknownField, id)
 		}
 		if s.compact && t == Bool { // the type id contains the value
 			if w != nil && w.slot >= 0 {
--- a/internal/thrift/thriftwire/thriftwire_test.go
+++ b/internal/thrift/thriftwire/thriftwire_test.go
@@ -321,7 +321,7 @@
 			t.Errorf("%q: no error", paths)
 		}
 	}
-	for _, depth := range []int{0, MostDepth + 1} {
+	for _, depth := range []int{0, MaxDepth + 1} {
 		if _, err := NewPlan(depth); err == nil {
 			t.Errorf("depth %d: no error", depth)
 		}
@@ -403,7 +403,7 @@
 	ctx := context.Background()
 	for _, e := range encodings {
 		w := Writer{Encoding: e}
-		w.Application([]byte("f"), AppendSeq(nil, e, 9), UnknownMethod, "unknown method")
+		w.ApplicationException([]byte("f"), AppendSeq(nil, e, 9), UnknownMethod, "unknown method")
 		buf := thrift.NewTMemoryBuffer()
 		buf.Write(w.Buf)
 		p := apacheProtocol(e, buf)
--- a/internal/thrift/thriftwire/write.go
+++ b/internal/thrift/thriftwire/write.go
@@ -101,7 +101,7 @@
 }
 
 // ApplicationException writes a complete message with a TApplicationException. kind is the exception's type.
-func (w *Writer) Application(name, rawSeq []byte, kind int32, text string) {
+func (w *Writer) ApplicationException(name, rawSeq []byte, kind int32, text string) {
 	w.Head(Exception, name, rawSeq)
 	w.String(1, text)
 	w.Int(2, I32, int64(kind))
--- a/internal/translate/fates.go
+++ b/internal/translate/fates.go
@@ -5,14 +5,14 @@
 )
 
 // FieldTrace shows how one field of a message was converted, for the inspection of mappings.
-type Fate struct {
-	From, Was   string // the source field and its value, or a list of them; empty for a constant
-	To, Becomes string // the target field and its value; empty for a source field that is dropped or must be absent
+type FieldTrace struct {
+	From, FromValue string // the source field and its value, or a list of them; empty for a constant
+	To, ToValue     string // the target field and its value; empty for a source field that is dropped or must be absent
 }
 
 // Trace translates a request or a reply and returns the conversion of each field, as far as the message could be read. The
 // error is the translation's *Refusal.
-func (p *Plan) Fates(m *Message, reply bool) ([]Fate, error) {
+func (p *Plan) Trace(m *Message, reply bool) ([]FieldTrace, error) {
 	c := &p.request
 	if reply {
 		c = &p.reply
@@ -28,23 +28,23 @@
 	if refusal == nil {
 		refusal = c.convert(ws.src, ws.dst)
 	}
-	var fates []Fate
+	var fates []FieldTrace
 	used := map[int]bool{}
 	for i := range c.ops {
 		o := &c.ops[i]
-		f := Fate{To: o.to.name, Becomes: o.to.display(ws.dst[o.dst])}
+		f := FieldTrace{To: o.to.name, ToValue: o.to.display(ws.dst[o.dst])}
 		for n, src := range o.src {
 			used[src] = true
 			if n > 0 {
-				f.From, f.Was = f.From+", ", f.Was+", "
+				f.From, f.FromValue = f.From+", ", f.FromValue+", "
 			}
-			f.From, f.Was = f.From+c.src.fields[src].name, f.Was+c.src.fields[src].display(ws.src[src])
+			f.From, f.FromValue = f.From+c.src.fields[src].name, f.FromValue+c.src.fields[src].display(ws.src[src])
 		}
 		fates = append(fates, f)
 	}
 	for i, f := range c.src.fields {
 		if !used[i] && f.envelope == noEnvelope {
-			fates = append(fates, Fate{From: f.name, Was: f.display(ws.src[i])})
+			fates = append(fates, FieldTrace{From: f.name, FromValue: f.display(ws.src[i])})
 		}
 	}
 	if refusal != nil {
--- a/internal/translate/http.go
+++ b/internal/translate/http.go
@@ -29,14 +29,14 @@
 
 // Envelope is the data that accompanies a call whatever its shape.
 type Envelope struct {
-	ID, Tenant  string
-	Idempotency string        // the idempotency key: any bytes; empty for none
-	Left        time.Duration // until the call's deadline
-	Repeat      bool          // the client has sent the call before
+	ID, Tenant     string
+	IdempotencyKey string        // the idempotency key: any bytes; empty for none
+	TimeLeft       time.Duration // until the call's deadline
+	ClientRetry    bool          // the client has sent the call before
 }
 
 // WriteOptions are the parts of a translated message that its source does not determine.
-type Words struct {
+type WriteOptions struct {
 	Encoding thriftwire.Encoding // of a Thrift message
 	Envelope Envelope            // of a request
 }
@@ -165,7 +165,7 @@
 }
 
 // Request translates a request. The result shares no memory with m. The error is a *Refusal.
-func (p *Plan) Request(m *Message, opts Words) (*Message, error) {
+func (p *Plan) Request(m *Message, opts WriteOptions) (*Message, error) {
 	ws := p.request.newWorkspace()
 	defer ws.close()
 	if refusal := p.readRequest(m, ws); refusal != nil {
@@ -198,7 +198,7 @@
 	return p.request.read(m, ws)
 }
 
-func (p *Plan) writeRequest(out *Message, opts Words, ws *workspace) (refusal *Refusal) {
+func (p *Plan) writeRequest(out *Message, opts WriteOptions, ws *workspace) (refusal *Refusal) {
 	if p.To.Protocol == "thrift" {
 		opts.Envelope.fill(p.request.dst, ws.dst)
 		out.Thrift, refusal = p.request.writeThrift(thriftwire.Call, p.To.method, opts.Encoding, ws)
@@ -220,10 +220,10 @@
 func (e *Envelope) headers(class string) ([]Header, *Refusal) {
 	all := make([]Header, 0, 8)
 	all = append(all, Header{"X-Correlation-Id", e.ID}, Header{"X-Service-Class", class}, Header{"X-Account", e.Tenant})
-	if e.Idempotency != "" {
-		all = append(all, Header{"Idempotency-Key", e.Idempotency})
+	if e.IdempotencyKey != "" {
+		all = append(all, Header{"Idempotency-Key", e.IdempotencyKey})
 	}
-	if e.Repeat {
+	if e.ClientRetry {
 		all = append(all, Header{"X-Repeat", "1"})
 	}
 	for _, h := range all {
@@ -249,7 +249,7 @@
 
 // Reply translates the reply of a server in the shape To into the shape From. The result shares no memory with m. The error
 // is a *Refusal.
-func (p *Plan) Reply(m *Message, opts Words) (*Message, error) {
+func (p *Plan) Reply(m *Message, opts WriteOptions) (*Message, error) {
 	ws := p.reply.newWorkspace()
 	defer ws.close()
 	refusal := p.readReply(m, ws)
--- a/internal/translate/mapping.go
+++ b/internal/translate/mapping.go
@@ -14,10 +14,10 @@
 
 // Set is a compiled file of shapes and mappings. It is read-only and safe for concurrent use.
 type Set struct {
-	Shapes     map[string]*Shape // by name
-	Plans      []*Plan           // sorted by mapping; within a mapping in the order of its from and to
-	Forget     time.Duration     // how long a server is not sent a shape that it did not know; doubled each time
-	MostForget time.Duration     // upper bound of the doubled Forget
+	Shapes    map[string]*Shape // by name
+	Plans     []*Plan           // sorted by mapping; within a mapping in the order of its from and to
+	Forget    time.Duration     // how long a server is not sent a shape that it did not know; doubled each time
+	MaxForget time.Duration     // upper bound of the doubled Forget
 
 	byClass  map[string][]*Shape // the HTTP shapes of each class; empty for a class with Thrift shapes only
 	byMethod map[string]*Shape   // the Thrift shapes
@@ -25,12 +25,12 @@
 
 // Bounds and defaults of a file.
 const (
-	defaultForget     = 5 * time.Second
-	defaultMostForget = 80 * time.Second
-	minForgetS        = 0.1   // of drift.forget_s and drift.most_forget_s, in seconds
-	maxForgetS        = 3600  // of drift.forget_s, in seconds
-	maxMostForgetS    = 86400 // of drift.most_forget_s, in seconds
-	maxShapes         = 64    // also the limit on mappings
+	defaultForget    = 5 * time.Second
+	defaultMaxForget = 80 * time.Second
+	minForgetS       = 0.1   // of drift.forget_s and drift.most_forget_s, in seconds
+	maxForgetS       = 3600  // of drift.forget_s, in seconds
+	maxMostForgetS   = 86400 // of drift.most_forget_s, in seconds
+	maxShapes        = 64    // also the limit on mappings
 )
 
 // Plan translates requests of one shape into another, and the replies back. It is safe for concurrent use.
@@ -75,10 +75,10 @@
 	if err := c.file.Err(); err != nil {
 		return nil, err
 	}
-	set := &Set{Shapes: c.shapes, Forget: defaultForget, MostForget: defaultMostForget}
-	c.file.Span("drift.forget_s", t.Drift.ForgetS, time.Second, minForgetS, maxForgetS, &set.Forget)
-	c.file.Span("drift.most_forget_s", t.Drift.MostForgetS, time.Second, minForgetS, maxMostForgetS, &set.MostForget)
-	if set.MostForget < set.Forget {
+	set := &Set{Shapes: c.shapes, Forget: defaultForget, MaxForget: defaultMaxForget}
+	c.file.Duration("drift.forget_s", t.Drift.ForgetS, time.Second, minForgetS, maxForgetS, &set.Forget)
+	c.file.Duration("drift.most_forget_s", t.Drift.MostForgetS, time.Second, minForgetS, maxMostForgetS, &set.MaxForget)
+	if set.MaxForget < set.Forget {
 		c.file.Problem("drift.most_forget_s", "must not be below forget_s")
 	}
 	if len(t.Shapes) > maxShapes || len(t.Mappings) > maxShapes {
@@ -146,7 +146,7 @@
 
 // Losses describes what the plan does not carry over, field by field. A lossless plan refuses every message that it cannot
 // convert exactly.
-func (p *Plan) Loses() []string { return slices.Concat(p.request.losses, p.reply.losses) }
+func (p *Plan) Losses() []string { return slices.Concat(p.request.losses, p.reply.losses) }
 
 // mappings compiles a mapping into a plan for each pair of its shapes: the shapes of one version in several protocols have
 // fields of the same names.
@@ -181,7 +181,7 @@
 	}
 	p.request = c.conversion(key, "request", &p.From.request, &p.To.request, t.Request, t.Drop.Request, t.Absent.Request, t.Omit.Request)
 	p.reply = c.conversion(key, "reply", &p.To.reply, &p.From.reply, t.Reply, t.Drop.Reply, t.Absent.Reply, t.Omit.Reply)
-	if losses := p.Loses(); t.Lossless && len(losses) > 0 {
+	if losses := p.Losses(); t.Lossless && len(losses) > 0 {
 		for _, loss := range losses {
 			c.file.Problem(key+".lossless", "the mapping loses: %s", loss)
 		}
@@ -576,7 +576,7 @@
 }
 
 // HTTPShape returns the shape of an HTTP request of a class, by its method and its escaped path, or nil.
-func (s *Set) HTTP(class, method, path string) *Shape {
+func (s *Set) HTTPShape(class, method, path string) *Shape {
 	for _, shape := range s.byClass[class] {
 		if shape.method == method && shape.matches(path) {
 			return shape
@@ -599,10 +599,10 @@
 }
 
 // ThriftShape returns the shape of the calls of a Thrift method, or nil.
-func (s *Set) Thrift(method string) *Shape { return s.byMethod[method] }
+func (s *Set) ThriftShape(method string) *Shape { return s.byMethod[method] }
 
 // HasClass reports whether a class has any shapes.
-func (s *Set) Class(name string) bool {
+func (s *Set) HasClass(name string) bool {
 	_, any := s.byClass[name]
 	return any
 }
@@ -611,7 +611,7 @@
 func (s *Shape) Method() string { return s.method }
 
 // EndsInKey reports whether the shape's path ends in a field, which then is the call's key.
-func (s *Shape) KeyLast() bool { return len(s.path) > 0 && s.path[len(s.path)-1].field != nil }
+func (s *Shape) EndsInKey() bool { return len(s.path) > 0 && s.path[len(s.path)-1].field != nil }
 
 // RequestHeaders returns the names of the headers of an HTTP request that are fields of the shape, in canonical form. The
 // caller must not modify them.
--- a/internal/translate/shape.go
+++ b/internal/translate/shape.go
@@ -102,11 +102,11 @@
 	Protocol string // http or thrift
 	// UnknownShapeCode is the HTTP status, or the type of the TApplicationException, with which a server answers that does not
 	// know the shape; 0 if there is none.
-	Unknown int
-	method  string
-	path    []segment
-	request message
-	reply   message
+	UnknownShapeCode int
+	method           string
+	path             []segment
+	request          message
+	reply            message
 }
 
 // segment is a part of a path between slashes: a fixed text, or a field.
@@ -208,7 +208,7 @@
 // shape compiles one shape.
 func (c *compiler) shape(name string, t *shapeText) *Shape {
 	key := "shapes." + name
-	s := &Shape{Name: name, Class: t.Class, Version: t.Version, Protocol: t.Protocol, Unknown: t.Unknowns, method: t.Method}
+	s := &Shape{Name: name, Class: t.Class, Version: t.Version, Protocol: t.Protocol, UnknownShapeCode: t.Unknowns, method: t.Method}
 	if len(name) > maxName {
 		c.file.Problem(key, "the name is longer than %d bytes", maxName)
 	}
--- a/internal/translate/thrift.go
+++ b/internal/translate/thrift.go
@@ -155,7 +155,7 @@
 		return &Refusal{Malformed, "", "no message of " + method}
 	}
 	ws.found = slices.Grow(ws.found[:0], len(c.src.fields))[:len(c.src.fields)]
-	if err := c.src.scanPlan.Scan(h, m, ws.found); errors.Is(err, thriftwire.ErrUnasked) {
+	if err := c.src.scanPlan.Scan(h, m, ws.found); errors.Is(err, thriftwire.ErrUnknownField) {
 		return &Refusal{Forbidden, "", err.Error()}
 	} else if err != nil {
 		return malformed(err)
@@ -221,11 +221,11 @@
 		case envelopeTenant:
 			to[i] = text(e.Tenant)
 		case envelopeIdempotency:
-			to[i] = text(e.Idempotency)
+			to[i] = text(e.IdempotencyKey)
 		case envelopeTimeLeft:
-			to[i] = value{set: true, num: max(1, e.Left.Milliseconds())}
+			to[i] = value{set: true, num: max(1, e.TimeLeft.Milliseconds())}
 		case envelopeRepeat:
-			to[i] = value{set: e.Repeat, num: 1}
+			to[i] = value{set: e.ClientRetry, num: 1}
 		}
 	}
 }
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -17,7 +17,7 @@
 )
 
 // options are those of a call whose idempotency key is k-1.
-var options = Words{Encoding: thriftwire.Binary, Envelope: Envelope{ID: "id-1", Tenant: "oban", Idempotency: "k-1", Left: time.Second}}
+var options = WriteOptions{Encoding: thriftwire.Binary, Envelope: Envelope{ID: "id-1", Tenant: "oban", IdempotencyKey: "k-1", TimeLeft: time.Second}}
 
 func sample(t testing.TB) *Set {
 	t.Helper()
@@ -145,7 +145,7 @@
 				continue
 			}
 			opts := options
-			opts.Envelope.Idempotency = key
+			opts.Envelope.IdempotencyKey = key
 			there, err := p.Request(oldRequest(oldBody), opts)
 			switch {
 			case p.To.Protocol == "thrift":
@@ -173,8 +173,8 @@
 	set := sample(t)
 	for _, p := range set.Plans {
 		back := set.Plan(p.To.Name, p.From.Name)
-		if len(p.Loses()) > 0 {
-			t.Fatal(p.Loses())
+		if len(p.Losses()) > 0 {
+			t.Fatal(p.Losses())
 		}
 		for _, encoding := range []thriftwire.Encoding{thriftwire.Binary, thriftwire.Compact} {
 			t.Run(p.From.Name+" "+p.To.Name+" "+encoding.String(), func(t *testing.T) { roundTrips(t, p, back, encoding) })
@@ -383,7 +383,7 @@
 	f.Add("/refund-record/%zz", "", "amount=1e5&&=&x")
 	f.Fuzz(func(t *testing.T, target, key, body string) {
 		options := options
-		options.Envelope.Idempotency = key
+		options.Envelope.IdempotencyKey = key
 		m := &Message{Method: "POST", Target: target, Body: []byte(body)}
 		there, err := p.Request(m, options)
 		if err != nil {
@@ -527,7 +527,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := small(t, c.old, c.new, c.rules)
-			if got := strings.Join(p.Loses(), "; "); got != c.loses {
+			if got := strings.Join(p.Losses(), "; "); got != c.loses {
 				t.Errorf("the mapping loses %q, want %q", got, c.loses)
 			}
 			out, err := p.Request(&Message{Method: "POST", Target: "/a", Body: []byte(c.body)}, options)
