--- a/cmd/ternbeam/members.go
+++ b/cmd/ternbeam/members.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kong"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/membership"
 	"ternbeam/internal/host/members"
 	"ternbeam/internal/settings/sourceconf"
@@ -58,10 +58,10 @@
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, c.For)
 		defer cancel()
-		h.Feed(ctx, func([]ledger.Entry) {})
+		h.Feed(ctx, func([]calltrack.Entry) {})
 		return c.printMembers(k.Stdout, h.Members())
 	}
-	h.Feed(ctx, func(changes []ledger.Entry) {
+	h.Feed(ctx, func(changes []calltrack.Entry) {
 		fmt.Fprintf(k.Stdout, "%s: %d changes\n", time.Now().Format(time.TimeOnly), len(changes))
 		if e := c.printMembers(k.Stdout, h.Members()); e != nil {
 			err = e
--- a/cmd/ternbeam/state_test.go
+++ b/cmd/ternbeam/state_test.go
@@ -14,8 +14,8 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/host/keeper"
 	"ternbeam/internal/host/members"
 	"ternbeam/internal/lab/standin"
@@ -147,7 +147,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	h := members.New(members.Settings{Config: *set, Log: slog.New(slog.DiscardHandler)})
-	h.Feed(ctx, func([]ledger.Entry) { cancel() })
+	h.Feed(ctx, func([]calltrack.Entry) { cancel() })
 	var out bytes.Buffer
 	c := membersCommand{JSON: true}
 	if err := c.printMembers(&out, h.Members()); err != nil {
--- a/internal/decide/ledger/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -1,4 +1,4 @@
-package ledger
+package calltrack
 
 import (
 	"slices"
--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/calltrack/ledger.go
@@ -1,7 +1,7 @@
 // Package calltrack tracks calls from acceptance to the final answer. It owns the decision module, holds the state of calls,
 // attempts and servers, and returns the commands that its host is to carry out. It does no I/O and reads no clock. It has
 // two hosts: internal/host/core in production, and the state explorer in internal/lab/explore.
-package ledger
+package calltrack
 
 import (
 	"context"
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 )
 
 // Rule identifies the row of the table of rules that determined a server's state.
@@ -106,7 +106,7 @@
 	byAddr   map[string]*member
 	timers   timers
 	dirty    []*member
-	changes  []ledger.Entry
+	changes  []calltrack.Entry
 	tiers    tiers
 	hasTier  bool // a source has reported a tier
 	bestTier int  // the best tier ever reported; servers without a reported tier belong to it
@@ -154,7 +154,7 @@
 
 // decision is what the merged list is to contain for a member.
 type decision struct {
-	entry     ledger.Entry
+	entry     calltrack.Entry
 	announced bool // the merged list contains it
 	tier      int
 	rule      Rule
@@ -178,7 +178,7 @@
 }
 
 // finish recomputes all dirty members and returns the changes. The slice is valid until the next call.
-func (s *Set) finish() []ledger.Entry {
+func (s *Set) finish() []calltrack.Entry {
 	for i := 0; i < len(s.dirty); i++ {
 		m := s.dirty[i]
 		m.dirty = false
@@ -199,7 +199,7 @@
 
 // Report applies a source's update and returns the changes of the merged list, valid until the next call. Of a report with
 // an older version than the last one only the drains are applied, until such reports have kept coming for GuardWait.
-func (s *Set) Report(now time.Duration, r Report) []ledger.Entry {
+func (s *Set) Report(now time.Duration, r Report) []calltrack.Entry {
 	s.begin(now)
 	src := s.sources[r.Source]
 	older := r.Version != 0 && r.Version < src.version
@@ -260,7 +260,7 @@
 }
 
 // SourceUnreachable records that a source cannot be reached. Its claims stay valid for Source.Hold.
-func (s *Set) SourceUnreachable(now time.Duration, source int) []ledger.Entry {
+func (s *Set) SourceUnreachable(now time.Duration, source int) []calltrack.Entry {
 	s.begin(now)
 	if src := s.sources[source]; src.unreachableSince == 0 {
 		src.unreachableSince = s.now
@@ -270,7 +270,7 @@
 }
 
 // Tick advances the clock and returns the changes that result from it.
-func (s *Set) Tick(now time.Duration) []ledger.Entry {
+func (s *Set) Tick(now time.Duration) []calltrack.Entry {
 	s.begin(now)
 	return s.finish()
 }
@@ -562,8 +562,8 @@
 }
 
 // buildEntry builds a server's entry of the merged list, taking each fact from the first source that states it.
-func (s *Set) buildEntry(m *member, first *claim, state choice.State) ledger.Entry {
-	e := ledger.Entry{Server: choice.Server{ID: m.id, State: state, Weight: first.Weight}}
+func (s *Set) buildEntry(m *member, first *claim, state choice.State) calltrack.Entry {
+	e := calltrack.Entry{Server: choice.Server{ID: m.id, State: state, Weight: first.Weight}}
 	for _, c := range m.claims {
 		if c.withdrawn {
 			continue
@@ -601,7 +601,7 @@
 }
 
 // publish records a member's new decision and appends its entry to the changes if it differs from the previous one.
-func (s *Set) publish(m *member, e ledger.Entry, rule Rule, tier int, ready bool) {
+func (s *Set) publish(m *member, e calltrack.Entry, rule Rule, tier int, ready bool) {
 	prev := m.published
 	m.published = decision{entry: e, announced: true, tier: tier, rule: rule, eligible: ready}
 	if !prev.announced && e.State == choice.Removed || prev.announced && sameEntry(prev.entry, e) {
@@ -613,7 +613,7 @@
 }
 
 // sameEntry reports whether two entries have the same content.
-func sameEntry(a, b ledger.Entry) bool {
+func sameEntry(a, b calltrack.Entry) bool {
 	return a.Server == b.Server && a.Addr == b.Addr && a.Multiplexed == b.Multiplexed && slices.Equal(a.Addrs, b.Addrs) && slices.Equal(a.Shapes, b.Shapes)
 }
 
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/lab/testkit"
 )
 
@@ -25,7 +25,7 @@
 type harness struct {
 	*Set
 	at        time.Duration
-	published map[string]ledger.Entry // the entries that are not gone, by id
+	published map[string]calltrack.Entry // the entries that are not gone, by id
 }
 
 func newHarness(edits ...func(*Settings)) *harness {
@@ -34,11 +34,11 @@
 	for _, edit := range edits {
 		edit(&set)
 	}
-	return &harness{Set: New(set), at: 1000 * time.Hour, published: map[string]ledger.Entry{}}
+	return &harness{Set: New(set), at: 1000 * time.Hour, published: map[string]calltrack.Entry{}}
 }
 
 // record applies changes to the merged list and returns a copy of them.
-func (b *harness) record(changes []ledger.Entry) []ledger.Entry {
+func (b *harness) record(changes []calltrack.Entry) []calltrack.Entry {
 	for _, e := range changes {
 		if b.published[e.ID] = e; e.State == choice.Removed {
 			delete(b.published, e.ID)
@@ -48,7 +48,7 @@
 }
 
 // report passes in a report of a source.
-func (b *harness) report(source int, full bool, version int64, claims ...Claim) []ledger.Entry {
+func (b *harness) report(source int, full bool, version int64, claims ...Claim) []calltrack.Entry {
 	return b.record(b.Report(b.at, Report{Source: source, Full: full, Version: version, Claims: claims}))
 }
 
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,7 +8,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/addresses"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/listing"
 	"ternbeam/internal/protocol"
 )
@@ -99,7 +99,7 @@
 }
 
 // TrackerEntry converts an entry for the call tracker.
-func (e Entry) TrackerEntry(zones []string) (ledger.Entry, error) {
+func (e Entry) TrackerEntry(zones []string) (calltrack.Entry, error) {
 	s, err := e.Server(zones)
-	return ledger.Entry{Server: s, Addr: e.Addr, Addrs: e.Addrs, Multiplexed: e.Multiplexed, Shapes: e.Shapes}, err
+	return calltrack.Entry{Server: s, Addr: e.Addr, Addrs: e.Addrs, Multiplexed: e.Multiplexed, Shapes: e.Shapes}, err
 }
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -17,8 +17,8 @@
 	"ternbeam/choice"
 	"ternbeam/internal/clock"
 	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/decide/routes"
 	"ternbeam/internal/decide/subset"
 	"ternbeam/internal/discovery"
@@ -31,24 +31,24 @@
 
 // Types of the ledger that fronts and transports use.
 type (
-	Call           = ledger.Call
-	Answer         = ledger.Answer
-	Attempt        = ledger.Attempt
-	AttemptOutcome = ledger.AttemptOutcome
-	Stats          = ledger.Stats
+	Call           = calltrack.Call
+	Answer         = calltrack.Answer
+	Attempt        = calltrack.Attempt
+	AttemptOutcome = calltrack.AttemptOutcome
+	Stats          = calltrack.Stats
 )
 
 // The kinds of final answers.
 const (
-	Served         = ledger.Served
-	Refused        = ledger.Refused
-	Failed         = ledger.Failed
-	Duplicate      = ledger.Duplicate      // a call with this id is in progress
-	Untranslatable = ledger.Untranslatable // the call could not be translated
+	Served         = calltrack.Served
+	Refused        = calltrack.Refused
+	Failed         = calltrack.Failed
+	Duplicate      = calltrack.Duplicate      // a call with this id is in progress
+	Untranslatable = calltrack.Untranslatable // the call could not be translated
 )
 
 // Ended returns an Ending that has a result and no answer.
-func ResultOnly(r choice.Result) AttemptOutcome { return ledger.ResultOnly(r) }
+func ResultOnly(r choice.Result) AttemptOutcome { return calltrack.ResultOnly(r) }
 
 // Transport makes attempts at servers of one protocol. Attempt returns when the attempt or its context has ended; the
 // result tells whether the server may have executed the call.
@@ -95,7 +95,7 @@
 	undelivered *undeliveredLog // answers that did not reach their clients
 
 	// The following fields are used by the event loop only.
-	ledger       *ledger.Tracker
+	ledger       *calltrack.Tracker
 	requests     *requestLog
 	timers       timerHeap
 	discovery    string               // address of the list service being watched
@@ -114,7 +114,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	requests := newRequestLog(set.Log, set.Module.Classes)
-	callLedger := ledger.New(ledger.Settings{Classes: len(set.Module.Classes), Observe: func(r ledger.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MaxUnanswered: set.MaxUnanswered,
+	callLedger := calltrack.New(calltrack.Settings{Classes: len(set.Module.Classes), Observe: func(r calltrack.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MaxUnanswered: set.MaxUnanswered,
 		HasTransport: func(needs choice.Protocols) bool { return set.Transports[needs] != nil }, OnIllegalStep: set.OnIllegalStep, Routes: set.Routes,
 		Places: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Pacing.Me, Seed: set.Seed})}, balancer)
 	c := &Core{set: set, log: set.Log, events: make(chan func(), 1024), urgent: make(chan func()), workers: newWorkers(), ready: make(chan struct{}),
@@ -320,23 +320,23 @@
 }
 
 // execute carries out the ledger's orders, one after the other.
-func (c *Core) execute(orders []ledger.Command) {
+func (c *Core) execute(orders []calltrack.Command) {
 	for _, o := range orders {
 		switch o.Kind {
-		case ledger.SetTimer:
+		case calltrack.SetTimer:
 			heap.Push(&c.timers, timer{at: o.At, token: o.Token})
-		case ledger.StartAttempt:
+		case calltrack.StartAttempt:
 			c.startAttempt(o.Attempt)
-		case ledger.CancelAttempt:
+		case calltrack.CancelAttempt:
 			o.Attempt.Cancel(ErrCanceled)
-		case ledger.Reply:
+		case calltrack.Reply:
 			o.Call.Answer(o.Answer)
-		case ledger.RetireServer:
+		case calltrack.RetireServer:
 			c.set.Pool.Retire(o.Server)
-		case ledger.ShortenDeadline:
+		case calltrack.ShortenDeadline:
 			withdraw := o.Attempt.Cancel
 			time.AfterFunc(o.At-c.Now(), func() { withdraw(context.DeadlineExceeded) })
-		case ledger.DiscardReply:
+		case calltrack.DiscardReply:
 			if r, ok := o.Reply.(io.Closer); ok {
 				r.Close()
 			}
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/succession"
 )
 
@@ -13,10 +13,10 @@
 
 // Figures are metrics for operators, all taken at one moment. They are immutable.
 type Figures struct {
-	Classes     []ledger.ClassStats // by class, since the process started
-	Outstanding int                 // calls accepted and not finished
-	Discovered  int                 // servers in the list
-	Ejected     int                 // those of them that are avoided
+	Classes     []calltrack.ClassStats // by class, since the process started
+	Outstanding int                    // calls accepted and not finished
+	Discovered  int                    // servers in the list
+	Ejected     int                    // those of them that are avoided
 }
 
 // Figures returns the latest published figures, and how many attempts were written completely so far. It does not block.
@@ -34,15 +34,15 @@
 // Offline takes a server out of service until Online is called. Once it returns, no new attempt is started at the server. Known is
 // false if there is no such server. An error means that ctx ended first.
 func (c *Core) Offline(ctx context.Context, id string) (known bool, err error) {
-	return c.applyOperatorChange(ctx, id, (*ledger.Tracker).Offline, succession.Update{Offline: id})
+	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Offline, succession.Update{Offline: id})
 }
 
 // Online puts a server back into service.
 func (c *Core) Online(ctx context.Context, id string) (known bool, err error) {
-	return c.applyOperatorChange(ctx, id, (*ledger.Tracker).Online, succession.Update{Online: id})
+	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Online, succession.Update{Online: id})
 }
 
-func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*ledger.Tracker, time.Duration, string) ([]ledger.Command, bool),
+func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*calltrack.Tracker, time.Duration, string) ([]calltrack.Command, bool),
 	news succession.Update) (known bool, err error) {
 	return queryUrgent(ctx, c, func() bool {
 		orders, known := how(c.ledger, c.Now(), id)
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"ternbeam/internal/decide/aging"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 )
 
 // recallPeriod is how long after the start servers that enter the list are looked up in the restored state.
@@ -49,7 +49,7 @@
 
 // Export copies what was learned into a value. The event loop owns that value until Export returns; after an error it may still be
 // writing to it.
-func (c *Core) Export(ctx context.Context, into *ledger.Learned) (keeping.View, error) {
+func (c *Core) Export(ctx context.Context, into *calltrack.Learned) (keeping.View, error) {
 	return query(ctx, c, func() keeping.View {
 		c.ledger.Export(c.Now(), into, c.set.Pool.LastWorking)
 		return keeping.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount()}
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -6,7 +6,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/asking"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/discovery"
 )
 
@@ -14,11 +14,11 @@
 const maxLoggedServers = 20
 
 // Feed delivers changes of the list of servers from a source other than a single list service, until the context ends.
-type Feed func(ctx context.Context, deliver func([]ledger.Entry))
+type Feed func(ctx context.Context, deliver func([]calltrack.Entry))
 
 // startFeed starts applying the changes that a Feed delivers.
 func (c *Core) startFeed(ctx context.Context) {
-	go c.set.Feed(ctx, func(changes []ledger.Entry) {
+	go c.set.Feed(ctx, func(changes []calltrack.Entry) {
 		c.postUrgent(ctx, func() {
 			c.execute(c.ledger.UpdateServers(c.Now(), false, changes))
 			c.recall()
@@ -72,7 +72,7 @@
 
 // applyEntries applies a list without forwarding it to other processes.
 func (c *Core) applyEntries(l discovery.List) {
-	entries := make([]ledger.Entry, 0, len(l.Servers))
+	entries := make([]calltrack.Entry, 0, len(l.Servers))
 	var draining []string
 	for _, e := range l.Servers {
 		listed, err := e.TrackerEntry(c.set.Zones)
--- a/internal/host/core/requestlog.go
+++ b/internal/host/core/requestlog.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 )
 
 // Limits on the log lines for requests. Suppressed lines are counted, and the next line reports the count.
@@ -24,8 +24,8 @@
 )
 
 // kindNames are the names of the kinds of final answers in the log.
-var kindNames = [...]string{ledger.Served: "served", ledger.Refused: "refused", ledger.Failed: "failed", ledger.Duplicate: "duplicate",
-	ledger.Untranslatable: "not translatable"}
+var kindNames = [...]string{calltrack.Served: "served", calltrack.Refused: "refused", calltrack.Failed: "failed", calltrack.Duplicate: "duplicate",
+	calltrack.Untranslatable: "not translatable"}
 
 // requestLog logs how requests ended. It samples them, and skips those that were served by their first attempt. During shutdown it
 // logs all of them, up to a higher limit. Only the event loop may use it.
@@ -44,7 +44,7 @@
 }
 
 // observe logs the Record of a request that has just ended.
-func (r *requestLog) observe(now time.Time, rec ledger.Record) {
+func (r *requestLog) observe(now time.Time, rec calltrack.Record) {
 	limiter := r.normalLimiter
 	if r.shutdownAt > 0 {
 		limiter = r.shutdownLimiter
@@ -56,7 +56,7 @@
 		return
 	}
 	outcome := kindNames[rec.Kind]
-	if rec.Reason == ledger.ReasonDisconnected {
+	if rec.Reason == calltrack.ReasonDisconnected {
 		outcome = "disconnected"
 	}
 	fields := []any{"id", rec.ID, "class", r.class(rec.Class), "outcome", outcome, "reason", string(rec.Reason),
@@ -89,7 +89,7 @@
 
 // attemptsText formats attempts as server, reason, result, start and end in seconds since the request was accepted, and the cause of the
 // result if there is one.
-func attemptsText(attempts []ledger.AttemptRecord) string {
+func attemptsText(attempts []calltrack.AttemptRecord) string {
 	var text strings.Builder
 	for i, at := range attempts {
 		if i > 0 {
@@ -111,7 +111,7 @@
 func seconds(d time.Duration) string { return fmt.Sprintf("%.3f", d.Seconds()) }
 
 // reasonsText formats the counts by reason, sorted by the names of the reasons.
-func reasonsText(counts map[ledger.Reason]int) string {
+func reasonsText(counts map[calltrack.Reason]int) string {
 	parts := make([]string, 0, len(counts))
 	for reason, n := range counts {
 		parts = append(parts, fmt.Sprintf("%s %d", reason, n))
--- a/internal/host/core/requestlog_test.go
+++ b/internal/host/core/requestlog_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 )
 
 // logged runs a request log and returns its lines.
@@ -23,9 +23,9 @@
 func TestRequestLogNamesReasonAndAttempts(t *testing.T) {
 	lines := logged(t, func(r *requestLog) {
 		r.shutdownAt = 10 * time.Second
-		r.observe(time.Now(), ledger.Record{ID: "4f", Received: 11 * time.Second, Took: 2500 * time.Millisecond, Kind: ledger.Failed,
-			Reason: ledger.Reason(choice.DeadlinePassed.String()), Connection: ledger.Connection{Opened: 9 * time.Second, Requests: 3},
-			Attempts: []ledger.AttemptRecord{
+		r.observe(time.Now(), calltrack.Record{ID: "4f", Received: 11 * time.Second, Took: 2500 * time.Millisecond, Kind: calltrack.Failed,
+			Reason: calltrack.Reason(choice.DeadlinePassed.String()), Connection: calltrack.Connection{Opened: 9 * time.Second, Requests: 3},
+			Attempts: []calltrack.AttemptRecord{
 				{Server: "s-1", Reason: choice.FirstAttempt, Result: choice.Reset, Ended: time.Second},
 				{Server: "s-2", Reason: choice.Retry, Sent: time.Second, Ended: 2 * time.Second, Result: choice.Failed, Cause: errors.New("status 500")},
 				{Server: "s-3", Reason: choice.Retry, Sent: 2 * time.Second, InFlight: true}}})
@@ -43,10 +43,10 @@
 	lines := logged(t, func(r *requestLog) {
 		now := time.Now()
 		for range 10_000 {
-			r.observe(now, ledger.Record{Kind: ledger.Refused, Reason: "overloaded"})
-			r.observe(now, ledger.Record{Kind: ledger.Served, Reason: ledger.ReasonAnswered}) // not logged: served by its first attempt
+			r.observe(now, calltrack.Record{Kind: calltrack.Refused, Reason: "overloaded"})
+			r.observe(now, calltrack.Record{Kind: calltrack.Served, Reason: calltrack.ReasonAnswered}) // not logged: served by its first attempt
 		}
-		r.observe(now.Add(time.Second), ledger.Record{Kind: ledger.Refused, Reason: "overloaded"})
+		r.observe(now.Add(time.Second), calltrack.Record{Kind: calltrack.Refused, Reason: "overloaded"})
 	})
 	if len(lines) != requestLinesBurst+1 {
 		t.Errorf("%d lines", len(lines))
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/operators"
 	"ternbeam/internal/decide/succession"
 	"ternbeam/internal/discovery"
@@ -50,7 +50,7 @@
 		if len(c.list.Servers) > 0 {
 			s.List, _ = json.Marshal(c.list) // consists of plain values; nil if encoding fails regardless
 		}
-		var learned ledger.Learned
+		var learned calltrack.Learned
 		c.ledger.Export(c.Now(), &learned, nil)
 		if _, err := json.Marshal(learned.Memory); err == nil { // NaN and infinity can't be encoded; nothing learned is handed over then
 			s.Learned = &learned.Memory
--- a/internal/host/core/undelivered.go
+++ b/internal/host/core/undelivered.go
@@ -6,7 +6,7 @@
 
 	"golang.org/x/time/rate"
 
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 )
 
 // undeliveredLog counts and logs final answers that were not delivered completely. It is safe for concurrent use.
@@ -22,7 +22,7 @@
 
 // RecordUndelivered records that the final answer to a call did not reach its client completely, at which stage and why. Usually
 // the client has disconnected. It is safe for concurrent use.
-func (c *Core) RecordUndelivered(call *Call, kind ledger.AnswerKind, stage string, cause error) {
+func (c *Core) RecordUndelivered(call *Call, kind calltrack.AnswerKind, stage string, cause error) {
 	c.undelivered.count.Add(1)
 	if !c.undelivered.limiter.Allow() {
 		return
--- a/internal/host/keeper/bench_test.go
+++ b/internal/host/keeper/bench_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"ternbeam/choice"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/settings/stateconf"
 	"ternbeam/internal/store"
 )
@@ -70,7 +70,7 @@
 	return <-answer, nil
 }
 
-func (l *loop) Export(_ context.Context, into *ledger.Learned) (keeping.View, error) {
+func (l *loop) Export(_ context.Context, into *calltrack.Learned) (keeping.View, error) {
 	answer := make(chan keeping.View, 1)
 	l.events <- func() {
 		for i := range l.servers {
--- a/internal/host/keeper/keeper.go
+++ b/internal/host/keeper/keeper.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"ternbeam/internal/decide/aging"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/settings/stateconf"
 	"ternbeam/internal/store"
 )
@@ -21,7 +21,7 @@
 // Agent is what a Runner queries; the event loop of the agent answers.
 type Agent interface {
 	View(ctx context.Context) (keeping.View, error)
-	Export(ctx context.Context, into *ledger.Learned) (keeping.View, error)
+	Export(ctx context.Context, into *calltrack.Learned) (keeping.View, error)
 }
 
 // Settings configure a Runner.
@@ -88,7 +88,7 @@
 	r.restored <- r.load()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	export := new(ledger.Learned)
+	export := new(calltrack.Learned)
 	for {
 		wait := time.NewTimer(r.policy.NextCheck() - r.now())
 		select {
@@ -125,7 +125,7 @@
 }
 
 // writeFinal makes the last write and releases the folder.
-func (r *Runner) writeFinal(agent Agent, export *ledger.Learned) {
+func (r *Runner) writeFinal(agent Agent, export *calltrack.Learned) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.settings.FinalWriteTimeout)
 	defer cancel()
 	if view, err := agent.Export(ctx, export); err == nil && r.policy.End(view) {
@@ -229,7 +229,7 @@
 }
 
 // write writes the parts of the learned state that have changed enough.
-func (r *Runner) write(export *ledger.Learned) {
+func (r *Runner) write(export *calltrack.Learned) {
 	if r.readOnlyReason != nil {
 		r.logFailureOnce("learned: not written", r.readOnlyReason)
 		r.policy.WriteDone(r.now(), 0, r.readOnlyReason)
--- a/internal/host/keeper/keeper_test.go
+++ b/internal/host/keeper/keeper_test.go
@@ -12,9 +12,9 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/lab/crashfs"
 	"ternbeam/internal/lab/testkit"
 	"ternbeam/internal/settings/stateconf"
@@ -36,9 +36,9 @@
 
 func (a *agent) View(context.Context) (keeping.View, error) { return a.view(), nil }
 
-func (a *agent) Export(_ context.Context, into *ledger.Learned) (keeping.View, error) {
+func (a *agent) Export(_ context.Context, into *calltrack.Learned) (keeping.View, error) {
 	v := a.view()
-	*into = ledger.Learned{Fleet: []uint64{1, 2}, Servers: []learned.Server{{Identity: 1, ServerMemory: choice.ServerMemory{ID: "a", Rate: float64(v.Updates)}}}}
+	*into = calltrack.Learned{Fleet: []uint64{1, 2}, Servers: []learned.Server{{Identity: 1, ServerMemory: choice.ServerMemory{ID: "a", Rate: float64(v.Updates)}}}}
 	return v, nil
 }
 
--- a/internal/host/members/members.go
+++ b/internal/host/members/members.go
@@ -10,7 +10,7 @@
 
 	"ternbeam/internal/clock"
 	"ternbeam/internal/decide/asking"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/membership"
 	"ternbeam/internal/decide/resolve"
 	"ternbeam/internal/discovery"
@@ -67,7 +67,7 @@
 }
 
 // Feed implements core.Feed: it runs the sources and delivers every change of the list until ctx is done.
-func (h *Host) Feed(ctx context.Context, deliver func([]ledger.Entry)) {
+func (h *Host) Feed(ctx context.Context, deliver func([]calltrack.Entry)) {
 	if h.listSource >= 0 {
 		if len(h.set.LastList.Servers) > 0 {
 			h.report(h.listReport(h.set.LastList), deliver)
@@ -84,7 +84,7 @@
 			}, func() {
 				h.set.Log.Warn("no name server answers", "name", d.Name)
 				h.post(ctx, func() {
-					h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.SourceUnreachable(clock.Now(), number) })
+					h.change(deliver, func(s *membership.Set) []calltrack.Entry { return s.SourceUnreachable(clock.Now(), number) })
 				})
 			})
 	}
@@ -104,7 +104,7 @@
 		case event := <-h.events:
 			event()
 		case <-timer.C:
-			h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Tick(clock.Now()) })
+			h.change(deliver, func(s *membership.Set) []calltrack.Entry { return s.Tick(clock.Now()) })
 		}
 	}
 }
@@ -116,14 +116,14 @@
 	}
 }
 
-func (h *Host) report(r membership.Report, deliver func([]ledger.Entry)) {
-	h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.Report(clock.Now(), r) })
+func (h *Host) report(r membership.Report, deliver func([]calltrack.Entry)) {
+	h.change(deliver, func(s *membership.Set) []calltrack.Entry { return s.Report(clock.Now(), r) })
 }
 
 // change applies do to the membership and delivers the resulting changes.
-func (h *Host) change(deliver func([]ledger.Entry), do func(*membership.Set) []ledger.Entry) {
+func (h *Host) change(deliver func([]calltrack.Entry), do func(*membership.Set) []calltrack.Entry) {
 	h.mu.Lock()
-	changes := append([]ledger.Entry(nil), do(h.members)...)
+	changes := append([]calltrack.Entry(nil), do(h.members)...)
 	h.mu.Unlock()
 	if len(changes) > 0 {
 		deliver(changes)
@@ -157,13 +157,13 @@
 }
 
 // watch keeps watching the platform's list and reports each update, until ctx is done.
-func (h *Host) watch(ctx context.Context, deliver func([]ledger.Entry)) {
+func (h *Host) watch(ctx context.Context, deliver func([]calltrack.Entry)) {
 	discovery.New(h.set.Discovery, h.set.LastList, h.set.Log).KeepWatching(ctx, asking.New(h.set.Pacing, h.set.Seed), func(l discovery.List) {
 		r := h.listReport(l)
 		h.post(ctx, func() { h.report(r, deliver) })
 	}, func() {
 		h.post(ctx, func() {
-			h.change(deliver, func(s *membership.Set) []ledger.Entry { return s.SourceUnreachable(clock.Now(), h.listSource) })
+			h.change(deliver, func(s *membership.Set) []calltrack.Entry { return s.SourceUnreachable(clock.Now(), h.listSource) })
 		})
 	})
 }
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -17,8 +17,8 @@
 	"ternbeam/choice"
 	"ternbeam/internal/clock"
 	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/company"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 )
@@ -86,7 +86,7 @@
 }
 
 // Feed implements core.Feed: it delivers every change of the list until the context ends.
-func (h *Host) Feed(ctx context.Context, deliver func([]ledger.Entry)) {
+func (h *Host) Feed(ctx context.Context, deliver func([]calltrack.Entry)) {
 	defer h.conn.Close()
 	if len(h.settings.LastList.Servers) > 0 {
 		h.deliverEntries(h.settings.LastList.Servers, false, deliver)
@@ -111,7 +111,7 @@
 
 // receive reads datagrams until the socket is closed. It drops those that do not come from the address of the agent that
 // they name.
-func (h *Host) receive(ctx context.Context, deliver func([]ledger.Entry)) {
+func (h *Host) receive(ctx context.Context, deliver func([]calltrack.Entry)) {
 	buffer := make([]byte, sharing.MaxDatagramBytes+1)
 	for {
 		n, from, err := h.conn.ReadFromUDPAddrPort(buffer)
@@ -136,7 +136,7 @@
 }
 
 // apply carries out actions.
-func (h *Host) apply(ctx context.Context, actions []sharing.Action, deliver func([]ledger.Entry)) {
+func (h *Host) apply(ctx context.Context, actions []sharing.Action, deliver func([]calltrack.Entry)) {
 	for _, a := range actions {
 		switch a.Kind {
 		case sharing.Send:
@@ -162,8 +162,8 @@
 }
 
 // deliverEntries delivers entries of the list to the module.
-func (h *Host) deliverEntries(entries []discovery.Entry, full bool, deliver func([]ledger.Entry)) {
-	var changes []ledger.Entry
+func (h *Host) deliverEntries(entries []discovery.Entry, full bool, deliver func([]calltrack.Entry)) {
+	var changes []calltrack.Entry
 	named := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		listed, err := e.TrackerEntry(h.settings.Zones)
@@ -182,7 +182,7 @@
 		for id := range h.delivered {
 			if !named[id] {
 				delete(h.delivered, id)
-				changes = append(changes, ledger.Entry{Server: choice.Server{ID: id, State: choice.Removed}})
+				changes = append(changes, calltrack.Entry{Server: choice.Server{ID: id, State: choice.Removed}})
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // openWatch opens a watch that continues from the current list.
-func (h *Host) openWatch(ctx context.Context, version int64, deliver func([]ledger.Entry)) {
+func (h *Host) openWatch(ctx context.Context, version int64, deliver func([]calltrack.Entry)) {
 	known := h.settings.LastList
 	if gen, _ := h.node.Version(); gen > 0 {
 		known.Servers = nil
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -13,7 +13,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/asking"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/lab/standin"
@@ -61,7 +61,7 @@
 		}
 		g.hosts = append(g.hosts, h)
 		all.Go(func() {
-			h.Feed(ctx, func(changes []ledger.Entry) {
+			h.Feed(ctx, func(changes []calltrack.Entry) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				for _, e := range changes {
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/routes"
 	"ternbeam/internal/decide/shutdown"
 	"ternbeam/internal/host/conntrack"
@@ -251,7 +251,7 @@
 	call.Answer = slot.deliver
 	client.requests++
 	call.Disconnected = client.conn.Disconnected
-	call.Connection = ledger.Connection{Opened: client.opened, Requests: client.requests}
+	call.Connection = calltrack.Connection{Opened: client.opened, Requests: client.requests}
 	f.core.Submit(call)
 	// Some clients send one request and keep their connection forever. Near the connection limit, the connection closes after the
 	// first answer; a client that does return opens another one.
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/lab/sim"
 	"ternbeam/internal/lab/spread"
 )
@@ -109,13 +109,13 @@
 		if c.At >= silentFrom {
 			r.Calls++
 			switch c.Kind {
-			case ledger.Refused:
+			case calltrack.Refused:
 				r.Refused++
-			case ledger.Failed:
+			case calltrack.Failed:
 				r.Failed++
 			}
 		}
-		if c.At >= sim.StartTime+settleTime && c.Kind == ledger.Served {
+		if c.At >= sim.StartTime+settleTime && c.Kind == calltrack.Served {
 			latencies = append(latencies, c.AnsweredAt-c.At)
 		}
 	}
--- a/internal/lab/drive/drive.go
+++ b/internal/lab/drive/drive.go
@@ -15,7 +15,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/agent"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/lab/explore"
 	"ternbeam/internal/lab/standin"
 )
@@ -400,4 +400,4 @@
 }
 
 // answerKinds maps the answers of the trace to those that kiosks observe.
-var answerKinds = map[ledger.AnswerKind]standin.AnswerKind{ledger.Served: standin.Served, ledger.Refused: standin.Refused, ledger.Failed: standin.Failed}
+var answerKinds = map[calltrack.AnswerKind]standin.AnswerKind{calltrack.Served: standin.Served, calltrack.Refused: standin.Refused, calltrack.Failed: standin.Failed}
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/life"
 )
 
@@ -264,7 +264,7 @@
 // takeEnd lets the core's loop process the end of an attempt.
 func (w *world) takeEnd(t *attempt) {
 	w.attempts = slices.DeleteFunc(w.attempts, func(o *attempt) bool { return o == t })
-	e := ledger.ResultOnly(t.State.Result())
+	e := calltrack.ResultOnly(t.State.Result())
 	if e.Result == choice.OK {
 		e.Reply = t.Attempt
 	}
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/life"
 )
 
@@ -122,7 +122,7 @@
 		}
 		inTime := true
 		for _, s := range l.writing {
-			by := s.Host.(*ledger.Attempt).SendBy
+			by := s.Host.(*calltrack.Attempt).SendBy
 			inTime = inTime && (by == 0 || w.now < by)
 		}
 		if len(l.writing) > 0 {
@@ -392,10 +392,10 @@
 }
 
 // copyMuxConns returns deep copies of the multiplexed connections.
-func (w *world) copyMuxConns(copies *ledger.Copies, conns *life.Copies[life.Conn]) (all []*muxConn) {
+func (w *world) copyMuxConns(copies *calltrack.Copies, conns *life.Copies[life.Conn]) (all []*muxConn) {
 	for _, l := range w.muxConns {
 		slots := life.Copies[life.Slot]{Fill: func(s, dst *life.Slot) {
-			at := copies.Attempts.Of(s.Host.(*ledger.Attempt))
+			at := copies.Attempts.Of(s.Host.(*calltrack.Attempt))
 			s.CopyTo(dst, &at.State, at)
 		}}
 		dup := &muxConn{conn: conns.Of(l.conn), state: l.state.Copy(&slots)}
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/life"
 )
 
@@ -14,7 +14,7 @@
 // checkAnswer records an answer and checks: exactly one final answer for each received call, by its deadline; none after
 // its client has disconnected; a served answer is from an attempt of the same call; no refusal of a call that can have
 // run, unless it may be repeated.
-func (w *world) checkAnswer(c *call, a ledger.Answer) {
+func (w *world) checkAnswer(c *call, a calltrack.Answer) {
 	switch c.answers = append(c.answers, a.Kind); {
 	case !c.arrived:
 		w.violate("%s is answered before its client sent it", c.tracked.ID)
@@ -25,8 +25,8 @@
 	case w.now > startTime+callDeadline:
 		w.violate("%s is answered after its deadline", c.tracked.ID)
 	}
-	if a.Kind == ledger.Served {
-		at, ok := a.Reply.(*ledger.Attempt)
+	if a.Kind == calltrack.Served {
+		at, ok := a.Reply.(*calltrack.Attempt)
 		relaying := ok && slices.ContainsFunc(w.attempts, func(t *attempt) bool { return t.Attempt == at && t.relayStarted })
 		if !ok || at.Call != c.tracked || !relaying && at.State.Result() != choice.OK {
 			w.violate("%s is served an answer that is not its own", c.tracked.ID)
@@ -37,7 +37,7 @@
 
 // checkRefusal checks that a refused call never runs, neither before nor after the refusal, unless it is safe.
 func (w *world) checkRefusal(c *call) {
-	if slices.Contains(c.answers, ledger.Refused) && c.effect != choice.Safe && len(c.runs) > 0 {
+	if slices.Contains(c.answers, calltrack.Refused) && c.effect != choice.Safe && len(c.runs) > 0 {
 		w.violate("%s is refused and may have run at %s", c.tracked.ID, c.runs[0].server)
 	}
 }
@@ -112,7 +112,7 @@
 // checkBegun checks that an answer whose relay has started is either given to the client or discarded.
 func (w *world) checkBegun(t *attempt) {
 	c := w.callOf(t)
-	given := len(c.answers) > 0 && c.answers[0] == ledger.Served && w.tracker.IsRelaying(c.tracked, t.Attempt)
+	given := len(c.answers) > 0 && c.answers[0] == calltrack.Served && w.tracker.IsRelaying(c.tracked, t.Attempt)
 	if given == t.replyDropped {
 		w.violate("the relay of the answer to %s has started; given: %t, discarded: %t", c.tracked.ID, given, t.replyDropped)
 	}
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/life"
 )
 
@@ -288,7 +288,7 @@
 		w.takeEnd(t)
 	case TakeRelayStart:
 		t.relayPending = false
-		w.execute(w.tracker.RelayStarted(w.now, t.Attempt, ledger.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
+		w.execute(w.tracker.RelayStarted(w.now, t.Attempt, calltrack.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
 		w.checkBegun(t)
 	case AnswerBegins:
 		t.ReportIllegalStep(t.State.Read())
@@ -400,7 +400,7 @@
 			e.State = choice.Removed
 		case MissingFromList:
 			e.State = choice.Removed
-			var others []ledger.Entry
+			var others []calltrack.Entry
 			for i, o := range w.servers {
 				if o.State == choice.Ready {
 					others = append(others, w.listEntry(i))
@@ -413,7 +413,7 @@
 		case Restart:
 			e.Started = startTime
 		}
-		w.execute(w.tracker.UpdateServers(w.now, false, []ledger.Entry{w.listEntry(int(s.N))}))
+		w.execute(w.tracker.UpdateServers(w.now, false, []calltrack.Entry{w.listEntry(int(s.N))}))
 	case TakenOffline, PutOnline:
 		w.operatorChanges++
 		w.offline[s.N] = s.Kind == TakenOffline
@@ -436,8 +436,8 @@
 }
 
 // listEntry returns a server's entry in the list.
-func (w *world) listEntry(i int) ledger.Entry {
-	return ledger.Entry{Server: w.servers[i], Addr: fmt.Sprint(w.servers[i].ID, " at ", w.moves[i])}
+func (w *world) listEntry(i int) calltrack.Entry {
+	return calltrack.Entry{Server: w.servers[i], Addr: fmt.Sprint(w.servers[i].ID, " at ", w.moves[i])}
 }
 
 // resumeByTime resumes the paused attempts for which the time makes a difference: those of keyed calls that are being
--- a/internal/lab/explore/story.go
+++ b/internal/lab/explore/story.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 )
 
 // TraceFile is a trace as stored in a file.
@@ -63,10 +63,10 @@
 // CallOutcome is the outcome of a call at the end of a trace.
 type CallOutcome struct {
 	Effect choice.Effect
-	Asked  bool              // its client has sent it
-	Left   bool              // its client has disconnected
-	Answer ledger.AnswerKind // if Asked and not Left
-	Runs   int               // how often a server may have executed it
+	Asked  bool                 // its client has sent it
+	Left   bool                 // its client has disconnected
+	Answer calltrack.AnswerKind // if Asked and not Left
+	Runs   int                  // how often a server may have executed it
 }
 
 // Play plays a trace and returns its events and the outcomes of the calls. The trace must lead to an end state and
--- a/internal/lab/explore/world.go
+++ b/internal/lab/explore/world.go
@@ -13,7 +13,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/addresses"
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/life"
 )
 
@@ -100,7 +100,7 @@
 	settings        choice.Settings
 	now             time.Duration
 	chance          *drawSource
-	tracker         *ledger.Tracker
+	tracker         *calltrack.Tracker
 	balancer        *choice.Balancer
 	pool            *life.PoolState
 	dialHistory     *addresses.History
@@ -126,11 +126,11 @@
 
 // call is a call as observed by its client and the servers.
 type call struct {
-	tracked      *ledger.Call
+	tracked      *calltrack.Call
 	effect       choice.Effect
 	arrived      bool
 	disconnected bool
-	answers      []ledger.AnswerKind
+	answers      []calltrack.AnswerKind
 	runs         []run
 	attemptCount int
 }
@@ -145,7 +145,7 @@
 
 // attempt is an attempt as its host sees it.
 type attempt struct {
-	*ledger.Attempt
+	*calltrack.Attempt
 	index            int             // among all attempts of the world
 	call             int             // index of its call
 	cell             int             // of its server
@@ -228,9 +228,9 @@
 	if w.balancer, err = choice.NewWithSource(w.settings, w.chance); err != nil {
 		panic(err) // the settings are constants and valid
 	}
-	w.tracker = ledger.New(w.trackerSettings(), cancelObserver{w.balancer, w})
+	w.tracker = calltrack.New(w.trackerSettings(), cancelObserver{w.balancer, w})
 	w.pool, w.dialHistory = life.NewPoolState(cfg.Places), addresses.NewHistory(addresses.Defaults)
-	var entries []ledger.Entry
+	var entries []calltrack.Entry
 	for i := range cfg.Servers {
 		s := choice.Server{ID: fmt.Sprint("server ", i), Cell: i % max(1, cfg.Cells)}
 		w.servers, w.moves = append(w.servers, s), append(w.moves, 0)
@@ -250,15 +250,15 @@
 	w.now = startTime
 	for i, e := range cfg.Calls {
 		c := &call{effect: e}
-		c.tracked = &ledger.Call{Request: choice.Request{ID: fmt.Sprint("call ", i), Class: slices.Index(effects, e)}}
+		c.tracked = &calltrack.Call{Request: choice.Request{ID: fmt.Sprint("call ", i), Class: slices.Index(effects, e)}}
 		w.calls = append(w.calls, c)
 	}
 	return w
 }
 
 // trackerSettings returns the settings of the call tracker.
-func (w *world) trackerSettings() ledger.Settings {
-	return ledger.Settings{MaxAttempts: w.cfg.Attempts, HasTransport: func(choice.Protocols) bool { return true },
+func (w *world) trackerSettings() calltrack.Settings {
+	return calltrack.Settings{MaxAttempts: w.cfg.Attempts, HasTransport: func(choice.Protocols) bool { return true },
 		OnIllegalStep: func(err error) { w.violate("%v", err) }}
 }
 
@@ -273,7 +273,7 @@
 	default:
 		return
 	}
-	var lost *ledger.Attempt
+	var lost *calltrack.Attempt
 	for n := 0; ; n++ {
 		at := w.now + time.Millisecond
 		last := at+callDeadline >= startTime // a call from here on would not end before the exploration begins
@@ -281,20 +281,20 @@
 		if w.now = at; last {
 			break
 		}
-		c := &ledger.Call{Request: choice.Request{ID: fmt.Sprint("before ", n), Class: n % len(w.settings.Classes), Deadline: at + callDeadline}}
+		c := &calltrack.Call{Request: choice.Request{ID: fmt.Sprint("before ", n), Class: n % len(w.settings.Classes), Deadline: at + callDeadline}}
 		for _, o := range w.setTimers(w.tracker.CallArrived(at, c)) {
-			if o.Kind != ledger.StartAttempt {
+			if o.Kind != calltrack.StartAttempt {
 				continue
 			}
 			if past == LostCalls && lost == nil && at+2*callDeadline >= startTime {
 				lost = o.Attempt
 				continue
 			}
-			w.setTimers(w.tracker.AttemptEnded(at+callTime, o.Attempt, ledger.ResultOnly(choice.OK)))
+			w.setTimers(w.tracker.AttemptEnded(at+callTime, o.Attempt, calltrack.ResultOnly(choice.OK)))
 		}
 	}
 	if lost != nil {
-		w.setTimers(w.tracker.AttemptEnded(w.now, lost, ledger.ResultOnly(choice.TimedOut)))
+		w.setTimers(w.tracker.AttemptEnded(w.now, lost, calltrack.ResultOnly(choice.TimedOut)))
 	}
 	w.fireUntil(startTime) // timers of ended calls, and a health evaluation without findings
 }
@@ -315,9 +315,9 @@
 }
 
 // setTimers carries out the commands that set timers, and returns the others.
-func (w *world) setTimers(commands []ledger.Command) (others []ledger.Command) {
+func (w *world) setTimers(commands []calltrack.Command) (others []calltrack.Command) {
 	for _, o := range commands {
-		if o.Kind == ledger.SetTimer {
+		if o.Kind == calltrack.SetTimer {
 			w.timers = append(w.timers, timer{o.At, o.Token})
 		} else {
 			others = append(others, o)
@@ -328,7 +328,7 @@
 
 // copy returns a deep copy of the world.
 func (w *world) copy() *world {
-	copies := ledger.NewCopies()
+	copies := calltrack.NewCopies()
 	c := &world{cfg: w.cfg, settings: w.settings, now: w.now, chance: &drawSource{}, timers: slices.Clone(w.timers),
 		servers: slices.Clone(w.servers), moves: slices.Clone(w.moves), offline: slices.Clone(w.offline),
 		offlineRestarts: slices.Clone(w.offlineRestarts), operatorChanges: w.operatorChanges,
@@ -370,33 +370,33 @@
 }
 
 // execute carries out the tracker's commands, as the core does.
-func (w *world) execute(commands []ledger.Command) {
+func (w *world) execute(commands []calltrack.Command) {
 	for _, o := range commands {
 		switch o.Kind {
-		case ledger.SetTimer:
+		case calltrack.SetTimer:
 			w.timers = append(w.timers, timer{o.At, o.Token})
-		case ledger.StartAttempt:
+		case calltrack.StartAttempt:
 			w.startAttempt(o.Attempt)
-		case ledger.CancelAttempt:
+		case calltrack.CancelAttempt:
 			for _, t := range w.attempts {
 				if t.Attempt == o.Attempt {
 					t.hostCanceled, t.paused = true, false
 				}
 			}
-		case ledger.Reply:
+		case calltrack.Reply:
 			for i, c := range w.calls {
 				if c.tracked == o.Call {
 					w.checkAnswer(c, o.Answer)
 					w.resumeReady(i)
 				}
 			}
-		case ledger.DiscardReply:
+		case calltrack.DiscardReply:
 			for _, t := range w.attempts {
 				if t.Attempt == o.Reply {
 					t.replyDropped = true
 				}
 			}
-		case ledger.RetireServer:
+		case calltrack.RetireServer:
 			closed, _ := w.pool.RetireServer(o.Server)
 			for _, c := range closed {
 				c.Host.(*connData).attempt = -1
@@ -414,7 +414,7 @@
 	}
 }
 
-func (w *world) startAttempt(at *ledger.Attempt) {
+func (w *world) startAttempt(at *calltrack.Attempt) {
 	t := &attempt{Attempt: at, index: w.attemptsStarted, call: slices.IndexFunc(w.calls, func(c *call) bool { return c.tracked == at.Call })}
 	w.attemptsStarted++
 	for _, s := range w.servers {
--- a/internal/lab/outage/outage.go
+++ b/internal/lab/outage/outage.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/membership"
 	"ternbeam/internal/lab/restart"
 	"ternbeam/internal/lab/sim"
@@ -39,7 +39,7 @@
 		settings.Sources = append(settings.Sources, membership.Source{Name: "srv", Hold: 5 * time.Minute, RemoveAbsent: true, Guard: true})
 	}
 	members := membership.New(settings)
-	update := func(changes []ledger.Entry) { w.UpdateList(append([]ledger.Entry(nil), changes...)) }
+	update := func(changes []calltrack.Entry) { w.UpdateList(append([]calltrack.Entry(nil), changes...)) }
 	current := make([]string, len(cfg.Servers)) // ids of the running servers, by position
 	var listed []membership.Claim
 	for i, s := range cfg.Servers {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -17,8 +17,8 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/ledger"
 	"ternbeam/internal/decide/subset"
 )
 
@@ -75,22 +75,22 @@
 // agent is one run of an agent process: a restarted agent is a new one.
 type agent struct {
 	number   int
-	tracker  *ledger.Tracker
+	tracker  *calltrack.Tracker
 	stopped  bool
-	attempts map[*ledger.Attempt]*attempt
+	attempts map[*calltrack.Attempt]*attempt
 }
 
 // Call is a client's call and its result.
 type Call struct {
 	At         time.Duration // of arrival
 	Class      int
-	Kind       ledger.AnswerKind
+	Kind       calltrack.AnswerKind
 	AnsweredAt time.Duration // 0 if its agent stopped before
 	Attempts   int
 }
 
 type attempt struct {
-	tracked *ledger.Attempt
+	tracked *calltrack.Attempt
 	ended   bool
 }
 
@@ -210,9 +210,9 @@
 	agent := w.agents[index]
 	c := &Call{At: w.now, Class: class}
 	w.calls = append(w.calls, c)
-	call := &ledger.Call{Request: choice.Request{ID: fmt.Sprint(number), Class: class, Deadline: w.now + w.cfg.Module.Classes[class].Deadline,
+	call := &calltrack.Call{Request: choice.Request{ID: fmt.Sprint(number), Class: class, Deadline: w.now + w.cfg.Module.Classes[class].Deadline,
 		Key: fmt.Sprint("k", number)}, Payload: &payload{number, c}}
-	call.Answer = func(a ledger.Answer) { c.Kind, c.AnsweredAt = a.Kind, w.now }
+	call.Answer = func(a calltrack.Answer) { c.Kind, c.AnsweredAt = a.Kind, w.now }
 	w.execute(agent, agent.tracker.CallArrived(w.now, call))
 }
 
@@ -233,17 +233,17 @@
 	if err != nil {
 		return err
 	}
-	a := &agent{number: number, attempts: map[*ledger.Attempt]*attempt{}}
-	a.tracker = ledger.New(ledger.Settings{MaxAttempts: settings.MaxAttempts,
+	a := &agent{number: number, attempts: map[*calltrack.Attempt]*attempt{}}
+	a.tracker = calltrack.New(calltrack.Settings{MaxAttempts: settings.MaxAttempts,
 		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), HasTransport: func(choice.Protocols) bool { return true }}, module)
 	w.agents[number] = a
 	w.execute(a, a.tracker.Start(w.now))
-	var entries []ledger.Entry
+	var entries []calltrack.Entry
 	for _, s := range w.cfg.Servers {
 		if w.cfg.StartEmpty {
 			break
 		}
-		entries = append(entries, ledger.Entry{Server: choice.Server{ID: s.ID, Weight: 1}, Addr: s.ID})
+		entries = append(entries, calltrack.Entry{Server: choice.Server{ID: s.ID, Weight: 1}, Addr: s.ID})
 	}
 	if past != nil {
 		a.tracker.LoadPast(past)
@@ -270,7 +270,7 @@
 func (w *World) SetSilent(id string, silent bool) { w.servers[id].Silent = silent }
 
 // UpdateList passes changes of the server list to the agents. The address of a server is its id here.
-func (w *World) UpdateList(changes []ledger.Entry) {
+func (w *World) UpdateList(changes []calltrack.Entry) {
 	if len(changes) == 0 {
 		return
 	}
@@ -284,7 +284,7 @@
 
 // Export returns the learned state that the first agent would persist now.
 func (w *World) Export() learned.State {
-	var l ledger.Learned
+	var l calltrack.Learned
 	w.agents[0].tracker.Export(w.now, &l, nil)
 	return learned.New(w.Clock(), "sim", l.Memory, l.Servers, l.Fleet, nil)
 }
@@ -296,34 +296,34 @@
 }
 
 // execute carries out the commands of an agent's call tracker.
-func (w *World) execute(a *agent, commands []ledger.Command) {
+func (w *World) execute(a *agent, commands []calltrack.Command) {
 	for _, o := range slices.Clone(commands) { // carrying one out may lead to new commands
 		switch o.Kind {
-		case ledger.SetTimer:
+		case calltrack.SetTimer:
 			token := o.Token
 			w.scheduleAfter(o.At-w.now, func() {
 				if !a.stopped {
 					w.execute(a, a.tracker.TimerFired(w.now, token))
 				}
 			})
-		case ledger.StartAttempt:
+		case calltrack.StartAttempt:
 			w.startAttempt(a, o.Attempt)
-		case ledger.CancelAttempt:
+		case calltrack.CancelAttempt:
 			if t := a.attempts[o.Attempt]; t != nil {
-				w.scheduleAfter(0, func() { w.endAttempt(a, t, ledger.ResultOnly(choice.Cancelled)) })
+				w.scheduleAfter(0, func() { w.endAttempt(a, t, calltrack.ResultOnly(choice.Cancelled)) })
 			}
-		case ledger.Reply:
+		case calltrack.Reply:
 			o.Call.Answer(o.Answer)
 		}
 	}
 }
 
-func (w *World) startAttempt(a *agent, tracked *ledger.Attempt) {
+func (w *World) startAttempt(a *agent, tracked *calltrack.Attempt) {
 	t := &attempt{tracked: tracked}
 	a.attempts[tracked] = t
 	p := tracked.Payload.(*payload)
 	p.call.Attempts++
-	w.scheduleAfter(tracked.Deadline-w.now, func() { w.endAttempt(a, t, ledger.ResultOnly(choice.TimedOut)) })
+	w.scheduleAfter(tracked.Deadline-w.now, func() { w.endAttempt(a, t, calltrack.ResultOnly(choice.TimedOut)) })
 	s := w.servers[tracked.Server.Addr]
 	mean := float64(w.cfg.Work[tracked.Call.Class])
 	work := time.Duration(-math.Log(w.random(p.number, "work"))*mean/s.Speed) + 1
@@ -333,13 +333,13 @@
 		}
 		switch {
 		case s == nil || s.dead:
-			w.scheduleAfter(w.cfg.Network, func() { w.endAttempt(a, t, ledger.ResultOnly(choice.ConnectFailed)) })
+			w.scheduleAfter(w.cfg.Network, func() { w.endAttempt(a, t, calltrack.ResultOnly(choice.ConnectFailed)) })
 			return
 		case s.Silent:
 			return
 		}
 		w.serve(s, &job{work, func() {
-			e := ledger.ResultOnly(choice.OK)
+			e := calltrack.ResultOnly(choice.OK)
 			if w.cfg.Reports {
 				e.Report = s.report(w.now)
 			}
@@ -348,7 +348,7 @@
 	})
 }
 
-func (w *World) endAttempt(a *agent, t *attempt, e ledger.AttemptOutcome) {
+func (w *World) endAttempt(a *agent, t *attempt, e calltrack.AttemptOutcome) {
 	if t.ended || a.stopped {
 		return
 	}
@@ -410,7 +410,7 @@
 		class := w.cfg.Module.Classes[c.Class]
 		total += class.Value
 		earned := 0.0
-		if took := c.AnsweredAt - c.At; c.AnsweredAt > 0 && c.Kind == ledger.Served {
+		if took := c.AnsweredAt - c.At; c.AnsweredAt > 0 && c.Kind == calltrack.Served {
 			earned = min(1, max(0, float64(class.Deadline-took)/float64(class.Deadline-class.Aim)))
 		}
 		lost += class.Value * (1 - earned)
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ternbeam/internal/decide/ledger"
+	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/lab/restart"
 	"ternbeam/internal/lab/sim"
 )
@@ -50,7 +50,7 @@
 			if c.AnsweredAt == 0 || c.AnsweredAt-c.At > cfg.Module.Classes[c.Class].Deadline {
 				t.Fatalf("%+v", c)
 			}
-			if c.Kind == ledger.Served {
+			if c.Kind == calltrack.Served {
 				served++
 			}
 		}
