--- a/internal/decide/calltrack/copy.go
+++ b/internal/decide/calltrack/copy.go
@@ -3,20 +3,20 @@
 import (
 	"maps"
 
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // Copies holds the copies of the objects that a Tracker refers to, for the state explorer.
 type Copies struct {
-	Calls    life.Copies[Call]
-	Attempts life.Copies[Attempt]
-	Servers  life.Copies[life.Server]
+	Calls    lifecycle.Copies[Call]
+	Attempts lifecycle.Copies[Attempt]
+	Servers  lifecycle.Copies[lifecycle.Server]
 }
 
 // NewCopies returns an empty Copies. A copy shares the payload, the host's fields and the Answer function with its original.
 func NewCopies() *Copies {
 	copies := &Copies{}
-	copies.Servers.Fill = (*life.Server).CopyTo
+	copies.Servers.Fill = (*lifecycle.Server).CopyTo
 	copies.Attempts.Fill = func(at, dst *Attempt) {
 		*dst = *at
 		dst.Call, dst.Server = copies.Calls.Of(at.Call), copies.Servers.Of(at.Server)
--- a/internal/decide/calltrack/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -7,7 +7,7 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // Learned holds what the module has learned, with the identity of each server. Export reuses its slices.
@@ -22,7 +22,7 @@
 func (t *Tracker) Export(now time.Duration, into *Learned, worked func(addrs []string) string) {
 	t.balancer.Export(now, &into.Memory)
 	into.Servers, into.Fleet = into.Servers[:0], into.Fleet[:0]
-	lastAddr := func(s *life.Server) string {
+	lastAddr := func(s *lifecycle.Server) string {
 		if worked == nil || len(s.Addrs) < 2 {
 			return ""
 		}
@@ -66,7 +66,7 @@
 	}
 }
 
-func listedServer(s *life.Server) aging.Listed {
+func listedServer(s *lifecycle.Server) aging.Listed {
 	return aging.Listed{ID: s.ID, Started: time.Duration(s.Started) * time.Millisecond, Identity: s.Identity}
 }
 
--- a/internal/decide/calltrack/ledger.go
+++ b/internal/decide/calltrack/ledger.go
@@ -12,7 +12,7 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/decide/operators"
 	"ternbeam/internal/decide/routes"
 	"ternbeam/internal/decide/subset"
@@ -89,11 +89,11 @@
 	Call     *Call
 	Number   int
 	Reason   choice.Reason // why the attempt is made
-	Server   *life.Server
-	Sent     time.Duration // when the attempt was started, or when the request body was complete; on the module's clock
-	Deadline time.Duration // when the attempt times out, on the module's clock
-	SendBy   time.Duration // the last byte must be written before this time on the module's clock; 0 for no limit
-	State    life.Attempt  // the state machine, driven by the transport
+	Server   *lifecycle.Server
+	Sent     time.Duration     // when the attempt was started, or when the request body was complete; on the module's clock
+	Deadline time.Duration     // when the attempt times out, on the module's clock
+	SendBy   time.Duration     // the last byte must be written before this time on the module's clock; 0 for no limit
+	State    lifecycle.Attempt // the state machine, driven by the transport
 
 	Way     routes.Route     // the shape in which the call is sent, if it has one
 	Speaks  choice.Protocols // the protocol spoken with the server
@@ -171,7 +171,7 @@
 	Reply   any
 	Token   uint64
 	At      time.Duration // on the module's clock
-	Server  *life.Server
+	Server  *lifecycle.Server
 }
 
 // Stats holds counts since the start.
@@ -231,7 +231,7 @@
 	handling     bool
 	commands     []Command
 	calls        map[string]*Call // by id: calls that are unanswered or have attempts in flight
-	servers      map[string]*life.Server
+	servers      map[string]*lifecycle.Server
 	listed       map[string]Entry // by id: the entries as the server list has them, including draining servers
 	overrides    operators.Set
 	unanswered   int // number of unanswered calls
@@ -246,7 +246,7 @@
 
 // New returns a Tracker that uses balancer as its decision module.
 func New(set Settings, balancer Module) *Tracker {
-	return &Tracker{set: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*life.Server{},
+	return &Tracker{set: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*lifecycle.Server{},
 		listed: map[string]Entry{}, stats: Stats{Classes: make([]ClassStats, set.Classes)}, reasonCounts: map[Reason]int{}}
 }
 
@@ -420,7 +420,7 @@
 		s = nil
 	}
 	if s == nil && e.State == choice.Ready {
-		s = &life.Server{ID: e.ID, Addr: e.Addr, Addrs: e.Addrs, Started: started, Speaks: e.Protocols, Multiplexed: e.Multiplexed}
+		s = &lifecycle.Server{ID: e.ID, Addr: e.Addr, Addrs: e.Addrs, Started: started, Speaks: e.Protocols, Multiplexed: e.Multiplexed}
 		t.servers[e.ID] = s
 	}
 	if s == nil {
@@ -586,4 +586,4 @@
 }
 
 // Server returns the server with this id if calls can be sent to it, else nil.
-func (t *Tracker) Server(id string) *life.Server { return t.servers[id] }
+func (t *Tracker) Server(id string) *lifecycle.Server { return t.servers[id] }
--- a/internal/decide/life/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -1,7 +1,7 @@
 // Package lifecycle holds the state machines of attempts, of connections to servers and of multiplexed connections. They do no
 // I/O and read no clock: the caller reports events and asks for the resulting state. All transports use them, and so does the
 // state explorer, so that it explores the code that runs in production.
-package life
+package lifecycle
 
 import (
 	"fmt"
--- a/internal/decide/life/life_test.go
+++ b/internal/decide/lifecycle/life_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"math/rand/v2"
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/host/core"
 	"ternbeam/internal/host/pool"
 	"ternbeam/internal/sysio/peek"
@@ -85,7 +85,7 @@
 	message, encodedAt := codec.Message(deadline), time.Now()
 	if message == nil { // it can't be sent any more, which counts as late
 		t.Pool.Release(c, true)
-		return Fail(at, life.Late)
+		return Fail(at, lifecycle.Late)
 	}
 	size := len(message)
 	stream, _ := codec.(StreamingCodec)
@@ -99,7 +99,7 @@
 	send := BeginSend(ctx, at, size)
 	usable := !send || t.Pool.Usable(c)
 	if !usable {
-		Fail(at, life.Broken) // nothing was written yet
+		Fail(at, lifecycle.Broken) // nothing was written yet
 	}
 	if !send || !usable {
 		if stream != nil {
@@ -132,7 +132,7 @@
 // BeginSend reports whether an attempt that has a connection may still be sent, and records that it is being sent. Size is the size of
 // the message in bytes.
 func BeginSend(ctx context.Context, at *core.Attempt, size int) bool {
-	send, err := at.State.Begin(size, life.Conditions{Withdrawn: errors.Is(context.Cause(ctx), core.ErrCanceled),
+	send, err := at.State.Begin(size, lifecycle.Conditions{Withdrawn: errors.Is(context.Cause(ctx), core.ErrCanceled),
 		Late: ctx.Err() != nil || !at.WriteBy.IsZero() && !time.Now().Before(at.WriteBy), Over: at.Call.Abandoned(), Retired: at.Server.Retired()})
 	at.ReportIllegalStep(err)
 	return send
@@ -140,21 +140,21 @@
 
 // FailUnconnected ends an attempt for which the pool returned an error instead of a connection.
 func FailUnconnected(ctx context.Context, at *core.Attempt, err error) core.AttemptOutcome {
-	cause := life.Broken
+	cause := lifecycle.Broken
 	switch {
 	case errors.Is(err, pool.ErrNoPlace):
-		cause = life.NoPlace
+		cause = lifecycle.NoPlace
 	case errors.Is(context.Cause(ctx), core.ErrCanceled):
-		cause = life.Withdrawn
+		cause = lifecycle.Withdrawn
 	}
 	return failure(at, cause, err)
 }
 
 // Fail ends an attempt without an answer.
-func Fail(at *core.Attempt, c life.Cause) core.AttemptOutcome { return failure(at, c, nil) }
+func Fail(at *core.Attempt, c lifecycle.Cause) core.AttemptOutcome { return failure(at, c, nil) }
 
 // failure ends an attempt without an answer because of an error, which may be nil.
-func failure(at *core.Attempt, c life.Cause, err error) core.AttemptOutcome {
+func failure(at *core.Attempt, c lifecycle.Cause, err error) core.AttemptOutcome {
 	at.ReportIllegalStep(at.State.Fail(c))
 	e := core.ResultOnly(at.State.Result())
 	e.Cause = err
@@ -197,16 +197,16 @@
 		at.ReportIllegalStep(at.State.Answer(e.Result))
 		return e, reuse
 	case errors.Is(context.Cause(ctx), core.ErrCanceled):
-		return Fail(at, life.Withdrawn), false
+		return Fail(at, lifecycle.Withdrawn), false
 	case errors.Is(err, ErrInvalidAnswer):
-		return failure(at, life.Garbled, err), false
+		return failure(at, lifecycle.Garbled, err), false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure(at, life.Late, err), false
+		return failure(at, lifecycle.Late, err), false
 	}
 	if in.writeErr != nil && errors.Is(err, net.ErrClosed) {
 		err = in.writeErr
 	}
-	return failure(at, life.Broken, err), false
+	return failure(at, lifecycle.Broken, err), false
 }
 
 // AnswerReader reads the answer to a message from a connection and limits the time that it may take. It also writes the message, which may
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -1,5 +1,5 @@
 // Package pool manages the connections to servers for all transports. Decisions about them, such as their number, the order of
-// waiting attempts and which connections are kept, are made by life.Book; this package handles the sockets.
+// waiting attempts and which connections are kept, are made by lifecycle.Book; this package handles the sockets.
 package pool
 
 import (
@@ -11,7 +11,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/addresses"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/protocol"
 	"ternbeam/internal/sysio/peek"
 	"ternbeam/internal/sysio/socketio"
@@ -24,7 +24,7 @@
 type Conn struct {
 	net.Conn
 	Session   any // state that its transport keeps with the connection
-	state     *life.Conn
+	state     *lifecycle.Conn
 	idleSince time.Time // when it was last released
 	checkedAt time.Time // when it was acquired from the idle ones and found usable; zero for a new connection
 }
@@ -61,8 +61,8 @@
 	set Settings
 
 	mu         sync.Mutex
-	book       *life.PoolState
-	granted    map[*life.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
+	book       *lifecycle.PoolState
+	granted    map[*lifecycle.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
 	addrs      *addresses.History
 	extraDials int // dials in progress beyond the first of each race
 	reuseWaits int // attempts that wait for the reuse delay of a connection
@@ -80,14 +80,14 @@
 	if set.ReuseDelay == 0 {
 		set.ReuseDelay = ReuseDelay
 	}
-	return &Pool{set: set, book: life.NewPoolState(set.MaxConns), granted: map[*life.Conn]chan struct{}{},
+	return &Pool{set: set, book: lifecycle.NewPoolState(set.MaxConns), granted: map[*lifecycle.Conn]chan struct{}{},
 		addrs: addresses.NewHistory(set.Addresses), startedAt: time.Now()}
 }
 
 // Acquire returns an idle connection for a protocol, or dials a new one. A server that supports several protocols speaks
 // only one of them on each connection. It returns ErrNoPlace if no slot becomes free in time, or the error
 // of the dial.
-func (p *Pool) Acquire(ctx context.Context, s *life.Server, speaks choice.Protocols, at *life.Attempt) (*Conn, error) {
+func (p *Pool) Acquire(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols, at *lifecycle.Attempt) (*Conn, error) {
 	p.mu.Lock()
 	for l := p.book.AcquireIdle(s, speaks, p.reusable); l != nil; l = p.book.AcquireIdle(s, speaks, p.reusable) {
 		c := l.Host.(*Conn)
@@ -152,7 +152,7 @@
 	return p.set.ReuseDelay - time.Since(c.idleSince)
 }
 
-func (p *Pool) reusable(l *life.Conn) bool { return p.reuseWait(l.Host.(*Conn)) <= 0 }
+func (p *Pool) reusable(l *lifecycle.Conn) bool { return p.reuseWait(l.Host.(*Conn)) <= 0 }
 
 // waitLocked releases the lock and waits. It returns false if the context ended before.
 func (p *Pool) waitLocked(ctx context.Context, d time.Duration) bool {
@@ -172,7 +172,7 @@
 }
 
 // dial connects to a server, at whichever of its addresses connects first.
-func (p *Pool) dial(ctx context.Context, s *life.Server) (net.Conn, error) {
+func (p *Pool) dial(ctx context.Context, s *lifecycle.Server) (net.Conn, error) {
 	if len(s.Addrs) < 2 {
 		_, network, target := addresses.Parse(s.Addr)
 		return p.set.Dial(ctx, network, target)
@@ -204,7 +204,7 @@
 }
 
 // race dials several addresses in the order and at the times that addresses.Race decides, and closes the connections that lose.
-func (p *Pool) race(ctx context.Context, s *life.Server) (net.Conn, error) {
+func (p *Pool) race(ctx context.Context, s *lifecycle.Server) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p.mu.Lock()
@@ -283,12 +283,12 @@
 }
 
 // claimLocked waits for a slot for a connection.
-func (p *Pool) claimLocked(ctx context.Context, s *life.Server, speaks choice.Protocols) (*life.Conn, error) {
+func (p *Pool) claimLocked(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols) (*lifecycle.Conn, error) {
 	l, evicted := p.book.ReservePlace(s, speaks)
 	if evicted != nil {
 		evicted.Host.(*Conn).Close()
 	}
-	if l.State() != life.Queued {
+	if l.State() != lifecycle.Queued {
 		return l, nil
 	}
 	turn := make(chan struct{})
@@ -306,14 +306,14 @@
 	return nil, ErrNoPlace
 }
 
-func (p *Pool) giveUpLocked(l *life.Conn) {
+func (p *Pool) giveUpLocked(l *lifecycle.Conn) {
 	next, err := p.book.Abort(l)
 	p.reportIllegal(err)
 	p.grantLocked(next)
 }
 
 // grantLocked wakes the attempts whose connections were given a slot.
-func (p *Pool) grantLocked(next ...*life.Conn) {
+func (p *Pool) grantLocked(next ...*lifecycle.Conn) {
 	for _, l := range next {
 		if turn := p.granted[l]; turn != nil {
 			close(turn)
@@ -358,14 +358,14 @@
 }
 
 // Retire closes the idle connections to a server and stops lending its connections. Attempts in flight continue.
-func (p *Pool) Retire(s *life.Server) {
+func (p *Pool) Retire(s *lifecycle.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(p.book.RetireServer(s))
 }
 
 // closeLocked closes connections that the book drops, and wakes the attempts that are given their slots.
-func (p *Pool) closeLocked(closed, next []*life.Conn) {
+func (p *Pool) closeLocked(closed, next []*lifecycle.Conn) {
 	for _, l := range closed {
 		l.Host.(*Conn).Close()
 	}
--- a/internal/host/pool/race_test.go
+++ b/internal/host/pool/race_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ternbeam/internal/decide/addresses"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 const deadAddr, goodAddr, refusedAddr = "[::1]:1", "127.0.0.1:1", "127.0.0.1:2"
@@ -58,7 +58,7 @@
 // A first address that does not answer costs the fallback delay once per pool, and nothing if a pool was given the addresses that
 // worked before.
 func TestDeadFirstAddress(t *testing.T) {
-	s := &life.Server{ID: "s", Addr: deadAddr, Addrs: []string{deadAddr, goodAddr}}
+	s := &lifecycle.Server{ID: "s", Addr: deadAddr, Addrs: []string{deadAddr, goodAddr}}
 	const pools = 50
 	var mu sync.Mutex
 	took := map[string][]time.Duration{}
@@ -90,9 +90,9 @@
 }
 
 // timeDial returns how long a new connection takes.
-func timeDial(t *testing.T, p *Pool, s *life.Server) time.Duration {
+func timeDial(t *testing.T, p *Pool, s *lifecycle.Server) time.Duration {
 	begin := time.Now()
-	c, err := p.Acquire(context.Background(), s, 0, new(life.Attempt))
+	c, err := p.Acquire(context.Background(), s, 0, new(lifecycle.Attempt))
 	if err != nil {
 		t.Error(err)
 		return 0
@@ -111,8 +111,8 @@
 	}{{1, 1, nil}, {10, 2, []string{deadAddr}}} {
 		n := &network{hangs: c.hangs, refuses: []string{refusedAddr}}
 		p := newPool(n, c.most)
-		s := &life.Server{ID: "s", Addr: refusedAddr, Addrs: []string{refusedAddr, deadAddr, goodAddr}}
-		got, err := p.Acquire(context.Background(), s, 0, new(life.Attempt))
+		s := &lifecycle.Server{ID: "s", Addr: refusedAddr, Addrs: []string{refusedAddr, deadAddr, goodAddr}}
+		got, err := p.Acquire(context.Background(), s, 0, new(lifecycle.Attempt))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 	}
 	p := newPool(&network{hangs: []string{deadAddr, goodAddr, refusedAddr}}, 10)
 	p.set.DialTimeout = 20 * time.Millisecond
-	if _, err := p.Acquire(context.Background(), &life.Server{ID: "s", Addr: deadAddr, Addrs: []string{deadAddr, goodAddr}}, 0, new(life.Attempt)); err == nil {
+	if _, err := p.Acquire(context.Background(), &lifecycle.Server{ID: "s", Addr: deadAddr, Addrs: []string{deadAddr, goodAddr}}, 0, new(lifecycle.Attempt)); err == nil {
 		t.Error("connected although every address hangs")
 	}
 	if open, _, waiting := p.Count(); open != 0 || waiting != 0 {
--- a/internal/http/httpback/crossing_test.go
+++ b/internal/http/httpback/crossing_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/host/core"
 	"ternbeam/internal/host/exchange"
 	"ternbeam/internal/host/pool"
@@ -22,7 +22,7 @@
 )
 
 // runServer starts a server that handles each connection with serve; n counts the connections, from 1 on.
-func runServer(t *testing.T, serve func(c net.Conn, r *bufio.Reader, n int)) *life.Server {
+func runServer(t *testing.T, serve func(c net.Conn, r *bufio.Reader, n int)) *lifecycle.Server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 			go serve(c, bufio.NewReader(c), n)
 		}
 	}()
-	return &life.Server{ID: "b", Addr: l.Addr().String()}
+	return &lifecycle.Server{ID: "b", Addr: l.Addr().String()}
 }
 
 // readRequestID reads a request and returns its ID, empty at the end of the connection.
@@ -56,7 +56,7 @@
 }
 
 // httpAttempt makes an attempt over HTTP that has a deadline.
-func httpAttempt(t *testing.T, u *exchange.Transport, id string, s *life.Server) core.AttemptOutcome {
+func httpAttempt(t *testing.T, u *exchange.Transport, id string, s *lifecycle.Server) core.AttemptOutcome {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/host/core"
 	"ternbeam/internal/host/exchange"
 	"ternbeam/internal/host/pool"
@@ -37,7 +37,7 @@
 	return New(pool.New(set), []string{"util", "qps", "eps"}, false)
 }
 
-func attempt(id string, s *life.Server) *core.Attempt {
+func attempt(id string, s *lifecycle.Server) *core.Attempt {
 	return &core.Attempt{Call: &core.Call{Request: choice.Request{ID: id}}, Server: s, Payload: &httpmsg.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: "/pay/x"}, Header: http.Header{"X-Correlation-Id": {id}}}}
 }
@@ -46,11 +46,11 @@
 func idleConns(u *exchange.Transport) int { _, idle, _ := u.Pool.Count(); return idle }
 
 // startServer starts a server with the given handler.
-func startServer(t *testing.T, serve http.HandlerFunc) *life.Server {
+func startServer(t *testing.T, serve http.HandlerFunc) *lifecycle.Server {
 	t.Helper()
 	s := httptest.NewServer(serve)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return &life.Server{ID: "b", Addr: s.Listener.Addr().String()}
+	return &lifecycle.Server{ID: "b", Addr: s.Listener.Addr().String()}
 }
 
 // While a dial is in progress, the call may end, its deadline may pass, the module may cancel the attempt or the backend may begin to
@@ -169,10 +169,10 @@
 }
 
 // scriptedServer starts a server that answers with the given texts.
-func scriptedServer(t *testing.T, answers ...string) (*life.Server, *atomic.Int32) {
+func scriptedServer(t *testing.T, answers ...string) (*lifecycle.Server, *atomic.Int32) {
 	t.Helper()
 	addr, accepted := testkit.ServeRaw(t, answers...)
-	return &life.Server{ID: "b", Addr: addr}, accepted
+	return &lifecycle.Server{ID: "b", Addr: addr}, accepted
 }
 
 func replyBody(e core.AttemptOutcome) string {
@@ -182,7 +182,7 @@
 	return ""
 }
 
-func exchangeOnce(t *testing.T, u *exchange.Transport, b *life.Server, id string) core.AttemptOutcome {
+func exchangeOnce(t *testing.T, u *exchange.Transport, b *lifecycle.Server, id string) core.AttemptOutcome {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if got := exchangeOnce(t, newTransport(pool.Settings{}), &life.Server{ID: "b", Addr: l.Addr().String()}, "id"); !errors.Is(got.Cause, syscall.ECONNREFUSED) {
+	if got := exchangeOnce(t, newTransport(pool.Settings{}), &lifecycle.Server{ID: "b", Addr: l.Addr().String()}, "id"); !errors.Is(got.Cause, syscall.ECONNREFUSED) {
 		t.Errorf("nobody listens: %v", got.Cause)
 	}
 }
@@ -370,7 +370,7 @@
 		dialled = c
 		return c, err
 	}})
-	b := &life.Server{ID: "b", Addr: s.Listener.Addr().String()}
+	b := &lifecycle.Server{ID: "b", Addr: s.Listener.Addr().String()}
 	if got := exchangeOnce(t, u, b, "first"); got.Result != choice.OK || idleConns(u) != 1 {
 		t.Fatalf("result %d, %d idle connections", got.Result, idleConns(u))
 	}
@@ -413,7 +413,7 @@
 		}
 		return c, err
 	}})
-	a := attempt("id", &life.Server{ID: "b", Addr: l.Addr().String()})
+	a := attempt("id", &lifecycle.Server{ID: "b", Addr: l.Addr().String()})
 	a.Payload.(*httpmsg.Request).Body = make([]byte, httpmsg.MaxBody)
 	ctx, cancel := context.WithTimeout(context.Background(), testkit.WaitTimeout)
 	defer cancel()
@@ -436,7 +436,7 @@
 	x, y := startServer(t, serve), startServer(t, serve)
 	var patient atomic.Bool
 	u := newTransport(pool.Settings{MaxConns: 1})
-	do := func(id string, b *life.Server) choice.Result {
+	do := func(id string, b *lifecycle.Server) choice.Result {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		defer cancel()
 		if patient.Load() {
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // Explores every ordering of each small world completely: no property is violated.
@@ -43,7 +43,7 @@
 // disconnected.
 func outcomes(w *world, found map[string]bool) {
 	for _, t := range w.attempts {
-		if t.State.Stage() == life.Ended {
+		if t.State.Stage() == lifecycle.Ended {
 			found[fmt.Sprint(t.call, t.Number, t.Server.ID, t.State.Result(), t.mayHaveRun, t.notSent)] = true
 		}
 	}
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -6,7 +6,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // The steps of an attempt's host, as internal/host/pool and internal/host/exchange take them.
@@ -20,10 +20,10 @@
 // resumeAfterPoolChange resumes the paused attempts whose next step depends on a change in the pool: of the idle
 // connections to a server, or, if places are scarce, of anything. An attempt that asks for a connection resumes those
 // that release one.
-func (w *world) resumeAfterPoolChange(s *life.Server, idle bool) {
+func (w *world) resumeAfterPoolChange(s *lifecycle.Server, idle bool) {
 	for _, t := range w.attempts {
-		releases := t.State.Stage() == life.Ended && t.conn != nil
-		acquires := t.State.Stage() == life.Placing
+		releases := t.State.Stage() == lifecycle.Ended && t.conn != nil
+		acquires := t.State.Stage() == lifecycle.Placing
 		if !w.hasSparePlaces() && (releases || acquires) || t.Server == s && (releases || acquires && idle) {
 			t.paused = false
 		}
@@ -33,7 +33,7 @@
 // resumeReady resumes the paused attempts of a call that are ready to be sent.
 func (w *world) resumeReady(i int) {
 	for _, t := range w.attempts {
-		if t.call == i && t.State.Stage() == life.Ready {
+		if t.call == i && t.State.Stage() == lifecycle.Ready {
 			t.paused = false
 		}
 	}
@@ -61,16 +61,16 @@
 		evicted.Host.(*connData).attempt = -1
 	}
 	t.conn = c
-	if c.State() == life.Dialled {
+	if c.State() == lifecycle.Dialled {
 		w.dial(t)
 	}
 	w.resumeAfterPoolChange(t.Server, tookIdle)
 }
 
 // placeGranted starts the dial of the attempt whose queued connection got a place.
-func (w *world) placeGranted(c *life.Conn) {
+func (w *world) placeGranted(c *lifecycle.Conn) {
 	for _, t := range w.attempts {
-		if c != nil && t.conn == c && t.State.Stage() == life.Placing {
+		if c != nil && t.conn == c && t.State.Stage() == lifecycle.Placing {
 			w.dial(t)
 			t.paused = false
 		}
@@ -127,7 +127,7 @@
 // dialFailed reports the failure of one of an attempt's dials.
 func (w *world) dialFailed(t *attempt, n int) {
 	if t.race == nil || t.race.Failed(w.now, t.race.Dialing()[n]) {
-		w.fail(t, life.Broken)
+		w.fail(t, lifecycle.Broken)
 		return
 	}
 	w.startDials(t, w.now)
@@ -137,7 +137,7 @@
 }
 
 // idleConn returns the idle connection that an attempt would get, or nil.
-func (w *world) idleConn(t *attempt) (last *life.Conn) {
+func (w *world) idleConn(t *attempt) (last *lifecycle.Conn) {
 	for _, c := range w.pool.Idle() {
 		if c.Server == t.Server && c.Speaks == t.Call.RequiredProtocols {
 			last = c
@@ -147,7 +147,7 @@
 }
 
 // carry assigns a connection to an attempt.
-func (w *world) carry(t *attempt, c *life.Conn) {
+func (w *world) carry(t *attempt, c *lifecycle.Conn) {
 	data := c.Host.(*connData)
 	if data.attempt >= 0 {
 		w.violate("a connection carries attempts %d and %d", data.attempt, t.index)
@@ -158,7 +158,7 @@
 	t.conn, data.attempt = c, t.index
 }
 
-func (w *world) releaseConn(c *life.Conn) (kept bool) {
+func (w *world) releaseConn(c *lifecycle.Conn) (kept bool) {
 	c.Host.(*connData).attempt = -1
 	kept, next, err := w.pool.Release(c)
 	if err != nil {
@@ -176,8 +176,8 @@
 }
 
 // conditionsFor returns the conditions under which an attempt would be sent now.
-func (w *world) conditionsFor(t *attempt) life.Conditions {
-	return life.Conditions{Withdrawn: t.hostCanceled, Late: w.now >= t.Deadline || t.SendBy != 0 && w.now >= t.SendBy,
+func (w *world) conditionsFor(t *attempt) lifecycle.Conditions {
+	return lifecycle.Conditions{Withdrawn: t.hostCanceled, Late: w.now >= t.Deadline || t.SendBy != 0 && w.now >= t.SendBy,
 		Over: t.Call.Finished(), Retired: t.Server.Retired()}
 }
 
@@ -221,7 +221,7 @@
 }
 
 // fail ends an attempt without an answer; its connection is not reused.
-func (w *world) fail(t *attempt, cause life.Cause) {
+func (w *world) fail(t *attempt, cause lifecycle.Cause) {
 	t.ReportIllegalStep(t.State.Fail(cause))
 	w.spoil(t)
 	w.checkEnding(t)
@@ -234,7 +234,7 @@
 		return
 	}
 	switch t.conn.State() {
-	case life.InUse, life.Retiring:
+	case lifecycle.InUse, lifecycle.Retiring:
 		t.ReportIllegalStep(t.conn.Spoil())
 	}
 	if w.hasSparePlaces() && !w.cfg.allOrders() {
@@ -247,7 +247,7 @@
 	c := t.conn
 	t.conn = nil
 	switch c.State() {
-	case life.Queued, life.Dialled:
+	case lifecycle.Queued, lifecycle.Dialled:
 		next, err := w.pool.Abort(c)
 		t.ReportIllegalStep(err)
 		w.placeGranted(next)
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // key appends an encoding of the state: everything that later steps depend on and that the properties check. An exact
@@ -50,7 +50,7 @@
 		num(int(s.State), int(s.Started), w.moves[i], w.offlineRestarts[i])
 		flag(w.offline[i])
 	}
-	server := func(s *life.Server) {
+	server := func(s *lifecycle.Server) {
 		dst = append(append(dst, s.ID...), 0)
 		num(int(s.Started))
 		flag(s.Retired())
@@ -83,9 +83,9 @@
 		a := t.State
 		stage := a.Stage()
 		switch {
-		case !exact && t.hung && stage == life.Writing && t.SendBy == 0:
-			stage = life.Dialling // it ends as a dial would
-		case stage == life.Ended:
+		case !exact && t.hung && stage == lifecycle.Writing && t.SendBy == 0:
+			stage = lifecycle.Dialling // it ends as a dial would
+		case stage == lifecycle.Ended:
 			r := a.Result()
 			if !exact && unsentCalls == 0 && w.cfg.Past == NoPast {
 				r = canonicalResult(r)
@@ -94,7 +94,7 @@
 		}
 		num(t.call, t.Number, int(stage), int(t.SendBy))
 		server(t.Server)
-		flag(t.hostCanceled && stage != life.Ended, t.balancerCanceled && stage != life.Ended, t.mayHaveRun, a.CanHaveRun(),
+		flag(t.hostCanceled && stage != lifecycle.Ended, t.balancerCanceled && stage != lifecycle.Ended, t.mayHaveRun, a.CanHaveRun(),
 			t.hung, t.paused, t.awaitsDial, t.relayPending, t.relayStarted, t.replyDropped)
 		if t.conn != nil && (exact || !w.hasSparePlaces()) {
 			num(int(t.conn.State()), slices.Index(w.pool.Queue(), t.conn))
@@ -134,7 +134,7 @@
 		num(int(p.started), p.moves, p.offlineRestarts)
 		num(int(l.conn.State()), len(l.writing))
 		server(l.conn.Server)
-		number := func(s *life.Slot) int {
+		number := func(s *lifecycle.Slot) int {
 			return slices.IndexFunc(w.attempts, func(t *attempt) bool { return t.Attempt == s.Host })
 		}
 		dst = l.state.Fingerprint(dst, number)
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -6,7 +6,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // Multiplexed connections carry several attempts at a time. The steps of their host are those of the multiplexer in
@@ -17,16 +17,16 @@
 
 // muxConn is a connection that carries several attempts.
 type muxConn struct {
-	conn    *life.Conn
-	state   *life.MultiplexedConn
-	writing []*life.Slot // slots being written, in order
+	conn    *lifecycle.Conn
+	state   *lifecycle.MultiplexedConn
+	writing []*lifecycle.Slot // slots being written, in order
 }
 
 // clock returns the world's time as a time.Time.
 func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.now) }
 
 // slotOf returns the multiplexed connection that carries an attempt and the attempt's slot on it, or nil.
-func (w *world) slotOf(t *attempt) (*muxConn, *life.Slot) {
+func (w *world) slotOf(t *attempt) (*muxConn, *lifecycle.Slot) {
 	for _, l := range w.muxConns {
 		for _, s := range l.state.Slots() {
 			if s.Host == t.Attempt {
@@ -38,7 +38,7 @@
 }
 
 // attemptOf returns the attempt in a slot, or nil if the loop has already processed its end.
-func (w *world) attemptOf(s *life.Slot) *attempt {
+func (w *world) attemptOf(s *lifecycle.Slot) *attempt {
 	for _, t := range w.attempts {
 		if t.Attempt == s.Host {
 			return t
@@ -50,7 +50,7 @@
 // otherDialing returns another attempt that is dialing the same server, or nil.
 func (w *world) otherDialing(t *attempt) *attempt {
 	for _, o := range w.attempts {
-		if o != t && o.Server == t.Server && o.conn != nil && o.State.Stage() <= life.Dialling {
+		if o != t && o.Server == t.Server && o.conn != nil && o.State.Stage() <= lifecycle.Dialling {
 			return o
 		}
 	}
@@ -61,7 +61,7 @@
 func (w *world) canJoin(t *attempt) bool {
 	return slices.ContainsFunc(w.muxConns, func(l *muxConn) bool {
 		_, reuse := l.state.CanRelease(false)
-		return l.conn.Server == t.Server && l.conn.State() != life.Idle && reuse && len(l.state.Slots()) < maxAttemptsPerMuxConn
+		return l.conn.Server == t.Server && l.conn.State() != lifecycle.Idle && reuse && len(l.state.Slots()) < maxAttemptsPerMuxConn
 	})
 }
 
@@ -71,18 +71,18 @@
 	stage := t.State.Stage()
 	l, s := w.slotOf(t)
 	switch {
-	case stage == life.Ended:
+	case stage == lifecycle.Ended:
 		return nil
-	case stage >= life.Ready && l == nil:
+	case stage >= lifecycle.Ready && l == nil:
 		w.violate("attempt %d has lost its slot on its connection", t.index)
 		return nil
-	case t.hostCanceled && (stage != life.Placing || t.awaitsDial):
+	case t.hostCanceled && (stage != lifecycle.Placing || t.awaitsDial):
 		all = append(all, Cancel)
-	case w.now >= t.Deadline && (stage != life.Placing || t.awaitsDial):
+	case w.now >= t.Deadline && (stage != lifecycle.Placing || t.awaitsDial):
 		all = append(all, TimeOut)
 	}
 	switch stage {
-	case life.Placing:
+	case lifecycle.Placing:
 		switch {
 		case t.conn != nil: // waits for a place in the pool
 			all = append(all, NoPlace)
@@ -92,23 +92,23 @@
 		default:
 			all = append(all, Acquire, AcquireStrayBytes, AcquireClosed)
 		}
-	case life.Dialling:
+	case lifecycle.Dialling:
 		all = append(all, DialSucceeds, DialFails)
-	case life.Ready:
+	case lifecycle.Ready:
 		for _, o := range l.state.Slots() { // in the order of sending
-			if o.Attempt.Stage() == life.Ready {
+			if o.Attempt.Stage() == lifecycle.Ready {
 				if o == s {
 					all = append(all, Send)
 				}
 				break
 			}
 		}
-	case life.Writing:
+	case lifecycle.Writing:
 		all = append(all, WriteCut, AnswerEarly)
 		if t.SendBy == 0 || w.now < t.SendBy {
 			all = append(all, AnswerEarlyError, AnswerOK)
 		}
-	case life.Waiting:
+	case lifecycle.Waiting:
 		all = append(all, AnswerOK, AnswerError, AnswerReject, AnswerTwice, AnswerGarbled, Reset)
 	}
 	return all
@@ -136,9 +136,9 @@
 }
 
 // abandonedSlot returns the first slot of a connection whose attempt was written and then abandoned, or nil.
-func (w *world) abandonedSlot(l *muxConn) *life.Slot {
+func (w *world) abandonedSlot(l *muxConn) *lifecycle.Slot {
 	for _, s := range l.state.Slots() {
-		if s.Attempt.Stage() == life.Ended && !slices.Contains(l.writing, s) {
+		if s.Attempt.Stage() == lifecycle.Ended && !slices.Contains(l.writing, s) {
 			return s
 		}
 	}
@@ -175,23 +175,23 @@
 	case Acquire:
 		w.join(t)
 	case NoPlace:
-		w.failUnconnected(t, life.NoPlace)
+		w.failUnconnected(t, lifecycle.NoPlace)
 	case DialSucceeds:
 		t.ReportIllegalStep(t.State.Connect())
 		t.ReportIllegalStep(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
-		l = &muxConn{conn: t.conn, state: life.NewMultiplexedConn(w.clock())}
+		l = &muxConn{conn: t.conn, state: lifecycle.NewMultiplexedConn(w.clock())}
 		t.conn = nil
 		w.muxConns = append(w.muxConns, l)
 		w.joinConn(l, t)
 		w.dialEnded(t, false)
 	case DialFails:
-		w.failUnconnected(t, life.Broken)
+		w.failUnconnected(t, lifecycle.Broken)
 		w.dialEnded(t, true)
 	case Send:
 		if next := l.state.Next(); next != s {
 			w.violate("attempt %d is sent out of order", t.index)
 		}
-		if w.send(t); t.State.Stage() == life.Ended {
+		if w.send(t); t.State.Stage() == lifecycle.Ended {
 			l.state.Remove(s)
 		} else {
 			t.ReportIllegalStep(l.state.WriteStarted(s, w.clock()))
@@ -208,17 +208,17 @@
 			w.deliverReply(l, s.Seq, t, r)
 		}
 	case AnswerGarbled:
-		w.breakMuxConn(l, life.Garbled)
+		w.breakMuxConn(l, lifecycle.Garbled)
 	case Reset:
-		w.breakMuxConn(l, life.Broken)
+		w.breakMuxConn(l, lifecycle.Broken)
 	case Cancel, TimeOut:
-		cause := life.Withdrawn
+		cause := lifecycle.Withdrawn
 		if k == TimeOut {
-			cause = life.Late
+			cause = lifecycle.Late
 		}
 		if l == nil { // no connection was established
 			if k == TimeOut {
-				cause = life.Broken
+				cause = lifecycle.Broken
 			}
 			w.failUnconnected(t, cause)
 			w.dialEnded(t, false)
@@ -233,7 +233,7 @@
 // join assigns an attempt to a multiplexed connection: one in use with a free slot, else an idle or a new one.
 func (w *world) join(t *attempt) {
 	for _, l := range w.muxConns {
-		if l.conn.Server == t.Server && l.conn.State() != life.Idle && w.joinConn(l, t) {
+		if l.conn.Server == t.Server && l.conn.State() != lifecycle.Idle && w.joinConn(l, t) {
 			return
 		}
 	}
@@ -254,7 +254,7 @@
 	if evicted != nil {
 		w.removeMuxConn(evicted)
 	}
-	if t.conn = c; c.State() == life.Dialled {
+	if t.conn = c; c.State() == lifecycle.Dialled {
 		t.ReportIllegalStep(t.State.Dial())
 	}
 }
@@ -270,14 +270,14 @@
 	for _, o := range w.attempts {
 		if o.awaitsDial && o.Server == t.Server {
 			if o.awaitsDial = false; refused {
-				w.failUnconnected(o, life.Broken)
+				w.failUnconnected(o, lifecycle.Broken)
 			}
 		}
 	}
 }
 
 // failUnconnected ends an attempt that has no connection.
-func (w *world) failUnconnected(t *attempt, cause life.Cause) {
+func (w *world) failUnconnected(t *attempt, cause lifecycle.Cause) {
 	t.awaitsDial = false
 	t.ReportIllegalStep(t.State.Fail(cause))
 	if t.conn != nil {
@@ -291,14 +291,14 @@
 
 // writeEnded ends a write. Either all of it was written, or all attempts before last were written completely, last
 // partly or not at all, and the attempts after it not at all.
-func (w *world) writeEnded(l *muxConn, last *life.Slot, k StepKind) {
+func (w *world) writeEnded(l *muxConn, last *lifecycle.Slot, k StepKind) {
 	n := messageSize
 	for _, s := range l.writing {
 		if s == last && k != WriteCompletes {
 			n = map[StepKind]int{WriteCut: messageSize - 1}[k]
 		}
 		t := w.attemptOf(s)
-		if n < messageSize && t != nil && t.State.Stage() != life.Ended { // the server has not received it
+		if n < messageSize && t != nil && t.State.Stage() != lifecycle.Ended { // the server has not received it
 			w.undoRun(t)
 		}
 		ended, err := l.state.WriteEnded(s, n, false)
@@ -314,7 +314,7 @@
 	}
 	l.writing = nil
 	if k != WriteCompletes || l.state.Broken() {
-		w.breakMuxConn(l, life.Broken)
+		w.breakMuxConn(l, lifecycle.Broken)
 	}
 }
 
@@ -329,7 +329,7 @@
 func (w *world) deliverReply(l *muxConn, seq int32, intended *attempt, r choice.Result) {
 	s, err := l.state.ReplyStarted(seq, w.clock())
 	if err != nil {
-		w.breakMuxConn(l, life.Garbled)
+		w.breakMuxConn(l, lifecycle.Garbled)
 		return
 	}
 	if intended != nil && s.Host != intended.Attempt {
@@ -347,7 +347,7 @@
 	}
 }
 
-func (w *world) slotEnded(s *life.Slot) {
+func (w *world) slotEnded(s *lifecycle.Slot) {
 	if t := w.attemptOf(s); t == nil {
 		w.violate("an attempt ends a second time, after the loop has processed its end")
 	} else {
@@ -355,7 +355,7 @@
 	}
 }
 
-func (w *world) breakMuxConn(l *muxConn, c life.Cause) {
+func (w *world) breakMuxConn(l *muxConn, c lifecycle.Cause) {
 	ended, err := l.state.Break(c)
 	if err != nil {
 		w.violate("%v", err)
@@ -369,10 +369,10 @@
 func (w *world) releaseUnusedMuxConns() {
 	for _, l := range slices.Clone(w.muxConns) {
 		release, reuse := l.state.CanRelease(l.conn.Server.Retired())
-		if !release || len(l.writing) > 0 || l.conn.State() == life.Idle {
+		if !release || len(l.writing) > 0 || l.conn.State() == lifecycle.Idle {
 			continue
 		}
-		if slices.ContainsFunc(l.state.Slots(), func(s *life.Slot) bool { return s.Attempt.Stage() != life.Ended }) {
+		if slices.ContainsFunc(l.state.Slots(), func(s *lifecycle.Slot) bool { return s.Attempt.Stage() != lifecycle.Ended }) {
 			w.violate("a multiplexed connection that carries an attempt is released")
 		}
 		if !reuse {
@@ -387,14 +387,14 @@
 }
 
 // removeMuxConn removes a multiplexed connection that was closed.
-func (w *world) removeMuxConn(c *life.Conn) {
+func (w *world) removeMuxConn(c *lifecycle.Conn) {
 	w.muxConns = slices.DeleteFunc(w.muxConns, func(l *muxConn) bool { return l.conn == c })
 }
 
 // copyMuxConns returns deep copies of the multiplexed connections.
-func (w *world) copyMuxConns(copies *calltrack.Copies, conns *life.Copies[life.Conn]) (all []*muxConn) {
+func (w *world) copyMuxConns(copies *calltrack.Copies, conns *lifecycle.Copies[lifecycle.Conn]) (all []*muxConn) {
 	for _, l := range w.muxConns {
-		slots := life.Copies[life.Slot]{Fill: func(s, dst *life.Slot) {
+		slots := lifecycle.Copies[lifecycle.Slot]{Fill: func(s, dst *lifecycle.Slot) {
 			at := copies.Attempts.Of(s.Host.(*calltrack.Attempt))
 			s.CopyTo(dst, &at.State, at)
 		}}
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -5,7 +5,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // The properties, each checked where it could be violated. They are checked against data that the world itself records
@@ -136,7 +136,7 @@
 		w.violate("%d answers are still being relayed at the end", n)
 	}
 	for _, l := range w.muxConns { // one on which a late reply may still arrive stays in use
-		if l.conn.State() != life.Idle && len(l.state.Slots()) == 0 {
+		if l.conn.State() != lifecycle.Idle && len(l.state.Slots()) == 0 {
 			w.violate("a multiplexed connection that carries nothing is %v at the end", l.conn.State())
 		}
 	}
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -6,7 +6,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // StepKind says what happens in a step.
@@ -163,7 +163,7 @@
 		switch {
 		case t.relayPending: // it is queued ahead of the attempt's end
 			add(TakeRelayStart, t.index)
-		case t.State.Stage() == life.Ended && t.conn == nil:
+		case t.State.Stage() == lifecycle.Ended && t.conn == nil:
 			add(TakeEnd, t.index)
 		}
 		inFlight = true
@@ -207,20 +207,20 @@
 	}
 	if t.hung || w.cfg.allOrders() { // what ends a wait for the network
 		switch stage := t.State.Stage(); {
-		case stage != life.Dialling && stage != life.Writing && stage != life.Waiting:
+		case stage != lifecycle.Dialling && stage != lifecycle.Writing && stage != lifecycle.Waiting:
 		case t.hostCanceled:
 			all = append(all, Cancel)
-		case stage == life.Writing && t.SendBy != 0 && w.now >= t.SendBy:
+		case stage == lifecycle.Writing && t.SendBy != 0 && w.now >= t.SendBy:
 			all = append(all, WriteCut) // the write deadline has passed
 		case w.now >= t.Deadline:
 			all = append(all, TimeOut)
 		}
-		if t.hung && t.State.Stage() != life.Ended {
+		if t.hung && t.State.Stage() != lifecycle.Ended {
 			return all
 		}
 	}
 	switch t.State.Stage() {
-	case life.Placing:
+	case lifecycle.Placing:
 		switch {
 		case t.conn != nil: // waits for a place in the pool
 			all = append(all, NoPlace)
@@ -230,17 +230,17 @@
 			all = append(all, Acquire)
 		}
 		return orPause(!w.hasSparePlaces() && (t.conn == nil || w.now < t.Deadline))
-	case life.Dialling:
+	case lifecycle.Dialling:
 		all = append(all, DialSucceeds, DialFails)
 		all = append(all, w.raceOptions(t)...)
 		return orHang()
-	case life.Ready:
+	case lifecycle.Ready:
 		all = append(all, Send)
 		if t.race != nil && len(t.race.Dialing()) > 0 {
 			all = append(all, LoserConnects)
 		}
 		return orPause(!t.hostCanceled && w.now < t.Deadline)
-	case life.Writing:
+	case lifecycle.Writing:
 		if t.SendBy == 0 || w.now < t.SendBy { // after the write deadline these are impossible
 			all = append(all, WriteAll, WriteUncertain, AnswerEarlyError)
 		}
@@ -249,7 +249,7 @@
 			orPause(w.now < t.Deadline)
 		}
 		return orHang()
-	case life.Waiting:
+	case lifecycle.Waiting:
 		all = append(all, AnswerOK, AnswerError, AnswerReject, AnswerTwice, AnswerGarbled, Reset)
 		if w.cfg.Streams {
 			all = append(all, AnswerBegins)
@@ -258,7 +258,7 @@
 			all = append(all, LoserConnects)
 		}
 		return orHang()
-	case life.Reading:
+	case lifecycle.Reading:
 		return append(all, AnswerEnds, AnswerBreaks)
 	}
 	if t.conn != nil {
@@ -297,7 +297,7 @@
 		t.ReportIllegalStep(t.State.Answer(choice.OK))
 		w.checkEnding(t)
 	case AnswerBreaks:
-		w.fail(t, life.Broken)
+		w.fail(t, lifecycle.Broken)
 	case Acquire:
 		w.acquire(t)
 	case AcquireStrayBytes:
@@ -310,7 +310,7 @@
 		w.resumeAfterPoolChange(t.Server, true)
 		w.acquire(t)
 	case NoPlace:
-		w.fail(t, life.NoPlace)
+		w.fail(t, lifecycle.NoPlace)
 	case DialSucceeds:
 		w.dialSucceeded(t, 0)
 	case DialFails:
@@ -329,14 +329,14 @@
 	case WriteAll:
 		w.write(t, messageSize)
 	case WriteNone:
-		w.fail(t, life.Broken)
+		w.fail(t, lifecycle.Broken)
 	case WriteCut:
 		w.write(t, messageSize-1)
-		w.fail(t, life.Broken)
+		w.fail(t, lifecycle.Broken)
 	case WriteUncertain:
 		t.ReportIllegalStep(t.State.MarkUncertain())
 		w.recordRun(t)
-		w.fail(t, life.Broken)
+		w.fail(t, lifecycle.Broken)
 	case AnswerOK:
 		w.answer(t, choice.OK)
 	case AnswerError:
@@ -358,9 +358,9 @@
 		w.spoil(t)
 	case AnswerGarbled:
 		t.ReportIllegalStep(t.State.Read())
-		w.fail(t, life.Garbled)
+		w.fail(t, lifecycle.Garbled)
 	case Reset:
-		w.fail(t, life.Broken)
+		w.fail(t, lifecycle.Broken)
 	case Hang:
 		t.hung = true
 	case Pause:
@@ -368,11 +368,11 @@
 	case Release:
 		w.releaseAttemptConn(t)
 	case Cancel:
-		w.fail(t, life.Withdrawn)
+		w.fail(t, lifecycle.Withdrawn)
 	case TimeOut:
-		cause := life.Late
-		if t.State.Stage() == life.Dialling {
-			cause = life.Broken // as reported by the dial
+		cause := lifecycle.Late
+		if t.State.Stage() == lifecycle.Dialling {
+			cause = lifecycle.Broken // as reported by the dial
 		}
 		w.fail(t, cause)
 	}
@@ -445,13 +445,13 @@
 func (w *world) resumeByTime() {
 	for _, t := range w.attempts {
 		switch t.State.Stage() {
-		case life.Ready:
+		case lifecycle.Ready:
 			if w.conditionsFor(t).Late {
 				t.paused = false
 			}
-		case life.Writing:
+		case lifecycle.Writing:
 			t.paused = false
-		case life.Placing:
+		case lifecycle.Placing:
 			if t.conn != nil {
 				t.paused = false
 			}
--- a/internal/lab/explore/world.go
+++ b/internal/lab/explore/world.go
@@ -14,7 +14,7 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/addresses"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 )
 
 // Config sets the size of the world and the events that may happen in it.
@@ -102,7 +102,7 @@
 	chance          *drawSource
 	tracker         *calltrack.Tracker
 	balancer        *choice.Balancer
-	pool            *life.PoolState
+	pool            *lifecycle.PoolState
 	dialHistory     *addresses.History
 	muxConns        []*muxConn // in use or idle
 	timers          []timer
@@ -149,7 +149,7 @@
 	index            int             // among all attempts of the world
 	call             int             // index of its call
 	cell             int             // of its server
-	conn             *life.Conn      // that it waits for or uses
+	conn             *lifecycle.Conn // that it waits for or uses
 	hostCanceled     bool            // its host was notified of the cancellation
 	balancerCanceled bool            // the balancer has ordered the cancellation
 	race             *addresses.Race // its dials, if servers have several addresses
@@ -229,7 +229,7 @@
 		panic(err) // the settings are constants and valid
 	}
 	w.tracker = calltrack.New(w.trackerSettings(), cancelObserver{w.balancer, w})
-	w.pool, w.dialHistory = life.NewPoolState(cfg.Places), addresses.NewHistory(addresses.Defaults)
+	w.pool, w.dialHistory = lifecycle.NewPoolState(cfg.Places), addresses.NewHistory(addresses.Defaults)
 	var entries []calltrack.Entry
 	for i := range cfg.Servers {
 		s := choice.Server{ID: fmt.Sprint("server ", i), Cell: i % max(1, cfg.Cells)}
@@ -335,7 +335,7 @@
 		attemptsStarted: w.attemptsStarted, listChanges: w.listChanges, disconnects: w.disconnects, fault: w.fault}
 	c.balancer = w.balancer.Clone(c.chance)
 	c.tracker = w.tracker.Copy(c.trackerSettings(), cancelObserver{c.balancer, c}, copies)
-	conns := life.Copies[life.Conn]{Fill: func(o, dst *life.Conn) {
+	conns := lifecycle.Copies[lifecycle.Conn]{Fill: func(o, dst *lifecycle.Conn) {
 		var host any
 		if data, ok := o.Host.(*connData); ok {
 			dup := *data
@@ -403,7 +403,7 @@
 				w.removeMuxConn(c)
 			}
 			for _, t := range w.attempts {
-				if t.Server == o.Server && t.State.Stage() == life.Ready {
+				if t.Server == o.Server && t.State.Stage() == lifecycle.Ready {
 					t.paused = false
 				}
 			}
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/host/core"
 	"ternbeam/internal/host/exchange"
 	"ternbeam/internal/host/pool"
@@ -40,7 +40,7 @@
 
 // connKey identifies the calls that may share a connection.
 type connKey struct {
-	server *life.Server
+	server *lifecycle.Server
 	speaks choice.Protocols
 }
 
@@ -57,7 +57,7 @@
 	conn *pool.Conn
 
 	mu      sync.Mutex
-	state   *life.MultiplexedConn
+	state   *lifecycle.MultiplexedConn
 	writing bool
 }
 
@@ -66,7 +66,7 @@
 	ctx  context.Context
 	at   *core.Attempt
 	call *thriftmap.Call
-	slot *life.Slot
+	slot *lifecycle.Slot
 	done chan core.AttemptOutcome
 }
 
@@ -127,7 +127,7 @@
 	}
 	mc, _ := c.Session.(*muxConn)
 	if mc == nil {
-		mc = &muxConn{m: m, key: k, conn: c, state: life.NewMultiplexedConn(time.Now())}
+		mc = &muxConn{m: m, key: k, conn: c, state: lifecycle.NewMultiplexedConn(time.Now())}
 		c.Session = mc
 		go mc.read()
 	}
@@ -214,14 +214,14 @@
 			}
 		}
 		if err != nil || mc.state.Broken() { // the reader may have failed during the write
-			mc.breakLocked(life.Broken)
+			mc.breakLocked(lifecycle.Broken)
 		}
 		mc.mu.Unlock()
 	}
 }
 
 // breakLocked closes the connection and ends all calls on it, except for those that are being written.
-func (mc *muxConn) breakLocked(c life.Cause) {
+func (mc *muxConn) breakLocked(c lifecycle.Cause) {
 	mc.conn.Close()
 	ended, err := mc.state.Break(c)
 	for _, s := range ended {
@@ -241,9 +241,9 @@
 		return e
 	default:
 	}
-	cause := life.Late
+	cause := lifecycle.Late
 	if errors.Is(context.Cause(a.ctx), core.ErrCanceled) {
-		cause = life.Withdrawn
+		cause = lifecycle.Withdrawn
 	}
 	a.at.ReportIllegalStep(mc.state.Abandon(a.slot, cause))
 	return core.ResultOnly(a.at.State.Result())
@@ -259,9 +259,9 @@
 			mc.releaseIfIdle()
 			continue
 		}
-		cause := life.Broken
+		cause := lifecycle.Broken
 		if errors.Is(err, exchange.ErrInvalidAnswer) || errors.Is(err, os.ErrDeadlineExceeded) {
-			cause = life.Garbled
+			cause = lifecycle.Garbled
 		}
 		mc.mu.Lock()
 		mc.breakLocked(cause)
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -11,7 +11,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/deploy"
-	"ternbeam/internal/decide/life"
+	"ternbeam/internal/decide/lifecycle"
 	"ternbeam/internal/host/core"
 	"ternbeam/internal/host/pool"
 	"ternbeam/internal/lab/standin"
@@ -55,11 +55,11 @@
 	thriftwire.Compact: protocol.ThriftCompact}
 
 // try makes one attempt at a payOut or a note and returns its outcome.
-func (tr *transport) try(ctx context.Context, s *life.Server, e thriftwire.Encoding, method, id string) core.AttemptOutcome {
+func (tr *transport) try(ctx context.Context, s *lifecycle.Server, e thriftwire.Encoding, method, id string) core.AttemptOutcome {
 	return tr.Attempt(ctx, tr.attempt(s, e, method, id))
 }
 
-func (tr *transport) attempt(s *life.Server, e thriftwire.Encoding, method, id string) *core.Attempt {
+func (tr *transport) attempt(s *lifecycle.Server, e thriftwire.Encoding, method, id string) *core.Attempt {
 	tr.t.Helper()
 	w := thriftwire.Writer{Encoding: e}
 	w.Head(thriftwire.Call, []byte(method), thriftwire.AppendSeq(nil, e, 7))
@@ -93,7 +93,7 @@
 
 func (tr *transport) open() int { open, _, _ := tr.pool.Count(); return open }
 
-func start(t testing.TB, o standin.Options) (*standin.Server, *life.Server) {
+func start(t testing.TB, o standin.Options) (*standin.Server, *lifecycle.Server) {
 	t.Helper()
 	o.Protocol = "thrift"
 	s, err := standin.Start(o)
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	return s, &life.Server{ID: "s", Addr: s.Addr(), Multiplexed: o.Multiplexed}
+	return s, &lifecycle.Server{ID: "s", Addr: s.Addr(), Multiplexed: o.Multiplexed}
 }
 
 func text(e core.AttemptOutcome) string {
@@ -241,7 +241,7 @@
 }
 
 // startStuckServer starts a server that accepts connections and reads nothing.
-func startStuckServer(t *testing.T) (*life.Server, <-chan net.Conn) {
+func startStuckServer(t *testing.T) (*lifecycle.Server, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -258,7 +258,7 @@
 			conns <- c
 		}
 	}()
-	return &life.Server{ID: "s", Addr: l.Addr().String(), Multiplexed: true}, conns
+	return &lifecycle.Server{ID: "s", Addr: l.Addr().String(), Multiplexed: true}, conns
 }
 
 // blockedConn is a connection whose writes wait until gate is closed.
@@ -336,7 +336,7 @@
 		for _, mc := range conns {
 			mc.mu.Lock()
 			for _, s := range mc.state.Slots() {
-				if s.Attempt.Stage() == life.Ready {
+				if s.Attempt.Stage() == lifecycle.Ready {
 					n++
 				}
 			}
@@ -386,7 +386,7 @@
 		<-gate
 		return nil, io.ErrClosedPipe
 	}})
-	server := &life.Server{ID: "s", Addr: "127.0.0.1:1", Multiplexed: true}
+	server := &lifecycle.Server{ID: "s", Addr: "127.0.0.1:1", Multiplexed: true}
 	results := make(chan core.AttemptOutcome, 10)
 	var begun sync.WaitGroup
 	for i := range 10 {
--- a/layout_test.go
+++ b/layout_test.go
@@ -127,15 +127,15 @@
 func TestLayoutFaults(t *testing.T) {
 	for _, c := range []struct{ pkg, text, want string }{
 		{"choice", `import "net"`, "imports net"},
-		{"internal/decide/life", `import "os"`, "imports os"},
-		{"internal/decide/life", `import "time"; var x = time.Now`, "reads a clock"},
-		{"internal/decide/life", `import t "time"; func f() { t.Sleep(1) }`, "reads a clock"},
-		{"internal/decide/life", `import "ternbeam/internal/host/pool"`, "not in a lower layer"},
+		{"internal/decide/lifecycle", `import "os"`, "imports os"},
+		{"internal/decide/lifecycle", `import "time"; var x = time.Now`, "reads a clock"},
+		{"internal/decide/lifecycle", `import t "time"; func f() { t.Sleep(1) }`, "reads a clock"},
+		{"internal/decide/lifecycle", `import "ternbeam/internal/host/pool"`, "not in a lower layer"},
 		{"internal/http/httpback", `import "ternbeam/internal/thrift/thriftmap"`, "not in a lower layer"},
 		{"internal/agent", `import "ternbeam/internal/lab/standin"`, "not in a lower layer"},
 		{"internal/cellar", ``, "belongs to no layer"},
 		{"internal/host/core", `import ("net"; "time"; "ternbeam/choice"); var _, _ = net.Dial, time.Now`, ""},
-		{"internal/decide/life", `import ("time"; "ternbeam/choice"); var _ time.Duration; var _ choice.Result`, ""},
+		{"internal/decide/lifecycle", `import ("time"; "ternbeam/choice"); var _ time.Duration; var _ choice.Result`, ""},
 	} {
 		file, err := parser.ParseFile(token.NewFileSet(), "x.go", "package x\n"+c.text, parser.SkipObjectResolution)
 		if err != nil {
