--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ternbeam/internal/decide/succession"
+	"ternbeam/internal/decide/handover"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/host/core"
 	"ternbeam/internal/host/successor"
@@ -121,7 +121,7 @@
 		previous := a.core.Subscribe(received.Link.Send)
 		a.processesChanged(1, 0)
 		go func() {
-			received.Link.Run(func(n succession.Update) { a.core.ReceiveNews(ctx, n, previous) })
+			received.Link.Run(func(n handover.Update) { a.core.ReceiveNews(ctx, n, previous) })
 			a.core.Unsubscribe(previous)
 			a.processesChanged(-1, 0)
 			a.log.Info("the process before is gone")
@@ -164,7 +164,7 @@
 }
 
 // handOver returns the state and listeners for the next process, and subscribes it to updates.
-func (a *Agent) handOver(l *successor.Link) (succession.State, []*net.TCPListener, error) {
+func (a *Agent) handOver(l *successor.Link) (handover.State, []*net.TCPListener, error) {
 	s, next, err := a.core.HandOver(context.Background(), l.Send)
 	s.Name = a.cfg.Name
 	for _, listener := range a.listeners {
@@ -190,9 +190,9 @@
 	}
 	a.processesChanged(1, 1)
 	a.log.Info("a process that replaces this one has begun")
-	a.core.Broadcast(succession.Update{Replaced: true}) // for the previous process
+	a.core.Broadcast(handover.Update{Replaced: true}) // for the previous process
 	replacedToo := false
-	l.Run(func(n succession.Update) {
+	l.Run(func(n handover.Update) {
 		replacedToo = replacedToo || n.Replaced
 		a.core.ReceiveNews(context.Background(), n, next)
 	})
--- a/internal/decide/succession/succession.go
+++ b/internal/decide/handover/succession.go
@@ -1,6 +1,6 @@
 // Package handover defines what one process of an agent hands over to the process that replaces it, its encoding, and which
 // notifications between the two apply. It does no I/O and reads no clock.
-package succession
+package handover
 
 import (
 	"encoding/binary"
--- a/internal/decide/succession/succession_test.go
+++ b/internal/decide/handover/succession_test.go
@@ -1,4 +1,4 @@
-package succession
+package handover
 
 import (
 	"encoding/binary"
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/succession"
+	"ternbeam/internal/decide/handover"
 )
 
 // publishInterval is the maximum age of published figures, unless the machine itself is suspended.
@@ -34,16 +34,16 @@
 // Offline takes a server out of service until Online is called. Once it returns, no new attempt is started at the server. Known is
 // false if there is no such server. An error means that ctx ended first.
 func (c *Core) Offline(ctx context.Context, id string) (known bool, err error) {
-	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Offline, succession.Update{Offline: id})
+	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Offline, handover.Update{Offline: id})
 }
 
 // Online puts a server back into service.
 func (c *Core) Online(ctx context.Context, id string) (known bool, err error) {
-	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Online, succession.Update{Online: id})
+	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Online, handover.Update{Online: id})
 }
 
 func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*calltrack.Tracker, time.Duration, string) ([]calltrack.Command, bool),
-	news succession.Update) (known bool, err error) {
+	news handover.Update) (known bool, err error) {
 	return queryUrgent(ctx, c, func() bool {
 		orders, known := how(c.ledger, c.Now(), id)
 		c.execute(orders)
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -7,8 +7,8 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
+	"ternbeam/internal/decide/handover"
 	"ternbeam/internal/decide/operators"
-	"ternbeam/internal/decide/succession"
 	"ternbeam/internal/discovery"
 )
 
@@ -19,7 +19,7 @@
 }
 
 // Subscriber is another process of this agent, which receives this process's news while both are serving.
-type Subscriber struct{ notify func(succession.Update) }
+type Subscriber struct{ notify func(handover.Update) }
 
 // inheritOperatorState restores the operators' commands. It runs before any server becomes available to calls.
 func (c *Core) inheritOperatorState() {
@@ -42,11 +42,11 @@
 
 // HandOver returns the state that a replacing process starts with. From that moment on notify is called with all news that this
 // process receives, until Unsubscribe.
-func (c *Core) HandOver(ctx context.Context, notify func(succession.Update)) (s succession.State, o *Subscriber, err error) {
+func (c *Core) HandOver(ctx context.Context, notify func(handover.Update)) (s handover.State, o *Subscriber, err error) {
 	o = &Subscriber{notify}
-	s, err = queryUrgent(ctx, c, func() succession.State {
+	s, err = queryUrgent(ctx, c, func() handover.State {
 		c.subscribers[o] = true
-		s := succession.State{Discovery: c.discovery, Overrides: c.ledger.Overrides()}
+		s := handover.State{Discovery: c.discovery, Overrides: c.ledger.Overrides()}
 		if len(c.list.Servers) > 0 {
 			s.List, _ = json.Marshal(c.list) // consists of plain values; nil if encoding fails regardless
 		}
@@ -61,7 +61,7 @@
 }
 
 // Subscribe has notify called with all news that this process receives, until Unsubscribe.
-func (c *Core) Subscribe(notify func(succession.Update)) *Subscriber {
+func (c *Core) Subscribe(notify func(handover.Update)) *Subscriber {
 	o := &Subscriber{notify}
 	c.post(func() { c.subscribers[o] = true })
 	return o
@@ -71,11 +71,11 @@
 func (c *Core) Unsubscribe(o *Subscriber) { c.post(func() { delete(c.subscribers, o) }) }
 
 // Broadcast sends news to all other processes of this agent.
-func (c *Core) Broadcast(n succession.Update) { c.post(func() { c.notifySubscribers(n, nil) }) }
+func (c *Core) Broadcast(n handover.Update) { c.post(func() { c.notifySubscribers(n, nil) }) }
 
 // ReceiveNews applies news from another process and forwards it to all others. Of three processes each knows only its predecessor
 // and its successor, so that no news returns to its sender.
-func (c *Core) ReceiveNews(ctx context.Context, n succession.Update, from *Subscriber) {
+func (c *Core) ReceiveNews(ctx context.Context, n handover.Update, from *Subscriber) {
 	var reported []discovery.Entry
 	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &reported) != nil {
 		reported = nil
@@ -94,7 +94,7 @@
 		for _, e := range reported {
 			known, listed := c.ledger.ListedServer(e.ID)
 			s, err := e.Server(c.set.Zones)
-			if listed && err == nil && succession.Applies(known, s) {
+			if listed && err == nil && handover.Applies(known, s) {
 				ended = append(ended, e)
 			}
 		}
@@ -106,7 +106,7 @@
 }
 
 // notifySubscribers sends news to the other processes, except the one that it came from, if any.
-func (c *Core) notifySubscribers(n succession.Update, from *Subscriber) {
+func (c *Core) notifySubscribers(n handover.Update, from *Subscriber) {
 	for o := range c.subscribers {
 		if o != from {
 			o.notify(n)
@@ -153,7 +153,7 @@
 	c.list.Version, c.list.Full = l.Version, true
 	if len(ended) > 0 && len(c.subscribers) > 0 {
 		if text, err := json.Marshal(ended); err == nil {
-			c.notifySubscribers(succession.Update{Ended: text}, nil)
+			c.notifySubscribers(handover.Update{Ended: text}, nil)
 		}
 	}
 }
--- a/internal/host/successor/successor.go
+++ b/internal/host/successor/successor.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ternbeam/internal/decide/succession"
+	"ternbeam/internal/decide/handover"
 	"ternbeam/internal/host/accept"
 	"ternbeam/internal/sysio/socketio"
 	"ternbeam/internal/sysio/transient"
@@ -38,17 +38,17 @@
 // Link is the connection between the old and the new process while both run. Its methods are safe for concurrent use.
 type Link struct {
 	conn    net.Conn
-	updates chan succession.Update
+	updates chan handover.Update
 	once    sync.Once
 	done    chan struct{}
 }
 
 func newLink(c *net.UnixConn) *Link {
-	return &Link{conn: socketio.Wrap(c), updates: make(chan succession.Update, maxQueuedUpdates), done: make(chan struct{})}
+	return &Link{conn: socketio.Wrap(c), updates: make(chan handover.Update, maxQueuedUpdates), done: make(chan struct{})}
 }
 
 // Send queues an update for the other process. It does not block: if the queue is full the link is closed.
-func (l *Link) Send(n succession.Update) {
+func (l *Link) Send(n handover.Update) {
 	select {
 	case l.updates <- n:
 	default:
@@ -62,14 +62,14 @@
 }
 
 // Run sends queued updates and calls receive for each update from the other process, until the link is closed or the other process has ended.
-func (l *Link) Run(receive func(succession.Update)) {
+func (l *Link) Run(receive func(handover.Update)) {
 	go func() {
 		for {
 			select {
 			case <-l.done:
 				return
 			case n := <-l.updates:
-				frame, err := succession.Encode(n)
+				frame, err := handover.Encode(n)
 				if err == nil {
 					l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 					_, err = l.conn.Write(frame)
@@ -84,7 +84,7 @@
 	defer l.Close()
 	l.conn.SetReadDeadline(time.Time{})
 	for {
-		var n succession.Update
+		var n handover.Update
 		if err := read(l.conn, &n); err != nil {
 			return
 		}
@@ -94,11 +94,11 @@
 
 // read reads one frame and decodes it.
 func read(from io.Reader, into any) error {
-	head := make([]byte, succession.HeaderSize)
+	head := make([]byte, handover.HeaderSize)
 	if _, err := io.ReadFull(from, head); err != nil {
 		return err
 	}
-	n, sum, err := succession.DecodeHeader(head)
+	n, sum, err := handover.DecodeHeader(head)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	if _, err := io.ReadFull(from, body); err != nil {
 		return err
 	}
-	return succession.DecodeBody(body, sum, into)
+	return handover.DecodeBody(body, sum, into)
 }
 
 // hello is the first message of a process that claims the state.
@@ -116,7 +116,7 @@
 
 // Result is what a successful claim yields to the new process.
 type Result struct {
-	State     succession.State
+	State     handover.State
 	Listeners []*net.TCPListener
 	Link      *Link
 }
@@ -164,7 +164,7 @@
 
 func claim(conn *net.UnixConn, name string) (_ *Result, err error) {
 	conn.SetDeadline(time.Now().Add(attemptTimeout))
-	frame, err := succession.Encode(hello{name})
+	frame, err := handover.Encode(hello{name})
 	if err != nil {
 		return nil, err
 	}
@@ -270,7 +270,7 @@
 // Serve answers claims until Close. It calls handOver for each valid claim, which returns the state and the listeners to hand over and
 // subscribes the link to all updates after that state. It then calls linked, even if the claim failed and the link is closed; linked must run
 // the link and return when it has ended.
-func (s *Server) Serve(handOver func(*Link) (succession.State, []*net.TCPListener, error), linked func(*Link)) {
+func (s *Server) Serve(handOver func(*Link) (handover.State, []*net.TCPListener, error), linked func(*Link)) {
 	retry := accept.NewRetrier(s.log)
 	for {
 		conn, err := accept.Do(retry, s.listen.AcceptUnix)
@@ -295,7 +295,7 @@
 	}
 }
 
-func (s *Server) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (succession.State, []*net.TCPListener, error)) (err error) {
+func (s *Server) answer(conn *net.UnixConn, l *Link, handOver func(*Link) (handover.State, []*net.TCPListener, error)) (err error) {
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -307,7 +307,7 @@
 		return err
 	}
 	if claim.Name != s.name {
-		if frame, err := succession.Encode(succession.State{Name: s.name}); err == nil { // so that it does not retry
+		if frame, err := handover.Encode(handover.State{Name: s.name}); err == nil { // so that it does not retry
 			l.conn.Write(append([]byte{0}, frame...))
 		}
 		return fmt.Errorf("agent %q claims the state of agent %q", claim.Name, s.name)
@@ -316,7 +316,7 @@
 	if err != nil {
 		return err
 	}
-	frame, err := succession.Encode(state)
+	frame, err := handover.Encode(state)
 	if err != nil {
 		return err
 	}
--- a/internal/host/successor/successor_test.go
+++ b/internal/host/successor/successor_test.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"testing"
 
-	"ternbeam/internal/decide/succession"
+	"ternbeam/internal/decide/handover"
 	"ternbeam/internal/lab/testkit"
 )
 
@@ -17,7 +17,7 @@
 	path     string
 	listen   *net.TCPListener
 	links    chan *Link
-	received chan succession.Update
+	received chan handover.Update
 	ended    chan struct{}
 }
 
@@ -28,18 +28,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	o := &oldProcess{path: filepath.Join(t.TempDir(), "s"), listen: l.(*net.TCPListener), links: make(chan *Link, 8), received: make(chan succession.Update, 8),
+	o := &oldProcess{path: filepath.Join(t.TempDir(), "s"), listen: l.(*net.TCPListener), links: make(chan *Link, 8), received: make(chan handover.Update, 8),
 		ended: make(chan struct{}, 8)}
 	offer, err := NewServer(o.path, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { offer.Close() })
-	go offer.Serve(func(link *Link) (succession.State, []*net.TCPListener, error) {
-		return succession.State{Name: "n1", Listeners: []string{l.Addr().String()}}, []*net.TCPListener{o.listen}, nil
+	go offer.Serve(func(link *Link) (handover.State, []*net.TCPListener, error) {
+		return handover.State{Name: "n1", Listeners: []string{l.Addr().String()}}, []*net.TCPListener{o.listen}, nil
 	}, func(link *Link) {
 		o.links <- link
-		link.Run(func(n succession.Update) { o.received <- n })
+		link.Run(func(n handover.Update) { o.received <- n })
 		o.ended <- struct{}{}
 	})
 	return o
@@ -65,14 +65,14 @@
 	c.Close()
 	h.Listeners[0].Close()
 	old := <-o.links
-	received := make(chan succession.Update, 1)
+	received := make(chan handover.Update, 1)
 	done := make(chan struct{})
 	go func() {
-		h.Link.Run(func(n succession.Update) { received <- n })
+		h.Link.Run(func(n handover.Update) { received <- n })
 		close(done)
 	}()
-	old.Send(succession.Update{Offline: "a"})
-	h.Link.Send(succession.Update{Online: "b"})
+	old.Send(handover.Update{Offline: "a"})
+	h.Link.Send(handover.Update{Online: "b"})
 	if n := <-received; n.Offline != "a" {
 		t.Errorf("the new process received %+v", n)
 	}
@@ -87,7 +87,7 @@
 // A claim that breaks off at any point, or is invalid, does not affect the old process.
 func TestClaimsThatBreak(t *testing.T) {
 	o := startOldProcess(t)
-	frame, err := succession.Encode(hello{"n1"})
+	frame, err := handover.Encode(hello{"n1"})
 	if err != nil {
 		t.Fatal(err)
 	}
