--- a/internal/decide/calltrack/ledger.go
+++ b/internal/decide/calltrack/ledger.go
@@ -13,7 +13,7 @@
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/learned"
 	"ternbeam/internal/decide/lifecycle"
-	"ternbeam/internal/decide/operators"
+	"ternbeam/internal/decide/overrides"
 	"ternbeam/internal/decide/routes"
 	"ternbeam/internal/decide/subset"
 )
@@ -233,7 +233,7 @@
 	calls        map[string]*Call // by id: calls that are unanswered or have attempts in flight
 	servers      map[string]*lifecycle.Server
 	listed       map[string]Entry // by id: the entries as the server list has them, including draining servers
-	overrides    operators.Set
+	overrides    overrides.Set
 	unanswered   int // number of unanswered calls
 	relaying     int // number of calls whose answer is being relayed
 	stats        Stats
--- a/internal/decide/calltrack/operators.go
+++ b/internal/decide/calltrack/operators.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/operators"
+	"ternbeam/internal/decide/overrides"
 )
 
 // Offline takes a server out of use by an operator's request, until Online. It returns false if the server is unknown, or if
@@ -35,10 +35,10 @@
 }
 
 // Overrides returns the operators' overrides, to hand over to another process.
-func (t *Tracker) Overrides() operators.Snapshot { return t.overrides.Snapshot() }
+func (t *Tracker) Overrides() overrides.Snapshot { return t.overrides.Snapshot() }
 
 // RestoreOverrides applies the overrides that operators made in an earlier process.
-func (t *Tracker) RestoreOverrides(now time.Duration, s operators.Snapshot) []Command {
+func (t *Tracker) RestoreOverrides(now time.Duration, s overrides.Snapshot) []Command {
 	t.startStep(now)
 	t.overrides.Restore(now, s)
 	var entries []Entry
--- a/internal/decide/handover/succession.go
+++ b/internal/decide/handover/succession.go
@@ -10,7 +10,7 @@
 	"hash/crc32"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/operators"
+	"ternbeam/internal/decide/overrides"
 )
 
 // State is the state that a process starts with if it replaces another one.
@@ -18,7 +18,7 @@
 	Name      string             `json:"name"`
 	Discovery string             `json:"discovery"`         // address of List's source; list versions differ between sources
 	List      json.RawMessage    `json:"list"`              // the server list, in discovery's format
-	Overrides operators.Snapshot `json:"said"`              // operators' overrides of servers
+	Overrides overrides.Snapshot `json:"said"`              // operators' overrides of servers
 	Learned   *choice.Memory     `json:"learned,omitempty"` // what the decision module has learned
 	Listeners []string           `json:"listeners"`         // addresses of the listeners, in the order in which their descriptors are passed
 }
--- a/internal/decide/operators/operators.go
+++ b/internal/decide/overrides/operators.go
@@ -1,6 +1,6 @@
 // Package overrides holds the operators' manual overrides of servers: which servers are offline, and how that changes their
 // entries in the server list. It does no I/O and reads no clock.
-package operators
+package overrides
 
 import (
 	"maps"
--- a/internal/decide/operators/operators_test.go
+++ b/internal/decide/overrides/operators_test.go
@@ -1,4 +1,4 @@
-package operators
+package overrides
 
 import (
 	"fmt"
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -8,13 +8,13 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/handover"
-	"ternbeam/internal/decide/operators"
+	"ternbeam/internal/decide/overrides"
 	"ternbeam/internal/discovery"
 )
 
 // InheritedState is the state that this process takes over from the one that it replaces, in addition to the list of servers.
 type InheritedState struct {
-	Overrides operators.Snapshot
+	Overrides overrides.Snapshot
 	Learned   *choice.Memory
 }
 
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -42,7 +42,7 @@
 	{"retired server's attempts are sent", "internal/decide/lifecycle/attempt.go", "case now.Retired:\n\t\ta.end(choice.ConnectFailed)", "case false:", "changes"},
 	{"every dial that succeeds wins", "internal/decide/addresses/addresses.go", "wins = !r.won", "wins = true", "races"},
 	{"race lost while a dial is out", "internal/decide/addresses/addresses.go", "return !r.won && len(r.dialing) == 0 && r.next >= len(r.addrs)", "return false", "races"},
-	{"server that is out by hand is sent to", "internal/decide/operators/operators.go", "if o.IsOffline(s.ID) && s.State == choice.Ready {", "if false {", "by-hand"},
+	{"server that is out by hand is sent to", "internal/decide/overrides/operators.go", "if o.IsOffline(s.ID) && s.State == choice.Ready {", "if false {", "by-hand"},
 	{"word of the operators is kept and not carried out", "internal/decide/calltrack/operators.go", "\tif listed {\n", "\tif false {\n", "back"},
 	{"list's word undoes the operators'", "internal/decide/calltrack/ledger.go", "\t\te.Server = t.overrides.Apply(e.Server)\n", "\t\tif len(entries) == 0 || !t.overrides.IsOffline(e.ID) || full || e.Started != 0 {\n\t\t\te.Server = t.overrides.Apply(e.Server)\n\t\t}\n", "by-hand"},
 	{"answer that has begun comes after another", "internal/decide/calltrack/long.go", "\tif call.Finished() {", "\tif false {", "passing"},
