--- a/internal/decide/listing/listing.go
+++ b/internal/decide/listcheck/listing.go
@@ -1,7 +1,7 @@
 // Package listcheck decides which server lists from discovery are accepted. A discovery service that is overloaded or has
 // restarted may send lists that are empty, older than the last one, or contain a server twice. The last good list stays in
 // effect then, but drains are applied even from a list that is rejected. The package does no I/O and reads no clock.
-package listing
+package listcheck
 
 import (
 	"fmt"
--- a/internal/decide/listing/listing_test.go
+++ b/internal/decide/listcheck/listing_test.go
@@ -1,4 +1,4 @@
-package listing
+package listcheck
 
 import (
 	"fmt"
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -12,7 +12,7 @@
 
 	"ternbeam/internal/clock"
 	"ternbeam/internal/decide/asking"
-	"ternbeam/internal/decide/listing"
+	"ternbeam/internal/decide/listcheck"
 	"ternbeam/internal/sysio/socketio"
 )
 
@@ -37,12 +37,12 @@
 	client         *http.Client
 	log            *slog.Logger
 
-	mu                sync.Mutex       // held while a list is checked and delivered
-	checker           *listing.Checker // decides which lists are accepted
-	lastEnd           string           // error of the latest watch, empty if a list has been delivered since
-	drainsUnconfirmed bool             // drains of a rejected list were delivered, and no full list since
-	lastDelivery      delivery         // of an accepted list
-	stalled           bool             // the latest list that started was not complete in time, and none has been since
+	mu                sync.Mutex         // held while a list is checked and delivered
+	checker           *listcheck.Checker // decides which lists are accepted
+	lastEnd           string             // error of the latest watch, empty if a list has been delivered since
+	drainsUnconfirmed bool               // drains of a rejected list were delivered, and no full list since
+	lastDelivery      delivery           // of an accepted list
+	stalled           bool               // the latest list that started was not complete in time, and none has been since
 }
 
 // delivery records which call delivered a list, and when.
@@ -53,11 +53,11 @@
 
 // UnknownVersion is the version of a list when none has been received from this discovery service yet: another service may count
 // differently.
-const UnknownVersion = listing.UnknownVersion
+const UnknownVersion = listcheck.UnknownVersion
 
 // New returns a Client that starts from a known list, which may have the version UnknownVersion.
 func New(addr string, known List, log *slog.Logger) *Client {
-	checker := listing.New(known.Version)
+	checker := listcheck.New(known.Version)
 	if known.Version != UnknownVersion {
 		checker.Check(known.forCheck())
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,7 +9,7 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/addresses"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/listing"
+	"ternbeam/internal/decide/listcheck"
 	"ternbeam/internal/protocol"
 )
 
@@ -90,10 +90,10 @@
 }
 
 // forCheck returns the fields of the list that decide whether it is accepted.
-func (l List) forCheck() listing.List {
-	out := listing.List{Version: l.Version, Full: l.Full, Entries: make([]listing.Entry, 0, len(l.Servers))}
+func (l List) forCheck() listcheck.List {
+	out := listcheck.List{Version: l.Version, Full: l.Full, Entries: make([]listcheck.Entry, 0, len(l.Servers))}
 	for _, e := range l.Servers {
-		out.Entries = append(out.Entries, listing.Entry{ID: e.ID, State: states[e.State], Started: e.StartedMS})
+		out.Entries = append(out.Entries, listcheck.Entry{ID: e.ID, State: states[e.State], Started: e.StartedMS})
 	}
 	return out
 }
