--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/subset"
 	"ternbeam/internal/settings/wire"
 )
@@ -29,7 +29,7 @@
 // instance is one balancer, with the scheduler of its list requests and its ranks at servers.
 type instance struct {
 	*choice.Balancer
-	scheduler *asking.Scheduler // nil if the list is pushed
+	scheduler *pacing.Scheduler // nil if the list is pushed
 	subset    *subset.Subset
 }
 
@@ -57,10 +57,10 @@
 			if err != nil {
 				return err
 			}
-			listSettings := asking.Settings(m.Settings.Pacing)
+			listSettings := pacing.Settings(m.Settings.Pacing)
 			i = instance{Balancer: b, subset: subset.New(subset.Settings{Agents: listSettings.Agents, Me: listSettings.Me, Seed: m.Seed})}
 			if listSettings.Shared {
-				i.scheduler = asking.New(listSettings, m.Seed)
+				i.scheduler = pacing.New(listSettings, m.Seed)
 				listAt = i.scheduler.FirstCall(now)
 			}
 			instances[m.Instance] = i
--- a/internal/decide/asking/asking.go
+++ b/internal/decide/pacing/asking.go
@@ -7,7 +7,7 @@
 // that all agents share. So the fleet calls at an even rate, with at most one call per agent and period, whatever caused
 // the calls: a cold start, an outage of the service, agents killed one after the other. docs/design/cold-start.md
 // derives the period. The package does no I/O and reads no clock.
-package asking
+package pacing
 
 import (
 	"cmp"
--- a/internal/decide/asking/asking_test.go
+++ b/internal/decide/pacing/asking_test.go
@@ -1,4 +1,4 @@
-package asking
+package pacing
 
 import (
 	"container/heap"
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/company"
+	"ternbeam/internal/decide/pacing"
 )
 
 // Settings configure a Node, apart from its index.
@@ -86,7 +86,7 @@
 type Node struct {
 	settings  Settings
 	peers     *company.Table
-	scheduler *asking.Scheduler
+	scheduler *pacing.Scheduler
 	rng       *rand.Rand
 	ranks     []int // by index: agents of lower rank watch first
 	now       time.Duration
@@ -143,7 +143,7 @@
 }
 
 // New returns a Node. The restored list of the given version is not passed on before the service has confirmed it.
-func New(settings Settings, c *company.Table, scheduler *asking.Scheduler, version int64, restored []Row, seed uint64) *Node {
+func New(settings Settings, c *company.Table, scheduler *pacing.Scheduler, version int64, restored []Row, seed uint64) *Node {
 	n := &Node{settings: settings, peers: c, scheduler: scheduler, rng: rand.New(rand.NewPCG(seed, 11)),
 		list: newVersionedList(0, 0), version: max(0, version), restored: restored, deliveredEarly: map[string]bool{}}
 	n.ranks = make([]int, c.Agents())
--- a/internal/decide/sharing/sharing_test.go
+++ b/internal/decide/sharing/sharing_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/company"
+	"ternbeam/internal/decide/pacing"
 )
 
 // world simulates nodes, the links between them and a discovery service, in virtual time.
@@ -127,7 +127,7 @@
 	h.alive, h.known, h.startedAt = true, map[string]Row{}, w.now
 	seed := w.rng.Uint64()
 	peers := company.New(company.Settings{Agents: len(w.nodes), Me: h.index, Epoch: uint64(w.now / time.Millisecond)}, seed)
-	scheduler := asking.New(asking.Settings{Shared: true, Agents: len(w.nodes), Me: h.index, MustAsk: 10 * time.Second}, seed)
+	scheduler := pacing.New(pacing.Settings{Shared: true, Agents: len(w.nodes), Me: h.index, MustAsk: 10 * time.Second}, seed)
 	h.node = New(w.set, peers, scheduler, version, known, seed)
 	for _, r := range known {
 		h.known[r.ID] = r
@@ -227,7 +227,7 @@
 		}
 	}
 	if w.reachable != nil && !w.reachable(h.index) {
-		w.after(asking.WatchSilenceTimeout, func() { end(asking.WatchSilenceTimeout) })
+		w.after(pacing.WatchSilenceTimeout, func() { end(pacing.WatchSilenceTimeout) })
 		return
 	}
 	if w.down {
@@ -264,7 +264,7 @@
 			case w.down:
 				end(0)
 			case w.reachable != nil && !w.reachable(h.index):
-				w.after(asking.WatchSilenceTimeout, func() { end(asking.WatchSilenceTimeout) })
+				w.after(pacing.WatchSilenceTimeout, func() { end(pacing.WatchSilenceTimeout) })
 			default:
 				h.do(h.node.WatchAlive(w.now))
 				w.after(100*time.Millisecond, ping)
@@ -655,7 +655,7 @@
 			t.Errorf("decoding the encoded datagram: %v", err)
 		}
 		c := company.New(company.Settings{Agents: 4, Me: 0, Epoch: 1}, 1)
-		n := New(Defaults, c, asking.New(asking.Settings{Shared: true, Agents: 4}, 1), 0, nil, 1)
+		n := New(Defaults, c, pacing.New(pacing.Settings{Shared: true, Agents: 4}, 1), 0, nil, 1)
 		n.Start(time.Hour)
 		n.Receive(time.Hour+time.Second, d)
 		n.Tick(time.Hour + 2*time.Second)
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/lab/testkit"
 )
 
@@ -52,7 +52,7 @@
 func TestDrainBehindSilentWatches(t *testing.T) {
 	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
-	limit := 6*time.Second + 500*time.Millisecond - asking.WatchSilenceTimeout + silence
+	limit := 6*time.Second + 500*time.Millisecond - pacing.WatchSilenceTimeout + silence
 	watch := func(w http.ResponseWriter, r *http.Request) { write(w, inService); <-r.Context().Done() }
 	answers := func(w http.ResponseWriter, r *http.Request) { write(w, draining); <-r.Context().Done() }
 	for name, handlers := range map[string][]func(http.ResponseWriter, *http.Request){
@@ -72,7 +72,7 @@
 			d.silenceTimeout = silence
 			received := make(chan time.Time, 100)
 			var start time.Time
-			go d.KeepWatching(ctx, asking.New(asking.Settings{Grace: 500 * time.Millisecond}, 1), func(l List) {
+			go d.KeepWatching(ctx, pacing.New(pacing.Settings{Grace: 500 * time.Millisecond}, 1), func(l List) {
 				if start.IsZero() {
 					start = time.Now()
 				} else if l.Servers[0].State == "terminating" {
@@ -119,7 +119,7 @@
 	d := New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))
 	d.silenceTimeout = 200 * time.Millisecond
 	received := make(chan struct{})
-	go d.KeepWatching(ctx, asking.New(asking.Settings{}, 1), func(l List) {
+	go d.KeepWatching(ctx, pacing.New(pacing.Settings{}, 1), func(l List) {
 		if l.Servers[0].State == "terminating" {
 			close(received)
 		}
@@ -150,7 +150,7 @@
 			addr, _ := startService(t, c.handlers...)
 			begin := time.Now()
 			// With a single agent, its slots come at once.
-			nextList(t, watchWith(t, asking.Settings{Shared: true, Agents: 1}, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))))
+			nextList(t, watchWith(t, pacing.Settings{Shared: true, Agents: 1}, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))))
 			if took := time.Since(begin); took > c.most {
 				t.Errorf("received after %v", took)
 			}
@@ -175,7 +175,7 @@
 			defer cancel()
 			d := New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))
 			received := make(chan struct{}, 10)
-			go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
+			go d.KeepWatching(ctx, pacing.New(sequentialCalls, 1), func(l List) {
 				if l.Version == 9 && l.Servers[0].State == "terminating" {
 					received <- struct{}{}
 				}
@@ -214,7 +214,7 @@
 	defer cancel()
 	d := New(addr, List{Version: UnknownVersion}, slog.New(slog.DiscardHandler))
 	received := make(chan string, 100)
-	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
+	go d.KeepWatching(ctx, pacing.New(sequentialCalls, 1), func(l List) {
 		text := fmt.Sprint(l.Version, " ", l.Full)
 		for _, e := range l.Servers {
 			text += " " + e.ID + " " + e.State
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"ternbeam/internal/clock"
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/listcheck"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/sysio/socketio"
 )
 
@@ -61,7 +61,7 @@
 	if known.Version != UnknownVersion {
 		checker.Check(known.forCheck())
 	}
-	return &Client{addr: addr, checker: checker, silenceTimeout: asking.WatchSilenceTimeout, stallTimeout: listStallTimeout, log: log, client: &http.Client{
+	return &Client{addr: addr, checker: checker, silenceTimeout: pacing.WatchSilenceTimeout, stallTimeout: listStallTimeout, log: log, client: &http.Client{
 		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true,
 			DialContext: dial},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -71,7 +71,7 @@
 // KeepWatching watches the list until ctx ends. It starts each watch from the latest version, at the times that scheduler determines.
 // Without a watch, the agent continues with the list that it has. lost, which may be nil, is called whenever a watch ends. Lists are
 // delivered one after the other, from any goroutine, and none after KeepWatching has returned.
-func (d *Client) KeepWatching(ctx context.Context, scheduler *asking.Scheduler, deliver func(List), lost func()) {
+func (d *Client) KeepWatching(ctx context.Context, scheduler *pacing.Scheduler, deliver func(List), lost func()) {
 	if lost == nil {
 		lost = func() {}
 	}
@@ -83,11 +83,11 @@
 }
 
 // keepWatchingShared is KeepWatching for a service that all agents share. It makes one call at a time.
-func (d *Client) keepWatchingShared(ctx context.Context, scheduler *asking.Scheduler, deliver func(List), lost func()) {
+func (d *Client) keepWatchingShared(ctx context.Context, scheduler *pacing.Scheduler, deliver func(List), lost func()) {
 	contact := newContactLog(d.log)
 	started := clock.Now()
 	events := Events{Answered: func() { contact.callAnswered(started); scheduler.ResponseStarted(clock.Now()) }, Alive: contact.dataReceived,
-		Deliver: func(l List) { scheduler.ListReceived(); deliver(l) }, Timeout: asking.CallTimeout}
+		Deliver: func(l List) { scheduler.ListReceived(); deliver(l) }, Timeout: pacing.CallTimeout}
 	for next := scheduler.FirstCall(started); ; {
 		select {
 		case <-ctx.Done():
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,13 +14,13 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/lab/testkit"
 	"ternbeam/internal/protocol"
 )
 
 // sequentialCalls leaves so much time between two calls that none is made in parallel to one that is answered, even on a busy machine.
-var sequentialCalls = asking.Settings{Grace: 2500 * time.Millisecond}
+var sequentialCalls = pacing.Settings{Grace: 2500 * time.Millisecond}
 
 // A watch that ends, and one that stays open but is silent, are both restarted from the last version.
 func TestWatchIsBegunAgain(t *testing.T) {
@@ -46,7 +46,7 @@
 	d.silenceTimeout = 300 * time.Millisecond
 	var got []string
 	delivered := make(chan struct{}, 8)
-	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
+	go d.KeepWatching(ctx, pacing.New(sequentialCalls, 1), func(l List) {
 		got = append(got, fmt.Sprintln(l.Version, l.Full, l.Servers[0].ID))
 		delivered <- struct{}{}
 	}, nil)
@@ -95,7 +95,7 @@
 	d := New(s.Listener.Addr().String(), List{Version: 7}, slog.New(slog.DiscardHandler))
 	d.silenceTimeout = 2 * time.Second // the list is sent after 3 s
 	delivered := make(chan struct{}, 8)
-	go d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(List) { delivered <- struct{}{} }, nil)
+	go d.KeepWatching(ctx, pacing.New(sequentialCalls, 1), func(List) { delivered <- struct{}{} }, nil)
 	wait(t, delivered)
 	if len(calls) != 1 {
 		t.Errorf("%d watches", len(calls))
@@ -171,7 +171,7 @@
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				d.KeepWatching(ctx, asking.New(sequentialCalls, 1), func(l List) {
+				d.KeepWatching(ctx, pacing.New(sequentialCalls, 1), func(l List) {
 					if got = append(got, l.Version); l.Version == 10 {
 						close(last)
 					}
--- a/internal/discovery/localwatch.go
+++ b/internal/discovery/localwatch.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ternbeam/internal/clock"
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 )
 
 // errSuperseded ends a call that another call replaces, by being made or by establishing a watch.
@@ -18,7 +18,7 @@
 // parallel to the pending ones: a call that the service received while it was down may never be answered.
 type localWatch struct {
 	client   *Client
-	schedule *asking.LocalSchedule
+	schedule *pacing.LocalSchedule
 	deliver  func(List)
 	lost     func()
 	contact  *contactLog
@@ -53,7 +53,7 @@
 	callEnded
 )
 
-func newLocalWatch(client *Client, schedule *asking.LocalSchedule, deliver func(List), lost func()) *localWatch {
+func newLocalWatch(client *Client, schedule *pacing.LocalSchedule, deliver func(List), lost func()) *localWatch {
 	return &localWatch{client: client, schedule: schedule, deliver: deliver, lost: lost, contact: newContactLog(client.log),
 		events: make(chan callEvent)}
 }
@@ -87,7 +87,7 @@
 
 // startCall starts a call. If too many calls are pending, one of them is canceled.
 func (w *localWatch) startCall(ctx context.Context) {
-	if len(w.pending) >= asking.MaxPending { // the oldest is kept, as the service may be slow
+	if len(w.pending) >= pacing.MaxPending { // the oldest is kept, as the service may be slow
 		w.pending[1].cancel(errSuperseded)
 		w.pending = slices.Delete(w.pending, 1, 2)
 	}
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -12,24 +12,24 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/lab/testkit"
 )
 
 // watchLocally watches a service that serves only this agent until the test ends, and returns the lists that are delivered.
 func watchLocally(t *testing.T, d *Client) <-chan List {
 	t.Helper()
-	return watchWith(t, asking.Settings{}, d)
+	return watchWith(t, pacing.Settings{}, d)
 }
 
 // watchWith is watchLocally with the given settings.
-func watchWith(t *testing.T, set asking.Settings, d *Client) <-chan List {
+func watchWith(t *testing.T, set pacing.Settings, d *Client) <-chan List {
 	t.Helper()
 	lists := make(chan List, 1000)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
-		d.KeepWatching(ctx, asking.New(set, 1), func(l List) { lists <- l }, nil)
+		d.KeepWatching(ctx, pacing.New(set, 1), func(l List) { lists <- l }, nil)
 		close(over)
 	}()
 	t.Cleanup(func() { cancel(); <-over })
@@ -67,8 +67,8 @@
 		<-r.Context().Done()
 	})
 	lists := watchLocally(t, New(addr, List{Version: 7}, slog.New(slog.DiscardHandler)))
-	testkit.Eventually(t, "the maximum number of calls hangs", func() bool { return made.Load() > 2*asking.MaxPending })
-	if n := maxOpen.Load(); n > asking.MaxPending+1 { // the end of a call is noticed a little later
+	testkit.Eventually(t, "the maximum number of calls hangs", func() bool { return made.Load() > 2*pacing.MaxPending })
+	if n := maxOpen.Load(); n > pacing.MaxPending+1 { // the end of a call is noticed a little later
 		t.Errorf("%d concurrent calls", n)
 	}
 	up.Store(true)
@@ -147,7 +147,7 @@
 			}
 			limit := 500 * time.Millisecond
 			if name == "a head alone" { // looks like a watch until it is given up for its silence
-				limit += asking.WatchSilenceTimeout
+				limit += pacing.WatchSilenceTimeout
 			}
 			if took := time.Since(begin); took > limit {
 				t.Errorf("received after %v, over %v", took, limit)
@@ -280,7 +280,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		d := New(addr, List{Version: 7}, slog.New(slog.DiscardHandler))
 		n := 0
-		d.KeepWatching(ctx, asking.New(asking.Settings{}, 1), func(List) {
+		d.KeepWatching(ctx, pacing.New(pacing.Settings{}, 1), func(List) {
 			if !mu.TryLock() {
 				t.Error("two lists are delivered at the same time")
 				return
--- a/internal/discovery/standstill_test.go
+++ b/internal/discovery/standstill_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/lab/testkit"
 )
 
@@ -28,7 +28,7 @@
 		log := slog.New(slog.NewTextHandler(os.Stdout, nil))
 		d := New(addr, List{Version: 7}, log)
 		d.silenceTimeout = silence
-		d.KeepWatching(context.Background(), asking.New(sequentialCalls, 1), func(l List) { fmt.Println("version", l.Version) }, nil)
+		d.KeepWatching(context.Background(), pacing.New(sequentialCalls, 1), func(l List) { fmt.Println("version", l.Version) }, nil)
 		return
 	}
 	stopped, sent := make(chan struct{}), make(chan struct{})
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -16,9 +16,9 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/clock"
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/learned"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/routes"
 	"ternbeam/internal/decide/subset"
 	"ternbeam/internal/discovery"
@@ -64,7 +64,7 @@
 	MaxUnanswered int            // limit on calls that are not answered yet; 0 for no limit
 	InitialList   discovery.List // the list of servers to start with
 	Discovery     string         // address of the list service
-	Pacing        asking.Settings
+	Pacing        pacing.Settings
 	Feed          Feed // if not nil, it provides the list; InitialList and Discovery are ignored then
 	Pool          *pool.Pool
 	Transports    map[choice.Protocols]Transport // by the protocol that a server speaks
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -5,8 +5,8 @@
 	"strings"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/calltrack"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/discovery"
 )
 
@@ -53,7 +53,7 @@
 	c.discovery, c.list.Version = addr, known.Version
 	d := discovery.New(addr, known, c.log)
 	c.startWatch = func() {
-		d.KeepWatching(ctx, asking.New(c.set.Pacing, c.set.Seed), func(l discovery.List) {
+		d.KeepWatching(ctx, pacing.New(c.set.Pacing, c.set.Seed), func(l discovery.List) {
 			c.postUrgent(ctx, func() {
 				if ctx.Err() == nil {
 					c.applyList(l)
--- a/internal/host/members/members.go
+++ b/internal/host/members/members.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"ternbeam/internal/clock"
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/membership"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/resolve"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/discovery/dnssource"
@@ -23,7 +23,7 @@
 	sourceconf.Config
 	Discovery string         // address of the platform's list; empty for none
 	LastList  discovery.List // the last known platform's list
-	Pacing    asking.Settings
+	Pacing    pacing.Settings
 	Zones     []string
 	Seed      uint64
 	Log       *slog.Logger
@@ -158,7 +158,7 @@
 
 // watch keeps watching the platform's list and reports each update, until ctx is done.
 func (h *Host) watch(ctx context.Context, deliver func([]calltrack.Entry)) {
-	discovery.New(h.set.Discovery, h.set.LastList, h.set.Log).KeepWatching(ctx, asking.New(h.set.Pacing, h.set.Seed), func(l discovery.List) {
+	discovery.New(h.set.Discovery, h.set.LastList, h.set.Log).KeepWatching(ctx, pacing.New(h.set.Pacing, h.set.Seed), func(l discovery.List) {
 		r := h.listReport(l)
 		h.post(ctx, func() { h.report(r, deliver) })
 	}, func() {
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -16,9 +16,9 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/clock"
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/company"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 )
@@ -30,7 +30,7 @@
 	Peers     []string // UDP addresses of all agents, by index
 	Discovery string
 	LastList  discovery.List // the list as it was known last
-	Asking    asking.Settings
+	Asking    pacing.Settings
 	Zones     []string
 	Seed      uint64
 	Log       *slog.Logger
@@ -81,7 +81,7 @@
 	for _, e := range set.LastList.Servers {
 		rows = append(rows, encodeRow(e))
 	}
-	h.node = sharing.New(set.Settings, members, asking.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
+	h.node = sharing.New(set.Settings, members, pacing.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
 	return h, nil
 }
 
@@ -217,7 +217,7 @@
 	d := discovery.New(h.settings.Discovery, known, h.settings.Log)
 	go func() {
 		silent := d.Watch(ctx, discovery.Events{
-			Timeout:  asking.CallTimeout,
+			Timeout:  pacing.CallTimeout,
 			Answered: func() { post(func() []sharing.Action { return h.node.WatchAnswered(clock.Now()) }) },
 			Alive:    func() { post(func() []sharing.Action { return h.node.WatchAlive(clock.Now()) }) },
 			Deliver: func(l discovery.List) {
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/asking"
 	"ternbeam/internal/decide/calltrack"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/lab/standin"
@@ -55,7 +55,7 @@
 	t.Cleanup(func() { cancel(); all.Wait() })
 	for i := range n {
 		h, err := New(Settings{Settings: set, Listen: g.addrs[i], Peers: g.addrs, Discovery: list, LastList: known, Seed: uint64(i),
-			Asking: asking.Settings{Shared: true, Me: i, MustAsk: 10 * time.Second}, Log: slog.New(slog.DiscardHandler)})
+			Asking: pacing.Settings{Shared: true, Me: i, MustAsk: 10 * time.Second}, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"ternbeam/choice"
-	"ternbeam/internal/decide/asking"
+	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/shutdown"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/settings/wire"
@@ -41,7 +41,7 @@
 	Seed         uint64
 	InitialList  discovery.List  // the list of servers at start-up
 	Module       choice.Settings // parsed by the same code as in the simulator's adapter
-	Pacing       asking.Settings // when the list is requested from the discovery service
+	Pacing       pacing.Settings // when the list is requested from the discovery service
 	Peers        Peers           // addresses for the exchange of lists between agents
 	ReportFields []string        // names of the figures in a load report, in their order
 	Host         HostSettings
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errSettings, err)
 	}
-	cfg.Module, cfg.ReportFields, cfg.Pacing = set.Module, set.ReportFields, asking.Settings(set.Pacing)
+	cfg.Module, cfg.ReportFields, cfg.Pacing = set.Module, set.ReportFields, pacing.Settings(set.Pacing)
 	cfg.Module.MaxSendDelay = shutdown.MaxStall
 	if err := json.Unmarshal(file.Settings, &cfg.Host); err != nil {
 		return nil, fmt.Errorf("%w: %w", errSettings, err)
@@ -174,7 +174,7 @@
 // reservedSockets is the number of descriptors that are used for neither clients nor backends: the listener's two, calls to
 // discovery (pacing.MaxPending), the poller, the standard streams, the second descriptor of a connection that is being
 // accepted, and one more connection while another one closes.
-const reservedSockets = 26 + asking.MaxPending
+const reservedSockets = 26 + pacing.MaxPending
 
 // ClientSockets returns the number of descriptors for client connections. At most a third of all descriptors is used for
 // connections with requests; the rest of the clients' share is for those that are idle or have sent nothing yet.
