--- a/internal/decide/company/company.go
+++ b/internal/decide/peerstate/company.go
@@ -6,7 +6,7 @@
 //
 // A heartbeat carries the epoch of the agent's process and a sequence number that grows while it runs. Greater ones win,
 // in whatever order and however often they arrive: an old datagram never brings an agent back.
-package company
+package peerstate
 
 import (
 	"cmp"
--- a/internal/decide/company/company_test.go
+++ b/internal/decide/peerstate/company_test.go
@@ -1,4 +1,4 @@
-package company
+package peerstate
 
 import (
 	"math/rand/v2"
--- a/internal/decide/sharing/datagram.go
+++ b/internal/decide/sharing/datagram.go
@@ -7,19 +7,19 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ternbeam/internal/decide/company"
+	"ternbeam/internal/decide/peerstate"
 )
 
 // Datagram is a message from one agent to another.
 type Datagram struct {
-	From    company.Heartbeat
-	Gen     uint64              // generation of the sender's list
-	At      Cursor              // up to which the sender's list is complete
-	Order   uint16              // order of rows to which At refers, where it lies within a version
-	Age     time.Duration       // how long ago the sender's list was that of the service
-	Request bool                // the sender requests what it lacks
-	Busy    bool                // the sender is receiving that from another agent
-	Others  []company.Heartbeat // heartbeats of other agents
+	From    peerstate.Heartbeat
+	Gen     uint64                // generation of the sender's list
+	At      Cursor                // up to which the sender's list is complete
+	Order   uint16                // order of rows to which At refers, where it lies within a version
+	Age     time.Duration         // how long ago the sender's list was that of the service
+	Request bool                  // the sender requests what it lacks
+	Busy    bool                  // the sender is receiving that from another agent
+	Others  []peerstate.Heartbeat // heartbeats of other agents
 	Chunk   *Chunk
 }
 
@@ -103,7 +103,7 @@
 
 func toAgeUnits(d time.Duration) uint32 { return uint32(min(max(d, 0), maxAge) / ageUnit) }
 
-func encodeHeartbeat(w company.Heartbeat) wireHeartbeat {
+func encodeHeartbeat(w peerstate.Heartbeat) wireHeartbeat {
 	return wireHeartbeat{Index: uint32(w.Index), Epoch: w.Epoch, Seq: w.Seq, Flags: uint8(w.Flags), Age: toAgeUnits(w.Age)}
 }
 
@@ -146,11 +146,11 @@
 	}
 	d := &Datagram{Gen: wire.Gen, Order: wire.Order, Request: wire.Request, Busy: wire.Busy}
 	var err error
-	heartbeat := func(w wireHeartbeat) company.Heartbeat {
+	heartbeat := func(w wireHeartbeat) peerstate.Heartbeat {
 		if w.Index > 1<<24 {
 			err = errors.Join(err, fmt.Errorf("agent index %d is out of range", w.Index))
 		}
-		return company.Heartbeat{Index: int(w.Index), Epoch: w.Epoch, Seq: w.Seq, Flags: company.Flags(w.Flags), Age: fromAgeUnits(w.Age)}
+		return peerstate.Heartbeat{Index: int(w.Index), Epoch: w.Epoch, Seq: w.Seq, Flags: peerstate.Flags(w.Flags), Age: fromAgeUnits(w.Age)}
 	}
 	cursor := func(c wireCursor) Cursor {
 		if c.Version < 0 || len(c.ID) > maxIDBytes {
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/sharing/sharing.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"ternbeam/internal/decide/company"
 	"ternbeam/internal/decide/pacing"
+	"ternbeam/internal/decide/peerstate"
 )
 
 // Settings configure a Node, apart from its index.
@@ -85,7 +85,7 @@
 // Node decides for one agent. It is not safe for concurrent use.
 type Node struct {
 	settings  Settings
-	peers     *company.Table
+	peers     *peerstate.Table
 	scheduler *pacing.Scheduler
 	rng       *rand.Rand
 	ranks     []int // by index: agents of lower rank watch first
@@ -143,7 +143,7 @@
 }
 
 // New returns a Node. The restored list of the given version is not passed on before the service has confirmed it.
-func New(settings Settings, c *company.Table, scheduler *pacing.Scheduler, version int64, restored []Row, seed uint64) *Node {
+func New(settings Settings, c *peerstate.Table, scheduler *pacing.Scheduler, version int64, restored []Row, seed uint64) *Node {
 	n := &Node{settings: settings, peers: c, scheduler: scheduler, rng: rand.New(rand.NewPCG(seed, 11)),
 		list: newVersionedList(0, 0), version: max(0, version), restored: restored, deliveredEarly: map[string]bool{}}
 	n.ranks = make([]int, c.Agents())
@@ -186,8 +186,8 @@
 // Leave notifies some other agents that this one shuts down.
 func (n *Node) Leave(now time.Duration) []Action {
 	n.advance(now)
-	n.peers.SetFlags(company.Leaving, true)
-	n.peers.SetFlags(company.Watching, false)
+	n.peers.SetFlags(peerstate.Leaving, true)
+	n.peers.SetFlags(peerstate.Watching, false)
 	n.gossip()
 	return n.actions
 }
@@ -522,7 +522,7 @@
 	n.advance(now)
 	n.scheduler.ResponseStarted(n.now)
 	n.watch, n.answeredAt, n.confirmed = watchOpen, n.now, false
-	n.peers.SetFlags(company.Watching, true)
+	n.peers.SetFlags(peerstate.Watching, true)
 	n.gossip()
 	n.updateWatch()
 	return n.actions
@@ -615,7 +615,7 @@
 	held := n.watch == watchOpen
 	n.watch = watchNone
 	n.retryAfter, n.retryAt, n.callEnded = n.scheduler.CallEnded(n.now, silent), 0, true
-	n.peers.SetFlags(company.Watching, false)
+	n.peers.SetFlags(peerstate.Watching, false)
 	if held {
 		n.gossip()
 	}
@@ -625,7 +625,7 @@
 
 // updateWatch decides whether this agent should open or close a watch.
 func (n *Node) updateWatch() {
-	watchers := n.peers.WithFlags(n.now, company.Watching, watcherTimeout)
+	watchers := n.peers.WithFlags(n.now, peerstate.Watching, watcherTimeout)
 	slices.SortFunc(watchers, func(a, b int) int { return n.ranks[a] - n.ranks[b] })
 	n.bestWatchers = watchers[:min(n.settings.Watchers, len(watchers))]
 	ownRank, better := n.ranks[n.peers.Me()], 0
@@ -640,7 +640,7 @@
 			n.surplusSince = n.now
 		} else if n.now-n.surplusSince > n.settings.SurplusDelay {
 			n.surplusSince, n.watch = 0, watchNone
-			n.peers.SetFlags(company.Watching, false)
+			n.peers.SetFlags(peerstate.Watching, false)
 			n.emit(Action{Kind: Unwatch})
 			n.gossip()
 		}
@@ -663,7 +663,7 @@
 	for p, rank := range n.ranks {
 		m, known := n.peers.Get(p)
 		age := n.now - m.SentAt
-		if rank < ownRank && (!known || m.Flags&company.Leaving == 0 && age <= 2*watcherTimeout) {
+		if rank < ownRank && (!known || m.Flags&peerstate.Leaving == 0 && age <= 2*watcherTimeout) {
 			before++
 		}
 		if known && age <= agentTimeout {
--- a/internal/decide/sharing/sharing_test.go
+++ b/internal/decide/sharing/sharing_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"ternbeam/internal/decide/company"
 	"ternbeam/internal/decide/pacing"
+	"ternbeam/internal/decide/peerstate"
 )
 
 // world simulates nodes, the links between them and a discovery service, in virtual time.
@@ -126,7 +126,7 @@
 	w := h.w
 	h.alive, h.known, h.startedAt = true, map[string]Row{}, w.now
 	seed := w.rng.Uint64()
-	peers := company.New(company.Settings{Agents: len(w.nodes), Me: h.index, Epoch: uint64(w.now / time.Millisecond)}, seed)
+	peers := peerstate.New(peerstate.Settings{Agents: len(w.nodes), Me: h.index, Epoch: uint64(w.now / time.Millisecond)}, seed)
 	scheduler := pacing.New(pacing.Settings{Shared: true, Agents: len(w.nodes), Me: h.index, MustAsk: 10 * time.Second}, seed)
 	h.node = New(w.set, peers, scheduler, version, known, seed)
 	for _, r := range known {
@@ -564,7 +564,7 @@
 	w := newSettledWorld(t, 3, 10, 1)
 	victim := w.nodes[0]
 	gen, version := victim.node.Version()
-	forged := Datagram{From: company.Heartbeat{Index: 1, Epoch: 1 << 50}, Gen: gen + 1, At: Cursor{version + 1, lastID},
+	forged := Datagram{From: peerstate.Heartbeat{Index: 1, Epoch: 1 << 50}, Gen: gen + 1, At: Cursor{version + 1, lastID},
 		Chunk: &Chunk{Gen: gen + 1, Upto: Cursor{version + 1, lastID}, Head: version + 1, Rows: []Row{{ID: "forms-1", Version: version + 1, Body: []byte("forged")}}}}
 	victim.do(victim.node.Receive(w.now, &forged))
 	if len(victim.known) != 10 {
@@ -577,7 +577,7 @@
 	// An older list, and one of the same version, bring nothing back.
 	w.publish(Row{ID: "forms-1", Draining: true, Body: []byte("drains")})
 	w.settle(5 * time.Second)
-	old := Datagram{From: company.Heartbeat{Index: 2}, Gen: gen, At: Cursor{version, lastID},
+	old := Datagram{From: peerstate.Heartbeat{Index: 2}, Gen: gen, At: Cursor{version, lastID},
 		Chunk: &Chunk{Gen: gen, After: Cursor{version - 1, lastID}, Upto: Cursor{version, lastID}, Head: version,
 			Rows: []Row{{ID: "forms-1", Version: version, Body: []byte("127.0.0.1:1 in service")}}}}
 	victim.do(victim.node.Receive(w.now, &old))
@@ -591,7 +591,7 @@
 	w := newSettledWorld(t, 2, 10, 1)
 	h := w.nodes[0]
 	gen, version := h.node.Version()
-	actions := h.node.Receive(w.now, &Datagram{From: company.Heartbeat{Index: 1, Epoch: 1 << 50}, Gen: gen, At: Cursor{version + 9, lastID},
+	actions := h.node.Receive(w.now, &Datagram{From: peerstate.Heartbeat{Index: 1, Epoch: 1 << 50}, Gen: gen, At: Cursor{version + 9, lastID},
 		Chunk: &Chunk{Gen: gen, After: Cursor{version, lastID}, Upto: Cursor{version + 2, "forms-5"}, Head: version + 9,
 			Rows: []Row{{ID: "forms-5", Version: version + 2, Draining: true, Body: []byte("drains")}}}})
 	h.do(actions)
@@ -603,7 +603,7 @@
 	}
 	// The rest never arrives, and the service has put the server back: that is delivered though the list is as it was.
 	body := h.w.rows["forms-5"].Body
-	h.do(h.node.Receive(w.now, &Datagram{From: company.Heartbeat{Index: 1, Epoch: 1<<50 + 1}, Gen: gen, At: Cursor{version + 20, lastID},
+	h.do(h.node.Receive(w.now, &Datagram{From: peerstate.Heartbeat{Index: 1, Epoch: 1<<50 + 1}, Gen: gen, At: Cursor{version + 20, lastID},
 		Chunk: &Chunk{Gen: gen, Order: 7, After: Cursor{version, lastID}, Upto: Cursor{version + 20, lastID}, Head: version + 20,
 			Rows: []Row{{ID: "forms-5", Version: version + 20, Body: body}}}}))
 	if h.known["forms-5"].Draining {
@@ -613,8 +613,8 @@
 
 // A datagram is decoded as it was encoded; contents that no agent sends are an error.
 func TestDatagram(t *testing.T) {
-	d := Datagram{From: company.Heartbeat{Index: 3, Epoch: 1 << 41, Seq: 7, Flags: company.Watching}, Gen: 1, At: Cursor{41, lastID}, Age: 1230 * time.Millisecond, Request: true,
-		Others: []company.Heartbeat{{Index: 4, Epoch: 5, Age: 20 * time.Millisecond}},
+	d := Datagram{From: peerstate.Heartbeat{Index: 3, Epoch: 1 << 41, Seq: 7, Flags: peerstate.Watching}, Gen: 1, At: Cursor{41, lastID}, Age: 1230 * time.Millisecond, Request: true,
+		Others: []peerstate.Heartbeat{{Index: 4, Epoch: 5, Age: 20 * time.Millisecond}},
 		Chunk:  &Chunk{Gen: 1, Order: 9, After: Cursor{40, lastID}, Upto: Cursor{41, lastID}, Head: 41, Rows: []Row{{ID: "a", Version: 41, Draining: true, Body: []byte("x")}}}}
 	got, err := Decode(d.Encode())
 	if err != nil || !reflect.DeepEqual(got, &d) {
@@ -627,7 +627,7 @@
 		"beyond its head":        func(d *Datagram) { d.Chunk.Head = 7 },
 		"a negative version":     func(d *Datagram) { d.At.Version = -1 },
 		"a high index":           func(d *Datagram) { d.From.Index = 1 << 30 },
-		"too many heartbeats":    func(d *Datagram) { d.Others = make([]company.Heartbeat, maxOthers+1) },
+		"too many heartbeats":    func(d *Datagram) { d.Others = make([]peerstate.Heartbeat, maxOthers+1) },
 		"too large":              func(d *Datagram) { d.Chunk.Rows[0].Body = make([]byte, MaxDatagramBytes) },
 	} {
 		bad, _ := Decode(d.Encode())
@@ -654,7 +654,7 @@
 		if _, err := Decode(d.Encode()); err != nil && len(d.Encode()) <= MaxDatagramBytes {
 			t.Errorf("decoding the encoded datagram: %v", err)
 		}
-		c := company.New(company.Settings{Agents: 4, Me: 0, Epoch: 1}, 1)
+		c := peerstate.New(peerstate.Settings{Agents: 4, Me: 0, Epoch: 1}, 1)
 		n := New(Defaults, c, pacing.New(pacing.Settings{Shared: true, Agents: 4}, 1), 0, nil, 1)
 		n.Start(time.Hour)
 		n.Receive(time.Hour+time.Second, d)
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -17,8 +17,8 @@
 	"ternbeam/choice"
 	"ternbeam/internal/clock"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/company"
 	"ternbeam/internal/decide/pacing"
+	"ternbeam/internal/decide/peerstate"
 	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 )
@@ -76,7 +76,7 @@
 		return nil, fmt.Errorf("listening for other agents: %w", err)
 	}
 	set.Asking.Agents = len(set.Peers)
-	members := company.New(company.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
+	members := peerstate.New(peerstate.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
 	rows := make([]sharing.Row, 0, len(set.LastList.Servers))
 	for _, e := range set.LastList.Servers {
 		rows = append(rows, encodeRow(e))
