--- a/cmd/ternbeam/main.go
+++ b/cmd/ternbeam/main.go
@@ -20,7 +20,7 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/agent"
-	"ternbeam/internal/decide/sharing"
+	"ternbeam/internal/decide/gossip"
 	"ternbeam/internal/host/logqueue"
 	"ternbeam/internal/lab/demo"
 	"ternbeam/internal/settings/config"
@@ -132,7 +132,7 @@
 			return err
 		}
 	}
-	var peerSettings *sharing.Settings
+	var peerSettings *gossip.Settings
 	if r.Peers != "" {
 		text, err := os.ReadFile(r.Peers)
 		if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,8 +18,8 @@
 	"ternbeam/choice"
 	"ternbeam/internal/bridge"
 	"ternbeam/internal/decide/addresses"
+	"ternbeam/internal/decide/gossip"
 	"ternbeam/internal/decide/routes"
-	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/decide/shutdown"
 	"ternbeam/internal/host/accept"
 	"ternbeam/internal/host/conntrack"
@@ -78,7 +78,7 @@
 type Options struct {
 	Service   *thriftmap.Map                 // the Thrift service; nil for HTTP only
 	Sources   *sourceconf.Config             // sources of servers; nil for the platform's list only
-	Peers     *sharing.Settings              // gossip of server lists among agents; nil for none
+	Peers     *gossip.Settings               // gossip of server lists among agents; nil for none
 	Shapes    func() (*translate.Set, error) // reads the shapes of calls, at start and at each reload; nil for no translation
 	SharedDir string                         // folder shared with a replacing process; empty for none
 }
--- a/internal/decide/sharing/sharing.go
+++ b/internal/decide/gossip/sharing.go
@@ -3,7 +3,7 @@
 // random agents and by chunks that are sent as soon as something changes. An agent that knows of no other agent with a
 // fresher list calls the service itself. The package does no I/O and reads no clock. docs/design/cold-start.md derives
 // the figures.
-package sharing
+package gossip
 
 import (
 	"cmp"
--- a/internal/decide/sharing/sheet.go
+++ b/internal/decide/gossip/sheet.go
@@ -1,4 +1,4 @@
-package sharing
+package gossip
 
 import (
 	"bytes"
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -17,15 +17,15 @@
 	"ternbeam/choice"
 	"ternbeam/internal/clock"
 	"ternbeam/internal/decide/calltrack"
+	"ternbeam/internal/decide/gossip"
 	"ternbeam/internal/decide/pacing"
 	"ternbeam/internal/decide/peerstate"
-	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 )
 
 // Settings configure a Host.
 type Settings struct {
-	sharing.Settings
+	gossip.Settings
 	Listen    string   // UDP address on which other agents reach this one
 	Peers     []string // UDP addresses of all agents, by index
 	Discovery string
@@ -42,7 +42,7 @@
 	conn        *net.UDPConn
 	addrs       []netip.AddrPort // of all agents, by index
 	events      chan func()
-	node        *sharing.Node
+	node        *gossip.Node
 	cancelWatch context.CancelFunc // cancels the watch; nil while there is none
 	delivered   map[string]bool    // ids of the servers that the module knows
 
@@ -77,11 +77,11 @@
 	}
 	set.Asking.Agents = len(set.Peers)
 	members := peerstate.New(peerstate.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
-	rows := make([]sharing.Row, 0, len(set.LastList.Servers))
+	rows := make([]gossip.Row, 0, len(set.LastList.Servers))
 	for _, e := range set.LastList.Servers {
 		rows = append(rows, encodeRow(e))
 	}
-	h.node = sharing.New(set.Settings, members, pacing.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
+	h.node = gossip.New(set.Settings, members, pacing.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
 	return h, nil
 }
 
@@ -112,7 +112,7 @@
 // receive reads datagrams until the socket is closed. It drops those that do not come from the address of the agent that
 // they name.
 func (h *Host) receive(ctx context.Context, deliver func([]calltrack.Entry)) {
-	buffer := make([]byte, sharing.MaxDatagramBytes+1)
+	buffer := make([]byte, gossip.MaxDatagramBytes+1)
 	for {
 		n, from, err := h.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -121,7 +121,7 @@
 		if err != nil {
 			continue // an ICMP error for an earlier datagram: that agent is not reachable
 		}
-		d, err := sharing.Decode(buffer[:n])
+		d, err := gossip.Decode(buffer[:n])
 		if err != nil || d.From.Index >= len(h.addrs) || h.addrs[d.From.Index] != netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) {
 			if h.Rejected.Add(1) == 1 {
 				h.settings.Log.Warn("a datagram that no agent can have sent, further ones are counted only", "from", from, "bytes", n, "error", err)
@@ -136,17 +136,17 @@
 }
 
 // apply carries out actions.
-func (h *Host) apply(ctx context.Context, actions []sharing.Action, deliver func([]calltrack.Entry)) {
+func (h *Host) apply(ctx context.Context, actions []gossip.Action, deliver func([]calltrack.Entry)) {
 	for _, a := range actions {
 		switch a.Kind {
-		case sharing.Send:
+		case gossip.Send:
 			h.conn.WriteToUDPAddrPort(a.Datagram.Encode(), h.addrs[a.To]) // a datagram that cannot be sent counts as lost
-		case sharing.Watch:
+		case gossip.Watch:
 			h.openWatch(ctx, a.Version, deliver)
-		case sharing.Unwatch:
+		case gossip.Unwatch:
 			h.cancelWatch()
 			h.settings.Log.Info("others watch the list")
-		case sharing.Deliver:
+		case gossip.Deliver:
 			var entries []discovery.Entry
 			for _, r := range a.Rows {
 				e, err := decodeRow(r)
@@ -204,7 +204,7 @@
 	}
 	known.Version, known.Full = version, true
 	ctx, h.cancelWatch = context.WithCancel(ctx)
-	post := func(event func() []sharing.Action) {
+	post := func(event func() []gossip.Action) {
 		select {
 		case h.events <- func() {
 			if ctx.Err() == nil {
@@ -218,17 +218,17 @@
 	go func() {
 		silent := d.Watch(ctx, discovery.Events{
 			Timeout:  pacing.CallTimeout,
-			Answered: func() { post(func() []sharing.Action { return h.node.WatchAnswered(clock.Now()) }) },
-			Alive:    func() { post(func() []sharing.Action { return h.node.WatchAlive(clock.Now()) }) },
+			Answered: func() { post(func() []gossip.Action { return h.node.WatchAnswered(clock.Now()) }) },
+			Alive:    func() { post(func() []gossip.Action { return h.node.WatchAlive(clock.Now()) }) },
 			Deliver: func(l discovery.List) {
-				rows := make([]sharing.Row, 0, len(l.Servers))
+				rows := make([]gossip.Row, 0, len(l.Servers))
 				for _, e := range l.Servers {
 					rows = append(rows, encodeRow(e))
 				}
-				post(func() []sharing.Action { return h.node.ListReceived(clock.Now(), l.Version, l.Full, rows) })
+				post(func() []gossip.Action { return h.node.ListReceived(clock.Now(), l.Version, l.Full, rows) })
 			},
 		})
-		post(func() []sharing.Action { return h.node.WatchEnded(clock.Now(), silent) })
+		post(func() []gossip.Action { return h.node.WatchEnded(clock.Now(), silent) })
 	}()
 }
 
@@ -259,7 +259,7 @@
 }()
 
 // encodeRow encodes an entry for other agents.
-func encodeRow(e discovery.Entry) sharing.Row {
+func encodeRow(e discovery.Entry) gossip.Row {
 	b := entryBody{Addr: e.Addr, Addrs: e.Addrs, Zone: e.Zone, Cell: e.Cell, State: e.State, Weight: e.Weight,
 		StartedMS: e.StartedMS, Protocol: e.Protocol, Multiplexed: e.Multiplexed, Shapes: e.Shapes, Weightless: e.Weight == 0}
 	if b.State == inService {
@@ -272,11 +272,11 @@
 	if err != nil {
 		panic(err) // plain values always encode
 	}
-	return sharing.Row{ID: e.ID, Removed: e.State == "terminated", Draining: e.State == "terminating", Body: text}
+	return gossip.Row{ID: e.ID, Removed: e.State == "terminated", Draining: e.State == "terminating", Body: text}
 }
 
 // decodeRow decodes the entry of a row.
-func decodeRow(r sharing.Row) (discovery.Entry, error) {
+func decodeRow(r gossip.Row) (discovery.Entry, error) {
 	if r.Removed {
 		return discovery.Entry{ID: r.ID, State: "terminated"}, nil
 	}
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -13,8 +13,8 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
+	"ternbeam/internal/decide/gossip"
 	"ternbeam/internal/decide/pacing"
-	"ternbeam/internal/decide/sharing"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/lab/standin"
 	"ternbeam/internal/lab/testkit"
@@ -47,7 +47,7 @@
 		g.addrs, g.known = append(g.addrs, c.LocalAddr().String()), append(g.known, map[string]choice.State{})
 		c.Close()
 	}
-	set := sharing.Defaults
+	set := gossip.Defaults
 	set.DigestInterval, set.StaleAfter, set.WatcherDelay = 50*time.Millisecond, time.Hour, time.Hour // agents of high rank number never call the service here
 	set.Watchers = 1
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,9 +105,9 @@
 		t.Fatal(err)
 	}
 	defer stranger.Close()
-	forged := sharing.Datagram{Gen: 99, At: sharing.Cursor{Version: 99, ID: "x"}}
+	forged := gossip.Datagram{Gen: 99, At: gossip.Cursor{Version: 99, ID: "x"}}
 	forged.From.Index = 1
-	for _, data := range [][]byte{forged.Encode(), []byte("noise"), make([]byte, sharing.MaxDatagramBytes)} {
+	for _, data := range [][]byte{forged.Encode(), []byte("noise"), make([]byte, gossip.MaxDatagramBytes)} {
 		if _, err := stranger.WriteTo(data, net.UDPAddrFromAddrPort(netip.MustParseAddrPort(g.addrs[0]))); err != nil {
 			t.Fatal(err)
 		}
@@ -141,7 +141,7 @@
 	if got, err := decodeRow(encodeRow(discovery.Entry{ID: "c", State: "terminated"})); err != nil || got.State != "terminated" {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, err := decodeRow(sharing.Row{ID: "d", Body: []byte{0xff}}); err == nil {
+	if _, err := decodeRow(gossip.Row{ID: "d", Body: []byte{0xff}}); err == nil {
 		t.Error("random bytes are decoded as an entry")
 	}
 	if n := len(encodeRow(discovery.Entry{ID: "s", Addr: "10.1.0.18:8000", Zone: "a", State: "in_service", Weight: 1}).Body); n > 24 {
@@ -151,7 +151,7 @@
 
 // Errors in the configuration are reported before anything is sent.
 func TestProblems(t *testing.T) {
-	valid := Settings{Settings: sharing.Defaults, Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Log: slog.New(slog.DiscardHandler)}
+	valid := Settings{Settings: gossip.Defaults, Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Log: slog.New(slog.DiscardHandler)}
 	for name, corrupt := range map[string]func(*Settings){
 		"no listener":  func(s *Settings) { s.Listen = "" },
 		"no peers":     func(s *Settings) { s.Peers = nil },
--- a/internal/settings/peerconf/peerconf.go
+++ b/internal/settings/peerconf/peerconf.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"ternbeam/internal/decide/sharing"
+	"ternbeam/internal/decide/gossip"
 	"ternbeam/internal/settings/conffile"
 )
 
@@ -22,11 +22,11 @@
 }
 
 // Parse parses such a file. The error joins all problems, each with its line and key.
-func Parse(text []byte) (*sharing.Settings, error) {
+func Parse(text []byte) (*gossip.Settings, error) {
 	var in file
 	src := conffile.Read(text, &in)
-	s, l := sharing.Defaults, &in.Lists
-	src.Int("lists.size", l.Size, sharing.MinDatagramBytes, sharing.MaxDatagramBytes, &s.DatagramBytes)
+	s, l := gossip.Defaults, &in.Lists
+	src.Int("lists.size", l.Size, gossip.MinDatagramBytes, gossip.MaxDatagramBytes, &s.DatagramBytes)
 	src.Duration("lists.round_ms", l.RoundMS, time.Millisecond, 50, 10_000, &s.DigestInterval)
 	src.Int("lists.fanout", l.Fanout, 1, 16, &s.Fanout)
 	src.Int("lists.watchers", l.Watchers, 1, 100, &s.Watchers)
--- a/internal/settings/peerconf/peerconf_test.go
+++ b/internal/settings/peerconf/peerconf_test.go
@@ -5,13 +5,13 @@
 	"testing"
 
 	"ternbeam/deploy"
-	"ternbeam/internal/decide/sharing"
+	"ternbeam/internal/decide/gossip"
 )
 
 // The sample file has the default values.
 func TestSample(t *testing.T) {
 	got, err := Parse([]byte(deploy.Peers))
-	if err != nil || *got != sharing.Defaults {
+	if err != nil || *got != gossip.Defaults {
 		t.Errorf("the sample is %+v, %v, want the defaults", got, err)
 	}
 }
