--- a/internal/decide/keeping/keeping.go
+++ b/internal/decide/writepolicy/keeping.go
@@ -1,7 +1,7 @@
 // Package writepolicy decides when an agent writes its learned state to disk: when enough of it has changed, not too
 // often, not while the agent is busy, not at the same time as other agents on the same disk, with growing delays after
 // failures, and once more at shutdown. It does no I/O and reads no clock.
-package keeping
+package writepolicy
 
 import (
 	"math/rand/v2"
--- a/internal/decide/keeping/keeping_test.go
+++ b/internal/decide/writepolicy/keeping_test.go
@@ -1,4 +1,4 @@
-package keeping
+package writepolicy
 
 import (
 	"errors"
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -6,8 +6,8 @@
 
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
+	"ternbeam/internal/decide/writepolicy"
 )
 
 // recallPeriod is how long after the start servers that enter the list are looked up in the restored state.
@@ -36,23 +36,23 @@
 }
 
 // View returns the module's count of what it has learned, the number of servers, and the load.
-func (c *Core) View(ctx context.Context) (keeping.View, error) {
-	return query(ctx, c, func() keeping.View {
+func (c *Core) View(ctx context.Context) (writepolicy.View, error) {
+	return query(ctx, c, func() writepolicy.View {
 		open, _ := c.ledger.Count()
 		load := 0.0
 		if most := c.set.MaxUnanswered; most > 0 {
 			load = float64(open) / float64(most)
 		}
-		return keeping.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount(), Load: load}
+		return writepolicy.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount(), Load: load}
 	})
 }
 
 // Export copies what was learned into a value. The event loop owns that value until Export returns; after an error it may still be
 // writing to it.
-func (c *Core) Export(ctx context.Context, into *calltrack.Learned) (keeping.View, error) {
-	return query(ctx, c, func() keeping.View {
+func (c *Core) Export(ctx context.Context, into *calltrack.Learned) (writepolicy.View, error) {
+	return query(ctx, c, func() writepolicy.View {
 		c.ledger.Export(c.Now(), into, c.set.Pool.LastWorking)
-		return keeping.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount()}
+		return writepolicy.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount()}
 	})
 }
 
--- a/internal/host/keeper/bench_test.go
+++ b/internal/host/keeper/bench_test.go
@@ -12,8 +12,8 @@
 
 	"ternbeam/choice"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
+	"ternbeam/internal/decide/writepolicy"
 	"ternbeam/internal/settings/stateconf"
 	"ternbeam/internal/store"
 )
@@ -41,7 +41,7 @@
 				}
 				round++
 				state := learned.New(learned.Clock{Wall: time.Hour, Boot: time.Duration(round) * time.Second, BootID: "b"}, "n1", choice.Memory{}, servers, fleet, nil)
-				shared, buckets := keeping.SelectChanged(keeping.Defaults, last, state, nil)
+				shared, buckets := writepolicy.SelectChanged(writepolicy.Defaults, last, state, nil)
 				batch, size, err := encodeBatch(state, shared, buckets, len(last.Buckets))
 				if err != nil {
 					b.Fatal(err)
@@ -64,20 +64,20 @@
 	fleet   []uint64
 }
 
-func (l *loop) View(context.Context) (keeping.View, error) {
-	answer := make(chan keeping.View, 1)
-	l.events <- func() { l.news += 1 << 20; answer <- keeping.View{Updates: l.news, Servers: len(l.servers)} }
+func (l *loop) View(context.Context) (writepolicy.View, error) {
+	answer := make(chan writepolicy.View, 1)
+	l.events <- func() { l.news += 1 << 20; answer <- writepolicy.View{Updates: l.news, Servers: len(l.servers)} }
 	return <-answer, nil
 }
 
-func (l *loop) Export(_ context.Context, into *calltrack.Learned) (keeping.View, error) {
-	answer := make(chan keeping.View, 1)
+func (l *loop) Export(_ context.Context, into *calltrack.Learned) (writepolicy.View, error) {
+	answer := make(chan writepolicy.View, 1)
 	l.events <- func() {
 		for i := range l.servers {
 			l.servers[i].Rate = 300 - l.servers[i].Rate
 		}
 		into.Servers, into.Fleet = append(into.Servers[:0], l.servers...), append(into.Fleet[:0], l.fleet...)
-		answer <- keeping.View{Updates: l.news}
+		answer <- writepolicy.View{Updates: l.news}
 	}
 	return <-answer, nil
 }
--- a/internal/host/keeper/keeper.go
+++ b/internal/host/keeper/keeper.go
@@ -12,16 +12,16 @@
 
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
+	"ternbeam/internal/decide/writepolicy"
 	"ternbeam/internal/settings/stateconf"
 	"ternbeam/internal/store"
 )
 
 // Agent is what a Runner queries; the event loop of the agent answers.
 type Agent interface {
-	View(ctx context.Context) (keeping.View, error)
-	Export(ctx context.Context, into *calltrack.Learned) (keeping.View, error)
+	View(ctx context.Context) (writepolicy.View, error)
+	Export(ctx context.Context, into *calltrack.Learned) (writepolicy.View, error)
 }
 
 // Settings configure a Runner.
@@ -43,8 +43,8 @@
 
 	// The following fields belong to the goroutine of Run.
 	store          *store.Store
-	policy         *keeping.Policy
-	steps          keeping.ClockSteps
+	policy         *writepolicy.Policy
+	steps          writepolicy.ClockSteps
 	startedAt      time.Time
 	lastWritten    learned.State // as written last
 	readOnlyReason error         // why nothing may ever be written
@@ -84,7 +84,7 @@
 func (r *Runner) Run(agent Agent) {
 	defer close(r.stopped)
 	r.startedAt = time.Now()
-	r.policy = keeping.New(r.settings.WritePolicy, 0, r.settings.Seed)
+	r.policy = writepolicy.New(r.settings.WritePolicy, 0, r.settings.Seed)
 	r.restored <- r.load()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -237,7 +237,7 @@
 	}
 	begin := time.Now()
 	state := learned.New(r.steps.Observe(r.settings.Clock()), r.settings.Name, export.Memory, export.Servers, export.Fleet, runtime.Gosched)
-	shared, buckets := keeping.SelectChanged(r.settings.WritePolicy, r.lastWritten, state, runtime.Gosched)
+	shared, buckets := writepolicy.SelectChanged(r.settings.WritePolicy, r.lastWritten, state, runtime.Gosched)
 	batch, size, err := encodeBatch(state, shared, buckets, len(r.lastWritten.Buckets))
 	if err == nil && len(batch) > 0 {
 		err = r.put(batch)
--- a/internal/host/keeper/keeper_test.go
+++ b/internal/host/keeper/keeper_test.go
@@ -13,8 +13,8 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/calltrack"
-	"ternbeam/internal/decide/keeping"
 	"ternbeam/internal/decide/learned"
+	"ternbeam/internal/decide/writepolicy"
 	"ternbeam/internal/lab/crashfs"
 	"ternbeam/internal/lab/testkit"
 	"ternbeam/internal/settings/stateconf"
@@ -27,16 +27,16 @@
 	news uint64
 }
 
-func (a *agent) view() keeping.View {
+func (a *agent) view() writepolicy.View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.news += 100
-	return keeping.View{Updates: a.news, Servers: 2}
+	return writepolicy.View{Updates: a.news, Servers: 2}
 }
 
-func (a *agent) View(context.Context) (keeping.View, error) { return a.view(), nil }
+func (a *agent) View(context.Context) (writepolicy.View, error) { return a.view(), nil }
 
-func (a *agent) Export(_ context.Context, into *calltrack.Learned) (keeping.View, error) {
+func (a *agent) Export(_ context.Context, into *calltrack.Learned) (writepolicy.View, error) {
 	v := a.view()
 	*into = calltrack.Learned{Fleet: []uint64{1, 2}, Servers: []learned.Server{{Identity: 1, ServerMemory: choice.ServerMemory{ID: "a", Rate: float64(v.Updates)}}}}
 	return v, nil
--- a/internal/settings/stateconf/stateconf.go
+++ b/internal/settings/stateconf/stateconf.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ternbeam/internal/decide/aging"
-	"ternbeam/internal/decide/keeping"
+	"ternbeam/internal/decide/writepolicy"
 	"ternbeam/internal/settings/conffile"
 )
 
@@ -16,14 +16,14 @@
 	LoadTimeout       time.Duration // the longest time that a start waits for the folder
 	FinalWriteTimeout time.Duration // the longest time for the last write at shutdown
 	MaxBytes          int64         // limit on the size of all files together
-	WritePolicy       keeping.Settings
+	WritePolicy       writepolicy.Settings
 	Aging             aging.Settings
 }
 
 // Default returns the configuration with a folder and the defaults for all else.
 func Default(folder string) Config {
 	return Config{Folder: folder, LoadTimeout: 200 * time.Millisecond, FinalWriteTimeout: 300 * time.Millisecond, MaxBytes: 64 << 20,
-		WritePolicy: keeping.Defaults, Aging: aging.Defaults}
+		WritePolicy: writepolicy.Defaults, Aging: aging.Defaults}
 }
 
 // file is the layout of the file. A key that is absent has its default.
