--- a/clock_test.go
+++ b/clock_test.go
@@ -14,8 +14,8 @@
 
 // wallClockReaders are the packages that may read the wall clock this way, with the reason.
 var wallClockReaders = map[string]string{
-	"internal/host/keeper": "learned state ages also while the machine sleeps, and between processes",
-	"internal/host/peers":  "the epoch of a process is sent to other agents, and only has to grow from one process to the next",
+	"internal/host/statestore": "learned state ages also while the machine sleeps, and between processes",
+	"internal/host/peers":      "the epoch of a process is sent to other agents, and only has to grow from one process to the next",
 }
 
 // All other packages measure durations with internal/clock, which a step of the wall clock does not affect.
--- a/cmd/ternbeam/state.go
+++ b/cmd/ternbeam/state.go
@@ -17,7 +17,7 @@
 	"ternbeam/choice"
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/host/keeper"
+	"ternbeam/internal/host/statestore"
 	"ternbeam/internal/settings/stateconf"
 	"ternbeam/internal/store"
 )
@@ -52,12 +52,12 @@
 
 // readFolder reads a state folder without locking it.
 func readFolder(folder string) (stored storedState, err error) {
-	records, report, err := store.Peek(store.Dir(folder), keeper.StoreSettings(1<<30))
+	records, report, err := store.Peek(store.Dir(folder), statestore.StoreSettings(1<<30))
 	if err != nil {
 		return stored, err
 	}
 	stored.Report = report
-	stored.State, stored.Dropped, err = learned.Read(keeper.LearnedRecords(records))
+	stored.State, stored.Dropped, err = learned.Read(statestore.LearnedRecords(records))
 	return stored, err
 }
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	return printFacts(k.Stdout, found, aging.New(agingSettings, found.State), keeper.Clock(), c.JSON)
+	return printFacts(k.Stdout, found, aging.New(agingSettings, found.State), statestore.Clock(), c.JSON)
 }
 
 // printFacts prints the stored facts, as JSON or as tables.
@@ -293,7 +293,7 @@
 
 // Run deletes everything, in the previous generation too.
 func (c *stateReset) Run(k *kong.Kong) (err error) {
-	st, _, err := store.Open(store.Dir(c.Folder), keeper.StoreSettings(1<<30))
+	st, _, err := store.Open(store.Dir(c.Folder), statestore.StoreSettings(1<<30))
 	if err != nil {
 		return err
 	}
--- a/cmd/ternbeam/state_test.go
+++ b/cmd/ternbeam/state_test.go
@@ -16,8 +16,8 @@
 	"ternbeam/internal/decide/aging"
 	"ternbeam/internal/decide/calltrack"
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/host/keeper"
 	"ternbeam/internal/host/members"
+	"ternbeam/internal/host/statestore"
 	"ternbeam/internal/lab/standin"
 	"ternbeam/internal/store"
 )
@@ -32,7 +32,7 @@
 		servers = append(servers, learned.Server{ServerMemory: choice.ServerMemory{ID: id, Rate: rate, Trust: 1, Failing: 0.5}, Addr: "127.0.0.1:80", Identity: 1})
 		fleet = append(fleet, 1)
 	}
-	at := keeper.Clock()
+	at := statestore.Clock()
 	at.Wall, at.Boot = at.Wall-time.Minute, at.Boot-time.Minute
 	s := learned.New(at, "n1", choice.Memory{Classes: []choice.ClassMemory{{Name: "check", Usual: time.Second, Least: 1, Trust: 1}}}, servers, fleet, nil)
 	shared, err := learned.EncodeShared(s.Shared)
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st, _, err := store.Open(store.Dir(dir), keeper.StoreSettings(0))
+	st, _, err := store.Open(store.Dir(dir), statestore.StoreSettings(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := printFacts(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), true); err != nil {
+	if err := printFacts(&out, found, aging.New(aging.Defaults, found.State), statestore.Clock(), true); err != nil {
 		t.Fatal(err)
 	}
 	var said struct {
@@ -81,7 +81,7 @@
 		t.Errorf("%+v", said)
 	}
 	out.Reset()
-	if err := printFacts(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), false); err != nil || !strings.Contains(out.String(), "1m") {
+	if err := printFacts(&out, found, aging.New(aging.Defaults, found.State), statestore.Clock(), false); err != nil || !strings.Contains(out.String(), "1m") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	other, err := readFolder(keptIn(t, map[string]float64{"a": 50, "c": 1}))
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,11 +24,11 @@
 	"ternbeam/internal/host/accept"
 	"ternbeam/internal/host/conntrack"
 	"ternbeam/internal/host/core"
-	"ternbeam/internal/host/keeper"
 	"ternbeam/internal/host/members"
 	"ternbeam/internal/host/peers"
 	"ternbeam/internal/host/pool"
 	"ternbeam/internal/host/stallwatch"
+	"ternbeam/internal/host/statestore"
 	"ternbeam/internal/http/httpback"
 	"ternbeam/internal/http/httpfront"
 	"ternbeam/internal/http/httpops"
@@ -52,8 +52,8 @@
 	pool    *pool.Pool
 	tracker *conntrack.Tracker
 
-	stateStore *keeper.Runner // nil if learned state is not persisted
-	bridge     *bridge.Bridge // nil if no shapes are configured
+	stateStore *statestore.Runner // nil if learned state is not persisted
+	bridge     *bridge.Bridge     // nil if no shapes are configured
 	shapes     func() (*translate.Set, error)
 
 	listeners    []*net.TCPListener // HTTP for the application, then Thrift if it is on
@@ -140,7 +140,7 @@
 // PersistLearned makes the agent store what it learns in a folder, and start with the state that is stored there. It must be
 // called before Run.
 func (a *Agent) PersistLearned(set stateconf.Config) {
-	a.stateStore = keeper.New(keeper.Settings{Config: set, Name: a.cfg.Name, Seed: a.cfg.Seed, Log: a.log})
+	a.stateStore = statestore.New(statestore.Settings{Config: set, Name: a.cfg.Name, Seed: a.cfg.Seed, Log: a.log})
 }
 
 // recordIllegalStep counts an illegal state transition, which is a bug in this program. Only the first one is logged, and the
--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/host/keeper"
+	"ternbeam/internal/host/statestore"
 	"ternbeam/internal/lab/standin"
 	"ternbeam/internal/lab/testkit"
 	"ternbeam/internal/store"
@@ -44,11 +44,11 @@
 			}
 			asks.Wait()
 			restart("learned: recalled")
-			records, _, err := store.Peek(store.Dir(dir), keeper.StoreSettings(0))
+			records, _, err := store.Peek(store.Dir(dir), statestore.StoreSettings(0))
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept, _, err := learned.Read(keeper.LearnedRecords(records))
+			kept, _, err := learned.Read(statestore.LearnedRecords(records))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/host/keeper/clock.go
+++ b/internal/host/statestore/clock.go
@@ -1,4 +1,4 @@
-package keeper
+package statestore
 
 import (
 	"os"
--- a/internal/host/keeper/keeper.go
+++ b/internal/host/statestore/keeper.go
@@ -1,6 +1,6 @@
 // Package statestore stores what an agent has learned in a folder: it runs the write policy and the store. A goroutine
 // of its own owns both; the event loop hands over values and never waits.
-package keeper
+package statestore
 
 import (
 	"context"
--- a/internal/lab/killer/killer.go
+++ b/internal/lab/killer/killer.go
@@ -23,7 +23,7 @@
 	"time"
 
 	"ternbeam/internal/decide/learned"
-	"ternbeam/internal/host/keeper"
+	"ternbeam/internal/host/statestore"
 	"ternbeam/internal/lab/standin"
 	"ternbeam/internal/store"
 )
@@ -254,12 +254,12 @@
 
 // checkFolder checks the folder after a kill against the writes that the agent had confirmed.
 func (w *world) checkFolder(n, writes int) error {
-	records, report, err := store.Peek(store.Dir(w.folder), keeper.StoreSettings(0))
+	records, report, err := store.Peek(store.Dir(w.folder), statestore.StoreSettings(0))
 	if err != nil {
 		return err
 	}
 	w.confirmed = w.confirmed || writes > 0
-	state, dropped, err := learned.Read(keeper.LearnedRecords(records))
+	state, dropped, err := learned.Read(statestore.LearnedRecords(records))
 	switch {
 	case errors.Is(err, learned.ErrNoState) && !w.confirmed:
 	case err != nil || len(dropped) > 0:
