--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -16,7 +16,7 @@
 	"ternbeam/internal/decide/handover"
 	"ternbeam/internal/discovery"
 	"ternbeam/internal/host/core"
-	"ternbeam/internal/host/successor"
+	"ternbeam/internal/host/takeover"
 	"ternbeam/internal/sysio/transient"
 )
 
@@ -28,14 +28,14 @@
 
 // handoverState is what an Agent knows of the processes that it replaces and that replace it.
 type handoverState struct {
-	claimPath string            // socket on which a replacing process claims the state; empty if this process can't be replaced
-	received  *successor.Result // what the previous process handed over; nil if there was none
+	claimPath string           // socket on which a replacing process claims the state; empty if this process can't be replaced
+	received  *takeover.Result // what the previous process handed over; nil if there was none
 
 	mu          sync.Mutex
 	concurrent  int           // other processes that serve at the same time
 	successors  int           // those of them that replace this one
 	reoffer     chan struct{} // signals that no successor is left, so this process offers its state again
-	subscribers map[*successor.Link]*core.Subscriber
+	subscribers map[*takeover.Link]*core.Subscriber
 }
 
 // socketPath returns the path of the Unix socket in a folder. If the path is too long for a socket address, it opens the folder
@@ -64,9 +64,9 @@
 		return
 	}
 	a.handover.claimPath = path
-	received, err := successor.Claim(path, a.cfg.Name)
+	received, err := takeover.Claim(path, a.cfg.Name)
 	switch {
-	case errors.Is(err, successor.ErrNoPredecessor):
+	case errors.Is(err, takeover.ErrNoPredecessor):
 		return
 	case err != nil:
 		a.log.Warn("starting from nothing, as what was left can't be had", "error", err)
@@ -153,9 +153,9 @@
 
 // newTakeoverServer starts the server from which the next process claims the state, and retries until its socket can be opened in
 // the shared folder. It returns nil if ctx is canceled first.
-func (a *Agent) newTakeoverServer(ctx context.Context) (server *successor.Server) {
+func (a *Agent) newTakeoverServer(ctx context.Context) (server *takeover.Server) {
 	transient.Retry(ctx, func() (err error) {
-		server, err = successor.NewServer(a.handover.claimPath, a.cfg.Name, a.log)
+		server, err = takeover.NewServer(a.handover.claimPath, a.cfg.Name, a.log)
 		return err
 	}, transient.NotifyFirst(func(err error) {
 		a.log.Warn("until this succeeds a replacement begins from nothing, trying again", "error", err)
@@ -164,7 +164,7 @@
 }
 
 // handOver returns the state and listeners for the next process, and subscribes it to updates.
-func (a *Agent) handOver(l *successor.Link) (handover.State, []*net.TCPListener, error) {
+func (a *Agent) handOver(l *takeover.Link) (handover.State, []*net.TCPListener, error) {
 	s, next, err := a.core.HandOver(context.Background(), l.Send)
 	s.Name = a.cfg.Name
 	for _, listener := range a.listeners {
@@ -173,14 +173,14 @@
 	a.handover.mu.Lock()
 	defer a.handover.mu.Unlock()
 	if a.handover.subscribers == nil {
-		a.handover.subscribers = map[*successor.Link]*core.Subscriber{}
+		a.handover.subscribers = map[*takeover.Link]*core.Subscriber{}
 	}
 	a.handover.subscribers[l] = next
 	return s, a.listeners, err
 }
 
 // serveSuccessor exchanges updates with a process that replaces this one, until one of the two exits.
-func (a *Agent) serveSuccessor(l *successor.Link) {
+func (a *Agent) serveSuccessor(l *takeover.Link) {
 	a.handover.mu.Lock()
 	next := a.handover.subscribers[l]
 	delete(a.handover.subscribers, l)
--- a/internal/host/successor/successor.go
+++ b/internal/host/takeover/successor.go
@@ -1,6 +1,6 @@
 // Package takeover hands an agent's state and listeners from a running process to the process that replaces it, and carries updates between
 // the two while both run, over a Unix socket in a shared folder. The content is defined in internal/decide/handover.
-package successor
+package takeover
 
 import (
 	"context"
--- a/internal/host/successor/successor_test.go
+++ b/internal/host/takeover/successor_test.go
@@ -1,4 +1,4 @@
-package successor
+package takeover
 
 import (
 	"errors"
