--- a/cmd/ternbeam/brokenanswer_test.go
+++ b/cmd/ternbeam/brokenanswer_test.go
@@ -20,13 +20,13 @@
 
 // brokenAnswer is a way in which a server breaks off its answer.
 type brokenAnswer struct {
-	name    string
-	head    string
-	part    string        // of the body, sent at once
-	again   time.Duration // after which the part comes a second time; 0 for never
-	pause   time.Duration // before the end
-	orderly bool          // the connection ends by FIN, not by a reset
-	relayed bool          // the platform has its first bytes timed: it may not be held until it breaks off
+	name        string
+	head        string
+	part        string        // of the body, sent at once
+	repeatAfter time.Duration // after which the part comes a second time; 0 for never
+	pause       time.Duration // before the end
+	orderly     bool          // the connection ends by FIN, not by a reset
+	relayed     bool          // the platform has its first bytes timed: it may not be held until it breaks off
 }
 
 // brokenAnswers all break off before 64 KiB have come.
@@ -36,21 +36,21 @@
 	const unknown, chunked, long = "Connection: close\r\n", "Transfer-Encoding: chunked\r\n", "Content-Length: 100000\r\n"
 	return []brokenAnswer{
 		{name: "no length, reset", head: unknown, part: text, pause: 150 * time.Millisecond},
-		{name: "no length, in two parts, reset", head: unknown, part: text, again: 150 * time.Millisecond, pause: 150 * time.Millisecond},
+		{name: "no length, in two parts, reset", head: unknown, part: text, repeatAfter: 150 * time.Millisecond, pause: 150 * time.Millisecond},
 		{name: "chunked, ended", head: chunked, part: chunk, pause: 150 * time.Millisecond, orderly: true},
 		{name: "chunked, reset", head: chunked, part: chunk, pause: 200 * time.Millisecond},
 		{name: "chunked, silent", head: chunked, part: chunk, pause: 5 * time.Second},
 		{name: "long, ended", head: long, part: text, pause: 50 * time.Millisecond, orderly: true},
-		{name: "long, reset", head: long, part: text, again: 100 * time.Millisecond, pause: 150 * time.Millisecond, relayed: true},
+		{name: "long, reset", head: long, part: text, repeatAfter: 100 * time.Millisecond, pause: 150 * time.Millisecond, relayed: true},
 		{name: "long, silent", head: long, part: text, pause: 2 * time.Second, relayed: true},
 	}
 }
 
 // allows returns which errors a client of one class may see: an answer by no server is enough where its request may not be sent again, and where
 // answers are relayed the beginning of one.
-func (b brokenAnswer) allows(class string, second bool) func(error) bool {
+func (b brokenAnswer) allowedErrors(class string, second bool) func(error) bool {
 	return func(err error) bool {
-		return errors.Is(err, errNotServed) && class != "form-check" || errors.Is(err, errPart) && b.relayed && second
+		return errors.Is(err, errNotServed) && class != "form-check" || errors.Is(err, errPartial) && b.relayed && second
 	}
 }
 
@@ -63,8 +63,8 @@
 		return
 	}
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n%s", b.head, b.part)
-	if b.again > 0 {
-		time.Sleep(b.again)
+	if b.repeatAfter > 0 {
+		time.Sleep(b.repeatAfter)
 		io.WriteString(conn, b.part)
 	}
 	time.Sleep(b.pause)
@@ -82,15 +82,15 @@
 		for _, second := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, second address %t", broken.name, second), func(t *testing.T) {
 				t.Parallel()
-				config, listen := configure(t, free(t), shutdownSettings(randomDeadline), serveConnections(t, broken.serve), slowServer(t), slowServer(t))
+				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), serveConnections(t, broken.serve), slowServer(t), slowServer(t))
 				p := startReady(t, config, listen, second)
 				var wait sync.WaitGroup
 				for number := range 4 {
-					c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keep: true}
+					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keepAlive: true}
 					if number%2 == 0 {
 						c.class = "refund-pay"
 					}
-					wait.Go(func() { c.runAllowing(t, 10, broken.allows(c.class, second)) })
+					wait.Go(func() { c.runAllowing(t, 10, broken.allowedErrors(c.class, second)) })
 				}
 				wait.Wait()
 				if t.Failed() {
@@ -132,11 +132,11 @@
 func TestAnswersThatBreakOffTooLateAreErrors(t *testing.T) {
 	t.Parallel()
 	servers := lateServers{attempts: map[string]int{}}
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), serveConnections(t, servers.serve), serveConnections(t, servers.serve))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), serveConnections(t, servers.serve), serveConnections(t, servers.serve))
 	p := startReady(t, config, listen, true)
 	var wait sync.WaitGroup
 	for number := range 4 {
-		c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check"}
+		c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check"}
 		wait.Go(func() { c.runAllowing(t, 2, isNotServed) })
 	}
 	wait.Wait()
--- a/cmd/ternbeam/crowd_test.go
+++ b/cmd/ternbeam/crowd_test.go
@@ -17,15 +17,15 @@
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			config, listen := configureLimited(t, free(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
+			config, listen := configureLimited(t, unusedAddr(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
 			p := startReady(t, config, listen, false)
-			var clients []*patientClient
+			var clients []*testClient
 			for number := range 8 {
 				conn, err := net.Dial("tcp", listen)
 				if err != nil {
 					t.Fatal(err)
 				}
-				clients = append(clients, &patientClient{listen: listen, name: fmt.Sprint("client-", number), class: class, conn: conn})
+				clients = append(clients, &testClient{listen: listen, name: fmt.Sprint("client-", number), class: class, conn: conn})
 			}
 			for range crowd {
 				conn, err := net.Dial("tcp", listen)
@@ -49,7 +49,7 @@
 
 // Guards against an accept that finds nothing, as a connection comes right behind it, being counted and logged as a failure.
 func TestEmptyAcceptsAreNoFailures(t *testing.T) {
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	accepts := 0
 	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Accept}, func(sysfault.Event) (o sysfault.Outcome) {
 		if accepts++; accepts%2 == 0 {
@@ -57,8 +57,8 @@
 		}
 		return o
 	}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
-	c := patientClient{listen: listen, name: "client", class: "form-check"}
+	awaitReadyUnderFaults(t, listen)
+	c := testClient{listen: listen, name: "client", class: "form-check"}
 	c.run(t, 20)
 	if log.Has("accepting a connection failed") {
 		t.Error(log)
--- a/cmd/ternbeam/drainreads_test.go
+++ b/cmd/ternbeam/drainreads_test.go
@@ -19,7 +19,7 @@
 			t.Run(fmt.Sprintf("%v, each %d.", errno, every), func(t *testing.T) {
 				t.Parallel()
 				draining, other := newCountingServer(t, nil), newCountingServer(t, nil)
-				d := newLocalDiscovery(t, listText(1, listed{server: draining}, listed{server: other}), true)
+				d := newLocalDiscovery(t, listText(1, listEntry{server: draining}, listEntry{server: other}), true)
 				config, listen := configure(t, d.addr, shutdownSettings(2*time.Second), draining.Listener.Addr(), other.Listener.Addr())
 				var reads atomic.Int64
 				_, log := startUnderFaults(t, []sysfault.Call{sysfault.Read}, func(e sysfault.Event) sysfault.Outcome {
@@ -28,7 +28,7 @@
 					}
 					return sysfault.Outcome{Errno: errno}
 				}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-				eventuallyReady(t, listen)
+				awaitReadyUnderFaults(t, listen)
 				ctx, cancel := context.WithCancel(t.Context())
 				wait := sendRequests(ctx, listen)
 				defer func() { cancel(); wait() }()
@@ -36,10 +36,10 @@
 				if draining.requests.Load() == 0 {
 					t.Fatalf("it had no request before: nothing is shown\n%s", log)
 				}
-				d.setList(listText(2, listed{server: draining, draining: true}, listed{server: other}))
+				d.setList(listText(2, listEntry{server: draining, draining: true}, listEntry{server: other}))
 				told := time.Now()
 				time.Sleep(2 * time.Second)
-				if late := time.Unix(0, draining.latest.Load()).Sub(told); late > drainGrace+socketSlack {
+				if late := time.Unix(0, draining.latestNanos.Load()).Sub(told); late > drainGrace+socketSlack {
 					t.Errorf("a server that drains was sent to for %v, over %v\n%s", late, drainGrace+socketSlack, log)
 				}
 			})
--- a/cmd/ternbeam/fulllog_test.go
+++ b/cmd/ternbeam/fulllog_test.go
@@ -31,8 +31,8 @@
 // Guards against requests that are never answered as the process waits for a reader of its log.
 func TestRequestsAreAnsweredWhenNobodyReadsTheLog(t *testing.T) {
 	t.Parallel()
-	config, listen := configure(t, free(t), shutdownSettings(1509*time.Millisecond), hangingServer(t), slowServer(t))
-	cmd := command(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(1509*time.Millisecond), hangingServer(t), slowServer(t))
+	cmd := agentCommand(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	cmd.Stderr = fullPipe(t)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -40,15 +40,15 @@
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { cmd.Process.Kill() })
-	eventuallyReady(t, listen)
+	awaitReadyUnderFaults(t, listen)
 	var wait sync.WaitGroup
 	for number := range 8 {
-		c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keep: true}
+		c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keepAlive: true}
 		wait.Go(func() {
 			defer c.close()
 			for n := range 5 {
 				path := fmt.Sprintf("/%s/%s-%d", c.class, c.name, n)
-				if _, err := c.ask(path, fmt.Sprintf("%s-%d", c.name, n)); err != nil && !isNotServed(err) {
+				if _, err := c.do(path, fmt.Sprintf("%s-%d", c.name, n)); err != nil && !isNotServed(err) {
 					t.Errorf("%s: %v", path, err)
 				}
 			}
@@ -61,7 +61,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(killAfter(1509 * time.Millisecond)):
+	case <-time.After(killDelay(1509 * time.Millisecond)):
 		t.Error("it does not end by itself")
 	}
 }
--- a/cmd/ternbeam/heldanswer_test.go
+++ b/cmd/ternbeam/heldanswer_test.go
@@ -23,7 +23,7 @@
 
 func (s *stoppingServer) serve(conn *net.TCPConn) {
 	const part, partAgain, held, cut = "4\r\npart\r\n", 350 * time.Millisecond, 430 * time.Millisecond, 470 * time.Millisecond
-	const goesOn = held + longestStall - 10*time.Millisecond
+	const goesOn = held + maxStall - 10*time.Millisecond
 	defer conn.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
@@ -36,12 +36,12 @@
 	until(partAgain)
 	io.WriteString(conn, part)
 	until(held)
-	s.agent.signals(s.t, syscall.SIGSTOP)
+	s.agent.sendSignals(s.t, syscall.SIGSTOP)
 	until(cut)
 	conn.SetLinger(0)
 	conn.Close()
 	until(goesOn)
-	s.agent.signals(s.t, syscall.SIGCONT)
+	s.agent.sendSignals(s.t, syscall.SIGCONT)
 }
 
 // Guards against the beginning of an answer in place of an error where the server has broken it off in time, and the agent was held up as it had
@@ -50,22 +50,22 @@
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			untilValid(t, func() bool { return playedBreakOffDuringAHoldUp(t, class) })
+			retryUntilValid(t, func() bool { return tryBreakOffDuringStall(t, class) })
 		})
 	}
 }
 
 // playedBreakOffDuringAHoldUp is false where the machine stood still.
-func playedBreakOffDuringAHoldUp(t *testing.T, class string) (valid bool) {
+func tryBreakOffDuringStall(t *testing.T, class string) (valid bool) {
 	server := stoppingServer{t: t}
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), serveConnections(t, server.serve))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), serveConnections(t, server.serve))
 	server.agent = startReady(t, config, listen, true)
-	watch := watchMachine()
-	c := patientClient{listen: listen, name: "client", class: class}
-	_, err := c.ask(fmt.Sprintf("/%s/1", class), "1")
+	watch := watchMachineStalls()
+	c := testClient{listen: listen, name: "client", class: class}
+	_, err := c.do(fmt.Sprintf("/%s/1", class), "1")
 	c.close()
 	server.attempts.Wait()
-	if stoodStill(t, watch()) {
+	if machineStalled(t, watch()) {
 		return false
 	}
 	if !errors.Is(err, errNotServed) {
--- a/cmd/ternbeam/keptconnection_test.go
+++ b/cmd/ternbeam/keptconnection_test.go
@@ -37,24 +37,24 @@
 	}
 	h.armed = false
 	close(h.held)
-	return sysfault.Outcome{Hold: longestStall}
+	return sysfault.Outcome{Hold: maxStall}
 }
 
 // startHoldingCloses starts the program, with a second address or without, and a client of some class with a connection that has carried a request. The
 // next close of that is held up.
-func startHoldingCloses(t *testing.T, class string, second bool) (*sysfault.Process, *testkit.Log, *patientClient, *heldClose) {
+func startWithHeldClose(t *testing.T, class string, second bool) (*sysfault.Process, *testkit.Log, *testClient, *heldClose) {
 	t.Helper()
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	env := []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + listen}
 	if second {
-		env = append(env, "NODE_OPS="+free(t), "TMPDIR="+shortTempDir(t))
+		env = append(env, "NODE_OPS="+unusedAddr(t), "TMPDIR="+shortTempDir(t))
 	}
 	hold := &heldClose{listen: listen, held: make(chan struct{})}
 	p, log := startUnderFaults(t, []sysfault.Call{sysfault.Close}, hold.decide, env...)
-	eventuallyReady(t, listen)
-	c := &patientClient{listen: listen, name: "client", class: class, keep: true}
+	awaitReadyUnderFaults(t, listen)
+	c := &testClient{listen: listen, name: "client", class: class, keepAlive: true}
 	t.Cleanup(c.close)
-	if _, err := c.ask("/"+class+"/first", "first"); err != nil {
+	if _, err := c.do("/"+class+"/first", "first"); err != nil {
 		t.Fatal(err)
 	}
 	hold.arm()
@@ -68,14 +68,14 @@
 		for _, second := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, second address %t", class, second), func(t *testing.T) {
 				t.Parallel()
-				_, log, c, hold := startHoldingCloses(t, class, second)
+				_, log, c, hold := startWithHeldClose(t, class, second)
 				select {
 				case <-hold.held:
 					time.Sleep(afterHold)
 				case <-time.After(rest):
 				}
 				path := "/" + class + "/second"
-				if body, err := c.ask(path, "second"); err != nil || body != "checked "+path {
+				if body, err := c.do(path, "second"); err != nil || body != "checked "+path {
 					t.Errorf("%q, %v\n%s", body, err, log)
 				}
 			})
@@ -87,17 +87,17 @@
 func TestNextRequestsThatStopAreEnded(t *testing.T) {
 	t.Parallel()
 	const owedWithin = 3 * time.Second
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	startReady(t, config, listen, false)
 	for _, size := range []int{1, 3, 4, 60} {
 		for _, together := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d bytes, with the first request %t", size, together), func(t *testing.T) {
 				t.Parallel()
-				c := patientClient{listen: listen, name: "client", class: "form-check", keep: true}
+				c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: true}
 				defer c.close()
 				id := fmt.Sprintf("%d-%t", size, together)
-				begun := c.text("/form-check/second", "second-"+id)[:size]
-				first := c.text("/form-check/first", "first-"+id)
+				begun := c.encode("/form-check/second", "second-"+id)[:size]
+				first := c.encode("/form-check/first", "first-"+id)
 				if together {
 					first = append(first, begun...)
 				}
@@ -126,16 +126,16 @@
 // Guards against a connection that is closed, as the process is told to end, over a request of a client that has not heard of that yet.
 func TestKeptConnectionsAreNotClosedAsTheEndBegins(t *testing.T) {
 	const heardWithin = 400 * time.Millisecond // by the platform's page
-	for _, asks := range []time.Duration{20 * time.Millisecond, heardWithin - longestStall} {
+	for _, asks := range []time.Duration{20 * time.Millisecond, heardWithin - maxStall} {
 		for _, second := range []bool{false, true} {
 			t.Run(fmt.Sprintf("a request after %v, second address %t", asks, second), func(t *testing.T) {
 				t.Parallel()
-				p, log, c, _ := startHoldingCloses(t, "form-check", second)
+				p, log, c, _ := startWithHeldClose(t, "form-check", second)
 				if err := p.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(asks)
-				if body, err := c.ask("/form-check/second", "second"); err != nil || body != "checked /form-check/second" {
+				if body, err := c.do("/form-check/second", "second"); err != nil || body != "checked /form-check/second" {
 					t.Errorf("%q, %v\n%s", body, err, log)
 				}
 			})
--- a/cmd/ternbeam/kernelwait_test.go
+++ b/cmd/ternbeam/kernelwait_test.go
@@ -15,7 +15,7 @@
 )
 
 // recordingServer answers each request at once, and records it.
-func recordingServer(t *testing.T, world *worldRecord) net.Addr {
+func recordingServer(t *testing.T, world *trafficRecord) net.Addr {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		world.arrived(r)
@@ -33,15 +33,15 @@
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprint("kept connection ", kept), func(t *testing.T) {
 			t.Parallel()
-			world := newWorldRecord()
-			config, listen := configure(t, free(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+			world := newTrafficRecord()
+			config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
 			p := start(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 			awaitReady(t, listen)
-			c := patientClient{listen: listen, name: "client", class: "form-check", keep: kept}
+			c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: kept}
 			defer c.close()
 			first := world.request("first", c.class)
-			first.begin = time.Now()
-			if first.body, first.err = c.ask(first.path, first.id); !kept {
+			first.sentAt = time.Now()
+			if first.body, first.err = c.do(first.path, first.id); !kept {
 				c.close()
 				conn, err := net.Dial("tcp", listen)
 				if err != nil {
@@ -49,19 +49,19 @@
 				}
 				c.conn = conn
 			}
-			p.signals(t, syscall.SIGSTOP)
+			p.sendSignals(t, syscall.SIGSTOP)
 			time.AfterFunc(400*time.Millisecond, func() { p.cmd.Process.Signal(syscall.SIGCONT) })
 			time.Sleep(20 * time.Millisecond) // for the signal to take effect
 			second := world.request("second", c.class)
-			second.begin = time.Now()
-			second.body, second.err = c.ask(second.path, second.id)
-			second.took = time.Since(second.begin)
+			second.sentAt = time.Now()
+			second.body, second.err = c.do(second.path, second.id)
+			second.took = time.Since(second.sentAt)
 			testkit.Eventually(t, "the server has recorded it", func() bool {
 				world.mu.Lock()
 				defer world.mu.Unlock()
 				return len(second.arrivals) > 0
 			})
-			problems, _, _ := world.judge()
+			problems, _, _ := world.evaluate()
 			for _, problem := range problems {
 				t.Error(problem)
 			}
@@ -71,15 +71,15 @@
 
 // Guards against a deadline that was worded before the writing of its request failed for a while.
 func TestFailedWritesCountForTheDeadline(t *testing.T) {
-	world := newWorldRecord()
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), recordingServer(t, world))
-	f := &failingFor{errno: syscall.ENOBUFS, time: 400 * time.Millisecond}
+	world := newTrafficRecord()
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+	f := &failingFor{errno: syscall.ENOBUFS, duration: 400 * time.Millisecond}
 	f.arm() // until there is a request nothing is written to a server
-	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Write}, f.decider(dialled), "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
-	c := patientClient{listen: listen, name: "client", class: "refund-pay"}
+	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Write}, f.decider(isOutgoing), "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	awaitReadyUnderFaults(t, listen)
+	c := testClient{listen: listen, name: "client", class: "refund-pay"}
 	defer c.close()
-	c.askOnly(t, world, log)
+	c.doOnly(t, world, log)
 }
 
 // Guards against a deadline that was worded before the process was held up, and is held up again as its request is written.
@@ -88,22 +88,22 @@
 	for poll := range mostPolls {
 		t.Run(fmt.Sprint("poll ", poll), func(t *testing.T) {
 			t.Parallel()
-			heldUpBeforeAWrite(t, poll)
+			stallBeforeWrite(t, poll)
 		})
 	}
 }
 
 // heldUpBeforeAWrite holds one poll(2) up, of those after a request is sent, and the writing of the request to its server.
-func heldUpBeforeAWrite(t *testing.T, poll int) {
-	const hold = longestStall - 10*time.Millisecond
+func stallBeforeWrite(t *testing.T, poll int) {
+	const hold = maxStall - 10*time.Millisecond
 	polls, held := 0, false
-	askUnderFaults(t, []sysfault.Call{sysfault.Poll, sysfault.Write}, func(e sysfault.Event) (o sysfault.Outcome) {
+	requestUnderFaults(t, []sysfault.Call{sysfault.Poll, sysfault.Write}, func(e sysfault.Event) (o sysfault.Outcome) {
 		switch {
 		case e.Call == sysfault.Poll:
 			if polls++; polls == poll+1 {
 				o.Hold = hold
 			}
-		case dialled(e.Local) && !held:
+		case isOutgoing(e.Local) && !held:
 			held = true
 			o.Hold = hold
 		}
@@ -112,10 +112,10 @@
 }
 
 // askUnderFaults sends a request that may not be repeated to an agent whose calls are decided on from then on.
-func askUnderFaults(t *testing.T, chosen []sysfault.Call, decide sysfault.Decider) *requestRecord {
+func requestUnderFaults(t *testing.T, chosen []sysfault.Call, decide sysfault.Decider) *requestRecord {
 	t.Helper()
-	world := newWorldRecord()
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+	world := newTrafficRecord()
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
 	var armed atomic.Bool
 	_, log := startUnderFaults(t, chosen, func(e sysfault.Event) (o sysfault.Outcome) {
 		if armed.Load() {
@@ -123,23 +123,23 @@
 		}
 		return o
 	}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
-	c := patientClient{listen: listen, name: "client", class: "refund-pay", keep: true}
+	awaitReadyUnderFaults(t, listen)
+	c := testClient{listen: listen, name: "client", class: "refund-pay", keepAlive: true}
 	defer c.close()
 	armed.Store(true)
-	return c.askOnly(t, world, log)
+	return c.doOnly(t, world, log)
 }
 
 // Guards against a deadline from before a time in which nothing of the request could be written, where the process is held up in the next write:
 // the two times together are more than a server may be told too much.
 func TestUnsentRequestsAreWordedAnewBeforeAHoldUp(t *testing.T) {
-	untilValid(t, func() bool {
-		watch := watchMachine()
-		over := excessBehindAFailedWrite(t)
-		if stoodStill(t, watch()) {
+	retryUntilValid(t, func() bool {
+		watch := watchMachineStalls()
+		over := excessAfterFailedWrite(t)
+		if machineStalled(t, watch()) {
 			return false
 		}
-		if most := longestStall + 20*time.Millisecond; over > most {
+		if most := maxStall + 20*time.Millisecond; over > most {
 			t.Errorf("an attempt has %v more than its client, more than %v", over, most)
 		}
 		return true
@@ -148,11 +148,11 @@
 
 // excessBehindAFailedWrite returns by how much the deadline that a server is told is longer than what the client has left, where writes of the
 // request fail at first, and the next is held up.
-func excessBehindAFailedWrite(t *testing.T) time.Duration {
+func excessAfterFailedWrite(t *testing.T) time.Duration {
 	const failing = 20 * time.Millisecond
 	first, held := time.Time{}, false
-	r := askUnderFaults(t, []sysfault.Call{sysfault.Write}, func(e sysfault.Event) (o sysfault.Outcome) {
-		if !dialled(e.Local) {
+	r := requestUnderFaults(t, []sysfault.Call{sysfault.Write}, func(e sysfault.Event) (o sysfault.Outcome) {
+		if !isOutgoing(e.Local) {
 			return o
 		}
 		if first.IsZero() {
@@ -163,7 +163,7 @@
 			o.Errno = syscall.EAGAIN
 		case !held:
 			held = true
-			o.Hold = longestStall
+			o.Hold = maxStall
 		}
 		return o
 	})
@@ -171,13 +171,13 @@
 }
 
 // askOnly sends the only request of a world, which has to be served and to keep all rules.
-func (c *patientClient) askOnly(t *testing.T, world *worldRecord, log *testkit.Log) (r *requestRecord) {
+func (c *testClient) doOnly(t *testing.T, world *trafficRecord, log *testkit.Log) (r *requestRecord) {
 	t.Helper()
 	r = world.request("only", c.class)
-	r.begin = time.Now()
-	r.body, r.err = c.ask(r.path, r.id)
-	r.took = time.Since(r.begin)
-	problems, _, served := world.judge()
+	r.sentAt = time.Now()
+	r.body, r.err = c.do(r.path, r.id)
+	r.took = time.Since(r.sentAt)
+	problems, _, served := world.evaluate()
 	for _, problem := range problems {
 		t.Error(problem)
 	}
--- a/cmd/ternbeam/localdiscovery_test.go
+++ b/cmd/ternbeam/localdiscovery_test.go
@@ -18,14 +18,14 @@
 type outage string
 
 const (
-	hangs        outage = "takes calls and says nothing"
-	answersHead  outage = "answers with a head and nothing behind it"
-	breaksMidway outage = "answers with half a list and nothing behind it"
-	dripsSpace   outage = "answers with a list that never ends"
-	unavailable  outage = "answers 503"
-	resets       outage = "resets who connects"
-	refuses      outage = "refuses connections"
-	notAccepting outage = "accepts no connection, its queue is full"
+	hangs         outage = "takes calls and says nothing"
+	sendsHeadOnly outage = "answers with a head and nothing behind it"
+	sendsHalfList outage = "answers with half a list and nothing behind it"
+	sendsSpaces   outage = "answers with a list that never ends"
+	unavailable   outage = "answers 503"
+	resets        outage = "resets who connects"
+	refuses       outage = "refuses connections"
+	notAccepting  outage = "accepts no connection, its queue is full"
 )
 
 // localDiscovery is the discovery service beside one agent: it answers each call at once with what it has, and is down for a while.
@@ -37,23 +37,23 @@
 	silentWatches []*silentWatch
 	calls         chan struct{} // one for each call or connection
 	listen        net.Listener  // nil while it refuses connections
-	fill          []net.Conn    // which fill the queue while it accepts none
+	queueFillers  []net.Conn    // which fill the queue while it accepts none
 }
 
 // discoveryState is how a localDiscovery behaves.
 type discoveryState struct {
-	down    outage        // empty while it is up
-	list    string        // the whole list, one line
-	turn    chan struct{} // closed at the next change of anything here
-	resumes bool          // open watches go on when it is up again, where the outage did not end them; else they are silent for good
-	silence int           // how often all open watches have fallen silent for good
+	down         outage        // empty while it is up
+	list         string        // the whole list, one line
+	changed      chan struct{} // closed at the next change of anything here
+	resumes      bool          // open watches go on when it is up again, where the outage did not end them; else they are silent for good
+	silenceCount int           // how often all open watches have fallen silent for good
 }
 
 // silentWatch is a watch that has fallen silent for good. Its end is zero until the client has closed it.
 type silentWatch struct{ from, to time.Time }
 
 // fallSilent returns as the client closes a watch.
-func (d *localDiscovery) fallSilent(ctx context.Context) {
+func (d *localDiscovery) holdSilent(ctx context.Context) {
 	w := &silentWatch{from: time.Now()}
 	d.mu.Lock()
 	d.silentWatches = append(d.silentWatches, w)
@@ -67,14 +67,14 @@
 // newLocalDiscovery runs one until the test ends.
 func newLocalDiscovery(t *testing.T, list string, resumes bool) *localDiscovery {
 	t.Helper()
-	d := &localDiscovery{addr: free(t), discoveryState: discoveryState{list: list, resumes: resumes, turn: make(chan struct{})}, calls: make(chan struct{}, 10_000)}
-	d.open(t)
+	d := &localDiscovery{addr: unusedAddr(t), discoveryState: discoveryState{list: list, resumes: resumes, changed: make(chan struct{})}, calls: make(chan struct{}, 10_000)}
+	d.startListening(t)
 	t.Cleanup(func() { d.setDown(hangs); d.listen.Close() })
 	return d
 }
 
 // open listens, with a queue as short as there is.
-func (d *localDiscovery) open(t *testing.T) {
+func (d *localDiscovery) startListening(t *testing.T) {
 	t.Helper()
 	var listen net.Listener
 	testkit.Eventually(t, "its address is free", func() bool { // a process that is being started has the socket of free for a moment, too
@@ -93,27 +93,27 @@
 	d.listen = listen
 	d.mu.Unlock()
 	server := &http.Server{Handler: http.HandlerFunc(d.serve)}
-	go server.Serve(gate{listen, d})
+	go server.Serve(gatedListener{listen, d})
 }
 
 // gate accepts no connection while discovery does not, and resets them while that is what it does.
-type gate struct {
+type gatedListener struct {
 	net.Listener
 	d *localDiscovery
 }
 
-func (g gate) Accept() (net.Conn, error) {
+func (g gatedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := g.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		state := g.d.now()
+		state := g.d.state()
 		switch state.down {
 		case notAccepting:
-			<-state.turn
+			<-state.changed
 		case resets:
-			g.d.called()
+			g.d.recordCall()
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 			continue
@@ -123,20 +123,20 @@
 }
 
 // now is how it behaves at present.
-func (d *localDiscovery) now() discoveryState {
+func (d *localDiscovery) state() discoveryState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.discoveryState
 }
 
-func (d *localDiscovery) called() { d.calls <- struct{}{} }
+func (d *localDiscovery) recordCall() { d.calls <- struct{}{} }
 
 // setDown begins an outage.
 func (d *localDiscovery) setDown(how outage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = how
-	d.turnLocked()
+	d.notifyLocked()
 	switch how {
 	case refuses:
 		d.listen.Close()
@@ -144,7 +144,7 @@
 		for range 4 { // the queue, and the one that is accepted already
 			conn, err := (&net.Dialer{Timeout: 50 * time.Millisecond}).Dial("tcp", d.addr)
 			if err == nil {
-				d.fill = append(d.fill, conn)
+				d.queueFillers = append(d.queueFillers, conn)
 			}
 		}
 	}
@@ -153,17 +153,17 @@
 // setUp ends the outage: from this moment on it has another list.
 func (d *localDiscovery) setUp(t *testing.T, list string) {
 	t.Helper()
-	if d.now().down == refuses {
-		d.open(t)
+	if d.state().down == refuses {
+		d.startListening(t)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down, d.list = "", list
-	d.turnLocked()
-	for _, conn := range d.fill {
+	d.notifyLocked()
+	for _, conn := range d.queueFillers {
 		conn.Close()
 	}
-	d.fill = nil
+	d.queueFillers = nil
 }
 
 // setList has another list, whether or not it is up.
@@ -171,27 +171,27 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list = list
-	d.turnLocked()
+	d.notifyLocked()
 }
 
 // silenceWatches has all open watches fall silent for good.
 func (d *localDiscovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silence++
-	d.turnLocked()
+	d.silenceCount++
+	d.notifyLocked()
 }
 
-func (d *localDiscovery) turnLocked() {
-	close(d.turn)
-	d.turn = make(chan struct{})
+func (d *localDiscovery) notifyLocked() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // serve answers one call, or falls silent on it. A watch ends or falls silent with the outage, by its kind.
 func (d *localDiscovery) serve(w http.ResponseWriter, r *http.Request) {
-	state := d.now()
+	state := d.state()
 	list := state.list
-	d.called()
+	d.recordCall()
 	write := func(text string) {
 		fmt.Fprint(w, text)
 		w.(http.Flusher).Flush()
@@ -202,15 +202,15 @@
 	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case answersHead:
+	case sendsHeadOnly:
 		write("")
 		silent()
 		return
-	case breaksMidway:
+	case sendsHalfList:
 		write(list[:len(list)/2])
 		silent()
 		return
-	case dripsSpace:
+	case sendsSpaces:
 		write(list[:1])
 		for r.Context().Err() == nil {
 			write(" ")
@@ -230,16 +230,16 @@
 
 // watch keeps a watch that has been told a list. It returns as the client ends it; an outage may end it, or silence it for good.
 func (d *localDiscovery) watch(ctx context.Context, told string, write func(string)) {
-	state := d.now()
-	first := state.silence
+	state := d.state()
+	first := state.silenceCount
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
-	for ; ; state = d.now() {
+	for ; ; state = d.state() {
 		switch {
 		case state.down == unavailable || state.down == resets || state.down == refuses:
 			panic(http.ErrAbortHandler)
-		case state.silence != first || state.down != "" && !state.resumes:
-			d.fallSilent(ctx)
+		case state.silenceCount != first || state.down != "" && !state.resumes:
+			d.holdSilent(ctx)
 			return
 		case state.down == "" && state.list != told:
 			write(state.list)
@@ -250,7 +250,7 @@
 			if state.down == "" {
 				write("\n")
 			}
-		case <-state.turn:
+		case <-state.changed:
 		case <-ctx.Done():
 			return
 		}
--- a/cmd/ternbeam/longfailure_test.go
+++ b/cmd/ternbeam/longfailure_test.go
@@ -13,8 +13,8 @@
 
 // failingFor makes the calls that a process is stopped at fail on chosen sockets, for some time from the first one after it is armed.
 type failingFor struct {
-	errno syscall.Errno
-	time  time.Duration
+	errno    syscall.Errno
+	duration time.Duration
 
 	mu    sync.Mutex
 	armed bool
@@ -37,7 +37,7 @@
 		if f.since.IsZero() {
 			f.since = time.Now()
 		}
-		if time.Since(f.since) > f.time {
+		if time.Since(f.since) > f.duration {
 			return sysfault.Outcome{}
 		}
 		return sysfault.Outcome{Errno: f.errno}
@@ -52,14 +52,14 @@
 		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.EAGAIN, syscall.ECONNRESET} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				t.Parallel()
-				f := &failingFor{errno: errno, time: failing}
-				config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+				f := &failingFor{errno: errno, duration: failing}
+				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 				_, log := startUnderFaults(t, []sysfault.Call{call}, f.decider(onAddress(listen)), "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-				eventuallyReady(t, listen)
+				awaitReadyUnderFaults(t, listen)
 				f.arm()
 				var wait sync.WaitGroup
 				for number := range 4 {
-					c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-pay"}[number%2]}
+					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-pay"}[number%2]}
 					wait.Go(func() { c.run(t, 1) })
 				}
 				wait.Wait()
--- a/cmd/ternbeam/main_test.go
+++ b/cmd/ternbeam/main_test.go
@@ -27,33 +27,33 @@
 	"Discovery":"automatic","Report":{"Fields":["util","qps","eps"]},"TickNs":5000000,"WeightKind":"silent",
 	"Tenants":[{"Name":"rosyth-port"}],"Zones":["z"]}`
 
-// built builds the program, once for all tests, and returns its folder.
-var built = sync.OnceValues(func() (folder string, err error) {
+// buildOnce builds the program once for all tests and returns the folder that holds it.
+var buildOnce = sync.OnceValues(func() (folder string, err error) {
 	if folder, err = os.MkdirTemp("", "ternbeam"); err != nil {
 		return "", err
 	}
-	builds = folder
+	buildDir = folder
 	if out, err := exec.Command("go", "build", "-o", folder, ".").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w\n%s", err, out)
 	}
 	return folder, nil
 })
 
-var builds string // the folder of built, to be removed
+var buildDir string // the folder of buildOnce, removed after the tests
 
 func TestMain(m *testing.M) {
-	sysfault.Main() // does not return where this process is to become the program under test
+	sysfault.Main() // does not return if this process is to become the program under test
 	code := m.Run()
-	if builds != "" {
-		os.RemoveAll(builds)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
 
-// program starts the agent as the deploy file does, from what RUN_ROOT holds, or else one built here.
-func program(t *testing.T, env ...string) (*exec.Cmd, *testkit.Log) {
+// startCommand starts the agent with the command of the deploy file under RUN_ROOT, or one built here if RUN_ROOT is not set.
+func startCommand(t *testing.T, env ...string) (*exec.Cmd, *testkit.Log) {
 	t.Helper()
-	cmd, log := command(t, env...), &testkit.Log{}
+	cmd, log := agentCommand(t, env...), &testkit.Log{}
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -61,10 +61,10 @@
 	return cmd, log
 }
 
-// command is the agent's, not started yet.
-func command(t *testing.T, env ...string) *exec.Cmd {
+// agentCommand returns the agent's command without starting it.
+func agentCommand(t *testing.T, env ...string) *exec.Cmd {
 	t.Helper()
-	command, root := "", os.Getenv("RUN_ROOT")
+	shellCommand, root := "", os.Getenv("RUN_ROOT")
 	if root != "" {
 		text, err := os.ReadFile(filepath.Join(root, "deploy/balancer.toml"))
 		if err != nil {
@@ -72,90 +72,90 @@
 		}
 		run := regexp.MustCompile(`(?m)^run = "(.*)"$`).FindSubmatch(text)
 		if run == nil {
-			t.Fatal("deploy/balancer.toml names no run")
+			t.Fatal("deploy/balancer.toml has no run command")
 		}
-		command = string(run[1])
+		shellCommand = string(run[1])
 	} else {
 		var err error
-		if root, err = built(); err != nil {
+		if root, err = buildOnce(); err != nil {
 			t.Fatal(err)
 		}
-		command = "exec ./ternbeam"
+		shellCommand = "exec ./ternbeam"
 	}
-	cmd := exec.Command("/bin/sh", "-c", command)
+	cmd := exec.Command("/bin/sh", "-c", shellCommand)
 	cmd.Dir, cmd.Env = root, append(os.Environ(), env...)
 	return cmd
 }
 
-// addArguments adds to the arguments of the program that a command starts by a shell.
+// addArguments appends arguments to a command that is run by a shell.
 func addArguments(cmd *exec.Cmd, arguments string) { cmd.Args[len(cmd.Args)-1] += " " + arguments }
 
-// process is the program under test, which is killed after the test if it is still there.
+// process is the program under test. It is killed after the test if it is still running.
 type process struct {
-	cmd   *exec.Cmd
-	log   *testkit.Log
-	ops   string // its second address, where it has one
-	ended chan error
+	cmd    *exec.Cmd
+	log    *testkit.Log
+	ops    string // the operators' address; empty if there is none
+	exited chan error
 
-	traced *sysfault.Process // in place of cmd and ended where calls of it fail
+	traced *sysfault.Process // used instead of cmd and exited if its system calls are made to fail
 }
 
 func start(t *testing.T, env ...string) *process {
 	t.Helper()
-	return startWith(t, "", env...)
+	return startWithArguments(t, "", env...)
 }
 
-// startWith is start with further arguments of the program.
-func startWith(t *testing.T, arguments string, env ...string) *process {
+// startWithArguments is like start, with additional program arguments.
+func startWithArguments(t *testing.T, arguments string, env ...string) *process {
 	t.Helper()
-	p := &process{cmd: command(t, env...), log: &testkit.Log{}, ended: make(chan error, 1)}
+	p := &process{cmd: agentCommand(t, env...), log: &testkit.Log{}, exited: make(chan error, 1)}
 	addArguments(p.cmd, arguments)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.ended <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	t.Cleanup(func() { p.cmd.Process.Kill() })
 	return p
 }
 
-// startReady starts the program, with a second address or without, until the test ends, and waits until clients may begin.
-func startReady(t *testing.T, config, listen string, second bool) *process {
+// startReady starts the program, with or without an operators' address, and waits until it is ready. It runs until the test ends.
+func startReady(t *testing.T, config, listen string, withOps bool) *process {
 	t.Helper()
 	env := []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + listen}
-	if second {
-		env = append(env, "NODE_OPS="+free(t), "TMPDIR="+t.TempDir())
+	if withOps {
+		env = append(env, "NODE_OPS="+unusedAddr(t), "TMPDIR="+t.TempDir())
 	}
 	p := start(t, env...)
 	awaitReady(t, listen)
 	return p
 }
 
-// signals are sent to it one right behind the other.
-func (p *process) signals(t *testing.T, all ...syscall.Signal) {
+// sendSignals sends signals to the process without a pause between them.
+func (p *process) sendSignals(t *testing.T, signals ...syscall.Signal) {
 	t.Helper()
-	for _, s := range all {
+	for _, s := range signals {
 		if err := p.cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// ends waits until it has ended, by itself and without an error.
-func (p *process) ends(t *testing.T, within time.Duration) {
+// awaitExit waits until the process has exited on its own and without an error.
+func (p *process) awaitExit(t *testing.T, within time.Duration) {
 	t.Helper()
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("ended with %v\n%s", err, p.log)
+			t.Errorf("the process exited with %v\n%s", err, p.log)
 		}
 	case <-time.After(within):
-		t.Fatalf("does not end\n%s", p.log)
+		t.Fatalf("the process does not exit\n%s", p.log)
 	}
 }
 
-// word words a request of an application.
-func word(method, listen, path, class, id, left string) *http.Request {
+// newRequest returns a request as an application sends it.
+func newRequest(method, listen, path, class, id, left string) *http.Request {
 	req, err := http.NewRequest(method, "http://"+listen+path, nil)
 	if err != nil {
 		panic(err)
@@ -166,16 +166,17 @@
 	return req
 }
 
-// configure writes the configuration of an agent that knows some servers, or none, and returns its path and where the agent listens.
+// configure writes the configuration of an agent with an initial list of servers, which may be empty. It returns the path of the
+// configuration and the address the agent listens on.
 func configure(t *testing.T, discovery, settings string, servers ...net.Addr) (config, listen string) {
 	t.Helper()
 	return configureLimited(t, discovery, settings, 1024, servers...)
 }
 
-// configureLimited is configure with a limit on descriptors.
+// configureLimited is like configure, with a limit on file descriptors.
 func configureLimited(t *testing.T, discovery, settings string, sockets int, servers ...net.Addr) (config, listen string) {
 	t.Helper()
-	listen = free(t)
+	listen = unusedAddr(t)
 	known := []any{}
 	for i, addr := range servers {
 		known = append(known, map[string]any{"id": fmt.Sprint("s-", i), "addr": addr.String(), "zone": "z", "state": "in_service", "weight": 1})
@@ -194,7 +195,8 @@
 	return config, listen
 }
 
-// The program, on loopback peers: ready, a request served by a backend that only the watch names, and a gentle end.
+// Runs the program against peers on loopback: it becomes ready, serves a request from a backend that only the watch lists, and shuts
+// down gracefully.
 func TestProgram(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "checked %s", r.URL.Path)
@@ -214,7 +216,7 @@
 	p := start(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 
 	get := func(path string) (int, string, error) {
-		resp, err := http.DefaultClient.Do(word(http.MethodGet, listen, path, "form-check", "9b1f03aa5c7e2d41", "15"))
+		resp, err := http.DefaultClient.Do(newRequest(http.MethodGet, listen, path, "form-check", "9b1f03aa5c7e2d41", "15"))
 		if err != nil {
 			return 0, "", err
 		}
@@ -222,7 +224,7 @@
 		body, err := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(body), err
 	}
-	until := func(what, path, want string) {
+	awaitAnswer := func(what, path, want string) {
 		t.Helper()
 		for end := time.Now().Add(time.Minute); ; time.Sleep(20 * time.Millisecond) {
 			status, body, err := get(path)
@@ -234,22 +236,22 @@
 			}
 		}
 	}
-	until("ready", "/ready", "")
-	until("served", "/form-check/a1", "checked /form-check/a1") // refused until the watch has named the backend
-	for range 2 {                                               // SIGHUP reads the configuration again, as often as it comes
-		p.signals(t, syscall.SIGHUP)
-		until("served after SIGHUP", "/form-check/a1", "checked /form-check/a1")
+	awaitAnswer("ready", "/ready", "")
+	awaitAnswer("served", "/form-check/a1", "checked /form-check/a1") // refused until the watch has listed the backend
+	for range 2 {                                                     // each SIGHUP reloads the configuration
+		p.sendSignals(t, syscall.SIGHUP)
+		awaitAnswer("served after SIGHUP", "/form-check/a1", "checked /form-check/a1")
 	}
-	p.signals(t, syscall.SIGTERM)
-	p.ends(t, time.Minute)
+	p.sendSignals(t, syscall.SIGTERM)
+	p.awaitExit(t, time.Minute)
 }
 
 func TestBadConfigurationEndsTheProgram(t *testing.T) {
-	cmd, log := program(t, "NODE_CONFIG="+filepath.Join(t.TempDir(), "nothing.json"))
+	cmd, log := startCommand(t, "NODE_CONFIG="+filepath.Join(t.TempDir(), "nothing.json"))
 	if err := cmd.Wait(); err == nil {
-		t.Error("no error")
+		t.Error("the program exits without an error")
 	}
 	if line := strings.TrimSpace(log.String()); !strings.HasPrefix(line, "ternbeam: ") || strings.Contains(line, "\n") {
-		t.Errorf("said %q", line)
+		t.Errorf("the program printed %q", line)
 	}
 }
--- a/cmd/ternbeam/openconnection_test.go
+++ b/cmd/ternbeam/openconnection_test.go
@@ -13,7 +13,7 @@
 func openConnectionFaults() (all []callFault) {
 	const seventh, moment = 7, 25 * time.Millisecond // a connection that is accepted needs six calls, one behind the other
 	add := func(call sysfault.Call, errnos ...syscall.Errno) {
-		all = append(all, inBothWays(call, seventh, moment, errnos...)...)
+		all = append(all, withBothPatterns(call, seventh, moment, errnos...)...)
 	}
 	add(sysfault.Write, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE, syscall.EINVAL, syscall.EBADF, syscall.ENOTCONN, syscall.EFAULT)
 	add(sysfault.Read, syscall.EAGAIN, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EINVAL, syscall.EBADF, syscall.EFAULT)
@@ -35,7 +35,7 @@
 func TestOpenConnectionsOutliveFailedCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
-		answerUnderFault(t, fault, onAddress)
+		testAnswersUnderFault(t, fault, onAddress)
 	}
 }
 
@@ -46,6 +46,6 @@
 		if fault.call != sysfault.Read && fault.call != sysfault.Write && fault.call != sysfault.Receive {
 			continue
 		}
-		answerUnderFault(t, fault, func(string) func(netip.AddrPort) bool { return dialled })
+		testAnswersUnderFault(t, fault, func(string) func(netip.AddrPort) bool { return isOutgoing })
 	}
 }
--- a/cmd/ternbeam/outage_test.go
+++ b/cmd/ternbeam/outage_test.go
@@ -24,8 +24,8 @@
 // countingServer answers at once and notes when it got its latest request.
 type countingServer struct {
 	*httptest.Server
-	requests atomic.Int64
-	latest   atomic.Int64 // Unix nanoseconds
+	requests    atomic.Int64
+	latestNanos atomic.Int64 // Unix nanoseconds
 }
 
 // newCountingServer runs one until the test ends. Each request is told to got, where that is not nil.
@@ -33,7 +33,7 @@
 	t.Helper()
 	s := &countingServer{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.latest.Store(time.Now().UnixNano())
+		s.latestNanos.Store(time.Now().UnixNano())
 		s.requests.Add(1)
 		if got != nil {
 			got()
@@ -55,7 +55,7 @@
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
-				resp, err := client.Do(word(http.MethodGet, listen, "/form-check/1", "form-check", fmt.Sprintf("%08x%08x", i+1, n), "2"))
+				resp, err := client.Do(newRequest(http.MethodGet, listen, "/form-check/1", "form-check", fmt.Sprintf("%08x%08x", i+1, n), "2"))
 				if err == nil {
 					io.Copy(io.Discard, resp.Body)
 					resp.Body.Close()
@@ -68,14 +68,14 @@
 }
 
 // listed is an entry of a list.
-type listed struct {
+type listEntry struct {
 	server    *countingServer
 	draining  bool
 	startedMS int64
 }
 
 // listText words a whole list. Servers are named in their order, as configure names them.
-func listText(version int, servers ...listed) string {
+func listText(version int, servers ...listEntry) string {
 	entries := make([]string, 0, len(servers))
 	for i, s := range servers {
 		state := "in_service"
@@ -109,8 +109,8 @@
 // where the machine itself stood still for longer than the terms let a process be held up.
 func (c outageCase) run(t *testing.T) (late time.Duration, log string, void bool) {
 	draining, other := newCountingServer(t, nil), newCountingServer(t, nil)
-	before := listText(1, listed{server: draining}, listed{server: other})
-	after := listText(2, listed{server: draining, draining: true}, listed{server: other})
+	before := listText(1, listEntry{server: draining}, listEntry{server: other})
+	after := listText(2, listEntry{server: draining, draining: true}, listEntry{server: other})
 	d := newLocalDiscovery(t, before, false)
 	config, listen := configure(t, d.addr, shutdownSettings(2*time.Second), draining.Listener.Addr(), other.Listener.Addr())
 	if c.atStart {
@@ -130,19 +130,19 @@
 		time.Sleep(time.Millisecond) // until there is something to stop
 	}
 	d.awaitCall()
-	watch := watchMachine()
+	watch := watchMachineStalls()
 	got := draining.requests.Load()
 	d.setUp(t, after)
 	told := time.Now()
 	if c.stalled {
-		p.signals(t, syscall.SIGSTOP)
-		time.Sleep(longestStall)
-		p.signals(t, syscall.SIGCONT)
+		p.sendSignals(t, syscall.SIGSTOP)
+		time.Sleep(maxStall)
+		p.sendSignals(t, syscall.SIGCONT)
 	}
 	time.Sleep(time.Until(told.Add(2 * time.Second)))
-	bears := longestStall
+	bears := maxStall
 	if c.stalled { // which has been held up for as long as the terms say already
-		bears = longestStall / 3
+		bears = maxStall / 3
 	}
 	if stood := watch(); stood > bears {
 		t.Logf("void: the machine stood still for %v", stood)
@@ -151,7 +151,7 @@
 	if other.requests.Load() == 0 || got == 0 {
 		t.Fatalf("the servers had %d and %d requests: nothing is shown\n%s", got, other.requests.Load(), p.log)
 	}
-	latest := time.Unix(0, draining.latest.Load())
+	latest := time.Unix(0, draining.latestNanos.Load())
 	t.Logf("its latest request came at %s", latest.UTC().Format("15:04:05.000"))
 	return latest.Sub(told), p.log.String(), false
 }
@@ -161,11 +161,11 @@
 // process is held up just then.
 func TestDrainsOfAnOutageAreHeardInTime(t *testing.T) {
 	t.Parallel()
-	for _, how := range []outage{hangs, answersHead, breaksMidway, dripsSpace, unavailable, resets, refuses, notAccepting} {
+	for _, how := range []outage{hangs, sendsHeadOnly, sendsHalfList, sendsSpaces, unavailable, resets, refuses, notAccepting} {
 		for _, c := range []outageCase{{how: how}, {how: how, stalled: true}, {how: how, atStart: true}} {
 			t.Run(c.String(), func(t *testing.T) {
 				t.Parallel()
-				for range mostVoidRuns {
+				for range maxVoidRuns {
 					late, log, void := c.run(t)
 					if void {
 						continue
@@ -176,7 +176,7 @@
 					}
 					return
 				}
-				t.Fatalf("the machine stood still in each of %d runs: nothing can be said", mostVoidRuns)
+				t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
 			})
 		}
 	}
--- a/cmd/ternbeam/pipelined_test.go
+++ b/cmd/ternbeam/pipelined_test.go
@@ -56,7 +56,7 @@
 		if c.class != "form-check" {
 			method, body = http.MethodPost, "a form"
 		}
-		req := word(method, c.listen, c.path(id, number), c.class, fmt.Sprint(id, "-", number), "1.5")
+		req := newRequest(method, c.listen, c.path(id, number), c.class, fmt.Sprint(id, "-", number), "1.5")
 		req.Body, req.ContentLength = io.NopCloser(bytes.NewBufferString(body)), int64(len(body))
 		req.Write(&text)
 	}
@@ -129,13 +129,13 @@
 }
 
 // play has requests sent about SIGTERM, and servers answer when all are sent.
-func (e pipelinedEnd) play(t *testing.T) {
+func (e pipelinedEnd) run(t *testing.T) {
 	server, goOn := heldServer(t)
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), server)
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), server)
 	p := startReady(t, config, listen, false)
 	c := pipeliningClient{listen: listen, class: e.class}
 	signal := func() {
-		p.signals(t, syscall.SIGTERM)
+		p.sendSignals(t, syscall.SIGTERM)
 		testkit.Eventually(t, "it ends", func() bool { return p.log.Has("stage=begun") })
 	}
 	if e.before {
@@ -168,7 +168,7 @@
 			for _, pause := range []time.Duration{0, 10 * time.Millisecond} {
 				t.Run(fmt.Sprintf("%s, sent before SIGTERM %t, pause %v", class, before, pause), func(t *testing.T) {
 					t.Parallel()
-					pipelinedEnd{class, before, pause}.play(t)
+					pipelinedEnd{class, before, pause}.run(t)
 				})
 			}
 		}
@@ -178,7 +178,7 @@
 // Guards against the same where places for connections get short.
 func TestPipelinedRequestsAreAnsweredWherePlacesAreShort(t *testing.T) {
 	const sockets, mostClients = 160, 160
-	config, listen := configureLimited(t, free(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
+	config, listen := configureLimited(t, unusedAddr(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
 	startReady(t, config, listen, false)
 	short := false
 	for number := 0; number < mostClients && !short; number++ {
--- a/cmd/ternbeam/randomfaults_test.go
+++ b/cmd/ternbeam/randomfaults_test.go
@@ -20,15 +20,15 @@
 // seedsVariable holds how many seeds TestAnswersUnderRandomFaults plays, and firstSeedVariable the first, where that is not the default: the
 // long run is started by hand.
 const (
-	seedsVariable     = "TERNBEAM_FAULT_SEEDS"
-	firstSeedVariable = "TERNBEAM_FAULT_FIRST_SEED"
-	usualSeeds        = 20
-	usualReplacements = 8 // seeds, each of two processes
-	usualIdlePlays    = 12
+	seedsEnv                = "TERNBEAM_FAULT_SEEDS"
+	firstSeedEnv            = "TERNBEAM_FAULT_FIRST_SEED"
+	defaultSeeds            = 20
+	defaultReplacementSeeds = 8 // seeds, each of two processes
+	defaultIdleSeeds        = 12
 )
 
 // fromEnvironment returns the number that a variable holds, or another where it is not set.
-func fromEnvironment(t *testing.T, variable string, otherwise int) int {
+func envInt(t *testing.T, variable string, otherwise int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
@@ -67,16 +67,16 @@
 
 // randomFaults are the faults of one seed: in each of a row of moments some calls fail with some probability, on all sockets of the process.
 type randomFaults struct {
-	moments []faultMoment
-	holds   []time.Duration // when the process is held up, in order
-	random  *rand.Rand      // of whoever decides on the calls
+	windows   []faultWindow
+	holdTimes []time.Duration // when the process is held up, in order
+	random    *rand.Rand      // of whoever decides on the calls
 
 	mu    sync.Mutex
 	begin time.Time // zero before they are armed
 }
 
 // faultMoment is a span of time in which one system call fails.
-type faultMoment struct {
+type faultWindow struct {
 	from, to    time.Duration
 	call        sysfault.Call
 	outcome     sysfault.Outcome
@@ -84,25 +84,25 @@
 }
 
 // drawFaults draws moments over some time, as many as fit, beside one another.
-func drawFaults(random *rand.Rand, span time.Duration) *randomFaults {
+func newRandomFaults(random *rand.Rand, span time.Duration) *randomFaults {
 	const rows = 3 // of moments beside one another
 	f := &randomFaults{random: rand.New(rand.NewPCG(random.Uint64(), 0))}
 	for range rows {
 		for at := time.Duration(0); at < span; {
 			at += time.Duration(random.Int64N(int64(150 * time.Millisecond)))
 			drawn := randomErrnos[random.IntN(len(randomErrnos))]
-			m := faultMoment{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
+			m := faultWindow{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
 				probability: []float64{0.1, 0.5, 1}[random.IntN(3)]}
 			m.outcome.Errno = drawn.errnos[random.IntN(len(drawn.errnos))]
 			if (m.call == sysfault.Read || m.call == sysfault.Write) && random.IntN(3) == 0 {
 				m.outcome = sysfault.Outcome{Limit: 1 + random.IntN(40)}
 			}
-			f.moments, at = append(f.moments, m), m.to
+			f.windows, at = append(f.windows, m), m.to
 		}
 	}
 	if random.IntN(2) == 0 {
 		for at := time.Duration(0); at < span; at += time.Second {
-			f.holds = append(f.holds, at+time.Duration(random.Int64N(int64(800*time.Millisecond))))
+			f.holdTimes = append(f.holdTimes, at+time.Duration(random.Int64N(int64(800*time.Millisecond))))
 		}
 	}
 	return f
@@ -124,11 +124,11 @@
 		return sysfault.Outcome{}
 	}
 	at := time.Since(f.begin)
-	if len(f.holds) > 0 && f.holds[0] <= at {
-		f.holds = f.holds[1:]
-		return sysfault.Outcome{Hold: time.Duration(f.random.Int64N(int64(longestStall)))}
+	if len(f.holdTimes) > 0 && f.holdTimes[0] <= at {
+		f.holdTimes = f.holdTimes[1:]
+		return sysfault.Outcome{Hold: time.Duration(f.random.Int64N(int64(maxStall)))}
 	}
-	for _, m := range f.moments {
+	for _, m := range f.windows {
 		if m.call == e.Call && m.from <= at && at < m.to && f.random.Float64() < m.probability {
 			return m.outcome
 		}
@@ -140,7 +140,7 @@
 // and in time, never another's, and no request that may not be repeated has its effect twice.
 func TestAnswersUnderRandomFaults(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualSeeds, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, steady) })
+	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, steady) })
 }
 
 // The same at the end of a process: signals come in series, clients go on sending on the connections that stay open, open new ones for 0.4 s,
@@ -148,24 +148,24 @@
 // another, as the agent may close a connection between two requests; none whose request a server has seen goes without an answer.
 func TestAnswersUnderRandomFaultsAtTheEnd(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualSeeds, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, ending) })
+	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, terminated) })
 }
 
 // The same on connections that are idle for about as long as one may be closed for, in between.
 func TestAnswersOnIdleConnectionsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualIdlePlays, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, idling) })
+	forEachSeed(t, defaultIdleSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, withIdleClients) })
 }
 
 // The same where another process replaces the first, which is told to end as the second says yes: clients go on with the one or the other.
 func TestAnswersUnderRandomFaultsAcrossAReplacement(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualReplacements, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, replaced) })
+	forEachSeed(t, defaultReplacementSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, replaced) })
 }
 
 // forEachSeed plays seeds beside one another, each as a test of its own: so many, where the environment does not say how many.
 func forEachSeed(t *testing.T, usual int, play func(t *testing.T, seed uint64)) {
-	first, seeds := fromEnvironment(t, firstSeedVariable, 1), fromEnvironment(t, seedsVariable, usual)
+	first, seeds := envInt(t, firstSeedEnv, 1), envInt(t, seedsEnv, usual)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -182,57 +182,57 @@
 )
 
 // fate is what becomes of the process in a play.
-type fate int
+type scenario int
 
 // The fates.
 const (
-	steady   fate = iota // it lives on
-	ending               // it is told to end
-	replaced             // another one replaces it
-	idling               // it lives on, and clients are idle between requests
+	steady          scenario = iota // it lives on
+	terminated                      // it is told to end
+	replaced                        // another one replaces it
+	withIdleClients                 // it lives on, and clients are idle between requests
 )
 
 // playRandomFaults plays one seed.
-func playRandomFaults(t *testing.T, seed uint64, fate fate) {
-	untilValid(t, func() bool { return playedRandomFaults(t, seed, fate) })
+func runRandomFaults(t *testing.T, seed uint64, fate scenario) {
+	retryUntilValid(t, func() bool { return tryRandomFaults(t, seed, fate) })
 }
 
 // untilValid plays until a play is valid, a few times at the most.
-func untilValid(t *testing.T, play func() (valid bool)) {
-	for range mostVoidRuns {
+func retryUntilValid(t *testing.T, play func() (valid bool)) {
+	for range maxVoidRuns {
 		if play() {
 			return
 		}
 	}
-	t.Fatalf("the machine stood still in each of %d runs: nothing can be said", mostVoidRuns)
+	t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
 }
 
 // playedRandomFaults is false where the machine itself stood still for longer than the terms let a process be held up.
-func playedRandomFaults(t *testing.T, seed uint64, fate fate) (valid bool) {
+func tryRandomFaults(t *testing.T, seed uint64, fate scenario) (valid bool) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	play := newRandomPlay(t, fate, random)
+	play := newRandomRun(t, fate, random)
 	first := play.startProcess(random)
 	defer first.process.Kill()
-	eventuallyReady(t, play.listen)
+	awaitReadyUnderFaults(t, play.listen)
 	first.faults.arm()
 	play.begin = time.Now()
-	play.end = play.begin.Add(play.span)
-	if fate == ending {
-		play.setTold(play.begin.Add(time.Duration(random.Int64N(int64(time.Second)))))
-		play.end = play.told.Add(killAfter(randomDeadline))
+	play.end = play.begin.Add(play.duration)
+	if fate == terminated {
+		play.setTerminateAt(play.begin.Add(time.Duration(random.Int64N(int64(time.Second)))))
+		play.end = play.terminateAt.Add(killDelay(randomDeadline))
 	}
-	watch, waits := watchMachine(), watchProcessorWaits(first.process.Pid)
-	return play.judge(play.run(first, random), watch(), waits())
+	watch, waits := watchMachineStalls(), watchProcessorWaits(first.process.Pid)
+	return play.report(play.execute(first, random), watch(), waits())
 }
 
 // newRandomPlay draws a play that has not begun.
-func newRandomPlay(t *testing.T, fate fate, random *rand.Rand) *randomPlay {
-	play := &randomPlay{t: t, fate: fate, span: 2 * time.Second, world: newWorldRecord()}
+func newRandomRun(t *testing.T, fate scenario, random *rand.Rand) *randomRun {
+	play := &randomRun{t: t, scenario: fate, duration: 2 * time.Second, traffic: newTrafficRecord()}
 	if fate != steady { // as long for clients that are idle
-		play.span += killAfter(randomDeadline)
+		play.duration += killDelay(randomDeadline)
 	}
 	for range 4 {
-		play.servers = append(play.servers, newMortalServer(t, &faultyServer{random: rand.New(rand.NewPCG(random.Uint64(), 2)), world: play.world}))
+		play.servers = append(play.servers, newResettableServer(t, &faultyServer{random: rand.New(rand.NewPCG(random.Uint64(), 2)), traffic: play.traffic}))
 	}
 	play.configure(random)
 	return play
@@ -240,16 +240,16 @@
 
 // judge reports what went against the rules, with the logs, unless the machine stood still for too long. Where nothing is wrong but late answers,
 // a process that has waited for a processor for longer than answers may be late says nothing either.
-func (p *randomPlay) judge(logs string, stood, waited time.Duration) (valid bool) {
+func (p *randomRun) report(logs string, stood, waited time.Duration) (valid bool) {
 	t := p.t
-	if stoodStill(t, stood) {
+	if machineStalled(t, stood) {
 		return false
 	}
 	for _, process := range p.traced {
-		p.world.stood = append(p.world.stood, process.Standstills(longestStall)...)
+		p.traffic.stalls = append(p.traffic.stalls, process.Standstills(maxStall)...)
 	}
-	problems, requests, served := p.world.judge()
-	if len(problems) > 0 && waited > answerLate && p.world.onlyLate() {
+	problems, requests, served := p.traffic.evaluate()
+	if len(problems) > 0 && waited > answerSlack && p.traffic.onlyLate() {
 		t.Logf("void: late answers of a process that has waited for a processor for %v: %q", waited, problems)
 		return false
 	}
@@ -258,29 +258,29 @@
 		t.Error(problem)
 	}
 	if t.Failed() {
-		t.Logf("longest calls of the agent in the test's hands: %v", p.world.stood)
+		t.Logf("longest calls of the agent in the test's hands: %v", p.traffic.stalls)
 		t.Log(logs)
 	}
 	return true
 }
 
 // randomPlay is one play. What it holds is set before its clients begin, but for told and, by the play itself, traced.
-type randomPlay struct {
-	t       *testing.T
-	fate    fate
-	servers []*mortalServer
-	listen  string
-	env     []string
-	second  bool // a second address is there
-	crowd   bool // connections may be closed to make room for others
-	world   *worldRecord
-	span    time.Duration
-	begin   time.Time
-	end     time.Time // of the sending; the process is killed then if it was told to end
-	traced  []*sysfault.Process
-
-	mu   sync.Mutex
-	told time.Time // when the first process is told to end; zero for never, and while that is not known
+type randomRun struct {
+	t        *testing.T
+	scenario scenario
+	servers  []*resettableServer
+	listen   string
+	env      []string
+	withOps  bool // a second address is there
+	crowd    bool // connections may be closed to make room for others
+	traffic  *trafficRecord
+	duration time.Duration
+	begin    time.Time
+	end      time.Time // of the sending; the process is killed then if it was told to end
+	traced   []*sysfault.Process
+
+	mu          sync.Mutex
+	terminateAt time.Time // when the first process is told to end; zero for never, and while that is not known
 }
 
 // faultyProcess is a process under faults of its own.
@@ -292,7 +292,7 @@
 }
 
 // configure draws how the process is run.
-func (p *randomPlay) configure(random *rand.Rand) {
+func (p *randomRun) configure(random *rand.Rand) {
 	sockets := 1024
 	if p.crowd = random.IntN(3) == 0; p.crowd {
 		sockets = 160
@@ -301,18 +301,18 @@
 	for _, server := range p.servers {
 		addrs = append(addrs, server.Listener.Addr())
 	}
-	config, listen := configureLimited(p.t, free(p.t), everyEffectSettings(randomDeadline, randomWindow), sockets, addrs...)
+	config, listen := configureLimited(p.t, unusedAddr(p.t), everyEffectSettings(randomDeadline, randomWindow), sockets, addrs...)
 	p.listen = listen
 	p.env = []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + listen, "TMPDIR=" + shortTempDir(p.t)}
-	p.second = random.IntN(2) == 0 || p.fate == replaced
+	p.withOps = random.IntN(2) == 0 || p.scenario == replaced
 }
 
 // startProcess starts a process; its faults begin when they are armed.
-func (p *randomPlay) startProcess(random *rand.Rand) *faultyProcess {
-	f := &faultyProcess{faults: drawFaults(random, p.span)}
+func (p *randomRun) startProcess(random *rand.Rand) *faultyProcess {
+	f := &faultyProcess{faults: newRandomFaults(random, p.duration)}
 	env := p.env
-	if p.second {
-		f.ops = free(p.t)
+	if p.withOps {
+		f.ops = unusedAddr(p.t)
 		env = append(slices.Clone(env), "NODE_OPS="+f.ops)
 	}
 	var chosen []sysfault.Call
@@ -325,11 +325,11 @@
 }
 
 // run plays to the end, with the clients and all else that happens, and returns the logs of the processes.
-func (p *randomPlay) run(first *faultyProcess, random *rand.Rand) (logs string) {
+func (p *randomRun) execute(first *faultyProcess, random *rand.Rand) (logs string) {
 	var wait sync.WaitGroup
 	p.startClients(&wait, random)
 	for _, server := range p.servers {
-		at := time.Duration(random.Int64N(int64(p.span)))
+		at := time.Duration(random.Int64N(int64(p.duration)))
 		wait.Go(func() {
 			time.Sleep(time.Until(p.begin.Add(at)))
 			server.resetAll()
@@ -337,11 +337,11 @@
 	}
 	if p.crowd {
 		at := time.Duration(random.Int64N(int64(time.Second)))
-		wait.Go(func() { idleCrowd(p.listen, p.begin.Add(at)) })
+		wait.Go(func() { openIdleConns(p.listen, p.begin.Add(at)) })
 	}
-	switch p.fate {
-	case ending:
-		p.signal(first.process, random)
+	switch p.scenario {
+	case terminated:
+		p.signalAndKill(first.process, random)
 	case replaced:
 		next := p.replace(first, random)
 		defer next.process.Kill()
@@ -353,44 +353,44 @@
 }
 
 // startClients starts the clients, which play to the end.
-func (p *randomPlay) startClients(wait *sync.WaitGroup, random *rand.Rand) {
+func (p *randomRun) startClients(wait *sync.WaitGroup, random *rand.Rand) {
 	for number := range 8 {
-		c := patientClient{listen: p.listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-record", "refund-pay"}[number%3],
-			keep: number%4 != 0}
+		c := testClient{listen: p.listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-record", "refund-pay"}[number%3],
+			keepAlive: number%4 != 0}
 		own := rand.New(rand.NewPCG(random.Uint64(), 3))
-		wait.Go(func() { c.play(p, own) })
+		wait.Go(func() { c.sendRandomRequests(p, own) })
 	}
 }
 
 // closing reports whether the first process was told to end, and whether new connections are still opened.
-func (p *randomPlay) closing() (told, newcomers bool) {
+func (p *randomRun) shutdownState() (told, newcomers bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.told.IsZero() || time.Now().Before(p.told) {
+	if p.terminateAt.IsZero() || time.Now().Before(p.terminateAt) {
 		return false, true
 	}
-	return true, p.fate == replaced || time.Since(p.told) < newcomersFor
+	return true, p.scenario == replaced || time.Since(p.terminateAt) < newConnsFor
 }
 
-func (p *randomPlay) setTold(at time.Time) {
+func (p *randomRun) setTerminateAt(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = at
+	p.terminateAt = at
 }
 
 // signal tells the process to end, with further signals behind it, and kills it at the end of the play.
-func (p *randomPlay) signal(process *sysfault.Process, random *rand.Rand) {
-	time.Sleep(time.Until(p.told))
+func (p *randomRun) signalAndKill(process *sysfault.Process, random *rand.Rand) {
+	time.Sleep(time.Until(p.terminateAt))
 	process.Signal(syscall.SIGTERM)
 	for range random.IntN(4) {
 		time.Sleep(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
 		process.Signal([]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)])
 	}
-	p.killLater(process, p.end)
+	p.killAt(process, p.end)
 }
 
 // killLater kills a process at some time, unless it ends before.
-func (p *randomPlay) killLater(process *sysfault.Process, at time.Time) {
+func (p *randomRun) killAt(process *sysfault.Process, at time.Time) {
 	select {
 	case <-process.Ended():
 	case <-time.After(time.Until(at)):
@@ -399,7 +399,7 @@
 }
 
 // replace starts a process beside the first, under faults from its beginning, and tells the first to end as the second says yes.
-func (p *randomPlay) replace(first *faultyProcess, random *rand.Rand) (next *faultyProcess) {
+func (p *randomRun) replace(first *faultyProcess, random *rand.Rand) (next *faultyProcess) {
 	time.Sleep(time.Duration(random.Int64N(int64(500 * time.Millisecond))))
 	next = p.startProcess(random)
 	next.faults.arm()
@@ -410,23 +410,23 @@
 		}
 	}()
 	testkit.Eventually(p.t, "the new process says yes", func() bool {
-		ready = second.operate(http.MethodGet, "/control/ready") == http.StatusOK
+		ready = second.callOps(http.MethodGet, "/control/ready") == http.StatusOK
 		return ready
 	})
-	p.setTold(time.Now())
+	p.setTerminateAt(time.Now())
 	first.process.Signal(syscall.SIGTERM)
-	p.killLater(first.process, time.Now().Add(killAfter(randomDeadline)))
+	p.killAt(first.process, time.Now().Add(killDelay(randomDeadline)))
 	return next
 }
 
 // mostRequestPause is for how long a client pauses in the middle of a request at the most.
-const mostRequestPause = 400 * time.Millisecond
+const maxRequestPause = 400 * time.Millisecond
 
 // newcomersFor is how long after a process was told to end clients open new connections, where no other process takes them.
-const newcomersFor = 400 * time.Millisecond
+const newConnsFor = 400 * time.Millisecond
 
 // idleCrowd opens 200 connections at some time, says nothing on them, and closes them all a little later.
-func idleCrowd(listen string, at time.Time) {
+func openIdleConns(listen string, at time.Time) {
 	time.Sleep(time.Until(at))
 	var all []net.Conn
 	for range 200 {
@@ -441,57 +441,57 @@
 }
 
 // play sends requests one after the other, or two at once, until the end and records what comes of each.
-func (c *patientClient) play(p *randomPlay, random *rand.Rand) {
+func (c *testClient) sendRandomRequests(p *randomRun, random *rand.Rand) {
 	defer c.close()
 	next := 0
 	request := func() *requestRecord {
 		next++
-		return p.world.request(fmt.Sprintf("%s-%d", c.name, next), c.class)
+		return p.traffic.request(fmt.Sprintf("%s-%d", c.name, next), c.class)
 	}
 	for time.Now().Before(p.end) {
-		if _, newcomers := p.closing(); c.conn == nil && !newcomers {
+		if _, newcomers := p.shutdownState(); c.conn == nil && !newcomers {
 			return
 		}
 		c.pause = 0
 		if random.IntN(10) == 0 {
-			c.leave(request(), time.Duration(random.Int64N(int64(60*time.Millisecond))))
+			c.sendAndDisconnect(request(), time.Duration(random.Int64N(int64(60*time.Millisecond))))
 			continue
 		}
 		if random.IntN(8) == 0 {
-			c.pause = time.Duration(random.Int64N(int64(mostRequestPause)))
+			c.pause = time.Duration(random.Int64N(int64(maxRequestPause)))
 		}
 		requests := []*requestRecord{request()}
 		if random.IntN(8) == 0 {
 			requests = append(requests, request())
 		}
-		c.askAll(p, requests)
-		if p.fate == idling && random.IntN(2) == 0 {
-			time.Sleep(shortestIdle + time.Duration(random.Int64N(int64(longestIdle-shortestIdle))))
+		c.doPipelined(p, requests)
+		if p.scenario == withIdleClients && random.IntN(2) == 0 {
+			time.Sleep(minIdle + time.Duration(random.Int64N(int64(maxIdle-minIdle))))
 		}
 	}
 }
 
 // For how long clients are idle between requests where they are: from 2 s on the platform lets a server close a connection.
 const (
-	shortestIdle = 1900 * time.Millisecond
-	longestIdle  = 2300 * time.Millisecond
+	minIdle = 1900 * time.Millisecond
+	maxIdle = 2300 * time.Millisecond
 )
 
 // askAll sends requests at once and reads their answers in turn.
-func (c *patientClient) askAll(p *randomPlay, requests []*requestRecord) {
+func (c *testClient) doPipelined(p *randomRun, requests []*requestRecord) {
 	kept := c.conn != nil
 	var text []byte
 	for _, r := range requests {
-		text = append(text, c.text(r.path, r.id)...)
+		text = append(text, c.encode(r.path, r.id)...)
 	}
-	c.sent = time.Now()
+	c.sentAt = time.Now()
 	in, failed := c.send(text)
 	for number, r := range requests {
 		if r.err = failed; failed == nil {
-			r.body, r.err = c.receive(in, c.sent)
+			r.body, r.err = c.receive(in, c.sentAt)
 		}
-		r.begin, r.took = c.sent, time.Since(c.sent)
-		told, _ := p.closing()
+		r.sentAt, r.took = c.sentAt, time.Since(c.sentAt)
+		told, _ := p.shutdownState()
 		r.mayBeUnread = told && (kept || p.crowd || isRefused(r.err))
 		if number > 0 && requests[number-1].answered() { // or else it came behind an answer that said that the connection ends
 			r.mayBeUnread = c.pause > 0 && told
@@ -500,25 +500,25 @@
 			failed = r.err
 		}
 	}
-	if failed != nil || !c.keep {
+	if failed != nil || !c.keepAlive {
 		c.close()
 	}
 }
 
 // leave sends a request and closes the connection after some time, without waiting for the answer.
-func (c *patientClient) leave(r *requestRecord, after time.Duration) {
+func (c *testClient) sendAndDisconnect(r *requestRecord, after time.Duration) {
 	defer c.close()
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.listen)
 		if err != nil {
-			r.begin, r.left = time.Now(), time.Now()
+			r.sentAt, r.disconnectedAt = time.Now(), time.Now()
 			return
 		}
 		c.conn = conn
 	}
-	r.begin = time.Now()
-	c.write(c.text(r.path, r.id))
+	r.sentAt = time.Now()
+	c.write(c.encode(r.path, r.id))
 	time.Sleep(after)
 	c.close()
-	r.left = time.Now()
+	r.disconnectedAt = time.Now()
 }
--- a/cmd/ternbeam/randomworld_test.go
+++ b/cmd/ternbeam/randomworld_test.go
@@ -20,17 +20,17 @@
 )
 
 // worldRecord is what clients and servers have seen of all requests of a play.
-type worldRecord struct {
+type trafficRecord struct {
 	mu       sync.Mutex
 	requests map[string]*requestRecord
-	stood    []sysfault.Period // in which calls of the agent stood for longer than its terms say, set before the judgement
+	stalls   []sysfault.Period // in which calls of the agent stood for longer than its terms say, set before the judgement
 }
 
 // requestRecord is what the client of one request and the servers have seen of it. The client's fields belong to the client until the play is over.
 type requestRecord struct {
 	id, class, path string
-	begin           time.Time // it was sent
-	left            time.Time // its client closed the connection without waiting; zero where it waited
+	sentAt          time.Time // it was sent
+	disconnectedAt  time.Time // its client closed the connection without waiting; zero where it waited
 	took            time.Duration
 	body            string
 	err             error
@@ -44,19 +44,19 @@
 
 // arrival is an attempt as a server got it.
 type arrival struct {
-	at   time.Time
-	left time.Duration // as X-Time-Left says
+	at       time.Time
+	timeLeft time.Duration // as X-Time-Left says
 }
 
 // excess is by how much its server was told more than the client had left.
 func (a arrival) excess(r *requestRecord) time.Duration {
-	return a.left - (patience - a.at.Sub(r.begin))
+	return a.timeLeft - (clientTimeout - a.at.Sub(r.sentAt))
 }
 
-func newWorldRecord() *worldRecord { return &worldRecord{requests: map[string]*requestRecord{}} }
+func newTrafficRecord() *trafficRecord { return &trafficRecord{requests: map[string]*requestRecord{}} }
 
 // request begins the record of a request.
-func (w *worldRecord) request(id, class string) *requestRecord {
+func (w *trafficRecord) request(id, class string) *requestRecord {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := &requestRecord{id: id, class: class, path: "/" + class + "/" + id}
@@ -65,14 +65,14 @@
 }
 
 // arrived records an attempt, as of when its last byte came to this machine.
-func (w *worldRecord) arrived(req *http.Request) {
+func (w *trafficRecord) arrived(req *http.Request) {
 	at := time.Now()
 	if conn, ok := req.Context().Value(connectionKey{}).(*timedConn); ok {
 		at = conn.lastData()
 	}
 	left, err := strconv.ParseFloat(req.Header.Get("X-Time-Left"), 64)
 	if err != nil {
-		left = patience.Seconds() * 100 // which the judge sees
+		left = clientTimeout.Seconds() * 100 // which the judge sees
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,32 +83,32 @@
 
 // The terms by which a play is judged.
 const (
-	answerLate    = 500 * time.Millisecond // after a client's time an answer counts as none
-	leftSlack     = 100 * time.Millisecond // after a client has left no attempt begins
-	deadlineSlack = 150 * time.Millisecond // by which the deadline passed on may exceed what the client has left
-	serverSlack   = 50 * time.Millisecond  // between an attempt's first byte and its record here
+	answerSlack     = 500 * time.Millisecond // after a client's time an answer counts as none
+	disconnectSlack = 100 * time.Millisecond // after a client has left no attempt begins
+	deadlineSlack   = 150 * time.Millisecond // by which the deadline passed on may exceed what the client has left
+	serverSlack     = 50 * time.Millisecond  // between an attempt's first byte and its record here
 )
 
 // stoodOver is by how much longer than longestStall calls of the agent stood between two times, at once: it knows nothing of that as it makes them.
-func (w *worldRecord) stoodOver(from, to time.Time) (over time.Duration) {
-	for _, p := range w.stood {
+func (w *trafficRecord) stallExcess(from, to time.Time) (over time.Duration) {
+	for _, p := range w.stalls {
 		if p.From.Before(to) && p.To.After(from) {
-			over = max(over, p.To.Sub(p.From)-longestStall)
+			over = max(over, p.To.Sub(p.From)-maxStall)
 		}
 	}
 	return over
 }
 
 // judge returns what goes against the rules, and how many requests there were and how many of them were served.
-func (w *worldRecord) judge() (problems []string, requests, served int) {
+func (w *trafficRecord) evaluate() (problems []string, requests, served int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.requests {
 		requests++
-		if r.err == nil && r.left.IsZero() {
+		if r.err == nil && r.disconnectedAt.IsZero() {
 			served++
 		}
-		for _, problem := range w.problems(r) {
+		for _, problem := range w.violations(r) {
 			problems = append(problems, r.path+": "+problem)
 		}
 	}
@@ -116,7 +116,7 @@
 }
 
 // problems returns what goes against the rules with one request.
-func (w *worldRecord) problems(r *requestRecord) (all []string) {
+func (w *trafficRecord) violations(r *requestRecord) (all []string) {
 	add := func(format string, values ...any) { all = append(all, fmt.Sprintf(format, values...)) }
 	if len(r.arrivals) > 1 && r.class == "refund-pay" {
 		add("it had its effect %d times", len(r.arrivals))
@@ -125,17 +125,17 @@
 		if late := a.at.Sub(r.arrivals[0].at); r.class == "refund-record" && late > randomWindow+serverSlack {
 			add("it was repeated %v after the first attempt", late)
 		}
-		if over := a.excess(r); over > deadlineSlack+serverSlack+w.stoodOver(r.begin, a.at) {
+		if over := a.excess(r); over > deadlineSlack+serverSlack+w.stallExcess(r.sentAt, a.at) {
 			add("an attempt has %v more than its client", over)
 		}
-		if !r.left.IsZero() && a.at.Sub(r.left) > leftSlack+serverSlack+w.stoodOver(r.left, a.at) {
-			add("an attempt began %v after its client had left", a.at.Sub(r.left))
+		if !r.disconnectedAt.IsZero() && a.at.Sub(r.disconnectedAt) > disconnectSlack+serverSlack+w.stallExcess(r.disconnectedAt, a.at) {
+			add("an attempt began %v after its client had left", a.at.Sub(r.disconnectedAt))
 		}
 	}
-	if !r.left.IsZero() {
+	if !r.disconnectedAt.IsZero() {
 		return all
 	}
-	unread := r.mayBeUnread && len(r.arrivals) == 0 && !isPart(r.err)
+	unread := r.mayBeUnread && len(r.arrivals) == 0 && !isPartial(r.err)
 	switch {
 	case r.err == nil && r.body != "checked "+r.path:
 		add("the answer is %.60q", r.body)
@@ -149,10 +149,12 @@
 }
 
 // isLate reports whether a client that waited got its answer too late.
-func (r *requestRecord) isLate() bool { return r.left.IsZero() && r.took > patience+answerLate }
+func (r *requestRecord) isLate() bool {
+	return r.disconnectedAt.IsZero() && r.took > clientTimeout+answerSlack
+}
 
 // onlyLate reports whether nothing goes against the rules but that answers came too late, or after their clients had given up.
-func (w *worldRecord) onlyLate() bool {
+func (w *trafficRecord) onlyLate() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.requests {
@@ -163,7 +165,7 @@
 		if r.isLate() && errors.Is(r.err, os.ErrDeadlineExceeded) {
 			allowed++
 		}
-		if len(w.problems(r)) > allowed {
+		if len(w.violations(r)) > allowed {
 			return false
 		}
 	}
@@ -172,12 +174,12 @@
 
 // Each rule is seen to be broken.
 func TestJudgeOfRandomFaultsSees(t *testing.T) {
-	begin, w := time.Unix(1000, 0), newWorldRecord()
+	begin, w := time.Unix(1000, 0), newTrafficRecord()
 	good := func() *requestRecord {
-		return &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", begin: begin, took: time.Second,
-			arrivals: []arrival{{begin.Add(100 * time.Millisecond), patience - 100*time.Millisecond}}}
+		return &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", sentAt: begin, took: time.Second,
+			arrivals: []arrival{{begin.Add(100 * time.Millisecond), clientTimeout - 100*time.Millisecond}}}
 	}
-	if all := w.problems(good()); len(all) > 0 {
+	if all := w.violations(good()); len(all) > 0 {
 		t.Errorf("a good one: %v", all)
 	}
 	for name, spoil := range map[string]func(r *requestRecord){
@@ -186,17 +188,17 @@
 			r.arrivals = append(r.arrivals, arrival{r.arrivals[0].at.Add(randomWindow + 100*time.Millisecond), 0})
 		},
 		"effect twice":        func(r *requestRecord) { r.arrivals = append(r.arrivals, r.arrivals[0]) },
-		"deadline too long":   func(r *requestRecord) { r.arrivals[0].left = patience + 200*time.Millisecond },
-		"sent on for nobody":  func(r *requestRecord) { r.left = begin.Add(-200 * time.Millisecond) },
+		"deadline too long":   func(r *requestRecord) { r.arrivals[0].timeLeft = clientTimeout + 200*time.Millisecond },
+		"sent on for nobody":  func(r *requestRecord) { r.disconnectedAt = begin.Add(-200 * time.Millisecond) },
 		"another's answer":    func(r *requestRecord) { r.body = "checked /refund-pay/2" },
 		"no answer":           func(r *requestRecord) { r.err = io.EOF },
 		"no answer, was read": func(r *requestRecord) { r.err, r.mayBeUnread = io.EOF, true },
-		"a part of an answer": func(r *requestRecord) { r.err, r.mayBeUnread, r.arrivals = errPart, true, nil },
-		"too late":            func(r *requestRecord) { r.took = patience + time.Second },
+		"a part of an answer": func(r *requestRecord) { r.err, r.mayBeUnread, r.arrivals = errPartial, true, nil },
+		"too late":            func(r *requestRecord) { r.took = clientTimeout + time.Second },
 	} {
 		r := good()
-		if spoil(r); len(w.problems(r)) != 1 {
-			t.Errorf("%s: %v", name, w.problems(r))
+		if spoil(r); len(w.violations(r)) != 1 {
+			t.Errorf("%s: %v", name, w.violations(r))
 		}
 	}
 }
@@ -213,16 +215,16 @@
 		excused bool
 	}{
 		"not at all":      {nil, false},
-		"for long":        {held(arrivesAfter/2, longestStall+60*time.Millisecond), true},
-		"not long enough": {held(arrivesAfter/2, longestStall+40*time.Millisecond), false},
-		"before":          {held(-time.Second, longestStall+60*time.Millisecond), false},
-		"afterwards":      {held(arrivesAfter, longestStall+60*time.Millisecond), false},
+		"for long":        {held(arrivesAfter/2, maxStall+60*time.Millisecond), true},
+		"not long enough": {held(arrivesAfter/2, maxStall+40*time.Millisecond), false},
+		"before":          {held(-time.Second, maxStall+60*time.Millisecond), false},
+		"afterwards":      {held(arrivesAfter, maxStall+60*time.Millisecond), false},
 	} {
-		w := newWorldRecord()
-		w.stood = test.stood
-		r := &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", begin: begin, took: time.Second,
-			arrivals: []arrival{{begin.Add(arrivesAfter), patience - arrivesAfter + excess}}}
-		if all := w.problems(r); (len(all) == 0) != test.excused {
+		w := newTrafficRecord()
+		w.stalls = test.stood
+		r := &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", sentAt: begin, took: time.Second,
+			arrivals: []arrival{{begin.Add(arrivesAfter), clientTimeout - arrivesAfter + excess}}}
+		if all := w.violations(r); (len(all) == 0) != test.excused {
 			t.Errorf("held up %s: %v", name, all)
 		}
 	}
@@ -230,17 +232,17 @@
 
 // Late answers are told from all else that goes against the rules.
 func TestLatenessIsToldFromOtherFaults(t *testing.T) {
-	late := requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", took: patience + 2*answerLate}
+	late := requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", took: clientTimeout + 2*answerSlack}
 	givenUp, lost := late, late
 	givenUp.err, lost.err = fmt.Errorf("no answer: %w", os.ErrDeadlineExceeded), io.EOF
 	for name, test := range map[string]struct {
 		record requestRecord
 		want   bool
 	}{"late": {late, true}, "given up": {givenUp, true}, "late and lost": {lost, false}} {
-		w := newWorldRecord()
+		w := newTrafficRecord()
 		w.requests["1"] = &test.record
 		if got := w.onlyLate(); got != test.want {
-			t.Errorf("%s: only late %t, %v", name, got, w.problems(&test.record))
+			t.Errorf("%s: only late %t, %v", name, got, w.violations(&test.record))
 		}
 	}
 }
@@ -285,7 +287,7 @@
 }
 
 // mortalServer is a faultyServer whose connections may all be reset at once, as where its process dies.
-type mortalServer struct {
+type resettableServer struct {
 	*httptest.Server
 	mu    sync.Mutex
 	conns []*net.TCPConn
@@ -295,9 +297,9 @@
 type connectionKey struct{}
 
 // newMortalServer runs one until the test ends.
-func newMortalServer(t *testing.T, handler http.Handler) *mortalServer {
+func newResettableServer(t *testing.T, handler http.Handler) *resettableServer {
 	t.Helper()
-	m := &mortalServer{Server: httptest.NewUnstartedServer(handler)}
+	m := &resettableServer{Server: httptest.NewUnstartedServer(handler)}
 	m.Listener = timedListener{m.Listener.(*net.TCPListener)}
 	m.Config.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		m.mu.Lock()
@@ -314,7 +316,7 @@
 }
 
 // resetAll resets all connections, also those on which an answer is being sent.
-func (m *mortalServer) resetAll() {
+func (m *resettableServer) resetAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, conn := range m.conns {
@@ -326,9 +328,9 @@
 
 // faultyServer answers after a time of its own, or goes wrong, by a seed.
 type faultyServer struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	world  *worldRecord
+	mu      sync.Mutex
+	random  *rand.Rand
+	traffic *trafficRecord
 }
 
 // The ways in which one answer in faultyKinds goes wrong.
@@ -340,13 +342,13 @@
 	faultUnknownLength // which is in order
 	faultPieces        // a chunked answer that comes slowly
 	faultPiecesCut     // the same, broken off
-	faultyKinds        = 40
+	faultDraws         = 40
 )
 
 func (s *faultyServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.world.arrived(r)
+	s.traffic.arrived(r)
 	s.mu.Lock()
-	wait, fault := time.Duration(s.random.Int64N(int64(60*time.Millisecond))), s.random.IntN(faultyKinds)
+	wait, fault := time.Duration(s.random.Int64N(int64(60*time.Millisecond))), s.random.IntN(faultDraws)
 	s.mu.Unlock()
 	io.Copy(io.Discard, r.Body)
 	time.Sleep(wait)
--- a/cmd/ternbeam/replace_test.go
+++ b/cmd/ternbeam/replace_test.go
@@ -27,26 +27,26 @@
 	"Tenants":[{"Name":"rosyth-port"}],"Zones":["z"]}`
 
 // succession is an agent that is replaced, and the world round it.
-type succession struct {
-	t               *testing.T
-	listen, shared  string
-	config, backend string
-	mu              sync.Mutex
-	runs            map[string]int // of each call, by its id
-	byServer        map[string]int
+type replacementTest struct {
+	t                 *testing.T
+	listen, sharedDir string
+	config, backend   string
+	mu                sync.Mutex
+	runsByID          map[string]int // of each call, by its id
+	requestsByServer  map[string]int
 }
 
-func newSuccession(t *testing.T, servers int) *succession {
+func newReplacementTest(t *testing.T, servers int) *replacementTest {
 	t.Helper()
-	s := &succession{t: t, shared: t.TempDir(), runs: map[string]int{}, byServer: map[string]int{}}
+	s := &replacementTest{t: t, sharedDir: t.TempDir(), runsByID: map[string]int{}, requestsByServer: map[string]int{}}
 	var known []map[string]any
 	for i := range servers {
 		id := fmt.Sprint("s-", i)
 		backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
 			s.mu.Lock()
-			s.runs[r.Header.Get("X-Correlation-Id")]++
-			s.byServer[id]++
+			s.runsByID[r.Header.Get("X-Correlation-Id")]++
+			s.requestsByServer[id]++
 			s.mu.Unlock()
 			time.Sleep(5 * time.Millisecond) // so that some are always under way
 			io.WriteString(w, r.Header.Get("X-Correlation-Id"))
@@ -54,9 +54,9 @@
 		t.Cleanup(backend.Close)
 		known = append(known, map[string]any{"id": id, "addr": backend.Listener.Addr().String(), "zone": "z", "state": "in_service", "weight": 1})
 	}
-	s.listen = free(t)
+	s.listen = unusedAddr(t)
 	text, err := json.Marshal(map[string]any{"name": "n1", "listen": s.listen, "seed": "1f",
-		"discovery": free(t), // down all the time
+		"discovery": unusedAddr(t), // down all the time
 		"settings":  json.RawMessage(replaceSettings), "limits": map[string]any{"cores": 2.0, "memory_mb": 192, "sockets": 1024},
 		"known": map[string]any{"version": 1, "full": true, "servers": known}})
 	if err != nil {
@@ -69,13 +69,13 @@
 	return s
 }
 
-var addresses atomic.Int64
+var addressCount atomic.Int64
 
 // free returns an address at which nobody listens, and nobody will: what connects from this machine does so from 127.0.0.1,
 // where a port that is free now may be taken a moment later.
-func free(t *testing.T) string {
+func unusedAddr(t *testing.T) string {
 	t.Helper()
-	n := addresses.Add(1)
+	n := addressCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+os.Getpid()%250, n/250%250, 1+n%250))
 	if err != nil {
 		t.Fatal(err)
@@ -85,16 +85,16 @@
 }
 
 // begin starts a process with a second address of its own.
-func (s *succession) begin() *process {
+func (s *replacementTest) start() *process {
 	s.t.Helper()
-	ops := free(s.t)
-	p := start(s.t, "NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.shared)
+	ops := unusedAddr(s.t)
+	p := start(s.t, "NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.sharedDir)
 	p.ops = ops
 	return p
 }
 
 // operate calls a process's second address.
-func (p *process) operate(method, path string) int {
+func (p *process) callOps(method, path string) int {
 	req, err := http.NewRequest(method, "http://"+p.ops+path, nil)
 	if err != nil {
 		return 0
@@ -108,9 +108,9 @@
 }
 
 // ready waits until a process says yes.
-func (s *succession) ready(p *process) {
+func (s *replacementTest) awaitReady(p *process) {
 	s.t.Helper()
-	for end := time.Now().Add(time.Minute); p.operate(http.MethodGet, "/control/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(time.Minute); p.callOps(http.MethodGet, "/control/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			s.t.Fatalf("no yes\n%s", p.log)
 		}
@@ -118,13 +118,13 @@
 }
 
 // retire ends a process as the platform does, and fails where it would have been killed.
-func (s *succession) retire(p *process) {
+func (s *replacementTest) terminate(p *process) {
 	s.t.Helper()
 	begin := time.Now()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-p.ended:
-		if took := time.Since(begin); err != nil || took > killAfter(5*time.Second) {
+	case err := <-p.exited:
+		if took := time.Since(begin); err != nil || took > killDelay(5*time.Second) {
 			s.t.Errorf("ended after %v with %v\n%s", took, err, p.log)
 		}
 	case <-time.After(time.Minute):
@@ -133,12 +133,12 @@
 }
 
 // ask words a call.
-func (s *succession) ask(method, class, id string) *http.Request {
-	return word(method, s.listen, "/"+class+"/1", class, id, "5")
+func (s *replacementTest) newRequest(method, class, id string) *http.Request {
+	return newRequest(method, s.listen, "/"+class+"/1", class, id, "5")
 }
 
 // says waits until a process has logged something.
-func (s *succession) says(p *process, line string) {
+func (s *replacementTest) awaitLog(p *process, line string) {
 	s.t.Helper()
 	for end := time.Now().Add(time.Minute); !p.log.Has(line); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
@@ -148,16 +148,16 @@
 }
 
 // load calls the agent until it is stopped, half of the clients with connections that they keep.
-type load struct {
+type loadClients struct {
 	stop           chan struct{}
 	done           sync.WaitGroup
 	calls, lost    atomic.Int64
-	first          atomic.Pointer[string]
+	firstError     atomic.Pointer[string]
 	wrong, refused atomic.Int64
 }
 
-func (s *succession) load(clients int) *load {
-	l := &load{stop: make(chan struct{})}
+func (s *replacementTest) startLoad(clients int) *loadClients {
+	l := &loadClients{stop: make(chan struct{})}
 	for n := range clients {
 		l.done.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: n%2 == 0, MaxIdleConns: 1}}
@@ -174,10 +174,10 @@
 				}
 				id := fmt.Sprintf("%x-%x-%x", n, i, time.Now().UnixNano())
 				l.calls.Add(1)
-				resp, err := client.Do(s.ask(method, class, id))
+				resp, err := client.Do(s.newRequest(method, class, id))
 				if err != nil {
 					text := fmt.Sprintf("%s %s: %v", method, id, err)
-					l.first.CompareAndSwap(nil, &text)
+					l.firstError.CompareAndSwap(nil, &text)
 					l.lost.Add(1)
 					continue
 				}
@@ -196,7 +196,7 @@
 	return l
 }
 
-func (l *load) end() {
+func (l *loadClients) finish() {
 	close(l.stop)
 	l.done.Wait()
 }
@@ -205,47 +205,47 @@
 // by itself, and a backend that was taken out before stays out until it is put back.
 func TestReplacementsUnderLoad(t *testing.T) {
 	t.Parallel()
-	s := newSuccession(t, 4)
-	now := s.begin()
-	s.ready(now)
-	l := s.load(12)
-	if got := now.operate(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
+	s := newReplacementTest(t, 4)
+	now := s.start()
+	s.awaitReady(now)
+	l := s.startLoad(12)
+	if got := now.callOps(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
 		t.Errorf("offline: %d", got)
 	}
 	s.mu.Lock()
-	out := s.byServer["s-0"]
+	out := s.requestsByServer["s-0"]
 	s.mu.Unlock()
 	for range 20 {
-		next := s.begin()
-		s.ready(next)
-		s.retire(now)
+		next := s.start()
+		s.awaitReady(next)
+		s.terminate(now)
 		if !now.log.Has("replaced=true") {
 			t.Fatalf("nothing was handed over\n%s\n%s", now.log, next.log)
 		}
 		now = next
 	}
 	s.mu.Lock()
-	after := s.byServer["s-0"]
+	after := s.requestsByServer["s-0"]
 	s.mu.Unlock()
 	if after > out+12 { // those that were under way
 		t.Errorf("%d calls came to a backend that was out", after-out)
 	}
-	if got := now.operate(http.MethodPost, "/control/backends/s-0/online"); got != http.StatusOK {
+	if got := now.callOps(http.MethodPost, "/control/backends/s-0/online"); got != http.StatusOK {
 		t.Errorf("online: %d", got)
 	}
 	testkit.Eventually(t, "it gets calls after it was put back", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.byServer["s-0"] > after
+		return s.requestsByServer["s-0"] > after
 	})
-	l.end()
+	l.finish()
 	t.Logf("%d calls, %d refused", l.calls.Load(), l.refused.Load())
 	if l.lost.Load() > 0 || l.wrong.Load() > 0 {
-		t.Errorf("%d lost and %d wrong of %d, the first: %s", l.lost.Load(), l.wrong.Load(), l.calls.Load(), *l.first.Load())
+		t.Errorf("%d lost and %d wrong of %d, the first: %s", l.lost.Load(), l.wrong.Load(), l.calls.Load(), *l.firstError.Load())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, n := range s.runs {
+	for id, n := range s.runsByID {
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
@@ -254,15 +254,15 @@
 
 // A new process that is killed at any stage of its start leaves the old one serving, and the next one takes over.
 func TestReplacementThatIsKilledLeavesTheOldServing(t *testing.T) {
-	s := newSuccession(t, 2)
-	old := s.begin()
-	s.ready(old)
+	s := newReplacementTest(t, 2)
+	old := s.start()
+	s.awaitReady(old)
 	asked := 0
 	serves := func(after string) {
 		t.Helper()
 		for range 20 {
 			asked++
-			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.ask(http.MethodGet, "form-check", fmt.Sprint("k", asked)))
+			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.newRequest(http.MethodGet, "form-check", fmt.Sprint("k", asked)))
 			if err != nil {
 				t.Fatalf("%s: %v", after, err)
 			}
@@ -273,23 +273,23 @@
 		}
 	}
 	for _, stage := range []string{"", "replacing another process", "msg=started", "yes"} {
-		next := s.begin()
+		next := s.start()
 		switch stage {
 		case "":
 		case "yes":
-			s.ready(next)
+			s.awaitReady(next)
 		default:
-			s.says(next, stage)
+			s.awaitLog(next, stage)
 		}
 		next.cmd.Process.Kill()
-		<-next.ended
+		<-next.exited
 		serves("killed at " + stage)
 	}
-	s.says(old, "the process that replaces this one is gone")
-	next := s.begin()
-	s.ready(next)
-	s.retire(old)
-	s.says(next, "the process before is gone")
+	s.awaitLog(old, "the process that replaces this one is gone")
+	next := s.start()
+	s.awaitReady(next)
+	s.terminate(old)
+	s.awaitLog(next, "the process before is gone")
 	serves("replaced after all")
 	if !next.log.Has("replacing another process") {
 		t.Errorf("the last one began from nothing\n%s", next.log)
@@ -299,23 +299,26 @@
 // A process begins while the one before is already ending, and takes over what that still has, or begins from nothing; then both are told
 // to end while the other still does. Each ends by itself, and whoever has its answer has its own.
 func TestProcessBeginsAsTheOneBeforeEnds(t *testing.T) {
-	for name, end := range map[string]func(s *succession, old, next *process){
-		"the next one stays":       func(s *succession, _, next *process) { s.ready(next) },
-		"both are told to end":     func(s *succession, old, next *process) { s.ready(next); next.cmd.Process.Signal(syscall.SIGTERM) },
-		"both, before it is ready": func(_ *succession, _, next *process) { next.cmd.Process.Signal(syscall.SIGTERM) },
+	for name, end := range map[string]func(s *replacementTest, old, next *process){
+		"the next one stays": func(s *replacementTest, _, next *process) { s.awaitReady(next) },
+		"both are told to end": func(s *replacementTest, old, next *process) {
+			s.awaitReady(next)
+			next.cmd.Process.Signal(syscall.SIGTERM)
+		},
+		"both, before it is ready": func(_ *replacementTest, _, next *process) { next.cmd.Process.Signal(syscall.SIGTERM) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSuccession(t, 2)
-			old := s.begin()
-			s.ready(old)
-			l := s.load(6)
+			s := newReplacementTest(t, 2)
+			old := s.start()
+			s.awaitReady(old)
+			l := s.startLoad(6)
 			old.cmd.Process.Signal(syscall.SIGTERM)
-			s.says(old, "msg=ending")
-			next := s.begin()
-			s.says(next, "msg=started")
+			s.awaitLog(old, "msg=ending")
+			next := s.start()
+			s.awaitLog(next, "msg=started")
 			end(s, old, next)
 			if name == "the next one stays" {
-				resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.ask(http.MethodGet, "form-check", "after"))
+				resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.newRequest(http.MethodGet, "form-check", "after"))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -326,15 +329,15 @@
 				next.cmd.Process.Signal(syscall.SIGTERM)
 			}
 			for _, p := range []*process{old, next} {
-				p.ends(t, time.Minute)
+				p.awaitExit(t, time.Minute)
 			}
-			l.end()
+			l.finish()
 			if n := l.wrong.Load(); n > 0 {
 				t.Errorf("%d wrong answers of %d", n, l.calls.Load())
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			for id, n := range s.runs {
+			for id, n := range s.runsByID {
 				if n > 1 {
 					t.Errorf("%s ran %d times", id, n)
 				}
@@ -348,36 +351,36 @@
 func TestThirdProcess(t *testing.T) {
 	for name, first := range map[string]int{"the first ends first": 0, "the second ends first": 1} {
 		t.Run(name, func(t *testing.T) {
-			s := newSuccession(t, 3)
-			all := []*process{s.begin()}
-			s.ready(all[0])
-			l := s.load(6)
+			s := newReplacementTest(t, 3)
+			all := []*process{s.start()}
+			s.awaitReady(all[0])
+			l := s.startLoad(6)
 			for range 2 {
-				next := s.begin()
-				s.ready(next)
-				s.says(next, "replacing another process")
+				next := s.start()
+				s.awaitReady(next)
+				s.awaitLog(next, "replacing another process")
 				// Its yes comes a moment before the path is its own.
 				time.Sleep(100 * time.Millisecond)
 				all = append(all, next)
 			}
-			if got := all[0].operate(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
+			if got := all[0].callOps(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
 				t.Errorf("offline: %d", got)
 			}
 			time.Sleep(600 * time.Millisecond) // from when a drain binds
 			s.mu.Lock()
-			out := s.byServer["s-0"]
+			out := s.requestsByServer["s-0"]
 			s.mu.Unlock()
-			s.retire(all[first])
-			s.retire(all[1-first])
+			s.terminate(all[first])
+			s.terminate(all[1-first])
 			time.Sleep(200 * time.Millisecond)
-			l.end()
+			l.finish()
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.byServer["s-0"] != out {
-				t.Errorf("%d calls came to a backend that was out", s.byServer["s-0"]-out)
+			if s.requestsByServer["s-0"] != out {
+				t.Errorf("%d calls came to a backend that was out", s.requestsByServer["s-0"]-out)
 			}
 			if l.lost.Load() > 0 || l.wrong.Load() > 0 {
-				t.Errorf("%d lost and %d wrong of %d, the first: %s", l.lost.Load(), l.wrong.Load(), l.calls.Load(), *l.first.Load())
+				t.Errorf("%d lost and %d wrong of %d, the first: %s", l.lost.Load(), l.wrong.Load(), l.calls.Load(), *l.firstError.Load())
 			}
 		})
 	}
--- a/cmd/ternbeam/replacefaults_test.go
+++ b/cmd/ternbeam/replacefaults_test.go
@@ -42,7 +42,7 @@
 }
 
 // firstCalls makes the first calls of one kind on Unix sockets and paths fail.
-func firstCalls(call sysfault.Call, errno syscall.Errno, count int) sysfault.Decider {
+func failFirstCalls(call sysfault.Call, errno syscall.Errno, count int) sysfault.Decider {
 	var mu sync.Mutex
 	return func(e sysfault.Event) sysfault.Outcome {
 		onPath := e.Call == sysfault.Rename || e.Call == sysfault.NewSocket
@@ -67,13 +67,13 @@
 		for _, errno := range fault.errnos {
 			t.Run(fmt.Sprintf("older %t, %v %v", fault.old, fault.call, errno), func(t *testing.T) {
 				t.Parallel()
-				s := newSuccession(t, 2)
-				s.shared = shortTempDir(t)
-				decide, calls := firstCalls(fault.call, errno, failures), []sysfault.Call{fault.call}
-				old := s.beginUnderFaults(fault.old, calls, decide)
-				s.takeOut(old)
-				next := s.beginUnderFaults(!fault.old, calls, decide)
-				s.staysOut(old, next)
+				s := newReplacementTest(t, 2)
+				s.sharedDir = shortTempDir(t)
+				decide, calls := failFirstCalls(fault.call, errno, failures), []sysfault.Call{fault.call}
+				old := s.startUnderFaults(fault.old, calls, decide)
+				s.takeOffline(old)
+				next := s.startUnderFaults(!fault.old, calls, decide)
+				s.checkStaysOffline(old, next)
 			})
 		}
 	}
@@ -81,38 +81,38 @@
 
 // Guards against the same where the path of the shared folder is too long for a Unix socket.
 func TestReplacementHasWhatWasLeftInAFolderWithALongName(t *testing.T) {
-	s := newSuccession(t, 2)
-	s.shared = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
-	if err := os.Mkdir(s.shared, 0o700); err != nil {
+	s := newReplacementTest(t, 2)
+	s.sharedDir = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
+	if err := os.Mkdir(s.sharedDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	old := s.begin()
-	s.ready(old)
-	s.takeOut(old)
-	next := s.begin()
-	s.ready(next)
-	s.staysOut(old, next)
+	old := s.start()
+	s.awaitReady(old)
+	s.takeOffline(old)
+	next := s.start()
+	s.awaitReady(next)
+	s.checkStaysOffline(old, next)
 }
 
 // takeOut takes s-0 out by hand at a process, and waits until another one can claim what that leaves.
-func (s *succession) takeOut(p *process) {
+func (s *replacementTest) takeOffline(p *process) {
 	s.t.Helper()
-	if status := p.operate(http.MethodPost, "/control/backends/s-0/offline"); status != http.StatusOK {
+	if status := p.callOps(http.MethodPost, "/control/backends/s-0/offline"); status != http.StatusOK {
 		s.t.Fatal(status)
 	}
 	testkit.Eventually(s.t, "the next process can claim", func() bool {
-		_, err := os.Stat(filepath.Join(s.shared, "ternbeam.sock"))
+		_, err := os.Stat(filepath.Join(s.sharedDir, "ternbeam.sock"))
 		return err == nil
 	})
 }
 
 // staysOut ends the old process and sends requests, of which s-0 is to get none.
-func (s *succession) staysOut(old, next *process) {
+func (s *replacementTest) checkStaysOffline(old, next *process) {
 	s.t.Helper()
 	const requests = 60
 	old.stop(syscall.SIGTERM)
 	for n := range requests {
-		resp, err := http.DefaultTransport.RoundTrip(s.ask(http.MethodGet, "form-check", fmt.Sprint(n)))
+		resp, err := http.DefaultTransport.RoundTrip(s.newRequest(http.MethodGet, "form-check", fmt.Sprint(n)))
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -120,8 +120,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.byServer["s-0"] > 0 {
-		s.t.Errorf("s-0, which was taken out, got %d of %d requests\n%s", s.byServer["s-0"], requests, next.log)
+	if s.requestsByServer["s-0"] > 0 {
+		s.t.Errorf("s-0, which was taken out, got %d of %d requests\n%s", s.requestsByServer["s-0"], requests, next.log)
 	}
 }
 
@@ -137,17 +137,17 @@
 }
 
 // beginUnderFaults starts a process with a second address of its own and waits until it is ready. Calls of it fail where they are to.
-func (s *succession) beginUnderFaults(faulty bool, calls []sysfault.Call, decide sysfault.Decider) *process {
+func (s *replacementTest) startUnderFaults(faulty bool, calls []sysfault.Call, decide sysfault.Decider) *process {
 	s.t.Helper()
 	if !faulty {
-		p := s.begin()
-		s.ready(p)
+		p := s.start()
+		s.awaitReady(p)
 		return p
 	}
-	ops := free(s.t)
-	traced, log := startUnderFaults(s.t, calls, decide, "NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.shared)
+	ops := unusedAddr(s.t)
+	traced, log := startUnderFaults(s.t, calls, decide, "NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.sharedDir)
 	p := &process{log: log, ops: ops, traced: traced}
-	s.ready(p)
+	s.awaitReady(p)
 	return p
 }
 
@@ -159,5 +159,5 @@
 		return
 	}
 	p.cmd.Process.Signal(signal)
-	<-p.ended
+	<-p.exited
 }
--- a/cmd/ternbeam/shutdown_test.go
+++ b/cmd/ternbeam/shutdown_test.go
@@ -17,14 +17,14 @@
 
 // The platform's terms for the end of a process: SIGKILL comes so long after SIGTERM, by the longest deadline of the settings.
 const (
-	mostDeadlineBeforeKill = 3 * time.Second
-	killMargin             = 700 * time.Millisecond
-	longestStall           = 150 * time.Millisecond // for which a process may be held up
+	maxKillDeadline = 3 * time.Second
+	killMargin      = 700 * time.Millisecond
+	maxStall        = 150 * time.Millisecond // for which a process may be held up
 )
 
 // killAfter is how long after SIGTERM the platform sends SIGKILL at the earliest.
-func killAfter(longestDeadline time.Duration) time.Duration {
-	return min(longestDeadline, mostDeadlineBeforeKill) + killMargin
+func killDelay(longestDeadline time.Duration) time.Duration {
+	return min(longestDeadline, maxKillDeadline) + killMargin
 }
 
 // shutdownSettings are settings with classes of every effect, all with one deadline.
@@ -39,7 +39,7 @@
 
 // unhurriedSettings are shutdownSettings whose aims are the deadline, for tests that ask for an answer of a server to each request: with shorter ones
 // a request is refused where answers are slow, as on a machine with too few processors.
-func unhurriedSettings(deadline time.Duration) string {
+func relaxedSettings(deadline time.Duration) string {
 	return strings.ReplaceAll(shutdownSettings(deadline), `"AimNs":300000000`, fmt.Sprintf(`"AimNs":%d`, deadline.Nanoseconds()))
 }
 
@@ -67,18 +67,18 @@
 }
 
 // lateClient is a client that sends one request while an agent ends, in two parts at set times after SIGTERM.
-type lateClient struct {
-	name         string
-	class        string
-	connect      time.Duration // after SIGTERM; below 0 for before
-	first, whole time.Duration // when the first half and the last byte of the request are sent
+type shutdownClient struct {
+	name        string
+	class       string
+	connect     time.Duration // after SIGTERM; below 0 for before
+	first, last time.Duration // when the first half and the last byte of the request are sent
 }
 
 // longBody names the client whose body is still coming when the process is killed.
 const longBody = "long body"
 
 // drip writes at a pace that a body may have, until the connection ends.
-func drip(conn net.Conn, text []byte) {
+func writeSlowly(conn net.Conn, text []byte) {
 	for len(text) > 0 {
 		part := min(len(text), 3000)
 		if _, err := conn.Write(text[:part]); err != nil {
@@ -90,11 +90,11 @@
 }
 
 // answer sends the request and returns the status of its final answer, which has to come whole.
-func (c lateClient) answer(begin time.Time, listen string, deadline time.Duration) (status int, err error) {
+func (c shutdownClient) do(begin time.Time, listen string, deadline time.Duration) (status int, err error) {
 	method := map[string]string{"form-check": http.MethodGet, "refund-pay": http.MethodPost}[c.class]
 	var text bytes.Buffer
 	left := fmt.Sprintf("%.3f", deadline.Seconds())
-	request := word(method, listen, "/"+c.class+"/1", c.class, c.name, left)
+	request := newRequest(method, listen, "/"+c.class+"/1", c.class, c.name, left)
 	if c.name == longBody {
 		request.Body, request.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 400_000))), 400_000
 	}
@@ -113,9 +113,9 @@
 		return 0, err
 	}
 	if c.name == longBody {
-		go drip(conn, text.Bytes()[half:])
+		go writeSlowly(conn, text.Bytes()[half:])
 	} else {
-		time.Sleep(time.Until(begin.Add(c.whole)))
+		time.Sleep(time.Until(begin.Add(c.last)))
 		if _, err := conn.Write(text.Bytes()[half:]); err != nil {
 			return 0, err
 		}
@@ -139,7 +139,7 @@
 			c.deadline = deadline
 			t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
 				t.Parallel()
-				for range mostVoidRuns {
+				for range maxVoidRuns {
 					if failures, log, void := c.run(t); !void {
 						for _, f := range failures {
 							t.Error(f)
@@ -150,7 +150,7 @@
 						return
 					}
 				}
-				t.Fatalf("the machine stood still in each of %d runs: nothing can be said", mostVoidRuns)
+				t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
 			})
 		}
 	}
@@ -167,18 +167,18 @@
 // the terms let a process be held up.
 func (s shutdownCase) run(t *testing.T) (failures []string, log string, void bool) {
 	deadline, stalled := s.deadline, s.stalled
-	config, listen := configure(t, free(t), shutdownSettings(deadline), hangingServer(t), hangingServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(deadline), hangingServer(t), hangingServer(t))
 	env := []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + listen}
 	if s.replaceable {
-		env = append(env, "NODE_OPS="+free(t), "TMPDIR="+t.TempDir())
+		env = append(env, "NODE_OPS="+unusedAddr(t), "TMPDIR="+t.TempDir())
 	}
 	p := start(t, env...)
 	awaitReady(t, listen)
 
-	kill := killAfter(deadline)
+	kill := killDelay(deadline)
 	late := min(time.Second, kill-600*time.Millisecond)
 	begin := time.Now().Add(100 * time.Millisecond) // SIGTERM comes then
-	clients := []lateClient{
+	clients := []shutdownClient{
 		{"taken before", "form-check", -60 * time.Millisecond, -50 * time.Millisecond, -50 * time.Millisecond},
 		{"taken before, not repeatable", "refund-pay", -60 * time.Millisecond, -50 * time.Millisecond, -50 * time.Millisecond},
 		{"taken across the signal", "form-check", -60 * time.Millisecond, -50 * time.Millisecond, 20 * time.Millisecond},
@@ -187,14 +187,14 @@
 		{"whole late, not repeatable", "refund-pay", 300 * time.Millisecond, 320 * time.Millisecond, late},
 	}
 	if s.replaceable {
-		clients = append(clients, lateClient{longBody, "refund-pay", -60 * time.Millisecond, -50 * time.Millisecond, time.Minute})
+		clients = append(clients, shutdownClient{longBody, "refund-pay", -60 * time.Millisecond, -50 * time.Millisecond, time.Minute})
 	}
-	watch := watchMachine()
+	watch := watchMachineStalls()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for _, c := range clients {
 		wait.Go(func() {
-			status, err := c.answer(begin, listen, deadline)
+			status, err := c.do(begin, listen, deadline)
 			took := time.Since(begin)
 			if err != nil {
 				mu.Lock()
@@ -207,24 +207,24 @@
 	}
 	time.Sleep(time.Until(begin))
 	if stalled {
-		p.signals(t, syscall.SIGSTOP, syscall.SIGTERM)
-		time.Sleep(longestStall)
-		p.signals(t, syscall.SIGCONT)
-		time.Sleep(time.Until(begin.Add(kill - 2*longestStall)))
+		p.sendSignals(t, syscall.SIGSTOP, syscall.SIGTERM)
+		time.Sleep(maxStall)
+		p.sendSignals(t, syscall.SIGCONT)
+		time.Sleep(time.Until(begin.Add(kill - 2*maxStall)))
 		if p.alive() {
-			p.signals(t, syscall.SIGSTOP)
-			time.Sleep(longestStall)
-			p.signals(t, syscall.SIGCONT)
+			p.sendSignals(t, syscall.SIGSTOP)
+			time.Sleep(maxStall)
+			p.sendSignals(t, syscall.SIGCONT)
 		}
 	} else {
-		p.signals(t, syscall.SIGTERM)
+		p.sendSignals(t, syscall.SIGTERM)
 	}
 	time.Sleep(time.Until(begin.Add(kill)))
 	p.cmd.Process.Kill()
 	wait.Wait()
-	bears := longestStall
+	bears := maxStall
 	if stalled { // which has been held up for as long as the terms say already
-		bears = longestStall / 3
+		bears = maxStall / 3
 	}
 	if stood := watch(); stood > bears {
 		t.Logf("void: the machine stood still for %v", stood)
@@ -234,10 +234,10 @@
 }
 
 // mostVoidRuns is how often a run is repeated in which the machine stood still.
-const mostVoidRuns = 10
+const maxVoidRuns = 10
 
 // watchMachine begins to look how late the machine wakes who sleeps, and returns what ends that and tells the longest.
-func watchMachine() (longest func() time.Duration) {
+func watchMachineStalls() (longest func() time.Duration) {
 	const nap = 2 * time.Millisecond
 	over, most := make(chan struct{}), make(chan time.Duration)
 	go func() {
@@ -258,9 +258,9 @@
 }
 
 // stoodStill reports whether the machine stood still in a play for so long that the play says nothing.
-func stoodStill(t *testing.T, longest time.Duration) bool {
+func machineStalled(t *testing.T, longest time.Duration) bool {
 	t.Helper()
-	if longest <= longestStall/3 {
+	if longest <= maxStall/3 {
 		return false
 	}
 	t.Logf("void: the machine stood still for %v", longest)
@@ -270,8 +270,8 @@
 // alive reports whether the process has not ended yet.
 func (p *process) alive() bool {
 	select {
-	case err := <-p.ended:
-		p.ended <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return false
 	default:
 		return true
--- a/cmd/ternbeam/signals_test.go
+++ b/cmd/ternbeam/signals_test.go
@@ -40,7 +40,7 @@
 
 	answered := make(chan string, 1)
 	go func() {
-		resp, err := new(http.Transport).RoundTrip(word(http.MethodGet, listen, "/form-check/a1", "form-check", "9b1f03aa5c7e2d41", "15"))
+		resp, err := new(http.Transport).RoundTrip(newRequest(http.MethodGet, listen, "/form-check/a1", "form-check", "9b1f03aa5c7e2d41", "15"))
 		if err != nil {
 			answered <- err.Error()
 			return
@@ -50,11 +50,11 @@
 		answered <- fmt.Sprint(resp.StatusCode, " ", string(text))
 	}()
 	<-taken
-	p.signals(t, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
+	p.sendSignals(t, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
 	testkit.Eventually(t, "it ends", func() bool { return p.log.Has("msg=ending") })
-	p.signals(t, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt.(syscall.Signal))
+	p.sendSignals(t, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt.(syscall.Signal))
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		t.Fatalf("it ended before its last answer: %v\n%s", err, p.log)
 	case <-time.After(100 * time.Millisecond): // for the signals to arrive
 	}
@@ -62,7 +62,7 @@
 	if got := <-answered; got != "200 checked /form-check/a1" {
 		t.Errorf("answered %s", got)
 	}
-	p.ends(t, testkit.Patience)
+	p.awaitExit(t, testkit.Patience)
 	if n := strings.Count(p.log.String(), "msg=ending"); n != 1 {
 		t.Errorf("it ended %d times", n)
 	}
@@ -84,8 +84,8 @@
 		t.Errorf("ready: %v, %v", resp, err)
 	}
 	begin := time.Now()
-	p.signals(t, syscall.SIGTERM)
-	p.ends(t, testkit.Patience)
+	p.sendSignals(t, syscall.SIGTERM)
+	p.awaitExit(t, testkit.Patience)
 	if took := time.Since(begin); took > 4*time.Second { // the list, or its absence, would have it ready after 5 s
 		t.Errorf("it ended after %v", took)
 	}
@@ -93,8 +93,8 @@
 
 // Whoever reads the log goes away: the agent serves on, and ends as usual.
 func TestNobodyReadsTheLog(t *testing.T) {
-	config, listen := configure(t, free(t), settings)
-	cmd := command(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	config, listen := configure(t, unusedAddr(t), settings)
+	cmd := agentCommand(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ternbeam/startfaults_test.go
+++ b/cmd/ternbeam/startfaults_test.go
@@ -15,7 +15,7 @@
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.ESTALE} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			t.Parallel()
-			config, listen := configure(t, free(t), shutdownSettings(1509*time.Millisecond), slowServer(t))
+			config, listen := configure(t, unusedAddr(t), shutdownSettings(1509*time.Millisecond), slowServer(t))
 			var mu sync.Mutex
 			failures := 0
 			decide := func(e sysfault.Event) sysfault.Outcome {
@@ -43,7 +43,7 @@
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			t.Parallel()
 			const denied = 500 * time.Millisecond // from the first call on; what is not retried for so long is not tried again
-			config, listen := configure(t, free(t), shutdownSettings(1509*time.Millisecond), slowServer(t))
+			config, listen := configure(t, unusedAddr(t), shutdownSettings(1509*time.Millisecond), slowServer(t))
 			var first time.Time
 			decide := func(sysfault.Event) sysfault.Outcome {
 				if first.IsZero() {
--- a/cmd/ternbeam/state_test.go
+++ b/cmd/ternbeam/state_test.go
@@ -23,7 +23,7 @@
 )
 
 // kept writes a state of servers with a rate each into a new folder.
-func keptIn(t *testing.T, rates map[string]float64) string {
+func writeState(t *testing.T, rates map[string]float64) string {
 	t.Helper()
 	dir := t.TempDir()
 	var servers []learned.Server
@@ -59,7 +59,7 @@
 
 // What is kept is shown with its age and worth, compared, checked and reset.
 func TestStateCommands(t *testing.T) {
-	dir := keptIn(t, map[string]float64{"a": 100, "b": 10})
+	dir := writeState(t, map[string]float64{"a": 100, "b": 10})
 	found, err := peek(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 	if err := show(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), false); err != nil || !strings.Contains(out.String(), "1m") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
-	other, err := peek(keptIn(t, map[string]float64{"a": 50, "c": 1}))
+	other, err := peek(writeState(t, map[string]float64{"a": 50, "c": 1}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ternbeam/steadyanswer_test.go
+++ b/cmd/ternbeam/steadyanswer_test.go
@@ -13,9 +13,9 @@
 
 // steadyAnswer is an answer that comes in pieces, one each so often.
 type steadyAnswer struct {
-	framing string // "length", "chunked" or "none"
-	takes   time.Duration
-	endless bool
+	framing  string // "length", "chunked" or "none"
+	duration time.Duration
+	endless  bool
 }
 
 const steadyPause = 25 * time.Millisecond
@@ -24,7 +24,7 @@
 	if a.endless {
 		return a.framing + ", endless"
 	}
-	return fmt.Sprintf("%s, %v", a.framing, a.takes)
+	return fmt.Sprintf("%s, %v", a.framing, a.duration)
 }
 
 // serve answers requests on a connection until it ends.
@@ -50,7 +50,7 @@
 		default:
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
 		}
-		pieces := min(int(a.takes/steadyPause), len(body))
+		pieces := min(int(a.duration/steadyPause), len(body))
 		for i := 0; a.endless || i < pieces; i++ {
 			piece := "x"
 			if !a.endless {
@@ -79,7 +79,7 @@
 	var answers []steadyAnswer
 	for _, framing := range []string{"length", "chunked", "none"} {
 		for _, takes := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond, time.Second} {
-			answers = append(answers, steadyAnswer{framing: framing, takes: takes})
+			answers = append(answers, steadyAnswer{framing: framing, duration: takes})
 		}
 		answers = append(answers, steadyAnswer{framing: framing, endless: true})
 	}
@@ -94,11 +94,11 @@
 				if answer.endless {
 					servers[1] = slowServer(t)
 				}
-				config, listen := configure(t, free(t), shutdownSettings(randomDeadline), servers...)
+				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), servers...)
 				p := startReady(t, config, listen, second)
 				var wait sync.WaitGroup
 				for number := range 6 {
-					c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keep: true}
+					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keepAlive: true}
 					wait.Go(func() { c.run(t, 1) }) // later ones may be shed, as slow answers are taken for overload
 				}
 				wait.Wait()
--- a/cmd/ternbeam/systemcalls_test.go
+++ b/cmd/ternbeam/systemcalls_test.go
@@ -22,21 +22,21 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// Clients saw their connections end with no whole answer, 0.19 to 0.22 s after each had sent a request: the time that servers took for an
-// answer. The agent had taken the requests and forwarded them, and its log had no line for them, so that they counted as served by their first
-// attempt. No process had ended or been told to. The cause: the system call that wrote the answer failed with an error that says nothing of the
-// client, such as ETIMEDOUT, and the agent took any error of a client's connection for the client's end.
+// These tests guard against client connections that are closed without a complete answer. Clients saw that 0.19 to 0.22 s after they had sent
+// a request, which is the time servers took to answer. The agent had read and forwarded the requests but logged nothing, so they counted as
+// served on the first attempt; no process had exited or been asked to. The cause was that the write of the answer failed with an error that
+// does not mean that the client has disconnected, such as ETIMEDOUT, and the agent treated every error on a client's connection as a disconnect.
 //
-// What proved it: the error put into write(2) of an unchanged program gives the same picture, the end of the connection at the server's time and no
-// line; the line "answer not delivered", which was added, names the stage, the error and that the client was still connected.
+// Injecting the error into write(2) of the unchanged program reproduced the failure: the connection ended when the server answered, and
+// nothing was logged. The log message "answer not delivered" was added; it names the stage, the error and whether the client was connected.
 
-// callFault is a way in which system calls on clients' connections fail.
+// callFault describes how system calls on clients' connections fail.
 type callFault struct {
-	call   sysfault.Call
-	errno  syscall.Errno
-	limit  int           // in place of errno: how many bytes a call moves at the most
-	every  int           // each so many-th call fails; 0 for all in the moments below
-	length time.Duration // the length of a moment, of which there is one each fifth of a second
+	call     sysfault.Call
+	errno    syscall.Errno
+	limit    int           // used if errno is 0: the most bytes that a call transfers
+	every    int           // every n-th call fails; 0 if all calls fail during the intervals given by duration
+	duration time.Duration // of an interval in which calls fail; one begins every 200 ms
 }
 
 func (f callFault) String() string {
@@ -47,37 +47,37 @@
 	if f.every > 0 {
 		return fmt.Sprintf("%s, each %d.", text, f.every)
 	}
-	return fmt.Sprintf("%s, for %v", text, f.length)
+	return fmt.Sprintf("%s, for %v", text, f.duration)
 }
 
-// inBothWays has a call fail with each of some errors: each so many-th time, and for moments.
-func inBothWays(call sysfault.Call, every int, moment time.Duration, errnos ...syscall.Errno) (all []callFault) {
+// withBothPatterns returns two faults for each error: one for every n-th call and one for intervals.
+func withBothPatterns(call sysfault.Call, every int, interval time.Duration, errnos ...syscall.Errno) (all []callFault) {
 	for _, errno := range errnos {
-		all = append(all, callFault{call: call, errno: errno, every: every}, callFault{call: call, errno: errno, length: moment})
+		all = append(all, callFault{call: call, errno: errno, every: every}, callFault{call: call, errno: errno, duration: interval})
 	}
 	return all
 }
 
-// onAddress chooses the sockets of one local address: of a listener, or of the connections that it accepts.
+// onAddress returns a filter for the sockets with one local address: a listener and the connections that it accepts.
 func onAddress(listen string) func(netip.AddrPort) bool {
 	return func(local netip.AddrPort) bool { return local.String() == listen }
 }
 
-// dialled chooses the connections that a program opens to others on this machine, in its tests the ones to servers and discovery.
-func dialled(local netip.AddrPort) bool {
+// isOutgoing reports whether a connection was opened by the program under test, which in these tests means to servers and discovery.
+func isOutgoing(local netip.AddrPort) bool {
 	return local.Addr() == netip.AddrFrom4([4]byte{127, 0, 0, 1})
 }
 
-// decider makes the calls on some sockets fail.
-func (f callFault) decider(chosen func(local netip.AddrPort) bool) sysfault.Decider {
-	const betweenMoments = 200 * time.Millisecond
+// decider returns a sysfault.Decider that applies the fault to the sockets that match.
+func (f callFault) decider(matches func(local netip.AddrPort) bool) sysfault.Decider {
+	const intervalPeriod = 200 * time.Millisecond
 	begin, count := time.Now(), 0
 	return func(e sysfault.Event) sysfault.Outcome {
-		if e.Call != f.call || e.Call != sysfault.Poll && !chosen(e.Local) {
+		if e.Call != f.call || e.Call != sysfault.Poll && !matches(e.Local) {
 			return sysfault.Outcome{}
 		}
 		count++
-		fails := time.Since(begin)%betweenMoments < f.length
+		fails := time.Since(begin)%intervalPeriod < f.duration
 		if f.every > 0 {
 			fails = count%f.every == 0
 		}
@@ -88,11 +88,12 @@
 	}
 }
 
-// clientFaults are errors that the manual pages document for calls on a connection or its listener, of which none says that the client has gone.
+// clientFaults returns faults with errors that the manual pages document for calls on a connection or its listener, none of which means that the
+// client has disconnected.
 func clientFaults() (all []callFault) {
-	const third, moment = 3, 25 * time.Millisecond
+	const everyThird, interval = 3, 25 * time.Millisecond
 	add := func(call sysfault.Call, errnos ...syscall.Errno) {
-		all = append(all, inBothWays(call, third, moment, errnos...)...)
+		all = append(all, withBothPatterns(call, everyThird, interval, errnos...)...)
 	}
 	add(sysfault.Write, syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOBUFS, syscall.EPERM, syscall.EHOSTUNREACH)
 	add(sysfault.Read, syscall.ETIMEDOUT, syscall.EIO, syscall.EINTR, syscall.ENOMEM, syscall.EHOSTUNREACH)
@@ -106,25 +107,25 @@
 	return all
 }
 
-// Each request is answered, whatever error a system call on its client's connection returns for a moment: with the server's answer, whole.
+// Checks that every request gets the server's complete answer, whichever error a system call on its client's connection returns temporarily.
 func TestAnswersSurviveFailingSystemCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range clientFaults() {
-		answerUnderFault(t, fault, onAddress)
+		testAnswersUnderFault(t, fault, onAddress)
 	}
 }
 
-// answerUnderFault has clients send requests, in a test of its own, to an agent some of whose system calls fail, on sockets that are chosen by where
-// it listens.
-func answerUnderFault(t *testing.T, fault callFault, chosen func(listen string) func(netip.AddrPort) bool) {
+// testAnswersUnderFault runs a subtest in which clients send requests to an agent whose system calls fail. The filter for the affected sockets is
+// made from the agent's listen address.
+func testAnswersUnderFault(t *testing.T, fault callFault, socketsOf func(listen string) func(netip.AddrPort) bool) {
 	t.Run(fault.String(), func(t *testing.T) {
 		t.Parallel()
 		servers := []net.Addr{slowServer(t), slowServer(t)}
-		config, listen := configure(t, free(t), unhurriedSettings(randomDeadline), servers...)
-		startReadyUnderFaults(t, []sysfault.Call{fault.call}, fault.decider(chosen(listen)), config, listen)
+		config, listen := configure(t, unusedAddr(t), relaxedSettings(randomDeadline), servers...)
+		startReadyUnderFaults(t, []sysfault.Call{fault.call}, fault.decider(socketsOf(listen)), config, listen)
 		var wait sync.WaitGroup
 		for number := range 6 {
-			c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keep: number%3 != 0}
+			c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keepAlive: number%3 != 0}
 			if number%2 == 0 {
 				c.class = "refund-pay"
 			}
@@ -134,7 +135,7 @@
 	})
 }
 
-// slowServer answers each request after some time with its path.
+// slowServer starts a server that answers each request with its path after 20 ms.
 func slowServer(t *testing.T) net.Addr {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -145,7 +146,7 @@
 	return server.Listener.Addr()
 }
 
-// serveConnections has connections served until the test ends, each on a goroutine of its own, and returns the address.
+// serveConnections accepts connections until the test ends, serves each in its own goroutine, and returns the address.
 func serveConnections(t *testing.T, serve func(conn *net.TCPConn)) net.Addr {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -165,20 +166,20 @@
 	return l.Addr()
 }
 
-// startUnderFaults starts the program with some of its system calls failing, until the test ends.
-func startUnderFaults(t *testing.T, chosen []sysfault.Call, decide sysfault.Decider, env ...string) (*sysfault.Process, *testkit.Log) {
+// startUnderFaults starts the program with some of its system calls failing. It runs until the test ends.
+func startUnderFaults(t *testing.T, calls []sysfault.Call, decide sysfault.Decider, env ...string) (*sysfault.Process, *testkit.Log) {
 	t.Helper()
-	return startCommandUnderFaults(t, chosen, decide, command(t, env...))
+	return startCommandUnderFaults(t, calls, decide, agentCommand(t, env...))
 }
 
-// startCommandUnderFaults is startUnderFaults for a command of its own.
-func startCommandUnderFaults(t *testing.T, chosen []sysfault.Call, decide sysfault.Decider, program *exec.Cmd) (*sysfault.Process, *testkit.Log) {
+// startCommandUnderFaults is like startUnderFaults, for a given command.
+func startCommandUnderFaults(t *testing.T, calls []sysfault.Call, decide sysfault.Decider, program *exec.Cmd) (*sysfault.Process, *testkit.Log) {
 	t.Helper()
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := sysfault.Start(program, write, chosen, decide)
+	p, err := sysfault.Start(program, write, calls, decide)
 	write.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -193,20 +194,20 @@
 	return p, log
 }
 
-// startReadyUnderFaults is startUnderFaults for an agent that clients are to reach, and waits until they may begin. A test that fails has its log.
-func startReadyUnderFaults(t *testing.T, chosen []sysfault.Call, decide sysfault.Decider, config, listen string) {
+// startReadyUnderFaults is like startUnderFaults, and waits until the agent is ready. If the test fails it prints the agent's log.
+func startReadyUnderFaults(t *testing.T, calls []sysfault.Call, decide sysfault.Decider, config, listen string) {
 	t.Helper()
-	_, log := startUnderFaults(t, chosen, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	_, log := startUnderFaults(t, calls, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Log(log)
 		}
 	})
-	eventuallyReady(t, listen)
+	awaitReadyUnderFaults(t, listen)
 }
 
-// eventuallyReady waits until an agent says that clients may begin, through failures.
-func eventuallyReady(t *testing.T, listen string) {
+// awaitReadyUnderFaults waits until an agent reports that it is ready, and retries if system calls fail meanwhile.
+func awaitReadyUnderFaults(t *testing.T, listen string) {
 	t.Helper()
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	testkit.Eventually(t, "it is ready", func() bool {
@@ -219,27 +220,27 @@
 	})
 }
 
-// patientClient is a client that waits for the answer to each of its requests, and looks at it closely.
-type patientClient struct {
+// testClient is a client that waits for the answer to each of its requests and checks it.
+type testClient struct {
 	listen, name, class string
-	keep                bool          // its connection, for the next request
+	keepAlive           bool          // reuse the connection for the next request
 	pause               time.Duration // between the halves of a request
 
-	conn net.Conn
-	sent time.Time // the last byte of the latest request
+	conn   net.Conn
+	sentAt time.Time // when the last byte of the latest request was sent
 }
 
-// run sends requests one after the other. Each has to be answered by a server's answer to it, whole.
-func (c *patientClient) run(t *testing.T, requests int) {
+// run sends requests one after the other. Each must get the complete answer of a server.
+func (c *testClient) run(t *testing.T, requests int) {
 	c.runAllowing(t, requests, func(error) bool { return false })
 }
 
-// runAllowing is run where some errors are allowed.
-func (c *patientClient) runAllowing(t *testing.T, requests int, allowed func(error) bool) {
+// runAllowing is like run, but allows some errors.
+func (c *testClient) runAllowing(t *testing.T, requests int, allowed func(error) bool) {
 	defer c.close()
 	for number := range requests {
 		path := fmt.Sprintf("/%s/%s-%d", c.class, c.name, number)
-		body, err := c.ask(path, fmt.Sprintf("%s-%d", c.name, number))
+		body, err := c.do(path, fmt.Sprintf("%s-%d", c.name, number))
 		if err == nil && body != "checked "+path {
 			err = fmt.Errorf("the answer is %.40q", body)
 		}
@@ -249,39 +250,39 @@
 		if err != nil && !isNotServed(err) {
 			c.close()
 		}
-		if !c.keep {
+		if !c.keepAlive {
 			c.close()
 		}
 	}
 }
 
-func (c *patientClient) close() {
+func (c *testClient) close() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// Why an answer is not what a server gave.
+// Errors of answers that are not a server's complete answer.
 var (
-	errNotServed = errors.New("answered by no server")
-	errPart      = errors.New("a part of an answer")
+	errNotServed = errors.New("not answered by a server")
+	errPartial   = errors.New("partial answer")
 )
 
 func isNotServed(err error) bool { return errors.Is(err, errNotServed) }
-func isPart(err error) bool      { return errors.Is(err, errPart) }
+func isPartial(err error) bool   { return errors.Is(err, errPartial) }
 func isRefused(err error) bool   { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// patience is how long clients wait.
-const patience = 1500 * time.Millisecond
+// clientTimeout is how long clients wait for an answer, and the time left that they send.
+const clientTimeout = 1500 * time.Millisecond
 
-// text is one request as it is sent.
-func (c *patientClient) text(path, id string) []byte {
+// encode returns one request as it is sent.
+func (c *testClient) encode(path, id string) []byte {
 	method := http.MethodGet
 	if c.class != "form-check" {
 		method = http.MethodPost
 	}
-	req := word(method, c.listen, path, c.class, id, fmt.Sprintf("%.3f", patience.Seconds()))
+	req := newRequest(method, c.listen, path, c.class, id, fmt.Sprintf("%.3f", clientTimeout.Seconds()))
 	if c.class == "refund-record" {
 		req.Header.Set("Idempotency-Key", "key-"+id)
 	}
@@ -290,8 +291,8 @@
 	return text.Bytes()
 }
 
-// write writes requests to the client's connection, in two parts where it pauses.
-func (c *patientClient) write(text []byte) error {
+// write writes requests to the client's connection, in two parts if the client has a pause.
+func (c *testClient) write(text []byte) error {
 	if c.pause > 0 {
 		if _, err := c.conn.Write(text[:len(text)/2]); err != nil {
 			return err
@@ -303,18 +304,18 @@
 	return err
 }
 
-// ask sends one request and returns the body of its answer.
-func (c *patientClient) ask(path, id string) (body string, err error) {
+// do sends one request and returns the body of its answer.
+func (c *testClient) do(path, id string) (body string, err error) {
 	begin := time.Now()
-	in, err := c.send(c.text(path, id))
+	in, err := c.send(c.encode(path, id))
 	if err != nil {
 		return "", err
 	}
 	return c.receive(in, begin)
 }
 
-// send sends requests, on a new connection where there is none, and returns what their answers are to be read from.
-func (c *patientClient) send(text []byte) (in *bufio.Reader, err error) {
+// send sends requests, on a new connection if there is none, and returns the reader for their answers.
+func (c *testClient) send(text []byte) (in *bufio.Reader, err error) {
 	if c.conn == nil {
 		if c.conn, err = net.Dial("tcp", c.listen); err != nil {
 			return nil, err
@@ -323,13 +324,13 @@
 	if err := c.write(text); err != nil {
 		return nil, err
 	}
-	c.sent = time.Now()
-	c.conn.SetReadDeadline(c.sent.Add(patience + time.Second))
+	c.sentAt = time.Now()
+	c.conn.SetReadDeadline(c.sentAt.Add(clientTimeout + time.Second))
 	return bufio.NewReader(c.conn), nil
 }
 
-// receive reads one answer and returns its body. Where it ends the connection the client has none any more.
-func (c *patientClient) receive(in *bufio.Reader, begin time.Time) (body string, err error) {
+// receive reads one answer and returns its body. It closes the client's connection if the answer says so.
+func (c *testClient) receive(in *bufio.Reader, begin time.Time) (body string, err error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return "", fmt.Errorf("no final answer after %.3f s: %w", time.Since(begin).Seconds(), err)
@@ -337,7 +338,7 @@
 	defer resp.Body.Close()
 	var text strings.Builder
 	if _, err := io.Copy(&text, resp.Body); err != nil {
-		return "", fmt.Errorf("%w after %.3f s: %w", errPart, time.Since(begin).Seconds(), err)
+		return "", fmt.Errorf("%w after %.3f s: %w", errPartial, time.Since(begin).Seconds(), err)
 	}
 	if resp.Close {
 		c.close()
--- a/cmd/ternbeam/thriftclients_test.go
+++ b/cmd/ternbeam/thriftclients_test.go
@@ -21,9 +21,9 @@
 
 // thriftAgent is an agent with a Thrift listener and one server.
 type thriftAgent struct {
-	inHTTP, inThrift string // where it listens
-	arguments        string // of the program
-	env              []string
+	httpAddr, thriftAddr string // where it listens
+	arguments            string // of the program
+	env                  []string
 }
 
 // newThriftAgent configures an agent that is not started yet.
@@ -40,22 +40,22 @@
 	}
 	t.Cleanup(server.Close)
 	list.Tell(server.Entry())
-	agent := &thriftAgent{inHTTP: free(t), inThrift: free(t)}
+	agent := &thriftAgent{httpAddr: unusedAddr(t), thriftAddr: unusedAddr(t)}
 	folder := t.TempDir()
 	config, service := filepath.Join(folder, "config.json"), filepath.Join(folder, "thrift.toml")
-	platform := standin.Platform{Listen: agent.inHTTP, Discovery: list.Addr(), Known: list.Full(), Deadline: deadline, Sockets: sockets}
-	for path, text := range map[string]string{config: string(platform.Config()), service: strings.Replace(deploy.Thrift, "127.0.0.1:9090", agent.inThrift, 1)} {
+	platform := standin.Platform{Listen: agent.httpAddr, Discovery: list.Addr(), Known: list.Full(), Deadline: deadline, Sockets: sockets}
+	for path, text := range map[string]string{config: string(platform.Config()), service: strings.Replace(deploy.Thrift, "127.0.0.1:9090", agent.thriftAddr, 1)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	agent.arguments = "run --thrift " + service
-	agent.env = []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + agent.inHTTP}
+	agent.env = []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + agent.httpAddr}
 	return agent
 }
 
 // askAgain asks a kiosk of one connection, and once more on a new one where that ended before anything of an answer had come.
-func askAgain(kiosk standin.Kiosk, ask standin.Ask) standin.Answer {
+func askWithRetry(kiosk standin.Kiosk, ask standin.Ask) standin.Answer {
 	answer := kiosk.Ask(ask)
 	if answer.Kind == standin.Lost && answer.Took < ask.Left {
 		answer = kiosk.Ask(ask)
@@ -64,7 +64,7 @@
 }
 
 // askFor asks again and again, with random rests between, and returns how many calls had no answer at all.
-func askFor(t *testing.T, listen, name string, length, rests, deadline time.Duration) (unanswered int) {
+func countUnanswered(t *testing.T, listen, name string, length, rests, deadline time.Duration) (unanswered int) {
 	kiosk, err := standin.NewKiosk("thrift-binary", listen)
 	if err != nil {
 		t.Error(err)
@@ -74,7 +74,7 @@
 	random := rand.New(rand.NewPCG(1, xxhash.Sum64String(name)))
 	for call, end := 0, time.Now().Add(length); time.Now().Before(end); call++ {
 		id := fmt.Sprintf("%s-%d", name, call)
-		answer := askAgain(kiosk, standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, Left: deadline})
+		answer := askWithRetry(kiosk, standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, Left: deadline})
 		if answer.Kind == standin.Lost {
 			unanswered++
 		}
@@ -101,18 +101,18 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			agent := newThriftAgent(t, sockets, deadline)
-			p := startWith(t, agent.arguments, agent.env...)
-			awaitReady(t, agent.inHTTP)
+			p := startWithArguments(t, agent.arguments, agent.env...)
+			awaitReady(t, agent.httpAddr)
 			var all sync.WaitGroup
 			for i := range crowd.clients {
-				all.Go(func() { askFor(t, agent.inThrift, fmt.Sprint("crowd-", i), length, crowd.rests, deadline) })
+				all.Go(func() { countUnanswered(t, agent.thriftAddr, fmt.Sprint("crowd-", i), length, crowd.rests, deadline) })
 			}
 			all.Wait()
-			if askFor(t, agent.inThrift, "afterwards", length/4, length/16, deadline) > 0 || p.log.Has("has stalled") {
+			if countUnanswered(t, agent.thriftAddr, "afterwards", length/4, length/16, deadline) > 0 || p.log.Has("has stalled") {
 				t.Error("the agent does not answer")
 			}
-			p.signals(t, syscall.SIGTERM)
-			p.ends(t, testkit.Patience)
+			p.sendSignals(t, syscall.SIGTERM)
+			p.awaitExit(t, testkit.Patience)
 			if t.Failed() {
 				t.Log(p.log)
 			}
@@ -128,13 +128,13 @@
 		t.Run(fault.String(), func(t *testing.T) {
 			t.Parallel()
 			agent := newThriftAgent(t, sockets, randomDeadline)
-			program := command(t, agent.env...)
+			program := agentCommand(t, agent.env...)
 			addArguments(program, agent.arguments)
-			_, log := startCommandUnderFaults(t, []sysfault.Call{fault.call}, fault.decider(onAddress(agent.inThrift)), program)
-			eventuallyReady(t, agent.inHTTP)
+			_, log := startCommandUnderFaults(t, []sysfault.Call{fault.call}, fault.decider(onAddress(agent.thriftAddr)), program)
+			awaitReadyUnderFaults(t, agent.httpAddr)
 			var all sync.WaitGroup
 			for i := range clients {
-				all.Go(func() { askInOrder(t, agent.inThrift, fmt.Sprint("client-", i), calls) })
+				all.Go(func() { checkSequentialCalls(t, agent.thriftAddr, fmt.Sprint("client-", i), calls) })
 			}
 			all.Wait()
 			if fault.isLogged() && !log.Has("a call failed on a client's connection") {
@@ -153,7 +153,7 @@
 }
 
 // askInOrder makes calls on one connection, each of which has to be served.
-func askInOrder(t *testing.T, listen, name string, calls int) {
+func checkSequentialCalls(t *testing.T, listen, name string, calls int) {
 	kiosk, err := standin.NewKiosk("thrift-binary", listen)
 	if err != nil {
 		t.Error(err)
--- a/cmd/ternbeam/unknownstate_test.go
+++ b/cmd/ternbeam/unknownstate_test.go
@@ -17,8 +17,8 @@
 
 // For unknownFor of each betweenUnknown the kernel does not tell the state of connections.
 const (
-	unknownFor     = 40 * time.Millisecond
-	betweenUnknown = 200 * time.Millisecond
+	unknownFor      = 40 * time.Millisecond
+	unknownInterval = 200 * time.Millisecond
 )
 
 // Guards against client connections that end with no whole answer as a call on them fails while the kernel does not tell their state.
@@ -27,11 +27,11 @@
 		for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ENOTCONN} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				t.Parallel()
-				config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t), slowServer(t))
+				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t), slowServer(t))
 				begin, chosen := time.Now(), onAddress(listen)
 				decide := func(e sysfault.Event) sysfault.Outcome {
 					switch {
-					case time.Since(begin)%betweenUnknown > unknownFor:
+					case time.Since(begin)%unknownInterval > unknownFor:
 					case e.Call == sysfault.Poll:
 						return sysfault.Outcome{Errno: syscall.ENOMEM}
 					case e.Call == call && chosen(e.Local):
@@ -40,10 +40,10 @@
 					return sysfault.Outcome{}
 				}
 				_, log := startUnderFaults(t, []sysfault.Call{call, sysfault.Poll}, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-				eventuallyReady(t, listen)
+				awaitReadyUnderFaults(t, listen)
 				var wait sync.WaitGroup
 				for number := range 6 {
-					c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-pay"}[number%2], keep: number%3 != 0}
+					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-pay"}[number%2], keepAlive: number%3 != 0}
 					wait.Go(func() { c.run(t, 15) })
 				}
 				wait.Wait()
@@ -66,18 +66,18 @@
 		time.Sleep(10 * time.Millisecond)
 		conn.SetLinger(0)
 	})
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), resets)
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), resets)
 	begin := time.Now()
 	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Poll}, func(sysfault.Event) (o sysfault.Outcome) {
-		if time.Since(begin)%betweenUnknown > unknownFor {
+		if time.Since(begin)%unknownInterval > unknownFor {
 			o.Errno = syscall.ENOMEM
 		}
 		return o
 	}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
+	awaitReadyUnderFaults(t, listen)
 	var wait sync.WaitGroup
 	for number := range 6 {
-		c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "refund-pay"}
+		c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "refund-pay"}
 		wait.Go(func() { c.runAllowing(t, 20, isNotServed) })
 	}
 	wait.Wait()
@@ -90,7 +90,7 @@
 func TestChosenCallsAreMade(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[sysfault.Call]bool{}
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	var chosen []sysfault.Call
 	for _, fault := range randomErrnos {
 		chosen = append(chosen, fault.call)
@@ -107,8 +107,8 @@
 		return sysfault.Outcome{}
 	}
 	startUnderFaults(t, chosen, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
-	c := patientClient{listen: listen, name: "client", class: "form-check", keep: true}
+	awaitReadyUnderFaults(t, listen)
+	c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: true}
 	c.run(t, 2)
 	mu.Lock()
 	defer mu.Unlock()
@@ -122,7 +122,7 @@
 // Guards against a judge that does not learn for how long a test itself holds its process up.
 func TestHoldsAreStandstills(t *testing.T) {
 	const hold = 100 * time.Millisecond
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	var armed, held atomic.Bool
 	p, _ := startUnderFaults(t, []sysfault.Call{sysfault.Write}, func(sysfault.Event) sysfault.Outcome {
 		if armed.Load() && held.CompareAndSwap(false, true) {
@@ -130,10 +130,10 @@
 		}
 		return sysfault.Outcome{}
 	}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
+	awaitReadyUnderFaults(t, listen)
 	begin := time.Now()
 	armed.Store(true)
-	c := patientClient{listen: listen, name: "client", class: "form-check"}
+	c := testClient{listen: listen, name: "client", class: "form-check"}
 	c.run(t, 2)
 	for _, period := range p.Standstills(hold) {
 		if period.From.After(begin) && period.To.Before(time.Now()) {
--- a/cmd/ternbeam/unknownwait_test.go
+++ b/cmd/ternbeam/unknownwait_test.go
@@ -18,14 +18,14 @@
 // TCP_INFO fails from the first read of the request's connection on.
 type unknownWait struct {
 	call    sysfault.Call // which reads the request, or accepts its connection
-	late    bool          // it comes late, where it fails for a while otherwise
+	delayed bool          // it comes late, where it fails for a while otherwise
 	unknown time.Duration // for so long TCP_INFO fails
-	on      netip.AddrPort
+	listen  netip.AddrPort
 
-	mu         sync.Mutex
-	armed      bool
-	since      time.Time // the first call
-	unknownNow time.Time // since when TCP_INFO fails
+	mu           sync.Mutex
+	armed        bool
+	since        time.Time // the first call
+	unknownSince time.Time // since when TCP_INFO fails
 }
 
 // sinceLastData is the option that tells when data has come.
@@ -33,8 +33,8 @@
 
 // The cases' times: the client has most of its 1.5 s left after any.
 const (
-	callFails  = 500 * time.Millisecond
-	callIsLate = 400 * time.Millisecond
+	callFailsFor = 500 * time.Millisecond
+	callDelay    = 400 * time.Millisecond
 )
 
 func (w *unknownWait) arm() {
@@ -47,16 +47,16 @@
 func (w *unknownWait) decide(e sysfault.Event) sysfault.Outcome {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.armed || e.Local != w.on {
+	if !w.armed || e.Local != w.listen {
 		return sysfault.Outcome{}
 	}
-	if e.Call == sysfault.Read && w.unknownNow.IsZero() {
-		w.unknownNow = time.Now()
+	if e.Call == sysfault.Read && w.unknownSince.IsZero() {
+		w.unknownSince = time.Now()
 	}
 	switch {
 	case e.Call == w.call:
 		return w.delay()
-	case e.Option == sinceLastData && !w.unknownNow.IsZero() && time.Since(w.unknownNow) < w.unknown:
+	case e.Option == sinceLastData && !w.unknownSince.IsZero() && time.Since(w.unknownSince) < w.unknown:
 		return sysfault.Outcome{Errno: syscall.EINVAL}
 	}
 	return sysfault.Outcome{}
@@ -68,9 +68,9 @@
 		w.since = time.Now()
 	}
 	switch {
-	case w.late && first:
-		return sysfault.Outcome{Hold: callIsLate}
-	case !w.late && time.Since(w.since) < callFails:
+	case w.delayed && first:
+		return sysfault.Outcome{Hold: callDelay}
+	case !w.delayed && time.Since(w.since) < callFailsFor:
 		return sysfault.Outcome{Errno: syscall.ENOBUFS}
 	}
 	return sysfault.Outcome{}
@@ -85,12 +85,12 @@
 		{sysfault.Accept, false, false}, {sysfault.Accept, true, false}, {sysfault.EpollAdd, false, false},
 		{sysfault.Read, false, false}, {sysfault.Read, false, true}, {sysfault.Read, true, true},
 	} {
-		for _, unknown := range []time.Duration{callFails + 100*time.Millisecond, time.Hour} {
+		for _, unknown := range []time.Duration{callFailsFor + 100*time.Millisecond, time.Hour} {
 			name := fmt.Sprintf("%s, late %t, kept connection %t, unknown for %v", wait.call, wait.late, wait.kept, unknown)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				untilValid(t, func() bool {
-					return askAfterUnknownWait(t, &unknownWait{call: wait.call, late: wait.late, unknown: unknown}, wait.kept)
+				retryUntilValid(t, func() bool {
+					return tryUnknownWait(t, &unknownWait{call: wait.call, delayed: wait.late, unknown: unknown}, wait.kept)
 				})
 			})
 		}
@@ -99,24 +99,24 @@
 
 // askAfterUnknownWait sends a request that waits, and others behind it that do not. It is false where the machine itself stood still for longer
 // than the terms let a process be held up.
-func askAfterUnknownWait(t *testing.T, wait *unknownWait, kept bool) (valid bool) {
-	watch := watchMachine()
-	world := newWorldRecord()
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), recordingServer(t, world))
-	wait.on = netip.MustParseAddrPort(listen)
+func tryUnknownWait(t *testing.T, wait *unknownWait, kept bool) (valid bool) {
+	watch := watchMachineStalls()
+	world := newTrafficRecord()
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+	wait.listen = netip.MustParseAddrPort(listen)
 	chosen := []sysfault.Call{wait.call, sysfault.Read, sysfault.GetOption} // a call of the runtime that comes late has the whole process stand still
 	_, log := startUnderFaults(t, chosen, wait.decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
-	c := patientClient{listen: listen, name: "client", class: "form-check", keep: kept}
+	awaitReadyUnderFaults(t, listen)
+	c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: kept}
 	defer c.close()
 	for number := range 6 {
 		if number == 1 {
 			wait.arm()
 		}
 		r := world.request(fmt.Sprint("request-", number), c.class)
-		r.begin = time.Now()
-		r.body, r.err = c.ask(r.path, r.id)
-		if r.took = time.Since(r.begin); !kept {
+		r.sentAt = time.Now()
+		r.body, r.err = c.do(r.path, r.id)
+		if r.took = time.Since(r.sentAt); !kept {
 			c.close()
 		}
 		testkit.Eventually(t, "the server has recorded it", func() bool {
@@ -125,10 +125,10 @@
 			return len(r.arrivals) > 0
 		})
 	}
-	if stoodStill(t, watch()) {
+	if machineStalled(t, watch()) {
 		return false
 	}
-	problems, requests, served := world.judge()
+	problems, requests, served := world.evaluate()
 	for _, problem := range problems {
 		t.Error(problem)
 	}
