--- a/cmd/ternbeam/randomfaults_test.go
+++ b/cmd/ternbeam/randomfaults_test.go
@@ -17,22 +17,22 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// seedsVariable holds how many seeds TestAnswersUnderRandomFaults plays, and firstSeedVariable the first, where that is not the default: the
-// long run is started by hand.
+// seedsEnv names the environment variable with the number of seeds that forEachSeed runs, and firstSeedEnv the one with the first seed. They
+// override the defaults, for long runs that are started by hand.
 const (
 	seedsEnv                = "TERNBEAM_FAULT_SEEDS"
 	firstSeedEnv            = "TERNBEAM_FAULT_FIRST_SEED"
 	defaultSeeds            = 20
-	defaultReplacementSeeds = 8 // seeds, each of two processes
+	defaultReplacementSeeds = 8 // each seed runs two processes
 	defaultIdleSeeds        = 12
 )
 
-// fromEnvironment returns the number that a variable holds, or another where it is not set.
-func envInt(t *testing.T, variable string, otherwise int) int {
+// envInt returns the number in an environment variable, or a default if the variable is not set.
+func envInt(t *testing.T, variable string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// randomErrnos are errors that the manual pages document for each call. On the connections of a play none of them is true.
+// randomErrnos are errors that the manual pages document for each call. None of them describes the real state of a run's connections.
 var randomErrnos = []struct {
 	call   sysfault.Call
 	errnos []syscall.Errno
@@ -65,17 +65,18 @@
 	{sysfault.Control, []syscall.Errno{syscall.EMFILE, syscall.EINVAL}},
 }
 
-// randomFaults are the faults of one seed: in each of a row of moments some calls fail with some probability, on all sockets of the process.
+// randomFaults are the faults of one seed: a series of time windows, in each of which one system call fails with some probability on all sockets
+// of the process.
 type randomFaults struct {
 	windows   []faultWindow
-	holdTimes []time.Duration // when the process is held up, in order
-	random    *rand.Rand      // of whoever decides on the calls
+	holdTimes []time.Duration // when a system call is held, in ascending order
+	random    *rand.Rand      // used by decide only
 
 	mu    sync.Mutex
 	begin time.Time // zero before they are armed
 }
 
-// faultMoment is a span of time in which one system call fails.
+// faultWindow is a span of time in which one system call fails.
 type faultWindow struct {
 	from, to    time.Duration
 	call        sysfault.Call
@@ -83,12 +84,12 @@
 	probability float64
 }
 
-// drawFaults draws moments over some time, as many as fit, beside one another.
-func newRandomFaults(random *rand.Rand, span time.Duration) *randomFaults {
-	const rows = 3 // of moments beside one another
+// newRandomFaults draws several sequences of fault windows that run in parallel and fill a span of time.
+func newRandomFaults(random *rand.Rand, duration time.Duration) *randomFaults {
+	const rows = 3 // sequences of windows that run in parallel
 	f := &randomFaults{random: rand.New(rand.NewPCG(random.Uint64(), 0))}
 	for range rows {
-		for at := time.Duration(0); at < span; {
+		for at := time.Duration(0); at < duration; {
 			at += time.Duration(random.Int64N(int64(150 * time.Millisecond)))
 			drawn := randomErrnos[random.IntN(len(randomErrnos))]
 			m := faultWindow{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
@@ -101,21 +102,21 @@
 		}
 	}
 	if random.IntN(2) == 0 {
-		for at := time.Duration(0); at < span; at += time.Second {
+		for at := time.Duration(0); at < duration; at += time.Second {
 			f.holdTimes = append(f.holdTimes, at+time.Duration(random.Int64N(int64(800*time.Millisecond))))
 		}
 	}
 	return f
 }
 
-// arm lets the faults begin.
+// arm starts the faults.
 func (f *randomFaults) arm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begin = time.Now()
 }
 
-// decide is a sysfault.Decider. It spares descriptors that are no connections, such as the log.
+// decide is a sysfault.Decider. It exempts descriptors that are not connections, such as the log.
 func (f *randomFaults) decide(e sysfault.Event) sysfault.Outcome {
 	connection := e.Local.IsValid() || e.Call == sysfault.NewSocket || e.Call == sysfault.Poll
 	f.mu.Lock()
@@ -136,162 +137,162 @@
 	return sysfault.Outcome{}
 }
 
-// Under system calls that fail at random on all of its sockets, before servers that go wrong, an agent gives each request one final answer, whole
-// and in time, never another's, and no request that may not be repeated has its effect twice.
+// Checks an agent whose system calls fail at random on all of its sockets, in front of faulty servers: each request gets exactly one final answer,
+// complete, in time and its own, and no request that must not be repeated takes effect twice.
 func TestAnswersUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, steady) })
 }
 
-// The same at the end of a process: signals come in series, clients go on sending on the connections that stay open, open new ones for 0.4 s,
-// and SIGKILL comes as early as the platform may send it. A client whose connection ends before anything of its answer has come asks once more on
-// another, as the agent may close a connection between two requests; none whose request a server has seen goes without an answer.
+// The same while the process shuts down: it gets several signals, clients continue to send on open connections, open new ones for 0.4 s, and
+// SIGKILL is sent as early as the platform may send it. A request may go unanswered if its connection ends before any part of an answer and no
+// server has received it, because the agent may close a connection between two requests. Every request that a server received must be answered.
 func TestAnswersUnderRandomFaultsAtTheEnd(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, terminated) })
 }
 
-// The same on connections that are idle for about as long as one may be closed for, in between.
+// The same on connections that are idle between requests for about as long as the idle time after which a connection may be closed.
 func TestAnswersOnIdleConnectionsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultIdleSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, withIdleClients) })
 }
 
-// The same where another process replaces the first, which is told to end as the second says yes: clients go on with the one or the other.
+// The same while a second process replaces the first, which gets SIGTERM when the second reports that it is ready. Clients use either process.
 func TestAnswersUnderRandomFaultsAcrossAReplacement(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultReplacementSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, replaced) })
 }
 
-// forEachSeed plays seeds beside one another, each as a test of its own: so many, where the environment does not say how many.
-func forEachSeed(t *testing.T, usual int, play func(t *testing.T, seed uint64)) {
-	first, seeds := envInt(t, firstSeedEnv, 1), envInt(t, seedsEnv, usual)
+// forEachSeed runs seeds in parallel, each as a subtest. The environment may override the default number of seeds.
+func forEachSeed(t *testing.T, defaultCount int, run func(t *testing.T, seed uint64)) {
+	first, seeds := envInt(t, firstSeedEnv, 1), envInt(t, seedsEnv, defaultCount)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(seed))
+			run(t, uint64(seed))
 		})
 	}
 }
 
 const (
-	// randomDeadline is that of all classes.
+	// randomDeadline is the deadline of all classes.
 	randomDeadline = 1509 * time.Millisecond
-	// randomWindow is that of requests with a key.
+	// randomWindow is how long requests with an idempotency key may be repeated.
 	randomWindow = 700 * time.Millisecond
 )
 
-// fate is what becomes of the process in a play.
+// scenario is what happens to the process in a run.
 type scenario int
 
-// The fates.
+// The scenarios.
 const (
-	steady          scenario = iota // it lives on
-	terminated                      // it is told to end
+	steady          scenario = iota // it keeps running
+	terminated                      // it gets SIGTERM
 	replaced                        // another one replaces it
-	withIdleClients                 // it lives on, and clients are idle between requests
+	withIdleClients                 // it keeps running, and clients are idle between requests
 )
 
-// playRandomFaults plays one seed.
-func runRandomFaults(t *testing.T, seed uint64, fate scenario) {
-	retryUntilValid(t, func() bool { return tryRandomFaults(t, seed, fate) })
+// runRandomFaults runs one seed.
+func runRandomFaults(t *testing.T, seed uint64, scenario scenario) {
+	retryUntilValid(t, func() bool { return tryRandomFaults(t, seed, scenario) })
 }
 
-// untilValid plays until a play is valid, a few times at the most.
-func retryUntilValid(t *testing.T, play func() (valid bool)) {
+// retryUntilValid repeats a run until it is valid, at most maxVoidRuns times.
+func retryUntilValid(t *testing.T, run func() (valid bool)) {
 	for range maxVoidRuns {
-		if play() {
+		if run() {
 			return
 		}
 	}
-	t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
+	t.Fatalf("the machine stood still in each of %d runs: no result", maxVoidRuns)
 }
 
-// playedRandomFaults is false where the machine itself stood still for longer than the terms let a process be held up.
-func tryRandomFaults(t *testing.T, seed uint64, fate scenario) (valid bool) {
+// tryRandomFaults returns false if the machine itself stalled for longer than the platform may stall a process.
+func tryRandomFaults(t *testing.T, seed uint64, scenario scenario) (valid bool) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	play := newRandomRun(t, fate, random)
-	first := play.startProcess(random)
+	run := newRandomRun(t, scenario, random)
+	first := run.startProcess(random)
 	defer first.process.Kill()
-	awaitReadyUnderFaults(t, play.listen)
+	awaitReadyUnderFaults(t, run.listen)
 	first.faults.arm()
-	play.begin = time.Now()
-	play.end = play.begin.Add(play.duration)
-	if fate == terminated {
-		play.setTerminateAt(play.begin.Add(time.Duration(random.Int64N(int64(time.Second)))))
-		play.end = play.terminateAt.Add(killDelay(randomDeadline))
+	run.begin = time.Now()
+	run.end = run.begin.Add(run.duration)
+	if scenario == terminated {
+		run.setTerminateAt(run.begin.Add(time.Duration(random.Int64N(int64(time.Second)))))
+		run.end = run.terminateAt.Add(killDelay(randomDeadline))
 	}
 	watch, waits := watchMachineStalls(), watchProcessorWaits(first.process.Pid)
-	return play.report(play.execute(first, random), watch(), waits())
+	return run.report(run.execute(first, random), watch(), waits())
 }
 
-// newRandomPlay draws a play that has not begun.
-func newRandomRun(t *testing.T, fate scenario, random *rand.Rand) *randomRun {
-	play := &randomRun{t: t, scenario: fate, duration: 2 * time.Second, traffic: newTrafficRecord()}
-	if fate != steady { // as long for clients that are idle
-		play.duration += killDelay(randomDeadline)
+// newRandomRun draws a run without starting it.
+func newRandomRun(t *testing.T, scenario scenario, random *rand.Rand) *randomRun {
+	run := &randomRun{t: t, scenario: scenario, duration: 2 * time.Second, traffic: newTrafficRecord()}
+	if scenario != steady { // the same for idle clients
+		run.duration += killDelay(randomDeadline)
 	}
 	for range 4 {
-		play.servers = append(play.servers, newResettableServer(t, &faultyServer{random: rand.New(rand.NewPCG(random.Uint64(), 2)), traffic: play.traffic}))
+		run.servers = append(run.servers, newResettableServer(t, &faultyServer{random: rand.New(rand.NewPCG(random.Uint64(), 2)), traffic: run.traffic}))
 	}
-	play.configure(random)
-	return play
+	run.configure(random)
+	return run
 }
 
-// judge reports what went against the rules, with the logs, unless the machine stood still for too long. Where nothing is wrong but late answers,
-// a process that has waited for a processor for longer than answers may be late says nothing either.
-func (p *randomRun) report(logs string, stood, waited time.Duration) (valid bool) {
+// report reports violations, with the logs, unless the machine stalled for too long. If the only violations are late answers, the run is also
+// void if the process waited for a processor for longer than answers may be late.
+func (p *randomRun) report(logs string, stalled, waited time.Duration) (valid bool) {
 	t := p.t
-	if machineStalled(t, stood) {
+	if machineStalled(t, stalled) {
 		return false
 	}
 	for _, process := range p.traced {
 		p.traffic.stalls = append(p.traffic.stalls, process.Standstills(maxStall)...)
 	}
-	problems, requests, served := p.traffic.evaluate()
-	if len(problems) > 0 && waited > answerSlack && p.traffic.onlyLate() {
-		t.Logf("void: late answers of a process that has waited for a processor for %v: %q", waited, problems)
+	violations, requests, served := p.traffic.evaluate()
+	if len(violations) > 0 && waited > answerSlack && p.traffic.onlyLate() {
+		t.Logf("void: late answers from a process that waited for a processor for %v: %q", waited, violations)
 		return false
 	}
 	t.Logf("%d requests, %d served, crowd %t", requests, served, p.crowd)
-	for _, problem := range problems {
-		t.Error(problem)
+	for _, violation := range violations {
+		t.Error(violation)
 	}
 	if t.Failed() {
-		t.Logf("longest calls of the agent in the test's hands: %v", p.traffic.stalls)
+		t.Logf("longest periods in which the test held the agent's system calls: %v", p.traffic.stalls)
 		t.Log(logs)
 	}
 	return true
 }
 
-// randomPlay is one play. What it holds is set before its clients begin, but for told and, by the play itself, traced.
+// randomRun is one run. Its fields are set before its clients start, except terminateAt, and traced, which only the run itself changes.
 type randomRun struct {
 	t        *testing.T
 	scenario scenario
 	servers  []*resettableServer
 	listen   string
 	env      []string
-	withOps  bool // a second address is there
+	withOps  bool // the process has an operators' address
 	crowd    bool // connections may be closed to make room for others
 	traffic  *trafficRecord
 	duration time.Duration
 	begin    time.Time
-	end      time.Time // of the sending; the process is killed then if it was told to end
+	end      time.Time // when clients stop sending; a process that got SIGTERM is killed then
 	traced   []*sysfault.Process
 
 	mu          sync.Mutex
-	terminateAt time.Time // when the first process is told to end; zero for never, and while that is not known
+	terminateAt time.Time // when the first process gets SIGTERM; zero if never or not known yet
 }
 
-// faultyProcess is a process under faults of its own.
+// faultyProcess is a process with its own faults.
 type faultyProcess struct {
 	process *sysfault.Process
 	log     *testkit.Log
 	faults  *randomFaults
-	ops     string // its second address, empty for none
+	ops     string // the operators' address; empty if there is none
 }
 
-// configure draws how the process is run.
+// configure draws the configuration of the process.
 func (p *randomRun) configure(random *rand.Rand) {
 	sockets := 1024
 	if p.crowd = random.IntN(3) == 0; p.crowd {
@@ -307,7 +308,7 @@
 	p.withOps = random.IntN(2) == 0 || p.scenario == replaced
 }
 
-// startProcess starts a process; its faults begin when they are armed.
+// startProcess starts a process. Its faults start when they are armed.
 func (p *randomRun) startProcess(random *rand.Rand) *faultyProcess {
 	f := &faultyProcess{faults: newRandomFaults(random, p.duration)}
 	env := p.env
@@ -315,16 +316,16 @@
 		f.ops = unusedAddr(p.t)
 		env = append(slices.Clone(env), "NODE_OPS="+f.ops)
 	}
-	var chosen []sysfault.Call
+	var calls []sysfault.Call
 	for _, fault := range randomErrnos {
-		chosen = append(chosen, fault.call)
+		calls = append(calls, fault.call)
 	}
-	f.process, f.log = startUnderFaults(p.t, chosen, f.faults.decide, env...)
+	f.process, f.log = startUnderFaults(p.t, calls, f.faults.decide, env...)
 	p.traced = append(p.traced, f.process)
 	return f
 }
 
-// run plays to the end, with the clients and all else that happens, and returns the logs of the processes.
+// execute runs the clients and all events to the end and returns the logs of the processes.
 func (p *randomRun) execute(first *faultyProcess, random *rand.Rand) (logs string) {
 	var wait sync.WaitGroup
 	p.startClients(&wait, random)
@@ -352,18 +353,18 @@
 	return first.log.String()
 }
 
-// startClients starts the clients, which play to the end.
+// startClients starts the clients, which send until the end of the run.
 func (p *randomRun) startClients(wait *sync.WaitGroup, random *rand.Rand) {
 	for number := range 8 {
 		c := testClient{listen: p.listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-record", "refund-pay"}[number%3],
 			keepAlive: number%4 != 0}
-		own := rand.New(rand.NewPCG(random.Uint64(), 3))
-		wait.Go(func() { c.sendRandomRequests(p, own) })
+		clientRandom := rand.New(rand.NewPCG(random.Uint64(), 3))
+		wait.Go(func() { c.sendRandomRequests(p, clientRandom) })
 	}
 }
 
-// closing reports whether the first process was told to end, and whether new connections are still opened.
-func (p *randomRun) shutdownState() (told, newcomers bool) {
+// shutdownState reports whether the first process got SIGTERM, and whether clients still open new connections.
+func (p *randomRun) shutdownState() (terminating, opensNew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.terminateAt.IsZero() || time.Now().Before(p.terminateAt) {
@@ -378,7 +379,7 @@
 	p.terminateAt = at
 }
 
-// signal tells the process to end, with further signals behind it, and kills it at the end of the play.
+// signalAndKill sends SIGTERM to the process, then further signals, and kills it at the end of the run.
 func (p *randomRun) signalAndKill(process *sysfault.Process, random *rand.Rand) {
 	time.Sleep(time.Until(p.terminateAt))
 	process.Signal(syscall.SIGTERM)
@@ -389,7 +390,7 @@
 	p.killAt(process, p.end)
 }
 
-// killLater kills a process at some time, unless it ends before.
+// killAt kills a process at a given time, unless it exits before.
 func (p *randomRun) killAt(process *sysfault.Process, at time.Time) {
 	select {
 	case <-process.Ended():
@@ -398,7 +399,7 @@
 	}
 }
 
-// replace starts a process beside the first, under faults from its beginning, and tells the first to end as the second says yes.
+// replace starts a second process, with faults from its start, and sends SIGTERM to the first when the second reports that it is ready.
 func (p *randomRun) replace(first *faultyProcess, random *rand.Rand) (next *faultyProcess) {
 	time.Sleep(time.Duration(random.Int64N(int64(500 * time.Millisecond))))
 	next = p.startProcess(random)
@@ -409,7 +410,7 @@
 			p.t.Logf("the first process:\n%s\nthe second:\n%s", first.log, next.log)
 		}
 	}()
-	testkit.Eventually(p.t, "the new process says yes", func() bool {
+	testkit.Eventually(p.t, "the new process is ready", func() bool {
 		ready = second.callOps(http.MethodGet, "/control/ready") == http.StatusOK
 		return ready
 	})
@@ -419,13 +420,13 @@
 	return next
 }
 
-// mostRequestPause is for how long a client pauses in the middle of a request at the most.
+// maxRequestPause is how long a client pauses in the middle of a request at most.
 const maxRequestPause = 400 * time.Millisecond
 
-// newcomersFor is how long after a process was told to end clients open new connections, where no other process takes them.
+// newConnsFor is how long after SIGTERM clients open new connections if no other process accepts them.
 const newConnsFor = 400 * time.Millisecond
 
-// idleCrowd opens 200 connections at some time, says nothing on them, and closes them all a little later.
+// openIdleConns opens 200 connections at a given time, sends nothing on them, and closes them 200 ms later.
 func openIdleConns(listen string, at time.Time) {
 	time.Sleep(time.Until(at))
 	var all []net.Conn
@@ -440,16 +441,16 @@
 	}
 }
 
-// play sends requests one after the other, or two at once, until the end and records what comes of each.
-func (c *testClient) sendRandomRequests(p *randomRun, random *rand.Rand) {
+// sendRandomRequests sends requests one after the other, or two at once, until the end of the run and records the result of each.
+func (c *testClient) sendRandomRequests(run *randomRun, random *rand.Rand) {
 	defer c.close()
 	next := 0
 	request := func() *requestRecord {
 		next++
-		return p.traffic.request(fmt.Sprintf("%s-%d", c.name, next), c.class)
+		return run.traffic.request(fmt.Sprintf("%s-%d", c.name, next), c.class)
 	}
-	for time.Now().Before(p.end) {
-		if _, newcomers := p.shutdownState(); c.conn == nil && !newcomers {
+	for time.Now().Before(run.end) {
+		if _, opensNew := run.shutdownState(); c.conn == nil && !opensNew {
 			return
 		}
 		c.pause = 0
@@ -464,22 +465,22 @@
 		if random.IntN(8) == 0 {
 			requests = append(requests, request())
 		}
-		c.doPipelined(p, requests)
-		if p.scenario == withIdleClients && random.IntN(2) == 0 {
+		c.doPipelined(run, requests)
+		if run.scenario == withIdleClients && random.IntN(2) == 0 {
 			time.Sleep(minIdle + time.Duration(random.Int64N(int64(maxIdle-minIdle))))
 		}
 	}
 }
 
-// For how long clients are idle between requests where they are: from 2 s on the platform lets a server close a connection.
+// How long idle clients pause between requests. The platform lets a server close a connection that has been idle for 2 s.
 const (
 	minIdle = 1900 * time.Millisecond
 	maxIdle = 2300 * time.Millisecond
 )
 
-// askAll sends requests at once and reads their answers in turn.
-func (c *testClient) doPipelined(p *randomRun, requests []*requestRecord) {
-	kept := c.conn != nil
+// doPipelined sends requests at once and reads their answers in order.
+func (c *testClient) doPipelined(run *randomRun, requests []*requestRecord) {
+	reused := c.conn != nil
 	var text []byte
 	for _, r := range requests {
 		text = append(text, c.encode(r.path, r.id)...)
@@ -491,10 +492,10 @@
 			r.body, r.err = c.receive(in, c.sentAt)
 		}
 		r.sentAt, r.took = c.sentAt, time.Since(c.sentAt)
-		told, _ := p.shutdownState()
-		r.mayBeUnread = told && (kept || p.crowd || isRefused(r.err))
-		if number > 0 && requests[number-1].answered() { // or else it came behind an answer that said that the connection ends
-			r.mayBeUnread = c.pause > 0 && told
+		terminating, _ := run.shutdownState()
+		r.mayBeUnread = terminating && (reused || run.crowd || isRefused(r.err))
+		if number > 0 && requests[number-1].answered() { // otherwise it came after an answer that closes the connection
+			r.mayBeUnread = c.pause > 0 && terminating
 		}
 		if !r.answered() {
 			failed = r.err
@@ -505,7 +506,7 @@
 	}
 }
 
-// leave sends a request and closes the connection after some time, without waiting for the answer.
+// sendAndDisconnect sends a request and closes the connection after some time, without waiting for the answer.
 func (c *testClient) sendAndDisconnect(r *requestRecord, after time.Duration) {
 	defer c.close()
 	if c.conn == nil {
--- a/cmd/ternbeam/randomholds_test.go
+++ b/cmd/ternbeam/randomholds_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// usualHoldUps is how many seeds TestAnswersUnderRandomHoldUps plays.
+// defaultStallSeeds is the default number of seeds of TestAnswersUnderRandomHoldUps.
 const defaultStallSeeds = 8
 
-// A process that is stopped for up to 0.15 s again and again, and told to end in the midst of it, gives each request one final answer, before servers
-// that go wrong and die, to clients that pause, leave and crowd. Unlike a hold of system calls, a stop hits every thread.
+// Checks that a process that is stopped repeatedly for up to 0.15 s, and gets SIGTERM meanwhile, gives each request one final answer, with servers
+// that fail and reset connections, and with clients that pause, disconnect and open many connections. Unlike a held system call, SIGSTOP stops every
+// thread.
 func TestAnswersUnderRandomHoldUps(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultStallSeeds, func(t *testing.T, seed uint64) {
@@ -22,50 +23,50 @@
 	})
 }
 
-// playedHoldUps is false where the machine itself stood still for longer than the terms let a process be held up.
+// tryRandomStalls returns false if the machine itself stalled for longer than the platform may stall a process.
 func tryRandomStalls(t *testing.T, seed uint64) (valid bool) {
 	random := rand.New(rand.NewPCG(seed, 4))
-	play := newRandomRun(t, terminated, random)
-	env := play.env
-	if play.withOps {
+	run := newRandomRun(t, terminated, random)
+	env := run.env
+	if run.withOps {
 		env = append(env, "NODE_OPS="+unusedAddr(t))
 	}
 	p := start(t, env...)
-	awaitReady(t, play.listen)
-	play.begin = time.Now()
-	play.setTerminateAt(play.begin.Add(time.Duration(random.Int64N(int64(2 * time.Second)))))
-	play.end = play.terminateAt.Add(killDelay(randomDeadline))
+	awaitReady(t, run.listen)
+	run.begin = time.Now()
+	run.setTerminateAt(run.begin.Add(time.Duration(random.Int64N(int64(2 * time.Second)))))
+	run.end = run.terminateAt.Add(killDelay(randomDeadline))
 	watch := watchMachineStalls()
 	var wait sync.WaitGroup
-	play.startClients(&wait, random)
-	wait.Go(func() { stallRepeatedly(p, play.end, rand.New(rand.NewPCG(random.Uint64(), 5))) })
-	if play.crowd {
-		wait.Go(func() { openIdleConns(play.listen, play.begin.Add(300*time.Millisecond)) })
+	run.startClients(&wait, random)
+	wait.Go(func() { stallRepeatedly(p, run.end, rand.New(rand.NewPCG(random.Uint64(), 5))) })
+	if run.crowd {
+		wait.Go(func() { openIdleConns(run.listen, run.begin.Add(300*time.Millisecond)) })
 	}
-	time.Sleep(time.Until(play.terminateAt))
+	time.Sleep(time.Until(run.terminateAt))
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
-	case <-time.After(time.Until(play.end)):
+	case <-time.After(time.Until(run.end)):
 		p.cmd.Process.Kill()
 	}
 	wait.Wait()
-	return play.report(p.log.String(), watch(), 0)
+	return run.report(p.log.String(), watch(), 0)
 }
 
-// holdUp stops a process for moments of up to longestStall, a third of a second apart at the least, until some time.
+// stallRepeatedly stops a process for up to maxStall at a time, with at least 300 ms in between, until a given time.
 func stallRepeatedly(p *process, end time.Time, random *rand.Rand) {
-	const least = 300 * time.Millisecond
+	const minGap = 300 * time.Millisecond
 	for time.Now().Before(end) {
-		time.Sleep(least + time.Duration(random.Int64N(int64(least))))
+		time.Sleep(minGap + time.Duration(random.Int64N(int64(minGap))))
 		p.cmd.Process.Signal(syscall.SIGSTOP)
 		time.Sleep(time.Duration(random.Int64N(int64(maxStall))))
 		p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// Guards against requests refused as too much for the servers because their agent was held up: its own standstill is no queue. It matters most to an
-// agent that has just begun, to which each answer is a large part of what it knows.
+// Guards against requests that are refused as overload because the agent was stalled: its own stall does not mean that requests queue at the
+// servers. This matters most for an agent that has just started, because each answer is a large part of what it has measured.
 func TestHoldUpsRefuseNothing(t *testing.T) {
 	for number := range 8 {
 		t.Run(fmt.Sprint("play ", number), func(t *testing.T) {
@@ -75,9 +76,9 @@
 	}
 }
 
-// playedHoldUpsAtTheBeginning is false where the machine stood still.
+// tryStallsAtStart returns false if the machine stalled.
 func tryStallsAtStart(t *testing.T) (valid bool) {
-	const clients, requests, holdUps, between = 6, 20, 2, 30 * time.Millisecond
+	const clients, requests, stalls, gap = 6, 20, 2, 30 * time.Millisecond
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t), slowServer(t))
 	p := startReady(t, config, listen, false)
 	watch := watchMachineStalls()
@@ -92,8 +93,8 @@
 			})
 		})
 	}
-	for range holdUps {
-		time.Sleep(between)
+	for range stalls {
+		time.Sleep(gap)
 		p.sendSignals(t, syscall.SIGSTOP)
 		time.Sleep(maxStall)
 		p.sendSignals(t, syscall.SIGCONT)
--- a/cmd/ternbeam/randomworld_test.go
+++ b/cmd/ternbeam/randomworld_test.go
@@ -19,43 +19,43 @@
 	socketpeek "ternbeam/internal/sysio/peek"
 )
 
-// worldRecord is what clients and servers have seen of all requests of a play.
+// trafficRecord records what clients and servers saw of all requests of a run.
 type trafficRecord struct {
 	mu       sync.Mutex
 	requests map[string]*requestRecord
-	stalls   []sysfault.Period // in which calls of the agent stood for longer than its terms say, set before the judgement
+	stalls   []sysfault.Period // in which the test held the agent's system calls for longer than maxStall; set before evaluate
 }
 
-// requestRecord is what the client of one request and the servers have seen of it. The client's fields belong to the client until the play is over.
+// requestRecord records what the client and the servers saw of one request. The client's fields belong to the client until the run is over.
 type requestRecord struct {
 	id, class, path string
-	sentAt          time.Time // it was sent
-	disconnectedAt  time.Time // its client closed the connection without waiting; zero where it waited
+	sentAt          time.Time // when it was sent
+	disconnectedAt  time.Time // when its client closed the connection without waiting; zero if it waited
 	took            time.Duration
 	body            string
 	err             error
-	mayBeUnread     bool // its connection may have been closed before it was read, or not let in
+	mayBeUnread     bool // the agent may have closed its connection before reading it, or not have accepted the connection
 
-	arrivals []arrival // under the lock of the worldRecord
+	arrivals []arrival // guarded by the mutex of the trafficRecord
 }
 
-// answered reports whether the client got a whole final answer.
+// answered reports whether the client got a complete final answer.
 func (r *requestRecord) answered() bool { return r.err == nil || isNotServed(r.err) }
 
-// arrival is an attempt as a server got it.
+// arrival is an attempt as a server received it.
 type arrival struct {
 	at       time.Time
-	timeLeft time.Duration // as X-Time-Left says
+	timeLeft time.Duration // the value of X-Time-Left
 }
 
-// excess is by how much its server was told more than the client had left.
+// excess returns by how much the time left that the server received exceeds what the client had left.
 func (a arrival) excess(r *requestRecord) time.Duration {
 	return a.timeLeft - (clientTimeout - a.at.Sub(r.sentAt))
 }
 
 func newTrafficRecord() *trafficRecord { return &trafficRecord{requests: map[string]*requestRecord{}} }
 
-// request begins the record of a request.
+// request creates the record of a request.
 func (w *trafficRecord) request(id, class string) *requestRecord {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,7 +64,7 @@
 	return r
 }
 
-// arrived records an attempt, as of when its last byte came to this machine.
+// arrived records an attempt, with the time at which its last byte arrived at this machine.
 func (w *trafficRecord) arrived(req *http.Request) {
 	at := time.Now()
 	if conn, ok := req.Context().Value(connectionKey{}).(*timedConn); ok {
@@ -72,7 +72,7 @@
 	}
 	left, err := strconv.ParseFloat(req.Header.Get("X-Time-Left"), 64)
 	if err != nil {
-		left = clientTimeout.Seconds() * 100 // which the judge sees
+		left = clientTimeout.Seconds() * 100 // evaluate reports this as a violation
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,26 +81,27 @@
 	}
 }
 
-// The terms by which a play is judged.
+// Tolerances for the evaluation of a run.
 const (
-	answerSlack     = 500 * time.Millisecond // after a client's time an answer counts as none
-	disconnectSlack = 100 * time.Millisecond // after a client has left no attempt begins
-	deadlineSlack   = 150 * time.Millisecond // by which the deadline passed on may exceed what the client has left
+	answerSlack     = 500 * time.Millisecond // after the client's time; a later answer counts as none
+	disconnectSlack = 100 * time.Millisecond // after a client has disconnected; no attempt may start later
+	deadlineSlack   = 150 * time.Millisecond // by which a forwarded deadline may exceed the client's time left
 	serverSlack     = 50 * time.Millisecond  // between an attempt's first byte and its record here
 )
 
-// stoodOver is by how much longer than longestStall calls of the agent stood between two times, at once: it knows nothing of that as it makes them.
-func (w *trafficRecord) stallExcess(from, to time.Time) (over time.Duration) {
+// stallExcess returns by how much the longest hold of the agent's system calls between two times exceeds maxStall. The agent cannot notice a hold
+// while it makes the call.
+func (w *trafficRecord) stallExcess(from, to time.Time) (excess time.Duration) {
 	for _, p := range w.stalls {
 		if p.From.Before(to) && p.To.After(from) {
-			over = max(over, p.To.Sub(p.From)-maxStall)
+			excess = max(excess, p.To.Sub(p.From)-maxStall)
 		}
 	}
-	return over
+	return excess
 }
 
-// judge returns what goes against the rules, and how many requests there were and how many of them were served.
-func (w *trafficRecord) evaluate() (problems []string, requests, served int) {
+// evaluate returns the violations of the rules, the number of requests and the number of those served.
+func (w *trafficRecord) evaluate() (violations []string, requests, served int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.requests {
@@ -108,28 +109,28 @@
 		if r.err == nil && r.disconnectedAt.IsZero() {
 			served++
 		}
-		for _, problem := range w.violations(r) {
-			problems = append(problems, r.path+": "+problem)
+		for _, violation := range w.violations(r) {
+			violations = append(violations, r.path+": "+violation)
 		}
 	}
-	return problems, requests, served
+	return violations, requests, served
 }
 
-// problems returns what goes against the rules with one request.
+// violations returns the rules that one request violates.
 func (w *trafficRecord) violations(r *requestRecord) (all []string) {
 	add := func(format string, values ...any) { all = append(all, fmt.Sprintf(format, values...)) }
 	if len(r.arrivals) > 1 && r.class == "refund-pay" {
-		add("it had its effect %d times", len(r.arrivals))
+		add("it took effect %d times", len(r.arrivals))
 	}
 	for _, a := range r.arrivals {
-		if late := a.at.Sub(r.arrivals[0].at); r.class == "refund-record" && late > randomWindow+serverSlack {
-			add("it was repeated %v after the first attempt", late)
+		if delay := a.at.Sub(r.arrivals[0].at); r.class == "refund-record" && delay > randomWindow+serverSlack {
+			add("it was repeated %v after the first attempt", delay)
 		}
-		if over := a.excess(r); over > deadlineSlack+serverSlack+w.stallExcess(r.sentAt, a.at) {
-			add("an attempt has %v more than its client", over)
+		if excess := a.excess(r); excess > deadlineSlack+serverSlack+w.stallExcess(r.sentAt, a.at) {
+			add("an attempt has %v more time left than its client", excess)
 		}
 		if !r.disconnectedAt.IsZero() && a.at.Sub(r.disconnectedAt) > disconnectSlack+serverSlack+w.stallExcess(r.disconnectedAt, a.at) {
-			add("an attempt began %v after its client had left", a.at.Sub(r.disconnectedAt))
+			add("an attempt began %v after its client had disconnected", a.at.Sub(r.disconnectedAt))
 		}
 	}
 	if !r.disconnectedAt.IsZero() {
@@ -148,12 +149,12 @@
 	return all
 }
 
-// isLate reports whether a client that waited got its answer too late.
+// isLate reports whether a client that waited for its answer got it too late.
 func (r *requestRecord) isLate() bool {
 	return r.disconnectedAt.IsZero() && r.took > clientTimeout+answerSlack
 }
 
-// onlyLate reports whether nothing goes against the rules but that answers came too late, or after their clients had given up.
+// onlyLate reports whether the only violations are answers that came too late, or after their clients had timed out.
 func (w *trafficRecord) onlyLate() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,7 +173,7 @@
 	return true
 }
 
-// Each rule is seen to be broken.
+// Checks that a violation of each rule is detected.
 func TestJudgeOfRandomFaultsSees(t *testing.T) {
 	begin, w := time.Unix(1000, 0), newTrafficRecord()
 	good := func() *requestRecord {
@@ -180,30 +181,30 @@
 			arrivals: []arrival{{begin.Add(100 * time.Millisecond), clientTimeout - 100*time.Millisecond}}}
 	}
 	if all := w.violations(good()); len(all) > 0 {
-		t.Errorf("a good one: %v", all)
+		t.Errorf("a request without violations: %v", all)
 	}
-	for name, spoil := range map[string]func(r *requestRecord){
+	for name, breakRule := range map[string]func(r *requestRecord){
 		"repeated late": func(r *requestRecord) {
 			r.class = "refund-record"
 			r.arrivals = append(r.arrivals, arrival{r.arrivals[0].at.Add(randomWindow + 100*time.Millisecond), 0})
 		},
-		"effect twice":        func(r *requestRecord) { r.arrivals = append(r.arrivals, r.arrivals[0]) },
-		"deadline too long":   func(r *requestRecord) { r.arrivals[0].timeLeft = clientTimeout + 200*time.Millisecond },
-		"sent on for nobody":  func(r *requestRecord) { r.disconnectedAt = begin.Add(-200 * time.Millisecond) },
-		"another's answer":    func(r *requestRecord) { r.body = "checked /refund-pay/2" },
-		"no answer":           func(r *requestRecord) { r.err = io.EOF },
-		"no answer, was read": func(r *requestRecord) { r.err, r.mayBeUnread = io.EOF, true },
-		"a part of an answer": func(r *requestRecord) { r.err, r.mayBeUnread, r.arrivals = errPartial, true, nil },
-		"too late":            func(r *requestRecord) { r.took = clientTimeout + time.Second },
+		"effect twice":             func(r *requestRecord) { r.arrivals = append(r.arrivals, r.arrivals[0]) },
+		"deadline too long":        func(r *requestRecord) { r.arrivals[0].timeLeft = clientTimeout + 200*time.Millisecond },
+		"sent on after disconnect": func(r *requestRecord) { r.disconnectedAt = begin.Add(-200 * time.Millisecond) },
+		"another's answer":         func(r *requestRecord) { r.body = "checked /refund-pay/2" },
+		"no answer":                func(r *requestRecord) { r.err = io.EOF },
+		"no answer, was read":      func(r *requestRecord) { r.err, r.mayBeUnread = io.EOF, true },
+		"partial answer":           func(r *requestRecord) { r.err, r.mayBeUnread, r.arrivals = errPartial, true, nil },
+		"too late":                 func(r *requestRecord) { r.took = clientTimeout + time.Second },
 	} {
 		r := good()
-		if spoil(r); len(w.violations(r)) != 1 {
+		if breakRule(r); len(w.violations(r)) != 1 {
 			t.Errorf("%s: %v", name, w.violations(r))
 		}
 	}
 }
 
-// An attempt is excused by what its test held the agent up for beyond the terms as it was made, and by nothing else.
+// Checks that an excessive time left is excused only by a hold of the agent's system calls that exceeds maxStall and overlaps the attempt.
 func TestJudgeKnowsWhatTheTestHeldUp(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	held := func(from, length time.Duration) []sysfault.Period {
@@ -230,15 +231,15 @@
 	}
 }
 
-// Late answers are told from all else that goes against the rules.
+// Checks that late answers are distinguished from all other violations.
 func TestLatenessIsToldFromOtherFaults(t *testing.T) {
 	late := requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", took: clientTimeout + 2*answerSlack}
-	givenUp, lost := late, late
-	givenUp.err, lost.err = fmt.Errorf("no answer: %w", os.ErrDeadlineExceeded), io.EOF
+	timedOut, lost := late, late
+	timedOut.err, lost.err = fmt.Errorf("no answer: %w", os.ErrDeadlineExceeded), io.EOF
 	for name, test := range map[string]struct {
 		record requestRecord
 		want   bool
-	}{"late": {late, true}, "given up": {givenUp, true}, "late and lost": {lost, false}} {
+	}{"late": {late, true}, "timed out": {timedOut, true}, "late and lost": {lost, false}} {
 		w := newTrafficRecord()
 		w.requests["1"] = &test.record
 		if got := w.onlyLate(); got != test.want {
@@ -247,15 +248,15 @@
 	}
 }
 
-// timedConn is a server's connection that knows when its last data came to this machine, as the kernel has it: who reads it may be late, and once the
-// connection has been reset nobody can ask.
+// timedConn is a server's connection that records when its last data arrived at this machine, according to the kernel: the reader may be late, and
+// the kernel has no answer once the connection has been reset.
 type timedConn struct {
 	*net.TCPConn
 	mu   sync.Mutex
 	last time.Time
 }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (c *timedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
@@ -267,17 +268,17 @@
 	return n, err
 }
 
-// lastData is when the data that was read last came.
+// lastData returns when the data that was read last arrived.
 func (c *timedConn) lastData() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last
 }
 
-// timedListener accepts timedConns.
+// timedListener accepts connections as timedConns.
 type timedListener struct{ *net.TCPListener }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l timedListener) Accept() (net.Conn, error) {
 	conn, err := l.AcceptTCP()
 	if err != nil {
@@ -286,17 +287,17 @@
 	return &timedConn{TCPConn: conn}, nil
 }
 
-// mortalServer is a faultyServer whose connections may all be reset at once, as where its process dies.
+// resettableServer is a server whose connections can all be reset at once, as when its process dies.
 type resettableServer struct {
 	*httptest.Server
 	mu    sync.Mutex
 	conns []*net.TCPConn
 }
 
-// connectionKey is that of a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// newMortalServer runs one until the test ends.
+// newResettableServer starts a server that runs until the test ends.
 func newResettableServer(t *testing.T, handler http.Handler) *resettableServer {
 	t.Helper()
 	m := &resettableServer{Server: httptest.NewUnstartedServer(handler)}
@@ -315,7 +316,7 @@
 	return m
 }
 
-// resetAll resets all connections, also those on which an answer is being sent.
+// resetAll resets all connections, including those on which an answer is being sent.
 func (m *resettableServer) resetAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,22 +327,22 @@
 	m.conns = nil
 }
 
-// faultyServer answers after a time of its own, or goes wrong, by a seed.
+// faultyServer answers after a random delay, or fails, by a seed.
 type faultyServer struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	traffic *trafficRecord
 }
 
-// The ways in which one answer in faultyKinds goes wrong.
+// The faults of answers. Each of them happens to one answer in faultDraws.
 const (
 	faultAbort = iota
 	faultHang
 	faultError
 	faultUnknownLengthReset
-	faultUnknownLength // which is in order
-	faultPieces        // a chunked answer that comes slowly
-	faultPiecesCut     // the same, broken off
+	faultUnknownLength // a valid answer
+	faultPieces        // a chunked answer that is sent slowly
+	faultPiecesCut     // the same, truncated
 	faultDraws         = 40
 )
 
@@ -371,7 +372,7 @@
 	fmt.Fprint(w, body)
 }
 
-// answerInPieces sends an answer a piece at a time, or breaks it off.
+// answerInPieces sends an answer a piece at a time, or truncates it.
 func answerInPieces(w http.ResponseWriter, body string, cut bool) {
 	control := http.NewResponseController(w)
 	const piece = 6
@@ -385,7 +386,7 @@
 	}
 }
 
-// answerWithoutLength sends an answer in two parts whose end is that of the connection, or resets that in between.
+// answerWithoutLength sends an answer in two parts that ends with the connection, or resets the connection between the parts.
 func answerWithoutLength(w http.ResponseWriter, body string, pause time.Duration, reset bool) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/cmd/ternbeam/replace_test.go
+++ b/cmd/ternbeam/replace_test.go
@@ -18,7 +18,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// replaceSettings are those of replacements: deadlines as short as in service, and a class of what must never run twice.
+// replaceSettings are the settings of the replacement tests: deadlines as short as in production, and a class of requests that must never run twice.
 const replaceSettings = `{"Balancers":1,"Classes":[
 	{"Name":"form-check","Effect":"repeatable","Group":"all","AimNs":300000000,"DeadlineNs":5000000000,"Worth":2},
 	{"Name":"refund-pay","Effect":"once","AimNs":300000000,"DeadlineNs":5000000000,"Worth":2}],
@@ -26,13 +26,13 @@
 	"Discovery":"automatic","Report":{"Fields":["util","qps","eps"]},"TickNs":5000000,"WeightKind":"silent",
 	"Tenants":[{"Name":"rosyth-port"}],"Zones":["z"]}`
 
-// succession is an agent that is replaced, and the world round it.
+// replacementTest is an agent that is replaced, with its servers and configuration.
 type replacementTest struct {
 	t                 *testing.T
 	listen, sharedDir string
 	config, backend   string
 	mu                sync.Mutex
-	runsByID          map[string]int // of each call, by its id
+	runsByID          map[string]int // number of executions by call id
 	requestsByServer  map[string]int
 }
 
@@ -48,7 +48,7 @@
 			s.runsByID[r.Header.Get("X-Correlation-Id")]++
 			s.requestsByServer[id]++
 			s.mu.Unlock()
-			time.Sleep(5 * time.Millisecond) // so that some are always under way
+			time.Sleep(5 * time.Millisecond) // so that some calls are always in flight
 			io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 		}))
 		t.Cleanup(backend.Close)
@@ -71,8 +71,8 @@
 
 var addressCount atomic.Int64
 
-// free returns an address at which nobody listens, and nobody will: what connects from this machine does so from 127.0.0.1,
-// where a port that is free now may be taken a moment later.
+// unusedAddr returns an address that nobody listens on and that stays unused: outgoing connections on this machine use ports of 127.0.0.1, where
+// a port that is free now may be taken a moment later.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	n := addressCount.Add(1)
@@ -84,7 +84,7 @@
 	return l.Addr().String()
 }
 
-// begin starts a process with a second address of its own.
+// start starts a process with its own operators' address.
 func (s *replacementTest) start() *process {
 	s.t.Helper()
 	ops := unusedAddr(s.t)
@@ -93,7 +93,7 @@
 	return p
 }
 
-// operate calls a process's second address.
+// callOps sends a request to a process's operators' address and returns the status, or 0 on failure.
 func (p *process) callOps(method, path string) int {
 	req, err := http.NewRequest(method, "http://"+p.ops+path, nil)
 	if err != nil {
@@ -107,17 +107,17 @@
 	return resp.StatusCode
 }
 
-// ready waits until a process says yes.
+// awaitReady waits until a process reports that it is ready.
 func (s *replacementTest) awaitReady(p *process) {
 	s.t.Helper()
 	for end := time.Now().Add(time.Minute); p.callOps(http.MethodGet, "/control/ready") != http.StatusOK; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("no yes\n%s", p.log)
+			s.t.Fatalf("the process is not ready\n%s", p.log)
 		}
 	}
 }
 
-// retire ends a process as the platform does, and fails where it would have been killed.
+// terminate ends a process as the platform does. The test fails if the platform would have killed the process.
 func (s *replacementTest) terminate(p *process) {
 	s.t.Helper()
 	begin := time.Now()
@@ -125,29 +125,29 @@
 	select {
 	case err := <-p.exited:
 		if took := time.Since(begin); err != nil || took > killDelay(5*time.Second) {
-			s.t.Errorf("ended after %v with %v\n%s", took, err, p.log)
+			s.t.Errorf("the process exited after %v with %v\n%s", took, err, p.log)
 		}
 	case <-time.After(time.Minute):
-		s.t.Fatalf("does not end\n%s", p.log)
+		s.t.Fatalf("the process does not exit\n%s", p.log)
 	}
 }
 
-// ask words a call.
+// newRequest returns the request of a call.
 func (s *replacementTest) newRequest(method, class, id string) *http.Request {
 	return newRequest(method, s.listen, "/"+class+"/1", class, id, "5")
 }
 
-// says waits until a process has logged something.
+// awaitLog waits until a process has logged a text.
 func (s *replacementTest) awaitLog(p *process, line string) {
 	s.t.Helper()
 	for end := time.Now().Add(time.Minute); !p.log.Has(line); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("never says %q\n%s", line, p.log)
+			s.t.Fatalf("the process never logs %q\n%s", line, p.log)
 		}
 	}
 }
 
-// load calls the agent until it is stopped, half of the clients with connections that they keep.
+// loadClients call the agent until they are stopped. Half of the clients keep their connections.
 type loadClients struct {
 	stop           chan struct{}
 	done           sync.WaitGroup
@@ -169,7 +169,7 @@
 				default:
 				}
 				class, method := "form-check", http.MethodGet
-				if i%2 == 1 { // net/http sends a POST once only, whatever becomes of it
+				if i%2 == 1 { // net/http sends a POST only once, whatever its result
 					class, method = "refund-pay", http.MethodPost
 				}
 				id := fmt.Sprintf("%x-%x-%x", n, i, time.Now().UnixNano())
@@ -201,39 +201,39 @@
 	l.done.Wait()
 }
 
-// Twenty replacements under load, with discovery down: no call is lost at the door and none runs twice, each process ends
-// by itself, and a backend that was taken out before stays out until it is put back.
+// Replaces the process twenty times under load, with discovery down: no call is lost and none runs twice, each process exits on its own, and a
+// backend that was taken offline before stays offline until it is put back online.
 func TestReplacementsUnderLoad(t *testing.T) {
 	t.Parallel()
 	s := newReplacementTest(t, 4)
-	now := s.start()
-	s.awaitReady(now)
+	current := s.start()
+	s.awaitReady(current)
 	l := s.startLoad(12)
-	if got := now.callOps(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
+	if got := current.callOps(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
 		t.Errorf("offline: %d", got)
 	}
 	s.mu.Lock()
-	out := s.requestsByServer["s-0"]
+	before := s.requestsByServer["s-0"]
 	s.mu.Unlock()
 	for range 20 {
 		next := s.start()
 		s.awaitReady(next)
-		s.terminate(now)
-		if !now.log.Has("replaced=true") {
-			t.Fatalf("nothing was handed over\n%s\n%s", now.log, next.log)
+		s.terminate(current)
+		if !current.log.Has("replaced=true") {
+			t.Fatalf("nothing was handed over\n%s\n%s", current.log, next.log)
 		}
-		now = next
+		current = next
 	}
 	s.mu.Lock()
 	after := s.requestsByServer["s-0"]
 	s.mu.Unlock()
-	if after > out+12 { // those that were under way
-		t.Errorf("%d calls came to a backend that was out", after-out)
+	if after > before+12 { // the calls that were in flight
+		t.Errorf("%d calls reached a backend that was offline", after-before)
 	}
-	if got := now.callOps(http.MethodPost, "/control/backends/s-0/online"); got != http.StatusOK {
+	if got := current.callOps(http.MethodPost, "/control/backends/s-0/online"); got != http.StatusOK {
 		t.Errorf("online: %d", got)
 	}
-	testkit.Eventually(t, "it gets calls after it was put back", func() bool {
+	testkit.Eventually(t, "it gets calls after it was put back online", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.requestsByServer["s-0"] > after
@@ -252,17 +252,17 @@
 	}
 }
 
-// A new process that is killed at any stage of its start leaves the old one serving, and the next one takes over.
+// Checks that after a new process is killed at any stage of its start the old one continues to serve, and the next one takes over.
 func TestReplacementThatIsKilledLeavesTheOldServing(t *testing.T) {
 	s := newReplacementTest(t, 2)
 	old := s.start()
 	s.awaitReady(old)
-	asked := 0
-	serves := func(after string) {
+	requests := 0
+	checkServing := func(after string) {
 		t.Helper()
 		for range 20 {
-			asked++
-			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.newRequest(http.MethodGet, "form-check", fmt.Sprint("k", asked)))
+			requests++
+			resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.newRequest(http.MethodGet, "form-check", fmt.Sprint("k", requests)))
 			if err != nil {
 				t.Fatalf("%s: %v", after, err)
 			}
@@ -283,29 +283,29 @@
 		}
 		next.cmd.Process.Kill()
 		<-next.exited
-		serves("killed at " + stage)
+		checkServing("killed at " + stage)
 	}
 	s.awaitLog(old, "the process that replaces this one is gone")
 	next := s.start()
 	s.awaitReady(next)
 	s.terminate(old)
 	s.awaitLog(next, "the process before is gone")
-	serves("replaced after all")
+	checkServing("replaced after all")
 	if !next.log.Has("replacing another process") {
-		t.Errorf("the last one began from nothing\n%s", next.log)
+		t.Errorf("the last process took nothing over\n%s", next.log)
 	}
 }
 
-// A process begins while the one before is already ending, and takes over what that still has, or begins from nothing; then both are told
-// to end while the other still does. Each ends by itself, and whoever has its answer has its own.
+// Starts a process while its predecessor is already shutting down; it takes over the state that the predecessor still has, or starts without any.
+// Then both get SIGTERM while the predecessor is still shutting down. Each process exits on its own, and every answer belongs to its request.
 func TestProcessBeginsAsTheOneBeforeEnds(t *testing.T) {
 	for name, end := range map[string]func(s *replacementTest, old, next *process){
-		"the next one stays": func(s *replacementTest, _, next *process) { s.awaitReady(next) },
-		"both are told to end": func(s *replacementTest, old, next *process) {
+		"the next one keeps running": func(s *replacementTest, _, next *process) { s.awaitReady(next) },
+		"both get SIGTERM": func(s *replacementTest, old, next *process) {
 			s.awaitReady(next)
 			next.cmd.Process.Signal(syscall.SIGTERM)
 		},
-		"both, before it is ready": func(_ *replacementTest, _, next *process) { next.cmd.Process.Signal(syscall.SIGTERM) },
+		"both get SIGTERM before the next one is ready": func(_ *replacementTest, _, next *process) { next.cmd.Process.Signal(syscall.SIGTERM) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newReplacementTest(t, 2)
@@ -317,14 +317,14 @@
 			next := s.start()
 			s.awaitLog(next, "msg=started")
 			end(s, old, next)
-			if name == "the next one stays" {
+			if name == "the next one keeps running" {
 				resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(s.newRequest(http.MethodGet, "form-check", "after"))
 				if err != nil {
 					t.Fatal(err)
 				}
 				resp.Body.Close()
 				if resp.StatusCode != http.StatusOK {
-					t.Errorf("%d", resp.StatusCode)
+					t.Errorf("status %d", resp.StatusCode)
 				}
 				next.cmd.Process.Signal(syscall.SIGTERM)
 			}
@@ -346,10 +346,10 @@
 	}
 }
 
-// A third process that is started while two serve takes over from the one that got ready last, whichever of the others ends
-// first; a word said to one of them reaches all.
+// Checks that a third process that is started while two serve takes over from the one that became ready last, whichever of the others exits first,
+// and that an operator's command to one of them reaches all.
 func TestThirdProcess(t *testing.T) {
-	for name, first := range map[string]int{"the first ends first": 0, "the second ends first": 1} {
+	for name, first := range map[string]int{"the first exits first": 0, "the second exits first": 1} {
 		t.Run(name, func(t *testing.T) {
 			s := newReplacementTest(t, 3)
 			all := []*process{s.start()}
@@ -359,16 +359,16 @@
 				next := s.start()
 				s.awaitReady(next)
 				s.awaitLog(next, "replacing another process")
-				// Its yes comes a moment before the path is its own.
+				// It reports ready a moment before it owns the path of the socket.
 				time.Sleep(100 * time.Millisecond)
 				all = append(all, next)
 			}
 			if got := all[0].callOps(http.MethodPost, "/control/backends/s-0/offline"); got != http.StatusOK {
 				t.Errorf("offline: %d", got)
 			}
-			time.Sleep(600 * time.Millisecond) // from when a drain binds
+			time.Sleep(600 * time.Millisecond) // after which a drain is in force
 			s.mu.Lock()
-			out := s.requestsByServer["s-0"]
+			before := s.requestsByServer["s-0"]
 			s.mu.Unlock()
 			s.terminate(all[first])
 			s.terminate(all[1-first])
@@ -376,8 +376,8 @@
 			l.finish()
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.requestsByServer["s-0"] != out {
-				t.Errorf("%d calls came to a backend that was out", s.requestsByServer["s-0"]-out)
+			if s.requestsByServer["s-0"] != before {
+				t.Errorf("%d calls reached a backend that was offline", s.requestsByServer["s-0"]-before)
 			}
 			if l.lost.Load() > 0 || l.wrong.Load() > 0 {
 				t.Errorf("%d lost and %d wrong of %d, the first: %s", l.lost.Load(), l.wrong.Load(), l.calls.Load(), *l.firstError.Load())
