--- a/cmd/ternbeam/brokenanswer_test.go
+++ b/cmd/ternbeam/brokenanswer_test.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// Clients saw their connections end behind the beginning of an answer (see TestAnswersSurviveFailingSystemCalls for the report): an answer
-// whose length was not known was relayed 0.1 s after its head, while it was still short enough to be held, and its server broke it off. Another
-// server could have been asked until then; after that the client had neither an answer nor an error. The line "request" with the
-// reason "answer broken off", which was added, tells this case from a failed write.
+// These tests guard against client connections that end after the start of an answer (TestAnswersSurviveFailingSystemCalls describes the report). An
+// answer of unknown length was relayed 0.1 s after its header, while it was still short enough to be held, and its server broke it off. Until the
+// relay started another server could have been asked; after that the client got neither an answer nor an error. The log message "request" with the
+// reason "answer broken off" was added to distinguish this from a failed write.
 
-// brokenAnswer is a way in which a server breaks off its answer.
+// brokenAnswer describes how a server breaks off its answer.
 type brokenAnswer struct {
 	name        string
 	head        string
 	part        string        // of the body, sent at once
-	repeatAfter time.Duration // after which the part comes a second time; 0 for never
-	pause       time.Duration // before the end
-	orderly     bool          // the connection ends by FIN, not by a reset
-	relayed     bool          // the platform has its first bytes timed: it may not be held until it breaks off
+	repeatAfter time.Duration // after which the part is sent a second time; 0 for never
+	pause       time.Duration // before the connection ends
+	orderly     bool          // the connection ends with a FIN, not with a reset
+	relayed     bool          // the platform measures the time to its first bytes, so it may be relayed before it breaks off
 }
 
-// brokenAnswers all break off before 64 KiB have come.
+// brokenAnswers returns answers that all break off before 64 KiB have arrived.
 func brokenAnswers() []brokenAnswer {
 	text := strings.Repeat("x", 200)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
@@ -46,15 +46,15 @@
 	}
 }
 
-// allows returns which errors a client of one class may see: an answer by no server is enough where its request may not be sent again, and where
-// answers are relayed the beginning of one.
-func (b brokenAnswer) allowedErrors(class string, second bool) func(error) bool {
+// allowedErrors returns which errors a client of one class may see: an answer by the agent instead of a server if the request must not be sent again,
+// and a partial answer if answers are relayed.
+func (b brokenAnswer) allowedErrors(class string, withOps bool) func(error) bool {
 	return func(err error) bool {
-		return errors.Is(err, errNotServed) && class != "form-check" || errors.Is(err, errPartial) && b.relayed && second
+		return errors.Is(err, errNotServed) && class != "form-check" || errors.Is(err, errPartial) && b.relayed && withOps
 	}
 }
 
-// serve answers requests on a connection until it ends, each in the same way.
+// serve answers one request on a connection and then ends it.
 func (b brokenAnswer) serve(conn *net.TCPConn) {
 	defer conn.Close()
 	if req, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
@@ -73,24 +73,24 @@
 	}
 }
 
-// An answer that its server breaks off while it can be held frees no request of its final answer: one that may be sent again is answered by
-// another server, any other with an error, and the client's connection carries each answer whole. An answer that says that it is over 64 KiB long
-// is relayed soon, as its client counts the time to the first byte; there the client can tell that it is not whole.
+// Checks that a request gets a final answer although a server breaks off its answer while the agent can hold it: another server answers a request that
+// may be sent again, an error answers any other, and each answer arrives complete on the client's connection. An answer that announces more than
+// 64 KiB is relayed soon, because the client measures the time to the first byte; there the client can tell that it is incomplete.
 func TestAnswersThatBreakOffAreReplaced(t *testing.T) {
 	t.Parallel()
 	for _, broken := range brokenAnswers() {
-		for _, second := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, second address %t", broken.name, second), func(t *testing.T) {
+		for _, withOps := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, second address %t", broken.name, withOps), func(t *testing.T) {
 				t.Parallel()
 				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), serveConnections(t, broken.serve), slowServer(t), slowServer(t))
-				p := startReady(t, config, listen, second)
+				p := startReady(t, config, listen, withOps)
 				var wait sync.WaitGroup
 				for number := range 4 {
 					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keepAlive: true}
 					if number%2 == 0 {
 						c.class = "refund-pay"
 					}
-					wait.Go(func() { c.runAllowing(t, 10, broken.allowedErrors(c.class, second)) })
+					wait.Go(func() { c.runAllowing(t, 10, broken.allowedErrors(c.class, withOps)) })
 				}
 				wait.Wait()
 				if t.Failed() {
@@ -101,10 +101,11 @@
 	}
 }
 
-// lateServers hang in the first attempt of each request until the client's time is nearly over, and break off the answer to the second one when it is.
+// lateServers hang in the first attempt of each request until the client's time is nearly over, and break off the answer to the second attempt when it
+// is over.
 type lateServers struct {
 	mu       sync.Mutex
-	attempts map[string]int // by the requests' ids
+	attempts map[string]int // by request id
 }
 
 func (s *lateServers) serve(conn *net.TCPConn) {
@@ -128,7 +129,7 @@
 	time.Sleep(pause)
 }
 
-// Guards against a part of an answer in place of an error where another attempt's answer is not whole as the client's time ends.
+// Guards against a partial answer instead of an error if the answer to another attempt is incomplete when the client's time ends.
 func TestAnswersThatBreakOffTooLateAreErrors(t *testing.T) {
 	t.Parallel()
 	servers := lateServers{attempts: map[string]int{}}
--- a/cmd/ternbeam/drainfaults_test.go
+++ b/cmd/ternbeam/drainfaults_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// toldAfterSilence is how long after an open watch fell silent what it misses counts as told.
+	// knownAfterSilence is how long after an open watch fell silent the agent counts as knowing what the watch missed.
 	knownAfterSilence = 6 * time.Second
-	// faultSeedsEnv names how many seeds are played; a few are where it is not set.
+	// faultSeedsEnv names the environment variable with the number of seeds; the default is defaultFaultSeeds.
 	faultSeedsEnv      = "TERNBEAM_FAULT_SEEDS"
 	defaultFaultSeeds  = 6
 	parallelFaultSeeds = 3
@@ -26,8 +26,8 @@
 	faultServerCount   = 5
 )
 
-// faultWorld is one agent with a discovery service beside it, some servers and clients, to which faults happen that follow from a seed.
-// What happened and what servers got is noted with its time, and judged afterwards.
+// drainFaultRun is one agent with a local discovery service, servers and clients, under faults that follow from a seed. Events and the requests that
+// servers received are recorded with their times and evaluated afterwards.
 type drainFaultRun struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -41,24 +41,24 @@
 	mu       sync.Mutex
 	requests []serverRequest
 
-	// What follows is the scheduler's.
+	// The fields below belong to the goroutine that runs the steps.
 	events   []string
 	outages  []interval
 	starts   []time.Duration
-	silences []interval // watches that were silent for good, each from when it fell silent until the agent closed it
+	silences []interval // watches that fell silent for good, each from then until the agent closed it
 	drains   []drain
 }
 
-// interval is a span of time since the run began. One that has not ended has no end.
+// interval is a span of time, relative to the start of the run. Its end is 0 while it lasts.
 type interval struct{ from, to time.Duration }
 
-// drain is a time in which the list has it that a server drains.
+// drain is an interval in which the list shows a server as draining.
 type drain struct {
 	server int
 	interval
 }
 
-// serverRequest is a request that a server got.
+// serverRequest is a request that a server received.
 type serverRequest struct {
 	server int
 	at     time.Duration
@@ -70,10 +70,10 @@
 	w.events = append(w.events, fmt.Sprintf("%6.3f ", w.elapsed().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// list words the list as it is now.
+// encodeList returns the current list as text.
 func (w *drainFaultRun) encodeList() string { return listText(w.version, w.servers...) }
 
-// beginDrain has the list say that a server drains, unless too few would be left.
+// beginDrain marks a random server as draining in the list, unless fewer than three are in service.
 func (w *drainFaultRun) beginDrain() {
 	var ready []int
 	for i, s := range w.servers {
@@ -88,11 +88,11 @@
 	w.servers[i].draining = true
 	w.version++
 	w.drains = append(w.drains, drain{server: i, interval: interval{from: w.elapsed()}})
-	w.logEvent("the list has it that s-%d drains", i)
+	w.logEvent("the list shows s-%d as draining", i)
 	w.discovery.setList(w.encodeList())
 }
 
-// endDrains has the list say that all servers which drain have been restarted.
+// endDrains marks all draining servers in the list as restarted and in service.
 func (w *drainFaultRun) endDrains() {
 	for i := range w.servers {
 		s := &w.servers[i]
@@ -107,23 +107,23 @@
 		}
 	}
 	w.version++
-	w.logEvent("the list has it that all servers are there again")
+	w.logEvent("the list shows all servers as in service")
 	w.discovery.setList(w.encodeList())
 }
 
-// sleep sleeps for a span that is drawn.
+// sleepRandom sleeps for a random time between two bounds.
 func (w *drainFaultRun) sleepRandom(from, to time.Duration) {
 	time.Sleep(from + time.Duration(w.rng.Int64N(int64(to-from))))
 }
 
-// start starts the process of the agent.
+// start starts the agent's process.
 func (w *drainFaultRun) start() {
 	w.starts = append(w.starts, w.elapsed())
 	w.logEvent("the process starts")
 	w.process = start(w.t, w.env...)
 }
 
-// restart kills the process and starts it again.
+// restart kills the process and starts a new one.
 func (w *drainFaultRun) restart() {
 	w.process.cmd.Process.Kill()
 	err := <-w.process.exited
@@ -131,15 +131,16 @@
 	w.start()
 }
 
-// stall holds the process up for as long as the terms say at the most.
+// stall stops the process for as long as the platform may stall it at most.
 func (w *drainFaultRun) stall() {
-	w.logEvent("the process is held up")
+	w.logEvent("the process is stopped")
 	w.process.sendSignals(w.t, syscall.SIGSTOP)
 	time.Sleep(maxStall)
 	w.process.sendSignals(w.t, syscall.SIGCONT)
 }
 
-// outage has discovery be down for a while, in which servers may begin to drain and the process may be killed. It returns as discovery does.
+// outage takes discovery down for a while, during which servers may begin to drain and the process may be stopped or restarted. It returns after
+// discovery is up again.
 func (w *drainFaultRun) outage() {
 	how := []outage{hangs, sendsHeadOnly, sendsHalfList, sendsSpaces, unavailable, resets, refuses, notAccepting}[w.rng.IntN(8)]
 	w.outages = append(w.outages, interval{from: w.elapsed()})
@@ -168,7 +169,7 @@
 	}
 }
 
-// step has one thing happen. A while of at least 0.7 s in which discovery is up follows it, and no stall.
+// step causes one random event. After it discovery is up for at least 0.7 s without a stall.
 func (w *drainFaultRun) step() {
 	switch w.rng.IntN(8) {
 	case 0, 1, 2, 3:
@@ -194,32 +195,33 @@
 	}
 }
 
-// told returns when the process that runs at a time counts as told of a drain, and false if it does not. What discovery has counts at once
-// where it is up. What a watch misses that has fallen silent counts 6 s later, or as soon as the agent has given that watch up.
+// knownSince returns the time from which the process that runs at a given time counts as knowing of a drain, and false if it does not know yet.
+// While discovery is up, a change counts as known at once. A change that a silent watch missed counts as known 6 s after the watch fell silent, or as
+// soon as the agent closes that watch.
 func (w *drainFaultRun) knownSince(d drain, at time.Duration) (time.Duration, bool) {
-	told := d.from
+	since := d.from
 	for _, s := range w.starts {
 		if s <= at {
-			told = max(told, s)
+			since = max(since, s)
 		}
 	}
-	for before := time.Duration(-1); told != before; {
-		before = told
+	for previous := time.Duration(-1); since != previous; {
+		previous = since
 		for _, o := range w.outages {
-			if o.from <= told && told < o.to {
-				told = o.to
+			if o.from <= since && since < o.to {
+				since = o.to
 			}
 		}
 		for _, s := range w.silences {
-			if end := min(s.to, s.from+knownAfterSilence); s.from <= told && told < end {
-				told = end
+			if end := min(s.to, s.from+knownAfterSilence); s.from <= since && since < end {
+				since = end
 			}
 		}
 	}
-	return told, told <= at
+	return since, since <= at
 }
 
-// readSilences takes the watches that fell silent from the stand-in.
+// collectSilences copies the watches that fell silent from the discovery stand-in.
 func (w *drainFaultRun) collectSilences() {
 	w.discovery.mu.Lock()
 	defer w.discovery.mu.Unlock()
@@ -232,7 +234,7 @@
 	}
 }
 
-// late returns the requests that came too late to a server that drains, each in words.
+// lateRequests returns a description of each request that reached a draining server too late.
 func (w *drainFaultRun) lateRequests() (late []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -241,15 +243,16 @@
 			if d.server != r.server || r.at < d.from || d.to != 0 && r.at >= d.to {
 				continue
 			}
-			if told, known := w.knownSince(d, r.at); known && r.at-told > drainGrace+socketSlack {
-				late = append(late, fmt.Sprintf("%6.3f a request to s-%d, %.3f s after the agent counts as told", r.at.Seconds(), r.server, (r.at-told).Seconds()))
+			if since, known := w.knownSince(d, r.at); known && r.at-since > drainGrace+socketSlack {
+				late = append(late, fmt.Sprintf("%6.3f a request to s-%d, %.3f s after the agent counts as knowing of the drain",
+					r.at.Seconds(), r.server, (r.at-since).Seconds()))
 			}
 		}
 	}
 	return late
 }
 
-// newFaultWorld makes the world of a seed.
+// newDrainFaultRun starts the agent, servers, discovery and clients for a seed.
 func newDrainFaultRun(t *testing.T, seed uint64) *drainFaultRun {
 	t.Helper()
 	w := &drainFaultRun{t: t, rng: rand.New(rand.NewPCG(seed, 0)), version: 1, startedAt: time.Now()}
@@ -274,32 +277,33 @@
 	return w
 }
 
-// Faults of discovery and of the process follow one another by chance, and servers drain in the midst of them. Nothing goes to one that
-// drains longer than the grace after its agent counts as told, by what the servers got.
+// Checks that no request reaches a draining server later than the grace period after its agent counts as knowing of the drain, under random faults of
+// discovery and of the process.
 func TestDrainsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	seeds, err := strconv.Atoi(cmp.Or(os.Getenv(faultSeedsEnv), fmt.Sprint(defaultFaultSeeds)))
 	if err != nil {
 		t.Fatalf("%s: %v", faultSeedsEnv, err)
 	}
-	free := make(chan struct{}, parallelFaultSeeds)
+	slots := make(chan struct{}, parallelFaultSeeds)
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			free <- struct{}{}
-			defer func() { <-free }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			for range maxVoidRuns {
 				w := newDrainFaultRun(t, uint64(seed))
 				watch := watchMachineStalls()
 				for w.elapsed() < faultRunDuration {
 					w.step()
 				}
-				stood := watch()
+				stalled := watch()
 				w.collectSilences()
 				late := w.lateRequests()
-				// The process itself is held up for as long as the terms say: more than a little beside that excuses what is late.
-				if stood > maxStall || len(late) > 0 && stood > maxStall/3 {
-					t.Logf("void: the machine stood still for %v; %d late", stood, len(late))
+				// The test already stops the process for as long as the platform may stall it, so any further stall of the machine
+				// above a small tolerance makes late requests void.
+				if stalled > maxStall || len(late) > 0 && stalled > maxStall/3 {
+					t.Logf("void: the machine stood still for %v; %d late", stalled, len(late))
 					continue
 				}
 				if len(late) > 0 {
@@ -310,7 +314,7 @@
 				w.mu.Unlock()
 				return
 			}
-			t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
+			t.Fatalf("the machine stood still in each of %d runs: no result", maxVoidRuns)
 		})
 	}
 }
--- a/cmd/ternbeam/kernelwait_test.go
+++ b/cmd/ternbeam/kernelwait_test.go
@@ -14,32 +14,32 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// recordingServer answers each request at once, and records it.
-func recordingServer(t *testing.T, world *trafficRecord) net.Addr {
+// recordingServer starts a server that records each request and answers at once.
+func recordingServer(t *testing.T, traffic *trafficRecord) net.Addr {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		world.arrived(r)
+		traffic.arrived(r)
 		fmt.Fprint(w, "checked ", r.URL.Path)
 	}))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr()
 }
 
-// A request waits in the kernel while the process is suspended, on a new connection in the accept queue and on one that is kept: its client counts
-// that time, and the deadline passed on has to as well. Found by seed 1 of TestAnswersUnderRandomFaultsAtTheEnd in CI beside other load: a server
-// was told 205 ms more than the client had. Failing registrations of connections and failing reads had held the request up, and only failing
-// accepts were counted.
+// Guards against a forwarded deadline that ignores the time a request waited in the kernel, on a new connection in the accept queue or on a kept one,
+// while the process was suspended. The client counts that time. Seed 1 of TestAnswersUnderRandomFaultsAtTheEnd found it in CI under other load: a
+// server received 205 ms more than the client had left, because only failing accepts were counted, not failing registrations of connections and
+// failing reads.
 func TestWaitInTheKernelCountsForTheDeadline(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprint("kept connection ", kept), func(t *testing.T) {
 			t.Parallel()
-			world := newTrafficRecord()
-			config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+			traffic := newTrafficRecord()
+			config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, traffic))
 			p := start(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 			awaitReady(t, listen)
 			c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: kept}
 			defer c.close()
-			first := world.request("first", c.class)
+			first := traffic.request("first", c.class)
 			first.sentAt = time.Now()
 			if first.body, first.err = c.do(first.path, first.id); !kept {
 				c.close()
@@ -52,40 +52,40 @@
 			p.sendSignals(t, syscall.SIGSTOP)
 			time.AfterFunc(400*time.Millisecond, func() { p.cmd.Process.Signal(syscall.SIGCONT) })
 			time.Sleep(20 * time.Millisecond) // for the signal to take effect
-			second := world.request("second", c.class)
+			second := traffic.request("second", c.class)
 			second.sentAt = time.Now()
 			second.body, second.err = c.do(second.path, second.id)
 			second.took = time.Since(second.sentAt)
 			testkit.Eventually(t, "the server has recorded it", func() bool {
-				world.mu.Lock()
-				defer world.mu.Unlock()
+				traffic.mu.Lock()
+				defer traffic.mu.Unlock()
 				return len(second.arrivals) > 0
 			})
-			problems, _, _ := world.evaluate()
-			for _, problem := range problems {
-				t.Error(problem)
+			violations, _, _ := traffic.evaluate()
+			for _, violation := range violations {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// Guards against a deadline that was worded before the writing of its request failed for a while.
+// Guards against a forwarded deadline that was encoded before writes of its request failed for a while.
 func TestFailedWritesCountForTheDeadline(t *testing.T) {
-	world := newTrafficRecord()
-	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+	traffic := newTrafficRecord()
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, traffic))
 	f := &failingFor{errno: syscall.ENOBUFS, duration: 400 * time.Millisecond}
-	f.arm() // until there is a request nothing is written to a server
+	f.arm() // nothing is written to a server before there is a request
 	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Write}, f.decider(isOutgoing), "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	awaitReadyUnderFaults(t, listen)
 	c := testClient{listen: listen, name: "client", class: "refund-pay"}
 	defer c.close()
-	c.doOnly(t, world, log)
+	c.doOnly(t, traffic, log)
 }
 
-// Guards against a deadline that was worded before the process was held up, and is held up again as its request is written.
+// Guards against a forwarded deadline that was encoded before the process was stalled, where the process stalls again in the write of the request.
 func TestHoldUpsBeforeAWriteCountForTheDeadline(t *testing.T) {
-	const mostPolls = 5 // on the way of a request
-	for poll := range mostPolls {
+	const maxPolls = 5 // while a request is handled
+	for poll := range maxPolls {
 		t.Run(fmt.Sprint("poll ", poll), func(t *testing.T) {
 			t.Parallel()
 			stallBeforeWrite(t, poll)
@@ -93,7 +93,7 @@
 	}
 }
 
-// heldUpBeforeAWrite holds one poll(2) up, of those after a request is sent, and the writing of the request to its server.
+// stallBeforeWrite holds one poll(2), counted from when a request is sent, and the write of the request to its server.
 func stallBeforeWrite(t *testing.T, poll int) {
 	const hold = maxStall - 10*time.Millisecond
 	polls, held := 0, false
@@ -111,13 +111,13 @@
 	})
 }
 
-// askUnderFaults sends a request that may not be repeated to an agent whose calls are decided on from then on.
-func requestUnderFaults(t *testing.T, chosen []sysfault.Call, decide sysfault.Decider) *requestRecord {
+// requestUnderFaults sends a request that must not be repeated to an agent whose system calls are subject to decide from then on.
+func requestUnderFaults(t *testing.T, calls []sysfault.Call, decide sysfault.Decider) *requestRecord {
 	t.Helper()
-	world := newTrafficRecord()
-	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+	traffic := newTrafficRecord()
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, traffic))
 	var armed atomic.Bool
-	_, log := startUnderFaults(t, chosen, func(e sysfault.Event) (o sysfault.Outcome) {
+	_, log := startUnderFaults(t, calls, func(e sysfault.Event) (o sysfault.Outcome) {
 		if armed.Load() {
 			o = decide(e)
 		}
@@ -127,27 +127,27 @@
 	c := testClient{listen: listen, name: "client", class: "refund-pay", keepAlive: true}
 	defer c.close()
 	armed.Store(true)
-	return c.doOnly(t, world, log)
+	return c.doOnly(t, traffic, log)
 }
 
-// Guards against a deadline from before a time in which nothing of the request could be written, where the process is held up in the next write:
-// the two times together are more than a server may be told too much.
+// Guards against a forwarded deadline that was encoded before a time in which no part of the request could be written, where the process then stalls
+// in the next write: the sum of both times is more than the forwarded deadline may exceed the client's.
 func TestUnsentRequestsAreWordedAnewBeforeAHoldUp(t *testing.T) {
 	retryUntilValid(t, func() bool {
 		watch := watchMachineStalls()
-		over := excessAfterFailedWrite(t)
+		excess := excessAfterFailedWrite(t)
 		if machineStalled(t, watch()) {
 			return false
 		}
-		if most := maxStall + 20*time.Millisecond; over > most {
-			t.Errorf("an attempt has %v more than its client, more than %v", over, most)
+		if maxExcess := maxStall + 20*time.Millisecond; excess > maxExcess {
+			t.Errorf("an attempt has %v more time left than its client, over %v", excess, maxExcess)
 		}
 		return true
 	})
 }
 
-// excessBehindAFailedWrite returns by how much the deadline that a server is told is longer than what the client has left, where writes of the
-// request fail at first, and the next is held up.
+// excessAfterFailedWrite returns by how much the deadline that a server receives exceeds the client's, where writes of the request fail at first and
+// the next one is held.
 func excessAfterFailedWrite(t *testing.T) time.Duration {
 	const failing = 20 * time.Millisecond
 	first, held := time.Time{}, false
@@ -170,16 +170,16 @@
 	return r.arrivals[0].excess(r)
 }
 
-// askOnly sends the only request of a world, which has to be served and to keep all rules.
-func (c *testClient) doOnly(t *testing.T, world *trafficRecord, log *testkit.Log) (r *requestRecord) {
+// doOnly sends the only request of a test, which must be served without violating any rule.
+func (c *testClient) doOnly(t *testing.T, traffic *trafficRecord, log *testkit.Log) (r *requestRecord) {
 	t.Helper()
-	r = world.request("only", c.class)
+	r = traffic.request("only", c.class)
 	r.sentAt = time.Now()
 	r.body, r.err = c.do(r.path, r.id)
 	r.took = time.Since(r.sentAt)
-	problems, _, served := world.evaluate()
-	for _, problem := range problems {
-		t.Error(problem)
+	violations, _, served := traffic.evaluate()
+	for _, violation := range violations {
+		t.Error(violation)
 	}
 	if served != 1 {
 		t.Fatalf("not served: %v\n%s", r.err, log)
--- a/cmd/ternbeam/localdiscovery_test.go
+++ b/cmd/ternbeam/localdiscovery_test.go
@@ -14,45 +14,45 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// outage is how discovery behaves while it is down. The calls that it took then are never answered, but for queued ones.
+// outage is how discovery behaves while it is down. Calls that it accepts during that time are never answered, except queued ones.
 type outage string
 
 const (
-	hangs         outage = "takes calls and says nothing"
-	sendsHeadOnly outage = "answers with a head and nothing behind it"
-	sendsHalfList outage = "answers with half a list and nothing behind it"
+	hangs         outage = "accepts calls and sends nothing"
+	sendsHeadOnly outage = "answers with a header and no body"
+	sendsHalfList outage = "answers with half a list and then stalls"
 	sendsSpaces   outage = "answers with a list that never ends"
 	unavailable   outage = "answers 503"
-	resets        outage = "resets who connects"
+	resets        outage = "resets connections"
 	refuses       outage = "refuses connections"
-	notAccepting  outage = "accepts no connection, its queue is full"
+	notAccepting  outage = "accepts no connections, its queue is full"
 )
 
-// localDiscovery is the discovery service beside one agent: it answers each call at once with what it has, and is down for a while.
+// localDiscovery is the discovery service of one agent. It answers each call at once with its current list, and can be taken down.
 type localDiscovery struct {
 	addr string
 
 	mu sync.Mutex
 	discoveryState
 	silentWatches []*silentWatch
-	calls         chan struct{} // one for each call or connection
+	calls         chan struct{} // receives a value for each call or connection
 	listen        net.Listener  // nil while it refuses connections
-	queueFillers  []net.Conn    // which fill the queue while it accepts none
+	queueFillers  []net.Conn    // connections that fill the accept queue while it accepts none
 }
 
-// discoveryState is how a localDiscovery behaves.
+// discoveryState is the state of a localDiscovery.
 type discoveryState struct {
 	down         outage        // empty while it is up
-	list         string        // the whole list, one line
-	changed      chan struct{} // closed at the next change of anything here
-	resumes      bool          // open watches go on when it is up again, where the outage did not end them; else they are silent for good
-	silenceCount int           // how often all open watches have fallen silent for good
+	list         string        // the full list, on one line
+	changed      chan struct{} // closed at the next change of the state
+	resumes      bool          // open watches continue when it is up again, unless the outage ended them; otherwise they stay silent for good
+	silenceCount int           // how many times all open watches have fallen silent for good
 }
 
-// silentWatch is a watch that has fallen silent for good. Its end is zero until the client has closed it.
+// silentWatch is a watch that has fallen silent for good. Its end is zero until the client closes it.
 type silentWatch struct{ from, to time.Time }
 
-// fallSilent returns as the client closes a watch.
+// holdSilent keeps a watch open without sending until the client closes it.
 func (d *localDiscovery) holdSilent(ctx context.Context) {
 	w := &silentWatch{from: time.Now()}
 	d.mu.Lock()
@@ -64,7 +64,7 @@
 	d.mu.Unlock()
 }
 
-// newLocalDiscovery runs one until the test ends.
+// newLocalDiscovery starts a discovery service that runs until the test ends.
 func newLocalDiscovery(t *testing.T, list string, resumes bool) *localDiscovery {
 	t.Helper()
 	d := &localDiscovery{addr: unusedAddr(t), discoveryState: discoveryState{list: list, resumes: resumes, changed: make(chan struct{})}, calls: make(chan struct{}, 10_000)}
@@ -73,11 +73,11 @@
 	return d
 }
 
-// open listens, with a queue as short as there is.
+// startListening listens with the shortest possible accept queue.
 func (d *localDiscovery) startListening(t *testing.T) {
 	t.Helper()
 	var listen net.Listener
-	testkit.Eventually(t, "its address is free", func() bool { // a process that is being started has the socket of free for a moment, too
+	testkit.Eventually(t, "its address is free", func() bool { // a process that is just being forked briefly inherits the socket of unusedAddr
 		var err error
 		listen, err = net.Listen("tcp", d.addr)
 		return err == nil
@@ -96,7 +96,7 @@
 	go server.Serve(gatedListener{listen, d})
 }
 
-// gate accepts no connection while discovery does not, and resets them while that is what it does.
+// gatedListener accepts no connections, or resets them, if the current outage says so.
 type gatedListener struct {
 	net.Listener
 	d *localDiscovery
@@ -122,7 +122,7 @@
 	}
 }
 
-// now is how it behaves at present.
+// state returns the current state.
 func (d *localDiscovery) state() discoveryState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,7 +131,7 @@
 
 func (d *localDiscovery) recordCall() { d.calls <- struct{}{} }
 
-// setDown begins an outage.
+// setDown starts an outage.
 func (d *localDiscovery) setDown(how outage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -141,7 +141,7 @@
 	case refuses:
 		d.listen.Close()
 	case notAccepting:
-		for range 4 { // the queue, and the one that is accepted already
+		for range 4 { // the queue and one connection that is accepted already
 			conn, err := (&net.Dialer{Timeout: 50 * time.Millisecond}).Dial("tcp", d.addr)
 			if err == nil {
 				d.queueFillers = append(d.queueFillers, conn)
@@ -150,7 +150,7 @@
 	}
 }
 
-// setUp ends the outage: from this moment on it has another list.
+// setUp ends the outage with a new list.
 func (d *localDiscovery) setUp(t *testing.T, list string) {
 	t.Helper()
 	if d.state().down == refuses {
@@ -166,7 +166,7 @@
 	d.queueFillers = nil
 }
 
-// setList has another list, whether or not it is up.
+// setList sets a new list, whether or not discovery is up.
 func (d *localDiscovery) setList(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,7 +174,7 @@
 	d.notifyLocked()
 }
 
-// silenceWatches has all open watches fall silent for good.
+// silenceWatches makes all open watches fall silent for good.
 func (d *localDiscovery) silenceWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,7 +187,7 @@
 	d.changed = make(chan struct{})
 }
 
-// serve answers one call, or falls silent on it. A watch ends or falls silent with the outage, by its kind.
+// serve answers one call, or stops sending on it. Whether an outage ends or silences a watch depends on the outage.
 func (d *localDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	state := d.state()
 	list := state.list
@@ -196,7 +196,7 @@
 		fmt.Fprint(w, text)
 		w.(http.Flusher).Flush()
 	}
-	silent := func() { <-r.Context().Done() }
+	waitForClient := func() { <-r.Context().Done() }
 	switch state.down {
 	case "", notAccepting:
 	case unavailable:
@@ -204,11 +204,11 @@
 		return
 	case sendsHeadOnly:
 		write("")
-		silent()
+		waitForClient()
 		return
 	case sendsHalfList:
 		write(list[:len(list)/2])
-		silent()
+		waitForClient()
 		return
 	case sendsSpaces:
 		write(list[:1])
@@ -218,7 +218,7 @@
 		}
 		return
 	default:
-		silent()
+		waitForClient()
 		return
 	}
 	write(list)
@@ -228,22 +228,22 @@
 	d.watch(r.Context(), list, write)
 }
 
-// watch keeps a watch that has been told a list. It returns as the client ends it; an outage may end it, or silence it for good.
-func (d *localDiscovery) watch(ctx context.Context, told string, write func(string)) {
+// watch serves a watch on which a list has been sent. It returns when the client closes the watch; an outage may end it, or silence it for good.
+func (d *localDiscovery) watch(ctx context.Context, sent string, write func(string)) {
 	state := d.state()
-	first := state.silenceCount
+	silences := state.silenceCount
 	heartbeat := time.NewTicker(2 * time.Second)
 	defer heartbeat.Stop()
 	for ; ; state = d.state() {
 		switch {
 		case state.down == unavailable || state.down == resets || state.down == refuses:
 			panic(http.ErrAbortHandler)
-		case state.silenceCount != first || state.down != "" && !state.resumes:
+		case state.silenceCount != silences || state.down != "" && !state.resumes:
 			d.holdSilent(ctx)
 			return
-		case state.down == "" && state.list != told:
+		case state.down == "" && state.list != sent:
 			write(state.list)
-			told = state.list
+			sent = state.list
 		}
 		select {
 		case <-heartbeat.C:
@@ -257,7 +257,7 @@
 	}
 }
 
-// awaitCall returns right after a call that discovery takes while it is down, or soon where it sees none.
+// awaitCall returns right after the next call that discovery accepts, or after about 1 s if there is none.
 func (d *localDiscovery) awaitCall() {
 	for len(d.calls) > 0 {
 		<-d.calls
--- a/cmd/ternbeam/outage_test.go
+++ b/cmd/ternbeam/outage_test.go
@@ -14,29 +14,29 @@
 	"time"
 )
 
-// The platform's terms for drains: where lists are pushed, what discovery gets at its return counts as told at once, and nothing new
-// may go to a server so long after it was told that it drains.
+// The platform's rules for drains: if lists are pushed, what discovery has when it is up again counts as known to the agent at once, and drainGrace
+// after a drain is known no new request may go to the server.
 const (
 	drainGrace  = 500 * time.Millisecond
 	socketSlack = 50 * time.Millisecond
 )
 
-// countingServer answers at once and notes when it got its latest request.
+// countingServer answers at once, counts requests and records when it received the latest.
 type countingServer struct {
 	*httptest.Server
 	requests    atomic.Int64
 	latestNanos atomic.Int64 // Unix nanoseconds
 }
 
-// newCountingServer runs one until the test ends. Each request is told to got, where that is not nil.
-func newCountingServer(t *testing.T, got func()) *countingServer {
+// newCountingServer starts a server that runs until the test ends. It calls onRequest for each request, unless that is nil.
+func newCountingServer(t *testing.T, onRequest func()) *countingServer {
 	t.Helper()
 	s := &countingServer{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.latestNanos.Store(time.Now().UnixNano())
 		s.requests.Add(1)
-		if got != nil {
-			got()
+		if onRequest != nil {
+			onRequest()
 		}
 		fmt.Fprint(w, "done")
 	}))
@@ -44,14 +44,14 @@
 	return s
 }
 
-// requestClients is how many clients send requests at a time, each some two hundred a second.
+// requestClients is how many clients send requests at a time, each about 200 a second.
 const requestClients = 2
 
-// sendRequests has clients send one request after the other until the context ends.
+// sendRequests starts clients that each send one request after the other until the context ends.
 func sendRequests(ctx context.Context, listen string) (wait func()) {
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range requestClients {
-		all.Go(func() {
+		clients.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for n := 0; ctx.Err() == nil; n++ {
@@ -64,17 +64,17 @@
 			}
 		})
 	}
-	return all.Wait
+	return clients.Wait
 }
 
-// listed is an entry of a list.
+// listEntry is an entry of a list.
 type listEntry struct {
 	server    *countingServer
 	draining  bool
 	startedMS int64
 }
 
-// listText words a whole list. Servers are named in their order, as configure names them.
+// listText returns a full list as text. Server ids follow from their order, as in configure.
 func listText(version int, servers ...listEntry) string {
 	entries := make([]string, 0, len(servers))
 	for i, s := range servers {
@@ -88,11 +88,11 @@
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`+"\n", version, strings.Join(entries, ","))
 }
 
-// outageCase is one way in which discovery is down and returns.
+// outageCase describes how discovery goes down and comes back.
 type outageCase struct {
 	how     outage
-	atStart bool // it is down as the process starts, and has the drain from the process's first moment on
-	stalled bool // the process is held up as discovery returns
+	atStart bool // it is down when the process starts, and the drain is in its list from then on
+	stalled bool // the process is stopped when discovery comes back
 }
 
 func (c outageCase) String() string {
@@ -100,13 +100,13 @@
 	case c.atStart:
 		return string(c.how) + ", at the start"
 	case c.stalled:
-		return string(c.how) + ", held up"
+		return string(c.how) + ", process stopped"
 	}
 	return string(c.how)
 }
 
-// run plays the case and returns for how long the server that drains was sent to after the agent counts as told. The run is void
-// where the machine itself stood still for longer than the terms let a process be held up.
+// run runs the case and returns for how long the draining server received requests after the agent counts as knowing of the drain. The run is void if
+// the machine itself stalled for longer than the platform may stall a process.
 func (c outageCase) run(t *testing.T) (late time.Duration, log string, void bool) {
 	draining, other := newCountingServer(t, nil), newCountingServer(t, nil)
 	before := listText(1, listEntry{server: draining}, listEntry{server: other})
@@ -124,41 +124,40 @@
 	if !c.atStart {
 		time.Sleep(300 * time.Millisecond)
 		d.setDown(c.how)
-		time.Sleep(4 * time.Second) // open watches have been found silent by then
+		time.Sleep(4 * time.Second) // by then the agent has detected that its watches are silent
 	}
 	for end := time.Now().Add(time.Minute); draining.requests.Load() == 0 && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // until there is something to stop
+		time.Sleep(time.Millisecond) // until the server receives requests
 	}
 	d.awaitCall()
 	watch := watchMachineStalls()
-	got := draining.requests.Load()
+	requestsBefore := draining.requests.Load()
 	d.setUp(t, after)
-	told := time.Now()
+	returned := time.Now()
 	if c.stalled {
 		p.sendSignals(t, syscall.SIGSTOP)
 		time.Sleep(maxStall)
 		p.sendSignals(t, syscall.SIGCONT)
 	}
-	time.Sleep(time.Until(told.Add(2 * time.Second)))
-	bears := maxStall
-	if c.stalled { // which has been held up for as long as the terms say already
-		bears = maxStall / 3
+	time.Sleep(time.Until(returned.Add(2 * time.Second)))
+	tolerance := maxStall
+	if c.stalled { // the test already stopped the process for as long as the platform may
+		tolerance = maxStall / 3
 	}
-	if stood := watch(); stood > bears {
-		t.Logf("void: the machine stood still for %v", stood)
+	if longest := watch(); longest > tolerance {
+		t.Logf("void: the machine stood still for %v", longest)
 		return 0, "", true
 	}
-	if other.requests.Load() == 0 || got == 0 {
-		t.Fatalf("the servers had %d and %d requests: nothing is shown\n%s", got, other.requests.Load(), p.log)
+	if other.requests.Load() == 0 || requestsBefore == 0 {
+		t.Fatalf("the servers received %d and %d requests: no result\n%s", requestsBefore, other.requests.Load(), p.log)
 	}
 	latest := time.Unix(0, draining.latestNanos.Load())
-	t.Logf("its latest request came at %s", latest.UTC().Format("15:04:05.000"))
-	return latest.Sub(told), p.log.String(), false
+	t.Logf("the draining server received its latest request at %s", latest.UTC().Format("15:04:05.000"))
+	return latest.Sub(returned), p.log.String(), false
 }
 
-// Discovery beside the agent is down, and returns with a drain right after it has taken a call that it never answers: the worst
-// moment. Nothing goes to the server that drains by the grace after the return, whatever the outage is like, and also where the
-// process is held up just then.
+// Checks that no request reaches a draining server later than the grace period after discovery comes back with the drain, for every kind of outage.
+// Discovery comes back at the worst moment, right after it has accepted a call that it never answers; the process may be stopped just then.
 func TestDrainsOfAnOutageAreHeardInTime(t *testing.T) {
 	t.Parallel()
 	for _, how := range []outage{hangs, sendsHeadOnly, sendsHalfList, sendsSpaces, unavailable, resets, refuses, notAccepting} {
@@ -170,13 +169,13 @@
 					if void {
 						continue
 					}
-					t.Logf("the server that drains was sent to for %v", late)
+					t.Logf("the draining server received requests for %v", late)
 					if late > drainGrace+socketSlack {
-						t.Errorf("a server that drains was sent to for %v after the return, over %v\n%s", late, drainGrace+socketSlack, log)
+						t.Errorf("the draining server received requests for %v after discovery came back, over %v\n%s", late, drainGrace+socketSlack, log)
 					}
 					return
 				}
-				t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
+				t.Fatalf("the machine stood still in each of %d runs: no result", maxVoidRuns)
 			})
 		}
 	}
--- a/cmd/ternbeam/pipelined_test.go
+++ b/cmd/ternbeam/pipelined_test.go
@@ -17,7 +17,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// pipelineLength is how many requests a client sends at once.
+// pipelineLength is how many requests a client sends before it reads the answers.
 const pipelineLength = 4
 
 // pipeliningClient sends several requests on a connection before it reads their answers.
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// connect opens a connection and has one request answered on it. It reports whether the answer ends the connection.
+// connect opens a connection and makes one request on it. It reports whether the answer closes the connection.
 func (c *pipeliningClient) connect(id string) (closes bool, err error) {
 	if err := c.dial(); err != nil {
 		return false, err
@@ -48,7 +48,7 @@
 	return c.answer(id, 0)
 }
 
-// requests returns so many requests, one behind the other.
+// requests returns the encoding of several consecutive requests.
 func (c *pipeliningClient) requests(id string, count int) []byte {
 	var text bytes.Buffer
 	for number := range count {
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("/%s/%s-%d", c.class, id, number)
 }
 
-// answer reads the answer to one request, and whether it ends the connection.
+// answer reads the answer to one request, and reports whether it closes the connection.
 func (c *pipeliningClient) answer(id string, number int) (closes bool, err error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return resp.Close, nil
 }
 
-// write sends requests, with a pause in the middle of them where it is not 0.
+// write sends pipelineLength requests, with a pause in the middle of them unless it is 0.
 func (c *pipeliningClient) write(id string, pause time.Duration) error {
 	text := c.requests(id, pipelineLength)
 	if pause > 0 {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// heldServer answers requests once it is told to go on, but for a first one.
-func heldServer(t *testing.T) (addr net.Addr, goOn func()) {
+// heldServer starts a server that answers the first request at once and holds all others until release is called.
+func heldServer(t *testing.T) (addr net.Addr, release func()) {
 	t.Helper()
 	held := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,27 +116,27 @@
 		fmt.Fprint(w, "checked ", r.URL.Path)
 	}))
 	t.Cleanup(server.Close)
-	goOn = sync.OnceFunc(func() { close(held) })
-	t.Cleanup(goOn)
-	return server.Listener.Addr(), goOn
+	release = sync.OnceFunc(func() { close(held) })
+	t.Cleanup(release)
+	return server.Listener.Addr(), release
 }
 
-// pipelinedEnd is a case of TestPipelinedRequestsAreAnsweredAtTheEnd.
+// pipelinedEnd is a case of TestPipelinedRequestsAreAnsweredAtTheEnd: pipelined requests during shutdown.
 type pipelinedEnd struct {
 	class  string
-	before bool          // the requests are sent before SIGTERM on a connection that was used, and on a new one otherwise
+	before bool          // the requests are sent before SIGTERM on a used connection, otherwise after it on a new one
 	pause  time.Duration // in the middle of them
 }
 
-// play has requests sent about SIGTERM, and servers answer when all are sent.
+// run sends requests before or after SIGTERM, and lets the server answer when all are sent.
 func (e pipelinedEnd) run(t *testing.T) {
-	server, goOn := heldServer(t)
+	server, release := heldServer(t)
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), server)
 	p := startReady(t, config, listen, false)
 	c := pipeliningClient{listen: listen, class: e.class}
 	signal := func() {
 		p.sendSignals(t, syscall.SIGTERM)
-		testkit.Eventually(t, "it ends", func() bool { return p.log.Has("stage=begun") })
+		testkit.Eventually(t, "it shuts down", func() bool { return p.log.Has("stage=begun") })
 	}
 	if e.before {
 		if _, err := c.connect("first"); err != nil {
@@ -155,13 +155,13 @@
 	if e.before {
 		signal()
 	}
-	goOn()
+	release()
 	if err := c.answers("further"); err != nil {
 		t.Errorf("%v\n%s", err, p.log)
 	}
 }
 
-// Guards against a connection that ends with the first answer at the end of the process, over requests that had come behind the first one.
+// Guards against a connection that is closed after the first answer during shutdown although further requests have arrived behind the first one.
 func TestPipelinedRequestsAreAnsweredAtTheEnd(t *testing.T) {
 	for _, class := range []string{"form-check", "refund-pay"} {
 		for _, before := range []bool{true, false} {
@@ -175,22 +175,22 @@
 	}
 }
 
-// Guards against the same where places for connections get short.
+// Guards against the same when connection slots run short.
 func TestPipelinedRequestsAreAnsweredWherePlacesAreShort(t *testing.T) {
-	const sockets, mostClients = 160, 160
+	const sockets, maxClients = 160, 160
 	config, listen := configureLimited(t, unusedAddr(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
 	startReady(t, config, listen, false)
-	short := false
-	for number := 0; number < mostClients && !short; number++ {
+	closes := false
+	for number := 0; number < maxClients && !closes; number++ {
 		c := pipeliningClient{listen: listen, class: "form-check"}
 		var err error
-		if short, err = c.connect(fmt.Sprint("first-", number)); err != nil {
+		if closes, err = c.connect(fmt.Sprint("first-", number)); err != nil {
 			t.Fatal(err)
 		}
 		defer c.conn.Close()
 	}
-	if !short {
-		t.Fatal("places did not get short")
+	if !closes {
+		t.Fatal("connection slots did not run short")
 	}
 	c := pipeliningClient{listen: listen, class: "form-check"}
 	if err := c.dial(); err != nil {
--- a/cmd/ternbeam/replace_test.go
+++ b/cmd/ternbeam/replace_test.go
@@ -324,7 +324,7 @@
 				}
 				resp.Body.Close()
 				if resp.StatusCode != http.StatusOK {
-					t.Errorf("status %d", resp.StatusCode)
+					t.Errorf("%d", resp.StatusCode)
 				}
 				next.cmd.Process.Signal(syscall.SIGTERM)
 			}
--- a/cmd/ternbeam/replacefaults_test.go
+++ b/cmd/ternbeam/replacefaults_test.go
@@ -14,18 +14,18 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// handoverFault is a way in which calls of one of two processes fail as one replaces the other.
+// handoverFault describes how system calls of one of two processes fail while one replaces the other.
 type handoverFault struct {
-	old    bool // of the process that is replaced
+	old    bool // the fault is in the process that is replaced
 	call   sysfault.Call
 	errnos []syscall.Errno
 }
 
-// handoverFaults are errors that the manual pages document for the calls of a handover.
+// handoverFaults returns errors that the manual pages document for the system calls of a handover.
 func handoverFaults() []handoverFault {
 	const older, newer = true, false
 	return []handoverFault{
-		{newer, sysfault.Poll, []syscall.Errno{syscall.EINTR}}, // of no concern: the test as such
+		{newer, sysfault.Poll, []syscall.Errno{syscall.EINTR}}, // harmless, checks the test itself
 		{newer, sysfault.NewSocket, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS}},
 		{newer, sysfault.Connect, []syscall.Errno{syscall.EAGAIN, syscall.ECONNREFUSED, syscall.ENOBUFS}},
 		{newer, sysfault.Write, []syscall.Errno{syscall.EIO, syscall.EPIPE, syscall.EAGAIN}},
@@ -41,7 +41,7 @@
 	}
 }
 
-// firstCalls makes the first calls of one kind on Unix sockets and paths fail.
+// failFirstCalls makes the first calls of one kind on Unix sockets and paths fail.
 func failFirstCalls(call sysfault.Call, errno syscall.Errno, count int) sysfault.Decider {
 	var mu sync.Mutex
 	return func(e sysfault.Event) sysfault.Outcome {
@@ -59,7 +59,8 @@
 	}
 }
 
-// Guards against a server that operators took out being used again as a failed call keeps a process from what the one before leaves.
+// Guards against a server that operators took offline being used again because a failed system call keeps a process from inheriting its
+// predecessor's state.
 func TestReplacementHasWhatWasLeftThoughCallsFail(t *testing.T) {
 	t.Parallel()
 	const failures = 3
@@ -69,17 +70,17 @@
 				t.Parallel()
 				s := newReplacementTest(t, 2)
 				s.sharedDir = shortTempDir(t)
-				decide, calls := failFirstCalls(fault.call, errno, failures), []sysfault.Call{fault.call}
-				old := s.startUnderFaults(fault.old, calls, decide)
+				decider, calls := failFirstCalls(fault.call, errno, failures), []sysfault.Call{fault.call}
+				old := s.startUnderFaults(fault.old, calls, decider)
 				s.takeOffline(old)
-				next := s.startUnderFaults(!fault.old, calls, decide)
+				next := s.startUnderFaults(!fault.old, calls, decider)
 				s.checkStaysOffline(old, next)
 			})
 		}
 	}
 }
 
-// Guards against the same where the path of the shared folder is too long for a Unix socket.
+// Guards against the same if the path of the shared folder is too long for a Unix socket.
 func TestReplacementHasWhatWasLeftInAFolderWithALongName(t *testing.T) {
 	s := newReplacementTest(t, 2)
 	s.sharedDir = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
@@ -94,19 +95,19 @@
 	s.checkStaysOffline(old, next)
 }
 
-// takeOut takes s-0 out by hand at a process, and waits until another one can claim what that leaves.
+// takeOffline takes s-0 offline at a process, and waits until another process can claim its state.
 func (s *replacementTest) takeOffline(p *process) {
 	s.t.Helper()
 	if status := p.callOps(http.MethodPost, "/control/backends/s-0/offline"); status != http.StatusOK {
 		s.t.Fatal(status)
 	}
-	testkit.Eventually(s.t, "the next process can claim", func() bool {
+	testkit.Eventually(s.t, "the next process can claim the state", func() bool {
 		_, err := os.Stat(filepath.Join(s.sharedDir, "ternbeam.sock"))
 		return err == nil
 	})
 }
 
-// staysOut ends the old process and sends requests, of which s-0 is to get none.
+// checkStaysOffline ends the old process and sends requests, none of which may reach s-0.
 func (s *replacementTest) checkStaysOffline(old, next *process) {
 	s.t.Helper()
 	const requests = 60
@@ -121,7 +122,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.requestsByServer["s-0"] > 0 {
-		s.t.Errorf("s-0, which was taken out, got %d of %d requests\n%s", s.requestsByServer["s-0"], requests, next.log)
+		s.t.Errorf("s-0, which was taken offline, received %d of %d requests\n%s", s.requestsByServer["s-0"], requests, next.log)
 	}
 }
 
@@ -136,7 +137,7 @@
 	return dir
 }
 
-// beginUnderFaults starts a process with a second address of its own and waits until it is ready. Calls of it fail where they are to.
+// startUnderFaults starts a process with its own operators' address and waits until it is ready. Its system calls fail if it is to be faulty.
 func (s *replacementTest) startUnderFaults(faulty bool, calls []sysfault.Call, decide sysfault.Decider) *process {
 	s.t.Helper()
 	if !faulty {
@@ -145,13 +146,14 @@
 		return p
 	}
 	ops := unusedAddr(s.t)
-	traced, log := startUnderFaults(s.t, calls, decide, "NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.sharedDir)
+	traced, log := startUnderFaults(s.t, calls, decide,
+		"NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.sharedDir)
 	p := &process{log: log, ops: ops, traced: traced}
 	s.awaitReady(p)
 	return p
 }
 
-// stop signals a process and waits until it has ended.
+// stop signals a process and waits until it has exited.
 func (p *process) stop(signal syscall.Signal) {
 	if p.traced != nil {
 		p.traced.Signal(signal)
--- a/cmd/ternbeam/shutdown_test.go
+++ b/cmd/ternbeam/shutdown_test.go
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// The platform's terms for the end of a process: SIGKILL comes so long after SIGTERM, by the longest deadline of the settings.
+// The platform's rules for shutdown: the time from SIGTERM to SIGKILL follows from the longest deadline of the settings.
 const (
 	maxKillDeadline = 3 * time.Second
 	killMargin      = 700 * time.Millisecond
-	maxStall        = 150 * time.Millisecond // for which a process may be held up
+	maxStall        = 150 * time.Millisecond // the longest time for which a process may be stalled
 )
 
-// killAfter is how long after SIGTERM the platform sends SIGKILL at the earliest.
+// killDelay returns how long after SIGTERM the platform sends SIGKILL at the earliest.
 func killDelay(longestDeadline time.Duration) time.Duration {
 	return min(longestDeadline, maxKillDeadline) + killMargin
 }
 
-// shutdownSettings are settings with classes of every effect, all with one deadline.
+// shutdownSettings returns settings with a repeatable class and one that must not be repeated, both with the same deadline.
 func shutdownSettings(deadline time.Duration) string {
 	return fmt.Sprintf(`{"Balancers":1,"Classes":[
 		{"Name":"form-check","Effect":"repeatable","Group":"all","AimNs":300000000,"DeadlineNs":%[1]d,"Worth":2},
@@ -37,13 +37,14 @@
 		"Tenants":[{"Name":"rosyth-port"}],"Zones":["z"]}`, deadline.Nanoseconds())
 }
 
-// unhurriedSettings are shutdownSettings whose aims are the deadline, for tests that ask for an answer of a server to each request: with shorter ones
-// a request is refused where answers are slow, as on a machine with too few processors.
+// relaxedSettings returns shutdownSettings with the deadline as each class's aim, for tests that require a server's answer to every request: with a
+// shorter aim requests are refused if answers are slow, as on a machine with too few processors.
 func relaxedSettings(deadline time.Duration) string {
 	return strings.ReplaceAll(shutdownSettings(deadline), `"AimNs":300000000`, fmt.Sprintf(`"AimNs":%d`, deadline.Nanoseconds()))
 }
 
-// everyEffectSettings are settings with a class of each effect, all with one deadline, and requests with a key that may be repeated within a window.
+// everyEffectSettings returns settings with a class of each effect, all with the same deadline. Requests with an idempotency key may be repeated
+// within a window.
 func everyEffectSettings(deadline, window time.Duration) string {
 	const before = `{"Name":"refund-pay"`
 	keyed := fmt.Sprintf(`{"Name":"refund-record","Effect":"by_key","Group":"all","AimNs":300000000,"DeadlineNs":%d,"WindowNs":%d,"Worth":2},`,
@@ -51,33 +52,33 @@
 	return strings.Replace(shutdownSettings(deadline), before, keyed+before, 1)
 }
 
-// hangingServer takes requests and answers none until the test ends.
+// hangingServer starts a server that reads requests and answers none until the test ends.
 func hangingServer(t *testing.T) net.Addr {
 	t.Helper()
-	over := make(chan struct{})
+	testEnded := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		select {
-		case <-over:
+		case <-testEnded:
 		case <-r.Context().Done():
 		}
 	}))
-	t.Cleanup(func() { close(over); server.CloseClientConnections(); server.Close() })
+	t.Cleanup(func() { close(testEnded); server.CloseClientConnections(); server.Close() })
 	return server.Listener.Addr()
 }
 
-// lateClient is a client that sends one request while an agent ends, in two parts at set times after SIGTERM.
+// shutdownClient is a client that sends one request while an agent shuts down, in two parts at given times after SIGTERM.
 type shutdownClient struct {
 	name        string
 	class       string
-	connect     time.Duration // after SIGTERM; below 0 for before
+	connect     time.Duration // after SIGTERM; negative for before
 	first, last time.Duration // when the first half and the last byte of the request are sent
 }
 
-// longBody names the client whose body is still coming when the process is killed.
+// longBody is the name of the client that is still sending its body when the process is killed.
 const longBody = "long body"
 
-// drip writes at a pace that a body may have, until the connection ends.
+// writeSlowly writes at the lowest rate that a body may have, until the connection ends.
 func writeSlowly(conn net.Conn, text []byte) {
 	for len(text) > 0 {
 		part := min(len(text), 3000)
@@ -89,7 +90,7 @@
 	}
 }
 
-// answer sends the request and returns the status of its final answer, which has to come whole.
+// do sends the request and returns the status of its final answer, which must be complete.
 func (c shutdownClient) do(begin time.Time, listen string, deadline time.Duration) (status int, err error) {
 	method := map[string]string{"form-check": http.MethodGet, "refund-pay": http.MethodPost}[c.class]
 	var text bytes.Buffer
@@ -129,9 +130,9 @@
 	return resp.StatusCode, err
 }
 
-// Every request that an agent takes is answered before SIGKILL: those that it had at SIGTERM, and those that come while it
-// ends, where all servers hang. The bound of the platform on the deadline that counts (3 s) binds, whatever the settings say, and
-// the process may be held up when it is told to end and again right before it is killed.
+// Checks that every request that an agent accepts is answered before SIGKILL while all servers hang: those it has at SIGTERM and those that arrive
+// during shutdown. Whatever the settings say, the platform counts at most 3 s of the deadline. The process may be stalled at SIGTERM and again right
+// before SIGKILL.
 func TestRequestsAreAnsweredBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 3825 * time.Millisecond, 20 * time.Second} {
@@ -150,21 +151,21 @@
 						return
 					}
 				}
-				t.Fatalf("the machine stood still in each of %d runs: nothing can be said", maxVoidRuns)
+				t.Fatalf("the machine stood still in each of %d runs: no result", maxVoidRuns)
 			})
 		}
 	}
 }
 
-// shutdownCase is one way in which a process is ended.
+// shutdownCase describes how a process is shut down.
 type shutdownCase struct {
 	deadline    time.Duration // of all classes
-	stalled     bool          // it is held up when it is told to end, and again before it is killed
-	replaceable bool          // it has a second address: bodies may be long, and idle connections stay open for a while
+	stalled     bool          // it is stopped at SIGTERM and again before SIGKILL
+	replaceable bool          // it has an operators' address: bodies may be long, and idle connections stay open for a while
 }
 
-// run ends a process and returns what went wrong, and its log. The run is void where the machine itself stood still for longer than
-// the terms let a process be held up.
+// run shuts a process down and returns the failures and its log. The run is void if the machine itself stalled for longer than the platform may stall
+// a process.
 func (s shutdownCase) run(t *testing.T) (failures []string, log string, void bool) {
 	deadline, stalled := s.deadline, s.stalled
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(deadline), hangingServer(t), hangingServer(t))
@@ -177,7 +178,7 @@
 
 	kill := killDelay(deadline)
 	late := min(time.Second, kill-600*time.Millisecond)
-	begin := time.Now().Add(100 * time.Millisecond) // SIGTERM comes then
+	begin := time.Now().Add(100 * time.Millisecond) // when SIGTERM is sent
 	clients := []shutdownClient{
 		{"taken before", "form-check", -60 * time.Millisecond, -50 * time.Millisecond, -50 * time.Millisecond},
 		{"taken before, not repeatable", "refund-pay", -60 * time.Millisecond, -50 * time.Millisecond, -50 * time.Millisecond},
@@ -222,42 +223,42 @@
 	time.Sleep(time.Until(begin.Add(kill)))
 	p.cmd.Process.Kill()
 	wait.Wait()
-	bears := maxStall
-	if stalled { // which has been held up for as long as the terms say already
-		bears = maxStall / 3
+	tolerance := maxStall
+	if stalled { // the test already stopped the process for as long as the platform may
+		tolerance = maxStall / 3
 	}
-	if stood := watch(); stood > bears {
-		t.Logf("void: the machine stood still for %v", stood)
+	if longest := watch(); longest > tolerance {
+		t.Logf("void: the machine stood still for %v", longest)
 		return nil, "", true
 	}
 	return failures, p.log.String(), false
 }
 
-// mostVoidRuns is how often a run is repeated in which the machine stood still.
+// maxVoidRuns is how many runs are tried if the machine stalls in each.
 const maxVoidRuns = 10
 
-// watchMachine begins to look how late the machine wakes who sleeps, and returns what ends that and tells the longest.
+// watchMachineStalls starts to measure how late the machine wakes a sleeping goroutine. The returned function stops that and returns the longest delay.
 func watchMachineStalls() (longest func() time.Duration) {
-	const nap = 2 * time.Millisecond
-	over, most := make(chan struct{}), make(chan time.Duration)
+	const sleepTime = 2 * time.Millisecond
+	stop, result := make(chan struct{}), make(chan time.Duration)
 	go func() {
-		late := time.Duration(0)
+		longestDelay := time.Duration(0)
 		for {
 			select {
-			case <-over:
-				most <- late
+			case <-stop:
+				result <- longestDelay
 				return
 			default:
 			}
 			begin := time.Now()
-			time.Sleep(nap)
-			late = max(late, time.Since(begin)-nap)
+			time.Sleep(sleepTime)
+			longestDelay = max(longestDelay, time.Since(begin)-sleepTime)
 		}
 	}()
-	return func() time.Duration { close(over); return <-most }
+	return func() time.Duration { close(stop); return <-result }
 }
 
-// stoodStill reports whether the machine stood still in a play for so long that the play says nothing.
+// machineStalled reports whether the machine stalled for so long that a run has no result.
 func machineStalled(t *testing.T, longest time.Duration) bool {
 	t.Helper()
 	if longest <= maxStall/3 {
@@ -267,7 +268,7 @@
 	return true
 }
 
-// alive reports whether the process has not ended yet.
+// alive reports whether the process is still running.
 func (p *process) alive() bool {
 	select {
 	case err := <-p.exited:
@@ -278,7 +279,7 @@
 	}
 }
 
-// awaitReady waits until an agent says that clients may begin.
+// awaitReady waits until an agent reports that it is ready.
 func awaitReady(t *testing.T, listen string) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
--- a/cmd/ternbeam/state_test.go
+++ b/cmd/ternbeam/state_test.go
@@ -22,7 +22,7 @@
 	"ternbeam/internal/store"
 )
 
-// kept writes a state of servers with a rate each into a new folder.
+// writeState writes the learned state of servers with the given rates into a new folder and returns the folder.
 func writeState(t *testing.T, rates map[string]float64) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -57,7 +57,7 @@
 	return dir
 }
 
-// What is kept is shown with its age and worth, compared, checked and reset.
+// Checks that stored state is shown with its age and current weight, compared, verified and reset.
 func TestStateCommands(t *testing.T) {
 	dir := writeState(t, map[string]float64{"a": 100, "b": 10})
 	found, err := peek(dir)
@@ -68,17 +68,17 @@
 	if err := show(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), true); err != nil {
 		t.Fatal(err)
 	}
-	var said struct {
+	var output struct {
 		Agent   string
 		Age     float64 `json:"age_s"`
 		Servers []shown
 	}
-	if err := json.Unmarshal(out.Bytes(), &said); err != nil {
+	if err := json.Unmarshal(out.Bytes(), &output); err != nil {
 		t.Fatal(err)
 	}
-	if said.Agent != "n1" || len(said.Servers) != 2 || said.Age < 59 || said.Age > 90 || said.Servers[1].ID != "b" || said.Servers[1].Rate != 10 ||
-		said.Servers[1].RateNow != 25 || said.Servers[0].Trust >= 1 || said.Servers[0].Trust < 0.8 || said.Servers[0].FailsNow >= 0.5 {
-		t.Errorf("%+v", said)
+	if output.Agent != "n1" || len(output.Servers) != 2 || output.Age < 59 || output.Age > 90 || output.Servers[1].ID != "b" || output.Servers[1].Rate != 10 ||
+		output.Servers[1].RateNow != 25 || output.Servers[0].Trust >= 1 || output.Servers[0].Trust < 0.8 || output.Servers[0].FailsNow >= 0.5 {
+		t.Errorf("%+v", output)
 	}
 	out.Reset()
 	if err := show(&out, found, aging.New(aging.Defaults, found.State), keeper.Clock(), false); err != nil || !strings.Contains(out.String(), "1m") {
@@ -116,17 +116,17 @@
 		}
 	}
 	if err := run([]string{"state", "verify", dir}); err == nil {
-		t.Error("a folder that was spoilt is good")
+		t.Error("a corrupted folder passes verification")
 	}
 	if err := run([]string{"state", "reset", dir}); err != nil {
 		t.Error(err)
 	}
 	if _, err := peek(dir); err == nil {
-		t.Error("something is left after a reset")
+		t.Error("state is left after a reset")
 	}
 }
 
-// The merged view of a list and SRV records: states, rules, and each source's word.
+// Checks the merged view of a list and SRV records: states, rules, and the facts of each source.
 func TestMembersView(t *testing.T) {
 	names, err := standin.NewNames()
 	if err != nil {
@@ -153,15 +153,15 @@
 	if err := c.show(&out, h.Members()); err != nil {
 		t.Fatal(err)
 	}
-	var said []struct {
+	var output []struct {
 		ID, State, Rule string
 		Addrs           []string
 		Facts           []struct{ Name, Value, Source string }
 	}
-	if err := json.Unmarshal(out.Bytes(), &said); err != nil {
+	if err := json.Unmarshal(out.Bytes(), &output); err != nil {
 		t.Fatal(err)
 	}
-	if len(said) != 1 || said[0].State != "ready" || said[0].Addrs[0] != "127.0.0.1:8001" || said[0].Rule != "agreed" || len(said[0].Facts) != 4 {
+	if len(output) != 1 || output[0].State != "ready" || output[0].Addrs[0] != "127.0.0.1:8001" || output[0].Rule != "agreed" || len(output[0].Facts) != 4 {
 		t.Errorf("%s", out.String())
 	}
 	c.JSON = false
@@ -170,7 +170,7 @@
 	}
 }
 
-// Sample files are good; what is wrong in one is named by line and key.
+// Checks that the sample files are valid and that errors in a file are reported by line and key.
 func TestCheckOfNewFiles(t *testing.T) {
 	dir := t.TempDir()
 	for name, c := range map[string]struct{ text, want string }{
@@ -187,7 +187,7 @@
 		}
 		out.Reset()
 		if err := check([]string{filepath.Join("../../deploy", name)}, &out); err != nil {
-			t.Errorf("the sample: %s", out.String())
+			t.Errorf("the sample file: %s", out.String())
 		}
 	}
 }
--- a/cmd/ternbeam/thriftclients_test.go
+++ b/cmd/ternbeam/thriftclients_test.go
@@ -21,12 +21,12 @@
 
 // thriftAgent is an agent with a Thrift listener and one server.
 type thriftAgent struct {
-	httpAddr, thriftAddr string // where it listens
-	arguments            string // of the program
+	httpAddr, thriftAddr string // its listen addresses
+	arguments            string // program arguments
 	env                  []string
 }
 
-// newThriftAgent configures an agent that is not started yet.
+// newThriftAgent starts a list and a server and configures an agent without starting it.
 func newThriftAgent(t *testing.T, sockets int, deadline time.Duration) *thriftAgent {
 	t.Helper()
 	list, err := standin.NewList()
@@ -54,7 +54,7 @@
 	return agent
 }
 
-// askAgain asks a kiosk of one connection, and once more on a new one where that ended before anything of an answer had come.
+// askWithRetry makes a call on a kiosk's connection, and repeats it on a new one if the connection ended before any part of an answer arrived.
 func askWithRetry(kiosk standin.Kiosk, ask standin.Ask) standin.Answer {
 	answer := kiosk.Ask(ask)
 	if answer.Kind == standin.Lost && answer.Took < ask.Left {
@@ -63,8 +63,8 @@
 	return answer
 }
 
-// askFor asks again and again, with random rests between, and returns how many calls had no answer at all.
-func countUnanswered(t *testing.T, listen, name string, length, rests, deadline time.Duration) (unanswered int) {
+// countUnanswered makes calls for some time, with random pauses between them, and returns how many got no answer at all.
+func countUnanswered(t *testing.T, listen, name string, duration, maxPause, deadline time.Duration) (unanswered int) {
 	kiosk, err := standin.NewKiosk("thrift-binary", listen)
 	if err != nil {
 		t.Error(err)
@@ -72,43 +72,45 @@
 	}
 	defer kiosk.Close()
 	random := rand.New(rand.NewPCG(1, xxhash.Sum64String(name)))
-	for call, end := 0, time.Now().Add(length); time.Now().Before(end); call++ {
+	for call, end := 0, time.Now().Add(duration); time.Now().Before(end); call++ {
 		id := fmt.Sprintf("%s-%d", name, call)
 		answer := askWithRetry(kiosk, standin.Ask{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, Left: deadline})
 		if answer.Kind == standin.Lost {
 			unanswered++
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(rests))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxPause))))
 	}
 	return unanswered
 }
 
-// Guards against an agent that stops for good as it ends connections that its Thrift clients are about to use.
+// Guards against an agent that hangs when it closes connections that its Thrift clients are about to use.
 func TestThriftClientsAreAnsweredAsConnectionsEnd(t *testing.T) {
 	t.Parallel()
 	const (
-		sockets  = 200 // of which clients have 80 places
-		length   = 4 * time.Second
+		sockets  = 200 // of which 80 are for clients
+		duration = 4 * time.Second
 		deadline = 1500 * time.Millisecond
 	)
-	for name, crowd := range map[string]struct {
-		clients int
-		rests   time.Duration
+	for name, load := range map[string]struct {
+		clients  int
+		maxPause time.Duration
 	}{
-		"more clients than places":          {90, 50 * time.Millisecond},
-		"clients that rest for over 2.05 s": {75, 4 * time.Second},
+		"more clients than connection slots": {90, 50 * time.Millisecond},
+		"clients that pause for over 2.05 s": {75, 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			agent := newThriftAgent(t, sockets, deadline)
 			p := startWithArguments(t, agent.arguments, agent.env...)
 			awaitReady(t, agent.httpAddr)
-			var all sync.WaitGroup
-			for i := range crowd.clients {
-				all.Go(func() { countUnanswered(t, agent.thriftAddr, fmt.Sprint("crowd-", i), length, crowd.rests, deadline) })
+			var clients sync.WaitGroup
+			for i := range load.clients {
+				clients.Go(func() {
+					countUnanswered(t, agent.thriftAddr, fmt.Sprint("crowd-", i), duration, load.maxPause, deadline)
+				})
 			}
-			all.Wait()
-			if countUnanswered(t, agent.thriftAddr, "afterwards", length/4, length/16, deadline) > 0 || p.log.Has("has stalled") {
+			clients.Wait()
+			if countUnanswered(t, agent.thriftAddr, "afterwards", duration/4, duration/16, deadline) > 0 || p.log.Has("has stalled") {
 				t.Error("the agent does not answer")
 			}
 			p.sendSignals(t, syscall.SIGTERM)
@@ -120,7 +122,7 @@
 	}
 }
 
-// Guards against a Thrift client's connection that ends as one system call on it fails.
+// Guards against a Thrift client's connection that is closed because one system call on it fails.
 func TestThriftAnswersSurviveFailingSystemCalls(t *testing.T) {
 	t.Parallel()
 	const clients, calls, sockets = 6, 15, 1024
@@ -132,11 +134,11 @@
 			addArguments(program, agent.arguments)
 			_, log := startCommandUnderFaults(t, []sysfault.Call{fault.call}, fault.decider(onAddress(agent.thriftAddr)), program)
 			awaitReadyUnderFaults(t, agent.httpAddr)
-			var all sync.WaitGroup
+			var running sync.WaitGroup
 			for i := range clients {
-				all.Go(func() { checkSequentialCalls(t, agent.thriftAddr, fmt.Sprint("client-", i), calls) })
+				running.Go(func() { checkSequentialCalls(t, agent.thriftAddr, fmt.Sprint("client-", i), calls) })
 			}
-			all.Wait()
+			running.Wait()
 			if fault.isLogged() && !log.Has("a call failed on a client's connection") {
 				t.Error("no failure is logged")
 			}
@@ -147,12 +149,12 @@
 	}
 }
 
-// isLogged reports whether a fault surely comes and the log has to tell of it: not of calls that are made once more at once.
+// isLogged reports whether a fault is certain to occur and must be logged. Calls that are retried at once are not logged.
 func (f callFault) isLogged() bool {
 	return (f.call == sysfault.Read || f.call == sysfault.Write) && f.every > 0 && f.errno != 0 && f.errno != syscall.EINTR
 }
 
-// askInOrder makes calls on one connection, each of which has to be served.
+// checkSequentialCalls makes calls on one connection. Each must be served.
 func checkSequentialCalls(t *testing.T, listen, name string, calls int) {
 	kiosk, err := standin.NewKiosk("thrift-binary", listen)
 	if err != nil {
--- a/cmd/ternbeam/unknownstate_test.go
+++ b/cmd/ternbeam/unknownstate_test.go
@@ -15,26 +15,27 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// For unknownFor of each betweenUnknown the kernel does not tell the state of connections.
+// In each unknownInterval the kernel fails to report the state of connections for unknownFor.
 const (
 	unknownFor      = 40 * time.Millisecond
 	unknownInterval = 200 * time.Millisecond
 )
 
-// Guards against client connections that end with no whole answer as a call on them fails while the kernel does not tell their state.
+// Guards against client connections that end without a complete answer because a system call on them fails while the kernel does not report their
+// state.
 func TestAnswersSurviveFailuresOfAnUnknownState(t *testing.T) {
 	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.Receive} {
 		for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ENOTCONN} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				t.Parallel()
 				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t), slowServer(t))
-				begin, chosen := time.Now(), onAddress(listen)
+				begin, isClients := time.Now(), onAddress(listen)
 				decide := func(e sysfault.Event) sysfault.Outcome {
 					switch {
 					case time.Since(begin)%unknownInterval > unknownFor:
 					case e.Call == sysfault.Poll:
 						return sysfault.Outcome{Errno: syscall.ENOMEM}
-					case e.Call == call && chosen(e.Local):
+					case e.Call == call && isClients(e.Local):
 						return sysfault.Outcome{Errno: errno}
 					}
 					return sysfault.Outcome{}
@@ -55,7 +56,8 @@
 	}
 }
 
-// Guards against the beginning of an answer that is taken for a whole one, as its reset is read again while the kernel did not tell the connection's state.
+// Guards against a partial answer that is taken for a complete one because the reset behind it is read again while the kernel does not report the
+// connection's state.
 func TestResetAnswersAreNoneWhileTheStateIsUnknown(t *testing.T) {
 	resets := serveConnections(t, func(conn *net.TCPConn) {
 		defer conn.Close()
@@ -86,40 +88,40 @@
 	}
 }
 
-// Guards against faults that are drawn for a system call which the program never makes.
+// Guards against random faults in a system call that the program never makes.
 func TestChosenCallsAreMade(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[sysfault.Call]bool{}
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
-	var chosen []sysfault.Call
+	var calls []sysfault.Call
 	for _, fault := range randomErrnos {
-		chosen = append(chosen, fault.call)
+		calls = append(calls, fault.call)
 	}
 	failed := false
 	decide := func(e sysfault.Event) sysfault.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[e.Call] = true
-		if e.Call == sysfault.Write && e.Local.String() == listen && !failed { // poll(2) is asked after a failure
+		if e.Call == sysfault.Write && e.Local.String() == listen && !failed { // poll(2) is called only after a failure
 			failed = true
 			return sysfault.Outcome{Errno: syscall.ETIMEDOUT}
 		}
 		return sysfault.Outcome{}
 	}
-	startUnderFaults(t, chosen, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	startUnderFaults(t, calls, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	awaitReadyUnderFaults(t, listen)
 	c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: true}
 	c.run(t, 2)
 	mu.Lock()
 	defer mu.Unlock()
-	for _, call := range chosen {
+	for _, call := range calls {
 		if !seen[call] {
 			t.Errorf("%v is never called", call)
 		}
 	}
 }
 
-// Guards against a judge that does not learn for how long a test itself holds its process up.
+// Guards against an evaluation that does not know for how long the test itself held a system call of the process.
 func TestHoldsAreStandstills(t *testing.T) {
 	const hold = 100 * time.Millisecond
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
