--- a/cmd/ternbeam/check_test.go
+++ b/cmd/ternbeam/check_test.go
@@ -11,7 +11,7 @@
 	"ternbeam/internal/lab/standin"
 )
 
-// What is wrong in a configuration is told by line and key; the classes of a service are held against the settings.
+// Checks that errors in a configuration are reported by line and key, and that the classes of a Thrift service are compared with the settings.
 func TestCheck(t *testing.T) {
 	good := strings.ReplaceAll(string(standin.Platform{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"}.Config()), `,"`, ",\n\"")
 	for name, c := range map[string]struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The line that is named is the one at fault, in the settings too.
+// Checks that the reported line is the one with the error, also inside the settings.
 func TestCheckNamesTheLine(t *testing.T) {
 	good := strings.ReplaceAll(string(standin.Platform{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"}.Config()), `,"`, ",\n\"")
 	for _, c := range []struct{ old, new string }{{`"MostHeld":1000`, `"MostHeld":"x"`}, {`"by_key"`, `"by_luck"`},
@@ -63,7 +63,7 @@
 		}
 		var out strings.Builder
 		if check([]string{path}, &out) == nil || !strings.Contains(out.String(), fmt.Sprintf("line %d: ", line)) {
-			t.Errorf("%s stands in line %d: %s", c.new, line, out.String())
+			t.Errorf("%s is in line %d: %s", c.new, line, out.String())
 		}
 	}
 }
--- a/cmd/ternbeam/crowd_test.go
+++ b/cmd/ternbeam/crowd_test.go
@@ -11,9 +11,9 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// Guards against a new connection that is closed for room before its client, on a machine that is late, has sent its request.
+// Guards against a new connection that is closed to make room for others before its client, on a slow machine, has sent its request.
 func TestNewConnectionsHaveTimeToSendInACrowd(t *testing.T) {
-	const sockets, crowd, late = 160, 150, 130 * time.Millisecond
+	const sockets, crowd, sendDelay = 160, 150, 130 * time.Millisecond
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
@@ -34,7 +34,7 @@
 				}
 				defer conn.Close()
 			}
-			time.Sleep(late)
+			time.Sleep(sendDelay)
 			var wait sync.WaitGroup
 			for _, c := range clients {
 				wait.Go(func() { c.run(t, 1) })
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against an accept that finds nothing, as a connection comes right behind it, being counted and logged as a failure.
+// Guards against an accept that finds no connection, right before one arrives, being counted and logged as a failure.
 func TestEmptyAcceptsAreNoFailures(t *testing.T) {
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	accepts := 0
--- a/cmd/ternbeam/drainreads_test.go
+++ b/cmd/ternbeam/drainreads_test.go
@@ -11,7 +11,8 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// Guards against requests to a server whose drain was written to the agent, and not read as a call on the connection to discovery failed.
+// Guards against requests to a draining server because the agent did not read the drain that discovery sent: a system call on the connection to
+// discovery failed.
 func TestDrainsAreReadThoughCallsFail(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.EAGAIN, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EIO, syscall.EBADF} {
@@ -34,13 +35,13 @@
 				defer func() { cancel(); wait() }()
 				time.Sleep(500 * time.Millisecond)
 				if draining.requests.Load() == 0 {
-					t.Fatalf("it had no request before: nothing is shown\n%s", log)
+					t.Fatalf("the server received no request before the drain: no result\n%s", log)
 				}
 				d.setList(listText(2, listEntry{server: draining, draining: true}, listEntry{server: other}))
-				told := time.Now()
+				drained := time.Now()
 				time.Sleep(2 * time.Second)
-				if late := time.Unix(0, draining.latestNanos.Load()).Sub(told); late > drainGrace+socketSlack {
-					t.Errorf("a server that drains was sent to for %v, over %v\n%s", late, drainGrace+socketSlack, log)
+				if late := time.Unix(0, draining.latestNanos.Load()).Sub(drained); late > drainGrace+socketSlack {
+					t.Errorf("the draining server received requests for %v, over %v\n%s", late, drainGrace+socketSlack, log)
 				}
 			})
 		}
--- a/cmd/ternbeam/fulllog_test.go
+++ b/cmd/ternbeam/fulllog_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fullPipe returns the end to write to of a pipe that is full and that nobody reads.
+// fullPipe returns the write end of a full pipe that nobody reads.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -28,7 +28,7 @@
 	return write
 }
 
-// Guards against requests that are never answered as the process waits for a reader of its log.
+// Guards against requests that are never answered because the process blocks on writing its log.
 func TestRequestsAreAnsweredWhenNobodyReadsTheLog(t *testing.T) {
 	t.Parallel()
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(1509*time.Millisecond), hangingServer(t), slowServer(t))
@@ -62,6 +62,6 @@
 			t.Error(err)
 		}
 	case <-time.After(killDelay(1509 * time.Millisecond)):
-		t.Error("it does not end by itself")
+		t.Error("the process does not exit on its own")
 	}
 }
--- a/cmd/ternbeam/heldanswer_test.go
+++ b/cmd/ternbeam/heldanswer_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// stoppingServer answers each request with the beginning of an answer and breaks it off half a second later, while the agent is held up. The
-// agent is stopped before an answer has to be relayed, and goes on after that.
+// stoppingServer sends the start of an answer to each request and breaks it off half a second later, while the agent is stopped. The agent is stopped
+// before the answer has to be relayed, and continued after that.
 type stoppingServer struct {
 	t        *testing.T
 	agent    *process // set before the first request
@@ -22,8 +22,8 @@
 }
 
 func (s *stoppingServer) serve(conn *net.TCPConn) {
-	const part, partAgain, held, cut = "4\r\npart\r\n", 350 * time.Millisecond, 430 * time.Millisecond, 470 * time.Millisecond
-	const goesOn = held + maxStall - 10*time.Millisecond
+	const part, partAgain, stop, cut = "4\r\npart\r\n", 350 * time.Millisecond, 430 * time.Millisecond, 470 * time.Millisecond
+	const resume = stop + maxStall - 10*time.Millisecond
 	defer conn.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
@@ -35,17 +35,17 @@
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+part)
 	until(partAgain)
 	io.WriteString(conn, part)
-	until(held)
+	until(stop)
 	s.agent.sendSignals(s.t, syscall.SIGSTOP)
 	until(cut)
 	conn.SetLinger(0)
 	conn.Close()
-	until(goesOn)
+	until(resume)
 	s.agent.sendSignals(s.t, syscall.SIGCONT)
 }
 
-// Guards against the beginning of an answer in place of an error where the server has broken it off in time, and the agent was held up as it had
-// to be relayed.
+// Guards against a partial answer instead of an error if the server has broken the answer off in time and the agent was stalled when it had to relay
+// the answer.
 func TestAnswersThatBreakOffDuringAHoldUpAreErrors(t *testing.T) {
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// playedBreakOffDuringAHoldUp is false where the machine stood still.
+// tryBreakOffDuringStall returns false if the machine stalled.
 func tryBreakOffDuringStall(t *testing.T, class string) (valid bool) {
 	server := stoppingServer{t: t}
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), serveConnections(t, server.serve))
@@ -69,7 +69,7 @@
 		return false
 	}
 	if !errors.Is(err, errNotServed) {
-		t.Errorf("not an answer that says that the request was not served: %v\n%s", err, server.agent.log)
+		t.Errorf("the answer is not an error from the agent: %v\n%s", err, server.agent.log)
 	}
 	return true
 }
--- a/cmd/ternbeam/keptconnection_test.go
+++ b/cmd/ternbeam/keptconnection_test.go
@@ -13,10 +13,10 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// heldClose holds up the first close(2) of a client's connection for as long as a process may be held up.
+// heldClose holds the first close(2) of a client's connection for as long as a process may be stalled.
 type heldClose struct {
 	listen string
-	held   chan struct{} // closed as the hold begins
+	held   chan struct{} // closed when the hold starts
 
 	mu    sync.Mutex
 	armed bool
@@ -40,13 +40,13 @@
 	return sysfault.Outcome{Hold: maxStall}
 }
 
-// startHoldingCloses starts the program, with a second address or without, and a client of some class with a connection that has carried a request. The
-// next close of that is held up.
-func startWithHeldClose(t *testing.T, class string, second bool) (*sysfault.Process, *testkit.Log, *testClient, *heldClose) {
+// startWithHeldClose starts the program, with or without an operators' address, and a client of a given class whose connection has carried a request.
+// The next close of that connection is held.
+func startWithHeldClose(t *testing.T, class string, withOps bool) (*sysfault.Process, *testkit.Log, *testClient, *heldClose) {
 	t.Helper()
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	env := []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + listen}
-	if second {
+	if withOps {
 		env = append(env, "NODE_OPS="+unusedAddr(t), "TMPDIR="+shortTempDir(t))
 	}
 	hold := &heldClose{listen: listen, held: make(chan struct{})}
@@ -61,18 +61,18 @@
 	return p, log, c, hold
 }
 
-// Guards against a connection that is closed as idle over a request that its client has just sent.
+// Guards against a connection that is closed as idle although its client has just sent a request.
 func TestKeptConnectionsAreNotClosedUnderRequests(t *testing.T) {
-	const rest, afterHold = 2300 * time.Millisecond, 20 * time.Millisecond
+	const maxIdleTime, afterHold = 2300 * time.Millisecond, 20 * time.Millisecond
 	for _, class := range []string{"form-check", "refund-pay"} {
-		for _, second := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, second address %t", class, second), func(t *testing.T) {
+		for _, withOps := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, second address %t", class, withOps), func(t *testing.T) {
 				t.Parallel()
-				_, log, c, hold := startWithHeldClose(t, class, second)
+				_, log, c, hold := startWithHeldClose(t, class, withOps)
 				select {
 				case <-hold.held:
 					time.Sleep(afterHold)
-				case <-time.After(rest):
+				case <-time.After(maxIdleTime):
 				}
 				path := "/" + class + "/second"
 				if body, err := c.do(path, "second"); err != nil || body != "checked "+path {
@@ -83,10 +83,10 @@
 	}
 }
 
-// Guards against a connection that is held for good by a client that has begun its next request and stopped.
+// Guards against a connection that stays open forever because its client has sent only the start of its next request.
 func TestNextRequestsThatStopAreEnded(t *testing.T) {
 	t.Parallel()
-	const owedWithin = 3 * time.Second
+	const answerTimeout = 3 * time.Second
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	startReady(t, config, listen, false)
 	for _, size := range []int{1, 3, 4, 60} {
@@ -114,27 +114,27 @@
 						t.Fatal(err)
 					}
 				}
-				c.conn.SetReadDeadline(time.Now().Add(owedWithin))
+				c.conn.SetReadDeadline(time.Now().Add(answerTimeout))
 				if _, err := c.conn.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("neither an error nor an end in %v", owedWithin)
+					t.Errorf("neither an answer nor the end of the connection within %v", answerTimeout)
 				}
 			})
 		}
 	}
 }
 
-// Guards against a connection that is closed, as the process is told to end, over a request of a client that has not heard of that yet.
+// Guards against a connection that is closed at SIGTERM although its client, which does not know of the shutdown yet, sends a request.
 func TestKeptConnectionsAreNotClosedAsTheEndBegins(t *testing.T) {
-	const heardWithin = 400 * time.Millisecond // by the platform's page
-	for _, asks := range []time.Duration{20 * time.Millisecond, heardWithin - maxStall} {
-		for _, second := range []bool{false, true} {
-			t.Run(fmt.Sprintf("a request after %v, second address %t", asks, second), func(t *testing.T) {
+	const noticeDelay = 400 * time.Millisecond // after which clients know of the shutdown, by the platform's page
+	for _, delay := range []time.Duration{20 * time.Millisecond, noticeDelay - maxStall} {
+		for _, withOps := range []bool{false, true} {
+			t.Run(fmt.Sprintf("a request after %v, second address %t", delay, withOps), func(t *testing.T) {
 				t.Parallel()
-				p, log, c, _ := startWithHeldClose(t, "form-check", second)
+				p, log, c, _ := startWithHeldClose(t, "form-check", withOps)
 				if err := p.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(asks)
+				time.Sleep(delay)
 				if body, err := c.do("/form-check/second", "second"); err != nil || body != "checked /form-check/second" {
 					t.Errorf("%q, %v\n%s", body, err, log)
 				}
--- a/cmd/ternbeam/link_test.go
+++ b/cmd/ternbeam/link_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// TestLinkedDynamically holds that the deploy file's build leaves an agent that asks for the dynamic linker and the C
-// library: the days of a large fleet load a library into it, which a static program would not notice.
+// TestLinkedDynamically checks that the deploy file's build makes an agent that needs the dynamic linker and the C library: the scenarios of a large
+// fleet load a library into it, which a static program would ignore.
 func TestLinkedDynamically(t *testing.T) {
 	root := os.Getenv("RUN_ROOT")
 	if root == "" {
-		t.Skip("RUN_ROOT names no folder with a build")
+		t.Skip("RUN_ROOT is not set to a folder with a build")
 	}
 	file, err := elf.Open(filepath.Join(root, "bin/ternbeam"))
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	defer file.Close()
 	if !slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("bin/ternbeam names no dynamic linker")
+		t.Error("bin/ternbeam has no dynamic linker")
 	}
 	libraries, err := file.ImportedLibraries()
 	if err != nil {
--- a/cmd/ternbeam/longfailure_test.go
+++ b/cmd/ternbeam/longfailure_test.go
@@ -11,7 +11,7 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// failingFor makes the calls that a process is stopped at fail on chosen sockets, for some time from the first one after it is armed.
+// failingFor makes the traced system calls of a process fail on some sockets, for some time from the first call after it is armed.
 type failingFor struct {
 	errno    syscall.Errno
 	duration time.Duration
@@ -27,11 +27,11 @@
 	f.armed = true
 }
 
-func (f *failingFor) decider(chosen func(local netip.AddrPort) bool) sysfault.Decider {
+func (f *failingFor) decider(matches func(local netip.AddrPort) bool) sysfault.Decider {
 	return func(e sysfault.Event) sysfault.Outcome {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !f.armed || !chosen(e.Local) {
+		if !f.armed || !matches(e.Local) {
 			return sysfault.Outcome{}
 		}
 		if f.since.IsZero() {
@@ -44,10 +44,10 @@
 	}
 }
 
-// Guards against answers that are given up while calls on their client's connection fail, though the client still waits.
+// Guards against answers that are dropped while system calls on their client's connection fail, although the client still waits.
 func TestAnswersOutliveFailuresOfASecond(t *testing.T) {
 	t.Parallel()
-	const failing = 1200 * time.Millisecond // of the 1.5 s for which clients wait
+	const failing = 1200 * time.Millisecond // clients wait for 1.5 s
 	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.Accept} {
 		for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.EAGAIN, syscall.ECONNRESET} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
--- a/cmd/ternbeam/memory_test.go
+++ b/cmd/ternbeam/memory_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Guards against a heap that fills up to its first goal of 16 MB over minutes, which from outside is a leak: on the day of
-// constant replacement each of 80 quiet agents grew from 3 to 17 MB.
+// Guards against an idle agent's heap growing over minutes to the first GC goal of 16 MB, which looks like a leak from outside: in the scenario of
+// constant replacement each of 80 idle agents grew from 3 to 17 MB.
 func TestHeapOfAQuietAgentSettles(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	const step, steps = 256 << 10, 40 // 10 MB in all
-	fill := func(tick func()) (most uint64) {
+	fill := func(tick func()) (maxGrowth uint64) {
 		runtime.GC()
 		var before, now runtime.MemStats
 		runtime.ReadMemStats(&before)
@@ -25,26 +25,26 @@
 				tick()
 			}
 			runtime.ReadMemStats(&now)
-			most = max(most, now.HeapAlloc-min(now.HeapAlloc, before.HeapAlloc))
+			maxGrowth = max(maxGrowth, now.HeapAlloc-min(now.HeapAlloc, before.HeapAlloc))
 		}
-		return most
+		return maxGrowth
 	}
-	if most := fill(func() {}); most < step*steps/2 {
-		t.Skipf("the runtime collects by itself: the heap grew by %d bytes at most", most)
+	if maxGrowth := fill(func() {}); maxGrowth < step*steps/2 {
+		t.Skipf("the runtime collects garbage by itself: the heap grew by at most %d bytes", maxGrowth)
 	}
 	ticks := make(chan time.Time)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); settle(ctx, ticks) }()
-	most := fill(func() {
+	maxGrowth := fill(func() {
 		ticks <- time.Time{}
-		ticks <- time.Time{} // taken once the first is done
+		ticks <- time.Time{} // received once the first has been handled
 	})
 	stop()
 	<-ended
-	if most > 8*step {
-		t.Errorf("the heap grew by %d bytes between ticks that are %d apart", most, 4*step)
+	if maxGrowth > 8*step {
+		t.Errorf("the heap grew by %d bytes between ticks that are %d apart", maxGrowth, 4*step)
 	}
 }
 
-var garbage []byte // so that it is on the heap
+var garbage []byte // package-level, so that it is allocated on the heap
--- a/cmd/ternbeam/openconnection_test.go
+++ b/cmd/ternbeam/openconnection_test.go
@@ -9,11 +9,12 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// openConnectionFaults are errors that the manual pages document and that would say that a connection or a listener is of no use, on ones that stand.
+// openConnectionFaults returns faults with errors that the manual pages document and that normally mean that a connection or a listener is unusable,
+// for connections and listeners that are in order.
 func openConnectionFaults() (all []callFault) {
-	const seventh, moment = 7, 25 * time.Millisecond // a connection that is accepted needs six calls, one behind the other
+	const everySeventh, interval = 7, 25 * time.Millisecond // accepting a connection takes six calls in a row
 	add := func(call sysfault.Call, errnos ...syscall.Errno) {
-		all = append(all, withBothPatterns(call, seventh, moment, errnos...)...)
+		all = append(all, withBothPatterns(call, everySeventh, interval, errnos...)...)
 	}
 	add(sysfault.Write, syscall.EAGAIN, syscall.ECONNRESET, syscall.EPIPE, syscall.EINVAL, syscall.EBADF, syscall.ENOTCONN, syscall.EFAULT)
 	add(sysfault.Read, syscall.EAGAIN, syscall.ECONNRESET, syscall.ENOTCONN, syscall.EINVAL, syscall.EBADF, syscall.EFAULT)
@@ -31,7 +32,7 @@
 	return all
 }
 
-// Guards against client connections that end with no whole answer as a failed call is taken for the end of a connection that stands.
+// Guards against client connections that end without a complete answer because a failed call is taken for the end of a connection that is still open.
 func TestOpenConnectionsOutliveFailedCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
@@ -39,7 +40,7 @@
 	}
 }
 
-// Guards against requests that fail as a failed call is taken for the end of a connection to a server that stands.
+// Guards against requests that fail because a failed call is taken for the end of a connection to a server that is still open.
 func TestServerConnectionsOutliveFailedCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
--- a/cmd/ternbeam/processorwait_test.go
+++ b/cmd/ternbeam/processorwait_test.go
@@ -9,31 +9,31 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// watchProcessorWaits returns what ends the watch and tells for how long the threads of a process have waited for a processor in sum, by the
-// kernel's account (proc(5), schedstat): a process on a machine that is far too busy is held up by that as by standstills, in thousands of parts.
+// watchProcessorWaits starts to measure how long the threads of a process wait for a processor in total, by the kernel's account (proc(5), schedstat).
+// The returned function stops that and returns the result. On an overloaded machine thousands of such waits delay a process as much as stalls do.
 func watchProcessorWaits(pid int) (waited func() time.Duration) {
-	const look = 20 * time.Millisecond
-	over, sum := make(chan struct{}), make(chan time.Duration)
+	const checkInterval = 20 * time.Millisecond
+	stop, result := make(chan struct{}), make(chan time.Duration)
 	go func() {
-		most, before := time.Duration(0), processorWaits(pid)
+		longest, initial := time.Duration(0), processorWaits(pid)
 		for {
-			most = max(most, processorWaits(pid)-before) // less once threads have ended
+			longest = max(longest, processorWaits(pid)-initial) // the sum drops when threads exit
 			select {
-			case <-over:
-				sum <- most
+			case <-stop:
+				result <- longest
 				return
-			case <-time.After(look):
+			case <-time.After(checkInterval):
 			}
 		}
 	}()
-	return func() time.Duration { close(over); return <-sum }
+	return func() time.Duration { close(stop); return <-result }
 }
 
-// processorWaits is for how long the threads of a process have waited so far; 0 where there is none.
+// processorWaits returns how long the threads of a process have waited for a processor so far; 0 if there is no such process.
 func processorWaits(pid int) (sum time.Duration) {
-	all, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
-	for _, path := range all {
-		text, _ := os.ReadFile(path) // it may have ended
+	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
+	for _, path := range paths {
+		text, _ := os.ReadFile(path) // the thread may have exited
 		sum += sysfault.ProcessorWait(string(text))
 	}
 	return sum
--- a/cmd/ternbeam/signals_test.go
+++ b/cmd/ternbeam/signals_test.go
@@ -15,13 +15,13 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// SIGTERM comes during SIGHUP, and again while the last call is under way: there is one end, in which that call is answered, and discovery
-// is not moved by a configuration that nobody follows any more.
+// Sends SIGTERM during SIGHUP, and again while the last call is in flight. Checks that there is one shutdown, in which that call is answered, and that
+// a configuration that is no longer in use does not change the discovery address.
 func TestSignalsCross(t *testing.T) {
-	held, taken := make(chan struct{}), make(chan struct{}, 10)
+	held, received := make(chan struct{}), make(chan struct{}, 10)
 	release := sync.OnceFunc(func() { close(held) })
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		taken <- struct{}{}
+		received <- struct{}{}
 		<-held
 		fmt.Fprintf(w, "checked %s", r.URL.Path)
 	}))
@@ -49,13 +49,13 @@
 		text, _ := io.ReadAll(resp.Body)
 		answered <- fmt.Sprint(resp.StatusCode, " ", string(text))
 	}()
-	<-taken
+	<-received
 	p.sendSignals(t, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
-	testkit.Eventually(t, "it ends", func() bool { return p.log.Has("msg=ending") })
+	testkit.Eventually(t, "it shuts down", func() bool { return p.log.Has("msg=ending") })
 	p.sendSignals(t, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt.(syscall.Signal))
 	select {
 	case err := <-p.exited:
-		t.Fatalf("it ended before its last answer: %v\n%s", err, p.log)
+		t.Fatalf("the process exited before its last answer: %v\n%s", err, p.log)
 	case <-time.After(100 * time.Millisecond): // for the signals to arrive
 	}
 	release()
@@ -64,11 +64,11 @@
 	}
 	p.awaitExit(t, testkit.Patience)
 	if n := strings.Count(p.log.String(), "msg=ending"); n != 1 {
-		t.Errorf("it ended %d times", n)
+		t.Errorf("%d shutdowns are logged", n)
 	}
 }
 
-// SIGTERM comes before the agent is ready, while it waits for its first list: it ends at once, as it has taken nothing.
+// Sends SIGTERM before the agent is ready, while it waits for its first list. Checks that it exits at once, because it has accepted no calls.
 func TestEndsBeforeItIsReady(t *testing.T) {
 	asked := make(chan struct{}, 10)
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -86,12 +86,12 @@
 	begin := time.Now()
 	p.sendSignals(t, syscall.SIGTERM)
 	p.awaitExit(t, testkit.Patience)
-	if took := time.Since(begin); took > 4*time.Second { // the list, or its absence, would have it ready after 5 s
-		t.Errorf("it ended after %v", took)
+	if took := time.Since(begin); took > 4*time.Second { // it becomes ready after 5 s, with or without a list
+		t.Errorf("the process exited after %v", took)
 	}
 }
 
-// Whoever reads the log goes away: the agent serves on, and ends as usual.
+// Checks that the agent continues to serve and shuts down as usual after the reader of its log has closed the pipe.
 func TestNobodyReadsTheLog(t *testing.T) {
 	config, listen := configure(t, unusedAddr(t), settings)
 	cmd := agentCommand(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
@@ -116,6 +116,6 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the process exited with %v", err)
 	}
 }
--- a/cmd/ternbeam/startfaults_test.go
+++ b/cmd/ternbeam/startfaults_test.go
@@ -10,7 +10,7 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// Guards against a process that refuses to start as a call on the file of its configuration fails for a moment.
+// Guards against a process that refuses to start because a system call on its configuration file fails temporarily.
 func TestProcessStartsThoughItsConfigurationIsUnreadableAtFirst(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.ESTALE} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
@@ -37,12 +37,12 @@
 	}
 }
 
-// Guards against a process that refuses to start as the system denies it sockets for a moment.
+// Guards against a process that refuses to start because the system temporarily denies it sockets.
 func TestProcessStartsThoughSocketsAreDeniedAtFirst(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EACCES, syscall.EPERM, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			t.Parallel()
-			const denied = 500 * time.Millisecond // from the first call on; what is not retried for so long is not tried again
+			const denied = 500 * time.Millisecond // from the first call on; a call that is not retried for so long is never retried
 			config, listen := configure(t, unusedAddr(t), shutdownSettings(1509*time.Millisecond), slowServer(t))
 			var first time.Time
 			decide := func(sysfault.Event) sysfault.Outcome {
--- a/cmd/ternbeam/steadyanswer_test.go
+++ b/cmd/ternbeam/steadyanswer_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// steadyAnswer is an answer that comes in pieces, one each so often.
+// steadyAnswer is an answer that is sent in pieces at a fixed interval.
 type steadyAnswer struct {
 	framing  string // "length", "chunked" or "none"
 	duration time.Duration
@@ -73,33 +73,33 @@
 	}
 }
 
-// Guards against steady answers that are never served as they take long, and against ones without an end that take all of a client's time.
+// Guards against steadily sent answers that are never served because they take long, and against endless ones that use up a client's time.
 func TestSteadyAnswersAreServed(t *testing.T) {
 	t.Parallel()
 	var answers []steadyAnswer
 	for _, framing := range []string{"length", "chunked", "none"} {
-		for _, takes := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond, time.Second} {
-			answers = append(answers, steadyAnswer{framing: framing, duration: takes})
+		for _, duration := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond, time.Second} {
+			answers = append(answers, steadyAnswer{framing: framing, duration: duration})
 		}
 		answers = append(answers, steadyAnswer{framing: framing, endless: true})
 	}
 	for _, answer := range answers {
-		for _, second := range []bool{false, true} {
-			if answer.endless && second { // it is relayed, and its client can tell that it has no end
+		for _, withOps := range []bool{false, true} {
+			if answer.endless && withOps { // it is relayed, and its client can tell that it is incomplete
 				continue
 			}
-			t.Run(fmt.Sprintf("%v, second address %t", answer, second), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v, second address %t", answer, withOps), func(t *testing.T) {
 				t.Parallel()
 				servers := []net.Addr{serveConnections(t, answer.serve), serveConnections(t, answer.serve)}
 				if answer.endless {
 					servers[1] = slowServer(t)
 				}
 				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), servers...)
-				p := startReady(t, config, listen, second)
+				p := startReady(t, config, listen, withOps)
 				var wait sync.WaitGroup
 				for number := range 6 {
 					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "form-check", keepAlive: true}
-					wait.Go(func() { c.run(t, 1) }) // later ones may be shed, as slow answers are taken for overload
+					wait.Go(func() { c.run(t, 1) }) // later requests may be shed, because slow answers are taken for overload
 				}
 				wait.Wait()
 				if t.Failed() {
--- a/cmd/ternbeam/storedstate_test.go
+++ b/cmd/ternbeam/storedstate_test.go
@@ -10,7 +10,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// The folder in testdata was written by an earlier build with --state, and state-export.json is what that build printed of it.
+// Checks that a state folder that an earlier build wrote with --state can be read. It is in testdata; state-export.json is what that build exported
+// from it.
 func TestStateFolderOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/state")); err != nil {
--- a/cmd/ternbeam/unknownwait_test.go
+++ b/cmd/ternbeam/unknownwait_test.go
@@ -14,24 +14,24 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// unknownWait keeps one request waiting in the kernel, by a call that fails for a while or comes late, and lets the system not tell for how long:
-// TCP_INFO fails from the first read of the request's connection on.
+// unknownWait makes one request wait in the kernel, through a system call that fails for a while or is delayed, and hides for how long: TCP_INFO fails
+// from the first read of the request's connection on.
 type unknownWait struct {
-	call    sysfault.Call // which reads the request, or accepts its connection
-	delayed bool          // it comes late, where it fails for a while otherwise
-	unknown time.Duration // for so long TCP_INFO fails
+	call    sysfault.Call // the call that reads the request or accepts its connection
+	delayed bool          // the call is delayed; otherwise it fails for a while
+	unknown time.Duration // how long TCP_INFO fails
 	listen  netip.AddrPort
 
 	mu           sync.Mutex
 	armed        bool
 	since        time.Time // the first call
-	unknownSince time.Time // since when TCP_INFO fails
+	unknownSince time.Time // when TCP_INFO started to fail
 }
 
-// sinceLastData is the option that tells when data has come.
+// sinceLastData is the socket option that returns when data last arrived.
 var sinceLastData = sysfault.Option{Level: unix.IPPROTO_TCP, Name: unix.TCP_INFO}
 
-// The cases' times: the client has most of its 1.5 s left after any.
+// How long the call fails or is delayed. The client has most of its 1.5 s left after either.
 const (
 	callFailsFor = 500 * time.Millisecond
 	callDelay    = 400 * time.Millisecond
@@ -76,36 +76,36 @@
 	return sysfault.Outcome{}
 }
 
-// Guards against a deadline that is too long where a request has waited in the kernel and the system does not tell for how long.
+// Guards against a forwarded deadline that is too long if a request has waited in the kernel and the kernel does not report for how long.
 func TestUnknownWaitCountsForTheDeadline(t *testing.T) {
 	for _, wait := range []struct {
-		call       sysfault.Call
-		late, kept bool
+		call          sysfault.Call
+		delayed, kept bool
 	}{
 		{sysfault.Accept, false, false}, {sysfault.Accept, true, false}, {sysfault.EpollAdd, false, false},
 		{sysfault.Read, false, false}, {sysfault.Read, false, true}, {sysfault.Read, true, true},
 	} {
 		for _, unknown := range []time.Duration{callFailsFor + 100*time.Millisecond, time.Hour} {
-			name := fmt.Sprintf("%s, late %t, kept connection %t, unknown for %v", wait.call, wait.late, wait.kept, unknown)
+			name := fmt.Sprintf("%s, late %t, kept connection %t, unknown for %v", wait.call, wait.delayed, wait.kept, unknown)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				retryUntilValid(t, func() bool {
-					return tryUnknownWait(t, &unknownWait{call: wait.call, delayed: wait.late, unknown: unknown}, wait.kept)
+					return tryUnknownWait(t, &unknownWait{call: wait.call, delayed: wait.delayed, unknown: unknown}, wait.kept)
 				})
 			})
 		}
 	}
 }
 
-// askAfterUnknownWait sends a request that waits, and others behind it that do not. It is false where the machine itself stood still for longer
-// than the terms let a process be held up.
+// tryUnknownWait sends a request that waits in the kernel, and others behind it that do not. It returns false if the machine itself stalled for longer
+// than the platform may stall a process.
 func tryUnknownWait(t *testing.T, wait *unknownWait, kept bool) (valid bool) {
 	watch := watchMachineStalls()
-	world := newTrafficRecord()
-	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, world))
+	traffic := newTrafficRecord()
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, traffic))
 	wait.listen = netip.MustParseAddrPort(listen)
-	chosen := []sysfault.Call{wait.call, sysfault.Read, sysfault.GetOption} // a call of the runtime that comes late has the whole process stand still
-	_, log := startUnderFaults(t, chosen, wait.decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	calls := []sysfault.Call{wait.call, sysfault.Read, sysfault.GetOption} // a delayed call of the Go runtime stalls the whole process
+	_, log := startUnderFaults(t, calls, wait.decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	awaitReadyUnderFaults(t, listen)
 	c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: kept}
 	defer c.close()
@@ -113,24 +113,24 @@
 		if number == 1 {
 			wait.arm()
 		}
-		r := world.request(fmt.Sprint("request-", number), c.class)
+		r := traffic.request(fmt.Sprint("request-", number), c.class)
 		r.sentAt = time.Now()
 		r.body, r.err = c.do(r.path, r.id)
 		if r.took = time.Since(r.sentAt); !kept {
 			c.close()
 		}
 		testkit.Eventually(t, "the server has recorded it", func() bool {
-			world.mu.Lock()
-			defer world.mu.Unlock()
+			traffic.mu.Lock()
+			defer traffic.mu.Unlock()
 			return len(r.arrivals) > 0
 		})
 	}
 	if machineStalled(t, watch()) {
 		return false
 	}
-	problems, requests, served := world.evaluate()
-	for _, problem := range problems {
-		t.Error(problem)
+	violations, requests, served := traffic.evaluate()
+	for _, violation := range violations {
+		t.Error(violation)
 	}
 	if served != requests {
 		t.Errorf("%d of %d served", served, requests)
