--- a/cmd/ternbeam/randomfaults_test.go
+++ b/cmd/ternbeam/randomfaults_test.go
@@ -229,7 +229,7 @@
 // newRandomRun draws a run without starting it.
 func newRandomRun(t *testing.T, scenario scenario, random *rand.Rand) *randomRun {
 	run := &randomRun{t: t, scenario: scenario, duration: 2 * time.Second, traffic: newTrafficRecord()}
-	if scenario != steady { // the same for idle clients
+	if scenario != steady { // idle clients run as long as the others
 		run.duration += killDelay(randomDeadline)
 	}
 	for range 4 {
@@ -259,7 +259,7 @@
 		t.Error(violation)
 	}
 	if t.Failed() {
-		t.Logf("longest periods in which the test held the agent's system calls: %v", p.traffic.stalls)
+		t.Logf("longest waits of the agent's system calls for the test's tracer: %v", p.traffic.stalls)
 		t.Log(logs)
 	}
 	return true
--- a/cmd/ternbeam/randomworld_test.go
+++ b/cmd/ternbeam/randomworld_test.go
@@ -23,7 +23,7 @@
 type trafficRecord struct {
 	mu       sync.Mutex
 	requests map[string]*requestRecord
-	stalls   []sysfault.Period // in which the test held the agent's system calls for longer than maxStall; set before evaluate
+	stalls   []sysfault.Period // in which the agent's system calls waited for the test's tracer for over maxStall; set before evaluate
 }
 
 // requestRecord records what the client and the servers saw of one request. The client's fields belong to the client until the run is over.
@@ -89,8 +89,8 @@
 	serverSlack     = 50 * time.Millisecond  // between an attempt's first byte and its record here
 )
 
-// stallExcess returns by how much the longest hold of the agent's system calls between two times exceeds maxStall. The agent cannot notice a hold
-// while it makes the call.
+// stallExcess returns by how much the longest uninterrupted wait of the agent's system calls for the test's tracer between two times exceeds maxStall.
+// The agent cannot notice such a wait while it makes the calls.
 func (w *trafficRecord) stallExcess(from, to time.Time) (excess time.Duration) {
 	for _, p := range w.stalls {
 		if p.From.Before(to) && p.To.After(from) {
@@ -204,7 +204,7 @@
 	}
 }
 
-// Checks that an excessive time left is excused only by a hold of the agent's system calls that exceeds maxStall and overlaps the attempt.
+// Checks that an excessive time left is excused only if the test held the agent's system calls for longer than maxStall while the attempt was made.
 func TestJudgeKnowsWhatTheTestHeldUp(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	held := func(from, length time.Duration) []sysfault.Period {
@@ -226,7 +226,7 @@
 		r := &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", sentAt: begin, took: time.Second,
 			arrivals: []arrival{{begin.Add(arrivesAfter), clientTimeout - arrivesAfter + excess}}}
 		if all := w.violations(r); (len(all) == 0) != test.excused {
-			t.Errorf("held up %s: %v", name, all)
+			t.Errorf("calls held %s: %v", name, all)
 		}
 	}
 }
--- a/cmd/ternbeam/unknownstate_test.go
+++ b/cmd/ternbeam/unknownstate_test.go
@@ -44,7 +44,8 @@
 				awaitReadyUnderFaults(t, listen)
 				var wait sync.WaitGroup
 				for number := range 6 {
-					c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-pay"}[number%2], keepAlive: number%3 != 0}
+					c := testClient{listen: listen, name: fmt.Sprint("client-", number),
+						class: []string{"form-check", "refund-pay"}[number%2], keepAlive: number%3 != 0}
 					wait.Go(func() { c.run(t, 15) })
 				}
 				wait.Wait()
