--- a/cmd/ternbeam/kernelwait_test.go
+++ b/cmd/ternbeam/kernelwait_test.go
@@ -27,8 +27,8 @@
 
 // Guards against a forwarded deadline that ignores the time a request waited in the kernel, on a new connection in the accept queue or on a kept one,
 // while the process was suspended. The client counts that time. Seed 1 of TestAnswersUnderRandomFaultsAtTheEnd found it in CI under other load: a
-// server received 205 ms more than the client had left, because only failing accepts were counted, not failing registrations of connections and
-// failing reads.
+// server received 205 ms more than the client had left. Failing registrations of connections and failing reads had delayed the request, and only
+// failing accepts were counted.
 func TestWaitInTheKernelCountsForTheDeadline(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprint("kept connection ", kept), func(t *testing.T) {
--- a/cmd/ternbeam/processorwait_test.go
+++ b/cmd/ternbeam/processorwait_test.go
@@ -15,12 +15,12 @@
 	const checkInterval = 20 * time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
 	go func() {
-		longest, initial := time.Duration(0), processorWaits(pid)
+		highest, initial := time.Duration(0), processorWaits(pid)
 		for {
-			longest = max(longest, processorWaits(pid)-initial) // the sum drops when threads exit
+			highest = max(highest, processorWaits(pid)-initial) // the sum drops when threads exit
 			select {
 			case <-stop:
-				result <- longest
+				result <- highest
 				return
 			case <-time.After(checkInterval):
 			}
--- a/cmd/ternbeam/replace_test.go
+++ b/cmd/ternbeam/replace_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// loadClients call the agent until they are stopped. Half of the clients keep their connections.
+// loadClients are clients that call the agent until they are stopped. Half of the clients keep their connections.
 type loadClients struct {
 	stop           chan struct{}
 	done           sync.WaitGroup
