--- a/cmd/ternbeam/randomfaults_test.go
+++ b/cmd/ternbeam/randomfaults_test.go
@@ -17,22 +17,22 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// seedsVariable holds how many seeds TestAnswersUnderRandomFaults plays, and firstSeedVariable the first, where that is not the default: the
-// long run is started by hand.
+// seedsEnv names the environment variable with the number of seeds that forEachSeed runs, and firstSeedEnv the one with the first seed. They
+// override the defaults, for long runs that are started by hand.
 const (
-	seedsVariable     = "TERNBEAM_FAULT_SEEDS"
-	firstSeedVariable = "TERNBEAM_FAULT_FIRST_SEED"
-	usualSeeds        = 20
-	usualReplacements = 8 // seeds, each of two processes
-	usualIdlePlays    = 12
+	seedsEnv                = "TERNBEAM_FAULT_SEEDS"
+	firstSeedEnv            = "TERNBEAM_FAULT_FIRST_SEED"
+	defaultSeeds            = 20
+	defaultReplacementSeeds = 8 // each seed runs two processes
+	defaultIdleSeeds        = 12
 )
 
-// fromEnvironment returns the number that a variable holds, or another where it is not set.
-func fromEnvironment(t *testing.T, variable string, otherwise int) int {
+// envInt returns the number in an environment variable, or a default if the variable is not set.
+func envInt(t *testing.T, variable string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// randomErrnos are errors that the manual pages document for each call. On the connections of a play none of them is true.
+// randomErrnos are errors that the manual pages document for each call. None of them describes the real state of a run's connections.
 var randomErrnos = []struct {
 	call   sysfault.Call
 	errnos []syscall.Errno
@@ -65,57 +65,58 @@
 	{sysfault.Fcntl, []syscall.Errno{syscall.EMFILE, syscall.EINVAL}},
 }
 
-// randomFaults are the faults of one seed: in each of a row of moments some calls fail with some probability, on all sockets of the process.
+// randomFaults are the faults of one seed: a series of time windows, in each of which one system call fails with some probability on all sockets
+// of the process.
 type randomFaults struct {
-	moments []faultMoment
-	holds   []time.Duration // when the process is held up, in order
-	random  *rand.Rand      // of whoever decides on the calls
+	windows   []faultWindow
+	holdTimes []time.Duration // when a system call is held, in ascending order
+	random    *rand.Rand      // used by decide only
 
 	mu    sync.Mutex
 	begin time.Time // zero before they are armed
 }
 
-// faultMoment is a span of time in which one system call fails.
-type faultMoment struct {
+// faultWindow is a span of time in which one system call fails.
+type faultWindow struct {
 	from, to    time.Duration
 	call        sysfault.Call
 	outcome     sysfault.Outcome
 	probability float64
 }
 
-// drawFaults draws moments over some time, as many as fit, beside one another.
-func drawFaults(random *rand.Rand, span time.Duration) *randomFaults {
-	const rows = 3 // of moments beside one another
+// newRandomFaults draws several sequences of fault windows that run in parallel and fill a span of time.
+func newRandomFaults(random *rand.Rand, duration time.Duration) *randomFaults {
+	const rows = 3 // sequences of windows that run in parallel
 	f := &randomFaults{random: rand.New(rand.NewPCG(random.Uint64(), 0))}
 	for range rows {
-		for at := time.Duration(0); at < span; {
+		for at := time.Duration(0); at < duration; {
 			at += time.Duration(random.Int64N(int64(150 * time.Millisecond)))
 			drawn := randomErrnos[random.IntN(len(randomErrnos))]
-			m := faultMoment{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
+			m := faultWindow{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
 				probability: []float64{0.1, 0.5, 1}[random.IntN(3)]}
 			m.outcome.Errno = drawn.errnos[random.IntN(len(drawn.errnos))]
 			if (m.call == sysfault.Read || m.call == sysfault.Write) && random.IntN(3) == 0 {
 				m.outcome = sysfault.Outcome{Limit: 1 + random.IntN(40)}
 			}
-			f.moments, at = append(f.moments, m), m.to
+			f.windows, at = append(f.windows, m), m.to
 		}
 	}
 	if random.IntN(2) == 0 {
-		for at := time.Duration(0); at < span; at += time.Second {
-			f.holds = append(f.holds, at+time.Duration(random.Int64N(int64(800*time.Millisecond))))
+		for at := time.Duration(0); at < duration; at += time.Second {
+			f.holdTimes = append(f.holdTimes, at+time.Duration(random.Int64N(int64(800*time.Millisecond))))
 		}
 	}
 	return f
 }
 
-// arm lets the faults begin.
+// arm starts the faults.
 func (f *randomFaults) arm() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begin = time.Now()
 }
 
-// decide is a sysfault.Decider. It spares descriptors that are no connections, such as the log.
+// decide is a sysfault.Decider. It exempts descriptors that are not connections, such as the log.
 func (f *randomFaults) decide(e sysfault.Event) sysfault.Outcome {
 	connection := e.Local.IsValid() || e.Call == sysfault.NewSocket || e.Call == sysfault.Poll
 	f.mu.Lock()
@@ -124,11 +125,11 @@
 		return sysfault.Outcome{}
 	}
 	at := time.Since(f.begin)
-	if len(f.holds) > 0 && f.holds[0] <= at {
-		f.holds = f.holds[1:]
-		return sysfault.Outcome{Hold: time.Duration(f.random.Int64N(int64(longestStall)))}
+	if len(f.holdTimes) > 0 && f.holdTimes[0] <= at {
+		f.holdTimes = f.holdTimes[1:]
+		return sysfault.Outcome{Hold: time.Duration(f.random.Int64N(int64(maxStall)))}
 	}
-	for _, m := range f.moments {
+	for _, m := range f.windows {
 		if m.call == e.Call && m.from <= at && at < m.to && f.random.Float64() < m.probability {
 			return m.outcome
 		}
@@ -136,163 +137,163 @@
 	return sysfault.Outcome{}
 }
 
-// Under system calls that fail at random on all of its sockets, before servers that go wrong, an agent gives each request one final answer, whole
-// and in time, never another's, and no request that may not be repeated has its effect twice.
+// Checks an agent whose system calls fail at random on all of its sockets, in front of faulty servers: each request gets exactly one final answer,
+// complete, in time and its own, and no request that must not be repeated takes effect twice.
 func TestAnswersUnderRandomFaults(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualSeeds, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, steady) })
+	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, steady) })
 }
 
-// The same at the end of a process: signals come in series, clients go on sending on the connections that stay open, open new ones for 0.4 s,
-// and SIGKILL comes as early as the platform may send it. A client whose connection ends before anything of its answer has come asks once more on
-// another, as the agent may close a connection between two requests; none whose request a server has seen goes without an answer.
+// The same while the process shuts down: it gets several signals, clients continue to send on open connections, open new ones for 0.4 s, and
+// SIGKILL is sent as early as the platform may send it. A request may go unanswered if its connection ends before any part of an answer and no
+// server has received it, because the agent may close a connection between two requests. Every request that a server received must be answered.
 func TestAnswersUnderRandomFaultsAtTheEnd(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualSeeds, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, ending) })
+	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, terminated) })
 }
 
-// The same on connections that are idle for about as long as one may be closed for, in between.
+// The same on connections that are idle between requests for about as long as the idle time after which a connection may be closed.
 func TestAnswersOnIdleConnectionsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualIdlePlays, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, idling) })
+	forEachSeed(t, defaultIdleSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, withIdleClients) })
 }
 
-// The same where another process replaces the first, which is told to end as the second says yes: clients go on with the one or the other.
+// The same while a second process replaces the first, which gets SIGTERM when the second reports that it is ready. Clients use either process.
 func TestAnswersUnderRandomFaultsAcrossAReplacement(t *testing.T) {
 	t.Parallel()
-	forEachSeed(t, usualReplacements, func(t *testing.T, seed uint64) { playRandomFaults(t, seed, replaced) })
+	forEachSeed(t, defaultReplacementSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, replaced) })
 }
 
-// forEachSeed plays seeds beside one another, each as a test of its own: so many, where the environment does not say how many.
-func forEachSeed(t *testing.T, usual int, play func(t *testing.T, seed uint64)) {
-	first, seeds := fromEnvironment(t, firstSeedVariable, 1), fromEnvironment(t, seedsVariable, usual)
+// forEachSeed runs seeds in parallel, each as a subtest. The environment may override the default number of seeds.
+func forEachSeed(t *testing.T, defaultCount int, run func(t *testing.T, seed uint64)) {
+	first, seeds := envInt(t, firstSeedEnv, 1), envInt(t, seedsEnv, defaultCount)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, uint64(seed))
+			run(t, uint64(seed))
 		})
 	}
 }
 
 const (
-	// randomDeadline is that of all classes.
+	// randomDeadline is the deadline of all classes.
 	randomDeadline = 1509 * time.Millisecond
-	// randomWindow is that of requests with a key.
+	// randomWindow is how long requests with an idempotency key may be repeated.
 	randomWindow = 700 * time.Millisecond
 )
 
-// fate is what becomes of the process in a play.
-type fate int
+// scenario is what happens to the process in a run.
+type scenario int
 
-// The fates.
+// The scenarios.
 const (
-	steady   fate = iota // it lives on
-	ending               // it is told to end
-	replaced             // another one replaces it
-	idling               // it lives on, and clients are idle between requests
+	steady          scenario = iota // it keeps running
+	terminated                      // it gets SIGTERM
+	replaced                        // another one replaces it
+	withIdleClients                 // it keeps running, and clients are idle between requests
 )
 
-// playRandomFaults plays one seed.
-func playRandomFaults(t *testing.T, seed uint64, fate fate) {
-	untilValid(t, func() bool { return playedRandomFaults(t, seed, fate) })
+// runRandomFaults runs one seed.
+func runRandomFaults(t *testing.T, seed uint64, scenario scenario) {
+	retryUntilValid(t, func() bool { return tryRandomFaults(t, seed, scenario) })
 }
 
-// untilValid plays until a play is valid, a few times at the most.
-func untilValid(t *testing.T, play func() (valid bool)) {
-	for range mostVoidRuns {
-		if play() {
+// retryUntilValid repeats a run until it is valid, at most maxVoidRuns times.
+func retryUntilValid(t *testing.T, run func() (valid bool)) {
+	for range maxVoidRuns {
+		if run() {
 			return
 		}
 	}
-	t.Fatalf("the machine stood still in each of %d runs: nothing can be said", mostVoidRuns)
+	t.Fatalf("the machine stood still in each of %d runs: no result", maxVoidRuns)
 }
 
-// playedRandomFaults is false where the machine itself stood still for longer than the terms let a process be held up.
-func playedRandomFaults(t *testing.T, seed uint64, fate fate) (valid bool) {
+// tryRandomFaults returns false if the machine itself stalled for longer than the platform may stall a process.
+func tryRandomFaults(t *testing.T, seed uint64, scenario scenario) (valid bool) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	play := newRandomPlay(t, fate, random)
-	first := play.startProcess(random)
+	run := newRandomRun(t, scenario, random)
+	first := run.startProcess(random)
 	defer first.process.Kill()
-	eventuallyReady(t, play.listen)
+	awaitReadyUnderFaults(t, run.listen)
 	first.faults.arm()
-	play.begin = time.Now()
-	play.end = play.begin.Add(play.span)
-	if fate == ending {
-		play.setTold(play.begin.Add(time.Duration(random.Int64N(int64(time.Second)))))
-		play.end = play.told.Add(killAfter(randomDeadline))
+	run.begin = time.Now()
+	run.end = run.begin.Add(run.duration)
+	if scenario == terminated {
+		run.setTerminateAt(run.begin.Add(time.Duration(random.Int64N(int64(time.Second)))))
+		run.end = run.terminateAt.Add(killDelay(randomDeadline))
 	}
-	watch, waits := watchMachine(), watchProcessorWaits(first.process.Pid)
-	return play.judge(play.run(first, random), watch(), waits())
+	watch, waits := watchMachineStalls(), watchProcessorWaits(first.process.Pid)
+	return run.report(run.execute(first, random), watch(), waits())
 }
 
-// newRandomPlay draws a play that has not begun.
-func newRandomPlay(t *testing.T, fate fate, random *rand.Rand) *randomPlay {
-	play := &randomPlay{t: t, fate: fate, span: 2 * time.Second, world: newWorldRecord()}
-	if fate != steady { // as long for clients that are idle
-		play.span += killAfter(randomDeadline)
+// newRandomRun draws a run without starting it.
+func newRandomRun(t *testing.T, scenario scenario, random *rand.Rand) *randomRun {
+	run := &randomRun{t: t, scenario: scenario, duration: 2 * time.Second, traffic: newTrafficRecord()}
+	if scenario != steady { // idle clients run as long as the others
+		run.duration += killDelay(randomDeadline)
 	}
 	for range 4 {
-		play.servers = append(play.servers, newMortalServer(t, &faultyServer{random: rand.New(rand.NewPCG(random.Uint64(), 2)), world: play.world}))
+		run.servers = append(run.servers, newResettableServer(t, &faultyServer{random: rand.New(rand.NewPCG(random.Uint64(), 2)), traffic: run.traffic}))
 	}
-	play.configure(random)
-	return play
+	run.configure(random)
+	return run
 }
 
-// judge reports what went against the rules, with the logs, unless the machine stood still for too long. Where nothing is wrong but late answers,
-// a process that has waited for a processor for longer than answers may be late says nothing either.
-func (p *randomPlay) judge(logs string, stood, waited time.Duration) (valid bool) {
+// report reports violations, with the logs, unless the machine stalled for too long. If the only violations are late answers, the run is also
+// void if the process waited for a processor for longer than answers may be late.
+func (p *randomRun) report(logs string, stalled, waited time.Duration) (valid bool) {
 	t := p.t
-	if stoodStill(t, stood) {
+	if machineStalled(t, stalled) {
 		return false
 	}
 	for _, process := range p.traced {
-		p.world.stood = append(p.world.stood, process.StalledPeriods(longestStall)...)
+		p.traffic.stalls = append(p.traffic.stalls, process.StalledPeriods(maxStall)...)
 	}
-	problems, requests, served := p.world.judge()
-	if len(problems) > 0 && waited > answerLate && p.world.onlyLate() {
-		t.Logf("void: late answers of a process that has waited for a processor for %v: %q", waited, problems)
+	violations, requests, served := p.traffic.evaluate()
+	if len(violations) > 0 && waited > answerSlack && p.traffic.onlyLate() {
+		t.Logf("void: late answers from a process that waited for a processor for %v: %q", waited, violations)
 		return false
 	}
 	t.Logf("%d requests, %d served, crowd %t", requests, served, p.crowd)
-	for _, problem := range problems {
-		t.Error(problem)
+	for _, violation := range violations {
+		t.Error(violation)
 	}
 	if t.Failed() {
-		t.Logf("longest calls of the agent in the test's hands: %v", p.world.stood)
+		t.Logf("longest waits of the agent's system calls for the test's tracer: %v", p.traffic.stalls)
 		t.Log(logs)
 	}
 	return true
 }
 
-// randomPlay is one play. What it holds is set before its clients begin, but for told and, by the play itself, traced.
-type randomPlay struct {
-	t       *testing.T
-	fate    fate
-	servers []*mortalServer
-	listen  string
-	env     []string
-	second  bool // a second address is there
-	crowd   bool // connections may be closed to make room for others
-	world   *worldRecord
-	span    time.Duration
-	begin   time.Time
-	end     time.Time // of the sending; the process is killed then if it was told to end
-	traced  []*sysfault.Process
+// randomRun is one run. Its fields are set before its clients start, except terminateAt, and traced, which only the run itself changes.
+type randomRun struct {
+	t        *testing.T
+	scenario scenario
+	servers  []*resettableServer
+	listen   string
+	env      []string
+	withOps  bool // the process has an operations address
+	crowd    bool // connections may be closed to make room for others
+	traffic  *trafficRecord
+	duration time.Duration
+	begin    time.Time
+	end      time.Time // when clients stop sending; a process that got SIGTERM is killed then
+	traced   []*sysfault.Process
 
-	mu   sync.Mutex
-	told time.Time // when the first process is told to end; zero for never, and while that is not known
+	mu          sync.Mutex
+	terminateAt time.Time // when the first process gets SIGTERM; zero if never or not known yet
 }
 
-// faultyProcess is a process under faults of its own.
+// faultyProcess is a process with its own faults.
 type faultyProcess struct {
 	process *sysfault.Process
 	log     *testkit.Log
 	faults  *randomFaults
-	ops     string // its second address, empty for none
+	ops     string // the operations address; empty if there is none
 }
 
-// configure draws how the process is run.
-func (p *randomPlay) configure(random *rand.Rand) {
+// configure draws the configuration of the process.
+func (p *randomRun) configure(random *rand.Rand) {
 	sockets := 1024
 	if p.crowd = random.IntN(3) == 0; p.crowd {
 		sockets = 160
@@ -301,35 +302,35 @@
 	for _, server := range p.servers {
 		addrs = append(addrs, server.Listener.Addr())
 	}
-	config, listen := configureLimited(p.t, free(p.t), everyEffectSettings(randomDeadline, randomWindow), sockets, addrs...)
+	config, listen := configureLimited(p.t, unusedAddr(p.t), everyEffectSettings(randomDeadline, randomWindow), sockets, addrs...)
 	p.listen = listen
 	p.env = []string{"NODE_CONFIG=" + config, "NODE_NAME=n1", "NODE_LISTEN=" + listen, "TMPDIR=" + shortTempDir(p.t)}
-	p.second = random.IntN(2) == 0 || p.fate == replaced
+	p.withOps = random.IntN(2) == 0 || p.scenario == replaced
 }
 
-// startProcess starts a process; its faults begin when they are armed.
-func (p *randomPlay) startProcess(random *rand.Rand) *faultyProcess {
-	f := &faultyProcess{faults: drawFaults(random, p.span)}
+// startProcess starts a process. Its faults start when they are armed.
+func (p *randomRun) startProcess(random *rand.Rand) *faultyProcess {
+	f := &faultyProcess{faults: newRandomFaults(random, p.duration)}
 	env := p.env
-	if p.second {
-		f.ops = free(p.t)
+	if p.withOps {
+		f.ops = unusedAddr(p.t)
 		env = append(slices.Clone(env), "NODE_OPS="+f.ops)
 	}
-	var chosen []sysfault.Call
+	var calls []sysfault.Call
 	for _, fault := range randomErrnos {
-		chosen = append(chosen, fault.call)
+		calls = append(calls, fault.call)
 	}
-	f.process, f.log = startUnderFaults(p.t, chosen, f.faults.decide, env...)
+	f.process, f.log = startUnderFaults(p.t, calls, f.faults.decide, env...)
 	p.traced = append(p.traced, f.process)
 	return f
 }
 
-// run plays to the end, with the clients and all else that happens, and returns the logs of the processes.
-func (p *randomPlay) run(first *faultyProcess, random *rand.Rand) (logs string) {
+// execute runs the clients and all events to the end and returns the logs of the processes.
+func (p *randomRun) execute(first *faultyProcess, random *rand.Rand) (logs string) {
 	var wait sync.WaitGroup
 	p.startClients(&wait, random)
 	for _, server := range p.servers {
-		at := time.Duration(random.Int64N(int64(p.span)))
+		at := time.Duration(random.Int64N(int64(p.duration)))
 		wait.Go(func() {
 			time.Sleep(time.Until(p.begin.Add(at)))
 			server.resetAll()
@@ -337,11 +338,11 @@
 	}
 	if p.crowd {
 		at := time.Duration(random.Int64N(int64(time.Second)))
-		wait.Go(func() { idleCrowd(p.listen, p.begin.Add(at)) })
+		wait.Go(func() { openIdleConns(p.listen, p.begin.Add(at)) })
 	}
-	switch p.fate {
-	case ending:
-		p.signal(first.process, random)
+	switch p.scenario {
+	case terminated:
+		p.signalAndKill(first.process, random)
 	case replaced:
 		next := p.replace(first, random)
 		defer next.process.Kill()
@@ -352,45 +353,45 @@
 	return first.log.String()
 }
 
-// startClients starts the clients, which play to the end.
-func (p *randomPlay) startClients(wait *sync.WaitGroup, random *rand.Rand) {
+// startClients starts the clients, which send until the end of the run.
+func (p *randomRun) startClients(wait *sync.WaitGroup, random *rand.Rand) {
 	for number := range 8 {
-		c := patientClient{listen: p.listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-record", "refund-pay"}[number%3],
-			keep: number%4 != 0}
-		own := rand.New(rand.NewPCG(random.Uint64(), 3))
-		wait.Go(func() { c.play(p, own) })
+		c := testClient{listen: p.listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-record", "refund-pay"}[number%3],
+			keepAlive: number%4 != 0}
+		clientRandom := rand.New(rand.NewPCG(random.Uint64(), 3))
+		wait.Go(func() { c.sendRandomRequests(p, clientRandom) })
 	}
 }
 
-// closing reports whether the first process was told to end, and whether new connections are still opened.
-func (p *randomPlay) closing() (told, newcomers bool) {
+// shutdownState reports whether the first process got SIGTERM, and whether clients still open new connections.
+func (p *randomRun) shutdownState() (terminating, opensNew bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.told.IsZero() || time.Now().Before(p.told) {
+	if p.terminateAt.IsZero() || time.Now().Before(p.terminateAt) {
 		return false, true
 	}
-	return true, p.fate == replaced || time.Since(p.told) < newcomersFor
+	return true, p.scenario == replaced || time.Since(p.terminateAt) < newConnsFor
 }
 
-func (p *randomPlay) setTold(at time.Time) {
+func (p *randomRun) setTerminateAt(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = at
+	p.terminateAt = at
 }
 
-// signal tells the process to end, with further signals behind it, and kills it at the end of the play.
-func (p *randomPlay) signal(process *sysfault.Process, random *rand.Rand) {
-	time.Sleep(time.Until(p.told))
+// signalAndKill sends SIGTERM to the process, then further signals, and kills it at the end of the run.
+func (p *randomRun) signalAndKill(process *sysfault.Process, random *rand.Rand) {
+	time.Sleep(time.Until(p.terminateAt))
 	process.Signal(syscall.SIGTERM)
 	for range random.IntN(4) {
 		time.Sleep(time.Duration(random.Int64N(int64(200 * time.Millisecond))))
 		process.Signal([]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)])
 	}
-	p.killLater(process, p.end)
+	p.killAt(process, p.end)
 }
 
-// killLater kills a process at some time, unless it ends before.
-func (p *randomPlay) killLater(process *sysfault.Process, at time.Time) {
+// killAt kills a process at a given time, unless it exits before.
+func (p *randomRun) killAt(process *sysfault.Process, at time.Time) {
 	select {
 	case <-process.Ended():
 	case <-time.After(time.Until(at)):
@@ -398,8 +399,8 @@
 	}
 }
 
-// replace starts a process beside the first, under faults from its beginning, and tells the first to end as the second says yes.
-func (p *randomPlay) replace(first *faultyProcess, random *rand.Rand) (next *faultyProcess) {
+// replace starts a second process, with faults from its start, and sends SIGTERM to the first when the second reports that it is ready.
+func (p *randomRun) replace(first *faultyProcess, random *rand.Rand) (next *faultyProcess) {
 	time.Sleep(time.Duration(random.Int64N(int64(500 * time.Millisecond))))
 	next = p.startProcess(random)
 	next.faults.arm()
@@ -409,24 +410,24 @@
 			p.t.Logf("the first process:\n%s\nthe second:\n%s", first.log, next.log)
 		}
 	}()
-	testkit.Eventually(p.t, "the new process says yes", func() bool {
-		ready = second.operate(http.MethodGet, "/control/ready") == http.StatusOK
+	testkit.Eventually(p.t, "the new process is ready", func() bool {
+		ready = second.callOps(http.MethodGet, "/control/ready") == http.StatusOK
 		return ready
 	})
-	p.setTold(time.Now())
+	p.setTerminateAt(time.Now())
 	first.process.Signal(syscall.SIGTERM)
-	p.killLater(first.process, time.Now().Add(killAfter(randomDeadline)))
+	p.killAt(first.process, time.Now().Add(killDelay(randomDeadline)))
 	return next
 }
 
-// mostRequestPause is for how long a client pauses in the middle of a request at the most.
-const mostRequestPause = 400 * time.Millisecond
+// maxRequestPause is how long a client pauses in the middle of a request at most.
+const maxRequestPause = 400 * time.Millisecond
 
-// newcomersFor is how long after a process was told to end clients open new connections, where no other process takes them.
-const newcomersFor = 400 * time.Millisecond
+// newConnsFor is how long after SIGTERM clients open new connections if no other process accepts them.
+const newConnsFor = 400 * time.Millisecond
 
-// idleCrowd opens 200 connections at some time, says nothing on them, and closes them all a little later.
-func idleCrowd(listen string, at time.Time) {
+// openIdleConns opens 200 connections at a given time, sends nothing on them, and closes them 200 ms later.
+func openIdleConns(listen string, at time.Time) {
 	time.Sleep(time.Until(at))
 	var all []net.Conn
 	for range 200 {
@@ -440,85 +441,85 @@
 	}
 }
 
-// play sends requests one after the other, or two at once, until the end and records what comes of each.
-func (c *patientClient) play(p *randomPlay, random *rand.Rand) {
+// sendRandomRequests sends requests one after the other, or two at once, until the end of the run and records the result of each.
+func (c *testClient) sendRandomRequests(run *randomRun, random *rand.Rand) {
 	defer c.close()
 	next := 0
 	request := func() *requestRecord {
 		next++
-		return p.world.request(fmt.Sprintf("%s-%d", c.name, next), c.class)
+		return run.traffic.request(fmt.Sprintf("%s-%d", c.name, next), c.class)
 	}
-	for time.Now().Before(p.end) {
-		if _, newcomers := p.closing(); c.conn == nil && !newcomers {
+	for time.Now().Before(run.end) {
+		if _, opensNew := run.shutdownState(); c.conn == nil && !opensNew {
 			return
 		}
 		c.pause = 0
 		if random.IntN(10) == 0 {
-			c.leave(request(), time.Duration(random.Int64N(int64(60*time.Millisecond))))
+			c.sendAndDisconnect(request(), time.Duration(random.Int64N(int64(60*time.Millisecond))))
 			continue
 		}
 		if random.IntN(8) == 0 {
-			c.pause = time.Duration(random.Int64N(int64(mostRequestPause)))
+			c.pause = time.Duration(random.Int64N(int64(maxRequestPause)))
 		}
 		requests := []*requestRecord{request()}
 		if random.IntN(8) == 0 {
 			requests = append(requests, request())
 		}
-		c.askAll(p, requests)
-		if p.fate == idling && random.IntN(2) == 0 {
-			time.Sleep(shortestIdle + time.Duration(random.Int64N(int64(longestIdle-shortestIdle))))
+		c.doPipelined(run, requests)
+		if run.scenario == withIdleClients && random.IntN(2) == 0 {
+			time.Sleep(minIdle + time.Duration(random.Int64N(int64(maxIdle-minIdle))))
 		}
 	}
 }
 
-// For how long clients are idle between requests where they are: from 2 s on the platform lets a server close a connection.
+// How long idle clients pause between requests. The platform lets a server close a connection that has been idle for 2 s.
 const (
-	shortestIdle = 1900 * time.Millisecond
-	longestIdle  = 2300 * time.Millisecond
+	minIdle = 1900 * time.Millisecond
+	maxIdle = 2300 * time.Millisecond
 )
 
-// askAll sends requests at once and reads their answers in turn.
-func (c *patientClient) askAll(p *randomPlay, requests []*requestRecord) {
-	kept := c.conn != nil
+// doPipelined sends requests at once and reads their answers in order.
+func (c *testClient) doPipelined(run *randomRun, requests []*requestRecord) {
+	reused := c.conn != nil
 	var text []byte
 	for _, r := range requests {
-		text = append(text, c.text(r.path, r.id)...)
+		text = append(text, c.encode(r.path, r.id)...)
 	}
-	c.sent = time.Now()
+	c.sentAt = time.Now()
 	in, failed := c.send(text)
 	for number, r := range requests {
 		if r.err = failed; failed == nil {
-			r.body, r.err = c.receive(in, c.sent)
+			r.body, r.err = c.receive(in, c.sentAt)
 		}
-		r.begin, r.took = c.sent, time.Since(c.sent)
-		told, _ := p.closing()
-		r.mayBeUnread = told && (kept || p.crowd || isRefused(r.err))
-		if number > 0 && requests[number-1].answered() { // or else it came behind an answer that said that the connection ends
-			r.mayBeUnread = c.pause > 0 && told
+		r.sentAt, r.took = c.sentAt, time.Since(c.sentAt)
+		terminating, _ := run.shutdownState()
+		r.mayBeUnread = terminating && (reused || run.crowd || isRefused(r.err))
+		if number > 0 && requests[number-1].answered() { // otherwise it came after an answer that closes the connection
+			r.mayBeUnread = c.pause > 0 && terminating
 		}
 		if !r.answered() {
 			failed = r.err
 		}
 	}
-	if failed != nil || !c.keep {
+	if failed != nil || !c.keepAlive {
 		c.close()
 	}
 }
 
-// leave sends a request and closes the connection after some time, without waiting for the answer.
-func (c *patientClient) leave(r *requestRecord, after time.Duration) {
+// sendAndDisconnect sends a request and closes the connection after some time, without waiting for the answer.
+func (c *testClient) sendAndDisconnect(r *requestRecord, after time.Duration) {
 	defer c.close()
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.listen)
 		if err != nil {
-			r.begin, r.left = time.Now(), time.Now()
+			r.sentAt, r.disconnectedAt = time.Now(), time.Now()
 			return
 		}
 		c.conn = conn
 	}
-	r.begin = time.Now()
-	c.write(c.text(r.path, r.id))
+	r.sentAt = time.Now()
+	c.write(c.encode(r.path, r.id))
 	time.Sleep(after)
 	c.close()
-	r.left = time.Now()
+	r.disconnectedAt = time.Now()
 }
--- a/cmd/ternbeam/replacefaults_test.go
+++ b/cmd/ternbeam/replacefaults_test.go
@@ -14,18 +14,18 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// handoverFault is a way in which calls of one of two processes fail as one replaces the other.
+// handoverFault describes how system calls of one of two processes fail while one replaces the other.
 type handoverFault struct {
-	old    bool // of the process that is replaced
+	old    bool // the fault is in the process that is replaced
 	call   sysfault.Call
 	errnos []syscall.Errno
 }
 
-// handoverFaults are errors that the manual pages document for the calls of a handover.
+// handoverFaults returns errors that the manual pages document for the system calls of a handover.
 func handoverFaults() []handoverFault {
 	const older, newer = true, false
 	return []handoverFault{
-		{newer, sysfault.Poll, []syscall.Errno{syscall.EINTR}}, // of no concern: the test as such
+		{newer, sysfault.Poll, []syscall.Errno{syscall.EINTR}}, // harmless, checks the test itself
 		{newer, sysfault.NewSocket, []syscall.Errno{syscall.EMFILE, syscall.ENOBUFS}},
 		{newer, sysfault.Connect, []syscall.Errno{syscall.EAGAIN, syscall.ECONNREFUSED, syscall.ENOBUFS}},
 		{newer, sysfault.Write, []syscall.Errno{syscall.EIO, syscall.EPIPE, syscall.EAGAIN}},
@@ -41,8 +41,8 @@
 	}
 }
 
-// firstCalls makes the first calls of one kind on Unix sockets and paths fail.
-func firstCalls(call sysfault.Call, errno syscall.Errno, count int) sysfault.Decider {
+// failFirstCalls makes the first calls of one kind on Unix sockets and paths fail.
+func failFirstCalls(call sysfault.Call, errno syscall.Errno, count int) sysfault.Decider {
 	var mu sync.Mutex
 	return func(e sysfault.Event) sysfault.Outcome {
 		onPath := e.Call == sysfault.Rename || e.Call == sysfault.NewSocket
@@ -59,7 +59,8 @@
 	}
 }
 
-// Guards against a server that operators took out being used again as a failed call keeps a process from what the one before leaves.
+// Guards against a server that operators took offline being used again because a failed system call keeps a process from inheriting its
+// predecessor's state.
 func TestReplacementHasWhatWasLeftThoughCallsFail(t *testing.T) {
 	t.Parallel()
 	const failures = 3
@@ -67,52 +68,52 @@
 		for _, errno := range fault.errnos {
 			t.Run(fmt.Sprintf("older %t, %v %v", fault.old, fault.call, errno), func(t *testing.T) {
 				t.Parallel()
-				s := newSuccession(t, 2)
-				s.shared = shortTempDir(t)
-				decide, calls := firstCalls(fault.call, errno, failures), []sysfault.Call{fault.call}
-				old := s.beginUnderFaults(fault.old, calls, decide)
-				s.takeOut(old)
-				next := s.beginUnderFaults(!fault.old, calls, decide)
-				s.staysOut(old, next)
+				s := newReplacementTest(t, 2)
+				s.sharedDir = shortTempDir(t)
+				decider, calls := failFirstCalls(fault.call, errno, failures), []sysfault.Call{fault.call}
+				old := s.startUnderFaults(fault.old, calls, decider)
+				s.takeOffline(old)
+				next := s.startUnderFaults(!fault.old, calls, decider)
+				s.checkStaysOffline(old, next)
 			})
 		}
 	}
 }
 
-// Guards against the same where the path of the shared folder is too long for a Unix socket.
+// Guards against the same if the path of the shared folder is too long for a Unix socket.
 func TestReplacementHasWhatWasLeftInAFolderWithALongName(t *testing.T) {
-	s := newSuccession(t, 2)
-	s.shared = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
-	if err := os.Mkdir(s.shared, 0o700); err != nil {
+	s := newReplacementTest(t, 2)
+	s.sharedDir = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
+	if err := os.Mkdir(s.sharedDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	old := s.begin()
-	s.ready(old)
-	s.takeOut(old)
-	next := s.begin()
-	s.ready(next)
-	s.staysOut(old, next)
+	old := s.start()
+	s.awaitReady(old)
+	s.takeOffline(old)
+	next := s.start()
+	s.awaitReady(next)
+	s.checkStaysOffline(old, next)
 }
 
-// takeOut takes s-0 out by hand at a process, and waits until another one can claim what that leaves.
-func (s *succession) takeOut(p *process) {
+// takeOffline takes s-0 offline at a process, and waits until another process can claim its state.
+func (s *replacementTest) takeOffline(p *process) {
 	s.t.Helper()
-	if status := p.operate(http.MethodPost, "/control/backends/s-0/offline"); status != http.StatusOK {
+	if status := p.callOps(http.MethodPost, "/control/backends/s-0/offline"); status != http.StatusOK {
 		s.t.Fatal(status)
 	}
-	testkit.Eventually(s.t, "the next process can claim", func() bool {
-		_, err := os.Stat(filepath.Join(s.shared, "ternbeam.sock"))
+	testkit.Eventually(s.t, "the next process can claim the state", func() bool {
+		_, err := os.Stat(filepath.Join(s.sharedDir, "ternbeam.sock"))
 		return err == nil
 	})
 }
 
-// staysOut ends the old process and sends requests, of which s-0 is to get none.
-func (s *succession) staysOut(old, next *process) {
+// checkStaysOffline ends the old process and sends requests, none of which may reach s-0.
+func (s *replacementTest) checkStaysOffline(old, next *process) {
 	s.t.Helper()
 	const requests = 60
 	old.stop(syscall.SIGTERM)
 	for n := range requests {
-		resp, err := http.DefaultTransport.RoundTrip(s.ask(http.MethodGet, "form-check", fmt.Sprint(n)))
+		resp, err := http.DefaultTransport.RoundTrip(s.newRequest(http.MethodGet, "form-check", fmt.Sprint(n)))
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -120,8 +121,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.byServer["s-0"] > 0 {
-		s.t.Errorf("s-0, which was taken out, got %d of %d requests\n%s", s.byServer["s-0"], requests, next.log)
+	if s.requestsByServer["s-0"] > 0 {
+		s.t.Errorf("s-0, which was taken offline, received %d of %d requests\n%s", s.requestsByServer["s-0"], requests, next.log)
 	}
 }
 
@@ -136,22 +137,23 @@
 	return dir
 }
 
-// beginUnderFaults starts a process with a second address of its own and waits until it is ready. Calls of it fail where they are to.
-func (s *succession) beginUnderFaults(faulty bool, calls []sysfault.Call, decide sysfault.Decider) *process {
+// startUnderFaults starts a process with its own operations address and waits until it is ready. Its system calls fail if it is to be faulty.
+func (s *replacementTest) startUnderFaults(faulty bool, calls []sysfault.Call, decide sysfault.Decider) *process {
 	s.t.Helper()
 	if !faulty {
-		p := s.begin()
-		s.ready(p)
+		p := s.start()
+		s.awaitReady(p)
 		return p
 	}
-	ops := free(s.t)
-	traced, log := startUnderFaults(s.t, calls, decide, "NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.shared)
+	ops := unusedAddr(s.t)
+	traced, log := startUnderFaults(s.t, calls, decide,
+		"NODE_CONFIG="+s.config, "NODE_NAME=n1", "NODE_LISTEN="+s.listen, "NODE_OPS="+ops, "TMPDIR="+s.sharedDir)
 	p := &process{log: log, ops: ops, traced: traced}
-	s.ready(p)
+	s.awaitReady(p)
 	return p
 }
 
-// stop signals a process and waits until it has ended.
+// stop signals a process and waits until it has exited.
 func (p *process) stop(signal syscall.Signal) {
 	if p.traced != nil {
 		p.traced.Signal(signal)
@@ -159,5 +161,5 @@
 		return
 	}
 	p.cmd.Process.Signal(signal)
-	<-p.ended
+	<-p.exited
 }
--- a/cmd/ternbeam/unknownstate_test.go
+++ b/cmd/ternbeam/unknownstate_test.go
@@ -15,35 +15,37 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// For unknownFor of each betweenUnknown the kernel does not tell the state of connections.
+// In each unknownInterval the kernel fails to report the state of connections for unknownFor.
 const (
-	unknownFor     = 40 * time.Millisecond
-	betweenUnknown = 200 * time.Millisecond
+	unknownFor      = 40 * time.Millisecond
+	unknownInterval = 200 * time.Millisecond
 )
 
-// Guards against client connections that end with no whole answer as a call on them fails while the kernel does not tell their state.
+// Guards against client connections that end without a complete answer because a system call on them fails while the kernel does not report their
+// state.
 func TestAnswersSurviveFailuresOfAnUnknownState(t *testing.T) {
 	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.RecvFrom} {
 		for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ENOTCONN} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
 				t.Parallel()
-				config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t), slowServer(t))
-				begin, chosen := time.Now(), onAddress(listen)
+				config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t), slowServer(t))
+				begin, isClients := time.Now(), onAddress(listen)
 				decide := func(e sysfault.Event) sysfault.Outcome {
 					switch {
-					case time.Since(begin)%betweenUnknown > unknownFor:
+					case time.Since(begin)%unknownInterval > unknownFor:
 					case e.Call == sysfault.Poll:
 						return sysfault.Outcome{Errno: syscall.ENOMEM}
-					case e.Call == call && chosen(e.Local):
+					case e.Call == call && isClients(e.Local):
 						return sysfault.Outcome{Errno: errno}
 					}
 					return sysfault.Outcome{}
 				}
 				_, log := startUnderFaults(t, []sysfault.Call{call, sysfault.Poll}, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-				eventuallyReady(t, listen)
+				awaitReadyUnderFaults(t, listen)
 				var wait sync.WaitGroup
 				for number := range 6 {
-					c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: []string{"form-check", "refund-pay"}[number%2], keep: number%3 != 0}
+					c := testClient{listen: listen, name: fmt.Sprint("client-", number),
+						class: []string{"form-check", "refund-pay"}[number%2], keepAlive: number%3 != 0}
 					wait.Go(func() { c.run(t, 15) })
 				}
 				wait.Wait()
@@ -55,7 +57,8 @@
 	}
 }
 
-// Guards against the beginning of an answer that is taken for a whole one, as its reset is read again while the kernel did not tell the connection's state.
+// Guards against a partial answer that is taken for a complete one because the reset behind it is read again while the kernel does not report the
+// connection's state.
 func TestResetAnswersAreNoneWhileTheStateIsUnknown(t *testing.T) {
 	resets := serveConnections(t, func(conn *net.TCPConn) {
 		defer conn.Close()
@@ -66,18 +69,18 @@
 		time.Sleep(10 * time.Millisecond)
 		conn.SetLinger(0)
 	})
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), resets)
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), resets)
 	begin := time.Now()
 	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Poll}, func(sysfault.Event) (o sysfault.Outcome) {
-		if time.Since(begin)%betweenUnknown > unknownFor {
+		if time.Since(begin)%unknownInterval > unknownFor {
 			o.Errno = syscall.ENOMEM
 		}
 		return o
 	}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
+	awaitReadyUnderFaults(t, listen)
 	var wait sync.WaitGroup
 	for number := range 6 {
-		c := patientClient{listen: listen, name: fmt.Sprint("client-", number), class: "refund-pay"}
+		c := testClient{listen: listen, name: fmt.Sprint("client-", number), class: "refund-pay"}
 		wait.Go(func() { c.runAllowing(t, 20, isNotServed) })
 	}
 	wait.Wait()
@@ -86,43 +89,43 @@
 	}
 }
 
-// Guards against faults that are drawn for a system call which the program never makes.
+// Guards against random faults in a system call that the program never makes.
 func TestChosenCallsAreMade(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[sysfault.Call]bool{}
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
-	var chosen []sysfault.Call
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
+	var calls []sysfault.Call
 	for _, fault := range randomErrnos {
-		chosen = append(chosen, fault.call)
+		calls = append(calls, fault.call)
 	}
 	failed := false
 	decide := func(e sysfault.Event) sysfault.Outcome {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[e.Call] = true
-		if e.Call == sysfault.Write && e.Local.String() == listen && !failed { // poll(2) is asked after a failure
+		if e.Call == sysfault.Write && e.Local.String() == listen && !failed { // poll(2) is called only after a failure
 			failed = true
 			return sysfault.Outcome{Errno: syscall.ETIMEDOUT}
 		}
 		return sysfault.Outcome{}
 	}
-	startUnderFaults(t, chosen, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
-	c := patientClient{listen: listen, name: "client", class: "form-check", keep: true}
+	startUnderFaults(t, calls, decide, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
+	awaitReadyUnderFaults(t, listen)
+	c := testClient{listen: listen, name: "client", class: "form-check", keepAlive: true}
 	c.run(t, 2)
 	mu.Lock()
 	defer mu.Unlock()
-	for _, call := range chosen {
+	for _, call := range calls {
 		if !seen[call] {
 			t.Errorf("%v is never called", call)
 		}
 	}
 }
 
-// Guards against a judge that does not learn for how long a test itself holds its process up.
+// Guards against an evaluation that does not know for how long the test itself held a system call of the process.
 func TestHoldsAreStandstills(t *testing.T) {
 	const hold = 100 * time.Millisecond
-	config, listen := configure(t, free(t), shutdownSettings(randomDeadline), slowServer(t))
+	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	var armed, held atomic.Bool
 	p, _ := startUnderFaults(t, []sysfault.Call{sysfault.Write}, func(sysfault.Event) sysfault.Outcome {
 		if armed.Load() && held.CompareAndSwap(false, true) {
@@ -130,10 +133,10 @@
 		}
 		return sysfault.Outcome{}
 	}, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
-	eventuallyReady(t, listen)
+	awaitReadyUnderFaults(t, listen)
 	begin := time.Now()
 	armed.Store(true)
-	c := patientClient{listen: listen, name: "client", class: "form-check"}
+	c := testClient{listen: listen, name: "client", class: "form-check"}
 	c.run(t, 2)
 	for _, period := range p.StalledPeriods(hold) {
 		if period.From.After(begin) && period.To.Before(time.Now()) {
