--- a/cmd/ternbeam/brokenanswer_test.go
+++ b/cmd/ternbeam/brokenanswer_test.go
@@ -102,7 +102,7 @@
 }
 
 // lateServers hang in the first attempt of each request until the client's time is nearly over, and break off the answer to the second attempt when it
-// is over.
+// has ended.
 type lateServers struct {
 	mu       sync.Mutex
 	attempts map[string]int // by request id
--- a/cmd/ternbeam/main.go
+++ b/cmd/ternbeam/main.go
@@ -107,7 +107,7 @@
 func (r *runCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	reload := make(chan os.Signal, 1) // one pending signal stands for any number
+	reload := make(chan os.Signal, 1) // one pending signal is enough for any number
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE) // the agent must survive when the reader of its log exits
 	defer signal.Stop(reload)
--- a/cmd/ternbeam/thriftclients_test.go
+++ b/cmd/ternbeam/thriftclients_test.go
@@ -54,7 +54,7 @@
 	return agent
 }
 
-// askWithRetry makes a call on a kiosk's connection, and repeats it on a new one if the connection ended before any part of an answer arrived.
+// askWithRetry makes a call on a stand-in client's connection, and repeats it on a new one if the connection ended before any part of an answer arrived.
 func askWithRetry(kiosk standin.Kiosk, ask standin.Request) standin.Answer {
 	answer := kiosk.Do(ask)
 	if answer.Kind == standin.Lost && answer.Took < ask.TimeLeft {
--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -126,16 +126,16 @@
 var ErrUnknownShape = errors.New("in none of the shapes of its class")
 
 // HTTP determines the shape of a request of a class, and sets the fields of the request that a transport needs for it. keyLast
-// reports whether the last segment of the path is the call's key. The tag is zero for a class without shapes. The error wraps
-// ErrUnknownShape.
-func (b *Bridge) HTTP(class string, r *httpmsg.Request) (tag routes.CallShape, keyLast bool, err error) {
+// reports whether the last segment of the path is the call's key. The CallShape is zero for a class without shapes. The error
+// wraps ErrUnknownShape.
+func (b *Bridge) HTTP(class string, r *httpmsg.Request) (shape routes.CallShape, keyLast bool, err error) {
 	active := b.current.Load()
 	s := active.set.HTTPShape(class, r.Method, r.URL.EscapedPath())
 	if s == nil {
 		if active.set.HasClass(class) {
 			err = fmt.Errorf("%s %s: %w", r.Method, r.URL.Path, ErrUnknownShape)
 		}
-		return tag, true, err
+		return shape, true, err
 	}
 	applyShape(r, s)
 	return routes.CallShape{Table: active.table, Shape: active.index[s], Protocol: protocol.HTTP}, s.EndsInKey(), nil
@@ -146,8 +146,8 @@
 	r.UnknownShapeStatus, r.ForwardHeaders, r.ReplyHeaders = s.UnknownShapeCode, s.RequestHeaders(), s.ReplyHeaders()
 }
 
-// Thrift determines the shape of a call in an encoding, and sets the field of the call that a transport needs for it. The tag
-// is zero for a class without shapes. The error wraps ErrUnknownShape.
+// Thrift determines the shape of a call in an encoding, and sets the field of the call that a transport needs for it. The
+// CallShape is zero for a class without shapes. The error wraps ErrUnknownShape.
 func (b *Bridge) Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.CallShape, error) {
 	active := b.current.Load()
 	s := active.set.ThriftShape(c.Method.Name) // in the table: the service has the method
--- a/internal/discovery/contactlog.go
+++ b/internal/discovery/contactlog.go
@@ -22,14 +22,14 @@
 	return &contactLog{log: log, lastContact: clock.Now()}
 }
 
-// callStarted notes the start of a call.
+// callStarted records the start of a call.
 func (c *contactLog) callStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unanswered++
 }
 
-// callAnswered notes the answer to a call that was started at the given time.
+// callAnswered records the answer to a call that was started at the given time.
 func (c *contactLog) callAnswered(started time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +40,7 @@
 	c.lastContact, c.unanswered = now, 0
 }
 
-// dataReceived notes that data was received.
+// dataReceived records that data was received.
 func (c *contactLog) dataReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -48,7 +48,7 @@
 }
 
 // All open watches fall silent, and servers begin to drain. The drain must be received before it counts as known to the agent, 6 s after the
-// silence began, and the minimum grace is over, whatever happens to the first calls after that.
+// silence began, and the minimum grace has passed, whatever happens to the first calls after that.
 func TestDrainBehindSilentWatches(t *testing.T) {
 	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -32,7 +32,7 @@
 // Client watches the list of one discovery service. It is safe for concurrent use.
 type Client struct {
 	addr           string
-	silenceTimeout time.Duration // after which a watch counts as dead
+	silenceTimeout time.Duration // after which a watch counts as broken
 	stallTimeout   time.Duration // after which a list that has started counts as stalled, the first time
 	client         *http.Client
 	log            *slog.Logger
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -146,7 +146,7 @@
 			for nextList(t, lists).Servers[0].State != terminating {
 			}
 			limit := 500 * time.Millisecond
-			if name == "a head alone" { // looks like a watch until it is given up for its silence
+			if name == "a head alone" { // looks like a watch until it is abandoned for its silence
 				limit += pacing.WatchSilenceTimeout
 			}
 			if took := time.Since(begin); took > limit {
--- a/internal/discovery/silence.go
+++ b/internal/discovery/silence.go
@@ -37,7 +37,7 @@
 	return s
 }
 
-// reset notes that data was received, and sets the limit for the next quiet period.
+// reset records that data was received, and sets the limit for the next quiet period.
 func (s *silenceTimer) reset(limit time.Duration) {
 	s.last.Store(&quietPeriod{time.Now(), limit})
 	s.timer.Reset(limit)
--- a/internal/http/httpback/httpback.go
+++ b/internal/http/httpback/httpback.go
@@ -55,7 +55,7 @@
 var forwardedHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "Idempotency-Key", "X-Repeat",
 	"X-Weight-Hint", "X-Facts", "Content-Type"}
 
-// Message encodes the request for a server. Its parts were read by net/http, which lets no line break into them.
+// Message encodes the request for a server. Its parts were read by net/http, which rejects line breaks in them.
 func (c *codec) Message(end time.Time) []byte {
 	r := c.request
 	if r.Upload != nil {
--- a/internal/http/httpfront/answer.go
+++ b/internal/http/httpfront/answer.go
@@ -48,7 +48,7 @@
 }
 
 // writeTimeout returns how long a client may accept nothing of its answer. An answer is useful until answerGrace after the client's
-// deadline: a waiting client is not given up earlier, whatever delays the answer.
+// deadline: the write is not abandoned earlier, whatever delays the answer.
 func (f *Front) writeTimeout(call *core.Call) time.Duration {
 	if f.longBodies {
 		return writeStallTimeout
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -28,7 +28,8 @@
 )
 
 const (
-	// A client that sends nothing, or only part of a request, gets an error or a close within 3 s of connecting.
+	// headTimeout and readTimeout limit the time for receiving a request: a client that sends nothing, or only part of a request, gets
+	// an error or a close within 3 s of connecting.
 	headTimeout = 2 * time.Second
 	readTimeout = 2500 * time.Millisecond // for head and body
 	// idleTimeout limits how long the connection of a client that never returns is kept. When idle connections use up too much of the
@@ -38,7 +39,7 @@
 	answerGrace     = 500 * time.Millisecond // an answer is still useful for this long after the client's deadline
 )
 
-// Front is the HTTP/1.1 side of the agent that faces its clients.
+// Front is the HTTP/1.1 server that the agent's clients connect to.
 type Front struct {
 	cfg           *config.Config
 	shapes        Shapes // nil when calls have no shapes
@@ -56,8 +57,8 @@
 // Shapes determines the shapes of requests.
 type Shapes interface {
 	// HTTP returns the shape of a request of the given class, and whether the last segment of its path is the key. It returns
-	// the zero Tag for a class without shapes, and an error if the request has none of the shapes of its class.
-	HTTP(class string, r *httpmsg.Request) (tag routes.CallShape, keyLast bool, err error)
+	// the zero CallShape for a class without shapes, and an error if the request has none of the shapes of its class.
+	HTTP(class string, r *httpmsg.Request) (shape routes.CallShape, keyLast bool, err error)
 }
 
 // WithShapes makes the Front determine the shapes of requests. It must be called before Serve.
@@ -234,7 +235,7 @@
 	client := clientConnOf(in)
 	gone := func() bool {
 		gone, over := client.conn.Probe()
-		if over { // no requests can be told apart in the unread data
+		if over { // requests in the unread data can't be separated any more
 			w.Header().Set("Connection", "close")
 		}
 		return gone
--- a/internal/http/httpfront/long.go
+++ b/internal/http/httpfront/long.go
@@ -16,7 +16,8 @@
 	// longHeadTimeout limits the time for a head when clients may be slow. They may be slow for up to 2 s.
 	longHeadTimeout = 2400 * time.Millisecond
 
-	// A body may keep the agent waiting for bodyGrace in total, plus the time that it takes at minBodyRate.
+	// bodyGrace and minBodyRate limit how long the agent waits for a body: bodyGrace in total, plus the time that the body takes at
+	// minBodyRate.
 	bodyGrace   = 1500 * time.Millisecond
 	minBodyRate = 48_000 // bytes per second
 
@@ -41,7 +42,7 @@
 }
 
 // errStopped is returned by reads after the request has ended.
-var errStopped = errors.New("the request is over")
+var errStopped = errors.New("the request has ended")
 
 func (p *pacedBody) Read(b []byte) (int, error) {
 	start := time.Now()
@@ -106,11 +107,11 @@
 		}
 		return nil, nil
 	}
-	a := &incomingBody{pacedBody: newPacedBody(in, w), quit: make(chan struct{}), done: make(chan struct{})}
+	b := &incomingBody{pacedBody: newPacedBody(in, w), quit: make(chan struct{}), done: make(chan struct{})}
 	first, err := make([]byte, 0, httpmsg.MaxBody), error(nil)
 	for err == nil && len(first) < cap(first) {
 		var n int
-		n, err = a.Read(first[len(first):cap(first)])
+		n, err = b.Read(first[len(first):cap(first)])
 		first = first[:len(first)+n]
 	}
 	switch err {
@@ -121,18 +122,18 @@
 	default:
 		return nil, fmt.Errorf("%w: %w", errBody, err)
 	}
-	a.upload = httpmsg.NewUpload(in.ContentLength, &f.budget)
-	a.upload.Append(first, a.quit)
-	payload.Upload, call.BodyPending = a.upload, true
-	return a, nil
+	b.upload = httpmsg.NewUpload(in.ContentLength, &f.budget)
+	b.upload.Append(first, b.quit)
+	payload.Upload, call.BodyPending = b.upload, true
+	return b, nil
 }
 
 // errBody rejects a request whose body was not received or is invalid.
 var errBody = errors.New("reading the body")
 
 // maxReadTime returns how long reading the rest of the body can take at most.
-func (a *incomingBody) maxReadTime() time.Duration {
-	length := a.upload.Length()
+func (b *incomingBody) maxReadTime() time.Duration {
+	length := b.upload.Length()
 	if length < 0 {
 		length = httpmsg.MaxStreamedBody
 	}
@@ -141,31 +142,31 @@
 
 // pump reads the rest of the body until it is complete, fails or is stopped. The returned channel receives nil if the body is complete,
 // the error if it failed, and nothing if it was stopped.
-func (a *incomingBody) pump(c *core.Core, call *core.Call) <-chan error {
+func (b *incomingBody) pump(c *core.Core, call *core.Call) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
-		defer close(a.done)
+		defer close(b.done)
 		total := int64(httpmsg.MaxBody)
 		part := make([]byte, httpmsg.PartSize)
 		for {
-			n, err := a.Read(part)
+			n, err := b.Read(part)
 			if total += int64(n); total > httpmsg.MaxStreamedBody {
 				err = &http.MaxBytesError{Limit: httpmsg.MaxStreamedBody}
 			}
 			if err != nil && err != io.EOF {
 				c.ClientDisconnected(call) // before an attempt fails because of it, which would be retried
-				a.upload.Finish(err)
+				b.upload.Finish(err)
 				ended <- fmt.Errorf("%w: %w", errBody, err)
 				return
 			}
-			if n > 0 && !a.upload.Append(part[:n], a.quit) {
+			if n > 0 && !b.upload.Append(part[:n], b.quit) {
 				return
 			}
 			if err == io.EOF {
-				a.control.SetReadDeadline(time.Time{}) // otherwise it would also end the wait for the client's disconnect
-				a.complete = true
-				a.upload.Finish(nil)
-				c.RequestReceived(call, a.timeLeft)
+				b.control.SetReadDeadline(time.Time{}) // otherwise it would also end the wait for the client's disconnect
+				b.complete = true
+				b.upload.Finish(nil)
+				c.RequestReceived(call, b.timeLeft)
 				ended <- nil
 				return
 			}
@@ -175,19 +176,19 @@
 }
 
 // stop ends the reading and reports whether the body was not read completely.
-func (a *incomingBody) stop() (incomplete bool) {
-	if a == nil {
+func (b *incomingBody) stop() (incomplete bool) {
+	if b == nil {
 		return false
 	}
-	a.once.Do(func() {
-		close(a.quit)
+	b.once.Do(func() {
+		close(b.quit)
 		select {
-		case <-a.done:
+		case <-b.done:
 		default:
-			a.halt()
-			<-a.done
+			b.halt()
+			<-b.done
 		}
-		a.upload.Close()
+		b.upload.Close()
 	})
-	return !a.complete
+	return !b.complete
 }
--- a/internal/http/httpfront/tape.go
+++ b/internal/http/httpfront/tape.go
@@ -90,7 +90,7 @@
 	return started
 }
 
-// requestDone notes that a request has ended. The next one may have started in the data read beyond it.
+// requestDone records that a request has ended. The next one may have started in the data read beyond it.
 func (c *recordingConn) requestDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	c.idle = true
 }
 
-// headRead notes that the head of a request has been read, and nothing of its body.
+// headRead records that the head of a request has been read, and nothing of its body.
 func (c *recordingConn) headRead(in *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http/httpmsg/httpmsg.go
+++ b/internal/http/httpmsg/httpmsg.go
@@ -34,7 +34,7 @@
 	HeaderFields [][2]string
 }
 
-// Reply is a server's answer to a call that it served.
+// Reply is the reply of a server that served a call. The final answer to the client, a core.Answer, contains it.
 type Reply struct {
 	ContentType string
 	Header      [][2]string // the further headers that were requested, as name and value
--- a/internal/http/httpops/callers.go
+++ b/internal/http/httpops/callers.go
@@ -34,7 +34,7 @@
 	closed.Close()
 }
 
-// requestReceived notes that a complete request was received on a connection. It returns false if the connection has just been closed.
+// requestReceived records that a complete request was received on a connection. It returns false if the connection has just been closed.
 func (c *connLimit) requestReceived(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http/httpops/httpops.go
+++ b/internal/http/httpops/httpops.go
@@ -1,4 +1,4 @@
-// Package httpops serves the agent's second address, for its operators: whether the agent is ready for clients, its counters, and
+// Package httpops serves the agent's operations address: whether the agent is ready for clients, its counters, and
 // commands that take backends offline or back online.
 package httpops
 
@@ -24,7 +24,7 @@
 	maxIDBytes     = 256
 )
 
-// Agent is the agent that the second address reports on and controls.
+// Agent is the agent that the operations address reports on and controls.
 type Agent interface {
 	Figures() (*core.Figures, int64)
 	Ready() <-chan struct{}
@@ -32,7 +32,7 @@
 	Online(ctx context.Context, id string) (known bool, err error)
 }
 
-// Server serves the second address.
+// Server serves the operations address.
 type Server struct {
 	agent   Agent
 	classes []string // names, escaped as label values
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -33,24 +33,24 @@
 // fleet is the state of a run.
 type fleet struct {
 	*Scenario
-	number     int
-	record     *Record
-	book       *standin.VersionedList
-	list       *List
-	relay      *relay // nil if agents do not exchange lists
-	groups     map[string][]int
-	servers    []*server
-	agents     []*process
-	rng        *rand.Rand
-	progress   func(string)
-	stopKiosks func() // stops the kiosks and waits for them; nil before they start
-	partitions int    // number of partitions so far
+	number        int
+	record        *Record
+	versionedList *standin.VersionedList
+	list          *List
+	relay         *relay // nil if agents do not exchange lists
+	groups        map[string][]int
+	servers       []*server
+	agents        []*process
+	rng           *rand.Rand
+	progress      func(string)
+	stopKiosks    func() // stops the kiosks and waits for them; nil before they start
+	partitions    int    // number of partitions so far
 }
 
 // initialList returns the list that an agent has at its first start. An old list has a version whose changes the service no longer
 // has, so that the service sends the full list.
 func (f *fleet) initialList() discovery.List {
-	l := f.book.Full()
+	l := f.versionedList.Full()
 	switch f.Known {
 	case KnownOld:
 		l.Version = 0
@@ -80,7 +80,7 @@
 // Run runs a scenario to its end or until ctx is canceled. It leaves no processes behind.
 // It returns an error if the run could not be completed; violated expectations are in the Report.
 func Run(ctx context.Context, s *Scenario, o Options) (*Report, error) {
-	f := &fleet{Scenario: s, number: int(runCount.Add(1)) % 900, record: NewRecord(), book: standin.NewVersionedList(), groups: map[string][]int{}, rng: rand.New(rand.NewPCG(s.Seed, 0)), progress: o.Progress}
+	f := &fleet{Scenario: s, number: int(runCount.Add(1)) % 900, record: NewRecord(), versionedList: standin.NewVersionedList(), groups: map[string][]int{}, rng: rand.New(rand.NewPCG(s.Seed, 0)), progress: o.Progress}
 	if f.progress == nil {
 		f.progress = func(string) {}
 	}
@@ -127,15 +127,15 @@
 		if err := s.start(f.Cold); err != nil {
 			return err
 		}
-		f.book.Update(s.entry())
+		f.versionedList.Update(s.entry())
 	}
-	f.book.DropHistory()
+	f.versionedList.DropHistory()
 	var err error
 	callWork, mustAsk := f.All/time.Duration(f.Agents), f.MustAsk
 	if f.Pushed {
 		callWork, mustAsk = 0, 0
 	}
-	if f.list, err = NewList(ListOptions{Agents: f.Agents, CallWork: callWork, MaxWait: f.Patience, Book: f.book}, f.record); err != nil {
+	if f.list, err = NewList(ListOptions{Agents: f.Agents, CallWork: callWork, MaxWait: f.Patience, Book: f.versionedList}, f.record); err != nil {
 		return err
 	}
 	var peers []string
@@ -360,7 +360,7 @@
 			return err
 		}
 		f.record.Add(ServerInService, -1, s.id)
-		f.book.Update(s.entry())
+		f.versionedList.Update(s.entry())
 		return nil
 	}
 	switch a.Kind {
@@ -372,7 +372,7 @@
 	return forTargets(func(s *server) error {
 		s.startDraining()
 		f.record.Add(ServerDraining, -1, s.id)
-		f.book.Update(s.entry())
+		f.versionedList.Update(s.entry())
 		return nil
 	}), forTargets(restart)
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -320,7 +320,7 @@
 	}
 }
 
-// The list service works on calls one after the other, gives up those that have waited too long, and does their work all the same.
+// The list service works on calls one after the other, abandons those that have waited too long, and does their work all the same.
 // Each mode answers as documented.
 func TestListService(t *testing.T) {
 	const agents = 8
--- a/internal/lab/fleet/html.go
+++ b/internal/lab/fleet/html.go
@@ -62,7 +62,7 @@
 	return c
 }
 
-// curveColors can be told apart in print, on dark backgrounds and by most color-blind readers.
+// curveColors can be distinguished in print, on dark backgrounds and by most color-blind readers.
 var curveColors = []color.Color{color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{130, 130, 130, 255}}
 
--- a/internal/lab/fleet/list.go
+++ b/internal/lab/fleet/list.go
@@ -181,7 +181,7 @@
 }
 
 // enqueue adds a call to the queue. It returns the mode for the call, a channel that is closed when a mode changes, the time until
-// the call is answered or given up, and whether it is answered with the list.
+// the call is answered or abandoned, and whether it is answered with the list.
 func (l *List) enqueue(agent int, now time.Time) (m Mode, changed <-chan struct{}, wait time.Duration, served bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -16,10 +16,10 @@
 	Servers  int
 	Seed     uint64
 	Known    string        // which list agents have at their first start; one of the Known constants
-	Places   string        // what agents are told of their rank and number, a key of placements; empty for the truth
+	Places   string        // the rank and number that agents are given, a key of placements; empty for the truth
 	MustAsk  time.Duration // within this time an agent must call the list service again
 	All      time.Duration // time that the list service needs to answer all agents
-	Patience time.Duration // time after which that service gives up a waiting call
+	Patience time.Duration // time after which that service abandons a waiting call
 	Pushed   bool          // lists are pushed to agents: calls need no work, and agents count as notified of what the service has
 	Kiosks   KioskOptions
 	Server   ServerOptions
@@ -80,7 +80,7 @@
 	KnownWrong = "wrong" // an older version; half of its servers no longer exist
 )
 
-// placements returns what agents are told of their rank and number, by name in scenarios: each function gives both for an agent
+// placements returns the rank and number that agents are given, by name in scenarios: each function gives both for an agent
 // and the true number of agents.
 var placements = map[string]func(agent, agents int) (me, number int){
 	"":        func(i, n int) (int, int) { return i, n },
@@ -92,7 +92,7 @@
 	"old":     func(i, n int) (int, int) { return i, n / (1 + i%2) },             // half of the agents know an old number, half as large
 }
 
-// setPlaces sets what agents are told of their rank and number, by its name in scenarios.
+// setPlaces sets the rank and number that agents are given, by its name in scenarios.
 func (s *Scenario) setPlaces(name string) error {
 	if s.Places = name; placements[name] == nil {
 		return fmt.Errorf("must be one of %s, or omitted", strings.Join(slices.Sorted(maps.Keys(placements))[1:], ", "))
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -34,7 +34,7 @@
 	Name      string
 	Listen    string
 	Discovery string
-	Ops       string // address of the operators' listener; empty for none
+	Ops       string // operations address; empty for none
 	Limits    Limits
 
 	Path         string // of the file that the configuration was read from
@@ -47,7 +47,7 @@
 	Host         HostSettings
 }
 
-// Peers holds the addresses of the agents that front the same servers.
+// Peers holds the addresses of the agents that balance load over the same servers.
 type Peers struct {
 	Listen string   // this agent's own address; empty where agents exchange no lists
 	Addrs  []string // of all agents, by their index
@@ -185,8 +185,8 @@
 	return c.Limits.Sockets - reservedSockets - c.ClientSockets() - c.OpsSockets()
 }
 
-// OpsSockets returns the number of descriptors for connections to the operators' listener. It leaves room for some silent
-// connections beside those of regular pollers.
+// OpsSockets returns the number of descriptors for connections to the operations address. It leaves room for some silent
+// connections in addition to those of regular pollers.
 func (c *Config) OpsSockets() int {
 	if c.Ops == "" {
 		return 0
--- a/internal/settings/peerconf/peerconf.go
+++ b/internal/settings/peerconf/peerconf.go
@@ -1,4 +1,4 @@
-// Package peerconf reads the file that says how agents that front the same servers exchange their lists (see
+// Package peerconf reads the file that says how agents that balance load over the same servers exchange their lists (see
 // deploy/peers.toml).
 package peerconf
 
@@ -9,6 +9,7 @@
 	"ternbeam/internal/settings/conffile"
 )
 
+// file is the layout of the file. Parse maps its keys to the fields of gossip.Settings, which have other names.
 type file struct {
 	Lists struct {
 		Size     *int     `toml:"size"`
--- a/internal/settings/sourceconf/sourceconf.go
+++ b/internal/settings/sourceconf/sourceconf.go
@@ -36,6 +36,7 @@
 	maxNameServers = 8 // of one source
 )
 
+// file is the layout of the file. Parse maps its keys to the fields of Config, which have other names.
 type file struct {
 	List struct {
 		HoldS *float64 `toml:"hold_s"`
--- a/internal/settings/stateconf/stateconf.go
+++ b/internal/settings/stateconf/stateconf.go
@@ -26,7 +26,8 @@
 		WritePolicy: writepolicy.Defaults, Aging: aging.Defaults}
 }
 
-// file is the layout of the file. A key that is absent has its default.
+// file is the layout of the file. A key that is absent has its default. Parse maps the keys to the fields of writepolicy.Settings and
+// aging.Settings, which have other names.
 type file struct {
 	Folder  string   `toml:"folder"`
 	LoadMS  *float64 `toml:"load_ms"`
--- a/internal/settings/wire/decode.go
+++ b/internal/settings/wire/decode.go
@@ -134,7 +134,7 @@
 	}
 	switch string(kind) {
 	case "Census":
-		d.census(v)
+		d.storeList(v)
 		return m, true, d.firstErr
 	case "Message": // from another instance: instances send each other nothing, so it is ignored
 		return m, true, nil
@@ -207,9 +207,9 @@
 	return choice.ServerList{Full: form != "update", Servers: d.lists[n]}
 }
 
-// census stores a list in its buffer. Each list gets a new slice, since events decoded earlier may still refer to the
+// storeList stores a list in its buffer. Each list gets a new slice, since events decoded earlier may still refer to the
 // previous list of the same number.
-func (d *Decoder) census(v *fastjson.Value) {
+func (d *Decoder) storeList(v *fastjson.Value) {
 	n := d.int(v, "Buffer")
 	if n < 0 || n >= maxLists {
 		d.fail("list number %d is not from 0 to %d", n, maxLists-1)
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -33,16 +33,16 @@
 	fillErr    error // result of the last fill
 	encoding   thriftwire.Encoding
 
-	mu        sync.Mutex
-	changed   sync.Cond // signaled when answers were written or calls finished
-	waiting   []*slot   // calls without an answer, or whose answer waits for an earlier one; oldest first
-	inFlight  int       // unanswered calls, including oneways
-	unsent    []byte    // frames to write
-	writing   bool      // the writing goroutine is running
-	called    bool      // a frame has arrived
-	busy      bool      // the tracker was told that the connection is busy
-	readEnded bool      // reading has ended
-	closed    bool      // the connection can no longer be used
+	mu            sync.Mutex
+	changed       sync.Cond // signaled when answers were written or calls finished
+	waiting       []*slot   // calls without an answer, or whose answer waits for an earlier one; oldest first
+	inFlight      int       // unanswered calls, including oneways
+	unsent        []byte    // frames to write
+	writing       bool      // the writing goroutine is running
+	frameReceived bool      // a frame has arrived
+	busy          bool      // the tracker was notified that the connection is busy
+	readEnded     bool      // reading has ended
+	closed        bool      // the connection can no longer be used
 }
 
 // slot is the position of a call in the order of answers.
@@ -151,7 +151,7 @@
 func (c *client) markBusy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.called = true; c.busy {
+	if c.frameReceived = true; c.busy {
 		return true
 	}
 	c.busy = c.front.tracker.MarkBusy(c.conn)
@@ -261,7 +261,7 @@
 }
 
 // queueAnswer stores an answer and queues all answers that can be sent now: in the order of the calls or, if the configuration allows any order,
-// in the order of calls with the same sequence id, whose answers could not be told apart otherwise.
+// in the order of calls with the same sequence id, whose answers could not be distinguished otherwise.
 func (c *client) queueAnswer(s *slot, frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -414,7 +414,7 @@
 	for c.start == c.end {
 		stopping := c.front.stopping.Load()
 		c.mu.Lock()
-		idle, fresh := c.isIdleLocked(), !c.called
+		idle, fresh := c.isIdleLocked(), !c.frameReceived
 		var deadline time.Time // at shutdown the tracker closes connections without a call
 		if idle && !stopping {
 			deadline = time.Now().Add(c.front.service.IdleTimeout)
--- a/internal/thrift/thriftfront/front.go
+++ b/internal/thrift/thriftfront/front.go
@@ -35,7 +35,7 @@
 	core        *core.Core
 	log         *slog.Logger
 	tracker     *conntrack.Tracker
-	listen      *conntrack.Listener
+	listener    *conntrack.Listener
 	idPrefix    string        // prefix of the ids assigned to calls without one
 	assignedIDs atomic.Uint64 // number of ids assigned
 
@@ -56,15 +56,15 @@
 func (f *Front) WithShapes(s ShapeFinder) { f.shapes = s }
 
 // New returns a Front that accepts connections from a listener through a connection tracker.
-func New(cfg *config.Config, m *thriftmap.Map, c *core.Core, d *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
-	return &Front{cfg: cfg, service: m, core: c, log: log, tracker: d, listen: d.Listen(l, log),
+func New(cfg *config.Config, m *thriftmap.Map, c *core.Core, tracker *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
+	return &Front{cfg: cfg, service: m, core: c, log: log, tracker: tracker, listener: tracker.Listen(l, log),
 		idPrefix: fmt.Sprintf("%s-%x-", cfg.Name, cfg.Seed), clients: map[*client]bool{}, removed: make(chan struct{}, 1)}
 }
 
 // Serve accepts connections until Stop closes the listener. It always returns a non-nil error.
 func (f *Front) Serve() error {
 	for {
-		c, err := f.listen.Accept()
+		c, err := f.listener.Accept()
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// Stop shuts the front down gracefully, as for HTTP: new connections are accepted for some time (plan.Accept), idle connections are closed
+// Stop shuts the front down gracefully, as httpfront.Front.Stop does for HTTP: new connections are accepted for some time (plan.Accept), idle connections are closed
 // after plan.Idle, and other connections once all their calls are answered. Connections on which no call has arrived are closed after
 // conntrack.SilentGrace at the latest. Stop returns when all clients are removed, or at plan.CloseBy.
 func (f *Front) Stop(begin time.Time, plan shutdown.Schedule) {
@@ -86,8 +86,8 @@
 		c.wake()
 	}
 	f.mu.Unlock()
-	f.listen.CloseAfter(max(0, plan.Accept-plan.Idle), by)
-	silent := time.AfterFunc(min(conntrack.SilentGrace, time.Until(by)-conntrack.AnswerWriteTime), f.listen.CloseSilent)
+	f.listener.CloseAfter(max(0, plan.Accept-plan.Idle), by)
+	silent := time.AfterFunc(min(conntrack.SilentGrace, time.Until(by)-conntrack.AnswerWriteTime), f.listener.CloseSilent)
 	defer silent.Stop()
 	for f.count() > 0 {
 		select {
--- a/internal/thrift/thriftwire/bench_test.go
+++ b/internal/thrift/thriftwire/bench_test.go
@@ -11,7 +11,7 @@
 	"ternbeam/internal/lab/formapi"
 )
 
-// benchCall returns a formCheck call as a kiosk sends it, with a form of size bytes.
+// benchCall returns a formCheck call as a client sends it, with a form of size bytes.
 func benchCall(b *testing.B, e Encoding, size int) []byte {
 	key, left := "7f3a9c21e0b4d655", int64(4800)
 	args := &formapi.FormServiceFormCheckArgs{Header: &formapi.Header{CorrelationId: "9b1f03aa5c7e2d41", Tenant: "leith",
--- a/internal/thrift/thriftwire/plan.go
+++ b/internal/thrift/thriftwire/plan.go
@@ -37,7 +37,7 @@
 const MaxDepth = 256
 
 // NewPlan returns a Plan for the fields with these paths. The path "1.4" means field 4 of the struct in field 1 of the message's struct. An empty
-// path stands for a field that is never found. Messages whose values nest deeper than maxDepth are malformed.
+// path denotes a field that is never found. Messages whose values nest deeper than maxDepth are malformed.
 func NewPlan(maxDepth int, paths ...string) (*Plan, error) {
 	if maxDepth < 1 || maxDepth > MaxDepth {
 		return nil, fmt.Errorf("depth %d is out of range, must be 1 to %d", maxDepth, MaxDepth)
