--- a/cmd/ternbeam/randomworld_test.go
+++ b/cmd/ternbeam/randomworld_test.go
@@ -275,7 +275,7 @@
 	return c.last
 }
 
-// timedListener accepts connections as timedConns.
+// timedListener accepts connections and wraps each in a timedConn.
 type timedListener struct{ *net.TCPListener }
 
 // Accept implements net.Listener.
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -240,8 +240,8 @@
 		}
 		return gone
 	}
-	// While a long body is being received, its reader detects a disconnect. A client that is gone at this point disconnected while an
-	// earlier request was handled, or long ago: there is nobody to forward this request for.
+	// While a long body is being received, its reader detects a disconnect. A client that has disconnected by now did
+	// so while an earlier request was handled, or long ago: nobody waits for the answer, so this request is not forwarded.
 	if !call.BodyPending && gone() {
 		f.core.CountAbandoned()
 		f.answerDisconnected(w, in)
@@ -326,7 +326,7 @@
 	}
 }
 
-// discard closes an answer that was not taken. If there is none yet, deliver discards it once the client has disconnected.
+// discard closes an answer that was not received. If there is none yet, deliver discards it once the client has disconnected.
 func (s answerSlot) discard() {
 	select {
 	case ans := <-s.answers:
@@ -352,7 +352,7 @@
 // singleHeaders lists the headers that may occur only once in a request.
 var singleHeaders = []string{"X-Correlation-Id", "X-Service-Class", "X-Account", "X-Time-Left", "Idempotency-Key"}
 
-// parse reads a request. It reads a short body completely; the rest of a long one is received after the core has taken the call.
+// parse reads a request. It reads a short body completely; the rest of a long one is received after the core has accepted the call.
 // Every error that it returns is the client's fault.
 func (f *Front) parse(in *http.Request, w http.ResponseWriter) (*core.Call, *incomingBody, error) {
 	call, wait, err := f.parseHead(in)
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -390,7 +390,7 @@
 	return netip.AddrPort{}, false
 }
 
-// mostPath limits the paths that are read from a process, in bytes.
+// maxPathBytes limits the paths that are read from a process, in bytes.
 const maxPathBytes = 4096
 
 // readPath reads a path from the memory of a stopped thread's process. It returns what can be read, which may be empty.
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -194,8 +194,8 @@
 	return min(32, c.Limits.Sockets/8)
 }
 
-// AllowsLongBodies reports whether bodies may be longer than 64 KiB and use every framing of HTTP/1.1. Without an operators'
-// listener the platform's rules are stricter: an answer that violates them is invalid, and another server can be tried at once.
+// AllowsLongBodies reports whether bodies may be longer than 64 KiB and use every framing of HTTP/1.1. Without an
+// operations address the platform's rules are stricter: an answer that violates them is invalid, and another server can be tried at once.
 func (c *Config) AllowsLongBodies() bool { return c.Ops != "" }
 
 // ConnectTimeout returns the timeout for dialing a backend.
