--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -273,8 +273,8 @@
 	return a.thrift.Listen
 }
 
-// Run serves until ctx is canceled, then answers the calls it has received and returns. On each value from reload it reads the
-// configuration again. It calls Listen first if the caller has not.
+// Run serves until ctx is canceled, then answers the calls it has received and returns. An error means that a listener could not
+// be opened or has failed. On each value from reload it reads the configuration again. It calls Listen first if the caller has not.
 func (a *Agent) Run(ctx context.Context, reload <-chan os.Signal) error {
 	if a.listeners == nil {
 		if _, err := a.Listen(); err != nil {
@@ -325,7 +325,7 @@
 		go func() { f.Stop(begin, plan); stopped <- struct{}{} }()
 	}
 	if a.stateStore != nil {
-		a.stateStore.Close() // immediately: an agent that shuts down too slowly is killed without further notice
+		a.stateStore.Close() // first, as the process may be killed before the fronts have stopped
 	}
 	for range fronts {
 		<-stopped
--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -31,11 +31,11 @@
 	claimPath string           // socket on which a replacing process claims the state; empty if this process can't be replaced
 	received  *takeover.Result // what the previous process handed over; nil if there was none
 
-	mu          sync.Mutex
-	concurrent  int           // other processes that serve at the same time
-	successors  int           // those of them that replace this one
-	reoffer     chan struct{} // signals that no successor is left, so this process offers its state again
-	subscribers map[*takeover.Link]*core.Subscriber
+	mu           sync.Mutex
+	concurrent   int           // other processes that serve at the same time
+	replacements int           // those of them that replace this one
+	reoffer      chan struct{} // signals that no replacing process is left, so this process offers its state again
+	subscribers  map[*takeover.Link]*core.Subscriber
 }
 
 // socketPath returns the path of the Unix socket in a folder. If the path is too long for a socket address, it opens the folder
@@ -135,12 +135,12 @@
 		case <-ctx.Done():
 			return
 		}
-		for ctx.Err() == nil { // again after a successor has exited: it took over the path, so nobody listens there now
+		for ctx.Err() == nil { // again after a replacing process has exited: it took over the path, so nobody listens there now
 			server := a.newTakeoverServer(ctx)
 			if server == nil {
 				return
 			}
-			go server.Serve(a.handOver, a.serveSuccessor)
+			go server.Serve(a.handOver, a.serveReplacement)
 			select {
 			case <-ctx.Done():
 			case <-a.handover.reoffer:
@@ -179,8 +179,8 @@
 	return s, a.listeners, err
 }
 
-// serveSuccessor exchanges updates with a process that replaces this one, until one of the two exits.
-func (a *Agent) serveSuccessor(l *takeover.Link) {
+// serveReplacement exchanges updates with a process that replaces this one, until one of the two exits.
+func (a *Agent) serveReplacement(l *takeover.Link) {
 	a.handover.mu.Lock()
 	next := a.handover.subscribers[l]
 	delete(a.handover.subscribers, l)
@@ -215,11 +215,11 @@
 // processesChanged updates the number of concurrent processes and the limits of this one: together they may use what one
 // process may use. Client connections are not limited this way: they belong to the same clients whichever process holds them,
 // and closing some would turn away clients that are about to send a call.
-func (a *Agent) processesChanged(concurrent, successors int) {
+func (a *Agent) processesChanged(concurrent, replacements int) {
 	a.handover.mu.Lock()
 	defer a.handover.mu.Unlock()
 	a.handover.concurrent += concurrent
-	a.handover.successors += successors
+	a.handover.replacements += replacements
 	parts := 1
 	if a.handover.concurrent > 0 {
 		parts = 2 // a third process starts only while the first shuts down
@@ -234,5 +234,5 @@
 func (a *Agent) replaced() bool {
 	a.handover.mu.Lock()
 	defer a.handover.mu.Unlock()
-	return a.handover.successors > 0
+	return a.handover.replacements > 0
 }
--- a/internal/host/conntrack/ends.go
+++ b/internal/host/conntrack/ends.go
@@ -44,33 +44,33 @@
 }
 
 // endCause returns why a connection was closed.
-func (v *entry) endCause() EndCause {
-	failure, cause := v.conn.lastError()
+func (e *entry) endCause() EndCause {
+	failure, cause := e.conn.lastError()
 	expired := errors.Is(failure, os.ErrDeadlineExceeded)
 	switch {
 	case expired && cause != NotEnded:
 		return cause
-	case v.queue == nil:
+	case e.queue == nil:
 		return EndedWithRequest
 	case !expired:
 		return EndedByClient
-	case v.queue == v.listener.tracker.fresh:
+	case e.queue == e.listener.tracker.fresh:
 		return EndedSilent
 	}
 	return EndedIdle
 }
 
 // recordEndLocked counts the end of a connection, and logs it if the agent itself ended a connection without a request.
-func (t *Tracker) recordEndLocked(v *entry, cause EndCause) {
+func (t *Tracker) recordEndLocked(e *entry, cause EndCause) {
 	t.stats.Ended[cause]++
-	if v.queue != nil && v.requestBegun() {
-		v.listener.unfinished.ended(v.conn, v.conn.receivedBytes.Load()-v.receivedBefore)
+	if e.queue != nil && e.requestBegun() {
+		e.listener.unfinished.ended(e.conn, e.conn.receivedBytes.Load()-e.receivedBefore)
 	}
 	if cause < EndedIdle {
 		return
 	}
-	v.listener.endings.add(slog.LevelInfo, func() []any {
-		return []any{"cause", cause.String(), "waited", time.Since(v.queuedAt).Round(time.Millisecond), "age", time.Since(v.acceptedAt).Round(time.Millisecond),
-			"received_bytes", v.conn.ReceivedBytes()}
+	e.listener.endings.add(slog.LevelInfo, func() []any {
+		return []any{"cause", cause.String(), "waited", time.Since(e.queuedAt).Round(time.Millisecond), "age", time.Since(e.acceptedAt).Round(time.Millisecond),
+			"received_bytes", e.conn.ReceivedBytes()}
 	})
 }
--- a/internal/host/conntrack/listener.go
+++ b/internal/host/conntrack/listener.go
@@ -20,14 +20,14 @@
 	ending       atomic.Bool
 	drainBy      time.Time   // when draining the accept queue ends at the latest; set by Accept
 	drainLatest  time.Time   // upper bound of drainBy, zero for none; set before ending
-	handedOver   atomic.Bool // the socket is left to another process, which accepts what is queued
+	handedOver   atomic.Bool // another process accepts on the socket, and takes what is queued
 	closed       chan struct{}
 	retrier      *accept.Retrier
 	socket       *accept.Socket               // accepts connections; nil if it could not be opened, and TCPListener accepts them
 	accept       func() (*net.TCPConn, error) // Accept of socket or of TCPListener, or a test's
 	readerCloses bool                         // readers close connections when their read deadline expires
 	unfinished   *countedLog                  // connections that ended with an unfinished request
-	unread       *countedLog                  // connections closed over unread data
+	unread       *countedLog                  // connections closed with unread data
 	failures     *countedLog                  // system calls that failed on established connections
 	endings      *countedLog                  // connections that the agent closed without a request
 
@@ -115,16 +115,16 @@
 	return net.ErrClosed
 }
 
-// CloseAfter stops accepting after lingering, once the accept queue is empty or at the latest maxQueueDrain later, and waits until then.
-// With lingering 0 it stops at once: another process shares the listening socket and accepts what is queued. If end is not zero, accepting
+// CloseAfter stops accepting after acceptFor, once the accept queue is empty or at the latest maxQueueDrain later, and waits until then.
+// With acceptFor 0 it stops at once: another process shares the listening socket and accepts what is queued. If end is not zero, accepting
 // stops early enough for the last connection to be answered by end.
-func (l *Listener) CloseAfter(lingering time.Duration, end time.Time) {
+func (l *Listener) CloseAfter(acceptFor time.Duration, end time.Time) {
 	if !end.IsZero() {
 		l.drainLatest = end.Add(-AnswerWriteTime - SilentGrace)
 	}
-	l.handedOver.Store(lingering == 0)
+	l.handedOver.Store(acceptFor == 0)
 	l.ending.Store(true)
-	l.SetDeadline(time.Now().Add(lingering))
+	l.SetDeadline(time.Now().Add(acceptFor))
 	<-l.closed
 }
 
@@ -140,9 +140,9 @@
 	l.tracker.mu.Lock()
 	defer l.tracker.unlock()
 	for _, from := range []*list.List{l.tracker.fresh, l.tracker.idle} {
-		l.eachLocked(from, func(v *entry) {
+		l.eachLocked(from, func(e *entry) {
 			l.tracker.stats.EndedPartial++
-			l.tracker.shutDownLocked(v)
+			l.tracker.shutDownLocked(e)
 		})
 	}
 }
@@ -158,24 +158,24 @@
 
 // closeWithoutDataLocked closes the listener's connections in a queue that have received no part of a request, and counts them.
 func (l *Listener) closeWithoutDataLocked(from *list.List, ended *int) {
-	l.eachLocked(from, func(v *entry) {
-		if v.requestBegun() {
+	l.eachLocked(from, func(e *entry) {
+		if e.requestBegun() {
 			l.tracker.stats.KeptPartial++
 			return
 		}
 		*ended++
-		l.tracker.shutDownLocked(v)
+		l.tracker.shutDownLocked(e)
 	})
 }
 
 // eachLocked calls do with each of the listener's connections in a queue. Do may remove the connection from it.
 func (l *Listener) eachLocked(from *list.List, do func(*entry)) {
-	for e := from.Front(); e != nil; {
-		next := e.Next()
-		if v := e.Value.(*entry); v.listener == l {
-			do(v)
+	for element := from.Front(); element != nil; {
+		next := element.Next()
+		if e := element.Value.(*entry); e.listener == l {
+			do(e)
 		}
-		e = next
+		element = next
 	}
 }
 
--- a/internal/host/conntrack/room.go
+++ b/internal/host/conntrack/room.go
@@ -66,9 +66,9 @@
 	if len(t.conns) < t.maxConns+t.yielding {
 		return 0
 	}
-	for e := t.fresh.Front(); e != nil; e = e.Next() {
-		if v := e.Value.(*entry); !v.yielding && !v.requestBegun() {
-			return freshGrace - t.now().Sub(v.acceptedAt)
+	for element := t.fresh.Front(); element != nil; element = element.Next() {
+		if e := element.Value.(*entry); !e.yielding && !e.requestBegun() {
+			return freshGrace - t.now().Sub(e.acceptedAt)
 		}
 	}
 	return 0
@@ -85,13 +85,13 @@
 func (t *Tracker) endSurplusIdleLocked() {
 	next := t.idle.Front()
 	for surplus := t.idle.Len() - t.maxConns/idleShareDivisor; surplus > 0 && next != nil && t.yielding < maxYielding; surplus-- {
-		v := next.Value.(*entry)
-		if t.now().Sub(v.queuedAt) < surplusIdleAfter {
+		e := next.Value.(*entry)
+		if t.now().Sub(e.queuedAt) < surplusIdleAfter {
 			return
 		}
 		next = next.Next()
-		if !v.requestBegun() {
-			t.yieldLocked(v, EndedIdle)
+		if !e.requestBegun() {
+			t.yieldLocked(e, EndedIdle)
 		}
 	}
 }
@@ -100,12 +100,12 @@
 // only if there is no other. A connection whose request was read, but not yet reported by MarkBusy, is never closed.
 func (t *Tracker) makeRoomLocked(newest *entry) {
 	now := t.now()
-	for _, eligible := range []func(v *entry) bool{
-		func(v *entry) bool { return !v.requestBegun() },
-		func(v *entry) bool { return now.Sub(v.conn.lastReceived()) > partialRequestStaleAfter },
+	for _, eligible := range []func(e *entry) bool{
+		func(e *entry) bool { return !e.requestBegun() },
+		func(e *entry) bool { return now.Sub(e.conn.lastReceived()) > partialRequestStaleAfter },
 	} {
 		for _, from := range []*list.List{t.fresh, t.idle} {
-			if t.yieldOneLocked(from, func(v *entry) bool { return v != newest && eligible(v) }) {
+			if t.yieldOneLocked(from, func(e *entry) bool { return e != newest && eligible(e) }) {
 				return
 			}
 		}
@@ -117,21 +117,21 @@
 
 // yieldOneLocked closes the first eligible connection of a queue that has no unread data. It reports whether no other connection needs to be
 // closed: one whose client has disconnected frees its slot as well, and one whose state the system can't tell may be such a connection.
-func (t *Tracker) yieldOneLocked(from *list.List, eligible func(v *entry) bool) (done bool) {
+func (t *Tracker) yieldOneLocked(from *list.List, eligible func(e *entry) bool) (done bool) {
 	unknown := false
-	for e := from.Front(); e != nil; e = e.Next() {
-		v := e.Value.(*entry)
-		if v.yielding || !eligible(v) {
+	for element := from.Front(); element != nil; element = element.Next() {
+		e := element.Value.(*entry)
+		if e.yielding || !eligible(e) {
 			continue
 		}
-		switch v.conn.unread() {
+		switch e.conn.unread() {
 		case peek.UnreadEnd:
-			t.startYieldingLocked(v)
+			t.startYieldingLocked(e)
 			return true
 		case peek.UnreadUnknown:
 			unknown = true
 		case peek.UnreadNothing:
-			if t.yieldLocked(v, EndedForRoom) {
+			if t.yieldLocked(e, EndedForRoom) {
 				t.stats.ClosedForRoom++
 				return true
 			}
@@ -142,31 +142,31 @@
 
 // yieldLocked closes a connection without a request whose slot is needed. If readers close connections, its reader does: only the reader
 // knows whether it has read a request from the kernel that is not recorded yet.
-func (t *Tracker) yieldLocked(v *entry, cause EndCause) bool {
-	if !v.listener.readerCloses {
-		return !v.requestBegun() && t.closeLocked(v, cause)
+func (t *Tracker) yieldLocked(e *entry, cause EndCause) bool {
+	if !e.listener.readerCloses {
+		return !e.requestBegun() && t.closeLocked(e, cause)
 	}
-	if !v.conn.HasNoUnread() {
+	if !e.conn.HasNoUnread() {
 		return false
 	}
-	v.unqueueLocked()
-	t.startYieldingLocked(v)
-	v.conn.end(cause)
+	e.unqueueLocked()
+	t.startYieldingLocked(e)
+	e.conn.end(cause)
 	return true
 }
 
 // startYieldingLocked marks a connection as yielding: its reader is about to close it.
-func (t *Tracker) startYieldingLocked(v *entry) {
-	v.yielding = true
+func (t *Tracker) startYieldingLocked(e *entry) {
+	e.yielding = true
 	t.yielding++
 }
 
 // doneYieldingLocked unmarks a connection as yielding: it has been closed, or has received a request after all.
-func (t *Tracker) doneYieldingLocked(v *entry) {
-	if !v.yielding {
+func (t *Tracker) doneYieldingLocked(e *entry) {
+	if !e.yielding {
 		return
 	}
-	v.yielding = false
+	e.yielding = false
 	t.yielding--
 	select {
 	case t.yielded <- struct{}{}:
@@ -176,13 +176,13 @@
 
 // closeLocked removes a connection and schedules it for closing by unlock, unless data has been received on it. It must not be called for
 // connections that are read in any way but by ReadNow.
-func (t *Tracker) closeLocked(v *entry, cause EndCause) bool {
-	if !v.conn.stopReading(v.receivedBefore) {
+func (t *Tracker) closeLocked(e *entry, cause EndCause) bool {
+	if !e.conn.stopReading(e.receivedBefore) {
 		return false
 	}
-	t.closing = append(t.closing, v.conn)
-	t.recordEndLocked(v, cause)
-	t.removeLocked(v)
+	t.closing = append(t.closing, e.conn)
+	t.recordEndLocked(e, cause)
+	t.removeLocked(e)
 	return true
 }
 
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -75,7 +75,7 @@
 	Ended EndCounts // closed connections by cause
 
 	ClosedUnfinished int // closed with a partly received request
-	ClosedUnread     int // closed over unread data
+	ClosedUnread     int // closed with unread data
 	CallsFailed      int // system calls that failed on established connections, and were retried
 	Dropped          int // requests that were read after the Tracker had closed their connection
 }
@@ -103,7 +103,7 @@
 }
 
 // requestBegun reports whether any data of a request has been received since the connection was queued.
-func (v *entry) requestBegun() bool { return v.conn.receivedBytes.Load() > v.receivedBefore }
+func (e *entry) requestBegun() bool { return e.conn.receivedBytes.Load() > e.receivedBefore }
 
 // New returns a Tracker with a maximum number of connections.
 func New(maxConns int) *Tracker {
@@ -111,25 +111,25 @@
 }
 
 // add registers an accepted connection, and closes others if there are too many.
-func (t *Tracker) add(v *entry) {
+func (t *Tracker) add(e *entry) {
 	t.awaitYielding()
-	t.awaitFreshGrace(v.conn)
+	t.awaitFreshGrace(e.conn)
 	t.mu.Lock()
 	defer t.unlock()
-	t.conns[v.conn] = v
-	v.acceptedAt = t.now()
+	t.conns[e.conn] = e
+	e.acceptedAt = t.now()
 	t.stats.Accepted++
-	v.listener.count++
-	t.enqueueLocked(v, t.fresh)
+	e.listener.count++
+	t.enqueueLocked(e, t.fresh)
 	t.endSurplusIdleLocked()
 	if len(t.conns) > t.maxConns {
-		t.makeRoomLocked(v)
+		t.makeRoomLocked(e)
 	}
 }
 
 // enqueueLocked puts a connection into a queue of connections without a request.
-func (t *Tracker) enqueueLocked(v *entry, queue *list.List) {
-	v.queue, v.element, v.receivedBefore, v.queuedAt = queue, queue.PushBack(v), v.conn.receivedBytes.Load(), t.now()
+func (t *Tracker) enqueueLocked(e *entry, queue *list.List) {
+	e.queue, e.element, e.receivedBefore, e.queuedAt = queue, queue.PushBack(e), e.conn.receivedBytes.Load(), t.now()
 }
 
 // MarkBusy records that a request was read from a connection. It returns false if the Tracker has closed the connection: the caller must
@@ -137,21 +137,21 @@
 func (t *Tracker) MarkBusy(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.conns[c]
-	if v == nil {
+	e := t.conns[c]
+	if e == nil {
 		t.stats.Dropped++
 		return false
 	}
-	t.doneYieldingLocked(v)
-	v.unqueueLocked()
+	t.doneYieldingLocked(e)
+	e.unqueueLocked()
 	return true
 }
 
 // unqueueLocked removes a connection from its queue.
-func (v *entry) unqueueLocked() {
-	if v.queue != nil {
-		v.queue.Remove(v.element)
-		v.queue, v.element = nil, nil
+func (e *entry) unqueueLocked() {
+	if e.queue != nil {
+		e.queue.Remove(e.element)
+		e.queue, e.element = nil, nil
 	}
 }
 
@@ -159,13 +159,13 @@
 func (t *Tracker) MarkIdle(c net.Conn) {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.conns[c]
-	if v == nil || v.queue != nil {
+	e := t.conns[c]
+	if e == nil || e.queue != nil {
 		return
 	}
-	t.enqueueLocked(v, t.idle)
-	if v.listener.closeIdle {
-		t.shutDownLocked(v)
+	t.enqueueLocked(e, t.idle)
+	if e.listener.closeIdle {
+		t.shutDownLocked(e)
 		return
 	}
 	t.endSurplusIdleLocked()
@@ -178,38 +178,38 @@
 func (t *Tracker) AwaitsRequest(c net.Conn) bool {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.conns[c]
-	return v != nil && v.queue != nil
+	e := t.conns[c]
+	return e != nil && e.queue != nil
 }
 
 // MarkClosed records that a connection was closed. Connections that are not tracked are ignored.
 func (t *Tracker) MarkClosed(c net.Conn) {
 	t.mu.Lock()
 	defer t.unlock()
-	v := t.conns[c]
-	if v == nil {
+	e := t.conns[c]
+	if e == nil {
 		return
 	}
-	t.recordEndLocked(v, v.endCause())
-	t.removeLocked(v)
+	t.recordEndLocked(e, e.endCause())
+	t.removeLocked(e)
 }
 
-func (t *Tracker) removeLocked(v *entry) {
-	t.doneYieldingLocked(v)
-	v.unqueueLocked()
-	delete(t.conns, v.conn)
-	if v.listener.count--; v.listener.count == 0 && v.listener.emptied != nil {
-		close(v.listener.emptied)
-		v.listener.emptied = nil
+func (t *Tracker) removeLocked(e *entry) {
+	t.doneYieldingLocked(e)
+	e.unqueueLocked()
+	delete(t.conns, e.conn)
+	if e.listener.count--; e.listener.count == 0 && e.listener.emptied != nil {
+		close(e.listener.emptied)
+		e.listener.emptied = nil
 	}
 }
 
 // shutDownLocked closes a connection because its listener shuts down.
-func (t *Tracker) shutDownLocked(v *entry) {
-	if !v.listener.readerCloses {
-		t.closeLocked(v, EndedForShutdown)
-	} else if v.conn.HasNoUnread() {
-		v.conn.end(EndedForShutdown)
+func (t *Tracker) shutDownLocked(e *entry) {
+	if !e.listener.readerCloses {
+		t.closeLocked(e, EndedForShutdown)
+	} else if e.conn.HasNoUnread() {
+		e.conn.end(EndedForShutdown)
 	}
 }
 
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -1,5 +1,5 @@
 // Package core runs the decision module for all protocols. It accepts calls from the fronts, executes the attempts that
-// the module orders through the transports, and returns the final answers. It makes no decisions itself and is
+// the module requests through the transports, and returns the final answers. It makes no decisions itself and is
 // independent of how calls and answers are encoded.
 package core
 
@@ -29,7 +29,7 @@
 // ErrCanceled is the cancellation cause of an attempt's context when the module cancels the attempt.
 var ErrCanceled = errors.New("canceled by the decision module")
 
-// Types of the ledger that fronts and transports use.
+// Types of package calltrack that fronts and transports use.
 type (
 	Call           = calltrack.Call
 	Answer         = calltrack.Answer
@@ -47,7 +47,7 @@
 	Untranslatable = calltrack.Untranslatable // the call could not be translated
 )
 
-// Ended returns an Ending that has a result and no answer.
+// ResultOnly returns an AttemptOutcome that has a result and no answer.
 func ResultOnly(r choice.Result) AttemptOutcome { return calltrack.ResultOnly(r) }
 
 // Transport makes attempts at servers of one protocol. Attempt returns when the attempt or its context has ended; the
@@ -76,26 +76,26 @@
 	Inherited     *InheritedState        // state of the process that this one replaces; nil if there is none
 }
 
-// Core is one client-side balancer, which hosts a Ledger. One goroutine, the event loop, owns the Ledger and the timers;
+// Core is one client-side balancer, which hosts a calltrack.Tracker. One goroutine, the event loop, owns the Tracker and the timers;
 // everything else posts events to it.
 type Core struct {
-	set           Settings
-	log           *slog.Logger
-	events        chan func()
-	urgent        chan func() // takes precedence over events: operator commands and lists, which do not wait behind queued calls
-	workers       workers
-	abandoned     atomic.Int64                   // calls whose clients disconnected before the calls could be submitted
-	malformed     atomic.Int64                   // calls that a front could not read; the loop never sees them
-	ready         chan struct{}                  // closed when clients may send calls
-	onAnswerBegun func(*Attempt, AttemptOutcome) // shared by all attempts
-	figures       atomic.Pointer[Figures]
-	forwards      atomic.Int64 // attempts whose message was written completely
-	clockSteps    clock.Steps  // of the wall clock
+	set          Settings
+	log          *slog.Logger
+	events       chan func()
+	urgent       chan func() // takes precedence over events: operator commands and lists, which do not wait behind queued calls
+	workers      workers
+	unsubmitted  atomic.Int64                   // calls whose clients disconnected before the calls could be submitted
+	malformed    atomic.Int64                   // calls that a front could not read; the loop never sees them
+	ready        chan struct{}                  // closed when clients may send calls
+	onRelayStart func(*Attempt, AttemptOutcome) // shared by all attempts
+	figures      atomic.Pointer[Figures]
+	forwards     atomic.Int64 // attempts whose message was written completely
+	clockSteps   clock.Steps  // of the wall clock
 
 	undelivered *undeliveredLog // answers that did not reach their clients
 
 	// The following fields are used by the event loop only.
-	ledger       *calltrack.Tracker
+	tracker      *calltrack.Tracker
 	requests     *requestLog
 	timers       timerHeap
 	discovery    string               // address of the list service being watched
@@ -104,7 +104,7 @@
 	learnedClock func() learned.Clock // nil if no learned state was restored
 	publishedAt  time.Duration        // when the figures were last published
 	list         discovery.List       // the current list
-	subscribers  map[*Subscriber]bool // other processes of this agent, which are sent this one's news
+	subscribers  map[*Subscriber]bool // other processes of this agent, which are sent this one's updates
 }
 
 // New returns a Core; Run starts it. An error means that the module rejects its settings.
@@ -114,13 +114,13 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	requests := newRequestLog(set.Log, set.Module.Classes)
-	callLedger := calltrack.New(calltrack.Settings{Classes: len(set.Module.Classes), Observe: func(r calltrack.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MaxUnanswered: set.MaxUnanswered,
+	tracker := calltrack.New(calltrack.Settings{Classes: len(set.Module.Classes), Observe: func(r calltrack.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MaxUnanswered: set.MaxUnanswered,
 		HasTransport: func(needs choice.Protocols) bool { return set.Transports[needs] != nil }, OnIllegalStep: set.OnIllegalStep, Routes: set.Routes,
 		Places: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Pacing.Me, Seed: set.Seed})}, balancer)
 	c := &Core{set: set, log: set.Log, events: make(chan func(), 1024), urgent: make(chan func()), workers: newWorkers(), ready: make(chan struct{}),
-		ledger: callLedger, requests: requests, undelivered: newUndeliveredLog(set.Log), subscribers: map[*Subscriber]bool{}}
-	c.onAnswerBegun = func(at *Attempt, e AttemptOutcome) {
-		c.post(func() { c.execute(c.ledger.RelayStarted(c.Now(), at, e)) })
+		tracker: tracker, requests: requests, undelivered: newUndeliveredLog(set.Log), subscribers: map[*Subscriber]bool{}}
+	c.onRelayStart = func(at *Attempt, e AttemptOutcome) {
+		c.post(func() { c.execute(c.tracker.RelayStarted(c.Now(), at, e)) })
 	}
 	c.publish() // so that Figures never returns nil
 	return c, nil
@@ -132,8 +132,8 @@
 // ReplaceRoutes replaces the table of shapes and returns once the new one is in use.
 func (c *Core) ReplaceRoutes(ctx context.Context, t *routes.Table) error {
 	result, err := query(ctx, c, func() error {
-		orders, err := c.ledger.ReplaceRoutes(c.Now(), t)
-		c.execute(orders)
+		commands, err := c.tracker.ReplaceRoutes(c.Now(), t)
+		c.execute(commands)
 		return err
 	})
 	return cmp.Or(err, result)
@@ -159,31 +159,31 @@
 func (c *Core) BeginShutdown(signaled, answerBy time.Time) {
 	c.post(func() {
 		c.requests.shutdownAt = clock.FromTime(signaled)
-		c.execute(c.ledger.Shutdown(c.Now(), clock.FromTime(answerBy)))
+		c.execute(c.tracker.Shutdown(c.Now(), clock.FromTime(answerBy)))
 	})
 }
 
 // Submit accepts a call from a front. The call gets exactly one final answer, unless its client disconnects.
 func (c *Core) Submit(call *Call) {
-	c.post(func() { c.execute(c.ledger.CallArrived(c.Now(), call)) })
+	c.post(func() { c.execute(c.tracker.CallArrived(c.Now(), call)) })
 }
 
-// RequestReceived records that the last byte of a call that was still being received has arrived. Left is the time until its client
+// RequestReceived records that the last byte of a call that was still being received has arrived. left is the time until its client
 // gives up.
 func (c *Core) RequestReceived(call *Call, left time.Duration) {
 	deadline := c.Now() + left
-	c.post(func() { c.execute(c.ledger.RequestComplete(c.Now(), call, deadline)) })
+	c.post(func() { c.execute(c.tracker.RequestComplete(c.Now(), call, deadline)) })
 }
 
 // ClientDisconnected records that the client of a call has disconnected and no longer expects an answer. From this moment on nothing
 // more is sent for the call, however many events are queued before this one.
 func (c *Core) ClientDisconnected(call *Call) {
 	call.MarkDisconnected()
-	c.post(func() { c.execute(c.ledger.ClientDisconnected(c.Now(), call)) })
+	c.post(func() { c.execute(c.tracker.ClientDisconnected(c.Now(), call)) })
 }
 
 // CountAbandoned counts a call whose client disconnected before the call could be submitted.
-func (c *Core) CountAbandoned() { c.abandoned.Add(1) }
+func (c *Core) CountAbandoned() { c.unsubmitted.Add(1) }
 
 // CountMalformed counts a call that a front could not read.
 func (c *Core) CountMalformed() { c.malformed.Add(1) }
@@ -201,18 +201,18 @@
 // Run runs the event loop until ctx ends: it handles one event at a time, and timers when they are due.
 func (c *Core) Run(ctx context.Context) {
 	if c.set.Feed != nil {
-		c.execute(c.ledger.Start(c.Now()))
+		c.execute(c.tracker.Start(c.Now()))
 		c.startFeed(ctx)
 	} else {
 		c.switchDiscovery(ctx, c.set.Discovery, c.set.InitialList)
-		c.execute(c.ledger.Start(c.Now()))
+		c.execute(c.tracker.Start(c.Now()))
 		c.inheritOperatorState()
 		c.applyList(c.set.InitialList)
 		c.inheritLearned()
 		go c.startWatch()
 	}
 	wait := firstListTimeout
-	if c.set.Pacing.Shared && c.ledger.ServerCount() == 0 {
+	if c.set.Pacing.Shared && c.tracker.ServerCount() == 0 {
 		wait = emptyListTimeout
 	}
 	first := time.AfterFunc(wait, func() { c.post(c.markReady) })
@@ -234,7 +234,7 @@
 		}
 		for len(c.timers) > 0 && c.timers[0].at <= c.Now() {
 			t := heap.Pop(&c.timers).(timer)
-			c.execute(c.ledger.TimerFired(c.Now(), t.token))
+			c.execute(c.tracker.TimerFired(c.Now(), t.token))
 		}
 		if len(c.timers) > 0 {
 			due.Reset(c.timers[0].at - c.Now())
@@ -283,9 +283,9 @@
 func (c *Core) Snapshot() Snapshot {
 	taken := make(chan Snapshot, 1)
 	c.post(func() {
-		open, held := c.ledger.Count()
-		s := Snapshot{Stats: c.ledger.Stats(), Malformed: c.malformed.Load(), Open: open, Held: held, Timers: len(c.timers),
-			Servers: c.ledger.Servers()}
+		open, held := c.tracker.Count()
+		s := Snapshot{Stats: c.tracker.Stats(), Malformed: c.malformed.Load(), Open: open, Held: held, Timers: len(c.timers),
+			Servers: c.tracker.Servers()}
 		taken <- s
 	})
 	return <-taken
@@ -302,8 +302,8 @@
 	if step := c.clockSteps.Read(); step != 0 {
 		c.log.Warn("the wall clock was stepped", "by", step)
 	}
-	s := c.ledger.Stats()
-	open, held := c.ledger.Count()
+	s := c.tracker.Stats()
+	open, held := c.tracker.Count()
 	connections, _, waiting := c.set.Pool.Count()
 	if c.set.Routes != nil {
 		c.log.Info("shapes", "translated", s.Translated, "unfit", s.UntranslatableCalls, "unknown", s.UnknownShapes, "untold", s.UntranslatableReplies)
@@ -314,30 +314,30 @@
 			"closed_unread", s.ClosedUnread, "requests_dropped", s.Dropped, "calls_failed", s.CallsFailed, "ended", s.Ended.String())
 	}
 	c.log.Info("counts", "requests", s.Requests, "served", s.Served, "refused", s.Refused, "failed", s.Failed,
-		"gone", s.Disconnected, "abandoned", c.abandoned.Load(), "malformed", c.malformed.Load(), "undelivered", c.undelivered.count.Load(), "attempts", s.Attempts, "reports", s.Reports,
-		"results", resultsText(s.Results[:]), "reasons", reasonsText(c.ledger.ReasonCounts()), "open", open, "held", held, "timers", len(c.timers),
-		"backends", c.ledger.ServerCount(), "connections", connections, "waiting", waiting)
+		"gone", s.Disconnected, "abandoned", c.unsubmitted.Load(), "malformed", c.malformed.Load(), "undelivered", c.undelivered.count.Load(), "attempts", s.Attempts, "reports", s.Reports,
+		"results", resultsText(s.Results[:]), "reasons", reasonsText(c.tracker.ReasonCounts()), "open", open, "held", held, "timers", len(c.timers),
+		"backends", c.tracker.ServerCount(), "connections", connections, "waiting", waiting)
 }
 
-// execute carries out the ledger's orders, one after the other.
-func (c *Core) execute(orders []calltrack.Command) {
-	for _, o := range orders {
-		switch o.Kind {
+// execute carries out the Tracker's commands, one after the other.
+func (c *Core) execute(commands []calltrack.Command) {
+	for _, command := range commands {
+		switch command.Kind {
 		case calltrack.SetTimer:
-			heap.Push(&c.timers, timer{at: o.At, token: o.Token})
+			heap.Push(&c.timers, timer{at: command.At, token: command.Token})
 		case calltrack.StartAttempt:
-			c.startAttempt(o.Attempt)
+			c.startAttempt(command.Attempt)
 		case calltrack.CancelAttempt:
-			o.Attempt.Cancel(ErrCanceled)
+			command.Attempt.Cancel(ErrCanceled)
 		case calltrack.Reply:
-			o.Call.Answer(o.Answer)
+			command.Call.Answer(command.Answer)
 		case calltrack.RetireServer:
-			c.set.Pool.Retire(o.Server)
+			c.set.Pool.Retire(command.Server)
 		case calltrack.ShortenDeadline:
-			withdraw := o.Attempt.Cancel
-			time.AfterFunc(o.At-c.Now(), func() { withdraw(context.DeadlineExceeded) })
+			cancel := command.Attempt.Cancel
+			time.AfterFunc(command.At-c.Now(), func() { cancel(context.DeadlineExceeded) })
 		case calltrack.DiscardReply:
-			if r, ok := o.Reply.(io.Closer); ok {
+			if r, ok := command.Reply.(io.Closer); ok {
 				r.Close()
 			}
 		}
@@ -347,17 +347,17 @@
 // startAttempt makes an attempt on a worker goroutine.
 func (c *Core) startAttempt(at *Attempt) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	at.Cancel, at.ForwardedCount, at.OnRelayStart = cancel, &c.forwards, c.onAnswerBegun
+	at.Cancel, at.ForwardedCount, at.OnRelayStart = cancel, &c.forwards, c.onRelayStart
 	if at.SendBy != 0 {
 		at.WriteBy = clock.ToTime(at.SendBy)
 	}
 	transport, end := c.set.Transports[at.Speaks], clock.ToTime(at.Deadline)
 	c.workers.run(func() {
 		ctx, stop := context.WithDeadline(ctx, end)
-		ending := transport.Attempt(ctx, at)
+		outcome := transport.Attempt(ctx, at)
 		stop()
 		cancel(nil)
-		c.post(func() { c.execute(c.ledger.AttemptEnded(c.Now(), at, ending)) })
+		c.post(func() { c.execute(c.tracker.AttemptEnded(c.Now(), at, outcome)) })
 	})
 }
 
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -8,7 +8,7 @@
 	"ternbeam/internal/decide/handover"
 )
 
-// publishInterval is the maximum age of published figures, unless the machine itself is suspended.
+// publishInterval is the maximum age of published figures, unless the process is suspended.
 const publishInterval = 100 * time.Millisecond
 
 // Figures are metrics for operators, all taken at one moment. They are immutable.
@@ -24,14 +24,14 @@
 
 // publish publishes the current figures.
 func (c *Core) publish() {
-	open, _ := c.ledger.Count()
-	f := &Figures{Classes: c.ledger.Stats().Classes, Outstanding: open + c.ledger.RelayingCount()}
-	f.Discovered, f.Ejected = c.ledger.FleetCounts()
+	open, _ := c.tracker.Count()
+	f := &Figures{Classes: c.tracker.Stats().Classes, Outstanding: open + c.tracker.RelayingCount()}
+	f.Discovered, f.Ejected = c.tracker.FleetCounts()
 	c.publishedAt = c.Now()
 	c.figures.Store(f)
 }
 
-// Offline takes a server out of service until Online is called. Once it returns, no new attempt is started at the server. Known is
+// Offline takes a server out of service until Online is called. Once it returns, no new attempt is started at the server. known is
 // false if there is no such server. An error means that ctx ended first.
 func (c *Core) Offline(ctx context.Context, id string) (known bool, err error) {
 	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Offline, handover.Update{Offline: id})
@@ -43,12 +43,12 @@
 }
 
 func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*calltrack.Tracker, time.Duration, string) ([]calltrack.Command, bool),
-	news handover.Update) (known bool, err error) {
+	update handover.Update) (known bool, err error) {
 	return queryUrgent(ctx, c, func() bool {
-		orders, known := how(c.ledger, c.Now(), id)
-		c.execute(orders)
+		commands, known := how(c.tracker, c.Now(), id)
+		c.execute(commands)
 		if known {
-			c.notifySubscribers(news, nil)
+			c.notifySubscribers(update, nil)
 		}
 		c.publish()
 		return known
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -16,10 +16,10 @@
 // RestoreLearned hands the event loop what an earlier process had learned. It is called before clients connect.
 func (c *Core) RestoreLearned(past *aging.Restored, clock func() learned.Clock) {
 	c.post(func() {
-		c.ledger.LoadPast(past)
+		c.tracker.LoadPast(past)
 		c.learnedClock = clock
 		c.recall()
-		time.AfterFunc(recallPeriod, func() { c.post(c.ledger.DropPast) })
+		time.AfterFunc(recallPeriod, func() { c.post(c.tracker.DropPast) })
 	})
 }
 
@@ -28,22 +28,22 @@
 	if c.learnedClock == nil {
 		return
 	}
-	n, worked := c.ledger.Recall(c.Now(), c.learnedClock())
+	n, worked := c.tracker.Recall(c.Now(), c.learnedClock())
 	c.set.Pool.RestoreWorking(worked)
 	if n+len(worked) > 0 {
-		c.log.Info("learned: recalled", "servers", n, "addresses", len(worked), "of", c.ledger.ServerCount())
+		c.log.Info("learned: recalled", "servers", n, "addresses", len(worked), "of", c.tracker.ServerCount())
 	}
 }
 
 // View returns the module's count of what it has learned, the number of servers, and the load.
 func (c *Core) View(ctx context.Context) (writepolicy.View, error) {
 	return query(ctx, c, func() writepolicy.View {
-		open, _ := c.ledger.Count()
+		open, _ := c.tracker.Count()
 		load := 0.0
 		if most := c.set.MaxUnanswered; most > 0 {
 			load = float64(open) / float64(most)
 		}
-		return writepolicy.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount(), Load: load}
+		return writepolicy.View{Updates: c.tracker.News(), Servers: c.tracker.ServerCount(), Load: load}
 	})
 }
 
@@ -51,8 +51,8 @@
 // writing to it.
 func (c *Core) Export(ctx context.Context, into *calltrack.Learned) (writepolicy.View, error) {
 	return query(ctx, c, func() writepolicy.View {
-		c.ledger.Export(c.Now(), into, c.set.Pool.LastWorking)
-		return writepolicy.View{Updates: c.ledger.News(), Servers: c.ledger.ServerCount()}
+		c.tracker.Export(c.Now(), into, c.set.Pool.LastWorking)
+		return writepolicy.View{Updates: c.tracker.News(), Servers: c.tracker.ServerCount()}
 	})
 }
 
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -20,10 +20,10 @@
 func (c *Core) startFeed(ctx context.Context) {
 	go c.set.Feed(ctx, func(changes []calltrack.Entry) {
 		c.postUrgent(ctx, func() {
-			c.execute(c.ledger.UpdateServers(c.Now(), false, changes))
+			c.execute(c.tracker.UpdateServers(c.Now(), false, changes))
 			c.recall()
 			c.markReady()
-			c.log.Info("list", "changes", len(changes), "backends", c.ledger.ServerCount())
+			c.log.Info("list", "changes", len(changes), "backends", c.tracker.ServerCount())
 		})
 	})
 }
@@ -85,8 +85,8 @@
 			draining = append(draining, e.ID)
 		}
 	}
-	c.execute(c.ledger.UpdateServers(c.Now(), l.Full, entries))
+	c.execute(c.tracker.UpdateServers(c.Now(), l.Full, entries))
 	c.recall()
-	c.log.Info("list", "version", l.Version, "full", l.Full, "entries", len(l.Servers), "backends", c.ledger.ServerCount(),
+	c.log.Info("list", "version", l.Version, "full", l.Full, "entries", len(l.Servers), "backends", c.tracker.ServerCount(),
 		"draining", len(draining), "draining_ids", strings.Join(draining[:min(len(draining), maxLoggedServers)], " "))
 }
--- a/internal/host/core/list_test.go
+++ b/internal/host/core/list_test.go
@@ -75,10 +75,10 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCore(t, "127.0.0.1:1")
 			c.applyList(discovery.List{Full: true, Servers: []discovery.Entry{e}})
-			old, next := c.ledger.Server("b"), e
+			old, next := c.tracker.Server("b"), e
 			change(&next)
 			c.applyList(discovery.List{Servers: []discovery.Entry{next}})
-			now := c.ledger.Server("b")
+			now := c.tracker.Server("b")
 			if kept := now == old; kept != (name == "nothing") || old.Retired() == kept {
 				t.Errorf("same server: %t, old one retired: %t", kept, old.Retired())
 			}
@@ -97,7 +97,7 @@
 		{ID: "b", Addr: "127.0.0.1:1", State: "in_service", Multiplexed: true},
 		{ID: "c", Addr: "nowhere", State: "in_service"},
 		{ID: "d", Addr: "127.0.0.1:1", State: "in_service", Protocol: "thrift-compact", Multiplexed: true}}})
-	if s := c.ledger.Server("d"); len(c.ledger.Servers()) != 1 || s == nil || s.Speaks != protocol.ThriftCompact || !s.Multiplexed {
-		t.Errorf("servers %v, want only d", c.ledger.Servers())
+	if s := c.tracker.Server("d"); len(c.tracker.Servers()) != 1 || s == nil || s.Speaks != protocol.ThriftCompact || !s.Multiplexed {
+		t.Errorf("servers %v, want only d", c.tracker.Servers())
 	}
 }
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -18,13 +18,13 @@
 	Learned   *choice.Memory
 }
 
-// Subscriber is another process of this agent, which receives this process's news while both are serving.
+// Subscriber is another process of this agent, which receives this process's updates while both are serving.
 type Subscriber struct{ notify func(handover.Update) }
 
 // inheritOperatorState restores the operators' commands. It runs before any server becomes available to calls.
 func (c *Core) inheritOperatorState() {
 	if c.set.Inherited != nil {
-		c.execute(c.ledger.RestoreOverrides(c.Now(), c.set.Inherited.Overrides))
+		c.execute(c.tracker.RestoreOverrides(c.Now(), c.set.Inherited.Overrides))
 	}
 }
 
@@ -34,24 +34,24 @@
 		return
 	}
 	if c.set.Inherited.Learned != nil {
-		c.ledger.RestoreLearned(c.Now(), *c.set.Inherited.Learned)
+		c.tracker.RestoreLearned(c.Now(), *c.set.Inherited.Learned)
 	}
 	c.set.Inherited = nil
 	c.markReady()
 }
 
-// HandOver returns the state that a replacing process starts with. From that moment on notify is called with all news that this
+// HandOver returns the state that a replacing process starts with. From that moment on notify is called with all updates that this
 // process receives, until Unsubscribe.
 func (c *Core) HandOver(ctx context.Context, notify func(handover.Update)) (s handover.State, o *Subscriber, err error) {
 	o = &Subscriber{notify}
 	s, err = queryUrgent(ctx, c, func() handover.State {
 		c.subscribers[o] = true
-		s := handover.State{Discovery: c.discovery, Overrides: c.ledger.Overrides()}
+		s := handover.State{Discovery: c.discovery, Overrides: c.tracker.Overrides()}
 		if len(c.list.Servers) > 0 {
 			s.List, _ = json.Marshal(c.list) // consists of plain values; nil if encoding fails regardless
 		}
 		var learned calltrack.Learned
-		c.ledger.Export(c.Now(), &learned, nil)
+		c.tracker.Export(c.Now(), &learned, nil)
 		if _, err := json.Marshal(learned.Memory); err == nil { // NaN and infinity can't be encoded; nothing learned is handed over then
 			s.Learned = &learned.Memory
 		}
@@ -60,7 +60,7 @@
 	return s, o, err
 }
 
-// Subscribe has notify called with all news that this process receives, until Unsubscribe.
+// Subscribe has notify called with all updates that this process receives, until Unsubscribe.
 func (c *Core) Subscribe(notify func(handover.Update)) *Subscriber {
 	o := &Subscriber{notify}
 	c.post(func() { c.subscribers[o] = true })
@@ -70,11 +70,11 @@
 // Unsubscribe removes a process that has ended.
 func (c *Core) Unsubscribe(o *Subscriber) { c.post(func() { delete(c.subscribers, o) }) }
 
-// Broadcast sends news to all other processes of this agent.
+// Broadcast sends an update to all other processes of this agent.
 func (c *Core) Broadcast(n handover.Update) { c.post(func() { c.notifySubscribers(n, nil) }) }
 
-// ReceiveNews applies news from another process and forwards it to all others. Of three processes each knows only its predecessor
-// and its successor, so that no news returns to its sender.
+// ReceiveNews applies an update from another process and forwards it to all others. Each process knows only the one before and the
+// one after it, so an update never returns to its sender.
 func (c *Core) ReceiveNews(ctx context.Context, n handover.Update, from *Subscriber) {
 	var reported []discovery.Entry
 	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &reported) != nil {
@@ -83,16 +83,16 @@
 	queryUrgent(ctx, c, func() bool {
 		c.notifySubscribers(n, from)
 		if n.Offline != "" {
-			orders, _ := c.ledger.Offline(c.Now(), n.Offline)
-			c.execute(orders)
+			commands, _ := c.tracker.Offline(c.Now(), n.Offline)
+			c.execute(commands)
 		}
 		if n.Online != "" {
-			orders, _ := c.ledger.Online(c.Now(), n.Online)
-			c.execute(orders)
+			commands, _ := c.tracker.Online(c.Now(), n.Online)
+			c.execute(commands)
 		}
 		var ended []discovery.Entry
 		for _, e := range reported {
-			known, listed := c.ledger.ListedServer(e.ID)
+			known, listed := c.tracker.ListedServer(e.ID)
 			s, err := e.Server(c.set.Zones)
 			if listed && err == nil && handover.Applies(known, s) {
 				ended = append(ended, e)
@@ -105,7 +105,7 @@
 	})
 }
 
-// notifySubscribers sends news to the other processes, except the one that it came from, if any.
+// notifySubscribers sends an update to the other processes, except the one that it came from, if any.
 func (c *Core) notifySubscribers(n handover.Update, from *Subscriber) {
 	for o := range c.subscribers {
 		if o != from {
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// StallTimeout is how long a partly received answer may pause. An answer that does not continue is invalid, and detecting that only at the
+	// StallTimeout is how long a partly received answer may stall. An answer that does not continue is invalid, and detecting that only at the
 	// deadline would be too late for another attempt.
 	StallTimeout = 300 * time.Millisecond
 
-	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the deadline in it may be up to 0.15 s too
-	// late, and the process may be suspended for as long in the write itself.
+	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the protocol allows the deadline in it to be up to
+	// 0.15 s too late, and the process may be suspended for as long in the write itself.
 	maxUnsentAge = 5 * time.Millisecond
 
 	// reservedDivisor is the reciprocal of the share of an attempt's time that is reserved for another attempt, in case an answer keeps
@@ -39,7 +39,7 @@
 
 	stallGrace = 10 * time.Millisecond // extra time for a read whose deadline has passed
 
-	// relayStallTimeout is how long an answer that is being relayed may pause: another attempt could not replace it any more.
+	// relayStallTimeout is how long an answer that is being relayed may stall: another attempt could not replace it any more.
 	relayStallTimeout = 10 * time.Second
 )
 
@@ -68,7 +68,7 @@
 // Transport makes attempts over the connections of a Pool, one at a time on each.
 type Transport struct {
 	Pool         *pool.Pool
-	StallTimeout time.Duration // how long a partly received answer may pause
+	StallTimeout time.Duration // how long a partly received answer may stall
 
 	LongAnswers bool // an answer that keeps arriving may take as long as the attempt
 	NewCodec    func(at *core.Attempt) Codec
@@ -173,7 +173,7 @@
 	in := answerReaders.Get().(*AnswerReader)
 	defer answerReaders.Put(in)
 	in.reset(ctx, at, c.Conn, deadline, t.StallTimeout)
-	in.long, in.detachContext = t.LongAnswers, detach
+	in.longAnswers, in.detachContext = t.LongAnswers, detach
 	in.send(codec, message, stream)
 	e, reusable, err := codec.Answer(in)
 	reuse = (in.relaying || detach()) && err == nil && reusable && in.Buffered() == 0
@@ -217,19 +217,19 @@
 	at           *core.Attempt
 	ctx          context.Context
 	deadline     time.Time        // of the attempt; the zero time is no deadline
-	stallTimeout time.Duration    // how long a partly received answer may pause
+	stallTimeout time.Duration    // how long a partly received answer may stall
 	completeBy   time.Time        // when a partly received answer must be complete; zero for no limit
-	midAnswer    bool             // an answer is partly received, so that its pauses are limited
+	midAnswer    bool             // an answer is partly received, so that its stalls are limited
 	anyReceived  bool             // at least one byte of an answer was received
 	messageBytes int              // size of the message; -1 while it is unknown
 	writtenBytes int              // bytes of the message that were written; -1 while writing is in progress
 	writeDone    chan writeResult // receives the result of writing
 	writeErr     error            // error of writing, once writtenBytes is known
 
-	long          bool        // an answer may take as long as the attempt
+	longAnswers   bool        // an answer may take as long as the attempt
 	detachContext func() bool // detaches the connection's deadlines from the attempt's context; false if the context has ended
 	relaying      bool        // the answer is being relayed
-	onLate        func() bool // called if a held answer is not complete in time; nil if the answer is not held
+	onHoldExpired func() bool // called if a held answer is not complete in time; nil if the answer is not held
 }
 
 // writeResult is the result of writing a message.
@@ -375,14 +375,14 @@
 		r.setReadDeadline(r.deadline)
 		return
 	}
-	if !r.long && !r.deadline.IsZero() {
+	if !r.longAnswers && !r.deadline.IsZero() {
 		r.completeBy = r.deadline.Add(-time.Until(r.deadline) / reservedDivisor)
 	}
-	r.limitPause(r.stallTimeout)
+	r.limitStall(r.stallTimeout)
 }
 
-// limitPause sets how long a partly received answer may pause from now on.
-func (r *AnswerReader) limitPause(d time.Duration) {
+// limitStall sets how long a partly received answer may stall from now on.
+func (r *AnswerReader) limitStall(d time.Duration) {
 	r.setReadDeadline(earliest(time.Now().Add(d), r.deadline, r.completeBy))
 }
 
@@ -403,10 +403,10 @@
 	}
 }
 
-// Hold has late called if a partly received answer is not complete by until. If late returns true, reading continues: late has either
+// Hold has onExpired called if a partly received answer is not complete by until. If onExpired returns true, reading continues: it has either
 // called Relay, or called Hold again with another time.
-func (r *AnswerReader) Hold(until time.Time, late func() bool) {
-	r.onLate = late
+func (r *AnswerReader) Hold(until time.Time, onExpired func() bool) {
+	r.onHoldExpired = onExpired
 	r.setReadDeadline(earliest(until, r.deadline))
 }
 
@@ -428,34 +428,34 @@
 	}
 	n, err := r.conn.Read(p)
 	if r.midAnswer && errors.Is(err, os.ErrDeadlineExceeded) && r.ctx.Err() == nil {
-		n, err = r.readLate(p)
+		n, err = r.readExpired(p)
 	}
-	if n > 0 && r.midAnswer && r.onLate == nil {
-		r.limitPause(r.stallTimeout) // an answer may arrive slowly, as long as it continues
+	if n > 0 && r.midAnswer && r.onHoldExpired == nil {
+		r.limitStall(r.stallTimeout) // an answer may arrive slowly, as long as it continues
 	}
 	return n, err
 }
 
-// readLate handles an expired read deadline. It reads data that has been received by then, as the agent itself may have been suspended: a
-// read with an expired deadline does not ask the system for data. For a held answer without such data it calls onLate, after which the
+// readExpired handles an expired read deadline. It reads data that has been received by then, as the agent itself may have been suspended: a
+// read with an expired deadline does not ask the system for data. For a held answer without such data it calls onHoldExpired, after which the
 // answer may be relayed or held further.
-func (r connReader) readLate(p []byte) (n int, err error) {
-	if r.onLate != nil {
+func (r connReader) readExpired(p []byte) (n int, err error) {
+	if r.onHoldExpired != nil {
 		if n, err = peek.ReadNow(r.conn, p); n > 0 || isEnd(err) {
 			return n, err
 		}
-		if r.onLate() {
+		if r.onHoldExpired() {
 			return r.Read(p)
 		}
 	}
 	r.conn.SetReadDeadline(time.Now().Add(stallGrace))
 	if n, err = r.conn.Read(p); errors.Is(err, os.ErrDeadlineExceeded) {
-		err = fmt.Errorf("%w: it does not continue", ErrInvalidAnswer)
+		err = fmt.Errorf("%w: no more data arrived in time", ErrInvalidAnswer)
 	}
 	return n, err
 }
 
-// isEnd reports whether an error of peek.Take means that the connection has ended.
+// isEnd reports whether an error of peek.ReadNow means that the connection has ended.
 func isEnd(err error) bool {
 	return !errors.Is(err, peek.ErrNoData) && !errors.Is(err, peek.ErrUnknown) && !errors.Is(err, errors.ErrUnsupported)
 }
--- a/internal/host/members/members.go
+++ b/internal/host/members/members.go
@@ -39,7 +39,7 @@
 	members *membership.Set
 }
 
-// noExpiry is how long the reports of a source without a configured limit stay valid.
+// noExpiry is how long the reports of a source without a configured limit stay valid; it stands for no limit.
 const noExpiry = 100 * 365 * 24 * time.Hour
 
 // ListName is the name of the source that is the platform's list.
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -76,12 +76,12 @@
 		return nil, fmt.Errorf("listening for other agents: %w", err)
 	}
 	set.Asking.Agents = len(set.Peers)
-	members := peerstate.New(peerstate.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
+	table := peerstate.New(peerstate.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
 	rows := make([]gossip.Row, 0, len(set.LastList.Servers))
 	for _, e := range set.LastList.Servers {
 		rows = append(rows, encodeRow(e))
 	}
-	h.node = gossip.New(set.Settings, members, pacing.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
+	h.node = gossip.New(set.Settings, table, pacing.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
 	return h, nil
 }
 
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -1,5 +1,5 @@
 // Package pool manages the connections to servers for all transports. Decisions about them, such as their number, the order of
-// waiting attempts and which connections are kept, are made by lifecycle.Book; this package handles the sockets.
+// waiting attempts and which connections are kept, are made by lifecycle.PoolState; this package handles the sockets.
 package pool
 
 import (
@@ -61,7 +61,7 @@
 	set Settings
 
 	mu         sync.Mutex
-	book       *lifecycle.PoolState
+	state      *lifecycle.PoolState
 	granted    map[*lifecycle.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
 	addrs      *addresses.History
 	extraDials int // dials in progress beyond the first of each race
@@ -80,7 +80,7 @@
 	if set.ReuseDelay == 0 {
 		set.ReuseDelay = ReuseDelay
 	}
-	return &Pool{set: set, book: lifecycle.NewPoolState(set.MaxConns), granted: map[*lifecycle.Conn]chan struct{}{},
+	return &Pool{set: set, state: lifecycle.NewPoolState(set.MaxConns), granted: map[*lifecycle.Conn]chan struct{}{},
 		addrs: addresses.NewHistory(set.Addresses), startedAt: time.Now()}
 }
 
@@ -89,10 +89,10 @@
 // of the dial.
 func (p *Pool) Acquire(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols, at *lifecycle.Attempt) (*Conn, error) {
 	p.mu.Lock()
-	for l := p.book.AcquireIdle(s, speaks, p.reusable); l != nil; l = p.book.AcquireIdle(s, speaks, p.reusable) {
-		c := l.Host.(*Conn)
+	for lc := p.state.AcquireIdle(s, speaks, p.reusable); lc != nil; lc = p.state.AcquireIdle(s, speaks, p.reusable) {
+		c := lc.Host.(*Conn)
 		if left := p.reuseWait(c); left > 0 {
-			if open, _, _ := p.book.Count(); p.reuseWaits >= maxReuseWaits && open < p.set.MaxConns {
+			if open, _, _ := p.state.Count(); p.reuseWaits >= maxReuseWaits && open < p.set.MaxConns {
 				p.returnLocked(c, true)
 				break // dial a new one
 			}
@@ -112,7 +112,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.set.DialTimeout)
 	defer cancel()
-	l, err := p.claimLocked(ctx, s, speaks)
+	lc, err := p.reserveLocked(ctx, s, speaks)
 	p.mu.Unlock()
 	if err != nil {
 		return nil, err
@@ -123,12 +123,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.giveUpLocked(l)
+		p.giveUpLocked(lc)
 		return nil, err
 	}
 	p.reportIllegal(at.Connect())
-	c := &Conn{Conn: socketio.Wrap(socket), state: l}
-	p.reportIllegal(p.book.Open(l, c))
+	c := &Conn{Conn: socketio.Wrap(socket), state: lc}
+	p.reportIllegal(p.state.Open(lc, c))
 	return c, nil
 }
 
@@ -152,7 +152,7 @@
 	return p.set.ReuseDelay - time.Since(c.idleSince)
 }
 
-func (p *Pool) reusable(l *lifecycle.Conn) bool { return p.reuseWait(l.Host.(*Conn)) <= 0 }
+func (p *Pool) reusable(lc *lifecycle.Conn) bool { return p.reuseWait(lc.Host.(*Conn)) <= 0 }
 
 // waitLocked releases the lock and waits. It returns false if the context ended before.
 func (p *Pool) waitLocked(ctx context.Context, d time.Duration) bool {
@@ -160,15 +160,15 @@
 	p.mu.Unlock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	rested := false
+	elapsed := false
 	select {
 	case <-timer.C:
-		rested = true
+		elapsed = true
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
 	p.reuseWaits--
-	return rested
+	return elapsed
 }
 
 // dial connects to a server, at whichever of its addresses connects first.
@@ -188,10 +188,10 @@
 }
 
 // RestoreWorking records addresses that connected successfully in an earlier process.
-func (p *Pool) RestoreWorking(worked []string) {
+func (p *Pool) RestoreWorking(addrs []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, addr := range worked {
+	for _, addr := range addrs {
 		p.addrs.RecordSuccess(time.Since(p.startedAt), addr)
 	}
 }
@@ -227,7 +227,7 @@
 	var lastErr error
 	for {
 		p.mu.Lock()
-		open, _, _ := p.book.Count()
+		open, _, _ := p.state.Count()
 		toDial := r.Start(time.Since(p.startedAt), p.set.MaxConns-open-p.extraDials+extra)
 		due, more := r.NextStart()
 		p.extraDials -= extra
@@ -283,41 +283,41 @@
 }
 
 // claimLocked waits for a slot for a connection.
-func (p *Pool) claimLocked(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols) (*lifecycle.Conn, error) {
-	l, evicted := p.book.ReservePlace(s, speaks)
+func (p *Pool) reserveLocked(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols) (*lifecycle.Conn, error) {
+	lc, evicted := p.state.ReservePlace(s, speaks)
 	if evicted != nil {
 		evicted.Host.(*Conn).Close()
 	}
-	if l.State() != lifecycle.Queued {
-		return l, nil
+	if lc.State() != lifecycle.Queued {
+		return lc, nil
 	}
 	turn := make(chan struct{})
-	p.granted[l] = turn
+	p.granted[lc] = turn
 	p.mu.Unlock()
 	select {
 	case <-turn:
 		p.mu.Lock()
-		return l, nil
+		return lc, nil
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	delete(p.granted, l)
-	p.giveUpLocked(l) // it may just have been given a slot
+	delete(p.granted, lc)
+	p.giveUpLocked(lc) // it may just have been given a slot
 	return nil, ErrNoPlace
 }
 
-func (p *Pool) giveUpLocked(l *lifecycle.Conn) {
-	next, err := p.book.Abort(l)
+func (p *Pool) giveUpLocked(lc *lifecycle.Conn) {
+	next, err := p.state.Abort(lc)
 	p.reportIllegal(err)
 	p.grantLocked(next)
 }
 
 // grantLocked wakes the attempts whose connections were given a slot.
 func (p *Pool) grantLocked(next ...*lifecycle.Conn) {
-	for _, l := range next {
-		if turn := p.granted[l]; turn != nil {
+	for _, lc := range next {
+		if turn := p.granted[lc]; turn != nil {
 			close(turn)
-			delete(p.granted, l)
+			delete(p.granted, lc)
 		}
 	}
 }
@@ -335,7 +335,7 @@
 	if !reuse {
 		p.reportIllegal(c.state.Spoil())
 	}
-	kept, next, err := p.book.Release(c.state)
+	kept, next, err := p.state.Release(c.state)
 	p.reportIllegal(err)
 	if !kept {
 		c.Close()
@@ -347,27 +347,27 @@
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.book.Idle() {
-		if c := l.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleTimeout || !peek.HasNoUnread(c.Conn) {
+	for _, lc := range p.state.Idle() {
+		if c := lc.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleTimeout || !peek.HasNoUnread(c.Conn) {
 			c.Close()
-			next, err := p.book.CloseIdle(l)
+			next, err := p.state.CloseIdle(lc)
 			p.reportIllegal(err)
 			p.grantLocked(next)
 		}
 	}
 }
 
-// Retire closes the idle connections to a server and stops lending its connections. Attempts in flight continue.
+// Retire closes the idle connections to a server and hands out none of its connections any more. Attempts in flight continue.
 func (p *Pool) Retire(s *lifecycle.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeLocked(p.book.RetireServer(s))
+	p.closeLocked(p.state.RetireServer(s))
 }
 
-// closeLocked closes connections that the book drops, and wakes the attempts that are given their slots.
+// closeLocked closes connections that lifecycle.PoolState drops, and wakes the attempts that are given their slots.
 func (p *Pool) closeLocked(closed, next []*lifecycle.Conn) {
-	for _, l := range closed {
-		l.Host.(*Conn).Close()
+	for _, lc := range closed {
+		lc.Host.(*Conn).Close()
 	}
 	p.grantLocked(next...)
 }
@@ -377,12 +377,12 @@
 func (p *Pool) SetMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeLocked(p.book.SetLimit(most))
+	p.closeLocked(p.state.SetLimit(most))
 }
 
 // Count returns how many slots are in use, how many of them by idle connections, and how many attempts wait for a slot.
 func (p *Pool) Count() (open, idle, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.book.Count()
+	return p.state.Count()
 }
--- a/internal/host/statestore/keeper.go
+++ b/internal/host/statestore/keeper.go
@@ -30,7 +30,7 @@
 	Name  string // of the agent
 	Seed  uint64
 	Log   *slog.Logger
-	FS    store.FS             // the folder if nil
+	FS    store.FS             // store.Dir(Folder) if nil
 	Clock func() learned.Clock // the machine's clocks if nil
 }
 
