--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -39,7 +39,7 @@
 				asks.Go(func() {
 					a := newAsk(standin.Check, fmt.Sprint("r", i))
 					a.TimeLeft = 900 * time.Millisecond
-					w.kiosk.Do(a)
+					w.client.Do(a)
 				})
 			}
 			asks.Wait()
--- a/internal/agent/parity_test.go
+++ b/internal/agent/parity_test.go
@@ -103,7 +103,7 @@
 // there must be exactly one delivery.
 func (w *testbed) expect(t *testing.T, a standin.Request, want outcome, least, most time.Duration, noEffects, either bool) {
 	t.Helper()
-	got := w.kiosk.Do(a)
+	got := w.client.Do(a)
 	effects, deliveries := w.effects(a), w.deliveries(a.ID)
 	if either {
 		if got.Kind == standin.Lost || got.Kind == standin.BadRequest || deliveries != 1 {
@@ -132,7 +132,7 @@
 func TestRefusalSaysWhenAlike(t *testing.T) {
 	for _, variant := range protocolVariants {
 		w := newTestbed(t, variant, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
-		got := w.kiosk.Do(newAsk(standin.Pay, "id"))
+		got := w.client.Do(newAsk(standin.Pay, "id"))
 		if got.Kind != standin.Refused || got.RetryAfter != 300*time.Millisecond || got.Took > 2*time.Second {
 			t.Errorf("%s: %s, retry after %v, answered after %v", variant.name, got.Kind, got.RetryAfter, got.Took)
 		}
@@ -154,12 +154,12 @@
 			}
 			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a", DedupGroup: pod, Cell: 1, Script: script})
 			held := make(chan standin.Answer, 1)
-			go func() { held <- w.kiosk.Do(newAsk(standin.Pay, "held")) }()
+			go func() { held <- w.client.Do(newAsk(standin.Pay, "held")) }()
 			testkit.Eventually(t, "the call is in flight", func() bool { return w.deliveries("held") == 1 })
 			w.servers[0].Drain()
 			w.list.Update(w.servers[0].Entry())
 			testkit.Eventually(t, "the agent has the update", func() bool { return len(w.core.Snapshot().Servers) == 0 })
-			if got := w.kiosk.Do(newAsk(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
+			if got := w.client.Do(newAsk(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
 				t.Errorf("a new call was %s after %d deliveries", got.Kind, w.deliveries("new"))
 			}
 			close(hold)
@@ -186,7 +186,7 @@
 			var all sync.WaitGroup
 			for i := range 5 {
 				all.Go(func() {
-					if got := w.kiosk.Do(newAsk(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
+					if got := w.client.Do(newAsk(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
 						t.Errorf("%s: %v", got.Kind, got.Err)
 					}
 				})
@@ -194,7 +194,7 @@
 			testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 5 })
 			w.stop()
 			if got := make(chan standin.Answer, 1); true {
-				go func() { got <- w.kiosk.Do(newAsk(standin.Pay, "after")) }()
+				go func() { got <- w.client.Do(newAsk(standin.Pay, "after")) }()
 				testkit.Eventually(t, "one more call is in flight", func() bool { return w.deliveries("after") == 1 })
 				time.Sleep(shutdown.Plan(w.cfg.MaxDeadline(), false).Accept + 50*time.Millisecond) // all calls must outlast the accept phase
 				close(release)
@@ -220,13 +220,13 @@
 	w := newTestbed(t, protocolVariants[0], standin.Platform{}, nil, standin.Options{ID: "h", Protocol: "http"},
 		standin.Options{ID: "b", Protocol: "thrift-binary"}, standin.Options{ID: "c", Protocol: "thrift-compact"},
 		standin.Options{ID: "t", Protocol: "thrift"})
-	for i, c := range []struct{ kiosk, never, never2 string }{{"http", "", ""}, {"thrift-binary", "h", "c"},
+	for i, c := range []struct{ client, never, never2 string }{{"http", "", ""}, {"thrift-binary", "h", "c"},
 		{"thrift-compact", "h", "b"}} {
 		addr := w.thrift
-		if c.kiosk == "http" {
+		if c.client == "http" {
 			addr = w.cfg.Listen
 		}
-		k, err := standin.NewKiosk(c.kiosk, addr)
+		k, err := standin.NewKiosk(c.client, addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,12 +234,12 @@
 		for j := range 20 {
 			a := newAsk(standin.Record, fmt.Sprint(i, "-", j))
 			if got := k.Do(a); got.Kind != standin.Served {
-				t.Errorf("%s: %s, %v", c.kiosk, got.Kind, got.Err)
+				t.Errorf("%s: %s, %v", c.client, got.Kind, got.Err)
 			}
 			for s, id := range []string{"h", "b", "c", "t"} {
 				n := w.servers[s].DedupGroup().Deliveries(a.ID)
-				if n > 0 && (id == c.never || id == c.never2 || c.kiosk == "http" && id != "h") {
-					t.Errorf("a call in %s went to server %s", c.kiosk, id)
+				if n > 0 && (id == c.never || id == c.never2 || c.client == "http" && id != "h") {
+					t.Errorf("a call in %s went to server %s", c.client, id)
 				}
 			}
 		}
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -103,10 +103,10 @@
 	if variant.protocol == "http" {
 		addr = cfg.Listen
 	}
-	if s.kiosk, err = standin.NewKiosk(variant.protocol, addr); err != nil {
+	if s.client, err = standin.NewKiosk(variant.protocol, addr); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.kiosk.Close)
+	t.Cleanup(s.client.Close)
 	return s
 }
 
@@ -143,15 +143,15 @@
 				}
 				s := newDNSTestbed(t, variant, options("stays-0"), options("stays-1"), options("stays-2"), options("stays-3"))
 				ctx, cancel := context.WithCancel(context.Background())
-				var kiosks sync.WaitGroup
-				defer kiosks.Wait()
+				var clients sync.WaitGroup
+				defer clients.Wait()
 				defer cancel()
 				var served atomic.Int64
 				for k := range 4 {
-					kiosks.Go(func() {
+					clients.Go(func() {
 						for i := 0; ctx.Err() == nil; i++ {
 							a := newAsk(standin.Check, fmt.Sprintf("k%d-%d", k, i))
-							if s.kiosk.Do(a).Kind == standin.Served {
+							if s.client.Do(a).Kind == standin.Served {
 								served.Add(1)
 							}
 						}
@@ -212,7 +212,7 @@
 // If the list service is down and the fleet is replaced, the agent follows the SRV records.
 func TestListDownAndFleetReplaced(t *testing.T) {
 	s := newDNSTestbed(t, protocolVariants[0], standin.Options{ID: "a"}, standin.Options{ID: "b"})
-	served := func(id string) bool { return s.kiosk.Do(newAsk(standin.Check, id)).Kind == standin.Served }
+	served := func(id string) bool { return s.client.Do(newAsk(standin.Check, id)).Kind == standin.Served }
 	if !served("first") {
 		t.Fatal("not served at first")
 	}
@@ -279,7 +279,7 @@
 	return ""
 }
 
-// startWithAddresses starts an agent whose list names one server with several addresses, and a kiosk.
+// startWithAddresses starts an agent whose list names one server with several addresses, and a client.
 func startWithAddresses(t *testing.T, variant protocolVariant, server *standin.Server, addrs []string, p standin.Platform) (*runningAgent, standin.Kiosk) {
 	t.Helper()
 	e := server.Entry()
@@ -299,12 +299,12 @@
 	if variant.protocol == "http" {
 		addr = cfg.Listen
 	}
-	kiosk, err := standin.NewKiosk(variant.protocol, addr)
+	client, err := standin.NewKiosk(variant.protocol, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(kiosk.Close)
-	return r, kiosk
+	t.Cleanup(client.Close)
+	return r, client
 }
 
 // A server has a Unix socket, an IPv6 and an IPv4 address, of which none, one, two or all are dead: while any of them works every
@@ -335,12 +335,12 @@
 				if !slices.Contains(dead, "unix") { // otherwise the path does not exist
 					forward(t, "unix", path, server.Addr())
 				}
-				_, kiosk := startWithAddresses(t, variant, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
+				_, client := startWithAddresses(t, variant, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
 				methods := []standin.Method{standin.Check, standin.Record, standin.Pay}
 				for i := range 6 {
 					a := newAsk(methods[i%3], fmt.Sprint("c", i))
 					a.TimeLeft = 2500 * time.Millisecond
-					got := kiosk.Do(a)
+					got := client.Do(a)
 					if want := len(dead) < 3; (got.Kind == standin.Served) != want {
 						t.Errorf("%s: %v, %v", a.ID, got.Kind, got.Err)
 					}
@@ -382,11 +382,11 @@
 						t.Cleanup(func() { c.Close() })
 					}
 				}()
-				r, kiosk := startWithAddresses(t, variant, server, []string{server.Addr(), silent.Addr().String()},
+				r, client := startWithAddresses(t, variant, server, []string{server.Addr(), silent.Addr().String()},
 					standin.Platform{Deadline: 700 * time.Millisecond, DedupWindow: 300 * time.Millisecond})
 				a := newAsk(method, "stalls")
 				a.TimeLeft = 700 * time.Millisecond
-				if got := kiosk.Do(a); got.Kind != standin.Failed {
+				if got := client.Do(a); got.Kind != standin.Failed {
 					t.Errorf("%v, %v", got.Kind, got.Err)
 				}
 				testkit.Eventually(t, "the agent is idle", func() bool { return r.Snapshot().Held == 0 })
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -95,7 +95,7 @@
 			}
 			c.Close()
 		}
-		if got := w.kiosk.Do(newAsk(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
+		if got := w.client.Do(newAsk(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
 			t.Errorf("%v: the complete call was %s, the truncated one was delivered %d times", e, got.Kind, w.deliveries("cut"))
 		}
 		w.waitIdle(t)
@@ -396,10 +396,10 @@
 	for _, variant := range protocolVariants[1:] {
 		w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "s"})
 		for i := range 3 {
-			if got := w.kiosk.Do(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
+			if got := w.client.Do(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
 				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
-			if got := w.kiosk.Do(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
+			if got := w.client.Do(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
 		}
@@ -439,7 +439,7 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		if got := w.kiosk.Do(newAsk(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
+		if got := w.client.Do(newAsk(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
 			t.Fatalf("another client's call was %s: %v", got.Kind, got.Err)
 		}
 		select {
@@ -530,7 +530,7 @@
 			{newAsk(standin.Note, "4"), standin.Sent, ""},
 			{newAsk(standin.Check, "5"), standin.Served, "checked form-5 "},
 		} {
-			if got := w.kiosk.Do(c.ask); got.Kind != c.kind || got.Text != c.text {
+			if got := w.client.Do(c.ask); got.Kind != c.kind || got.Text != c.text {
 				t.Errorf("%s, %s: %s %q, %v", variant.name, c.ask.ID, got.Kind, got.Text, got.Err)
 			}
 		}
--- a/internal/agent/world_test.go
+++ b/internal/agent/world_test.go
@@ -9,10 +9,10 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// protocolVariant is a protocol of kiosks and servers, with or without multiplexing.
+// protocolVariant is a protocol of clients and servers, with or without multiplexing.
 type protocolVariant struct {
 	name        string
-	protocol    string // of kiosks and servers
+	protocol    string // of clients and servers
 	multiplexed bool
 }
 
@@ -24,11 +24,11 @@
 	*runningAgent
 	list        *standin.List
 	servers     []*standin.Server
-	kiosk       standin.Kiosk
+	client      standin.Kiosk
 	editService func(string) string // edits the text of the Thrift service; may be nil
 }
 
-// newTestbed starts servers of a protocol variant, a list service that names them, an agent and a kiosk.
+// newTestbed starts servers of a protocol variant, a list service that names them, an agent and a client.
 func newTestbed(t *testing.T, variant protocolVariant, p standin.Platform, edit func(string) string, servers ...standin.Options) *testbed {
 	t.Helper()
 	w := &testbed{}
@@ -74,10 +74,10 @@
 	if variant.protocol == "http" {
 		addr = cfg.Listen
 	}
-	if w.kiosk, err = standin.NewKiosk(variant.protocol, addr); err != nil {
+	if w.client, err = standin.NewKiosk(variant.protocol, addr); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.kiosk.Close)
+	t.Cleanup(w.client.Close)
 }
 
 // newAsk returns a call with all fields that its method requires.
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -25,8 +25,8 @@
 	// deadline would be too late for another attempt.
 	StallTimeout = 300 * time.Millisecond
 
-	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the protocol allows the deadline in it to be up to
-	// 0.15 s too late, and the process may be suspended for as long in the write itself.
+	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the deadline in it may be up to 0.15 s too
+	// late, and the process may be suspended for as long in the write itself.
 	maxUnsentAge = 5 * time.Millisecond
 
 	// reservedDivisor is the reciprocal of the share of an attempt's time that is reserved for another attempt, in case an answer keeps
@@ -353,7 +353,7 @@
 	return true
 }
 
-// AwaitData waits for the first byte of an answer, or of its next part, until the attempt's deadline. From then on the answer may pause
+// AwaitData waits for the first byte of an answer, or of its next part, until the attempt's deadline. From then on the answer may stall
 // only for StallTimeout, and unless answers may be long it must be complete before the time reserved for another attempt.
 func (r *AnswerReader) AwaitData() error {
 	r.setMidAnswer(false)
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -282,7 +282,7 @@
 	}
 }
 
-// claimLocked waits for a slot for a connection.
+// reserveLocked waits for a slot for a connection.
 func (p *Pool) reserveLocked(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols) (*lifecycle.Conn, error) {
 	lc, evicted := p.state.ReservePlace(s, speaks)
 	if evicted != nil {
--- a/internal/host/statestore/bench_test.go
+++ b/internal/host/statestore/bench_test.go
@@ -59,14 +59,14 @@
 // loop answers a Runner from a goroutine of its own, as the core does; all servers change between two exports.
 type loop struct {
 	events  chan func()
-	news    uint64
+	updates uint64
 	servers []learned.Server
 	fleet   []uint64
 }
 
 func (l *loop) View(context.Context) (writepolicy.View, error) {
 	answer := make(chan writepolicy.View, 1)
-	l.events <- func() { l.news += 1 << 20; answer <- writepolicy.View{Updates: l.news, Servers: len(l.servers)} }
+	l.events <- func() { l.updates += 1 << 20; answer <- writepolicy.View{Updates: l.updates, Servers: len(l.servers)} }
 	return <-answer, nil
 }
 
@@ -77,7 +77,7 @@
 			l.servers[i].Rate = 300 - l.servers[i].Rate
 		}
 		into.Servers, into.Fleet = append(into.Servers[:0], l.servers...), append(into.Fleet[:0], l.fleet...)
-		answer <- writepolicy.View{Updates: l.news}
+		answer <- writepolicy.View{Updates: l.updates}
 	}
 	return <-answer, nil
 }
--- a/internal/host/statestore/keeper_test.go
+++ b/internal/host/statestore/keeper_test.go
@@ -23,15 +23,15 @@
 
 // agent answers a Runner as an event loop does, with a few servers of which one's rate changes each time.
 type agent struct {
-	mu   sync.Mutex
-	news uint64
+	mu      sync.Mutex
+	updates uint64
 }
 
 func (a *agent) view() writepolicy.View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.news += 100
-	return writepolicy.View{Updates: a.news, Servers: 2}
+	a.updates += 100
+	return writepolicy.View{Updates: a.updates, Servers: 2}
 }
 
 func (a *agent) View(context.Context) (writepolicy.View, error) { return a.view(), nil }
@@ -175,7 +175,7 @@
 			if restored := k.Restored(); restored != nil {
 				t.Error("a state was restored")
 			}
-			updates := func() uint64 { a.mu.Lock(); defer a.mu.Unlock(); return a.news }
+			updates := func() uint64 { a.mu.Lock(); defer a.mu.Unlock(); return a.updates }
 			testkit.Eventually(t, "it tried several times", func() bool { return updates() > 2000 })
 			if log := l.String(); strings.Count(log, "level=WARN") != 1 {
 				t.Errorf("logged\n%s", log)
