--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -121,7 +121,7 @@
 		previous := a.core.Subscribe(received.Link.Send)
 		a.processesChanged(1, 0)
 		go func() {
-			received.Link.Run(func(n handover.Update) { a.core.ReceiveNews(ctx, n, previous) })
+			received.Link.Run(func(u handover.Update) { a.core.ReceiveNews(ctx, u, previous) })
 			a.core.Unsubscribe(previous)
 			a.processesChanged(-1, 0)
 			a.log.Info("the process before is gone")
@@ -192,9 +192,9 @@
 	a.log.Info("a process that replaces this one has begun")
 	a.core.Broadcast(handover.Update{Replaced: true}) // for the previous process
 	replacedToo := false
-	l.Run(func(n handover.Update) {
-		replacedToo = replacedToo || n.Replaced
-		a.core.ReceiveNews(context.Background(), n, next)
+	l.Run(func(u handover.Update) {
+		replacedToo = replacedToo || u.Replaced
+		a.core.ReceiveNews(context.Background(), u, next)
 	})
 	a.core.Unsubscribe(next)
 	if replacedToo { // a third process serves now
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -42,10 +42,10 @@
 
 // HandOver returns the state that a replacing process starts with. From that moment on notify is called with all updates that this
 // process receives, until Unsubscribe.
-func (c *Core) HandOver(ctx context.Context, notify func(handover.Update)) (s handover.State, o *Subscriber, err error) {
-	o = &Subscriber{notify}
+func (c *Core) HandOver(ctx context.Context, notify func(handover.Update)) (s handover.State, sub *Subscriber, err error) {
+	sub = &Subscriber{notify}
 	s, err = queryUrgent(ctx, c, func() handover.State {
-		c.subscribers[o] = true
+		c.subscribers[sub] = true
 		s := handover.State{Discovery: c.discovery, Overrides: c.tracker.Overrides()}
 		if len(c.list.Servers) > 0 {
 			s.List, _ = json.Marshal(c.list) // consists of plain values; nil if encoding fails regardless
@@ -57,37 +57,37 @@
 		}
 		return s
 	})
-	return s, o, err
+	return s, sub, err
 }
 
 // Subscribe has notify called with all updates that this process receives, until Unsubscribe.
 func (c *Core) Subscribe(notify func(handover.Update)) *Subscriber {
-	o := &Subscriber{notify}
-	c.post(func() { c.subscribers[o] = true })
-	return o
+	sub := &Subscriber{notify}
+	c.post(func() { c.subscribers[sub] = true })
+	return sub
 }
 
 // Unsubscribe removes a process that has ended.
-func (c *Core) Unsubscribe(o *Subscriber) { c.post(func() { delete(c.subscribers, o) }) }
+func (c *Core) Unsubscribe(sub *Subscriber) { c.post(func() { delete(c.subscribers, sub) }) }
 
 // Broadcast sends an update to all other processes of this agent.
-func (c *Core) Broadcast(n handover.Update) { c.post(func() { c.notifySubscribers(n, nil) }) }
+func (c *Core) Broadcast(u handover.Update) { c.post(func() { c.notifySubscribers(u, nil) }) }
 
 // ReceiveNews applies an update from another process and forwards it to all others. Each process knows only the one before and the
 // one after it, so an update never returns to its sender.
-func (c *Core) ReceiveNews(ctx context.Context, n handover.Update, from *Subscriber) {
+func (c *Core) ReceiveNews(ctx context.Context, u handover.Update, from *Subscriber) {
 	var reported []discovery.Entry
-	if len(n.Ended) > 0 && json.Unmarshal(n.Ended, &reported) != nil {
+	if len(u.Ended) > 0 && json.Unmarshal(u.Ended, &reported) != nil {
 		reported = nil
 	}
 	queryUrgent(ctx, c, func() bool {
-		c.notifySubscribers(n, from)
-		if n.Offline != "" {
-			commands, _ := c.tracker.Offline(c.Now(), n.Offline)
+		c.notifySubscribers(u, from)
+		if u.Offline != "" {
+			commands, _ := c.tracker.Offline(c.Now(), u.Offline)
 			c.execute(commands)
 		}
-		if n.Online != "" {
-			commands, _ := c.tracker.Online(c.Now(), n.Online)
+		if u.Online != "" {
+			commands, _ := c.tracker.Online(c.Now(), u.Online)
 			c.execute(commands)
 		}
 		var ended []discovery.Entry
@@ -106,10 +106,10 @@
 }
 
 // notifySubscribers sends an update to the other processes, except the one that it came from, if any.
-func (c *Core) notifySubscribers(n handover.Update, from *Subscriber) {
-	for o := range c.subscribers {
-		if o != from {
-			o.notify(n)
+func (c *Core) notifySubscribers(u handover.Update, from *Subscriber) {
+	for sub := range c.subscribers {
+		if sub != from {
+			sub.notify(u)
 		}
 	}
 }
--- a/internal/host/takeover/successor.go
+++ b/internal/host/takeover/successor.go
@@ -48,9 +48,9 @@
 }
 
 // Send queues an update for the other process. It does not block: if the queue is full the link is closed.
-func (l *Link) Send(n handover.Update) {
+func (l *Link) Send(u handover.Update) {
 	select {
-	case l.updates <- n:
+	case l.updates <- u:
 	default:
 		l.Close()
 	}
@@ -68,8 +68,8 @@
 			select {
 			case <-l.done:
 				return
-			case n := <-l.updates:
-				frame, err := handover.Encode(n)
+			case u := <-l.updates:
+				frame, err := handover.Encode(u)
 				if err == nil {
 					l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 					_, err = l.conn.Write(frame)
@@ -84,11 +84,11 @@
 	defer l.Close()
 	l.conn.SetReadDeadline(time.Time{})
 	for {
-		var n handover.Update
-		if err := read(l.conn, &n); err != nil {
+		var u handover.Update
+		if err := read(l.conn, &u); err != nil {
 			return
 		}
-		receive(n)
+		receive(u)
 	}
 }
 
--- a/internal/host/takeover/successor_test.go
+++ b/internal/host/takeover/successor_test.go
@@ -39,7 +39,7 @@
 		return handover.State{Name: "n1", Listeners: []string{l.Addr().String()}}, []*net.TCPListener{o.listen}, nil
 	}, func(link *Link) {
 		o.links <- link
-		link.Run(func(n handover.Update) { o.received <- n })
+		link.Run(func(u handover.Update) { o.received <- u })
 		o.ended <- struct{}{}
 	})
 	return o
@@ -68,16 +68,16 @@
 	received := make(chan handover.Update, 1)
 	done := make(chan struct{})
 	go func() {
-		h.Link.Run(func(n handover.Update) { received <- n })
+		h.Link.Run(func(u handover.Update) { received <- u })
 		close(done)
 	}()
 	old.Send(handover.Update{Offline: "a"})
 	h.Link.Send(handover.Update{Online: "b"})
-	if n := <-received; n.Offline != "a" {
-		t.Errorf("the new process received %+v", n)
+	if u := <-received; u.Offline != "a" {
+		t.Errorf("the new process received %+v", u)
 	}
-	if n := <-o.received; n.Online != "b" {
-		t.Errorf("the old process received %+v", n)
+	if u := <-o.received; u.Online != "b" {
+		t.Errorf("the old process received %+v", u)
 	}
 	h.Link.Close()
 	<-done
