--- a/choice/api.go
+++ b/choice/api.go
@@ -1,7 +1,7 @@
 // Package choice makes the decisions of a client-side load balancer: which server gets a request, when an
-// attempt is retried, hedged or canceled, and which requests are shed. Every client process has its own
-// Balancer; balancers share no state. A Balancer does no I/O and reads no clock: the host passes it events
-// with their time and carries out the actions that it returns.
+// attempt is retried, hedged or canceled, and which requests are shed. Every client process, called an agent
+// elsewhere in this module, has its own Balancer; balancers share no state. A Balancer does no I/O and reads
+// no clock: the host passes it events with their time and carries out the actions that it returns.
 package choice
 
 import (
@@ -57,7 +57,7 @@
 	MaxAttempts       int           // per request
 	ParallelAttempts  bool          // a request may have two attempts in flight at a time (hedging)
 	CanCancel         bool          // attempts may be canceled
-	MaxRetryAfter     time.Duration // longest retry-after time that clients heed; 0 if they are given none
+	MaxRetryAfter     time.Duration // maximum retry-after time that clients honor; 0 if none is sent
 	SlowStartMinShare float64       // minimum share of its capacity that a server has right after its start
 	SlowStartWindow   time.Duration // time after its start at which it has all of it at the latest
 	MaxSendDelay      time.Duration // how long a send may be delayed beyond its SendWithin
@@ -113,7 +113,7 @@
 	Weight     float64       // relative size according to the list
 	Started    time.Duration // time of its latest start, on the clock of the events; 0 if long ago
 	Protocols  Protocols     // protocols that the server speaks
-	SubsetRank float64       // this balancer's rank among those that may draw it, in [0, 1); see package subset
+	SubsetRank float64       // this balancer's rank at the server among all balancers, in [0, 1); see package subset
 }
 
 // Report is the load that a server reports about itself. A negative figure is not stated.
@@ -155,7 +155,8 @@
 		Full    bool // the complete list: servers that are missing from it are removed
 		Servers []Server
 	}
-	// Request is a client's request. It gets one final answer: a served attempt, a Refuse or a Fail.
+	// Request is a client's request. It gets one final answer: a served attempt, a Refuse or a Fail. It needs
+	// none after ClientDisconnected, StreamStarted or an Outcome with Closed.
 	Request struct {
 		ID                string
 		Class, Tenant     int           // Class is an index into Settings.Classes
@@ -218,7 +219,7 @@
 
 // The kinds of actions.
 const (
-	Send     ActionKind = iota // send Request to Server; time out after After, or with the client if it is 0
+	Send     ActionKind = iota // send Request to Server; time out after After, or at Request's deadline if it is 0
 	Cancel                     // cancel attempt number Attempt of Request
 	Refuse                     // answer Request: a retry does no harm, but should wait for After
 	Fail                       // answer Request: it may or may not have run
@@ -266,9 +267,9 @@
 }
 
 // Handle processes one event and returns the resulting actions, in order. The returned slice is valid until
-// the next call. Events that name an unknown request, attempt or server are ignored. now is read from a
-// clock that all balancers and servers share, accurate to a small part of a target latency; an inaccurate
-// clock never causes a rule to be broken.
+// the next call. Events that name an unknown request, attempt or server are ignored. now is the time of a
+// clock that is synchronized between all balancers and servers, accurate to a small part of a target latency;
+// an inaccurate clock never causes a rule to be broken.
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.now, b.actions = now, b.actions[:0]
 	b.detectStall()
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -30,10 +30,10 @@
 	failureWeight         = 0.3  // weight of a new sample in a server's failure rate
 	ejectThreshold        = 0.6  // failure rate above which a server is ejected: three failures in a row, from 0
 	hedgeLossThreshold    = 0.03 // loss rate at servers that answer others, from which late attempts are hedged
-	hedgeDelay            = 2.0  // mean latencies after which an attempt is late; hedged if losses are that high
+	hedgeDelay            = 2.0  // mean latencies after which an attempt is late; see hedgeLossThreshold
 	silentHedgeDelay      = 8.0  // the same for an attempt whose server has been silent since the send
 	coldFailurePenalty    = 0.5  // share of the failure rate at cold servers by which their sends are reduced
-	minHealthyShare       = 0.5  // ejections are ignored below this share of capacity that is not ejected
+	minHealthyShare       = 0.5  // ejections are ignored while a smaller share of the capacity is not ejected
 	retryRatio            = 0.1  // further attempts per first attempt, in addition to those for lost attempts
 	maxRetryBudget        = 10   // maximum number of further attempts saved up
 	maxCongestionWeight   = 0.3  // maximum weight of a new sample in the congestion
@@ -156,19 +156,19 @@
 	for _, s := range b.servers {
 		expected, warmup := mean*s.Weight, s.warmupShare(b)
 		s.capacity = expected + (s.rate-expected)*s.confidence
-		s.weight = s.capacity * warmup * (1 - s.failureRate) * s.readmitFactor(b)
+		s.drawWeight = s.capacity * warmup * (1 - s.failureRate) * s.readmitFactor(b)
 		if s.State != Ready {
 			continue
 		}
-		b.totalCapacity += s.weight
+		b.totalCapacity += s.drawWeight
 		if s.ejectedUntil == 0 {
-			b.healthyCapacity += s.weight
+			b.healthyCapacity += s.drawWeight
 		}
 		if !s.outsideSubset {
-			b.subsetCapacity += s.weight
+			b.subsetCapacity += s.drawWeight
 		}
 		if s.Zone == b.settings.Zone && warmup == 1 {
-			s.weight *= 1 + localZoneBonus*b.settings.CrossZoneCost*max(0, 1-s.reportedUtil)
+			s.drawWeight *= 1 + localZoneBonus*b.settings.CrossZoneCost*max(0, 1-s.reportedUtil)
 		}
 	}
 }
@@ -183,7 +183,8 @@
 	r.drawn = r.drawn[:0]
 	n := drawCount
 	if b.probesFirst() {
-		n = int(min(maxProbedServers, maxProbeCost/b.settings.ProbeCost)) // also where probes are free
+		// A ProbeCost of 0 gives +Inf, so maxProbedServers applies.
+		n = int(min(maxProbedServers, maxProbeCost/b.settings.ProbeCost))
 	}
 	if s := b.dueForTrial(r); s != nil {
 		r.drawn = append(r.drawn, s)
@@ -216,13 +217,13 @@
 		if slices.Contains(r.drawn[:i], s) {
 			continue
 		}
-		if s.weight *= b.freeShare(r, s); s == r.affinityServer {
-			s.weight *= affinityFactor
+		if s.drawWeight *= b.freeShare(r, s); s == r.affinityServer {
+			s.drawWeight *= affinityFactor
 		}
 		lowest = min(lowest, s.load())
 	}
 	for _, s := range r.drawn { // they are in random order, which breaks ties at random
-		if s.load() <= lowest*(1+loadTolerance) && (best == nil || s.weight > best.weight) {
+		if s.load() <= lowest*(1+loadTolerance) && (best == nil || s.drawWeight > best.drawWeight) {
 			best = s
 		}
 	}
@@ -231,7 +232,7 @@
 
 func drawByWeight(from []*server, x float64) *server {
 	for _, s := range from {
-		if x -= s.weight; x < 0 {
+		if x -= s.drawWeight; x < 0 {
 			return s
 		}
 	}
@@ -244,7 +245,7 @@
 	lowest, k := math.Inf(1), hash(key)
 	for _, s := range from {
 		u := float64(mix(k^s.idHash)>>10+1) / (1 << 53)
-		if x := -math.Log(u) / s.weight; x < lowest || best == nil {
+		if x := -math.Log(u) / s.drawWeight; x < lowest || best == nil {
 			best, lowest = s, x
 		}
 	}
@@ -304,7 +305,7 @@
 
 // freeShare returns the share of its capacity that a server has free for this balancer, according to its
 // latest report. If reports state the requests in flight, it turns the load by own requests into the load
-// by all requests, which the algorithm of the paper works on.
+// by all requests, which the algorithm in pickServer's comment works on.
 func (b *Balancer) freeShare(r *request, s *server) float64 {
 	own := float64(len(s.inFlight))
 	switch {
@@ -327,7 +328,7 @@
 			tried := func(a *attempt) bool { return a.srv == s }
 			preferred := !s.outsideSubset && !b.isEjected(s) && !slices.ContainsFunc(r.attempts, tried)
 			if (preferred || !strict) && b.maySend(r, s) {
-				eligible, total = append(eligible, s), total+s.weight
+				eligible, total = append(eligible, s), total+s.drawWeight
 			}
 		}
 		if len(eligible) > 0 {
@@ -401,8 +402,8 @@
 	}
 }
 
-// eject excludes a server from the draws until it is this balancer's turn to try it, with one request that
-// can be risked. In each round every balancer that draws from the server has one turn, a horizon after the
+// eject excludes a server from the draws until it is this balancer's turn to try it with one request (see
+// dueForTrial). In each round every balancer that draws from the server has one turn, a horizon after the
 // previous balancer's: in the first round by their ranks, then one round later each time.
 func (b *Balancer) eject(s *server) {
 	turn := s.SubsetRank
@@ -414,14 +415,14 @@
 	b.updateWeights() // the healthy capacity has changed
 }
 
-// withdrawFromSilent cancels the attempts at a silent server that may be made elsewhere, as far as the
+// cancelAtSilent cancels the attempts at a silent server that may be made elsewhere, as far as the
 // retry budget allows. Their outcomes start the new attempts.
-func (b *Balancer) withdrawFromSilent(s *server) {
+func (b *Balancer) cancelAtSilent(s *server) {
 	for _, a := range s.inFlight {
 		a.req.inFlight-- // as after the cancellation
 		if b.settings.CanCancel && b.canMove(a) {
 			b.retryBudget--
-			a.withdrawn = true
+			a.canceledAsSilent = true
 			b.emit(Action{Kind: Cancel, Request: a.req.ID, Attempt: a.index, Reason: ServerSilent})
 		}
 		a.req.inFlight++
@@ -468,7 +469,7 @@
 		switch n := b.missedAnswers(s); {
 		case s.ejectedUntil == 0 && n > maxMissedAnswers || s.trialActive && n > maxMissedInTrial:
 			b.eject(s)
-			b.withdrawFromSilent(s)
+			b.cancelAtSilent(s)
 		case s.outsideSubset && s.ejectedUntil > 0 && b.now >= s.ejectedUntil: // other balancers try it
 			s.ejectedUntil, s.failureRate = 0, 0
 		}
@@ -495,13 +496,13 @@
 
 // Slow start.
 
-// refillColdAllowances adds to the sends that cold servers may get, by their share of every attempt. Idle
-// as they are, they would otherwise draw all requests of all balancers at once.
+// refillColdAllowances adds to the sends that cold servers may get, by their share of every attempt.
+// Otherwise all balancers would send all requests to them at once, as they are idle.
 func (b *Balancer) refillColdAllowances() {
 	for _, s := range b.servers {
 		if s.warmupShare(b) < 1 && !s.outsideSubset { // this balancer draws from its subset only
 			s.coldAllowance = min(s.coldAllowance+
-				coldSendFactor*(1-coldFailurePenalty*b.coldFailureRate)*s.weight/b.subsetCapacity, 2)
+				coldSendFactor*(1-coldFailurePenalty*b.coldFailureRate)*s.drawWeight/b.subsetCapacity, 2)
 		}
 	}
 }
@@ -596,7 +597,7 @@
 	b.recordOutcome(a, o)
 	switch {
 	case r.closed || o.Closed:
-		if a.withdrawn { // without need: nothing has to be sent again
+		if a.canceledAsSilent { // without need: nothing has to be sent again
 			b.retryBudget = min(b.retryBudget+1, maxRetryBudget)
 		}
 		for _, other := range r.attempts { // one answer is enough; an earlier attempt is late or lost
@@ -607,7 +608,7 @@
 		}
 		b.close(r)
 	case r.inFlight > 0: // the other attempt goes on
-	case a.withdrawn:
+	case a.canceledAsSilent:
 		b.startAttempt(r)
 	case b.retryBudget >= 1 && o.Result != NotSent:
 		b.retryBudget--
@@ -700,7 +701,7 @@
 	return b.rng.Float64() < share*b.meanValue/value
 }
 
-// Deadlines.
+// Final answers.
 
 // endUnserved gives a request that was not served its final answer. A refusal promises that a retry does no
 // harm: where that may not be true, it is a failure.
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -151,7 +151,7 @@
 	}
 	h.updateWeights()
 	for s, want := range []float64{100, 40, 70} { // the last one has no estimate: the mean of the others
-		if got := h.servers[s].weight; math.Abs(got-want) > 0.15*want {
+		if got := h.servers[s].drawWeight; math.Abs(got-want) > 0.15*want {
 			t.Errorf("server %d: capacity %v, want about %v", s, got, want)
 		}
 	}
@@ -168,8 +168,8 @@
 		h.recordReport(h.servers[1], utilReport(0.01, 0.2))
 	}
 	h.updateWeights()
-	if h.servers[1].weight < h.servers[0].weight {
-		t.Errorf("idle server weighs %v, a busy one %v", h.servers[1].weight, h.servers[0].weight)
+	if h.servers[1].drawWeight < h.servers[0].drawWeight {
+		t.Errorf("idle server weighs %v, a busy one %v", h.servers[1].drawWeight, h.servers[0].drawWeight)
 	}
 }
 
@@ -382,12 +382,12 @@
 	h := newBench(t, settings, 1, 1)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Zone: 1}}})
 	h.updateWeights()
-	if h.servers[0].weight < 2*h.servers[1].weight {
+	if h.servers[0].drawWeight < 2*h.servers[1].drawWeight {
 		t.Error("an idle server in the own zone is not preferred")
 	}
 	h.servers[0].reportedUtil = 1
 	h.updateWeights()
-	if h.servers[0].weight != h.servers[1].weight {
+	if h.servers[0].drawWeight != h.servers[1].drawWeight {
 		t.Error("a fully used server in the own zone is preferred")
 	}
 }
@@ -456,7 +456,7 @@
 	h.now = h.at
 	h.eject(h.servers[2])
 	h.actions = nil
-	h.withdrawFromSilent(h.servers[2])
+	h.cancelAtSilent(h.servers[2])
 	if len(h.servers[2].inFlight) == 0 || len(h.actions) != 0 {
 		t.Errorf("%d in flight, actions %+v", len(h.servers[2].inFlight), h.actions)
 	}
@@ -539,7 +539,7 @@
 	}
 	h.updateWeights()
 	for i, want := range []float64{1, 1, 2} {
-		if got := h.servers[i].weight; got != want {
+		if got := h.servers[i].drawWeight; got != want {
 			t.Errorf("server %d weighs %v, want %v", i, got, want)
 		}
 	}
--- a/choice/explore.go
+++ b/choice/explore.go
@@ -34,8 +34,10 @@
 	return all
 }
 
-// Fingerprint appends all state on which the Balancer's next decisions depend, except for random numbers.
-// Two Balancers with equal settings and fingerprints act alike from then on, whatever happened before.
+// Fingerprint appends the state on which the Balancer's next decisions depend, except for random numbers,
+// lastPromptSend, server.subsetShare, Request.BodyPending and the times of the latest outcomes, of which it
+// appends only whether there was any. Two Balancers with equal settings and fingerprints that agree in these,
+// too, act alike from then on, whatever happened before.
 func (b *Balancer) Fingerprint(dst []byte) []byte {
 	num := func(all ...float64) { dst = appendNumbers(dst, all) }
 	flags := func(all ...bool) {
@@ -55,7 +57,7 @@
 		num(float64(s.State), float64(s.Started), s.rate, s.confidence, s.capacity, s.reportedRate,
 			s.reportedUtil, s.lastUtil, float64(s.lastReport), s.probedInFlight, float64(s.lastProbeAnswer),
 			float64(s.lastProbe), s.SubsetRank, float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate,
-			float64(s.ejectedUntil), float64(s.readmittedAt), s.othersShare, s.coldAllowance, s.weight,
+			float64(s.ejectedUntil), float64(s.readmittedAt), s.othersShare, s.coldAllowance, s.drawWeight,
 			float64(len(s.inFlight)), float64(min(s.lastOutcome, 1)))
 		flags(s.outsideSubset, s.trialActive, s.imported)
 		for _, a := range s.inFlight {
@@ -74,7 +76,7 @@
 		for _, a := range r.attempts {
 			server(a.srv)
 			num(float64(a.sent))
-			flags(a.inFlight, a.neverRan, a.withdrawn)
+			flags(a.inFlight, a.neverRan, a.canceledAsSilent)
 		}
 	}
 	return dst
@@ -191,7 +193,7 @@
 			make([]*attempt, len(r.attempts), b.settings.MaxAttempts)
 		for i, a := range r.attempts {
 			copied.attempts[i] = &attempt{req: copied, srv: cloneServer(a.srv), index: a.index, sent: a.sent,
-				inFlight: a.inFlight, neverRan: a.neverRan, withdrawn: a.withdrawn}
+				inFlight: a.inFlight, neverRan: a.neverRan, canceledAsSilent: a.canceledAsSilent}
 		}
 		clone.requests[id] = copied
 	}
--- a/choice/figures.go
+++ b/choice/figures.go
@@ -1,6 +1,6 @@
 package choice
 
-// Read-only figures of a Balancer. No decision depends on them.
+// Read-only statistics of a Balancer. None of its decisions depends on them.
 
 // Ejected returns the number of ready servers that are excluded as unhealthy.
 func (b *Balancer) Ejected() (n int) {
@@ -12,6 +12,6 @@
 	return n
 }
 
-// News returns a count of the changes to what the Balancer has learned: if it is the same as before,
-// there were none.
+// News returns the revision of what the Balancer has learned: if it is the same as before, nothing was
+// learned since.
 func (b *Balancer) News() uint64 { return b.revision }
--- a/choice/memory.go
+++ b/choice/memory.go
@@ -81,9 +81,9 @@
 	return min(x, high)
 }
 
-// Recall initializes the Balancer with what an earlier one has learned; any figures are safe. It applies to
-// classes without samples, and to servers in the list that have not reported, been sent to or been ejected
-// yet and whose start is that of the data. All other data is ignored.
+// Recall is the counterpart of Export: it initializes the Balancer with what an earlier one has learned; any
+// values are safe. It applies to classes without samples, and to servers in the list that have not reported,
+// been sent to or been ejected yet and whose start is that of the data. All other data is ignored.
 func (b *Balancer) Recall(now time.Duration, m Memory) {
 	b.now = now
 	for _, e := range m.Classes {
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -158,8 +158,8 @@
 		b.updateWeights()
 		ejected := 0
 		for _, s := range b.servers {
-			if !(s.weight >= 0 && s.weight < math.Inf(1) && s.failureRate >= 0 && s.failureRate <= maxImportedFailureRate && s.confidence >= 0 && s.confidence <= maxImportedTrust) {
-				t.Fatalf("weight %v, failure rate %v, confidence %v", s.weight, s.failureRate, s.confidence)
+			if !(s.drawWeight >= 0 && s.drawWeight < math.Inf(1) && s.failureRate >= 0 && s.failureRate <= maxImportedFailureRate && s.confidence >= 0 && s.confidence <= maxImportedTrust) {
+				t.Fatalf("weight %v, failure rate %v, confidence %v", s.drawWeight, s.failureRate, s.confidence)
 			}
 			if s.ejectedUntil > 0 {
 				ejected++
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -7,16 +7,16 @@
 const (
 	NoReason Reason = iota // not stated
 
-	// Of a Send.
+	// Reasons for a Send.
 	FirstAttempt
 	Retry // the previous attempt ended without an answer
 	Hedge // the previous attempt is late
 
-	// Of a Cancel.
+	// Reasons for a Cancel.
 	ServerSilent  // the server answers no request
 	OtherAnswered // another attempt of the request was answered
 
-	// Of a Refuse or a Fail.
+	// Reasons for a Refuse or a Fail.
 	Overloaded         // shed because of congestion
 	ServersBusy        // shed because the best server drawn has too many requests in flight
 	NoServer           // no server may get the request
--- a/choice/rescue_test.go
+++ b/choice/rescue_test.go
@@ -25,18 +25,18 @@
 	}
 	b.Handle(0, ServerList{Servers: []Server{{ID: "well"}}})
 	budget := int(b.retryBudget)
-	var withdrawn []Action
-	for now := time.Duration(0); len(withdrawn) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
+	var canceled []Action
+	for now := time.Duration(0); len(canceled) == 0 && now < 10*time.Second; now += 50 * time.Millisecond {
 		for _, a := range b.Handle(now, TimerFired{Token: tickToken}) {
 			if a.Kind == Cancel {
-				withdrawn = append(withdrawn, a)
+				canceled = append(canceled, a)
 			}
 		}
 	}
-	if len(withdrawn) == 0 || len(withdrawn) > budget {
-		t.Fatalf("%d of %d attempts are canceled, with a retry budget of %d", len(withdrawn), requests, budget)
+	if len(canceled) == 0 || len(canceled) > budget {
+		t.Fatalf("%d of %d attempts are canceled, with a retry budget of %d", len(canceled), requests, budget)
 	}
-	for _, c := range withdrawn {
+	for _, c := range canceled {
 		again := b.Handle(b.now, Outcome{Request: c.Request, Attempt: c.Attempt, Server: "silent", Result: Cancelled, Report: NoReport})
 		if s := sends(again); len(s) != 1 || s[0].Server != "well" {
 			t.Errorf("request %s: %+v", c.Request, again)
--- a/choice/state.go
+++ b/choice/state.go
@@ -75,7 +75,7 @@
 	readmittedAt     time.Duration // when it was last readmitted
 	othersShare      float64       // load that it had from other balancers then, relative to the mean
 	coldAllowance    float64       // sends that it may get while cold
-	weight           float64       // current capacity, adjusted for the request at hand
+	drawWeight       float64       // current capacity, adjusted for the request at hand
 }
 
 type request struct {
@@ -93,13 +93,13 @@
 }
 
 type attempt struct {
-	req       *request
-	srv       *server
-	index     int           // in the attempts of the request
-	sent      time.Duration // time of the send or, if later, of the request's last byte
-	inFlight  bool
-	neverRan  bool // the result proves that it had no effect
-	withdrawn bool // canceled at a silent server, with another attempt already taken from the retry budget
+	req              *request
+	srv              *server
+	index            int           // in the attempts of the request
+	sent             time.Duration // time of the send or, if later, of the request's last byte
+	inFlight         bool
+	neverRan         bool // the result proves that it had no effect
+	canceledAsSilent bool // canceled at a silent server, with another attempt already taken from the retry budget
 }
 
 // mayHaveRun returns the first attempt that is not known to have had no effect, or nil.
@@ -111,7 +111,7 @@
 }
 
 // load returns the load of the server relative to its weight, with one more request.
-func (s *server) load() float64 { return float64(len(s.inFlight)+1) / s.weight }
+func (s *server) load() float64 { return float64(len(s.inFlight)+1) / s.drawWeight }
 
 // readmitFactor returns by what factor the share of a readmitted server is raised, until the balancers
 // whose turn comes later have readmitted it too. Then it is 1.
@@ -151,9 +151,9 @@
 		(1-b.settings.SlowStartMinShare)*max(0, float64(age)/float64(b.settings.SlowStartWindow))
 }
 
-// overtaken reports whether its server has answered an attempt that was sent later by more than the mean
-// latency, or any server has answered one in time: then there is no congestion, and this attempt is lost or
-// expensive, or its server unhealthy.
+// overtaken reports whether the server of a has answered an attempt that was sent later than a by more than
+// the mean latency, or any server has answered such an attempt in time: then there is no congestion, and this
+// attempt is lost or expensive, or its server unhealthy.
 func (b *Balancer) overtaken(a *attempt) bool {
 	return float64(max(a.srv.lastAnsweredSend, b.lastPromptSend)-a.sent) > b.meanLatency[a.req.Class]
 }
--- a/internal/decide/addresses/addresses.go
+++ b/internal/decide/addresses/addresses.go
@@ -139,8 +139,8 @@
 		return false, 0, connectedAt, kind
 	}
 	slices.SortStableFunc(all, func(x, y string) int {
-		ax, ux, wx, kx := rank(x)
-		ay, uy, wy, ky := rank(y)
+		ax, ux, cx, kx := rank(x)
+		ay, uy, cy, ky := rank(y)
 		switch {
 		case ax != ay && ax:
 			return 1
@@ -149,7 +149,7 @@
 		case ax:
 			return cmp.Compare(ux, uy)
 		}
-		return cmp.Or(cmp.Compare(wy, wx), cmp.Compare(kx, ky))
+		return cmp.Or(cmp.Compare(cy, cx), cmp.Compare(kx, ky))
 	})
 	return all
 }
@@ -234,22 +234,22 @@
 
 // Copy returns an equal History.
 func (h *History) Copy() *History {
-	twin := &History{settings: h.settings, records: make(map[string]*record, len(h.records))}
+	dst := &History{settings: h.settings, records: make(map[string]*record, len(h.records))}
 	for addr, r := range h.records {
 		same := *r
-		twin.records[addr] = &same
+		dst.records[addr] = &same
 	}
-	return twin
+	return dst
 }
 
 // Copy returns an equal Race that uses the given History, a copy of its own. The copy of a nil Race is nil.
-func (r *Race) Copy(book *History) *Race {
+func (r *Race) Copy(history *History) *Race {
 	if r == nil {
 		return nil
 	}
-	twin := *r
-	twin.history, twin.dialing = book, slices.Clone(r.dialing)
-	return &twin
+	dst := *r
+	dst.history, dst.dialing = history, slices.Clone(r.dialing)
+	return &dst
 }
 
 // Dialing returns the addresses being dialled, in the order in which their dials were started.
--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -1,5 +1,5 @@
 // Package aging decides how much weight a remembered fact still has: less the older it is and the more the fleet has
-// changed since, none for a server that is another one by now, and never more than a bound. It does no I/O and reads no
+// changed since, none for a server that has been replaced, and never more than a bound. It does no I/O and reads no
 // clock.
 package aging
 
@@ -25,8 +25,8 @@
 	MaxAge      time.Duration // older facts have no weight
 }
 
-// Defaults are the settings where none are configured. Failures and times have the same half-life: usual times that
-// outlived what is known about silent servers made quiet agents lose more requests than without a memory
+// Defaults are the settings where none are configured. Failures and times have the same half-life: if latencies were
+// remembered longer than failures, agents with little traffic lost more requests than without stored state
 // (docs/design/learning.md has the figures).
 var Defaults = Settings{Capacity: 10 * time.Minute, Failing: 15 * time.Minute, Ejection: time.Minute, Times: 15 * time.Minute,
 	Traffic: 15 * time.Minute, Cold: 24 * time.Hour, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
--- a/internal/decide/calltrack/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -17,16 +17,16 @@
 	Fleet   []uint64         // identities of all servers that calls can be sent to
 }
 
-// Export writes what was learned to into. worked returns which of a server's addresses connected last, or "" if none did; it
-// may be nil.
-func (t *Tracker) Export(now time.Duration, into *Learned, worked func(addrs []string) string) {
+// Export writes what was learned to into. lastConnected returns which of a server's addresses connected last, or "" if none
+// did; it may be nil.
+func (t *Tracker) Export(now time.Duration, into *Learned, lastConnected func(addrs []string) string) {
 	t.balancer.Export(now, &into.Memory)
 	into.Servers, into.Fleet = into.Servers[:0], into.Fleet[:0]
 	lastAddr := func(s *lifecycle.Server) string {
-		if worked == nil || len(s.Addrs) < 2 {
+		if lastConnected == nil || len(s.Addrs) < 2 {
 			return ""
 		}
-		return worked(s.Addrs)
+		return lastConnected(s.Addrs)
 	}
 	several := 0
 	for _, m := range into.Memory.Servers {
@@ -40,7 +40,7 @@
 			several++
 		}
 	}
-	if several == 0 || worked == nil {
+	if several == 0 || lastConnected == nil {
 		return
 	}
 	known := make(map[string]bool, len(into.Servers))
@@ -72,7 +72,7 @@
 
 // Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
 // the number of servers with such facts and the addresses of them that had connected. Facts about servers that are never
-// listed are dropped together with the past.
+// listed are dropped with DropPast.
 func (t *Tracker) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
 	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
--- a/internal/decide/calltrack/ledger.go
+++ b/internal/decide/calltrack/ledger.go
@@ -18,7 +18,7 @@
 	"ternbeam/internal/decide/subset"
 )
 
-// Call is one call of a client. Request.Needs names the protocol that a server must speak to receive it.
+// Call is one call of a client. Request.RequiredProtocols names the protocols that a server must speak to receive it.
 type Call struct {
 	choice.Request
 	Payload any              // the message, as the transports of that protocol expect it
@@ -38,8 +38,8 @@
 	untranslatable error       // why the call can't be translated into another shape
 	relaying       *Attempt    // the attempt whose answer is being relayed to the client; nil before and after
 
-	accepted time.Duration   // when the Tracker received the call, on the module's clock
-	history  []AttemptRecord // ended attempts, for the Record
+	receivedAt time.Duration   // when the Tracker received the call, on the module's clock
+	history    []AttemptRecord // ended attempts, for the Record
 }
 
 // Finished reports whether the call has its final answer or its client has disconnected. Nothing may be sent for it any more.
@@ -99,9 +99,9 @@
 	Speaks  choice.Protocols // the protocol spoken with the server
 	Payload any              // the message to send: the call's own, or its translation
 
-	// Illegal is called with an illegal state transition, which is a bug in this program. It may be nil.
+	// OnIllegalStep is called with an illegal state transition, which is a bug in this program. It may be nil.
 	OnIllegalStep  func(error)
-	OnRelayStart   func(*Attempt, AttemptOutcome) // set by the host: reports that the answer starts to be relayed; its end is reported separately
+	OnRelayStart   func(*Attempt, AttemptOutcome) // set by the host: reports that the answer starts to be relayed; AttemptEnded reports its end
 	ForwardedCount *atomic.Int64                  // set by the host: counts the attempts that were written completely; may be nil
 	Cancel         context.CancelCauseFunc        // set by the host: cancels the attempt's context
 	WriteBy        time.Time                      // set by the host: SendBy on the system clock
@@ -210,7 +210,7 @@
 	Ejected() int // the number of servers that the module has ejected
 }
 
-// Settings configures a Tracker.
+// Settings configure a Tracker.
 type Settings struct {
 	Classes       int                               // number of call classes
 	MaxAttempts   int                               // per call
@@ -219,7 +219,7 @@
 	OnIllegalStep func(error)                       // called with illegal state transitions, which are bugs in this program; may be nil
 	Routes        *routes.Router                    // routing by shape; nil if calls have no shapes
 	Observe       func(Record)                      // receives the Record of each ended request, on the event loop; nil to keep no records
-	Places        *subset.Subset                    // this agent's places at servers; nil for the first place at each
+	Places        *subset.Subset                    // this agent's ranks at servers; nil for the first rank at each
 }
 
 // Tracker tracks the calls of an agent. It is not safe for concurrent use.
@@ -253,7 +253,7 @@
 // startStep starts the handling of an external event. The commands returned for it are valid until the next one.
 func (t *Tracker) startStep(now time.Duration) { t.now, t.commands = now, t.commands[:0] }
 
-func (t *Tracker) emit(o Command) { t.commands = append(t.commands, o) }
+func (t *Tracker) emit(c Command) { t.commands = append(t.commands, c) }
 
 // Start returns the commands to carry out before the first event.
 func (t *Tracker) Start(now time.Duration) []Command {
@@ -277,11 +277,11 @@
 	return t.commands
 }
 
-// CallArrived accepts a call from a front.
+// CallArrived accepts a call from the protocol server that received it.
 func (t *Tracker) CallArrived(now time.Duration, call *Call) []Command {
 	t.startStep(now)
 	t.stats.Requests++
-	call.accepted, call.Deadline = now, t.clampDeadline(call.Deadline)
+	call.receivedAt, call.Deadline = now, t.clampDeadline(call.Deadline)
 	switch {
 	case call.ClientDisconnected(): // ClientDisconnected may already have been called and would not be called again to end the call
 		call.finished.Store(true)
@@ -289,7 +289,7 @@
 		t.observe(call, Failed, ReasonDisconnected)
 	case t.calls[call.ID] != nil: // ids must be unique
 		t.reply(call, Answer{Kind: Duplicate}, ReasonDuplicateID)
-	case t.set.MaxUnanswered > 0 && t.unanswered >= t.set.MaxUnanswered: // refused without asking the module, as in the simulator
+	case t.set.MaxUnanswered > 0 && t.unanswered >= t.set.MaxUnanswered: // refused without the module
 		t.reply(call, Answer{Kind: Refused}, ReasonRequestLimit)
 	default:
 		t.calls[call.ID] = call
@@ -304,14 +304,14 @@
 func (t *Tracker) ClientDisconnected(now time.Duration, call *Call) []Command {
 	t.startStep(now)
 	if t.calls[call.ID] == call && !call.finished.Load() {
-		t.clientLeft(call)
+		t.endDisconnected(call)
 		t.dropIfDone(call)
 	}
 	return t.commands
 }
 
-// clientLeft ends an unfinished call whose client has disconnected.
-func (t *Tracker) clientLeft(call *Call) {
+// endDisconnected ends an unfinished call whose client has disconnected.
+func (t *Tracker) endDisconnected(call *Call) {
 	t.stats.Disconnected++
 	t.markFinished(call)
 	t.observe(call, Failed, ReasonDisconnected)
@@ -326,8 +326,8 @@
 	call.inFlight--
 	t.recordAttempt(at, e)
 	t.stats.Results[e.Result]++
-	if call.ClientDisconnected() && !call.finished.Load() { // the transport noticed the disconnect before the front reported it
-		t.clientLeft(call)
+	if call.ClientDisconnected() && !call.finished.Load() { // the transport noticed the disconnect before the protocol server reported it
+		t.endDisconnected(call)
 	}
 	if call.relaying == at { // RelayStarted has already given the module the outcome and the client the start of its answer
 		t.relayEnded(call, e.Result == choice.OK)
@@ -361,7 +361,7 @@
 			delete(t.listed, e.ID)
 			t.overrides.ServerRemoved(e.ID)
 		} else {
-			e.SubsetRank = t.place(e.ID)
+			e.SubsetRank = t.rank(e.ID)
 			t.listed[e.ID] = e
 		}
 	}
@@ -377,9 +377,9 @@
 	return t.commands
 }
 
-// place returns this agent's place at a server. It reuses the known one, as computing it takes time proportional to the
+// rank returns this agent's rank at a server. It reuses the known one, as computing it takes time proportional to the
 // number of agents.
-func (t *Tracker) place(id string) float64 {
+func (t *Tracker) rank(id string) float64 {
 	if known, ok := t.listed[id]; ok {
 		return known.SubsetRank
 	}
@@ -455,8 +455,7 @@
 	t.pending, t.handling = t.pending[:0], false
 }
 
-// perform carries out the module's actions. It has no case for probes, which the configuration rules out, nor for messages to
-// peers, which the module does not send.
+// perform carries out the module's actions. It has no case for probes, which the configuration rules out.
 func (t *Tracker) perform(actions []choice.Action) {
 	for _, act := range actions {
 		switch act.Kind {
@@ -565,7 +564,7 @@
 func (t *Tracker) RelayingCount() int { return t.relaying }
 
 // Count returns the number of unanswered calls, and the number of calls that are unanswered or have attempts in flight.
-func (t *Tracker) Count() (open, held int) { return t.unanswered, len(t.calls) }
+func (t *Tracker) Count() (unanswered, tracked int) { return t.unanswered, len(t.calls) }
 
 // Stats returns the counts since the start.
 func (t *Tracker) Stats() Stats {
--- a/internal/decide/calltrack/long.go
+++ b/internal/decide/calltrack/long.go
@@ -9,8 +9,8 @@
 // This file handles streamed calls: requests that are forwarded while they are received, and answers that are relayed while
 // they are received.
 
-// RequestComplete handles the last byte of a call that was received in parts (Request.Coming). The time of its attempts counts
-// from now, and its deadline becomes the given one.
+// RequestComplete handles the last byte of a call that was received in parts (Request.BodyPending). The time of its attempts
+// counts from now, and its deadline becomes the given one.
 func (t *Tracker) RequestComplete(now time.Duration, call *Call, deadline time.Duration) []Command {
 	t.startStep(now)
 	if t.calls[call.ID] != call || !call.BodyPending || call.Finished() {
--- a/internal/decide/calltrack/operators.go
+++ b/internal/decide/calltrack/operators.go
@@ -7,7 +7,7 @@
 	"ternbeam/internal/decide/overrides"
 )
 
-// Offline takes a server out of use by an operator's request, until Online. It returns false if the server is unknown, or if
+// Offline takes a server offline by an operator's request, until Online. It returns false if the server is unknown, or if
 // the maximum number of servers is offline already.
 func (t *Tracker) Offline(now time.Duration, id string) ([]Command, bool) {
 	t.startStep(now)
@@ -21,7 +21,7 @@
 	return t.commands, true
 }
 
-// Online puts a server back into use. It returns false if the server is unknown. A server that was not offline is unaffected.
+// Online puts a server back online. It returns false if the server is unknown. A server that was not offline is unaffected.
 func (t *Tracker) Online(now time.Duration, id string) ([]Command, bool) {
 	t.startStep(now)
 	e, listed := t.listed[id]
--- a/internal/decide/calltrack/record.go
+++ b/internal/decide/calltrack/record.go
@@ -6,7 +6,7 @@
 	"ternbeam/choice"
 )
 
-// Reason is why a request ended as it did. Reasons that the decision module gives have the names of choice.Reason.
+// Reason is why a request, that is a call, ended as it did. Reasons that the decision module gives have the names of choice.Reason.
 type Reason string
 
 // The reasons that do not come from the decision module.
@@ -58,8 +58,8 @@
 		return
 	}
 	call := at.Call
-	call.history = append(call.history, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted,
-		Ended: t.now - call.accepted, Result: e.Result, Cause: e.Cause})
+	call.history = append(call.history, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.receivedAt,
+		Ended: t.now - call.receivedAt, Result: e.Result, Cause: e.Cause})
 }
 
 // recordUnsent keeps an attempt that the module ordered and that was not started.
@@ -67,7 +67,7 @@
 	if t.set.Observe == nil {
 		return
 	}
-	at := t.now - call.accepted
+	at := t.now - call.receivedAt
 	call.history = append(call.history, AttemptRecord{Server: act.Server, Reason: act.Reason, Sent: at, Ended: at, Result: result})
 }
 
@@ -80,11 +80,11 @@
 	if reason != ReasonAnswered {
 		t.reasonCounts[reason]++
 	}
-	r := Record{ID: call.ID, Class: call.Class, Received: call.accepted, Took: t.now - call.accepted, Remaining: call.Deadline - t.now, Kind: kind,
+	r := Record{ID: call.ID, Class: call.Class, Received: call.receivedAt, Took: t.now - call.receivedAt, Remaining: call.Deadline - t.now, Kind: kind,
 		Reason: reason, Connection: call.Connection, Attempts: call.history}
 	for _, at := range call.attempts {
 		if at != nil && (at.Number > 0 || kind != Served || len(r.Attempts) > 0) {
-			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.accepted, InFlight: true})
+			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.receivedAt, InFlight: true})
 		}
 	}
 	t.set.Observe(r)
--- a/internal/decide/gossip/datagram.go
+++ b/internal/decide/gossip/datagram.go
@@ -184,13 +184,13 @@
 
 func fromAgeUnits(units uint32) time.Duration { return min(time.Duration(units)*ageUnit, maxAge) }
 
-// chunk returns the rows after a cursor that fit into size bytes, with the cursors; nil if not even the next row fits.
-func (s *versionedList) chunk(after Cursor, room int) *Chunk {
-	c := &Chunk{Gen: s.gen, Order: s.order, After: after, Upto: s.end(), Head: s.head}
-	room -= chunkHeaderBytes + after.encodedBytes() + s.end().encodedBytes()
-	for _, r := range s.byCursor[s.index(after):] {
+// chunk returns the rows after a cursor that fit into room bytes, with the cursors; nil if not even the next row fits.
+func (l *versionedList) chunk(after Cursor, room int) *Chunk {
+	c := &Chunk{Gen: l.gen, Order: l.order, After: after, Upto: l.end(), Head: l.head}
+	room -= chunkHeaderBytes + after.encodedBytes() + l.end().encodedBytes()
+	for _, r := range l.byCursor[l.index(after):] {
 		// The chunk's end is the cursor of its last row, or the end of the list.
-		if room -= r.encodedBytes(); room < max(0, r.cursor().encodedBytes()-s.end().encodedBytes()) || len(c.Rows) == maxRows {
+		if room -= r.encodedBytes(); room < max(0, r.cursor().encodedBytes()-l.end().encodedBytes()) || len(c.Rows) == maxRows {
 			if len(c.Rows) == 0 {
 				return nil
 			}
--- a/internal/decide/gossip/sharing.go
+++ b/internal/decide/gossip/sharing.go
@@ -1,8 +1,8 @@
 // Package gossip decides how the list of servers spreads among agents. A few agents, chosen without a leader, hold
-// watches on the discovery service; the others receive the list from them and from one another, by periodic digests to
-// random agents and by chunks that are sent as soon as something changes. An agent that knows of no other agent with a
-// fresher list calls the service itself. The package does no I/O and reads no clock. docs/design/cold-start.md derives
-// the figures.
+// watches on the discovery service; the others receive the list from them and from one another, by periodic digests,
+// datagrams without rows, to random agents and by chunks that are sent as soon as something changes. An agent that
+// knows of no other agent with a fresher list calls the service itself. The package does no I/O and reads no clock.
+// docs/design/cold-start.md derives the figures.
 package gossip
 
 import (
@@ -41,18 +41,20 @@
 	// callsPerSecond bounds the calls that all agents together make to a service that does not answer, once all have
 	// tried.
 	callsPerSecond = 10
-	// burstChunks is how many chunks are sent at a time, and maxStash how many chunks that arrive out of order are kept.
+	// burstChunks is how many chunks are sent at a time.
 	burstChunks = 32
-	maxStash    = 64
+	// maxStash is how many chunks that arrive out of order are kept.
+	maxStash = 64
 	// chunksPerSecond bounds the chunks that an agent sends.
 	chunksPerSecond = 600
-	// firstListTimeout is how long after the response the first list of a watch arrives, if anything has changed.
+	// firstListTimeout is how long after the response to a watch request has begun the first list arrives, if anything
+	// has changed.
 	firstListTimeout = 100 * time.Millisecond
-	// resendGap is the time between two requests for a chunk that was lost, stallTimeout how long a transfer may make no
-	// progress before its rest is requested again, and transferTimeout how long before a transfer from another agent may
-	// replace it.
-	resendGap       = 200 * time.Millisecond
-	stallTimeout    = 400 * time.Millisecond
+	// resendGap is the time between two requests for a chunk that was lost.
+	resendGap = 200 * time.Millisecond
+	// stallTimeout is how long a transfer may make no progress before its rest is requested again.
+	stallTimeout = 400 * time.Millisecond
+	// transferTimeout is how long a transfer may make no progress before one from another agent may replace it.
 	transferTimeout = time.Second
 	// requestInterval is the time between two requests of an agent that is behind.
 	requestInterval = 100 * time.Millisecond
@@ -111,9 +113,9 @@
 	surplusSince  time.Duration // since when there are too many watchers; 0 if there are not
 	callAt        time.Duration // when to call the service; 0 for never
 	callEnded     bool          // the latest call has ended
-	retryAfter    time.Duration // earliest time of the call after that
-	retryAt       time.Duration // time of that call; 0 if not determined yet
-	slotAt        time.Duration // slot of this agent since its list became stale; 0 while it is not
+	retryAfter    time.Duration // earliest time of the next call
+	retryAt       time.Duration // time of the next call; 0 if not determined yet
+	slotAt        time.Duration // this agent's time slot, determined when its list became stale; 0 while it is not
 
 	nextDigest   time.Duration // when the next digest is due
 	suspectSince time.Duration // since when a list waits for confirmation by the service; 0 if none does
@@ -143,11 +145,11 @@
 }
 
 // New returns a Node. The restored list of the given version is not passed on before the service has confirmed it.
-func New(settings Settings, c *peerstate.Table, scheduler *pacing.Scheduler, version int64, restored []Row, seed uint64) *Node {
-	n := &Node{settings: settings, peers: c, scheduler: scheduler, rng: rand.New(rand.NewPCG(seed, 11)),
+func New(settings Settings, peers *peerstate.Table, scheduler *pacing.Scheduler, version int64, restored []Row, seed uint64) *Node {
+	n := &Node{settings: settings, peers: peers, scheduler: scheduler, rng: rand.New(rand.NewPCG(seed, 11)),
 		list: newVersionedList(0, 0), version: max(0, version), restored: restored, deliveredEarly: map[string]bool{}}
-	n.ranks = make([]int, c.Agents())
-	byRank := make([]int, c.Agents())
+	n.ranks = make([]int, peers.Agents())
+	byRank := make([]int, peers.Agents())
 	for p := range byRank {
 		byRank[p] = p
 	}
@@ -446,14 +448,14 @@
 func (n *Node) applyTransfer(t *transfer) {
 	previous := n.list.head
 	if !t.full {
-		var news []Row
+		var changed []Row
 		for _, r := range t.rows {
 			if n.put(r) {
-				news = append(news, r)
+				changed = append(changed, r)
 			}
 		}
 		n.list.head = max(n.list.head, t.head)
-		n.announce(previous, news, false)
+		n.announce(previous, changed, false)
 		return
 	}
 	list := newVersionedList(t.gen, uint16(n.rng.Uint32()))
@@ -499,9 +501,9 @@
 }
 
 // announce delivers changes to the module and sends them to some other agents.
-func (n *Node) announce(previous int64, news []Row, full bool) {
-	if full || len(news) > 0 {
-		n.emit(Action{Kind: Deliver, Full: full, Rows: news})
+func (n *Node) announce(previous int64, changed []Row, full bool) {
+	if full || len(changed) > 0 {
+		n.emit(Action{Kind: Deliver, Full: full, Rows: changed})
 	}
 	for range n.settings.Fanout {
 		to, ok := n.pickPeer()
@@ -516,7 +518,7 @@
 	}
 }
 
-// WatchAnswered notes that the service has accepted the call: the watch continues from the version with which it was
+// WatchAnswered records that the service has accepted the call: the watch continues from the version with which it was
 // opened.
 func (n *Node) WatchAnswered(now time.Duration) []Action {
 	n.advance(now)
@@ -528,7 +530,7 @@
 	return n.actions
 }
 
-// WatchAlive notes that something was received on the watch. If anything has changed, the first list of a watch comes
+// WatchAlive records that something was received on the watch. If anything has changed, the first list of a watch comes
 // with the response: if something is received later and there was no list, nothing has changed.
 func (n *Node) WatchAlive(now time.Duration) []Action {
 	n.advance(now)
@@ -545,7 +547,7 @@
 	return n.actions
 }
 
-// confirm notes that the service has confirmed the list.
+// confirm records that the service has confirmed the list.
 func (n *Node) confirm() {
 	n.confirmed, n.suspectSince, n.freshAt = true, 0, n.now
 	n.scheduler.ListReceived()
@@ -574,7 +576,7 @@
 		n.resetList(n.list.gen+1, base)
 		n.list.head = 0 // nothing of it was announced yet
 	}
-	previous, listed, news := n.list.head, map[string]bool{}, []Row(nil)
+	previous, listed, changed := n.list.head, map[string]bool{}, []Row(nil)
 	for _, r := range rows {
 		listed[r.ID] = true
 		old := n.list.rows[r.ID]
@@ -586,7 +588,7 @@
 			continue
 		}
 		if n.put(r) {
-			news = append(news, r)
+			changed = append(changed, r)
 		}
 	}
 	if full {
@@ -594,7 +596,7 @@
 			if !listed[r.ID] && r.Version <= version {
 				removed := Row{ID: r.ID, Version: version, Removed: true}
 				n.put(removed)
-				news = append(news, removed)
+				changed = append(changed, removed)
 			}
 		}
 	}
@@ -602,13 +604,13 @@
 	n.confirm()
 	if previous == 0 {
 		n.list.floor = version
-		news = n.list.live()
+		changed = n.list.live()
 	}
-	n.announce(previous, news, previous == 0)
+	n.announce(previous, changed, previous == 0)
 	return n.actions
 }
 
-// WatchEnded notes that the watch, or the call for one, has ended, and that nothing was received for the time silent
+// WatchEnded records that the watch, or the call for one, has ended, and that nothing was received for the time silent
 // before that.
 func (n *Node) WatchEnded(now, silent time.Duration) []Action {
 	n.advance(now)
@@ -661,9 +663,9 @@
 	// has a slot of its own.
 	before, alive := 0, 0
 	for p, rank := range n.ranks {
-		m, known := n.peers.Get(p)
-		age := n.now - m.SentAt
-		if rank < ownRank && (!known || m.Flags&peerstate.Leaving == 0 && age <= 2*watcherTimeout) {
+		peer, known := n.peers.Get(p)
+		age := n.now - peer.SentAt
+		if rank < ownRank && (!known || peer.Flags&peerstate.Leaving == 0 && age <= 2*watcherTimeout) {
 			before++
 		}
 		if known && age <= agentTimeout {
--- a/internal/decide/gossip/sheet.go
+++ b/internal/decide/gossip/sheet.go
@@ -37,8 +37,8 @@
 type versionedList struct {
 	gen        uint64 // generation: number of the service's count of versions; 0 for none
 	order      uint16 // random id of the order of rows: in another agent's list rows may have other versions
-	head       int64
-	floor      int64 // tombstones of earlier versions were discarded
+	head       int64  // version of the list
+	floor      int64  // tombstones of earlier versions were discarded
 	rows       map[string]*Row
 	byCursor   []*Row
 	tombstones int // number of tombstones
@@ -52,36 +52,36 @@
 }
 
 // index returns the number of rows up to and including a cursor.
-func (s *versionedList) index(c Cursor) int {
-	return sort.Search(len(s.byCursor), func(i int) bool { return s.byCursor[i].cursor().compare(c) > 0 })
+func (l *versionedList) index(c Cursor) int {
+	return sort.Search(len(l.byCursor), func(i int) bool { return l.byCursor[i].cursor().compare(c) > 0 })
 }
 
 // put stores a row. It reports whether that changes the list.
-func (s *versionedList) put(r Row) bool {
-	old := s.rows[r.ID]
+func (l *versionedList) put(r Row) bool {
+	old := l.rows[r.ID]
 	if old != nil {
 		if old.Version > r.Version {
 			return false
 		}
-		i := s.index(old.cursor()) - 1
-		s.byCursor = slices.Delete(s.byCursor, i, i+1)
+		i := l.index(old.cursor()) - 1
+		l.byCursor = slices.Delete(l.byCursor, i, i+1)
 		if old.Removed {
-			s.tombstones--
+			l.tombstones--
 		}
 	}
 	row := &r
-	s.rows[r.ID] = row
-	s.byCursor = slices.Insert(s.byCursor, s.index(r.cursor()), row)
+	l.rows[r.ID] = row
+	l.byCursor = slices.Insert(l.byCursor, l.index(r.cursor()), row)
 	if r.Removed {
-		s.tombstones++
+		l.tombstones++
 	}
-	for s.tombstones > maxTombstones {
-		i := slices.IndexFunc(s.byCursor, func(r *Row) bool { return r.Removed })
-		first := s.byCursor[i]
-		s.floor = max(s.floor, first.Version)
-		s.byCursor = slices.Delete(s.byCursor, i, i+1)
-		delete(s.rows, first.ID)
-		s.tombstones--
+	for l.tombstones > maxTombstones {
+		i := slices.IndexFunc(l.byCursor, func(r *Row) bool { return r.Removed })
+		first := l.byCursor[i]
+		l.floor = max(l.floor, first.Version)
+		l.byCursor = slices.Delete(l.byCursor, i, i+1)
+		delete(l.rows, first.ID)
+		l.tombstones--
 	}
 	if old == nil {
 		return !r.Removed
@@ -90,15 +90,15 @@
 }
 
 // end returns the cursor after all rows.
-func (s *versionedList) end() Cursor { return Cursor{s.head, lastID} }
+func (l *versionedList) end() Cursor { return Cursor{l.head, lastID} }
 
 // covers reports whether an agent that is complete up to a cursor can be sent just the rest.
-func (s *versionedList) covers(c Cursor) bool { return c.Version >= s.floor }
+func (l *versionedList) covers(c Cursor) bool { return c.Version >= l.floor }
 
 // live returns the rows without tombstones.
-func (s *versionedList) live() []Row {
-	out := make([]Row, 0, len(s.byCursor))
-	for _, r := range s.byCursor {
+func (l *versionedList) live() []Row {
+	out := make([]Row, 0, len(l.byCursor))
+	for _, r := range l.byCursor {
 		if !r.Removed {
 			out = append(out, *r)
 		}
--- a/internal/decide/handover/succession.go
+++ b/internal/decide/handover/succession.go
@@ -18,7 +18,7 @@
 	Name      string             `json:"name"`
 	Discovery string             `json:"discovery"`         // address of List's source; list versions differ between sources
 	List      json.RawMessage    `json:"list"`              // the server list, in discovery's format
-	Overrides overrides.Snapshot `json:"said"`              // operators' overrides of servers
+	Overrides overrides.Snapshot `json:"said"`              // operators' overrides of servers; the key is part of the handover format
 	Learned   *choice.Memory     `json:"learned,omitempty"` // what the decision module has learned
 	Listeners []string           `json:"listeners"`         // addresses of the listeners, in the order in which their descriptors are passed
 }
--- a/internal/decide/learned/records.go
+++ b/internal/decide/learned/records.go
@@ -229,7 +229,7 @@
 // ErrNoState reports that there is no state to read.
 var ErrNoState = errors.New("no learned state is stored")
 
-// Drop is a record that could not be read, with the reason.
+// Drop describes a record that could not be read and was dropped.
 type Drop struct {
 	Name string
 	Why  error
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -1,6 +1,8 @@
 // Package lifecycle holds the state machines of attempts, of connections to servers and of multiplexed connections. They do no
 // I/O and read no clock: the caller reports events and asks for the resulting state. All transports use them, and so does the
 // state explorer, so that it explores the code that runs in production.
+//
+// A place in the connection pool is a slot of the pool's limit on connections; the pool's host calls it a slot.
 package lifecycle
 
 import (
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// SetSize sets the length of the message in bytes, if it was not known at Begin. It can't exceed the size given to Begin.
+// SetSize sets the length of the message in bytes, where Begin was given only an upper bound of it.
 func (a *Attempt) SetSize(n int) error {
 	if a.stage != Writing && a.stage != Reading || n < a.sent || n > a.size {
 		return a.illegal(fmt.Sprintf("set size to %d", n))
--- a/internal/decide/lifecycle/conn.go
+++ b/internal/decide/lifecycle/conn.go
@@ -115,14 +115,14 @@
 func (p *PoolState) Count() (open, idle, waiting int) { return p.taken, p.idleCount, len(p.queue) }
 
 // AcquireIdle takes an idle connection to a server with the given protocol, or returns nil if there is none. Of the connections
-// that have been idle for long enough, as rested reports, it takes the one that became idle last; if there is none, the one that
-// has been idle for longest. A nil rested accepts all. The caller checks that no data has arrived on the connection meanwhile; if
-// some has, it spoils and releases the connection.
-func (p *PoolState) AcquireIdle(s *Server, speaks choice.Protocols, rested func(*Conn) bool) (acquired *Conn) {
+// for which idleLongEnough returns true, it takes the one that became idle last; if there is none, the one that has been idle for
+// longest. A nil idleLongEnough accepts all. The caller checks that no data has arrived on the connection meanwhile; if some has,
+// it spoils and releases the connection.
+func (p *PoolState) AcquireIdle(s *Server, speaks choice.Protocols, idleLongEnough func(*Conn) bool) (acquired *Conn) {
 	all := p.idle[s]
 	for i := len(all) - 1; i >= 0; i-- {
 		if c := all[i]; c.Speaks == speaks {
-			if acquired = c; rested == nil || rested(c) {
+			if acquired = c; idleLongEnough == nil || idleLongEnough(c) {
 				break
 			}
 		}
--- a/internal/decide/lifecycle/copy.go
+++ b/internal/decide/lifecycle/copy.go
@@ -58,9 +58,9 @@
 		}
 	}
 	for c := p.idleList.next; c != &p.idleList; c = c.next {
-		last := conns.Of(c)
-		last.prev, last.next = dst.idleList.prev, &dst.idleList
-		last.prev.next, dst.idleList.prev = last, last
+		copied := conns.Of(c)
+		copied.prev, copied.next = dst.idleList.prev, &dst.idleList
+		copied.prev.next, dst.idleList.prev = copied, copied
 	}
 	return dst
 }
--- a/internal/decide/lifecycle/line.go
+++ b/internal/decide/lifecycle/line.go
@@ -40,7 +40,7 @@
 	return &MultiplexedConn{slots: map[int32]*Slot{}, lastReply: now}
 }
 
-// Join gives an attempt a slot and queues it to be written. It returns nil if it has maxSlots slots already, or if the connection
+// Join gives an attempt a slot and queues it to be written. It returns nil if the connection has maxSlots slots already, or
 // accepts no new attempts.
 func (m *MultiplexedConn) Join(a *Attempt, host any, maxSlots int) (*Slot, error) {
 	if m.broken || m.suspect || len(m.slots) >= maxSlots {
@@ -74,7 +74,7 @@
 	return s
 }
 
-// Remove frees the slot of an attempt that must not be sent, as its Begin returned.
+// Remove frees the slot of an attempt that must not be sent, as its Begin has returned false.
 func (m *MultiplexedConn) Remove(s *Slot) { delete(m.slots, s.Seq) }
 
 // WriteStarted records that the message of an attempt is being written. Until WriteEnded it is unknown how much of it is written.
--- a/internal/decide/listcheck/listing.go
+++ b/internal/decide/listcheck/listing.go
@@ -9,8 +9,8 @@
 	"ternbeam/choice"
 )
 
-// UnknownVersion stands for the version if that discovery service has not sent a list yet. Versions of another service do
-// not count, as each service may number its lists differently.
+// UnknownVersion is the version of a discovery service that has not sent a list yet. Versions of another service do not
+// count, as each service may number its lists differently.
 const UnknownVersion = -1
 
 const (
@@ -55,25 +55,25 @@
 func New(version int64) *Checker { return &Checker{version: version, known: map[string]Entry{}} }
 
 // Version returns the version of the last accepted list.
-func (k *Checker) Version() int64 { return k.version }
+func (c *Checker) Version() int64 { return c.version }
 
 // Check checks a list. Later lists are checked against what was accepted of it.
-func (k *Checker) Check(l List) (v Verdict) {
-	older := k.version != UnknownVersion && l.Version < k.version
+func (c *Checker) Check(l List) (v Verdict) {
+	older := c.version != UnknownVersion && l.Version < c.version
 	switch {
 	case len(l.Entries) > MaxServers:
 		return Verdict{Reject: true, Reason: fmt.Sprintf("%d servers, at most %d are accepted", len(l.Entries), MaxServers)}
-	case l.Full && len(l.Entries) == 0 && len(k.known) > 0:
-		return Verdict{Reject: true, Reason: fmt.Sprintf("a full list without a server, although %d were known", len(k.known))}
+	case l.Full && len(l.Entries) == 0 && len(c.known) > 0:
+		return Verdict{Reject: true, Reason: fmt.Sprintf("a full list without a server, although %d were known", len(c.known))}
 	case older && !l.Full:
-		return Verdict{Reject: true, Reason: fmt.Sprintf("a change to version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
-	case older && k.olderInRow < maxOlderInRow:
-		k.olderInRow++
-		return Verdict{Reject: true, Reason: fmt.Sprintf("version %d after version %d", l.Version, k.version), Draining: k.recordDrains(l)}
+		return Verdict{Reject: true, Reason: fmt.Sprintf("a change to version %d after version %d", l.Version, c.version), Draining: c.recordDrains(l)}
+	case older && c.olderInRow < maxOlderInRow:
+		c.olderInRow++
+		return Verdict{Reject: true, Reason: fmt.Sprintf("version %d after version %d", l.Version, c.version), Draining: c.recordDrains(l)}
 	case older:
-		v.Reason = fmt.Sprintf("version %d after version %d, accepted as it is the %dth older list in a row", l.Version, k.version, k.olderInRow+1)
+		v.Reason = fmt.Sprintf("version %d after version %d, accepted as it is the %dth older list in a row", l.Version, c.version, c.olderInRow+1)
 	}
-	k.olderInRow, k.version = 0, l.Version
+	c.olderInRow, c.version = 0, l.Version
 	last := make(map[string]int, len(l.Entries)) // index of the entry that takes precedence, by server
 	for i, e := range l.Entries {
 		other, duplicate := last[e.ID]
@@ -84,7 +84,7 @@
 			v.Reason = fmt.Sprintf("server %q is listed twice", e.ID)
 		}
 	}
-	known := k.known
+	known := c.known
 	if l.Full {
 		known = make(map[string]Entry, len(last))
 	}
@@ -94,7 +94,7 @@
 			continue
 		}
 		// An older list was made before the drain, and a restarted discovery service has lost it.
-		if prev, ok := k.known[e.ID]; older && ok && prev.State == choice.Draining && e.State == choice.Ready && e.Started <= prev.Started {
+		if prev, ok := c.known[e.ID]; older && ok && prev.State == choice.Draining && e.State == choice.Ready && e.Started <= prev.Started {
 			e.State, v.Draining = choice.Draining, append(v.Draining, i)
 		}
 		if e.State == choice.Removed {
@@ -105,31 +105,31 @@
 			delete(known, e.ID) // the bound holds for known servers, too
 		}
 	}
-	k.known = known
+	c.known = known
 	return v
 }
 
 // ApplyDrains records only the drains of a list that is otherwise ignored, and returns the indexes of the entries to apply
 // as draining.
-func (k *Checker) ApplyDrains(l List) []int {
+func (c *Checker) ApplyDrains(l List) []int {
 	if len(l.Entries) > MaxServers {
 		return nil
 	}
-	return k.recordDrains(l)
+	return c.recordDrains(l)
 }
 
 // recordDrains records as draining the ready or unknown servers that an older list reports as draining or gone, and returns
 // the indexes of their entries. The list may be the only one to report this: a restarted discovery service numbers its
-// lists from the start. If the drain has only been undone since, the next list makes the server ready duplicate.
-func (k *Checker) recordDrains(l List) (all []int) {
+// lists from the start. If the drain has been undone since, the next list makes the server ready again.
+func (c *Checker) recordDrains(l List) (all []int) {
 	for i, e := range l.Entries {
-		if prev, known := k.known[e.ID]; e.State == choice.Ready || known && (prev.State != choice.Ready || e.Started < prev.Started) {
+		if prev, known := c.known[e.ID]; e.State == choice.Ready || known && (prev.State != choice.Ready || e.Started < prev.Started) {
 			continue
 		}
 		all = append(all, i)
 		e.State = choice.Draining
-		if k.known[e.ID] = e; len(k.known) > MaxServers {
-			delete(k.known, e.ID)
+		if c.known[e.ID] = e; len(c.known) > MaxServers {
+			delete(c.known, e.ID)
 		}
 	}
 	return all
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -28,7 +28,7 @@
 	Guarded                   // a source withdrew too many servers at once: the withdrawal is deferred
 	Contradictory             // a source withdrew it while its previous report was still valid: the withdrawal is deferred
 	ClosedTier                // the better tiers have enough capacity, so its tier is closed
-	Ramping                   // its tier is opening step by step, and its part is not admitted yet
+	Ramping                   // its tier is opening step by step, and its share of the servers is not admitted yet
 )
 
 var ruleNames = [...]string{"agreed", "alone", "drained", "withdrawn", "last word", "lapsed", "guarded", "contradicts itself",
--- a/internal/decide/membership/tiers.go
+++ b/internal/decide/membership/tiers.go
@@ -42,22 +42,22 @@
 const baselineHalfLife = time.Hour
 
 // effectiveWeight returns what a server adds to its tier's ready weight: a server of weight 0 gets few calls, but some.
-func effectiveWeight(v decision) float64 {
-	if !v.eligible {
+func effectiveWeight(d decision) float64 {
+	if !d.eligible {
 		return 0
 	}
-	return max(v.entry.Weight, 0.01)
+	return max(d.entry.Weight, 0.01)
 }
 
 // update records what is to be published about a server if its tier is open, and moves it to the tier that it is in now.
-func (t *tiers) update(m *member, v decision) {
-	if m.tier != nil && m.tier.number != v.tier {
+func (t *tiers) update(m *member, d decision) {
+	if m.tier != nil && m.tier.number != d.tier {
 		t.remove(m)
 	}
-	tr := t.byNumber[v.tier]
+	tr := t.byNumber[d.tier]
 	if tr == nil {
-		tr = &tier{number: v.tier, members: map[*member]decision{}}
-		t.byNumber[v.tier] = tr
+		tr = &tier{number: d.tier, members: map[*member]decision{}}
+		t.byNumber[d.tier] = tr
 		t.sorted = append(t.sorted, tr)
 		slices.SortFunc(t.sorted, func(a, b *tier) int { return cmp.Compare(a.number, b.number) })
 	}
@@ -66,8 +66,8 @@
 		m.tier, m.tierSeq = tr, tr.nextSeq
 		tr.nextSeq++
 	}
-	tr.members[m] = v
-	tr.readyWeight += effectiveWeight(v) - effectiveWeight(prev)
+	tr.members[m] = d
+	tr.readyWeight += effectiveWeight(d) - effectiveWeight(prev)
 	t.dirty = true
 	t.pending = append(t.pending, m)
 }
--- a/internal/decide/overrides/operators.go
+++ b/internal/decide/overrides/operators.go
@@ -15,8 +15,8 @@
 
 // Set is a set of overrides. The zero value has none. It is not safe for concurrent use.
 type Set struct {
-	offline  map[string]time.Duration // by server id: when it was taken offline
-	restored map[string]offlinePeriod // by server id: offline periods of servers that were put back online and are still listed
+	offline    map[string]time.Duration // by server id: when it was taken offline
+	backOnline map[string]offlinePeriod // by server id: offline periods of servers that were put back online and are still listed
 }
 
 // offlinePeriod is the time in which a server was offline. The server is assumed to have been restarted within it.
@@ -40,7 +40,7 @@
 		}
 		o.offline[id] = now.Truncate(time.Millisecond) // the precision of start times in the server list
 	}
-	delete(o.restored, id)
+	delete(o.backOnline, id)
 	return true
 }
 
@@ -51,10 +51,10 @@
 		return false
 	}
 	delete(o.offline, id)
-	if o.restored == nil {
-		o.restored = map[string]offlinePeriod{}
+	if o.backOnline == nil {
+		o.backOnline = map[string]offlinePeriod{}
 	}
-	o.restored[id] = offlinePeriod{from, now.Truncate(time.Millisecond)}
+	o.backOnline[id] = offlinePeriod{from, now.Truncate(time.Millisecond)}
 	return true
 }
 
@@ -66,16 +66,17 @@
 	if o.IsOffline(s.ID) && s.State == choice.Ready {
 		s.State = choice.Draining
 	}
-	if period, ok := o.restored[s.ID]; ok && s.Started < period.from {
+	if period, ok := o.backOnline[s.ID]; ok && s.Started < period.from {
 		s.Started = period.to
 	}
 	return s
 }
 
 // ServerRemoved records that a server is no longer listed. A server that is offline stays so, as it may be listed again.
-func (o *Set) ServerRemoved(id string) { delete(o.restored, id) }
+func (o *Set) ServerRemoved(id string) { delete(o.backOnline, id) }
 
-// Snapshot is the serializable form of a Set, to hand over to another process. Times are Unix milliseconds.
+// Snapshot is the serializable form of a Set, to hand over to another process; the JSON keys are part of the handover format.
+// Times are Unix milliseconds.
 type Snapshot struct {
 	Offline    map[string]int64    `json:"out,omitempty"`  // by server id: when it was taken offline
 	BackOnline map[string][2]int64 `json:"back,omitempty"` // by server id: start and end of the offline period
@@ -83,11 +84,11 @@
 
 // Snapshot returns the overrides in serializable form.
 func (o *Set) Snapshot() Snapshot {
-	s := Snapshot{Offline: make(map[string]int64, len(o.offline)), BackOnline: make(map[string][2]int64, len(o.restored))}
+	s := Snapshot{Offline: make(map[string]int64, len(o.offline)), BackOnline: make(map[string][2]int64, len(o.backOnline))}
 	for id, from := range o.offline {
 		s.Offline[id] = from.Milliseconds()
 	}
-	for id, period := range o.restored {
+	for id, period := range o.backOnline {
 		s.BackOnline[id] = [2]int64{period.from.Milliseconds(), period.to.Milliseconds()}
 	}
 	return s
@@ -101,17 +102,17 @@
 		o.Offline(notFuture(from), id)
 	}
 	for id, period := range s.BackOnline {
-		if len(o.restored) >= MaxOffline || o.IsOffline(id) {
+		if len(o.backOnline) >= MaxOffline || o.IsOffline(id) {
 			continue
 		}
-		if o.restored == nil {
-			o.restored = map[string]offlinePeriod{}
+		if o.backOnline == nil {
+			o.backOnline = map[string]offlinePeriod{}
 		}
-		o.restored[id] = offlinePeriod{notFuture(period[0]), notFuture(period[1])}
+		o.backOnline[id] = offlinePeriod{notFuture(period[0]), notFuture(period[1])}
 	}
 }
 
 // Copy returns a deep copy.
 func (o *Set) Copy() Set {
-	return Set{offline: maps.Clone(o.offline), restored: maps.Clone(o.restored)}
+	return Set{offline: maps.Clone(o.offline), backOnline: maps.Clone(o.backOnline)}
 }
--- a/internal/decide/pacing/asking.go
+++ b/internal/decide/pacing/asking.go
@@ -1,7 +1,7 @@
 // Package pacing decides when an agent calls the discovery service for the list of servers. One service may serve the
-// list to all agents: it works through its callers in order and drops those that have waited too long, but does the work
-// for them all the same. If the agents call faster than it can answer for long, it answers nobody any more. Agents know
-// neither how the others fare nor how fast the service is.
+// list to all agents: it works through its callers in order and drops those that have waited too long, but does the
+// work for them all the same. If the agents call faster than it can answer for long, it answers nobody any more. Agents
+// know neither the state of the others nor how fast the service is.
 //
 // Each agent therefore calls in its own time slot: an offset into a period, derived from its index and from the clock
 // that all agents share. So the fleet calls at an even rate, with at most one call per agent and period, whatever caused
@@ -17,7 +17,7 @@
 
 // Settings configure a Scheduler.
 type Settings struct {
-	Shared  bool          // one service answers all agents; otherwise each agent has one beside it, which costs nothing to call
+	Shared  bool          // one service answers all agents; otherwise each agent has one on its machine, which costs nothing to call
 	Agents  int           // number of agents, as far as known
 	Me      int           // index of this agent, from 0; out of range where unknown
 	MustAsk time.Duration // a list change counts as known to an agent that has not called for this long; 0 for no limit
@@ -25,9 +25,10 @@
 }
 
 const (
-	// WatchSilenceTimeout is how long a watch may stay silent: it carries a line at least every 2 s, and one whose line
-	// is half of that late is dead. The changes that it misses may remain unknown for knownAfterSilence at most, and
-	// within that time all agents that watched may have to call one service, each in its slot.
+	// WatchSilenceTimeout is how long a watch may stay silent: the service sends a line at least every 2 s, and a watch
+	// whose next line is late by half of that counts as broken. The changes that it misses may remain unknown for
+	// knownAfterSilence at most, and within that time all agents that watched may have to call one service, each in its
+	// slot.
 	WatchSilenceTimeout = 3 * time.Second
 	// knownAfterSilence is how long after a watch fell silent the changes that it missed count as known to the agent,
 	// whether or not they arrived.
@@ -39,7 +40,7 @@
 	// usualCallTime is what a call takes where the service keeps up with its callers.
 	usualCallTime = 500 * time.Millisecond
 
-	// minQueueWait is how long a caller waits at the least before the service drops it.
+	// minQueueWait is how long a caller waits at least before the service drops it.
 	minQueueWait = 2 * time.Second
 	// defaultPeriod is the time in which all agents call once, where nothing better is known. A service that needs up to
 	// defaultPeriod + minQueueWait for all agents serves each at its first call, and one that needs 1.7 times the period
@@ -75,7 +76,7 @@
 	silences    int             // calls in a row that got no response at all
 	waits       []time.Duration // of recent calls until their response began
 	silentSince time.Duration   // when a watch fell silent, if no list has been received since; 0 otherwise
-	local       *LocalSchedule  // for a service beside the agent
+	local       *LocalSchedule  // for a service on the agent's machine
 }
 
 // New returns a Scheduler. Its random numbers follow from the seed alone.
@@ -88,7 +89,7 @@
 	return s
 }
 
-// Local returns the schedule of calls to a service beside the agent, nil where one service answers all agents.
+// Local returns the schedule of calls to a service on the agent's machine, nil where one service answers all agents.
 func (s *Scheduler) Local() *LocalSchedule {
 	if s.settings.Shared {
 		return nil
@@ -104,12 +105,12 @@
 	return s.nextSlot(now, s.basePeriod(0))
 }
 
-// CallStarted notes that a call begins.
+// CallStarted records that a call begins.
 func (s *Scheduler) CallStarted(now time.Duration) {
 	s.calledAt, s.answered, s.delivered = now, false, false
 }
 
-// ResponseStarted notes that a response to the call has begun: the service has worked through the calls before it.
+// ResponseStarted records that a response to the call has begun: the service has worked through the calls before it.
 func (s *Scheduler) ResponseStarted(now time.Duration) {
 	if s.answered {
 		return
@@ -121,10 +122,10 @@
 	s.waits = append(s.waits, now-s.calledAt)
 }
 
-// ListReceived notes that the call has brought a list that was accepted.
+// ListReceived records that the call has brought a list that was accepted.
 func (s *Scheduler) ListReceived() { s.delivered, s.failures, s.silentSince = true, 0, 0 }
 
-// CallEnded notes that the call has failed, or that the watch that it opened has ended, and that nothing was received
+// CallEnded records that the call has failed, or that the watch that it opened has ended, and that nothing was received
 // for the time silent before that. It returns when to make the next call.
 func (s *Scheduler) CallEnded(now, silent time.Duration) time.Duration {
 	if !s.settings.Shared {
--- a/internal/decide/pacing/local.go
+++ b/internal/decide/pacing/local.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Timing of calls to a discovery service beside the agent. It serves nobody else, and calling it costs nothing. Changes
+// Timing of calls to a discovery service on the agent's machine. It serves nobody else, and calling it costs nothing. Changes
 // that it received while it was down count as known to the agent from its return on, and a call that it accepted before
 // may never be answered. So another call is made beside the unanswered ones, however long these may still take.
 const (
-	// intervalsPerGrace is how many intervals between calls fit into the grace of a drain. Of a grace of 0.5 s, one
-	// interval with its jitter takes 0.125 s; the agent may be stalled for 0.15 s while it receives, and for as long
-	// again while it sends. The interval is no shorter, as reading a full list of thousands of servers takes tens of
-	// milliseconds.
+	// intervalsPerGrace is how many intervals between calls fit into the grace period of a drain, in which a draining
+	// server still accepts requests. Of a grace of 0.5 s, one interval with its jitter takes 0.125 s; the agent may be
+	// stalled for 0.15 s while it receives, and for as long again while it sends. The interval is no shorter, as
+	// reading a full list of thousands of servers takes tens of milliseconds.
 	intervalsPerGrace = 5
 	// intervalJitter is the part of an interval by which it is randomly shorter or longer.
 	intervalJitter = 0.25
 	// shortestInterval bounds the rate of calls where the grace is very short.
 	shortestInterval = 20 * time.Millisecond
-	// deliveryFactor is how many times longer than a list took to arrive the next call waits at the least: a service that
+	// deliveryFactor is how many times longer than a list took to arrive the next call waits at least: a service that
 	// is slow, or shares its machine with many agents, is not slowed down by further calls. longestInterval bounds that
 	// wait.
 	deliveryFactor  = 2
 	longestInterval = time.Second
-	// fullListAfter is the number of ends, of a watch and of calls after it, from which on the full list is requested: a
+	// fullListAfter is the number of ends, of a watch and of calls after it, from which the full list is requested: a
 	// service may accept no watch and still have drains to report.
 	fullListAfter = 2
 	// defaultGrace is the grace of a drain where the settings give none.
@@ -41,7 +41,7 @@
 	Timeout time.Duration // for the response to begin
 }
 
-// LocalSchedule decides when an agent calls the discovery service that runs beside it. A watch is established once
+// LocalSchedule decides when an agent calls the discovery service that runs on its machine. A watch is established once
 // something was received on it, or once it was opened after a full list. It does no I/O and reads no clock, and is not
 // safe for concurrent use.
 type LocalSchedule struct {
@@ -69,16 +69,16 @@
 	return LocalCall{Full: s.fellSilent || pending > 0 || s.failures >= fullListAfter, Timeout: CallTimeout}
 }
 
-// Established notes that a watch is established.
+// Established records that a watch is established.
 func (s *LocalSchedule) Established() { s.fellSilent, s.failures, s.interval = false, 0, s.shortest }
 
-// ListReceived notes that a call has brought a list, and how long that took. Until a watch is established, the next
+// ListReceived records that a call has brought a list, and how long that took. Until a watch is established, the next
 // calls are spaced for the speed of the service.
 func (s *LocalSchedule) ListReceived(took time.Duration) {
 	s.interval = max(s.shortest, min(deliveryFactor*took, longestInterval))
 }
 
-// Ended notes that a call or a watch has ended, and whether it was because nothing was received.
+// Ended records that a call or a watch has ended, and whether because nothing was received.
 func (s *LocalSchedule) Ended(silent bool) {
 	s.fellSilent = s.fellSilent || silent
 	s.failures++
--- a/internal/decide/peerstate/company.go
+++ b/internal/decide/peerstate/company.go
@@ -1,8 +1,8 @@
-// Package peerstate keeps what an agent knows of the other agents that front the same servers: which ones are alive,
-// with which epoch, since when, and how old that knowledge is. Lists, limits and verdicts shared among agents build on
-// it. Each agent passes on a little of what it knows with every datagram, so that the heartbeats of an agent reach all
-// others without a leader. The package does no I/O and reads no clock; its memory grows with the number of agents, not
-// with what is received.
+// Package peerstate keeps what an agent knows of the other agents that balance load over the same servers: which ones
+// are alive, with which epoch, since when, and how old that knowledge is. Package gossip builds on it. Each agent
+// passes on a little of what it knows with every datagram, so that the heartbeats of an agent reach all others without
+// a leader. The package does no I/O and reads no clock; its memory grows with the number of agents, not with what is
+// received.
 //
 // A heartbeat carries the epoch of the agent's process and a sequence number that grows while it runs. Greater ones win,
 // in whatever order and however often they arrive: an old datagram never brings an agent back.
@@ -110,37 +110,37 @@
 	if m.known && !w.newer(m.Heartbeat) {
 		return false
 	}
-	said := now - max(0, w.Age)
+	sentAt := now - max(0, w.Age)
 	if !m.known || w.Epoch != m.Epoch {
-		m.FirstSeen = said
+		m.FirstSeen = sentAt
 	}
-	m.Heartbeat, m.SentAt, m.known = w, max(said, m.SentAt), true
+	m.Heartbeat, m.SentAt, m.known = w, max(sentAt, m.SentAt), true
 	return true
 }
 
 // Get returns what is known of the agent of an index, and whether anything is.
-func (t *Table) Get(place int) (Peer, bool) {
-	if place < 0 || place >= len(t.peers) {
+func (t *Table) Get(index int) (Peer, bool) {
+	if index < 0 || index >= len(t.peers) {
 		return Peer{}, false
 	}
-	return t.peers[place], t.peers[place].known
+	return t.peers[index], t.peers[index].known
 }
 
 // Alive reports whether an agent sent a heartbeat no longer ago than within, and has not announced that it leaves.
-func (t *Table) Alive(now time.Duration, place int, within time.Duration) bool {
-	m, known := t.Get(place)
+func (t *Table) Alive(now time.Duration, index int, within time.Duration) bool {
+	m, known := t.Get(index)
 	return known && m.Flags&Leaving == 0 && now-m.SentAt <= within
 }
 
 // WithFlags returns the indexes, in order, of agents that sent a heartbeat no longer ago than within, are not leaving,
 // and announced all of these flags.
-func (t *Table) WithFlags(now time.Duration, flags Flags, within time.Duration) (places []int) {
+func (t *Table) WithFlags(now time.Duration, flags Flags, within time.Duration) (indexes []int) {
 	for p := range t.peers {
 		if t.Alive(now, p, within) && t.peers[p].Flags&flags == flags {
-			places = append(places, p)
+			indexes = append(indexes, p)
 		}
 	}
-	return places
+	return indexes
 }
 
 // Sample returns up to most heartbeats to pass on: those of the indexes in first, then those that were passed on longest
--- a/internal/decide/relay/relay.go
+++ b/internal/decide/relay/relay.go
@@ -1,9 +1,10 @@
 // Package relay decides how long an answer is held, that is buffered, before it is relayed to the client while the server is
 // still sending it. It does no I/O and reads no clock.
 //
-// A held answer can be replaced: if the server breaks it off, another server is asked, or the client gets an error. An answer that is
-// being relayed is final: if it breaks off, the client's connection has to be closed. So an answer is held for as long as it fits
-// into memory and the client's deadline allows. A long answer must not be held for long, as its client takes seconds to read it.
+// A held answer can be replaced: if the server breaks it off, the request is sent to another server, or the client gets an error. An
+// answer that is being relayed is final: if it breaks off, the client's connection has to be closed. So an answer is held for as long
+// as it fits into memory and the client's deadline allows. A long answer must not be held for long, as its client takes seconds to
+// read it.
 package relay
 
 import "time"
@@ -29,20 +30,20 @@
 const (
 	Hold    Verdict = iota // keep holding it until NextCheck
 	Relay                  // start to relay it
-	Replace                // it has stopped or is too late: ask another server, or answer the client with an error
+	Replace                // it has stopped or is too late: send the request to another server, or answer the client with an error
 )
 
 // Held is the state of a held answer. All times are on one monotonic clock with an arbitrary origin. It is not safe for
 // concurrent use.
 type Held struct {
-	until         time.Duration // when holding ends
-	untilDeadline bool          // until is the client's deadline
-	nextCheck     time.Duration // when to check whether data is still arriving; equal to until if that is the only check
-	maxPause      time.Duration // longest allowed time without data at a check
-	limit         int           // maximum number of bytes held
-	firstAttempt  bool          // it answers the first attempt of a request
-	received      int           // bytes
-	lastReceived  time.Duration // when data was last received; initially when the head was received
+	until          time.Duration // when holding ends
+	endsAtDeadline bool          // until is the client's deadline
+	nextCheck      time.Duration // when to check whether data is still arriving; equal to until if that is the only check
+	maxPause       time.Duration // longest allowed time without data at a check
+	limit          int           // maximum number of bytes held
+	firstAttempt   bool          // it answers the first attempt of a request
+	received       int           // bytes
+	lastReceived   time.Duration // when data was last received; initially when the head was received
 }
 
 // NewHeld starts to hold an answer of unknown length whose head was received at now. left is the time until the client's deadline, limit the
@@ -52,7 +53,7 @@
 func NewHeld(now, left time.Duration, limit int, first bool) *Held {
 	left = max(left, 0)
 	hold := min(MaxHold, left)
-	h := &Held{until: now + hold, untilDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
+	h := &Held{until: now + hold, endsAtDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
 	if first {
 		untilCheck := min(MaxHold, left/2) // the other half is left for an attempt at another server
 		h.nextCheck, h.maxPause = now+untilCheck, min(MaxPause, untilCheck/2)
@@ -94,7 +95,7 @@
 	case now < h.until:
 		h.nextCheck = h.until
 		return Hold
-	case h.untilDeadline:
+	case h.endsAtDeadline:
 		return Replace
 	}
 	return Relay
--- a/internal/decide/resolve/answer.go
+++ b/internal/decide/resolve/answer.go
@@ -34,8 +34,8 @@
 const (
 	Good      Verdict = iota // there are records
 	NoRecords                // no such records, or no such name
-	Truncated                // the answer was truncated: ask again over TCP
-	Refused                  // the server refused or failed to answer: ask another one
+	Truncated                // the answer was truncated: query again over TCP
+	Refused                  // the server refused or failed to answer: query another one
 	Malformed                // the message could not be parsed or exceeds a limit
 	NoReply                  // no answer arrived in time, as the caller that owns the sockets reports
 )
@@ -89,7 +89,7 @@
 	case m.Rcode != dns.RcodeSuccess:
 		return Answer{Verdict: Refused, Reason: dns.RcodeToString[m.Rcode]}, nil
 	case len(m.Answer) > maxRecords || len(m.Extra) > maxRecords:
-		return Answer{Verdict: Malformed, Reason: fmt.Sprintf("%d and %d records, at most %d are accepted", len(m.Answer), len(m.Extra), maxRecords)}, nil
+		return Answer{Verdict: Malformed, Reason: fmt.Sprintf("%d answer and %d additional records, at most %d of each are accepted", len(m.Answer), len(m.Extra), maxRecords)}, nil
 	}
 	return collect(&m, q), nil
 }
--- a/internal/decide/resolve/resolve.go
+++ b/internal/decide/resolve/resolve.go
@@ -30,8 +30,8 @@
 	StaleFor    time.Duration    // how long addresses are used beyond their TTL if no server answers (RFC 8767)
 	Budget      int              // queries per minute
 	Speaks      choice.Protocols // what the servers found speak
-	IPv6        bool             // ask for AAAA
-	IPv4        bool             // ask for A
+	IPv6        bool             // query AAAA records
+	IPv4        bool             // query A records
 }
 
 // Defaults are the default settings.
@@ -50,7 +50,7 @@
 	Question
 }
 
-// Snapshot holds the servers by the current records, for the membership.
+// Snapshot holds the servers by the current records, for package membership.
 type Snapshot struct {
 	Claims     []membership.Claim // about all servers
 	ValidUntil time.Duration      // when the SRV records expire
@@ -82,9 +82,9 @@
 	targets       []Target
 	addrs         []netip.Addr
 	expires       time.Duration
-	nextAt        time.Duration // when to ask it next
+	nextAt        time.Duration // when to query it next
 	inFlight      uint64        // number of the query in flight; 0 if none is
-	server        int           // index of the server to ask next, or asked now
+	server        int           // index of the server to query next, or queried now
 	failedServers int           // servers that failed in this round
 	failedRounds  int           // consecutive rounds in which all servers failed
 	heapIndex     int           // in Resolver.scheduled; -1 if it is not in there
@@ -287,7 +287,7 @@
 	}
 }
 
-// recordTypes returns the types of address records to ask for.
+// recordTypes returns the types of address records to query.
 func (r *Resolver) recordTypes() (types []uint16) {
 	if r.settings.IPv6 {
 		types = append(types, dns.TypeAAAA)
--- a/internal/decide/routes/routes.go
+++ b/internal/decide/routes/routes.go
@@ -86,7 +86,7 @@
 type rejection struct {
 	version string
 	until   time.Duration // the version is not sent until then; 0 if it may be sent again
-	wait    time.Duration // for which the next rejection counts
+	wait    time.Duration // how long the next rejection counts
 }
 
 // server is the state of a server.
@@ -251,7 +251,7 @@
 
 // rejects reports whether a server is not to be sent a version, as it has rejected it.
 func (s *server) rejects(version string) bool {
-	return slices.ContainsFunc(s.rejections, func(d rejection) bool { return d.version == version && d.until > 0 })
+	return slices.ContainsFunc(s.rejections, func(r rejection) bool { return r.version == version && r.until > 0 })
 }
 
 // className returns the class of a version.
@@ -303,7 +303,7 @@
 		return nil // the rejection is from before a restart
 	}
 	before := r.advertise(s)
-	at := slices.IndexFunc(s.rejections, func(d rejection) bool { return d.version == version })
+	at := slices.IndexFunc(s.rejections, func(rej rejection) bool { return rej.version == version })
 	if at < 0 {
 		if len(s.rejections) == MaxVersions {
 			return nil
@@ -311,11 +311,11 @@
 		s.rejections = append(s.rejections, rejection{version: version, wait: r.settings.Forget})
 		at = len(s.rejections) - 1
 	}
-	d := &s.rejections[at]
-	if d.until > 0 {
+	rej := &s.rejections[at]
+	if rej.until > 0 {
 		return nil // already recorded: this call was in flight then
 	}
-	d.until, d.wait = now+d.wait, min(2*d.wait, r.settings.MaxForget)
+	rej.until, rej.wait = now+rej.wait, min(2*rej.wait, r.settings.MaxForget)
 	if after := r.advertise(s); after != before {
 		return []choice.Server{after}
 	}
@@ -329,7 +329,7 @@
 	if s == nil || len(s.rejections) == 0 {
 		return
 	}
-	s.rejections = slices.DeleteFunc(s.rejections, func(d rejection) bool { return d.version == version && d.until == 0 })
+	s.rejections = slices.DeleteFunc(s.rejections, func(rej rejection) bool { return rej.version == version && rej.until == 0 })
 }
 
 // Expire ends the rejections that are due and returns the servers whose capabilities have changed, for the module.
--- a/internal/decide/writepolicy/keeping.go
+++ b/internal/decide/writepolicy/keeping.go
@@ -15,10 +15,10 @@
 	CheckInterval  time.Duration // between two checks for updates
 	MinInterval    time.Duration // shortest time between two writes
 	MaxInterval    time.Duration // time after which any update is written
-	UpdateShare    float64       // updates, relative to the number of known servers, from which on they are written earlier
-	BusyLoad       float64       // calls in progress, as a share of the maximum, from which on a write is deferred, up to twice MaxInterval
+	UpdateShare    float64       // updates, relative to the number of known servers, from which they are written earlier
+	BusyLoad       float64       // calls in progress, as a share of the maximum, from which a write is deferred, up to twice MaxInterval
 	BytesPerMinute float64       // bytes written per minute, on average
-	MinDistance    float64       // distance, in units of one server, from which on a changed bucket is written
+	MinDistance    float64       // distance, in units of one server, from which a changed bucket is written
 	StaleAfter     time.Duration // time after which a bucket that holds any server is written, even if nothing in it changed
 	RetryDelay     time.Duration // delay after the first failure; doubles with each further one
 	MaxRetryDelay  time.Duration
@@ -45,8 +45,8 @@
 	pendingUpdates uint64        // View.Updates at the write in progress
 	failures       int           // number of failed writes in a row
 	minInterval    time.Duration // for the next write, with jitter
-	maxInterval    time.Duration
-	recentBytes    float64 // leaky bucket of bytes written, which drains by BytesPerMinute
+	maxInterval    time.Duration // the same
+	recentBytes    float64       // leaky bucket of bytes written, which drains by BytesPerMinute
 	leakedAt       time.Duration
 	ended          bool
 }
@@ -120,7 +120,7 @@
 	p.drawIntervals()
 }
 
-// End notes that the agent shuts down, and reports whether there is something to write for the last time. There is no
+// End records that the agent shuts down, and reports whether there is something to write for the last time. There is no
 // further write after it.
 func (p *Policy) End(v View) (write bool) {
 	if p.ended {
