--- a/internal/decide/gossip/datagram.go
+++ b/internal/decide/gossip/datagram.go
@@ -103,8 +103,8 @@
 
 func toAgeUnits(d time.Duration) uint32 { return uint32(min(max(d, 0), maxAge) / ageUnit) }
 
-func encodeHeartbeat(w peerstate.Heartbeat) wireHeartbeat {
-	return wireHeartbeat{Index: uint32(w.Index), Epoch: w.Epoch, Seq: w.Seq, Flags: uint8(w.Flags), Age: toAgeUnits(w.Age)}
+func encodeHeartbeat(h peerstate.Heartbeat) wireHeartbeat {
+	return wireHeartbeat{Index: uint32(h.Index), Epoch: h.Epoch, Seq: h.Seq, Flags: uint8(h.Flags), Age: toAgeUnits(h.Age)}
 }
 
 func encodeCursor(c Cursor) wireCursor { return wireCursor{Version: c.Version, ID: c.ID} }
@@ -113,8 +113,8 @@
 func (d *Datagram) Encode() []byte {
 	wire := wireDatagram{Format: format, From: encodeHeartbeat(d.From), Gen: d.Gen, At: encodeCursor(d.At), Order: d.Order,
 		Age: toAgeUnits(d.Age), Request: d.Request, Busy: d.Busy}
-	for _, w := range d.Others {
-		wire.Others = append(wire.Others, encodeHeartbeat(w))
+	for _, h := range d.Others {
+		wire.Others = append(wire.Others, encodeHeartbeat(h))
 	}
 	if c := d.Chunk; c != nil {
 		wire.Chunk = &wireChunk{Gen: c.Gen, Order: c.Order, After: encodeCursor(c.After), Upto: encodeCursor(c.Upto), Head: c.Head}
@@ -159,8 +159,8 @@
 		return Cursor{c.Version, c.ID}
 	}
 	d.From, d.At, d.Age = heartbeat(wire.From), cursor(wire.At), fromAgeUnits(wire.Age)
-	for _, w := range wire.Others {
-		d.Others = append(d.Others, heartbeat(w))
+	for _, h := range wire.Others {
+		d.Others = append(d.Others, heartbeat(h))
 	}
 	if c := wire.Chunk; c != nil {
 		d.Chunk = &Chunk{Gen: c.Gen, Order: c.Order, After: cursor(c.After), Upto: cursor(c.Upto), Head: c.Head}
--- a/internal/decide/membership/tiers.go
+++ b/internal/decide/membership/tiers.go
@@ -93,8 +93,8 @@
 }
 
 // publish publishes a server's decision; a ready server of a tier or part that is not open is published as draining.
-func (t *tiers) publish(tr *tier, m *member, v decision) {
-	e, rule := v.entry, v.rule
+func (t *tiers) publish(tr *tier, m *member, d decision) {
+	e, rule := d.entry, d.rule
 	if e.State == choice.Ready {
 		switch parts := t.owner.settings.RampParts; {
 		case !tr.open:
@@ -103,7 +103,7 @@
 			e.State, rule = choice.Draining, Ramping
 		}
 	}
-	t.owner.publish(m, e, rule, v.tier, v.eligible)
+	t.owner.publish(m, e, rule, d.tier, d.eligible)
 }
 
 // publishedReady reports whether the server was last published as ready.
--- a/internal/decide/peerstate/company.go
+++ b/internal/decide/peerstate/company.go
@@ -34,8 +34,8 @@
 }
 
 // newer reports whether a heartbeat was sent after another one of the same agent.
-func (w Heartbeat) newer(o Heartbeat) bool {
-	return cmp.Or(cmp.Compare(w.Epoch, o.Epoch), cmp.Compare(w.Seq, o.Seq)) > 0
+func (h Heartbeat) newer(o Heartbeat) bool {
+	return cmp.Or(cmp.Compare(h.Epoch, o.Epoch), cmp.Compare(h.Seq, o.Seq)) > 0
 }
 
 // Peer is an agent as another one knows it.
@@ -94,27 +94,27 @@
 func (t *Table) Conflicts() int { return t.conflicts }
 
 // Receive takes a heartbeat, from whichever agent it came. It reports whether it was newer than what was known.
-func (t *Table) Receive(now time.Duration, w Heartbeat) bool {
-	if w.Index < 0 || w.Index >= len(t.peers) {
+func (t *Table) Receive(now time.Duration, h Heartbeat) bool {
+	if h.Index < 0 || h.Index >= len(t.peers) {
 		return false
 	}
-	if w.Index == t.settings.Me {
+	if h.Index == t.settings.Me {
 		// This process continues after the greatest epoch known for its index, or others would ignore its heartbeats.
-		if w.Epoch > t.own.Epoch {
-			t.own.Epoch, t.own.Seq = w.Epoch+1, 0
+		if h.Epoch > t.own.Epoch {
+			t.own.Epoch, t.own.Seq = h.Epoch+1, 0
 			t.conflicts++
 		}
 		return false
 	}
-	m := &t.peers[w.Index]
-	if m.known && !w.newer(m.Heartbeat) {
+	p := &t.peers[h.Index]
+	if p.known && !h.newer(p.Heartbeat) {
 		return false
 	}
-	sentAt := now - max(0, w.Age)
-	if !m.known || w.Epoch != m.Epoch {
-		m.FirstSeen = sentAt
+	sentAt := now - max(0, h.Age)
+	if !p.known || h.Epoch != p.Epoch {
+		p.FirstSeen = sentAt
 	}
-	m.Heartbeat, m.SentAt, m.known = w, max(sentAt, m.SentAt), true
+	p.Heartbeat, p.SentAt, p.known = h, max(sentAt, p.SentAt), true
 	return true
 }
 
@@ -128,8 +128,8 @@
 
 // Alive reports whether an agent sent a heartbeat no longer ago than within, and has not announced that it leaves.
 func (t *Table) Alive(now time.Duration, index int, within time.Duration) bool {
-	m, known := t.Get(index)
-	return known && m.Flags&Leaving == 0 && now-m.SentAt <= within
+	p, known := t.Get(index)
+	return known && p.Flags&Leaving == 0 && now-p.SentAt <= within
 }
 
 // WithFlags returns the indexes, in order, of agents that sent a heartbeat no longer ago than within, are not leaving,
--- a/internal/decide/resolve/resolve.go
+++ b/internal/decide/resolve/resolve.go
@@ -190,11 +190,11 @@
 	r.tokens--
 	s.inFlight = r.lastNumber
 	r.inFlight[r.lastNumber] = s
-	a := Query{Number: r.lastNumber, Server: s.server, TCP: tcp, Timeout: r.settings.Timeout, Question: s.question}
+	q := Query{Number: r.lastNumber, Server: s.server, TCP: tcp, Timeout: r.settings.Timeout, Question: s.question}
 	if tcp {
-		a.Timeout = r.settings.TCPTimeout
+		q.Timeout = r.settings.TCPTimeout
 	}
-	return a
+	return q
 }
 
 // HandleAnswer records the outcome of a query and returns a query to be sent at once, if any: over TCP if the answer was
@@ -315,7 +315,7 @@
 	if !root.answered || r.unresolved > 0 {
 		return nil
 	}
-	w := &Snapshot{ValidUntil: root.expires}
+	snap := &Snapshot{ValidUntil: root.expires}
 	seen := map[string]bool{}
 	available := false
 	for i, t := range root.targets {
@@ -336,13 +336,13 @@
 			}
 		}
 		if len(c.Addrs) > 0 {
-			w.Claims = append(w.Claims, c)
+			snap.Claims = append(snap.Claims, c)
 		}
 	}
-	if available && len(w.Claims) == 0 {
+	if available && len(snap.Claims) == 0 {
 		return nil
 	}
-	return w
+	return snap
 }
 
 // TakeUpdate returns what has changed since its last call: a snapshot if its content or expiry is new, else nil, and whether
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -36,7 +36,7 @@
 // whatever their indexes; and at which servers an agent ranks low is random and independent of other agents. One agent
 // more or less moves the ranks of the others by one position at most, and a server more or less moves none.
 //
-// It takes time in proportion to the number of agents, some 2 ns each.
+// It takes time in proportion to the number of agents, about 2 ns for each.
 func (s *Subset) Rank(server string) float64 {
 	h := xxhash.Sum64String(server)
 	if !s.known { // random: no better and no worse than for other agents of unknown index
--- a/internal/decide/writepolicy/keeping.go
+++ b/internal/decide/writepolicy/keeping.go
@@ -13,7 +13,7 @@
 // Settings bound the writes.
 type Settings struct {
 	CheckInterval  time.Duration // between two checks for updates
-	MinInterval    time.Duration // shortest time between two writes
+	MinInterval    time.Duration // minimum time between two writes
 	MaxInterval    time.Duration // time after which any update is written
 	UpdateShare    float64       // updates, relative to the number of known servers, from which they are written earlier
 	BusyLoad       float64       // calls in progress, as a share of the maximum, from which a write is deferred, up to twice MaxInterval
@@ -45,7 +45,7 @@
 	pendingUpdates uint64        // View.Updates at the write in progress
 	failures       int           // number of failed writes in a row
 	minInterval    time.Duration // for the next write, with jitter
-	maxInterval    time.Duration // the same
+	maxInterval    time.Duration // likewise
 	recentBytes    float64       // leaky bucket of bytes written, which drains by BytesPerMinute
 	leakedAt       time.Duration
 	ended          bool
