--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -1051,9 +1051,9 @@
 		}
 		now, ids := time.Hour, 0
 		b.Start(now)
-		l, places := ServerList{Full: true}, rand.New(rand.NewPCG(uint64(i), 9))
+		l, ranks := ServerList{Full: true}, rand.New(rand.NewPCG(uint64(i), 9))
 		for s := range warm {
-			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("s", s), SubsetRank: places.Float64()})
+			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("s", s), SubsetRank: ranks.Float64()})
 		}
 		b.Handle(now, l)
 		type sending struct {
@@ -1086,7 +1086,7 @@
 		run(now+5*time.Second, false)
 		l = ServerList{}
 		for s := range cold {
-			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("new", s), Started: now, SubsetRank: places.Float64()})
+			l.Servers = append(l.Servers, Server{ID: fmt.Sprint("new", s), Started: now, SubsetRank: ranks.Float64()})
 		}
 		b.Handle(now, l)
 		run(now+span, true)
