--- a/choice/api.go
+++ b/choice/api.go
@@ -113,7 +113,7 @@
 	Weight     float64       // relative size according to the list
 	Started    time.Duration // time of its latest start, on the clock of the events; 0 if long ago
 	Protocols  Protocols     // protocols that the server speaks
-	SubsetRank float64       // this balancer's rank at the server among all balancers, in [0, 1); see package subset
+	SubsetRank float64       // rank of this balancer among all at the server, in [0, 1); see package subset
 }
 
 // Report is the load that a server reports about itself. A negative figure is not stated.
@@ -139,7 +139,7 @@
 	TimedOut                    // no answer in the time allowed; the request may have run
 	ConnectFailed               // no connection in time; the request never ran
 	Reset                       // the connection broke; the request may have run
-	Cancelled                   // canceled; the request may have run
+	Canceled                    // canceled; the request may have run
 	NotSent                     // not sent: too late, or one attempt too many; the request never ran
 )
 
@@ -219,7 +219,7 @@
 
 // The kinds of actions.
 const (
-	Send     ActionKind = iota // send Request to Server; time out after After, or at Request's deadline if it is 0
+	Send     ActionKind = iota // send Request to Server; time out after After, or at its deadline if 0
 	Cancel                     // cancel attempt number Attempt of Request
 	Refuse                     // answer Request: a retry does no harm, but should wait for After
 	Fail                       // answer Request: it may or may not have run
--- a/choice/check_test.go
+++ b/choice/check_test.go
@@ -161,7 +161,7 @@
 		return
 	}
 	if p := &r.sent[a.Attempt]; p.inFlight {
-		p.endsAt, p.result = w.now+time.Millisecond, Cancelled
+		p.endsAt, p.result = w.now+time.Millisecond, Canceled
 	}
 }
 
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -355,11 +355,11 @@
 	}
 	late := o.Result == Rejected || o.Result == TimedOut && patience == 1 && !b.overtaken(a)
 	switch {
-	case o.Result == Cancelled && s.trialActive: // this used up the balancer's turn
+	case o.Result == Canceled && s.trialActive: // this used up the balancer's turn
 		b.eject(s)
 		return
 	case o.Result == NotSent,
-		o.Result == Cancelled && (s.ejectedUntil > 0 || s.lastHeard > a.sent || a.relativeWait(b) < hedgeDelay):
+		o.Result == Canceled && (s.ejectedUntil > 0 || s.lastHeard > a.sent || a.relativeWait(b) < hedgeDelay):
 		s.trialActive = false
 		return
 	case o.Result == OK:
@@ -382,7 +382,7 @@
 		}
 	}
 	weight := failureWeight * patience
-	if o.Result == TimedOut && failure > 0 || o.Result == Cancelled { // counts by its wait
+	if o.Result == TimedOut && failure > 0 || o.Result == Canceled { // counts by its wait
 		weight = min(1, max(weight, a.relativeWait(b)/maxMissedAnswers))
 	}
 	s.failureRate += weight * (failure - s.failureRate)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -192,7 +192,7 @@
 			if a.Kind != Cancel || !slices.Contains(held, a.Request) {
 				t.Fatalf("unexpected action %+v", a)
 			}
-			next := h.endAttempt(a.Request, "s0", a.Attempt, Cancelled, NoReport)
+			next := h.endAttempt(a.Request, "s0", a.Attempt, Canceled, NoReport)
 			if len(next) != 1 || next[0].Kind != Send || next[0].Server == "s0" {
 				t.Fatalf("a canceled request is not sent elsewhere: %+v", next)
 			}
@@ -1127,7 +1127,7 @@
 						}
 						longest = max(longest, h.at-begun)
 						// A single balancer runs out of retry budget.
-						for _, a := range h.endAttempt(id, to, 0, Cancelled, NoReport) {
+						for _, a := range h.endAttempt(id, to, 0, Canceled, NoReport) {
 							if a.Kind == Send {
 								h.Handle(h.at, Outcome{Request: id, Attempt: 1, Server: a.Server, Took: 60 * time.Millisecond, Closed: true, Report: NoReport})
 							}
@@ -1172,7 +1172,7 @@
 	if to != "s0" {
 		t.Fatalf("the trial went to %s", to)
 	}
-	h.endAttempt(id, to, 0, Cancelled, NoReport)
+	h.endAttempt(id, to, 0, Canceled, NoReport)
 	if want := h.at + time.Duration(10*near.subsetShare*float64(h.horizon)); near.trialActive || near.ejectedUntil != want {
 		t.Errorf("after a canceled trial it is ejected for %v, want %v", near.ejectedUntil-h.at, want-h.at)
 	}
@@ -1210,7 +1210,7 @@
 				if len(all) != 1 || all[0].Kind != Cancel || all[0].Attempt != 0 {
 					t.Fatalf("the first attempt is not canceled: %+v", all)
 				}
-				h.endAttempt(id, to, 0, Cancelled, NoReport)
+				h.endAttempt(id, to, 0, Canceled, NoReport)
 				if got := h.byID[to].failureRate; got < before+0.4 || got > 0.7 {
 					t.Errorf("the canceled attempt adds %v to the failure rate", got-before)
 				}
@@ -1224,7 +1224,7 @@
 	id, to = h.request(0)
 	before := h.byID[to].failureRate
 	h.at += 10 * time.Millisecond
-	h.endAttempt(id, to, 0, Cancelled, NoReport)
+	h.endAttempt(id, to, 0, Canceled, NoReport)
 	if h.byID[to].failureRate > before {
 		t.Error("an attempt that is canceled early, because its client disconnected, counts against its server")
 	}
--- a/choice/figures.go
+++ b/choice/figures.go
@@ -12,6 +12,6 @@
 	return n
 }
 
-// News returns the revision of what the Balancer has learned: if it is the same as before, nothing was
+// Revision returns the revision of what the Balancer has learned: if it is the same as before, nothing was
 // learned since.
-func (b *Balancer) News() uint64 { return b.revision }
+func (b *Balancer) Revision() uint64 { return b.revision }
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -87,7 +87,7 @@
 	TimedOut:      "timed out",
 	ConnectFailed: "no connection",
 	Reset:         "reset",
-	Cancelled:     "canceled",
+	Canceled:      "canceled",
 	NotSent:       "not sent",
 }
 
--- a/choice/rescue_test.go
+++ b/choice/rescue_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("%d of %d attempts are canceled, with a retry budget of %d", len(canceled), requests, budget)
 	}
 	for _, c := range canceled {
-		again := b.Handle(b.now, Outcome{Request: c.Request, Attempt: c.Attempt, Server: "silent", Result: Cancelled, Report: NoReport})
+		again := b.Handle(b.now, Outcome{Request: c.Request, Attempt: c.Attempt, Server: "silent", Result: Canceled, Report: NoReport})
 		if s := sends(again); len(s) != 1 || s[0].Server != "well" {
 			t.Errorf("request %s: %+v", c.Request, again)
 		}
--- a/choice/state.go
+++ b/choice/state.go
@@ -99,7 +99,7 @@
 	sent             time.Duration // time of the send or, if later, of the request's last byte
 	inFlight         bool
 	neverRan         bool // the result proves that it had no effect
-	canceledAsSilent bool // canceled at a silent server, with another attempt already taken from the retry budget
+	canceledAsSilent bool // canceled at a silent server, another attempt is taken from the budget
 }
 
 // mayHaveRun returns the first attempt that is not known to have had no effect, or nil.
--- a/cmd/ternbeam/state.go
+++ b/cmd/ternbeam/state.go
@@ -45,9 +45,9 @@
 
 // storedState is the content of a state folder.
 type storedState struct {
-	State   learned.State  `json:"state"`
-	Report  store.Report   `json:"report"`
-	Dropped []learned.Drop `json:"-"`
+	State   learned.State           `json:"state"`
+	Report  store.Report            `json:"report"`
+	Dropped []learned.DroppedRecord `json:"-"`
 }
 
 // readFolder reads a state folder without locking it.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -102,7 +102,7 @@
 			return nil, errors.New("server lists from other agents and additional sources of servers can't be combined yet")
 		}
 		peerHost, err := peers.New(peers.Settings{Settings: *opts.Peers, Listen: cfg.Peers.Listen, Peers: cfg.Peers.Addrs, Discovery: cfg.Discovery,
-			LastList: cfg.InitialList, Asking: cfg.Pacing, Zones: cfg.Host.Zones, Seed: cfg.Seed, Log: log})
+			LastList: cfg.InitialList, Pacing: cfg.Pacing, Zones: cfg.Host.Zones, Seed: cfg.Seed, Log: log})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/agent/succession.go
+++ b/internal/agent/succession.go
@@ -66,7 +66,7 @@
 	a.handover.claimPath = path
 	received, err := takeover.Claim(path, a.cfg.Name)
 	switch {
-	case errors.Is(err, takeover.ErrNoPredecessor):
+	case errors.Is(err, takeover.ErrNoPreviousProcess):
 		return
 	case err != nil:
 		a.log.Warn("starting from nothing, as what was left can't be had", "error", err)
@@ -121,7 +121,7 @@
 		previous := a.core.Subscribe(received.Link.Send)
 		a.processesChanged(1, 0)
 		go func() {
-			received.Link.Run(func(u handover.Update) { a.core.ReceiveNews(ctx, u, previous) })
+			received.Link.Run(func(u handover.Update) { a.core.ReceiveUpdate(ctx, u, previous) })
 			a.core.Unsubscribe(previous)
 			a.processesChanged(-1, 0)
 			a.log.Info("the process before is gone")
@@ -194,7 +194,7 @@
 	replacedToo := false
 	l.Run(func(u handover.Update) {
 		replacedToo = replacedToo || u.Replaced
-		a.core.ReceiveNews(context.Background(), u, next)
+		a.core.ReceiveUpdate(context.Background(), u, next)
 	})
 	a.core.Unsubscribe(next)
 	if replacedToo { // a third process serves now
--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -14,22 +14,22 @@
 
 // Settings are the half-lives of facts: after each of them a fact has half the weight that it had.
 type Settings struct {
-	Capacity    time.Duration // capacity of a server
-	Failing     time.Duration // failure rate of a server, and losses over all
-	Ejection    time.Duration
-	Times       time.Duration // usual and shortest response times
-	Traffic     time.Duration // the agent's responses per second
-	Cold        time.Duration // outcomes of cold starts
-	Address     time.Duration // which of a server's addresses connected
-	ClampFactor float64       // remembered capacities are clamped to this many times the median one, and to its reciprocal
-	MaxAge      time.Duration // older facts have no weight
+	Capacity     time.Duration // capacity of a server
+	Failing      time.Duration // failure rate of a server, and losses over all
+	Ejection     time.Duration
+	Latency      time.Duration // usual and shortest response times
+	Traffic      time.Duration // the agent's responses per second
+	ColdFailures time.Duration // outcomes of cold starts
+	Address      time.Duration // which of a server's addresses connected
+	ClampFactor  float64       // remembered capacities are clamped to this many times the median one, and to its reciprocal
+	MaxAge       time.Duration // older facts have no weight
 }
 
 // Defaults are the settings where none are configured. Failures and times have the same half-life: if latencies were
 // remembered longer than failures, agents with little traffic lost more requests than without stored state
 // (docs/design/learning.md has the figures).
-var Defaults = Settings{Capacity: 10 * time.Minute, Failing: 15 * time.Minute, Ejection: time.Minute, Times: 15 * time.Minute,
-	Traffic: 15 * time.Minute, Cold: 24 * time.Hour, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
+var Defaults = Settings{Capacity: 10 * time.Minute, Failing: 15 * time.Minute, Ejection: time.Minute, Latency: 15 * time.Minute,
+	Traffic: 15 * time.Minute, ColdFailures: 24 * time.Hour, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
 
 const (
 	// minWeight is the weight below which a fact does not count.
@@ -72,7 +72,7 @@
 }
 
 // Listed is a server in the current list.
-type Listed struct {
+type ListedServer struct {
 	ID       string
 	Started  time.Duration
 	Identity uint64 // see learned.Identity
@@ -119,7 +119,7 @@
 // Recall returns the facts about servers that are new in the list, which has the given number of servers in all, and the
 // first time also the shared data. For servers with several addresses it also returns those that connected. It takes
 // time in proportion to the servers named.
-func (r *Restored) Recall(now learned.Clock, named []Listed, fleet int) (m choice.Memory, connected []string) {
+func (r *Restored) Recall(now learned.Clock, named []ListedServer, fleet int) (m choice.Memory, connected []string) {
 	for _, l := range named {
 		if _, found := slices.BinarySearch(r.shared.Fleet, l.Identity); found {
 			r.recognized[l.Identity] = true
@@ -168,9 +168,9 @@
 	remembered := r.shared.Memory
 	age += remembered.Idle
 	weight := func(halfLife time.Duration) float64 { return similarity * r.settings.Weight(halfLife, age) }
-	times := weight(r.settings.Times)
+	times := weight(r.settings.Latency)
 	m = choice.Memory{Served: remembered.Served * weight(r.settings.Traffic), Lost: remembered.Lost * weight(r.settings.Failing),
-		ColdBad: remembered.ColdBad, ColdSeen: remembered.ColdSeen * weight(r.settings.Cold)}
+		ColdBad: remembered.ColdBad, ColdSeen: remembered.ColdSeen * weight(r.settings.ColdFailures)}
 	for _, c := range remembered.Classes {
 		if c.Trust = min(1, c.Trust) * times; c.Trust > 0 {
 			m.Classes = append(m.Classes, c)
--- a/internal/decide/aging/aging_test.go
+++ b/internal/decide/aging/aging_test.go
@@ -14,8 +14,8 @@
 const day = 24 * time.Hour
 
 // settings has another half-life for each kind of fact.
-var settings = Settings{Capacity: 10 * time.Minute, Failing: 2 * time.Minute, Ejection: time.Minute, Times: time.Hour, Traffic: 5 * time.Minute,
-	Cold: day, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
+var settings = Settings{Capacity: 10 * time.Minute, Failing: 2 * time.Minute, Ejection: time.Minute, Latency: time.Hour, Traffic: 5 * time.Minute,
+	ColdFailures: day, Address: time.Hour, ClampFactor: 4, MaxAge: 72 * time.Hour}
 
 func clock(wall, boot time.Duration, id string) learned.Clock {
 	return learned.Clock{Wall: wall, Boot: boot, BootID: id}
@@ -50,13 +50,13 @@
 }
 
 // newFleet returns a stored fleet with capacities of 100, one server of 10, and one that fails and is ejected.
-func newFleet(at learned.Clock, n int) (learned.State, []Listed) {
+func newFleet(at learned.Clock, n int) (learned.State, []ListedServer) {
 	var servers []learned.Server
 	var ids []uint64
-	var named []Listed
+	var named []ListedServer
 	for i := range n {
 		s := choice.Server{ID: "s" + string(rune('a'+i)), Started: time.Duration(i) * time.Second, Weight: 1}
-		l := Listed{ID: s.ID, Started: s.Started, Identity: learned.Identity(s, "127.0.0.1:1", false)}
+		l := ListedServer{ID: s.ID, Started: s.Started, Identity: learned.Identity(s, "127.0.0.1:1", false)}
 		m := choice.ServerMemory{ID: s.ID, Started: s.Started, Rate: 100, Trust: 1, Use: 0.5}
 		switch i {
 		case 1:
@@ -72,7 +72,7 @@
 }
 
 // recallAfter returns what a new agent recalls of the fleet after some time, if its list is that of named.
-func recallAfter(t *testing.T, age time.Duration, named func([]Listed) []Listed) choice.Memory {
+func recallAfter(t *testing.T, age time.Duration, named func([]ListedServer) []ListedServer) choice.Memory {
 	t.Helper()
 	state, all := newFleet(clock(1000*day, time.Hour, "a"), 8)
 	listed := named(all)
@@ -80,7 +80,7 @@
 	return m
 }
 
-func unchanged(l []Listed) []Listed { return l }
+func unchanged(l []ListedServer) []ListedServer { return l }
 
 func server(m choice.Memory, id string) (s choice.ServerMemory) {
 	for _, s := range m.Servers {
@@ -123,19 +123,19 @@
 
 // Servers that are others by now have no remembered facts, and the more of them there are, the less everything counts.
 func TestFleetThatChanged(t *testing.T) {
-	changeFrom := func(from int, change func(*Listed)) func([]Listed) []Listed {
-		return func(l []Listed) []Listed {
+	changeFrom := func(from int, change func(*ListedServer)) func([]ListedServer) []ListedServer {
+		return func(l []ListedServer) []ListedServer {
 			for i := from; i < len(l); i++ {
 				change(&l[i])
 			}
 			return l
 		}
 	}
-	restarted := func(l *Listed) { l.Started += time.Minute; l.Identity++ }
-	moved := func(l *Listed) { l.Identity++ }
-	renamed := func(l *Listed) { l.ID += "'"; l.Identity++ }
+	restarted := func(l *ListedServer) { l.Started += time.Minute; l.Identity++ }
+	moved := func(l *ListedServer) { l.Identity++ }
+	renamed := func(l *ListedServer) { l.ID += "'"; l.Identity++ }
 	for name, c := range map[string]struct {
-		named   func([]Listed) []Listed
+		named   func([]ListedServer) []ListedServer
 		servers int
 		trust   float64
 	}{
@@ -145,9 +145,9 @@
 		"all under other ids":  {changeFrom(0, renamed), 0, 0},
 		"half restarted":       {changeFrom(4, restarted), 4, 4. / 12},
 		"half under other ids": {changeFrom(4, renamed), 4, 4. / 12},
-		"half removed":         {func(l []Listed) []Listed { return l[:4] }, 4, 0.5},
+		"half removed":         {func(l []ListedServer) []ListedServer { return l[:4] }, 4, 0.5},
 		"one restarted":        {changeFrom(7, restarted), 7, 7. / 9},
-		"twice as many":        {func(l []Listed) []Listed { return append(l, make([]Listed, 8)...) }, 8, 0.5},
+		"twice as many":        {func(l []ListedServer) []ListedServer { return append(l, make([]ListedServer, 8)...) }, 8, 0.5},
 		"all but one replaced": {changeFrom(1, renamed), 0, 0},
 	} {
 		m := recallAfter(t, 0, c.named)
@@ -162,7 +162,7 @@
 	at := clock(1000*day, time.Hour, "a")
 	state, current := newFleet(at, 8)
 	p := New(settings, state)
-	old := append([]Listed{}, current...)
+	old := append([]ListedServer{}, current...)
 	for i := range old {
 		old[i].Identity++
 	}
--- a/internal/decide/calltrack/copy.go
+++ b/internal/decide/calltrack/copy.go
@@ -22,7 +22,7 @@
 		dst.Call, dst.Server = copies.Calls.Of(at.Call), copies.Servers.Of(at.Server)
 	}
 	copies.Calls.Fill = func(c, dst *Call) {
-		dst.Request, dst.Payload, dst.Tag, dst.Answer, dst.inFlight = c.Request, c.Payload, c.Tag, c.Answer, c.inFlight
+		dst.Request, dst.Payload, dst.Shape, dst.Answer, dst.inFlight = c.Request, c.Payload, c.Shape, c.Answer, c.inFlight
 		dst.finished.Store(c.finished.Load())
 		dst.disconnected.Store(c.disconnected.Load())
 		for _, at := range c.attempts {
--- a/internal/decide/calltrack/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -55,19 +55,19 @@
 	}
 }
 
-// News returns a count that grows whenever the module learns something.
-func (t *Tracker) News() uint64 { return t.balancer.News() }
+// Revision returns a count that grows whenever the module learns something.
+func (t *Tracker) Revision() uint64 { return t.balancer.Revision() }
 
 // LoadPast takes the facts that an earlier process had learned. Recall gives them to the module.
-func (t *Tracker) LoadPast(past *aging.Restored) {
+func (t *Tracker) LoadRestored(past *aging.Restored) {
 	t.past, t.newlyListed = past, nil
 	for _, s := range t.servers {
 		t.newlyListed = append(t.newlyListed, listedServer(s))
 	}
 }
 
-func listedServer(s *lifecycle.Server) aging.Listed {
-	return aging.Listed{ID: s.ID, Started: time.Duration(s.Started) * time.Millisecond, Identity: s.Identity}
+func listedServer(s *lifecycle.Server) aging.ListedServer {
+	return aging.ListedServer{ID: s.ID, Started: time.Duration(s.Started) * time.Millisecond, Identity: s.Identity}
 }
 
 // Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
@@ -77,7 +77,7 @@
 	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
 	}
-	t.newlyListed = slices.DeleteFunc(t.newlyListed, func(n aging.Listed) bool { // a server may have restarted within one list
+	t.newlyListed = slices.DeleteFunc(t.newlyListed, func(n aging.ListedServer) bool { // a server may have restarted within one list
 		s := t.servers[n.ID]
 		return s == nil || s.Identity != n.Identity
 	})
@@ -90,4 +90,4 @@
 }
 
 // DropPast drops the facts of the earlier process that were not recalled yet.
-func (t *Tracker) DropPast() { t.past, t.newlyListed = nil, nil }
+func (t *Tracker) DropRestored() { t.past, t.newlyListed = nil, nil }
--- a/internal/decide/calltrack/ledger.go
+++ b/internal/decide/calltrack/ledger.go
@@ -22,7 +22,7 @@
 type Call struct {
 	choice.Request
 	Payload any              // the message, as the transports of that protocol expect it
-	Tag     routes.CallShape // the shape in which the call was received; zero if it has none
+	Shape   routes.CallShape // the shape in which the call was received; zero if it has none
 	Answer  func(Answer)     // receives the one final answer; called on the event loop, so it must not block
 
 	Connection Connection // the client connection that the call was received on, for its Record
@@ -95,7 +95,7 @@
 	SendBy   time.Duration     // the last byte must be written before this time on the module's clock; 0 for no limit
 	State    lifecycle.Attempt // the state machine, driven by the transport
 
-	Way     routes.Route     // the shape in which the call is sent, if it has one
+	Route   routes.Route     // the shape in which the call is sent, if it has one
 	Speaks  choice.Protocols // the protocol spoken with the server
 	Payload any              // the message to send: the call's own, or its translation
 
@@ -206,8 +206,8 @@
 	Handle(now time.Duration, ev choice.Event) []choice.Action
 	Export(now time.Duration, into *choice.Memory)
 	Recall(now time.Duration, m choice.Memory)
-	News() uint64 // a count that grows whenever the module learns something
-	Ejected() int // the number of servers that the module has ejected
+	Revision() uint64 // a count that grows whenever the module learns something
+	Ejected() int     // the number of servers that the module has ejected
 }
 
 // Settings configure a Tracker.
@@ -219,7 +219,7 @@
 	OnIllegalStep func(error)                       // called with illegal state transitions, which are bugs in this program; may be nil
 	Routes        *routes.Router                    // routing by shape; nil if calls have no shapes
 	Observe       func(Record)                      // receives the Record of each ended request, on the event loop; nil to keep no records
-	Places        *subset.Subset                    // this agent's ranks at servers; nil for the first rank at each
+	Ranks         *subset.Subset                    // this agent's ranks at servers; nil for the first rank at each
 }
 
 // Tracker tracks the calls of an agent. It is not safe for concurrent use.
@@ -237,11 +237,11 @@
 	unanswered   int // number of unanswered calls
 	relaying     int // number of calls whose answer is being relayed
 	stats        Stats
-	past         *aging.Restored // facts learned by an earlier process; nil if there are none
-	newlyListed  []aging.Listed  // listed servers that Recall has not looked up in past yet
-	routesTimer  time.Duration   // the time for which the routes' timer is set; 0 if it is not set
-	shutdownBy   time.Duration   // the time by which all calls must be answered, as the process shuts down; 0 before that
-	reasonCounts map[Reason]int  // number of ended requests by reason, if Settings.Observe is set
+	past         *aging.Restored      // facts learned by an earlier process; nil if there are none
+	newlyListed  []aging.ListedServer // listed servers that Recall has not looked up in past yet
+	routesTimer  time.Duration        // the time for which the routes' timer is set; 0 if it is not set
+	shutdownBy   time.Duration        // the time by which all calls must be answered, as the process shuts down; 0 before that
+	reasonCounts map[Reason]int       // number of ended requests by reason, if Settings.Observe is set
 }
 
 // New returns a Tracker that uses balancer as its decision module.
@@ -383,10 +383,10 @@
 	if known, ok := t.listed[id]; ok {
 		return known.SubsetRank
 	}
-	if t.set.Places == nil {
+	if t.set.Ranks == nil {
 		return 0
 	}
-	return t.set.Places.Rank(id)
+	return t.set.Ranks.Rank(id)
 }
 
 // applyEntries applies entries of the server list after the operators' overrides.
@@ -472,7 +472,7 @@
 			}
 		case choice.Refuse:
 			answer := Answer{Kind: Refused, After: act.After}
-			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.set.Routes.AnyUntranslated(call.Tag) {
+			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.set.Routes.AnyUntranslated(call.Shape) {
 				answer = Answer{Kind: Untranslatable, Cause: call.untranslatable}
 			}
 			t.finish(act.Request, answer, Reason(act.Reason.String()))
@@ -501,7 +501,7 @@
 	case s == nil:
 		failed.Result = choice.ConnectFailed
 	default:
-		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, Deadline: end, OnIllegalStep: t.set.OnIllegalStep, Way: way,
+		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, Deadline: end, OnIllegalStep: t.set.OnIllegalStep, Route: way,
 			Speaks: way.Protocol, Payload: call.Payload}
 		if act.SendWithin != 0 {
 			at.SendBy = t.now + act.SendWithin
--- a/internal/decide/calltrack/record_test.go
+++ b/internal/decide/calltrack/record_test.go
@@ -22,7 +22,7 @@
 func (scripted) Start(time.Duration) []choice.Action  { return nil }
 func (scripted) Export(time.Duration, *choice.Memory) {}
 func (scripted) Recall(time.Duration, choice.Memory)  {}
-func (scripted) News() uint64                         { return 0 }
+func (scripted) Revision() uint64                     { return 0 }
 func (scripted) Ejected() int                         { return 0 }
 func (s scripted) Handle(_ time.Duration, ev choice.Event) []choice.Action {
 	switch e := ev.(type) {
--- a/internal/decide/calltrack/routed.go
+++ b/internal/decide/calltrack/routed.go
@@ -14,8 +14,8 @@
 
 // classify sets which capabilities a server needs to receive a call. They depend on the call's shape, if it has one.
 func (t *Tracker) classify(call *Call) {
-	if call.Tag.IsSet() && t.set.Routes != nil {
-		call.RequiredProtocols = t.set.Routes.Needs(call.Tag, false)
+	if call.Shape.IsSet() && t.set.Routes != nil {
+		call.RequiredProtocols = t.set.Routes.Needs(call.Shape, false)
 	}
 }
 
@@ -30,10 +30,10 @@
 // wayTo returns how a call is sent to a server, or false if the server does not accept it. A call without a shape is sent
 // unchanged.
 func (t *Tracker) wayTo(call *Call, server string) (routes.Route, bool) {
-	if !call.Tag.IsSet() || t.set.Routes == nil {
+	if !call.Shape.IsSet() || t.set.Routes == nil {
 		return routes.Route{Protocol: call.RequiredProtocols}, true
 	}
-	way, ok := t.set.Routes.Route(call.Tag, server)
+	way, ok := t.set.Routes.Route(call.Shape, server)
 	// An untranslatable call can only be sent unchanged. The server accepted that when the module was asked, but no longer does.
 	return way, ok && (way.Plan == nil || call.untranslatable == nil)
 }
@@ -46,15 +46,15 @@
 	case e.ReplyUntranslatable != nil:
 		t.stats.UntranslatableReplies++
 	}
-	if t.set.Routes == nil || at.Way.To == nil {
+	if t.set.Routes == nil || at.Route.To == nil {
 		return
 	}
 	switch {
 	case e.ShapeUnknown:
 		t.stats.UnknownShapes++
-		t.updateModule(t.set.Routes.MarkUnknown(t.now, at.Server.ID, time.Duration(at.Server.Started)*time.Millisecond, at.Way.To.Version))
+		t.updateModule(t.set.Routes.MarkUnknown(t.now, at.Server.ID, time.Duration(at.Server.Started)*time.Millisecond, at.Route.To.Version))
 	case e.Result == choice.OK:
-		t.set.Routes.MarkKnown(at.Server.ID, at.Way.To.Version)
+		t.set.Routes.MarkKnown(at.Server.ID, at.Route.To.Version)
 	}
 }
 
@@ -82,7 +82,7 @@
 	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: choice.NotSent,
 		Closed: true, Report: choice.NoReport})
 	call.attempts = call.attempts[:0]
-	call.RequiredProtocols = t.set.Routes.Needs(call.Tag, true)
+	call.RequiredProtocols = t.set.Routes.Needs(call.Shape, true)
 	t.handle(call.Request)
 	return true
 }
--- a/internal/decide/calltrack/routed_test.go
+++ b/internal/decide/calltrack/routed_test.go
@@ -22,7 +22,7 @@
 // was superseded by an earlier one sets no further timers.
 func TestTimersOfRoutesDoNotGrow(t *testing.T) {
 	tab := routes.NewTable([]routes.Shape{{Name: "one", Version: "a/1", Speaks: 1}})
-	r, err := routes.New(routes.Settings{Forget: time.Second, MaxForget: time.Minute}, tab)
+	r, err := routes.New(routes.Settings{RejectionTTL: time.Second, MaxRejectionTTL: time.Minute}, tab)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		return at
 	}
 	reject := func(now time.Duration, server string) []time.Duration {
-		call := &Call{Request: choice.Request{ID: server + now.String(), Key: server, Deadline: now + time.Minute}, Tag: routes.CallShape{Table: tab, Protocol: 1}}
+		call := &Call{Request: choice.Request{ID: server + now.String(), Key: server, Deadline: now + time.Minute}, Shape: routes.CallShape{Table: tab, Protocol: 1}}
 		for _, o := range tracker.CallArrived(now, call) {
 			if o.Kind == StartAttempt {
 				return timers(tracker.AttemptEnded(now, o.Attempt, AttemptOutcome{Result: choice.Rejected, Report: choice.NoReport, ShapeUnknown: true}))
--- a/internal/decide/learned/records.go
+++ b/internal/decide/learned/records.go
@@ -230,7 +230,7 @@
 var ErrNoState = errors.New("no learned state is stored")
 
 // Drop describes a record that could not be read and was dropped.
-type Drop struct {
+type DroppedRecord struct {
 	Name string
 	Why  error
 }
@@ -247,7 +247,7 @@
 
 // Read builds a State from records. Without the shared data there is none; a bucket that cannot be read is dropped
 // alone.
-func Read(records map[string]Record) (s State, dropped []Drop, err error) {
+func Read(records map[string]Record) (s State, dropped []DroppedRecord, err error) {
 	body := func(r Record) ([]byte, error) {
 		if r.Format != Format {
 			return nil, fmt.Errorf("%w: %d, this program reads %d", ErrFormat, r.Format, Format)
@@ -280,7 +280,7 @@
 			}
 		}
 		if err != nil {
-			dropped = append(dropped, Drop{name, err})
+			dropped = append(dropped, DroppedRecord{name, err})
 		}
 	}
 	return s, dropped, nil
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -36,9 +36,9 @@
 // The causes.
 const (
 	Broken    Cause = iota // the connection failed, was closed or was never established
-	Garbled                // the received data can't be parsed
-	Late                   // the attempt timed out
-	Withdrawn              // the decision module canceled the attempt
+	Malformed              // the received data can't be parsed
+	TimedOut               // the attempt timed out
+	Canceled               // the decision module canceled the attempt
 	NoPlace                // no place in the connection pool became free in time
 )
 
@@ -67,7 +67,7 @@
 // CanHaveRun reports whether the server may have started to process the call. That is so once the last byte of the message may
 // have been written, or if the server answers as if it had received all of it, unless it answered that the call never ran.
 // Nothing else counts as evidence.
-func (a *Attempt) CanHaveRun() bool {
+func (a *Attempt) MayHaveRun() bool {
 	answered := a.stage == Ended && (a.result == choice.OK || a.result == choice.Failed)
 	return !a.rejected && (answered || a.uncertain || a.size > 0 && a.sent >= a.size)
 }
@@ -96,10 +96,10 @@
 
 // Conditions are the circumstances at the moment at which an attempt is about to be sent.
 type Conditions struct {
-	Withdrawn bool // the decision module canceled the attempt
-	Late      bool // the attempt timed out
-	Over      bool // the call has its final answer, or its client has disconnected
-	Retired   bool // the server is draining, was removed or was replaced
+	Canceled     bool // the decision module canceled the attempt
+	TimedOut     bool // the attempt timed out
+	CallFinished bool // the call has its final answer, or its client has disconnected
+	Retired      bool // the server is draining, was removed or was replaced
 }
 
 // Begin decides whether the attempt is sent. It is called right before the first byte of a message of size bytes is written. It
@@ -110,9 +110,9 @@
 	}
 	a.size = size
 	switch {
-	case now.Withdrawn:
-		a.end(choice.Cancelled)
-	case now.Late || now.Over:
+	case now.Canceled:
+		a.end(choice.Canceled)
+	case now.TimedOut || now.CallFinished:
 		a.end(choice.NotSent)
 	case now.Retired:
 		a.end(choice.ConnectFailed)
@@ -180,15 +180,15 @@
 	switch {
 	case a.stage == Ended:
 		return a.illegal(c.String())
-	case c == Withdrawn:
-		a.end(choice.Cancelled)
-	case (a.stage == Placing || a.stage == Ready) && (c == NoPlace || c == Late):
+	case c == Canceled:
+		a.end(choice.Canceled)
+	case (a.stage == Placing || a.stage == Ready) && (c == NoPlace || c == TimedOut):
 		a.end(choice.NotSent)
-	case !a.CanHaveRun():
+	case !a.MayHaveRun():
 		a.end(choice.ConnectFailed)
-	case c == Garbled:
+	case c == Malformed:
 		a.end(choice.Failed)
-	case c == Late:
+	case c == TimedOut:
 		a.end(choice.TimedOut)
 	default:
 		a.end(choice.Reset)
--- a/internal/decide/lifecycle/life_test.go
+++ b/internal/decide/lifecycle/life_test.go
@@ -38,27 +38,27 @@
 		ran   bool
 	}{
 		"no place":                      {steps(fail(NoPlace)), choice.NotSent, false},
-		"withdrawn while it waits":      {steps(fail(Withdrawn)), choice.Cancelled, false},
+		"withdrawn while it waits":      {steps(fail(Canceled)), choice.Canceled, false},
 		"dial fails":                    {steps(dial, fail(Broken)), choice.ConnectFailed, false},
-		"dial hangs":                    {steps(dial, fail(Late)), choice.ConnectFailed, false},
-		"withdrawn while it dials":      {steps(dial, fail(Withdrawn)), choice.Cancelled, false},
+		"dial hangs":                    {steps(dial, fail(TimedOut)), choice.ConnectFailed, false},
+		"withdrawn while it dials":      {steps(dial, fail(Canceled)), choice.Canceled, false},
 		"idle connection":               {steps(connect, begin(Conditions{}), wrote(100), reading, ans(choice.OK)), choice.OK, true},
-		"finished before it is sent":    {then(connected, steps(begin(Conditions{Over: true}))), choice.NotSent, false},
-		"late before it is sent":        {then(connected, steps(begin(Conditions{Late: true, Retired: true}))), choice.NotSent, false},
+		"finished before it is sent":    {then(connected, steps(begin(Conditions{CallFinished: true}))), choice.NotSent, false},
+		"late before it is sent":        {then(connected, steps(begin(Conditions{TimedOut: true, Retired: true}))), choice.NotSent, false},
 		"drained before it is sent":     {then(connected, steps(begin(Conditions{Retired: true}))), choice.ConnectFailed, false},
-		"withdrawn before it is sent":   {then(connected, steps(begin(Conditions{Withdrawn: true, Late: true}))), choice.Cancelled, false},
-		"late in a queue":               {then(connected, steps(fail(Late))), choice.NotSent, false},
+		"withdrawn before it is sent":   {then(connected, steps(begin(Conditions{Canceled: true, TimedOut: true}))), choice.Canceled, false},
+		"late in a queue":               {then(connected, steps(fail(TimedOut))), choice.NotSent, false},
 		"breaks in a queue":             {then(connected, steps(fail(Broken))), choice.ConnectFailed, false},
 		"breaks before the last byte":   {then(begun, steps(wrote(99), fail(Broken))), choice.ConnectFailed, false},
-		"spoilt before the last byte":   {then(begun, steps(wrote(99), reading, fail(Garbled))), choice.ConnectFailed, false},
-		"late before the last byte":     {then(begun, steps(wrote(99), fail(Late))), choice.ConnectFailed, false},
+		"spoilt before the last byte":   {then(begun, steps(wrote(99), reading, fail(Malformed))), choice.ConnectFailed, false},
+		"late before the last byte":     {then(begun, steps(wrote(99), fail(TimedOut))), choice.ConnectFailed, false},
 		"breaks after the last byte":    {then(sent, steps(fail(Broken))), choice.Reset, true},
 		"breaks at an unknown byte":     {then(begun, steps(unsure, fail(Broken))), choice.Reset, true},
 		"write size known later":        {then(begun, steps(unsure, wrote(50), fail(Broken))), choice.ConnectFailed, false},
-		"late":                          {then(sent, steps(fail(Late))), choice.TimedOut, true},
-		"late in the answer":            {then(sent, steps(reading, fail(Late))), choice.TimedOut, true},
-		"withdrawn":                     {then(sent, steps(fail(Withdrawn))), choice.Cancelled, true},
-		"spoilt":                        {then(sent, steps(reading, fail(Garbled))), choice.Failed, true},
+		"late":                          {then(sent, steps(fail(TimedOut))), choice.TimedOut, true},
+		"late in the answer":            {then(sent, steps(reading, fail(TimedOut))), choice.TimedOut, true},
+		"withdrawn":                     {then(sent, steps(fail(Canceled))), choice.Canceled, true},
+		"spoilt":                        {then(sent, steps(reading, fail(Malformed))), choice.Failed, true},
 		"error":                         {then(sent, steps(reading, ans(choice.Failed))), choice.Failed, true},
 		"rejected by the server":        {then(sent, steps(reading, ans(choice.Rejected))), choice.Rejected, false},
 		"rejected before the last byte": {then(begun, steps(wrote(50), reading, ans(choice.Rejected))), choice.Rejected, false},
@@ -72,8 +72,8 @@
 					t.Fatalf("step %d: %v", i, err)
 				}
 			}
-			if a.Stage() != Ended || a.Result() != c.want || a.CanHaveRun() != c.ran {
-				t.Errorf("%v, result %d, can have run: %t", a.Stage(), a.Result(), a.CanHaveRun())
+			if a.Stage() != Ended || a.Result() != c.want || a.MayHaveRun() != c.ran {
+				t.Errorf("%v, result %d, can have run: %t", a.Stage(), a.Result(), a.MayHaveRun())
 			}
 		})
 	}
@@ -97,8 +97,8 @@
 		"is answered unread":         {sent, ans(choice.Failed)},
 		"is answered with a cause":   {then(sent, steps(reading)), ans(choice.TimedOut)},
 		"is answered while written":  {begun, ans(choice.OK)},
-		"ends twice":                 {then(sent, steps(fail(Late))), fail(Broken)},
-		"is answered after its end":  {then(sent, steps(fail(Late))), ans(choice.OK)},
+		"ends twice":                 {then(sent, steps(fail(TimedOut))), fail(Broken)},
+		"is answered after its end":  {then(sent, steps(fail(TimedOut))), ans(choice.OK)},
 		"is unsure of what was sent": {sent, unsure},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/decide/lifecycle/line.go
+++ b/internal/decide/lifecycle/line.go
@@ -129,7 +129,7 @@
 		delete(m.slots, s.Seq)
 		m.queue = slices.DeleteFunc(m.queue, func(o *Slot) bool { return o == s })
 	case Waiting:
-		if c == Late && m.lastReply.Before(s.writeStarted) {
+		if c == TimedOut && m.lastReply.Before(s.writeStarted) {
 			m.suspect = true
 		}
 	}
--- a/internal/decide/lifecycle/line_test.go
+++ b/internal/decide/lifecycle/line_test.go
@@ -57,7 +57,7 @@
 					continue
 				}
 				joined = joined[1:]
-				send, err := s.Attempt.Begin(10, Conditions{Over: r.IntN(4) == 0})
+				send, err := s.Attempt.Begin(10, Conditions{CallFinished: r.IntN(4) == 0})
 				check(err)
 				if !send {
 					m.Remove(s)
@@ -107,17 +107,17 @@
 					if ended[s.Attempt] {
 						continue
 					}
-					check(m.Abandon(s, []Cause{Late, Withdrawn}[r.IntN(2)]))
+					check(m.Abandon(s, []Cause{TimedOut, Canceled}[r.IntN(2)]))
 					end(s)
 					if from == &joined {
 						joined = slices.DeleteFunc(joined, func(o *Slot) bool { return o == s })
 					}
-					if (from != &joined) != s.Attempt.CanHaveRun() {
-						t.Fatalf("seed %d: can have run: %t", seed, s.Attempt.CanHaveRun())
+					if (from != &joined) != s.Attempt.MayHaveRun() {
+						t.Fatalf("seed %d: can have run: %t", seed, s.Attempt.MayHaveRun())
 					}
 				}
 			case k == 7 && r.IntN(10) == 0:
-				failed, err := m.Break([]Cause{Broken, Garbled}[r.IntN(2)])
+				failed, err := m.Break([]Cause{Broken, Malformed}[r.IntN(2)])
 				check(err)
 				for _, s := range failed {
 					end(s)
@@ -171,7 +171,7 @@
 			m.ReplyStarted(slots[1].Seq, now)
 			m.ReplyEnded(slots[1], choice.OK)
 		}
-		if err := m.Abandon(slots[0], Late); err != nil {
+		if err := m.Abandon(slots[0], TimedOut); err != nil {
 			t.Fatal(err)
 		}
 		if s, _ := m.Join(&Attempt{}, nil, 4); (s != nil) != replied {
--- a/internal/decide/relay/relay.go
+++ b/internal/decide/relay/relay.go
@@ -35,7 +35,7 @@
 
 // Held is the state of a held answer. All times are on one monotonic clock with an arbitrary origin. It is not safe for
 // concurrent use.
-type Held struct {
+type HeldAnswer struct {
 	until          time.Duration // when holding ends
 	endsAtDeadline bool          // until is the client's deadline
 	nextCheck      time.Duration // when to check whether data is still arriving; equal to until if that is the only check
@@ -50,10 +50,10 @@
 // maximum number of bytes to hold. If the answer has stopped by half of left it is replaced, but only if it is that of the first attempt:
 // the answer may also be long and its server slow, and then further attempts would do no better. An answer that is not complete at the
 // client's deadline is not relayed.
-func NewHeld(now, left time.Duration, limit int, first bool) *Held {
+func NewHeldAnswer(now, left time.Duration, limit int, first bool) *HeldAnswer {
 	left = max(left, 0)
 	hold := min(MaxHold, left)
-	h := &Held{until: now + hold, endsAtDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
+	h := &HeldAnswer{until: now + hold, endsAtDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
 	if first {
 		untilCheck := min(MaxHold, left/2) // the other half is left for an attempt at another server
 		h.nextCheck, h.maxPause = now+untilCheck, min(MaxPause, untilCheck/2)
@@ -62,13 +62,13 @@
 }
 
 // NewHeldLong is like NewHeld, for an answer that is known to be longer than limit.
-func NewHeldLong(now, left time.Duration, limit int) *Held {
+func NewHeldLong(now, left time.Duration, limit int) *HeldAnswer {
 	hold := min(MaxHoldLong, max(left, 0)/2)
-	return &Held{until: now + hold, nextCheck: now + hold, limit: limit, lastReceived: now}
+	return &HeldAnswer{until: now + hold, nextCheck: now + hold, limit: limit, lastReceived: now}
 }
 
 // Received records that further bytes were received. It returns Relay if the limit is exceeded, else Hold.
-func (h *Held) Received(now time.Duration, bytes int) Verdict {
+func (h *HeldAnswer) Received(now time.Duration, bytes int) Verdict {
 	h.received += bytes
 	h.lastReceived = now
 	if h.received > h.limit {
@@ -78,7 +78,7 @@
 }
 
 // NextCheck returns the time at which Check is to be called.
-func (h *Held) NextCheck() time.Duration {
+func (h *HeldAnswer) NextCheck() time.Duration {
 	if h.received == 0 {
 		return h.lastReceived + MaxFirstByte
 	}
@@ -86,7 +86,7 @@
 }
 
 // Check returns what to do with an answer that is not complete at now. After Hold, NextCheck returns the time of the next call.
-func (h *Held) Check(now time.Duration) Verdict {
+func (h *HeldAnswer) Check(now time.Duration) Verdict {
 	switch {
 	case now < h.NextCheck():
 		return Hold
--- a/internal/decide/relay/relay_test.go
+++ b/internal/decide/relay/relay_test.go
@@ -16,22 +16,22 @@
 	}
 	const long, short = 10 * time.Second, 600 * time.Millisecond
 	for name, c := range map[string]struct {
-		held   *Held
+		held   *HeldAnswer
 		pieces []piece
 		until  time.Duration
 		due    Verdict
 	}{
-		"goes on":                            {NewHeld(0, long, 64, true), []piece{{100 * ms, 10}, {450 * ms, 10}}, MaxHold, Relay},
-		"has stopped":                        {NewHeld(0, long, 64, true), []piece{{100 * ms, 10}, {200 * ms, 10}}, MaxHold, Replace},
-		"has stopped, second attempt":        {NewHeld(0, long, 64, false), []piece{{100 * ms, 10}, {200 * ms, 10}}, MaxHold, Relay},
-		"nothing received":                   {NewHeld(0, long, 64, true), nil, MaxFirstByte, Replace},
-		"nothing received, second attempt":   {NewHeld(0, long, 64, false), nil, MaxFirstByte, Replace},
-		"goes on at half of a short time":    {NewHeld(0, short, 64, true), []piece{{200 * ms, 10}}, 300 * ms, Hold},
-		"stopped at half of a short time":    {NewHeld(0, short, 64, true), []piece{{100 * ms, 10}}, 300 * ms, Replace},
-		"a short time, second attempt":       {NewHeld(0, short, 64, false), []piece{{100 * ms, 10}}, MaxHold, Relay},
-		"deadline reached, second attempt":   {NewHeld(0, 400*ms, 64, false), []piece{{100 * ms, 10}, {350 * ms, 10}}, 400 * ms, Replace},
-		"no time left":                       {NewHeld(0, -long, 64, true), []piece{{0, 10}}, 0, Replace},
-		"no time left, second attempt":       {NewHeld(0, -long, 64, false), []piece{{0, 10}}, 0, Replace},
+		"goes on":                            {NewHeldAnswer(0, long, 64, true), []piece{{100 * ms, 10}, {450 * ms, 10}}, MaxHold, Relay},
+		"has stopped":                        {NewHeldAnswer(0, long, 64, true), []piece{{100 * ms, 10}, {200 * ms, 10}}, MaxHold, Replace},
+		"has stopped, second attempt":        {NewHeldAnswer(0, long, 64, false), []piece{{100 * ms, 10}, {200 * ms, 10}}, MaxHold, Relay},
+		"nothing received":                   {NewHeldAnswer(0, long, 64, true), nil, MaxFirstByte, Replace},
+		"nothing received, second attempt":   {NewHeldAnswer(0, long, 64, false), nil, MaxFirstByte, Replace},
+		"goes on at half of a short time":    {NewHeldAnswer(0, short, 64, true), []piece{{200 * ms, 10}}, 300 * ms, Hold},
+		"stopped at half of a short time":    {NewHeldAnswer(0, short, 64, true), []piece{{100 * ms, 10}}, 300 * ms, Replace},
+		"a short time, second attempt":       {NewHeldAnswer(0, short, 64, false), []piece{{100 * ms, 10}}, MaxHold, Relay},
+		"deadline reached, second attempt":   {NewHeldAnswer(0, 400*ms, 64, false), []piece{{100 * ms, 10}, {350 * ms, 10}}, 400 * ms, Replace},
+		"no time left":                       {NewHeldAnswer(0, -long, 64, true), []piece{{0, 10}}, 0, Replace},
+		"no time left, second attempt":       {NewHeldAnswer(0, -long, 64, false), []piece{{0, 10}}, 0, Replace},
 		"known to be long, stopped":          {NewHeldLong(0, long, 64), []piece{{0, 10}}, MaxHoldLong, Relay},
 		"known to be long, nothing received": {NewHeldLong(0, long, 64), nil, MaxFirstByte, Replace},
 	} {
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	h := NewHeld(0, time.Second, 64, true)
+	h := NewHeldAnswer(0, time.Second, 64, true)
 	if h.Received(ms, 64) != Hold || h.Received(2*ms, 1) != Relay {
 		t.Error("the limit on held bytes does not apply")
 	}
@@ -60,7 +60,7 @@
 // than MaxHold.
 func TestHeldOnFromHalfOfTheTime(t *testing.T) {
 	for left, want := range map[time.Duration]Verdict{600 * ms: Relay, 500 * ms: Replace, 200 * ms: Replace} {
-		h := NewHeld(0, left, 64, true)
+		h := NewHeldAnswer(0, left, 64, true)
 		h.Received(left*2/5, 10)
 		if v := h.Check(left / 2); v != Hold {
 			t.Errorf("%v: %v at half of the time", left, v)
@@ -82,7 +82,7 @@
 		left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(20*time.Second)).Draw(t, "left"))
 		first := rapid.Bool().Draw(t, "first")
 		most := min(MaxHold, max(left, 0))
-		h, now, last, any := NewHeld(0, left, 1000, first), time.Duration(0), time.Duration(0), false
+		h, now, last, any := NewHeldAnswer(0, left, 1000, first), time.Duration(0), time.Duration(0), false
 		verdict := h.Check(now)
 		for ; verdict == Hold; verdict = h.Check(now) {
 			if any && now > most || now > max(most, MaxFirstByte) {
--- a/internal/decide/routes/routes.go
+++ b/internal/decide/routes/routes.go
@@ -78,8 +78,8 @@
 
 // Settings configure for how long rejections are remembered.
 type Settings struct {
-	Forget    time.Duration // how long a server is not sent a shape after it has rejected it for the first time
-	MaxForget time.Duration // maximum of that, which doubles with each further rejection
+	RejectionTTL    time.Duration // how long a server is not sent a shape after it has rejected it for the first time
+	MaxRejectionTTL time.Duration // maximum of that, which doubles with each further rejection
 }
 
 // rejection records that a server has rejected a version as unknown.
@@ -308,14 +308,14 @@
 		if len(s.rejections) == MaxVersions {
 			return nil
 		}
-		s.rejections = append(s.rejections, rejection{version: version, wait: r.settings.Forget})
+		s.rejections = append(s.rejections, rejection{version: version, wait: r.settings.RejectionTTL})
 		at = len(s.rejections) - 1
 	}
 	rej := &s.rejections[at]
 	if rej.until > 0 {
 		return nil // already recorded: this call was in flight then
 	}
-	rej.until, rej.wait = now+rej.wait, min(2*rej.wait, r.settings.MaxForget)
+	rej.until, rej.wait = now+rej.wait, min(2*rej.wait, r.settings.MaxRejectionTTL)
 	if after := r.advertise(s); after != before {
 		return []choice.Server{after}
 	}
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -35,7 +35,7 @@
 
 // routes returns a Router over a table.
 func routes(t interface{ Fatal(...any) }, tab *Table) *Router {
-	r, err := New(Settings{Forget: firstForget, MaxForget: mostForget}, tab)
+	r, err := New(Settings{RejectionTTL: firstForget, MaxRejectionTTL: mostForget}, tab)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/writepolicy/keeping.go
+++ b/internal/decide/writepolicy/keeping.go
@@ -29,7 +29,7 @@
 	MinDistance: 0.25, StaleAfter: 2 * time.Minute, RetryDelay: 5 * time.Second, MaxRetryDelay: 10 * time.Minute}
 
 // View is the state of the agent at a check.
-type View struct {
+type AgentState struct {
 	Updates uint64  // the module's count of what it learned
 	Servers int     // in the list
 	Load    float64 // calls in progress, as a share of the maximum
@@ -77,7 +77,7 @@
 func (p *Policy) Failures() int { return p.failures }
 
 // Check decides whether to write now. After a write, WriteDone must be called before the next Check.
-func (p *Policy) Check(now time.Duration, v View) (write bool) {
+func (p *Policy) Check(now time.Duration, v AgentState) (write bool) {
 	p.nextCheck = now + p.settings.CheckInterval
 	p.leak(now)
 	since := now - p.writtenAt
@@ -122,7 +122,7 @@
 
 // End records that the agent shuts down, and reports whether there is something to write for the last time. There is no
 // further write after it.
-func (p *Policy) End(v View) (write bool) {
+func (p *Policy) End(v AgentState) (write bool) {
 	if p.ended {
 		return false
 	}
--- a/internal/decide/writepolicy/keeping_test.go
+++ b/internal/decide/writepolicy/keeping_test.go
@@ -14,7 +14,7 @@
 )
 
 // runChecks runs the checks of a Policy until some time, and returns when it wrote. Writes take no time.
-func runChecks(k *Policy, until time.Duration, view func(now time.Duration) View, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
+func runChecks(k *Policy, until time.Duration, view func(now time.Duration) AgentState, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
 	for k.NextCheck() < until {
 		now := k.NextCheck()
 		if k.Check(now, view(now)) {
@@ -29,8 +29,10 @@
 func succeed(time.Duration) (int64, error) { return 1000, nil }
 
 // updateRate returns a view with the given number of updates per second, for 10 servers, under a load.
-func updateRate(a float64, load float64) func(time.Duration) View {
-	return func(now time.Duration) View { return View{Updates: uint64(a * now.Seconds()), Servers: 10, Load: load} }
+func updateRate(a float64, load float64) func(time.Duration) AgentState {
+	return func(now time.Duration) AgentState {
+		return AgentState{Updates: uint64(a * now.Seconds()), Servers: 10, Load: load}
+	}
 }
 
 func intervals(writes []time.Duration) (shortest, longest time.Duration) {
@@ -48,7 +50,7 @@
 	set := Defaults
 	tolerance := set.CheckInterval
 	for name, c := range map[string]struct {
-		view              func(time.Duration) View
+		view              func(time.Duration) AgentState
 		wrote             func(time.Duration) (int64, error)
 		shortest, longest time.Duration // between writes; 0, 0 for none at all
 	}{
@@ -100,7 +102,10 @@
 	k := New(Defaults, 0, 1)
 	failing := true
 	fails := 0
-	writes := runChecks(k, time.Hour, func(now time.Duration) View { failing = now < 30*time.Minute; return View{Updates: 5, Servers: 1} },
+	writes := runChecks(k, time.Hour, func(now time.Duration) AgentState {
+		failing = now < 30*time.Minute
+		return AgentState{Updates: 5, Servers: 1}
+	},
 		func(time.Duration) (int64, error) {
 			if failing {
 				fails++
@@ -118,13 +123,13 @@
 func TestEnd(t *testing.T) {
 	k := New(Defaults, 0, 1)
 	runChecks(k, time.Minute, updateRate(100, 0), succeed)
-	v := View{Updates: 1 << 20, Servers: 1}
+	v := AgentState{Updates: 1 << 20, Servers: 1}
 	if !k.End(v) || k.End(v) || k.Check(time.Hour, v) {
 		t.Error("not exactly one last write")
 	}
 	k = New(Defaults, 0, 1)
-	runChecks(k, time.Minute, func(time.Duration) View { return View{Updates: 3, Servers: 1} }, succeed)
-	if k.End(View{Updates: 3, Servers: 1}) {
+	runChecks(k, time.Minute, func(time.Duration) AgentState { return AgentState{Updates: 3, Servers: 1} }, succeed)
+	if k.End(AgentState{Updates: 3, Servers: 1}) {
 		t.Error("a last write without updates")
 	}
 }
@@ -142,7 +147,7 @@
 				t.Fatalf("a check at %v after one at %v", k.NextCheck(), now)
 			}
 			now = k.NextCheck() + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
-			v := View{Updates: rapid.Uint64().Draw(t, "news"), Servers: rapid.IntRange(0, 100).Draw(t, "servers"), Load: rapid.Float64Range(0, 1).Draw(t, "load")}
+			v := AgentState{Updates: rapid.Uint64().Draw(t, "news"), Servers: rapid.IntRange(0, 100).Draw(t, "servers"), Load: rapid.Float64Range(0, 1).Draw(t, "load")}
 			if !k.Check(now, v) {
 				continue
 			}
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -76,7 +76,7 @@
 
 	ClosedUnfinished int // closed with a partly received request
 	ClosedUnread     int // closed with unread data
-	CallsFailed      int // system calls that failed on established connections, and were retried
+	SyscallsFailed   int // system calls that failed on established connections, and were retried
 	Dropped          int // requests that were read after the Tracker had closed their connection
 }
 
@@ -85,7 +85,7 @@
 	t.mu.Lock()
 	defer t.unlock()
 	stats := t.stats
-	stats.ClosedUnfinished, stats.ClosedUnread, stats.CallsFailed = int(t.unfinished.Load()), int(t.unread.Load()), int(t.failures.Load())
+	stats.ClosedUnfinished, stats.ClosedUnread, stats.SyscallsFailed = int(t.unfinished.Load()), int(t.unread.Load()), int(t.failures.Load())
 	return stats
 }
 
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -116,7 +116,7 @@
 	requests := newRequestLog(set.Log, set.Module.Classes)
 	tracker := calltrack.New(calltrack.Settings{Classes: len(set.Module.Classes), Observe: func(r calltrack.Record) { requests.observe(time.Now(), r) }, MaxAttempts: set.Module.MaxAttempts, MaxUnanswered: set.MaxUnanswered,
 		HasTransport: func(needs choice.Protocols) bool { return set.Transports[needs] != nil }, OnIllegalStep: set.OnIllegalStep, Routes: set.Routes,
-		Places: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Pacing.Me, Seed: set.Seed})}, balancer)
+		Ranks: subset.New(subset.Settings{Agents: set.Module.Balancers, Me: set.Pacing.Me, Seed: set.Seed})}, balancer)
 	c := &Core{set: set, log: set.Log, events: make(chan func(), 1024), urgent: make(chan func()), workers: newWorkers(), ready: make(chan struct{}),
 		tracker: tracker, requests: requests, undelivered: newUndeliveredLog(set.Log), subscribers: map[*Subscriber]bool{}}
 	c.onRelayStart = func(at *Attempt, e AttemptOutcome) {
@@ -183,7 +183,7 @@
 }
 
 // CountAbandoned counts a call whose client disconnected before the call could be submitted.
-func (c *Core) CountAbandoned() { c.unsubmitted.Add(1) }
+func (c *Core) CountUnsubmitted() { c.unsubmitted.Add(1) }
 
 // CountMalformed counts a call that a front could not read.
 func (c *Core) CountMalformed() { c.malformed.Add(1) }
@@ -311,7 +311,7 @@
 	if c.set.ClientStats != nil {
 		s := c.set.ClientStats()
 		c.log.Info("client connections", "accepted", s.Accepted, "closed_for_room", s.ClosedForRoom, "closed_unfinished", s.ClosedUnfinished,
-			"closed_unread", s.ClosedUnread, "requests_dropped", s.Dropped, "calls_failed", s.CallsFailed, "ended", s.Ended.String())
+			"closed_unread", s.ClosedUnread, "requests_dropped", s.Dropped, "calls_failed", s.SyscallsFailed, "ended", s.Ended.String())
 	}
 	c.log.Info("counts", "requests", s.Requests, "served", s.Served, "refused", s.Refused, "failed", s.Failed,
 		"gone", s.Disconnected, "abandoned", c.unsubmitted.Load(), "malformed", c.malformed.Load(), "undelivered", c.undelivered.count.Load(), "attempts", s.Attempts, "reports", s.Reports,
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -16,10 +16,10 @@
 // RestoreLearned hands the event loop what an earlier process had learned. It is called before clients connect.
 func (c *Core) RestoreLearned(past *aging.Restored, clock func() learned.Clock) {
 	c.post(func() {
-		c.tracker.LoadPast(past)
+		c.tracker.LoadRestored(past)
 		c.learnedClock = clock
 		c.recall()
-		time.AfterFunc(recallPeriod, func() { c.post(c.tracker.DropPast) })
+		time.AfterFunc(recallPeriod, func() { c.post(c.tracker.DropRestored) })
 	})
 }
 
@@ -29,30 +29,30 @@
 		return
 	}
 	n, worked := c.tracker.Recall(c.Now(), c.learnedClock())
-	c.set.Pool.RestoreWorking(worked)
+	c.set.Pool.RestoreConnected(worked)
 	if n+len(worked) > 0 {
 		c.log.Info("learned: recalled", "servers", n, "addresses", len(worked), "of", c.tracker.ServerCount())
 	}
 }
 
 // View returns the module's count of what it has learned, the number of servers, and the load.
-func (c *Core) View(ctx context.Context) (writepolicy.View, error) {
-	return query(ctx, c, func() writepolicy.View {
+func (c *Core) View(ctx context.Context) (writepolicy.AgentState, error) {
+	return query(ctx, c, func() writepolicy.AgentState {
 		open, _ := c.tracker.Count()
 		load := 0.0
 		if most := c.set.MaxUnanswered; most > 0 {
 			load = float64(open) / float64(most)
 		}
-		return writepolicy.View{Updates: c.tracker.News(), Servers: c.tracker.ServerCount(), Load: load}
+		return writepolicy.AgentState{Updates: c.tracker.Revision(), Servers: c.tracker.ServerCount(), Load: load}
 	})
 }
 
 // Export copies what was learned into a value. The event loop owns that value until Export returns; after an error it may still be
 // writing to it.
-func (c *Core) Export(ctx context.Context, into *calltrack.Learned) (writepolicy.View, error) {
-	return query(ctx, c, func() writepolicy.View {
-		c.tracker.Export(c.Now(), into, c.set.Pool.LastWorking)
-		return writepolicy.View{Updates: c.tracker.News(), Servers: c.tracker.ServerCount()}
+func (c *Core) Export(ctx context.Context, into *calltrack.Learned) (writepolicy.AgentState, error) {
+	return query(ctx, c, func() writepolicy.AgentState {
+		c.tracker.Export(c.Now(), into, c.set.Pool.LastConnected)
+		return writepolicy.AgentState{Updates: c.tracker.Revision(), Servers: c.tracker.ServerCount()}
 	})
 }
 
--- a/internal/host/core/succession.go
+++ b/internal/host/core/succession.go
@@ -75,7 +75,7 @@
 
 // ReceiveNews applies an update from another process and forwards it to all others. Each process knows only the one before and the
 // one after it, so an update never returns to its sender.
-func (c *Core) ReceiveNews(ctx context.Context, u handover.Update, from *Subscriber) {
+func (c *Core) ReceiveUpdate(ctx context.Context, u handover.Update, from *Subscriber) {
 	var reported []discovery.Entry
 	if len(u.Ended) > 0 && json.Unmarshal(u.Ended, &reported) != nil {
 		reported = nil
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -85,7 +85,7 @@
 	message, encodedAt := codec.Message(deadline), time.Now()
 	if message == nil { // it can't be sent any more, which counts as late
 		t.Pool.Release(c, true)
-		return Fail(at, lifecycle.Late)
+		return Fail(at, lifecycle.TimedOut)
 	}
 	size := len(message)
 	stream, _ := codec.(StreamingCodec)
@@ -132,8 +132,8 @@
 // BeginSend reports whether an attempt that has a connection may still be sent, and records that it is being sent. Size is the size of
 // the message in bytes.
 func BeginSend(ctx context.Context, at *core.Attempt, size int) bool {
-	send, err := at.State.Begin(size, lifecycle.Conditions{Withdrawn: errors.Is(context.Cause(ctx), core.ErrCanceled),
-		Late: ctx.Err() != nil || !at.WriteBy.IsZero() && !time.Now().Before(at.WriteBy), Over: at.Call.Abandoned(), Retired: at.Server.Retired()})
+	send, err := at.State.Begin(size, lifecycle.Conditions{Canceled: errors.Is(context.Cause(ctx), core.ErrCanceled),
+		TimedOut: ctx.Err() != nil || !at.WriteBy.IsZero() && !time.Now().Before(at.WriteBy), CallFinished: at.Call.Abandoned(), Retired: at.Server.Retired()})
 	at.ReportIllegalStep(err)
 	return send
 }
@@ -145,7 +145,7 @@
 	case errors.Is(err, pool.ErrNoPlace):
 		cause = lifecycle.NoPlace
 	case errors.Is(context.Cause(ctx), core.ErrCanceled):
-		cause = lifecycle.Withdrawn
+		cause = lifecycle.Canceled
 	}
 	return failure(at, cause, err)
 }
@@ -197,11 +197,11 @@
 		at.ReportIllegalStep(at.State.Answer(e.Result))
 		return e, reuse
 	case errors.Is(context.Cause(ctx), core.ErrCanceled):
-		return Fail(at, lifecycle.Withdrawn), false
+		return Fail(at, lifecycle.Canceled), false
 	case errors.Is(err, ErrInvalidAnswer):
-		return failure(at, lifecycle.Garbled, err), false
+		return failure(at, lifecycle.Malformed, err), false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return failure(at, lifecycle.Late, err), false
+		return failure(at, lifecycle.TimedOut, err), false
 	}
 	if in.writeErr != nil && errors.Is(err, net.ErrClosed) {
 		err = in.writeErr
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -30,7 +30,7 @@
 	Peers     []string // UDP addresses of all agents, by index
 	Discovery string
 	LastList  discovery.List // the list as it was known last
-	Asking    pacing.Settings
+	Pacing    pacing.Settings
 	Zones     []string
 	Seed      uint64
 	Log       *slog.Logger
@@ -57,8 +57,8 @@
 	if set.Listen == "" || len(set.Peers) == 0 {
 		return nil, errors.New("peers: the configuration has no peer_listen or no peers")
 	}
-	if set.Asking.Me < 0 || set.Asking.Me >= len(set.Peers) {
-		return nil, fmt.Errorf("peers: index %d of this agent is out of range, there are %d peers", set.Asking.Me, len(set.Peers))
+	if set.Pacing.Me < 0 || set.Pacing.Me >= len(set.Peers) {
+		return nil, fmt.Errorf("peers: index %d of this agent is out of range, there are %d peers", set.Pacing.Me, len(set.Peers))
 	}
 	h := &Host{settings: set, events: make(chan func(), maxQueuedEvents), delivered: map[string]bool{}}
 	for i, text := range set.Peers {
@@ -75,13 +75,13 @@
 	if h.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
 		return nil, fmt.Errorf("listening for other agents: %w", err)
 	}
-	set.Asking.Agents = len(set.Peers)
-	table := peerstate.New(peerstate.Settings{Agents: len(set.Peers), Me: set.Asking.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
+	set.Pacing.Agents = len(set.Peers)
+	table := peerstate.New(peerstate.Settings{Agents: len(set.Peers), Me: set.Pacing.Me, Epoch: uint64(time.Now().UnixMilli())}, set.Seed)
 	rows := make([]gossip.Row, 0, len(set.LastList.Servers))
 	for _, e := range set.LastList.Servers {
 		rows = append(rows, encodeRow(e))
 	}
-	h.node = gossip.New(set.Settings, table, pacing.New(set.Asking, set.Seed), set.LastList.Version, rows, set.Seed)
+	h.node = gossip.New(set.Settings, table, pacing.New(set.Pacing, set.Seed), set.LastList.Version, rows, set.Seed)
 	return h, nil
 }
 
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -55,7 +55,7 @@
 	t.Cleanup(func() { cancel(); all.Wait() })
 	for i := range n {
 		h, err := New(Settings{Settings: set, Listen: g.addrs[i], Peers: g.addrs, Discovery: list, LastList: known, Seed: uint64(i),
-			Asking: pacing.Settings{Shared: true, Me: i, MustAsk: 10 * time.Second}, Log: slog.New(slog.DiscardHandler)})
+			Pacing: pacing.Settings{Shared: true, Me: i, MustAsk: 10 * time.Second}, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -156,7 +156,7 @@
 		"no listener":  func(s *Settings) { s.Listen = "" },
 		"no peers":     func(s *Settings) { s.Peers = nil },
 		"no address":   func(s *Settings) { s.Peers = []string{"x", "y"} },
-		"high index":   func(s *Settings) { s.Asking.Me = 2 },
+		"high index":   func(s *Settings) { s.Pacing.Me = 2 },
 		"bad listener": func(s *Settings) { s.Listen = "somewhere" },
 	} {
 		s := valid
--- a/internal/host/pool/race_test.go
+++ b/internal/host/pool/race_test.go
@@ -69,7 +69,7 @@
 			firstDial := timeDial(t, first, s)
 			secondDial := timeDial(t, first, s)
 			next := newPool(&network{hangs: []string{deadAddr}}, 10)
-			next.RestoreWorking([]string{first.LastWorking(s.Addrs)}) // as restored after a restart
+			next.RestoreConnected([]string{first.LastConnected(s.Addrs)}) // as restored after a restart
 			restoredDial := timeDial(t, next, s)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/host/statestore/bench_test.go
+++ b/internal/host/statestore/bench_test.go
@@ -64,20 +64,23 @@
 	fleet   []uint64
 }
 
-func (l *loop) View(context.Context) (writepolicy.View, error) {
-	answer := make(chan writepolicy.View, 1)
-	l.events <- func() { l.updates += 1 << 20; answer <- writepolicy.View{Updates: l.updates, Servers: len(l.servers)} }
+func (l *loop) View(context.Context) (writepolicy.AgentState, error) {
+	answer := make(chan writepolicy.AgentState, 1)
+	l.events <- func() {
+		l.updates += 1 << 20
+		answer <- writepolicy.AgentState{Updates: l.updates, Servers: len(l.servers)}
+	}
 	return <-answer, nil
 }
 
-func (l *loop) Export(_ context.Context, into *calltrack.Learned) (writepolicy.View, error) {
-	answer := make(chan writepolicy.View, 1)
+func (l *loop) Export(_ context.Context, into *calltrack.Learned) (writepolicy.AgentState, error) {
+	answer := make(chan writepolicy.AgentState, 1)
 	l.events <- func() {
 		for i := range l.servers {
 			l.servers[i].Rate = 300 - l.servers[i].Rate
 		}
 		into.Servers, into.Fleet = append(into.Servers[:0], l.servers...), append(into.Fleet[:0], l.fleet...)
-		answer <- writepolicy.View{Updates: l.updates}
+		answer <- writepolicy.AgentState{Updates: l.updates}
 	}
 	return <-answer, nil
 }
--- a/internal/host/statestore/keeper.go
+++ b/internal/host/statestore/keeper.go
@@ -20,8 +20,8 @@
 
 // Agent is what a Runner queries; the event loop of the agent answers.
 type Agent interface {
-	View(ctx context.Context) (writepolicy.View, error)
-	Export(ctx context.Context, into *calltrack.Learned) (writepolicy.View, error)
+	View(ctx context.Context) (writepolicy.AgentState, error)
+	Export(ctx context.Context, into *calltrack.Learned) (writepolicy.AgentState, error)
 }
 
 // Settings configure a Runner.
@@ -205,7 +205,7 @@
 }
 
 // readState decodes the state that a store holds.
-func readState(records map[string]store.Record) (learned.State, []learned.Drop, error) {
+func readState(records map[string]store.Record) (learned.State, []learned.DroppedRecord, error) {
 	return learned.Read(LearnedRecords(records))
 }
 
--- a/internal/host/statestore/keeper_test.go
+++ b/internal/host/statestore/keeper_test.go
@@ -27,16 +27,16 @@
 	updates uint64
 }
 
-func (a *agent) view() writepolicy.View {
+func (a *agent) view() writepolicy.AgentState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.updates += 100
-	return writepolicy.View{Updates: a.updates, Servers: 2}
+	return writepolicy.AgentState{Updates: a.updates, Servers: 2}
 }
 
-func (a *agent) View(context.Context) (writepolicy.View, error) { return a.view(), nil }
+func (a *agent) View(context.Context) (writepolicy.AgentState, error) { return a.view(), nil }
 
-func (a *agent) Export(_ context.Context, into *calltrack.Learned) (writepolicy.View, error) {
+func (a *agent) Export(_ context.Context, into *calltrack.Learned) (writepolicy.AgentState, error) {
 	v := a.view()
 	*into = calltrack.Learned{Fleet: []uint64{1, 2}, Servers: []learned.Server{{Identity: 1, ServerMemory: choice.ServerMemory{ID: "a", Rate: float64(v.Updates)}}}}
 	return v, nil
--- a/internal/host/takeover/successor.go
+++ b/internal/host/takeover/successor.go
@@ -122,7 +122,7 @@
 }
 
 // ErrNoPredecessor is returned by Claim if no process is running that could hand over its state.
-var ErrNoPredecessor = errors.New("no running process to take over from")
+var ErrNoPreviousProcess = errors.New("no running process to take over from")
 
 // errOtherName means that the running process belongs to an agent with another name.
 var errOtherName = errors.New("the running process belongs to another agent")
@@ -143,7 +143,7 @@
 		return !errors.Is(err, os.ErrNotExist) && !errors.Is(err, errOtherName) && refusals < maxRefusals
 	})
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("%w: %w", ErrNoPredecessor, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoPreviousProcess, err)
 	}
 	return r, err
 }
--- a/internal/host/takeover/successor_test.go
+++ b/internal/host/takeover/successor_test.go
@@ -110,7 +110,7 @@
 		t.Errorf("a message that is not a claim was answered")
 	}
 	c.Close()
-	if _, err := Claim(o.path, "n2"); err == nil || errors.Is(err, ErrNoPredecessor) {
+	if _, err := Claim(o.path, "n2"); err == nil || errors.Is(err, ErrNoPreviousProcess) {
 		t.Errorf("another agent's claim: %v", err)
 	}
 	h, err := Claim(o.path, "n1")
@@ -132,7 +132,7 @@
 // Claim fails with ErrNoPredecessor if there is no socket file or nobody listens on it, and with another error if the answer is unreadable.
 func TestNothingToClaim(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPredecessor) {
+	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPreviousProcess) {
 		t.Errorf("no socket file: %v", err)
 	}
 	first, err := NewServer(path, "n1", slog.New(slog.DiscardHandler))
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	first.Close()
-	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPredecessor) {
+	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPreviousProcess) {
 		t.Errorf("a stale socket file: %v", err)
 	}
 	second, err := NewServer(path, "n1", slog.New(slog.DiscardHandler)) // replaces the socket at the path
@@ -161,6 +161,6 @@
 			}
 		}()
 		_, err = Claim(path+".raw", "n1")
-		return err != nil && !errors.Is(err, ErrNoPredecessor)
+		return err != nil && !errors.Is(err, ErrNoPreviousProcess)
 	})
 }
--- a/internal/http/httpback/crossing_test.go
+++ b/internal/http/httpback/crossing_test.go
@@ -199,8 +199,8 @@
 	}
 	a := attempt("second", b)
 	a.Speaks = protocol.HTTP
-	if e := u.Attempt(context.Background(), a); e.Result != choice.ConnectFailed || a.State.CanHaveRun() {
-		t.Errorf("result %d, can have run: %t", e.Result, a.State.CanHaveRun())
+	if e := u.Attempt(context.Background(), a); e.Result != choice.ConnectFailed || a.State.MayHaveRun() {
+		t.Errorf("result %d, can have run: %t", e.Result, a.State.MayHaveRun())
 	}
 	if e := httpAttempt(t, u, "third", b); e.Result != choice.OK || bodyOf(e) != "third" {
 		t.Errorf("result %d, %q", e.Result, bodyOf(e))
--- a/internal/http/httpback/httpback.go
+++ b/internal/http/httpback/httpback.go
@@ -29,7 +29,7 @@
 func New(p *pool.Pool, fields []string, long bool) *exchange.Transport {
 	return &exchange.Transport{Pool: p, StallTimeout: exchange.StallTimeout, LongAnswers: long, NewCodec: func(at *core.Attempt) exchange.Codec {
 		c := &codec{request: at.Payload.(*httpmsg.Request), host: hostHeader(at.Server.Addr), fields: fields, firstAttempt: at.Number == 0}
-		c.bufferAnswer = !long || at.Way.Plan != nil || len(c.request.ReplyHeaders) > 0 || c.request.UnknownShapeStatus != 0
+		c.bufferAnswer = !long || at.Route.Plan != nil || len(c.request.ReplyHeaders) > 0 || c.request.UnknownShapeStatus != 0
 		return c
 	}}
 }
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -67,7 +67,7 @@
 			a.Call.Disconnected = func() bool { return true }
 		}, choice.NotSent},
 		"drains":              {func(u *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { u.Pool.Retire(a.Server) }, choice.ConnectFailed},
-		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Cancelled},
+		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Canceled},
 		"send window is over": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.WriteBy = time.Now() }, choice.NotSent},
 		"deadline is over":    {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
 	} {
--- a/internal/http/httpfront/crossing_test.go
+++ b/internal/http/httpfront/crossing_test.go
@@ -50,7 +50,7 @@
 		return e
 	case <-ctx.Done():
 		if errors.Is(context.Cause(ctx), core.ErrCanceled) {
-			return core.ResultOnly(choice.Cancelled)
+			return core.ResultOnly(choice.Canceled)
 		}
 		return core.ResultOnly(choice.TimedOut)
 	}
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -42,8 +42,8 @@
 // Front is the HTTP/1.1 server that the agent's clients connect to.
 type Front struct {
 	cfg           *config.Config
-	shapes        Shapes // nil when calls have no shapes
-	longBodies    bool   // bodies may be long, and may use every framing of HTTP/1.1
+	shapes        ShapeFinder // nil when calls have no shapes
+	longBodies    bool        // bodies may be long, and may use every framing of HTTP/1.1
 	core          *core.Core
 	log           *slog.Logger
 	http          *http.Server
@@ -55,14 +55,14 @@
 }
 
 // Shapes determines the shapes of requests.
-type Shapes interface {
+type ShapeFinder interface {
 	// HTTP returns the shape of a request of the given class, and whether the last segment of its path is the key. It returns
 	// the zero CallShape for a class without shapes, and an error if the request has none of the shapes of its class.
 	HTTP(class string, r *httpmsg.Request) (shape routes.CallShape, keyLast bool, err error)
 }
 
 // WithShapes makes the Front determine the shapes of requests. It must be called before Serve.
-func (f *Front) WithShapes(s Shapes) { f.shapes = s }
+func (f *Front) WithShapes(s ShapeFinder) { f.shapes = s }
 
 // New returns a Front that accepts connections on l and tracks them in tracker.
 func New(cfg *config.Config, c *core.Core, tracker *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
@@ -243,7 +243,7 @@
 	// While a long body is being received, its reader detects a disconnect. A client that has disconnected by now did
 	// so while an earlier request was handled, or long ago: nobody waits for the answer, so this request is not forwarded.
 	if !call.BodyPending && gone() {
-		f.core.CountAbandoned()
+		f.core.CountUnsubmitted()
 		f.answerDisconnected(w, in)
 		return
 	}
@@ -402,15 +402,15 @@
 	call.Class = cfg.ClassIndex(name)
 	keyLast := true
 	if f.shapes != nil && call.Class >= 0 {
-		if call.Tag, keyLast, err = f.shapes.HTTP(name, payload); err != nil {
+		if call.Shape, keyLast, err = f.shapes.HTTP(name, payload); err != nil {
 			return nil, 0, err
 		}
 	}
-	if call.Class < 0 || parts[0] != name && !call.Tag.IsSet() {
+	if call.Class < 0 || parts[0] != name && !call.Shape.IsSet() {
 		return nil, 0, fmt.Errorf("class %q in X-Service-Class, %q in the path", name, parts[0])
 	}
 	effect := cfg.Module.Classes[call.Class].Effect
-	if !call.Tag.IsSet() { // otherwise the shape determines the method, and whether there is a body
+	if !call.Shape.IsSet() { // otherwise the shape determines the method, and whether there is a body
 		if in.Method != methods[effect] {
 			return nil, 0, fmt.Errorf("method %s for class %q", in.Method, name)
 		}
--- a/internal/http/httpfront/long.go
+++ b/internal/http/httpfront/long.go
@@ -85,7 +85,7 @@
 // readBody reads a short body completely. Of a long body it reads the beginning; the rest is forwarded as it arrives.
 func (f *Front) readBody(in *http.Request, w http.ResponseWriter, call *core.Call) (*incomingBody, error) {
 	payload := call.Payload.(*httpmsg.Request)
-	long := f.longBodies && !call.Tag.IsSet()
+	long := f.longBodies && !call.Shape.IsSet()
 	switch {
 	case in.ContentLength > httpmsg.MaxBody && !long:
 		return nil, &http.MaxBytesError{Limit: httpmsg.MaxBody} // without reading it
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -177,8 +177,8 @@
 
 // conditionsFor returns the conditions under which an attempt would be sent now.
 func (w *world) conditionsFor(t *attempt) lifecycle.Conditions {
-	return lifecycle.Conditions{Withdrawn: t.hostCanceled, Late: w.now >= t.Deadline || t.SendBy != 0 && w.now >= t.SendBy,
-		Over: t.Call.Finished(), Retired: t.Server.Retired()}
+	return lifecycle.Conditions{Canceled: t.hostCanceled, TimedOut: w.now >= t.Deadline || t.SendBy != 0 && w.now >= t.SendBy,
+		CallFinished: t.Call.Finished(), Retired: t.Server.Retired()}
 }
 
 // send checks whether the attempt may still be sent, and starts sending.
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -94,7 +94,7 @@
 		}
 		num(t.call, t.Number, int(stage), int(t.SendBy))
 		server(t.Server)
-		flag(t.hostCanceled && stage != lifecycle.Ended, t.balancerCanceled && stage != lifecycle.Ended, t.mayHaveRun, a.CanHaveRun(),
+		flag(t.hostCanceled && stage != lifecycle.Ended, t.balancerCanceled && stage != lifecycle.Ended, t.mayHaveRun, a.MayHaveRun(),
 			t.hung, t.paused, t.awaitsDial, t.relayPending, t.relayStarted, t.replyDropped)
 		if t.conn != nil && (exact || !w.hasSparePlaces()) {
 			num(int(t.conn.State()), slices.Index(w.pool.Queue(), t.conn))
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -208,13 +208,13 @@
 			w.deliverReply(l, s.Seq, t, r)
 		}
 	case AnswerGarbled:
-		w.breakMuxConn(l, lifecycle.Garbled)
+		w.breakMuxConn(l, lifecycle.Malformed)
 	case Reset:
 		w.breakMuxConn(l, lifecycle.Broken)
 	case Cancel, TimeOut:
-		cause := lifecycle.Withdrawn
+		cause := lifecycle.Canceled
 		if k == TimeOut {
-			cause = lifecycle.Late
+			cause = lifecycle.TimedOut
 		}
 		if l == nil { // no connection was established
 			if k == TimeOut {
@@ -329,7 +329,7 @@
 func (w *world) deliverReply(l *muxConn, seq int32, intended *attempt, r choice.Result) {
 	s, err := l.state.ReplyStarted(seq, w.clock())
 	if err != nil {
-		w.breakMuxConn(l, lifecycle.Garbled)
+		w.breakMuxConn(l, lifecycle.Malformed)
 		return
 	}
 	if intended != nil && s.Host != intended.Attempt {
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -104,7 +104,7 @@
 	if never && t.mayHaveRun {
 		w.violate("attempt %d of %s is reported as never run, but may have run", t.Number, t.Call.ID)
 	}
-	if t.mayHaveRun && !t.State.CanHaveRun() {
+	if t.mayHaveRun && !t.State.MayHaveRun() {
 		w.violate("attempt %d of %s may have run, but its state machine says that it cannot have", t.Number, t.Call.ID)
 	}
 }
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -358,7 +358,7 @@
 		w.spoil(t)
 	case AnswerGarbled:
 		t.ReportIllegalStep(t.State.Read())
-		w.fail(t, lifecycle.Garbled)
+		w.fail(t, lifecycle.Malformed)
 	case Reset:
 		w.fail(t, lifecycle.Broken)
 	case Hang:
@@ -368,9 +368,9 @@
 	case Release:
 		w.releaseAttemptConn(t)
 	case Cancel:
-		w.fail(t, lifecycle.Withdrawn)
+		w.fail(t, lifecycle.Canceled)
 	case TimeOut:
-		cause := lifecycle.Late
+		cause := lifecycle.TimedOut
 		if t.State.Stage() == lifecycle.Dialling {
 			cause = lifecycle.Broken // as reported by the dial
 		}
@@ -446,7 +446,7 @@
 	for _, t := range w.attempts {
 		switch t.State.Stage() {
 		case lifecycle.Ready:
-			if w.conditionsFor(t).Late {
+			if w.conditionsFor(t).TimedOut {
 				t.paused = false
 			}
 		case lifecycle.Writing:
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -135,7 +135,7 @@
 	if f.Pushed {
 		callWork, mustAsk = 0, 0
 	}
-	if f.list, err = NewList(ListOptions{Agents: f.Agents, CallWork: callWork, MaxWait: f.Patience, Book: f.versionedList}, f.record); err != nil {
+	if f.list, err = NewList(ListOptions{Agents: f.Agents, CallWork: callWork, MaxWait: f.Patience, VersionedList: f.versionedList}, f.record); err != nil {
 		return err
 	}
 	var peers []string
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -326,7 +326,7 @@
 	const agents = 8
 	record := NewRecord()
 	l, err := NewList(ListOptions{Agents: agents, CallWork: 100 * time.Millisecond, MaxWait: 250 * time.Millisecond,
-		Book: standin.NewVersionedList()}, record)
+		VersionedList: standin.NewVersionedList()}, record)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -389,7 +389,7 @@
 	if status, _, _ := get(0); status != 503 {
 		t.Errorf("mode Full, without room: status %d", status)
 	}
-	l.opts.Book.Update(discovery.Entry{ID: "new", State: "in_service"})
+	l.opts.VersionedList.Update(discovery.Entry{ID: "new", State: "in_service"})
 	l.SetMode(Old, allAgents...)
 	if status, text, _ := get(0); status != 200 || strings.Contains(text, "new") {
 		t.Errorf("mode Old: status %d, line %q", status, text)
--- a/internal/lab/fleet/list.go
+++ b/internal/lab/fleet/list.go
@@ -15,10 +15,10 @@
 
 // ListOptions configures a List.
 type ListOptions struct {
-	Agents   int
-	CallWork time.Duration          // time of work for a call
-	MaxWait  time.Duration          // a call that has waited this long is answered 503; its work is done all the same
-	Book     *standin.VersionedList // the list
+	Agents        int
+	CallWork      time.Duration          // time of work for a call
+	MaxWait       time.Duration          // a call that has waited this long is answered 503; its work is done all the same
+	VersionedList *standin.VersionedList // the list
 }
 
 // Mode is how a List behaves towards an agent at the moment.
@@ -74,7 +74,7 @@
 
 // NewList starts a List, which runs until Close.
 func NewList(opts ListOptions, record *Record) (*List, error) {
-	l := &List{opts: opts, record: record, initial: opts.Book.Full(), changed: make(chan struct{}), conns: map[net.Conn]int{}, agentByAddr: map[string]int{},
+	l := &List{opts: opts, record: record, initial: opts.VersionedList.Full(), changed: make(chan struct{}), conns: map[net.Conn]int{}, agentByAddr: map[string]int{},
 		modes: make([]Mode, opts.Agents), silenceCounts: make([]int, opts.Agents)}
 	l.http = &http.Server{Handler: http.HandlerFunc(l.serve), ReadHeaderTimeout: 5 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -245,7 +245,7 @@
 	}
 	lines := json.NewEncoder(w)
 	if !r.URL.Query().Has("stream") {
-		lines.Encode(l.opts.Book.Full())
+		lines.Encode(l.opts.VersionedList.Full())
 		return
 	}
 	_, _, silences := l.agentState(agent)
@@ -271,7 +271,7 @@
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false { // the first line of a watch is sent at once, even without a change
-		change, changed := l.opts.Book.ChangesSince(version)
+		change, changed := l.opts.VersionedList.ChangesSince(version)
 		setCounted(mode.acceptsCalls() && mode != Old)
 		if mode == Silent || mode == Old { // the connection stays open
 			changed = nil
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -235,7 +235,7 @@
 	}
 	a := &agent{number: number, attempts: map[*calltrack.Attempt]*attempt{}}
 	a.tracker = calltrack.New(calltrack.Settings{MaxAttempts: settings.MaxAttempts,
-		Places: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), HasTransport: func(choice.Protocols) bool { return true }}, module)
+		Ranks: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), HasTransport: func(choice.Protocols) bool { return true }}, module)
 	w.agents[number] = a
 	w.execute(a, a.tracker.Start(w.now))
 	var entries []calltrack.Entry
@@ -246,7 +246,7 @@
 		entries = append(entries, calltrack.Entry{Server: choice.Server{ID: s.ID, Weight: 1}, Addr: s.ID})
 	}
 	if past != nil {
-		a.tracker.LoadPast(past)
+		a.tracker.LoadRestored(past)
 	}
 	w.execute(a, a.tracker.UpdateServers(w.now, true, entries))
 	a.tracker.Recall(w.now, w.Clock())
@@ -310,7 +310,7 @@
 			w.startAttempt(a, o.Attempt)
 		case calltrack.CancelAttempt:
 			if t := a.attempts[o.Attempt]; t != nil {
-				w.scheduleAfter(0, func() { w.endAttempt(a, t, calltrack.ResultOnly(choice.Cancelled)) })
+				w.scheduleAfter(0, func() { w.endAttempt(a, t, calltrack.ResultOnly(choice.Canceled)) })
 			}
 		case calltrack.Reply:
 			o.Call.Answer(o.Answer)
--- a/internal/settings/wire/decode.go
+++ b/internal/settings/wire/decode.go
@@ -235,7 +235,7 @@
 }
 
 var results = map[int]choice.Result{10: choice.OK, 20: choice.Failed, 30: choice.Rejected, 40: choice.TimedOut,
-	50: choice.ConnectFailed, 60: choice.Reset, 70: choice.Cancelled, 80: choice.NotSent}
+	50: choice.ConnectFailed, 60: choice.Reset, 70: choice.Canceled, 80: choice.NotSent}
 
 func (d *Decoder) result(v *fastjson.Value) choice.Result {
 	n := d.int(v, "Result")
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -241,9 +241,9 @@
 		return e
 	default:
 	}
-	cause := lifecycle.Late
+	cause := lifecycle.TimedOut
 	if errors.Is(context.Cause(a.ctx), core.ErrCanceled) {
-		cause = lifecycle.Withdrawn
+		cause = lifecycle.Canceled
 	}
 	a.at.ReportIllegalStep(mc.state.Abandon(a.slot, cause))
 	return core.ResultOnly(a.at.State.Result())
@@ -261,7 +261,7 @@
 		}
 		cause := lifecycle.Broken
 		if errors.Is(err, exchange.ErrInvalidAnswer) || errors.Is(err, os.ErrDeadlineExceeded) {
-			cause = lifecycle.Garbled
+			cause = lifecycle.Malformed
 		}
 		mc.mu.Lock()
 		mc.breakLocked(cause)
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -223,7 +223,7 @@
 	go func() { got <- tr.try(ctx, server, thriftwire.Binary, "payOut", "withdrawn") }()
 	testkit.Eventually(t, "the server has received the call", func() bool { return s.DedupGroup().Deliveries("withdrawn") == 1 })
 	withdraw(core.ErrCanceled)
-	if e := <-got; e.Result != choice.Cancelled {
+	if e := <-got; e.Result != choice.Canceled {
 		t.Errorf("result %d of the canceled call", e.Result)
 	}
 	// The connection still serves other calls, which the late reply does not disturb.
@@ -287,7 +287,7 @@
 		"nothing":   {func(*transport, *core.Attempt, context.CancelCauseFunc) {}, choice.OK},
 		"drains":    {func(tr *transport, at *core.Attempt, _ context.CancelCauseFunc) { tr.pool.Retire(at.Server) }, choice.ConnectFailed},
 		"answered":  {func(_ *transport, at *core.Attempt, _ context.CancelCauseFunc) { at.Call.Abort() }, choice.NotSent},
-		"withdrawn": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Cancelled},
+		"withdrawn": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Canceled},
 		"time over": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/thrift/thriftfront/front.go
+++ b/internal/thrift/thriftfront/front.go
@@ -132,7 +132,7 @@
 	call.Class, call.Key, call.ClientRetry, call.RequiredProtocols = read.Method.Class, read.Key, read.ClientRetry, requiredProtocol[read.Head.Encoding]
 	if f.shapes != nil {
 		var err error
-		if call.Tag, err = f.shapes.Thrift(read, call.RequiredProtocols); err != nil {
+		if call.Shape, err = f.shapes.Thrift(read, call.RequiredProtocols); err != nil {
 			return nil, &thriftmap.Refusal{Kind: thriftwire.UnknownMethod, Text: err.Error()}
 		}
 	}
