--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -71,7 +71,7 @@
 	return w
 }
 
-// Listed is a server in the current list.
+// ListedServer is a server in the current list.
 type ListedServer struct {
 	ID       string
 	Started  time.Duration
--- a/internal/decide/calltrack/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -58,7 +58,7 @@
 // Revision returns a count that grows whenever the module learns something.
 func (t *Tracker) Revision() uint64 { return t.balancer.Revision() }
 
-// LoadPast takes the facts that an earlier process had learned. Recall gives them to the module.
+// LoadRestored takes the facts that an earlier process had learned. Recall gives them to the module.
 func (t *Tracker) LoadRestored(past *aging.Restored) {
 	t.past, t.newlyListed = past, nil
 	for _, s := range t.servers {
@@ -72,7 +72,7 @@
 
 // Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
 // the number of servers with such facts and the addresses of them that had connected. Facts about servers that are never
-// listed are dropped with DropPast.
+// listed are dropped with DropRestored.
 func (t *Tracker) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
 	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
@@ -89,5 +89,5 @@
 	return len(m.Servers), worked
 }
 
-// DropPast drops the facts of the earlier process that were not recalled yet.
+// DropRestored drops the facts of the earlier process that were not recalled yet.
 func (t *Tracker) DropRestored() { t.past, t.newlyListed = nil, nil }
--- a/internal/decide/learned/records.go
+++ b/internal/decide/learned/records.go
@@ -229,7 +229,7 @@
 // ErrNoState reports that there is no state to read.
 var ErrNoState = errors.New("no learned state is stored")
 
-// Drop describes a record that could not be read and was dropped.
+// DroppedRecord describes a record that could not be read and was dropped.
 type DroppedRecord struct {
 	Name string
 	Why  error
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -64,7 +64,7 @@
 // Result returns how the attempt ended. It is valid once the stage is Ended.
 func (a *Attempt) Result() choice.Result { return a.result }
 
-// CanHaveRun reports whether the server may have started to process the call. That is so once the last byte of the message may
+// MayHaveRun reports whether the server may have started to process the call. That is so once the last byte of the message may
 // have been written, or if the server answers as if it had received all of it, unless it answered that the call never ran.
 // Nothing else counts as evidence.
 func (a *Attempt) MayHaveRun() bool {
--- a/internal/decide/relay/relay.go
+++ b/internal/decide/relay/relay.go
@@ -33,7 +33,7 @@
 	Replace                // it has stopped or is too late: send the request to another server, or answer the client with an error
 )
 
-// Held is the state of a held answer. All times are on one monotonic clock with an arbitrary origin. It is not safe for
+// HeldAnswer is the state of a held answer. All times are on one monotonic clock with an arbitrary origin. It is not safe for
 // concurrent use.
 type HeldAnswer struct {
 	until          time.Duration // when holding ends
@@ -46,7 +46,7 @@
 	lastReceived   time.Duration // when data was last received; initially when the head was received
 }
 
-// NewHeld starts to hold an answer of unknown length whose head was received at now. left is the time until the client's deadline, limit the
+// NewHeldAnswer starts to hold an answer of unknown length whose head was received at now. left is the time until the client's deadline, limit the
 // maximum number of bytes to hold. If the answer has stopped by half of left it is replaced, but only if it is that of the first attempt:
 // the answer may also be long and its server slow, and then further attempts would do no better. An answer that is not complete at the
 // client's deadline is not relayed.
@@ -61,7 +61,7 @@
 	return h
 }
 
-// NewHeldLong is like NewHeld, for an answer that is known to be longer than limit.
+// NewHeldLong is like NewHeldAnswer, for an answer that is known to be longer than limit.
 func NewHeldLong(now, left time.Duration, limit int) *HeldAnswer {
 	hold := min(MaxHoldLong, max(left, 0)/2)
 	return &HeldAnswer{until: now + hold, nextCheck: now + hold, limit: limit, lastReceived: now}
--- a/internal/decide/writepolicy/writepolicy.go
+++ b/internal/decide/writepolicy/writepolicy.go
@@ -28,7 +28,7 @@
 var Defaults = Settings{CheckInterval: time.Second, MinInterval: 5 * time.Second, MaxInterval: time.Minute, UpdateShare: 1, BusyLoad: 0.5, BytesPerMinute: 4 << 20,
 	MinDistance: 0.25, StaleAfter: 2 * time.Minute, RetryDelay: 5 * time.Second, MaxRetryDelay: 10 * time.Minute}
 
-// View is the state of the agent at a check.
+// AgentState is the state of the agent at a check.
 type AgentState struct {
 	Updates uint64  // the module's count of what it learned
 	Servers int     // in the list
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -182,7 +182,7 @@
 	c.post(func() { c.execute(c.tracker.ClientDisconnected(c.Now(), call)) })
 }
 
-// CountAbandoned counts a call whose client disconnected before the call could be submitted.
+// CountUnsubmitted counts a call whose client disconnected before the call could be submitted.
 func (c *Core) CountUnsubmitted() { c.unsubmitted.Add(1) }
 
 // CountMalformed counts a call that a front could not read.
--- a/internal/host/core/handover.go
+++ b/internal/host/core/handover.go
@@ -73,7 +73,7 @@
 // Broadcast sends an update to all other processes of this agent.
 func (c *Core) Broadcast(u handover.Update) { c.post(func() { c.notifySubscribers(u, nil) }) }
 
-// ReceiveNews applies an update from another process and forwards it to all others. Each process knows only the one before and the
+// ReceiveUpdate applies an update from another process and forwards it to all others. Each process knows only the one before and the
 // one after it, so an update never returns to its sender.
 func (c *Core) ReceiveUpdate(ctx context.Context, u handover.Update, from *Subscriber) {
 	var reported []discovery.Entry
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// View returns the module's count of what it has learned, the number of servers, and the load.
+// AgentState returns the module's count of what it has learned, the number of servers, and the load.
 func (c *Core) View(ctx context.Context) (writepolicy.AgentState, error) {
 	return query(ctx, c, func() writepolicy.AgentState {
 		open, _ := c.tracker.Count()
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -180,14 +180,14 @@
 	return p.race(ctx, s)
 }
 
-// LastWorking returns the one of a server's addresses that last connected successfully, or "" if none is known.
+// LastConnected returns the one of a server's addresses that last connected successfully, or "" if none is known.
 func (p *Pool) LastConnected(addrs []string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addrs.LastConnected(time.Since(p.startedAt), addrs)
 }
 
-// RestoreWorking records addresses that connected successfully in an earlier process.
+// RestoreConnected records addresses that connected successfully in an earlier process.
 func (p *Pool) RestoreConnected(addrs []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/host/takeover/takeover.go
+++ b/internal/host/takeover/takeover.go
@@ -121,7 +121,7 @@
 	Link      *Link
 }
 
-// ErrNoPredecessor is returned by Claim if no process is running that could hand over its state.
+// ErrNoPreviousProcess is returned by Claim if no process is running that could hand over its state.
 var ErrNoPreviousProcess = errors.New("no running process to take over from")
 
 // errOtherName means that the running process belongs to an agent with another name.
--- a/internal/host/takeover/takeover_test.go
+++ b/internal/host/takeover/takeover_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// Claim fails with ErrNoPredecessor if there is no socket file or nobody listens on it, and with another error if the answer is unreadable.
+// Claim fails with ErrNoPreviousProcess if there is no socket file or nobody listens on it, and with another error if the answer is unreadable.
 func TestNothingToClaim(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPreviousProcess) {
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -54,7 +54,7 @@
 	budget        httpmsg.Budget
 }
 
-// Shapes determines the shapes of requests.
+// ShapeFinder determines the shapes of requests.
 type ShapeFinder interface {
 	// HTTP returns the shape of a request of the given class, and whether the last segment of its path is the key. It returns
 	// the zero CallShape for a class without shapes, and an error if the request has none of the shapes of its class.
