--- a/internal/decide/writepolicy/writepolicy.go
+++ b/internal/decide/writepolicy/writepolicy.go
@@ -41,8 +41,8 @@
 	rng            *rand.Rand
 	nextCheck      time.Duration // time of the next check
 	writtenAt      time.Duration // when the latest write succeeded, or the start
-	writtenUpdates uint64        // View.Updates at that write
-	pendingUpdates uint64        // View.Updates at the write in progress
+	writtenUpdates uint64        // AgentState.Updates at that write
+	pendingUpdates uint64        // AgentState.Updates at the write in progress
 	failures       int           // number of failed writes in a row
 	minInterval    time.Duration // for the next write, with jitter
 	maxInterval    time.Duration // likewise
