--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -312,8 +312,12 @@
 		t.Errorf("%q with %d idle connections of %d slots", ended, kept+surplus, most)
 	}
 	for i, client := range clients {
-		if wait := time.Millisecond; i < surplus != closed(client, wait) {
-			t.Errorf("connection %d closed: %t", i, i >= surplus)
+		surplusConn, wait := i < surplus, time.Millisecond
+		if surplusConn {
+			wait = testkit.WaitTimeout
+		}
+		if surplusConn != closed(client, wait) {
+			t.Errorf("connection %d closed: %t", i, !surplusConn)
 		}
 	}
 }
