--- a/choice/api.go
+++ b/choice/api.go
@@ -116,7 +116,7 @@
 	SubsetRank float64       // rank of this balancer among all at the server, in [0, 1); see package subset
 }
 
-// Report is the load that a server reports about itself. A negative figure is not stated.
+// Report is the load that a server reports about itself. A negative figure means that it is not stated.
 type Report struct {
 	Util     float64 // utilization: share of the time of its cores in use
 	Rate     float64 // requests completed per second
@@ -249,6 +249,7 @@
 		retryBudget: maxRetryBudget, trialEffect: Unsafe, shortestAim: settings.Classes[0].Aim,
 		congestionWeight: maxCongestionWeight}
 	for _, c := range settings.Classes {
+		// Until there are samples, a quarter of the target latency is assumed.
 		b.meanLatency, b.minLatency = append(b.meanLatency, float64(c.Aim)/4),
 			append(b.minLatency, float64(c.Aim)/4)
 		b.horizon = max(b.horizon, c.Aim)
@@ -300,7 +301,7 @@
 	return b.actions
 }
 
-// Timer tokens. Those from firstToken on belong to requests.
+// Timer tokens. Those above firstToken belong to requests.
 const (
 	tickToken uint64 = iota
 	firstToken
@@ -324,7 +325,7 @@
 	b.emit(Action{Kind: SetTimer, Token: token, After: after})
 }
 
-// startTick sets the timer for the next health check.
+// startTick sets the timer for the next tick.
 func (b *Balancer) startTick() {
 	b.nextTick = b.now + b.horizon/ticksPerHorizon
 	b.setTimer(tickToken, b.horizon/ticksPerHorizon)
--- a/choice/check_test.go
+++ b/choice/check_test.go
@@ -200,6 +200,7 @@
 	w.timers = kept
 	w.probes = slices.DeleteFunc(w.probes, func(p worldProbe) bool {
 		if p.at <= w.now {
+			// The result is OK or TimedOut.
 			e := Probed{Server: p.server, Result: Result(w.rng.IntN(2) * int(TimedOut)), Report: w.report()}
 			events = append(events, func() Event { return e })
 		}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -15,17 +15,17 @@
 	maxProbedServers      = 4    // servers drawn for a request if they are probed first
 	maxProbeCost          = 0.02 // maximum cost of the probes for one request, as a share of the request
 	probeMinUtil          = 0.4  // utilization from which servers are probed, or a quarter of it in congestion
-	minKnownServers       = 0.25 // sum of confidence, in servers, up to which the utilization is unknown
+	minKnownServers       = 0.25 // sum of the servers' confidence up to which the utilization is unknown
 	probeTimeoutDivisor   = 8    // servers have this part of the target latency to answer a probe: an eighth
 	localZoneSubsetFactor = 3    // a server in the own zone is this many times as likely to be in the subset
 	loadTolerance         = 0.01 // loads that differ by no more than this share count as equal
 	localZoneBonus        = 60   // times CrossZoneCost: relative weight gain of an idle server in the own zone
-	affinityFactor        = 2    // weight factor of the server to which a request's key hashes
+	affinityFactor        = 2    // factor on the weight of the server to which a request's key hashes
 	coldSendFactor        = 1.25 // share of sends to a cold server, as a multiple of its share of the weight
 	minUtil               = 0.05 // lower utilization gives no estimate, and lower free capacity counts as this
 	ewmaWeight            = 0.05 // weight of a new sample in the averages over samples
 	maxMissedAnswers      = 16   // answers that a server may miss, in mean latencies, before it is ejected
-	maxMissedInTrial      = 4    // the same for a server on trial, which has missed as many before
+	maxMissedInTrial      = 4    // the same for a server on trial; one that was silent has missed more before
 	maxReadmitFactor      = 8    // maximum multiple of its share for a server that others have yet to readmit
 	failureWeight         = 0.3  // weight of a new sample in a server's failure rate
 	ejectThreshold        = 0.6  // failure rate above which a server is ejected: three failures in a row, from 0
@@ -34,13 +34,13 @@
 	silentHedgeDelay      = 8.0  // the same for an attempt whose server has been silent since the send
 	coldFailurePenalty    = 0.5  // share of the failure rate at cold servers by which their sends are reduced
 	minHealthyShare       = 0.5  // ejections are ignored while a smaller share of the capacity is not ejected
-	retryRatio            = 0.1  // further attempts per first attempt, in addition to those for lost attempts
+	retryRatio            = 0.1  // budget for further attempts, per request, in addition to the loss rate
 	maxRetryBudget        = 10   // maximum number of further attempts saved up
 	maxCongestionWeight   = 0.3  // maximum weight of a new sample in the congestion
 	congestionHorizons    = 2    // horizons over which congestion is averaged
 	shedThreshold         = 0.4  // congestion from which requests of mean value are shed
 	shedSlope             = 3    // increase of the share shed with congestion
-	busyDelayThreshold    = 0.25 // delay at the best server, in shortest target latencies, from which it is busy
+	busyDelayThreshold    = 0.25 // expectedDelay of the best server from which requests are shed
 	busyShedSlope         = 6    // increase of the share shed with that delay
 	ticksPerHorizon       = 8    // health checks per horizon
 	reportHorizons        = 4    // horizons over which load reports are averaged
@@ -80,7 +80,7 @@
 		}
 		newStart := e.Started != s.Started
 		s.Server = e
-		if newStart && s.warmupShare(b) < 1 { // from 0 all balancers would wait long, then send at once
+		if newStart && s.warmupShare(b) < 1 { // random: from 0, all balancers would send at the same late time
 			s.coldAllowance = b.rng.Float64()
 		}
 		if !b.settings.UseListWeights || e.Weight <= 0 {
@@ -244,7 +244,7 @@
 func rendezvousServer(from []*server, key string) (best *server) {
 	lowest, k := math.Inf(1), hash(key)
 	for _, s := range from {
-		u := float64(mix(k^s.idHash)>>10+1) / (1 << 53)
+		u := float64(mix63(k^s.idHash)>>10+1) / (1 << 53) // above 0 and at most 1, in steps that a float64 can hold
 		if x := -math.Log(u) / s.drawWeight; x < lowest || best == nil {
 			best, lowest = s, x
 		}
@@ -252,7 +252,8 @@
 	return best
 }
 
-// probesFirst reports whether the servers drawn are probed for their load before a request is sent.
+// probesFirst reports whether the servers drawn are probed for their load before a request is sent: only if
+// probing at least two of them is within maxProbeCost.
 func (b *Balancer) probesFirst() bool {
 	return b.settings.CanProbe && b.settings.ProbeCost*2 <= maxProbeCost
 }
@@ -305,7 +306,7 @@
 
 // freeShare returns the share of its capacity that a server has free for this balancer, according to its
 // latest report. If reports state the requests in flight, it turns the load by own requests into the load
-// by all requests, which the algorithm in pickServer's comment works on.
+// by all requests, on which the algorithm that pickServer cites is based.
 func (b *Balancer) freeShare(r *request, s *server) float64 {
 	own := float64(len(s.inFlight))
 	switch {
@@ -355,7 +356,7 @@
 	}
 	late := o.Result == Rejected || o.Result == TimedOut && patience == 1 && !b.overtaken(a)
 	switch {
-	case o.Result == Canceled && s.trialActive: // this used up the balancer's turn
+	case o.Result == Canceled && s.trialActive: // the balancer has used up its turn, see eject
 		b.eject(s)
 		return
 	case o.Result == NotSent,
@@ -365,6 +366,7 @@
 	case o.Result == OK:
 		s.lastHeard, s.lastAnsweredSend, failure = b.now, max(s.lastAnsweredSend, a.sent), 0
 		b.meanLatency[c] += ewmaWeight * (float64(o.Took) - b.meanLatency[c])
+		// One long latency raises the minimum by a factor of 1 + ewmaWeight*ewmaWeight at most.
 		b.minLatency[c] += ewmaWeight * (min(float64(o.Took), b.minLatency[c]*(1+ewmaWeight)) - b.minLatency[c])
 		b.answerRate += 1 / (rateHorizons * b.horizon.Seconds())
 	case o.Result == TimedOut && s.lastHeard > a.sent && s.ejectedUntil == 0:
@@ -382,7 +384,7 @@
 		}
 	}
 	weight := failureWeight * patience
-	if o.Result == TimedOut && failure > 0 || o.Result == Canceled { // counts by its wait
+	if o.Result == TimedOut && failure > 0 || o.Result == Canceled { // a longer wait counts more
 		weight = min(1, max(weight, a.relativeWait(b)/maxMissedAnswers))
 	}
 	s.failureRate += weight * (failure - s.failureRate)
@@ -419,7 +421,7 @@
 // retry budget allows. Their outcomes start the new attempts.
 func (b *Balancer) cancelAtSilent(s *server) {
 	for _, a := range s.inFlight {
-		a.req.inFlight-- // as after the cancellation
+		a.req.inFlight-- // canMove is to decide as if the attempt were canceled already
 		if b.settings.CanCancel && b.canMove(a) {
 			b.retryBudget--
 			a.canceledAsSilent = true
@@ -450,8 +452,8 @@
 	return b.retryBudget >= 1 && slices.ContainsFunc(b.servers, eligible)
 }
 
-// missedAnswers returns how many answers the server would have given, at the usual latency, since its last
-// one, summed over all attempts in flight. One late answer is an expensive request, many are a silent
+// missedAnswers returns how many answers the server would have given, at the mean latency, since its last
+// one, summed over all attempts in flight. One late answer means an expensive request, many mean a silent
 // server.
 func (b *Balancer) missedAnswers(s *server) (n float64) {
 	for _, a := range s.inFlight {
@@ -496,8 +498,9 @@
 
 // Slow start.
 
-// refillColdAllowances adds to the sends that cold servers may get, by their share of every attempt.
-// Otherwise all balancers would send all requests to them at once, as they are idle.
+// refillColdAllowances adds a cold server's share of one attempt to the sends that it may get. Without this
+// limit all balancers would send all requests to the cold servers at once, as these are idle. At most two
+// sends are saved up.
 func (b *Balancer) refillColdAllowances() {
 	for _, s := range b.servers {
 		if s.warmupShare(b) < 1 && !s.outsideSubset { // this balancer draws from its subset only
@@ -517,7 +520,7 @@
 		r.inFlight == 1 && !b.settings.ParallelAttempts {
 		return false
 	}
-	first := r.mayHaveRun()
+	first := r.firstPossiblyRun()
 	switch c := r.class; {
 	case s.warmupShare(b) < 1 && s.coldAllowance < 1:
 		return false
@@ -539,12 +542,12 @@
 
 // mayRefuse reports whether the client may be told that a retry does no harm.
 func (r *request) mayRefuse() bool {
-	return r.mayHaveRun() == nil || r.class.Effect == Safe ||
+	return r.firstPossiblyRun() == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.DedupScope == DedupAll
 }
 
-// startAttempt sends the request to the best server, at once or when the servers drawn have answered their
-// probes.
+// startAttempt sends the request to the best of the servers that it draws, at once or when they have
+// answered their probes.
 func (b *Balancer) startAttempt(r *request) {
 	if b.drawServers(r); !b.probeDrawn(r) {
 		b.sendToBest(r)
@@ -572,13 +575,13 @@
 	}
 	s.coldAllowance--
 	s.probedInFlight++
-	first, reason := r.mayHaveRun(), r.sendReason()
+	first, reason := r.firstPossiblyRun(), r.sendReason()
 	a := &attempt{req: r, srv: s, index: len(r.attempts), sent: b.now, inFlight: true}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	s.inFlight = append(s.inFlight, a)
 	send := Action{Kind: Send, Request: r.ID, Server: s.ID, Reason: reason}
-	if first != nil && r.class.Effect == Keyed { // maySend checks the window too, but connecting takes time
+	if first != nil && r.class.Effect == Keyed { // maySend has checked the window, but connecting takes time
 		send.SendWithin = first.sent + r.class.DedupWindow - b.windowMargin() - b.now
 	}
 	b.emit(send)
@@ -597,7 +600,7 @@
 	b.recordOutcome(a, o)
 	switch {
 	case r.closed || o.Closed:
-		if a.canceledAsSilent { // without need: nothing has to be sent again
+		if a.canceledAsSilent { // the attempt taken from the budget is not needed
 			b.retryBudget = min(b.retryBudget+1, maxRetryBudget)
 		}
 		for _, other := range r.attempts { // one answer is enough; an earlier attempt is late or lost
@@ -607,7 +610,7 @@
 			}
 		}
 		b.close(r)
-	case r.inFlight > 0: // the other attempt goes on
+	case r.inFlight > 0: // the other attempt may still be answered
 	case a.canceledAsSilent:
 		b.startAttempt(r)
 	case b.retryBudget >= 1 && o.Result != NotSent:
@@ -655,7 +658,8 @@
 
 // slackUsed returns the latency of an attempt beyond the minimum latency as a share of the slack, which is
 // the difference between target latency and minimum latency. The class with the least slack counts, as
-// congestion is the same for all classes. One slow server is not congestion: the share is at most 1.
+// congestion is the same for all classes; its slack is at least half of its target latency. One slow server
+// is not congestion: the share is at most 1.
 func (b *Balancer) slackUsed(a *attempt, late bool) float64 {
 	slack := float64(b.horizon)
 	for i, c := range b.settings.Classes {
@@ -681,9 +685,9 @@
 	return congestion
 }
 
-// expectedDelay returns the expected latency at a server in shortest target latencies, by the number of
-// requests in flight that it has just reported: 0 if it does not report it, 1 if it was probed and has not
-// answered.
+// expectedDelay returns the expected latency at a server as a multiple of the shortest target latency, by
+// the number of requests in flight that the server has just reported. It returns 0 if the server does not
+// report that number, and 1 if it was probed and has not answered.
 func (b *Balancer) expectedDelay(r *request, s *server) float64 {
 	switch fresh := r.hasFreshProbe(s); {
 	case b.probesFirst() && !fresh && r.probeTimer > 0:
@@ -704,7 +708,8 @@
 // Final answers.
 
 // endUnserved gives a request that was not served its final answer. A refusal promises that a retry does no
-// harm: where that may not be true, it is a failure.
+// harm; where that may not be true, the answer is a failure. Clients are to wait for half of the target
+// latency before a retry, within MaxRetryAfter.
 func (b *Balancer) endUnserved(r *request, reason Reason) {
 	kind := Fail
 	if r.closed {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -17,21 +17,21 @@
 			{Name: "keyed", Effect: Keyed, DedupScope: DedupCell, DedupWindow: 1e9, Aim: 600e6, Deadline: 2e9, Value: 3}}}
 }
 
-// bench drives one Balancer by hand.
-type bench struct {
+// harness drives one Balancer by hand.
+type harness struct {
 	*Balancer
 	t   *testing.T
 	at  time.Duration
-	ids int
+	ids int // number of requests so far
 }
 
-func newBench(t *testing.T, settings Settings, weights ...float64) *bench {
+func newHarness(t *testing.T, settings Settings, weights ...float64) *harness {
 	t.Helper()
 	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &bench{Balancer: b, t: t, at: time.Hour}
+	h := &harness{Balancer: b, t: t, at: time.Hour}
 	h.Start(h.at)
 	l := ServerList{Full: true}
 	for i, w := range weights {
@@ -42,12 +42,12 @@
 }
 
 // request delivers a request and returns its id and the server it is sent to, "" if none.
-func (h *bench) request(class int) (id, to string) {
+func (h *harness) request(class int) (id, to string) {
 	return h.requestWithPatience(class, 2*time.Second)
 }
 
 // requestWithPatience is request for a client that waits for the given time.
-func (h *bench) requestWithPatience(class int, patience time.Duration) (id, to string) {
+func (h *harness) requestWithPatience(class int, patience time.Duration) (id, to string) {
 	h.ids++
 	id = fmt.Sprint("r", h.ids)
 	for _, a := range h.Handle(h.at, Request{ID: id, Class: class, Deadline: h.at + patience}) {
@@ -59,13 +59,13 @@
 }
 
 // endAttempt ends attempt n of a request and returns the actions that follow, without timers.
-func (h *bench) endAttempt(id, server string, n int, result Result, report Report) []Action {
+func (h *harness) endAttempt(id, server string, n int, result Result, report Report) []Action {
 	return h.Handle(h.at, Outcome{Request: id, Attempt: n, Server: server, Result: result,
 		Took: 50 * time.Millisecond, Closed: result == OK, Report: report})
 }
 
 // advance advances the clock, with the timer that checks health.
-func (h *bench) advance(d time.Duration) (actions []Action) {
+func (h *harness) advance(d time.Duration) (actions []Action) {
 	for end := h.at + d; h.at < end; {
 		h.at += h.horizon / ticksPerHorizon
 		actions = append(actions, slices.Clone(h.Handle(h.at, TimerFired{tickToken}))...)
@@ -82,7 +82,7 @@
 func TestDrawsFollowCapacity(t *testing.T) {
 	settings := testSettings()
 	settings.UseListWeights = true
-	h := newBench(t, settings, 1, 2, 3, 4)
+	h := newHarness(t, settings, 1, 2, 3, 4)
 	h.updateWeights()
 	ok, total := h.candidates(&request{class: &settings.Classes[0], Request: Request{Deadline: h.at + 1}})
 	const n = 40000
@@ -99,7 +99,7 @@
 }
 
 func TestPickTakesLowestLoad(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	sent := map[string]int{}
 	for range 100 { // nothing ends: two equal servers have equal counts, except for draws that miss one
 		_, to := h.request(1)
@@ -111,7 +111,7 @@
 }
 
 // serve delivers n requests one after the other, answers each at once, and counts those sent to the server.
-func (h *bench) serve(n int, server string) (count int) {
+func (h *harness) serve(n int, server string) (count int) {
 	for range n {
 		id, to := h.request(0)
 		if to == server {
@@ -125,7 +125,7 @@
 func TestTies(t *testing.T) {
 	settings := testSettings()
 	settings.UseListWeights = true
-	h := newBench(t, settings, 1, 1.99)
+	h := newHarness(t, settings, 1, 1.99)
 	if _, to := h.request(0); to != "s1" { // stays in flight
 		t.Fatalf("the lowest load is at s1, the request went to %s", to)
 	}
@@ -133,14 +133,14 @@
 	if large := h.serve(200, "s1"); large < 190 {
 		t.Errorf("a tie within the tolerance went to the larger server %d of 200 times", large)
 	}
-	h = newBench(t, testSettings(), 1, 1) // equal in load and weight: at random
+	h = newHarness(t, testSettings(), 1, 1) // equal in load and weight: at random
 	if first := h.serve(400, "s0"); first < 150 || first > 250 {
 		t.Errorf("a full tie went to the first server %d of 400 times", first)
 	}
 }
 
 func TestCapacityFromNoisyReports(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	for i := range 400 {
 		h.at += 50 * time.Millisecond
 		noise := 1 + 0.2*math.Sin(float64(i)*1.7)
@@ -160,7 +160,7 @@
 // Guards against dividing the rate by a floor under the utilization: an idle server then looked small, and
 // so it stayed idle.
 func TestIdleServerKeepsFairShare(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	for range 50 {
 		h.at += 50 * time.Millisecond
 		h.now = h.at
@@ -175,7 +175,7 @@
 
 // Guards against a server that receives requests and answers none while others answer.
 func TestSilentServerIsEjectedRescuedAndReadmitted(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	var held []string
 	for h.servers[0].ejectedUntil == 0 {
 		id, to := h.request(0)
@@ -223,7 +223,7 @@
 
 // Guards against taking one expensive request for a silent server at a balancer with little traffic.
 func TestOneLateAnswerEjectsNone(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	_, to := h.request(1)
 	h.advance(h.horizon)
 	if s := h.byID[to]; s.ejectedUntil != 0 {
@@ -234,7 +234,7 @@
 // Guards against ejecting all servers under congestion, and against a measure of congestion that leaves out
 // the ejected servers.
 func TestJamEjectsNoneAndRefuses(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 { // normal operation at first
 		id, to := h.request(1)
 		h.endAttempt(id, to, 0, OK, utilReport(0.5, 50))
@@ -266,7 +266,7 @@
 
 // Guards against requests of high value waiting behind those of low value.
 func TestCheapGivesWayFirst(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	refused := [2]int{}
 	for i := range 2000 {
 		h.congestion = shedThreshold + 0.1/shedSlope
@@ -284,7 +284,7 @@
 
 // Guards against a server that fails fast and so looks idle.
 func TestFastFailuresDrawLess(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	bad := 0
 	for range 60 {
 		id, to := h.request(1)
@@ -308,7 +308,7 @@
 
 // Guards against overloading a cold server: under congestion it has the lowest load of all.
 func TestColdServerInAJam(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	for range 500 {
 		h.request(1)
 	}
@@ -320,7 +320,7 @@
 			cold++
 		}
 	}
-	part := 0.3 / 9.3
+	part := 0.3 / 9.3 // its share of the weight: 0.3 of a warm server, beside nine warm ones
 	if most := n*coldSendFactor*part + 2; float64(cold) > most || cold == 0 {
 		t.Errorf("a cold server got %d of %d, want 1 to %.1f", cold, n, most)
 	}
@@ -328,7 +328,7 @@
 
 // A restart, recognized by a new start time, discards what was learned about the server.
 func TestRestartForgets(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	h.now = h.at
 	s := h.servers[0]
 	h.recordReport(s, utilReport(0.5, 500))
@@ -341,7 +341,7 @@
 }
 
 func TestKeyedStaysInItsCell(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 30 {
 		id, to := h.request(2)
 		next := h.endAttempt(id, to, 0, Reset, NoReport)
@@ -356,7 +356,7 @@
 
 // Further attempts must not multiply an overload.
 func TestRetryBudget(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	sends := 0
 	const n = 1000
 	for range n {
@@ -379,7 +379,7 @@
 func TestOwnZone(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.1
-	h := newBench(t, settings, 1, 1)
+	h := newHarness(t, settings, 1, 1)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Zone: 1}}})
 	h.updateWeights()
 	if h.servers[0].drawWeight < 2*h.servers[1].drawWeight {
@@ -393,7 +393,7 @@
 }
 
 func TestUnknownIsPassedOver(t *testing.T) {
-	h := newBench(t, testSettings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientDisconnected{"no"},
 		StreamStarted{Request: "no"}, Probed{Server: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}} {
 		if a := h.Handle(h.at, e); len(a) != 0 {
@@ -403,7 +403,7 @@
 }
 
 func TestNoServerRefuses(t *testing.T) {
-	h := newBench(t, testSettings())
+	h := newHarness(t, testSettings())
 	a := h.Handle(h.at, Request{ID: "x", Deadline: h.at + 1e9})
 	if last := a[len(a)-1]; last.Kind != Refuse {
 		t.Errorf("with no server: %+v", a)
@@ -411,7 +411,7 @@
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, corrupt := range map[string]func(*Settings){
 		"classes":  func(s *Settings) { s.Classes = nil },
 		"aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
 		"window":   func(s *Settings) { s.Classes[2].DedupWindow = 0 },
@@ -419,7 +419,7 @@
 		"cold":     func(s *Settings) { s.SlowStartMinShare = 0 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		corrupt(&settings)
 		if _, err := New(settings, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
@@ -429,7 +429,7 @@
 // Guards against rejecting every request when all servers are cold: the limits on cold servers must not
 // apply then.
 func TestAllColdStillServes(t *testing.T) {
-	h := newBench(t, testSettings())
+	h := newHarness(t, testSettings())
 	l := ServerList{Full: true}
 	for i := range 4 {
 		l.Servers = append(l.Servers, Server{ID: fmt.Sprint("new", i), Started: h.at})
@@ -449,7 +449,7 @@
 // Guards against canceling an attempt that can be made nowhere else: a keyed request whose cell contains
 // only the silent server.
 func TestRescueOnlyWhatCanGoElsewhere(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	for range 10 {
 		h.request(2)
 	}
@@ -467,7 +467,7 @@
 func TestHomeOfAKey(t *testing.T) {
 	settings := testSettings()
 	settings.UseListWeights, settings.KeyAffinity = true, true
-	h, other := newBench(t, settings, 1, 2, 3, 4), newBench(t, settings, 1, 2, 3, 4)
+	h, other := newHarness(t, settings, 1, 2, 3, 4), newHarness(t, settings, 1, 2, 3, 4)
 	other.rng.Uint64() // a different state of the random numbers
 	h.updateWeights()
 	other.updateWeights()
@@ -503,7 +503,7 @@
 // Guards against a server that one expensive request makes look slow, and that stays idle as it gets no
 // requests to prove the opposite (seen with two of 15 servers, for 30 s).
 func TestOldEstimateFades(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	for range 30 {
 		id, to := h.request(0)
 		r := utilReport(0.5, 50)
@@ -532,7 +532,7 @@
 func TestCapacityWithoutReports(t *testing.T) {
 	settings := testSettings()
 	settings.UseListWeights = true
-	h := newBench(t, settings, 1, 1, 2)
+	h := newHarness(t, settings, 1, 1, 2)
 	for _, r := range []Report{NoReport, utilReport(math.NaN(), 5), utilReport(0.5, math.NaN()), utilReport(-1, 9), utilReport(0, 0),
 		utilReport(math.Inf(1), 1), utilReport(0.5, math.Inf(1))} {
 		h.recordReport(h.servers[0], r)
@@ -549,7 +549,7 @@
 // matter that the list calls it ready, but a server that drains according to the list gets nothing in any
 // case.
 func TestLateList(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	list := func(state State, id string) {
 		h.Handle(h.at, ServerList{Servers: []Server{{ID: id, Weight: 1, State: state}}})
 	}
@@ -568,7 +568,7 @@
 // Guards against many servers that die at once, before the list shows it: each request that a dead server
 // did not take is served elsewhere, and soon none is sent there.
 func TestManyDieAtOnce(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	dead := func(id string) bool { return id < "s2" }
 	late := 0
 	for i := range 300 {
@@ -597,7 +597,7 @@
 // Guards against congestion in which all requests of the least valuable class are shed, so that ejected
 // servers never get the request that tries them and stay idle.
 func TestTrialIsNotRefused(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	s := h.byID["s0"]
 	h.eject(s)
 	h.congestion, h.meanValue = 1, 1e6
@@ -613,16 +613,16 @@
 	}
 }
 
-// newProbingBench returns a bench whose servers are probed for their load before each send.
-func newProbingBench(t *testing.T, weights ...float64) *bench {
+// newProbingHarness returns a harness whose servers are probed for their load before each send.
+func newProbingHarness(t *testing.T, weights ...float64) *harness {
 	settings := testSettings()
 	settings.CanProbe, settings.ProbeCost, settings.ReportsInFlight = true, 0.001, true
-	return newBench(t, settings, weights...)
+	return newHarness(t, settings, weights...)
 }
 
 // answerProbes answers probes and returns the server that the request is then sent to, "" if none. A server
 // with a load below 0 does not answer.
-func (h *bench) answerProbes(id string, actions []Action, load map[string]float64) (to string) {
+func (h *harness) answerProbes(id string, actions []Action, load map[string]float64) (to string) {
 	for len(actions) > 0 {
 		a := actions[0]
 		actions = slices.Clone(actions[1:])
@@ -641,7 +641,7 @@
 // Guards against balancers that see very little themselves: with no own request in flight anywhere, the one
 // server that others have left free gets the request.
 func TestServersAreAskedFirst(t *testing.T) {
-	h := newProbingBench(t, 1, 1, 1, 1)
+	h := newProbingHarness(t, 1, 1, 1, 1)
 	load := map[string]float64{"s0": 9, "s1": 9, "s2": 0, "s3": 9}
 	free := 0
 	for i := range 100 {
@@ -667,7 +667,7 @@
 // Guards against sending to a server that does not answer probes, when the answers of other servers become
 // outdated.
 func TestMuteServerGetsNothing(t *testing.T) {
-	h := newProbingBench(t, 1, 1, 1, 1)
+	h := newProbingHarness(t, 1, 1, 1, 1)
 	load := map[string]float64{"s0": -1}
 	sent := 0
 	for i := range 100 {
@@ -693,7 +693,7 @@
 
 // Guards against queues when all servers drawn are busy: requests of low value are shed at once.
 func TestFullServersRefuse(t *testing.T) {
-	h := newProbingBench(t, 1, 1)
+	h := newProbingHarness(t, 1, 1)
 	refused := [2]int{}
 	for i := range 200 {
 		h.at += time.Second
@@ -714,12 +714,12 @@
 // Guards against a balancer with little traffic that uses each server of a large fleet too seldom to know
 // its state.
 func TestQuietBalancerKeepsToASubset(t *testing.T) {
-	h := newBench(t, testSettings(), make([]float64, 100)...)
+	h := newHarness(t, testSettings(), make([]float64, 100)...)
 	for i, s := range h.servers {
 		s.SubsetRank = (float64(i) + 0.5) / 100
 	}
 	h.updateSubset()
-	near := func() (n int) {
+	subsetSize := func() (n int) {
 		for _, s := range h.servers {
 			if !s.outsideSubset {
 				n++
@@ -727,12 +727,12 @@
 		}
 		return n
 	}
-	if n := near(); n != minSubsetSize {
+	if n := subsetSize(); n != minSubsetSize {
 		t.Errorf("a balancer with little traffic draws from %d servers", n)
 	}
 	h.answerRate = 60
 	h.updateSubset()
-	if n, want := near(), int(60*subsetHorizons*h.horizon.Seconds()); n != want {
+	if n, want := subsetSize(), int(60*subsetHorizons*h.horizon.Seconds()); n != want {
 		t.Errorf("a balancer with much traffic draws from %d servers, want %d", n, want)
 	}
 	for _, s := range h.servers { // all of the subset drain: any other may be used
@@ -747,7 +747,7 @@
 
 // Guards against taking long processing times, expensive requests or one slow server for congestion.
 func TestSlackIsCountedFromTheLeastTime(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	for range 600 { // each takes half of the target latency
 		id, to := h.request(1)
 		h.at += 300 * time.Millisecond
@@ -766,7 +766,7 @@
 
 // Guards against the cost of probes while the utilization is known to be low.
 func TestNobodyIsAskedWhileAllIsIdle(t *testing.T) {
-	h := newProbingBench(t, 1, 1)
+	h := newProbingHarness(t, 1, 1)
 	send := func(use float64) (probes int) {
 		for _, s := range h.servers {
 			h.recordReport(s, utilReport(use, 100*use))
@@ -793,7 +793,7 @@
 // Guards against a server that is fully used according to its reports and idle by own counts (with hot keys
 // and slowed servers): if servers are not probed, utilization reduces their free capacity.
 func TestUsedServerGetsLess(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1)
+	h := newHarness(t, testSettings(), 1, 1)
 	busy := 0
 	for range 100 {
 		h.now = h.at
@@ -815,7 +815,7 @@
 func TestTightestClassSetsTheSlack(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Aim = 150e6
-	h := newBench(t, settings, 1, 1)
+	h := newHarness(t, settings, 1, 1)
 	id, _ := h.request(1)
 	a := h.requests[id].attempts[0]
 	h.now = h.at + time.Duration(h.minLatency[1]) + 100*time.Millisecond
@@ -827,7 +827,7 @@
 // Guards against a queue at one of a few servers that the mean utilization hides: from a tenth of the slack
 // used, servers are probed again.
 func TestLateAnswersMakeItAsk(t *testing.T) {
-	h := newProbingBench(t, 1, 1)
+	h := newProbingHarness(t, 1, 1)
 	h.at += time.Second
 	h.congestion = 0.11
 	h.now = h.at
@@ -842,7 +842,7 @@
 
 // Guards against a division by the cost of probes if it is 0: no server was drawn then.
 func TestFreeProbes(t *testing.T) {
-	h := newProbingBench(t, 1, 1, 1)
+	h := newProbingHarness(t, 1, 1, 1)
 	h.settings.ProbeCost = 0
 	e := Request{ID: "free", Class: 1, Deadline: h.at + 2*time.Second}
 	if to := h.answerProbes("free", slices.Clone(h.Handle(h.at, e)), map[string]float64{}); to == "" {
@@ -851,9 +851,9 @@
 }
 
 func TestPricesOutOfRange(t *testing.T) {
-	for _, price := range []float64{-0.1, math.NaN()} {
+	for _, cost := range []float64{-0.1, math.NaN()} {
 		cross, probe := testSettings(), testSettings()
-		cross.CrossZoneCost, probe.ProbeCost = price, price
+		cross.CrossZoneCost, probe.ProbeCost = cost, cost
 		for _, settings := range []Settings{cross, probe} {
 			if _, err := New(settings, 1); err == nil {
 				t.Errorf("no error for costs %v and %v", settings.CrossZoneCost, settings.ProbeCost)
@@ -865,7 +865,7 @@
 // Guards against a server that answers most requests and loses some: a late attempt there is hedged at
 // another server, but only while such losses are seen, not under congestion, and within the retry budget.
 func TestLateAttemptsAreCopiedWhileSomeGetLost(t *testing.T) {
-	lose := func(h *bench) { // one request is lost at a server that answers a later one
+	lose := func(h *harness) { // one request is lost at a server that answers a later one
 		type sent struct{ id, to string }
 		var all []sent
 		for range len(h.servers) + 1 { // so that one server has two
@@ -887,20 +887,20 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		before     func(h *bench)
+		before     func(h *harness)
 		congestion float64
 		hedged     bool
 	}{
-		"nothing lost": {func(*bench) {}, 0, false},
+		"nothing lost": {func(*harness) {}, 0, false},
 		"some lost":    {lose, 0, true},
 		"jam":          {lose, 0.9, false},
-		"no budget":    {func(h *bench) { lose(h); h.retryBudget = 0 }, 0, false},
-		"no copies":    {func(h *bench) { lose(h); h.settings.ParallelAttempts = false }, 0, false},
+		"no budget":    {func(h *harness) { lose(h); h.retryBudget = 0 }, 0, false},
+		"no copies":    {func(h *harness) { lose(h); h.settings.ParallelAttempts = false }, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
 			settings.ParallelAttempts = true
-			h := newBench(t, settings, 1, 1, 1)
+			h := newHarness(t, settings, 1, 1, 1)
 			c.before(h)
 			id, to := h.request(0)
 			congestion := max(h.congestion, c.congestion)
@@ -927,14 +927,14 @@
 // servers did. The same time counts if the process was running.
 func TestStallsAreNoJam(t *testing.T) {
 	for name, c := range map[string]struct {
-		pass func(h *bench, d time.Duration)
+		pass func(h *harness, d time.Duration)
 		want bool
 	}{
-		"ran":     {func(h *bench, d time.Duration) { h.advance(d) }, true},
-		"held up": {func(h *bench, d time.Duration) { h.at += d }, false},
+		"ran":     {func(h *harness, d time.Duration) { h.advance(d) }, true},
+		"held up": {func(h *harness, d time.Duration) { h.at += d }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newBench(t, testSettings(), 1, 1, 1)
+			h := newHarness(t, testSettings(), 1, 1, 1)
 			var ids, servers []string
 			for range 4 {
 				id, to := h.request(0)
@@ -959,7 +959,7 @@
 // later is lost or expensive, and does not count, neither while it is in flight nor when it times out.
 func TestLostAttemptIsNoJam(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		h := newBench(t, testSettings(), 1) // one server, so that all go there
+		h := newHarness(t, testSettings(), 1) // one server, so that all go there
 		early, to := h.request(0)
 		h.advance(h.horizon)
 		later, _ := h.request(0)
@@ -981,7 +981,7 @@
 // requests.
 func TestBudgetGrowsWithWhatGetsLost(t *testing.T) {
 	for _, lost := range []float64{0, 0.2} {
-		h := newBench(t, testSettings(), 1, 1)
+		h := newHarness(t, testSettings(), 1, 1)
 		h.retryBudget, h.lossRate = 0, lost
 		if h.request(0); math.Abs(h.retryBudget-retryRatio-lost) > 1e-9 {
 			t.Errorf("a first attempt adds %v at a loss rate of %v", h.retryBudget, lost)
@@ -991,7 +991,7 @@
 
 // impatientRequest delivers a request whose client waits for 150 ms. It times out then, or is answered
 // after 120 ms.
-func (h *bench) impatientRequest(answered bool) string {
+func (h *harness) impatientRequest(answered bool) string {
 	const patience = 150 * time.Millisecond
 	id, to := h.requestWithPatience(0, patience)
 	took, result := patience, TimedOut
@@ -1006,7 +1006,7 @@
 // Guards against shedding, and against avoiding servers, because some clients wait for less than the usual
 // latency: in one run three in ten gave up after 100 to 190 ms, and the agents took that for congestion.
 func TestClientsInAHurryAreNoJam(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1)
 	for i := range 200 {
 		if to := h.impatientRequest(i%3 != 0); to == "" {
 			t.Fatalf("request %d is refused, with congestion %v", i, h.congestion)
@@ -1025,7 +1025,7 @@
 // A server that answers none of the impatient clients is ejected nevertheless, though each of their
 // timeouts counts less than one of a client that waits.
 func TestSilenceIsFoundByClientsInAHurry(t *testing.T) {
-	h := newBench(t, testSettings(), 1)
+	h := newHarness(t, testSettings(), 1)
 	n := 0
 	for ; n < 2*maxMissedAnswers && h.byID["s0"].ejectedUntil == 0; n++ {
 		h.impatientRequest(false)
@@ -1108,7 +1108,7 @@
 		for i := range agents {
 			settings := testSettings()
 			settings.Balancers = agents
-			h := newBench(t, settings, 1, 1, 1, 1)
+			h := newHarness(t, settings, 1, 1, 1, 1)
 			for _, s := range h.servers {
 				s.SubsetRank = (float64(i) + 0.5) / float64(agents)
 			}
@@ -1156,7 +1156,7 @@
 func TestTurnsPass(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 10
-	h := newBench(t, settings, make([]float64, 40)...)
+	h := newHarness(t, settings, make([]float64, 40)...)
 	for i, s := range h.servers {
 		s.SubsetRank = (float64(i) + 0.5) / 40
 	}
@@ -1189,7 +1189,7 @@
 func TestFirstToMeetSilenceIsCopied(t *testing.T) {
 	settings := testSettings()
 	settings.ParallelAttempts = true
-	h := newBench(t, settings, 1, 1)
+	h := newHarness(t, settings, 1, 1)
 	id, to := h.request(0)
 	h.at += 300 * time.Millisecond
 	next, other := h.request(0) // which is answered in time
@@ -1236,7 +1236,7 @@
 	for _, silent := range []bool{true, false} {
 		settings := testSettings()
 		settings.ParallelAttempts, settings.CanCancel = false, false
-		h := newBench(t, settings, 1, 1, 1, 1)
+		h := newHarness(t, settings, 1, 1, 1, 1)
 		refused := 0
 		for range 30 {
 			id, to := h.requestWithPatience(0, 2*time.Second)
@@ -1267,7 +1267,7 @@
 	for _, c := range []struct {
 		util, want float64 // utilization that it reports during its trial; its factor then
 	}{{0, maxReadmitFactor}, {0.25, 2}, {0.5, 1}, {0.9, 1}, {-1, 1}} {
-		h := newBench(t, settings, 1, 1, 1, 1)
+		h := newHarness(t, settings, 1, 1, 1, 1)
 		for range 20 {
 			id, to := h.request(0)
 			h.endAttempt(id, to, 0, OK, utilReport(0.5, 50))
@@ -1309,7 +1309,7 @@
 	left := func(balancers int) float64 {
 		settings := testSettings()
 		settings.Balancers = balancers
-		h := newBench(t, settings, 1, 1)
+		h := newHarness(t, settings, 1, 1)
 		h.servers[0].failureRate = 0.5
 		h.advance(20 * h.horizon)
 		return h.servers[0].failureRate
--- a/choice/explore.go
+++ b/choice/explore.go
@@ -105,14 +105,14 @@
 		return b.Fingerprint(dst)
 	}
 	num := func(all ...float64) { dst = appendNumbers(dst, all) }
-	attemptsLeft := func(r *request) int { // attempts that it may still get
+	attemptsLeft := func(r *request) int { // attempts that the request may still get
 		if r.closed || remaining.Now >= r.Deadline {
 			return 0
 		}
 		return b.settings.MaxAttempts - len(r.attempts)
 	}
 	attempts := remaining.Requests * b.settings.MaxAttempts
-	outcomes := attempts // outcomes that may come
+	outcomes := attempts // outcomes that may still come
 	requests := b.sortedRequests()
 	for _, r := range requests {
 		attempts += attemptsLeft(r)
@@ -141,7 +141,7 @@
 	for _, r := range requests {
 		dst = append(append(dst, r.ID...), 0, byte(r.inFlight), byte(len(r.attempts)))
 		for _, a := range r.attempts {
-			var state byte
+			var state byte // bit 0: in flight, bit 1: never ran, bit 2: the request is closed
 			if a.inFlight {
 				state = 1
 			}
--- a/choice/memory.go
+++ b/choice/memory.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Bounds on what imported data may do: it biases draws and timings until a server has reported or answered
-// itself, and no rule depends on it.
+// Bounds on the effect of imported data: it biases draws and timings until a server has reported or answered
+// itself, and no rule on repeats, drains or deadlines depends on it.
 const (
 	maxImportedTrust       = 0.8  // maximum confidence in an imported capacity
 	maxImportedFailureRate = 0.5  // maximum of an imported failure rate, which ejects no server
@@ -88,6 +88,7 @@
 	b.now = now
 	for _, e := range m.Classes {
 		for i, c := range b.settings.Classes {
+			// As in New. Other values come from samples, which take precedence.
 			if initial := float64(c.Aim) / 4; c.Name == e.Name &&
 				b.meanLatency[i] == initial && b.minLatency[i] == initial {
 				confidence, mean := clamp(e.Trust, 0, 1),
@@ -98,10 +99,12 @@
 		}
 	}
 	if b.lastOutcome == 0 {
+		// Without samples of its own the balancer draws from subsetHorizons times minSubsetSize servers at most,
+		// and does not hedge late attempts earlier because of losses.
 		b.answerRate = max(b.answerRate, clamp(m.Served, 0, minSubsetSize/b.horizon.Seconds()))
 		b.lossRate = max(b.lossRate, clamp(m.Lost, 0, hedgeLossThreshold))
 		b.coldSamples = clamp(m.ColdSeen, 0, 1/ewmaWeight)
-		b.coldFailureRate = clamp(m.ColdBad, 0, 1) * b.coldSamples * ewmaWeight
+		b.coldFailureRate = clamp(m.ColdBad, 0, 1) * b.coldSamples * ewmaWeight // less, the fewer the samples
 	}
 	ejected := len(slices.DeleteFunc(slices.Clone(b.servers),
 		func(s *server) bool { return s.ejectedUntil == 0 }))
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// learnedBench returns a Balancer that knows two fast servers, a slow one and a silent one that is ejected.
-func learnedBench(t *testing.T) *bench {
-	h := newBench(t, testSettings(), 1, 1, 1, 1)
+// newLearnedHarness returns a Balancer that knows two fast servers, a slow one and a silent one that is ejected.
+func newLearnedHarness(t *testing.T) *harness {
+	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	h.advance(time.Second)
 	for i, rate := range []float64{100, 100, 20, 100} {
 		id, to := h.request(0)
@@ -27,13 +27,13 @@
 // Data that is exported and imported at once makes a new Balancer draw as the old one does. Its effect
 // fades with time and with the servers' own reports.
 func TestRecallGoesOn(t *testing.T) {
-	old := learnedBench(t)
+	old := newLearnedHarness(t)
 	var m Memory
 	old.Export(old.at, &m)
 	if len(m.Servers) != 4 || len(m.Classes) != 3 || m.Servers[2].Rate != 20 || !m.Servers[3].Ejected || m.Servers[3].Trial < old.horizon {
 		t.Fatalf("%+v", m)
 	}
-	h := newBench(t, testSettings(), 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	h.Recall(h.at, m)
 	h.updateWeights()
 	if got := h.byID["s2"].capacity / h.byID["s0"].capacity; got < 0.2 || got > 0.5 {
@@ -71,7 +71,7 @@
 
 // A second export gives the same data, also into a value that was used before.
 func TestExportReuses(t *testing.T) {
-	h := learnedBench(t)
+	h := newLearnedHarness(t)
 	var m, again Memory
 	h.Export(h.at, &m)
 	h.Export(h.at, &again)
@@ -89,19 +89,19 @@
 func TestRecallGivesWay(t *testing.T) {
 	e := ServerMemory{ID: "s0", Rate: 5, Trust: 1, Failing: 0.4}
 	for name, c := range map[string]struct {
-		do      func(h *bench)
+		do      func(h *harness)
 		edit    func(*ServerMemory)
 		applied bool
 	}{
-		"nothing":       {func(*bench) {}, func(*ServerMemory) {}, true},
-		"it reported":   {func(h *bench) { h.Balancer.recordReport(h.byID["s0"], utilReport(0.5, 50)) }, func(*ServerMemory) {}, false},
-		"it answered":   {func(h *bench) { id, _ := h.request(0); h.endAttempt(id, "s0", 0, OK, NoReport) }, func(*ServerMemory) {}, false},
-		"it is sent to": {func(h *bench) { h.request(0) }, func(*ServerMemory) {}, false},
-		"it restarted":  {func(*bench) {}, func(e *ServerMemory) { e.Started = 1 }, false},
-		"no such":       {func(*bench) {}, func(e *ServerMemory) { e.ID = "s9" }, false},
+		"nothing":       {func(*harness) {}, func(*ServerMemory) {}, true},
+		"it reported":   {func(h *harness) { h.Balancer.recordReport(h.byID["s0"], utilReport(0.5, 50)) }, func(*ServerMemory) {}, false},
+		"it answered":   {func(h *harness) { id, _ := h.request(0); h.endAttempt(id, "s0", 0, OK, NoReport) }, func(*ServerMemory) {}, false},
+		"it is sent to": {func(h *harness) { h.request(0) }, func(*ServerMemory) {}, false},
+		"it restarted":  {func(*harness) {}, func(e *ServerMemory) { e.Started = 1 }, false},
+		"no such":       {func(*harness) {}, func(e *ServerMemory) { e.ID = "s9" }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newBench(t, testSettings(), 1)
+			h := newHarness(t, testSettings(), 1)
 			c.do(h)
 			e := e
 			c.edit(&e)
@@ -115,16 +115,16 @@
 
 // Failures at cold servers lower the number of requests that cold servers get.
 func TestBadColdStarts(t *testing.T) {
-	spare := func(m Memory) float64 {
-		h := newBench(t, testSettings(), 1, 1)
+	allowance := func(m Memory) float64 {
+		h := newHarness(t, testSettings(), 1, 1)
 		h.Recall(h.at, m)
 		h.Handle(h.at, ServerList{Servers: []Server{{ID: "s1", Weight: 1, Started: h.at}}})
 		h.byID["s1"].coldAllowance = 0 // the initial value is random
 		h.serve(1, "")
 		return h.byID["s1"].coldAllowance
 	}
-	if well, bad := spare(Memory{}), spare(Memory{ColdBad: 1, ColdSeen: 20}); math.Abs(bad-well/2) > 1e-9 || well <= 0 {
-		t.Errorf("a cold server gets %v, and %v if all attempts failed", well, bad)
+	if healthy, failing := allowance(Memory{}), allowance(Memory{ColdBad: 1, ColdSeen: 20}); math.Abs(failing-healthy/2) > 1e-9 || healthy <= 0 {
+		t.Errorf("a cold server gets %v, and %v if all attempts failed", healthy, failing)
 	}
 }
 
@@ -172,9 +172,9 @@
 			t.Fatalf("%d of %d are ejected", ejected, len(b.servers))
 		}
 		for i, c := range b.settings.Classes {
-			first := float64(c.Aim) / 4
-			if b.meanLatency[i] < first/importedLatencyFactor || b.meanLatency[i] > first*importedLatencyFactor || b.minLatency[i] > b.meanLatency[i] && b.minLatency[i] > first {
-				t.Fatalf("mean latency %v, minimum %v, initially %v", b.meanLatency[i], b.minLatency[i], first)
+			initial := float64(c.Aim) / 4
+			if b.meanLatency[i] < initial/importedLatencyFactor || b.meanLatency[i] > initial*importedLatencyFactor || b.minLatency[i] > b.meanLatency[i] && b.minLatency[i] > initial {
+				t.Fatalf("mean latency %v, minimum %v, initially %v", b.meanLatency[i], b.minLatency[i], initial)
 			}
 		}
 		if !(b.lossRate >= 0 && b.lossRate <= hedgeLossThreshold && b.coldFailureRate >= 0 && b.coldFailureRate <= 1 && b.answerRate >= 0) {
--- a/choice/pendingbody_test.go
+++ b/choice/pendingbody_test.go
@@ -11,7 +11,7 @@
 // then.
 func TestComingRequestsOweNothing(t *testing.T) {
 	for _, pending := range []bool{true, false} {
-		h := newBench(t, testSettings(), 1, 1)
+		h := newHarness(t, testSettings(), 1, 1)
 		to := map[string]string{}
 		for i := range 12 {
 			id := fmt.Sprint("up", i)
@@ -59,7 +59,7 @@
 
 // Ejected counts the servers that get no requests, and none while most seem unhealthy.
 func TestEjectedIsCounted(t *testing.T) {
-	h := newBench(t, testSettings(), 1, 1, 1, 1)
+	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	if n := h.Ejected(); n != 0 {
 		t.Errorf("%d ejected at the start", n)
 	}
--- a/choice/reason.go
+++ b/choice/reason.go
@@ -66,7 +66,7 @@
 
 // unsentReason returns why the request can be sent to no server.
 func (b *Balancer) unsentReason(r *request) Reason {
-	first := r.mayHaveRun()
+	first := r.firstPossiblyRun()
 	windowOver := first != nil && r.class.Effect == Keyed &&
 		b.now+b.windowMargin()-first.sent >= r.class.DedupWindow
 	switch {
--- a/choice/state.go
+++ b/choice/state.go
@@ -30,21 +30,21 @@
 	knownServers     float64             // sum of the confidence in the servers' estimates
 	congestionWeight float64             // weight of a new sample in the congestion
 	totalCapacity    float64             // current capacity of all ready servers
-	subsetCapacity   float64             // and of those in the subset
-	healthyCapacity  float64             // and of those that are not ejected
+	subsetCapacity   float64             // current capacity of the ready servers in the subset
+	healthyCapacity  float64             // current capacity of the ready servers that are not ejected
 	lossRate         float64             // share of attempts lost at servers that answer others
 	answerRate       float64             // answers to this balancer per second, averaged
 	meanValue        float64             // mean value of recent requests
 	coldFailureRate  float64             // share of failures among recent attempts at cold servers
-	coldSamples      float64             // number of attempts in that share, up to 1 / ewmaWeight
+	coldSamples      float64             // number of attempts in coldFailureRate, up to 1 / ewmaWeight
 	lastOutcome      time.Duration       // time of the latest outcome
 	nextTick         time.Duration       // when the next tick is due
 	stallEnd         time.Duration       // when the latest stall of this process was found to be over
-	stallLength      time.Duration       // minimum length of that stall
+	stallLength      time.Duration       // minimum length of the stall that ended at stallEnd
 	lastPromptSend   time.Duration       // latest send time of the attempts that were answered in time
 	revision         uint64              // number of reports, outcomes and ejections so far
 	importChecks     int                 // imported capacities that were compared with a report
-	importErrors     int                 // those of them that were far off
+	importErrors     int                 // imported capacities that were off by more than importErrorFactor
 }
 
 // server holds all that is known about one server.
@@ -99,11 +99,11 @@
 	sent             time.Duration // time of the send or, if later, of the request's last byte
 	inFlight         bool
 	neverRan         bool // the result proves that it had no effect
-	canceledAsSilent bool // canceled at a silent server, another attempt is taken from the budget
+	canceledAsSilent bool // canceled at a silent server; the attempt to follow is taken from the budget
 }
 
-// mayHaveRun returns the first attempt that is not known to have had no effect, or nil.
-func (r *request) mayHaveRun() *attempt {
+// firstPossiblyRun returns the first attempt that may have run at its server, or nil if there is none.
+func (r *request) firstPossiblyRun() *attempt {
 	if i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.neverRan }); i >= 0 {
 		return r.attempts[i]
 	}
@@ -114,7 +114,9 @@
 func (s *server) load() float64 { return float64(len(s.inFlight)+1) / s.drawWeight }
 
 // readmitFactor returns by what factor the share of a readmitted server is raised, until the balancers
-// whose turn comes later have readmitted it too. Then it is 1.
+// whose turn comes later have readmitted it too. Then it is 1. readmitted estimates the share of the
+// balancers that have readmitted the server: by the load from others at the readmission, and by the part of
+// a round of turns that has passed since.
 func (s *server) readmitFactor(b *Balancer) float64 {
 	round := float64(b.horizon) * float64(b.settings.Balancers) * s.subsetShare
 	if readmitted := s.othersShare + float64(b.now-s.readmittedAt)/round; s.readmittedAt > 0 && readmitted < 1 {
@@ -128,9 +130,9 @@
 	return s.lastProbeAnswer > 0 && s.lastProbeAnswer >= r.probedSince
 }
 
-// close marks the request as ended. It is kept while attempts are in flight. Its timers still fire
-// but are ignored. They must not refer to the request: at many requests per second most of the memory would
-// be held by requests that have ended.
+// close marks the request as ended. It is kept while attempts are in flight. Its timers still fire but are
+// ignored, and must not refer to the request: at many requests per second most of the memory would be held
+// by requests that have ended.
 func (b *Balancer) close(r *request) {
 	r.closed = true
 	delete(b.timers, r.deadlineTimer)
--- a/internal/decide/addresses/addresses.go
+++ b/internal/decide/addresses/addresses.go
@@ -85,8 +85,8 @@
 // RecordFailure records that an address did not connect.
 func (h *History) RecordFailure(now time.Duration, addr string) {
 	r := h.record(now, addr)
-	wait := h.settings.Avoid << min(r.failures, 20)
-	if wait > h.settings.MaxAvoid || wait <= 0 {
+	wait := h.settings.Avoid << min(r.failures, 20) // the 20 bounds the shift
+	if wait > h.settings.MaxAvoid || wait <= 0 {    // at or below 0 it has overflowed
 		wait = h.settings.MaxAvoid
 	}
 	r.failures++
@@ -230,7 +230,7 @@
 	}
 }
 
-// Copies let a model checker try several continuations of one state.
+// The copies below let a model checker try several continuations of one state.
 
 // Copy returns an equal History.
 func (h *History) Copy() *History {
--- a/internal/decide/aging/aging.go
+++ b/internal/decide/aging/aging.go
@@ -12,7 +12,7 @@
 	"ternbeam/internal/decide/learned"
 )
 
-// Settings are the half-lives of facts: after each of them a fact has half the weight that it had.
+// Settings are the half-lives of facts, after each of which a fact has half the weight that it had, and bounds.
 type Settings struct {
 	Capacity     time.Duration // capacity of a server
 	Failing      time.Duration // failure rate of a server, and losses over all
@@ -25,7 +25,7 @@
 	MaxAge       time.Duration // older facts have no weight
 }
 
-// Defaults are the settings where none are configured. Failures and times have the same half-life: if latencies were
+// Defaults are the settings where none are configured. Failures and latencies have the same half-life: if latencies were
 // remembered longer than failures, agents with little traffic lost more requests than without stored state
 // (docs/design/learning.md has the figures).
 var Defaults = Settings{Capacity: 10 * time.Minute, Failing: 15 * time.Minute, Ejection: time.Minute, Latency: 15 * time.Minute,
@@ -41,7 +41,8 @@
 	minAddressWeight = 1.0 / 4
 	// minSimilarity is the part of the fleet that must be unchanged for anything to count.
 	minSimilarity = 0.1
-	// clockTolerance is by how much a moment may lie in the future: clocks are read one after the other.
+	// clockTolerance is how far in the future a moment may lie and still count as now: the two clocks are read one after the
+	// other.
 	clockTolerance = time.Second
 )
 
@@ -90,6 +91,7 @@
 	sharedRecalled bool            // the shared data was returned
 }
 
+// fact is what is remembered about a server, and when it was stored.
 type fact struct {
 	learned.Server
 	at learned.Clock
@@ -146,8 +148,8 @@
 	return m, connected
 }
 
-// Similarity returns the part of the fleet that is unchanged, of all servers then and now, and 0 where that is below
-// minSimilarity.
+// Similarity returns the number of servers that are in the fleet unchanged, divided by the number of all servers that are or
+// were in it. It returns 0 where that is below minSimilarity.
 func (r *Restored) Similarity(fleet int) float64 {
 	recognized := len(r.recognized)
 	all := len(r.shared.Fleet) + fleet - recognized
@@ -160,6 +162,7 @@
 	return 0
 }
 
+// agedShared returns what still counts of the shared data.
 func (r *Restored) agedShared(now learned.Clock, similarity float64) (m choice.Memory) {
 	age, known := Since(r.shared.At, now)
 	if !known {
@@ -168,11 +171,11 @@
 	remembered := r.shared.Memory
 	age += remembered.Idle
 	weight := func(halfLife time.Duration) float64 { return similarity * r.settings.Weight(halfLife, age) }
-	times := weight(r.settings.Latency)
+	latencyWeight := weight(r.settings.Latency)
 	m = choice.Memory{Served: remembered.Served * weight(r.settings.Traffic), Lost: remembered.Lost * weight(r.settings.Failing),
 		ColdBad: remembered.ColdBad, ColdSeen: remembered.ColdSeen * weight(r.settings.ColdFailures)}
 	for _, c := range remembered.Classes {
-		if c.Trust = min(1, c.Trust) * times; c.Trust > 0 {
+		if c.Trust = min(1, c.Trust) * latencyWeight; c.Trust > 0 {
 			m.Classes = append(m.Classes, c)
 		}
 	}
--- a/internal/decide/aging/aging_test.go
+++ b/internal/decide/aging/aging_test.go
@@ -143,7 +143,7 @@
 		"all restarted":        {changeFrom(0, restarted), 0, 0},
 		"all moved":            {changeFrom(0, moved), 0, 0},
 		"all under other ids":  {changeFrom(0, renamed), 0, 0},
-		"half restarted":       {changeFrom(4, restarted), 4, 4. / 12},
+		"half restarted":       {changeFrom(4, restarted), 4, 4. / 12}, // 4 of 8 unchanged, 12 servers then and now
 		"half under other ids": {changeFrom(4, renamed), 4, 4. / 12},
 		"half removed":         {func(l []ListedServer) []ListedServer { return l[:4] }, 4, 0.5},
 		"one restarted":        {changeFrom(7, restarted), 7, 7. / 9},
--- a/internal/decide/calltrack/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -28,7 +28,7 @@
 		}
 		return lastConnected(s.Addrs)
 	}
-	several := 0
+	multiAddr := 0 // number of servers with several addresses
 	for _, m := range into.Memory.Servers {
 		if s := t.servers[m.ID]; s != nil {
 			into.Servers = append(into.Servers, learned.Server{ServerMemory: m, Addr: s.Addr, Identity: s.Identity, Worked: lastAddr(s)})
@@ -37,10 +37,10 @@
 	for _, s := range t.servers {
 		into.Fleet = append(into.Fleet, s.Identity)
 		if len(s.Addrs) > 1 {
-			several++
+			multiAddr++
 		}
 	}
-	if several == 0 || lastConnected == nil {
+	if multiAddr == 0 || lastConnected == nil {
 		return
 	}
 	known := make(map[string]bool, len(into.Servers))
@@ -71,9 +71,9 @@
 }
 
 // Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
-// the number of servers with such facts and the addresses of them that had connected. Facts about servers that are never
-// listed are dropped with DropRestored.
-func (t *Tracker) Recall(now time.Duration, clock learned.Clock) (servers int, worked []string) {
+// the number of servers with such facts, and the addresses that connected last for servers with several. Facts about servers
+// that are never listed are dropped with DropRestored.
+func (t *Tracker) Recall(now time.Duration, clock learned.Clock) (servers int, connected []string) {
 	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
 	}
@@ -81,12 +81,12 @@
 		s := t.servers[n.ID]
 		return s == nil || s.Identity != n.Identity
 	})
-	m, worked := t.past.Recall(clock, t.newlyListed, len(t.servers))
+	m, connected := t.past.Recall(clock, t.newlyListed, len(t.servers))
 	if t.newlyListed = t.newlyListed[:0]; t.past.Remaining() == 0 {
 		t.past = nil
 	}
 	t.balancer.Recall(now, m)
-	return len(m.Servers), worked
+	return len(m.Servers), connected
 }
 
 // DropRestored drops the facts of the earlier process that were not recalled yet.
--- a/internal/decide/calltrack/overrides.go
+++ b/internal/decide/calltrack/overrides.go
@@ -53,7 +53,8 @@
 	return t.commands
 }
 
-// RestoreLearned gives the module what an earlier process of this agent had learned up to now.
+// RestoreLearned gives the module what the process that this one replaces has learned. Unlike the facts of
+// LoadRestored, these are not aged.
 func (t *Tracker) RestoreLearned(now time.Duration, m choice.Memory) { t.balancer.Recall(now, m) }
 
 // ListedServer returns the entry of a server in the server list, before the operators' overrides.
--- a/internal/decide/calltrack/record.go
+++ b/internal/decide/calltrack/record.go
@@ -54,7 +54,7 @@
 // recordAttempt keeps an ended attempt for the request's Record. A first attempt that is served is not kept, as nearly all
 // requests end that way.
 func (t *Tracker) recordAttempt(at *Attempt, e AttemptOutcome) {
-	if t.set.Observe == nil || e.Result == choice.OK && at.Number == 0 {
+	if t.settings.Observe == nil || e.Result == choice.OK && at.Number == 0 {
 		return
 	}
 	call := at.Call
@@ -64,7 +64,7 @@
 
 // recordUnsent keeps an attempt that the module ordered and that was not started.
 func (t *Tracker) recordUnsent(call *Call, act choice.Action, result choice.Result) {
-	if t.set.Observe == nil {
+	if t.settings.Observe == nil {
 		return
 	}
 	at := t.now - call.receivedAt
@@ -74,7 +74,7 @@
 // observe counts the end of a request and passes its Record to the host. It is called once for each request, and a second time
 // if the answer breaks off while it is relayed: the request was observed as answered when the relaying started.
 func (t *Tracker) observe(call *Call, kind AnswerKind, reason Reason) {
-	if t.set.Observe == nil {
+	if t.settings.Observe == nil {
 		return
 	}
 	if reason != ReasonAnswered {
@@ -87,7 +87,7 @@
 			r.Attempts = append(r.Attempts, AttemptRecord{Server: at.Server.ID, Reason: at.Reason, Sent: at.Sent - call.receivedAt, InFlight: true})
 		}
 	}
-	t.set.Observe(r)
+	t.settings.Observe(r)
 }
 
 // ReasonCounts returns the number of ended requests by reason, except ReasonAnswered. The caller must not modify it.
--- a/internal/decide/calltrack/routed.go
+++ b/internal/decide/calltrack/routed.go
@@ -8,34 +8,35 @@
 	"ternbeam/internal/decide/routes"
 )
 
-// routesToken identifies the timer at which the routes forget something. It cannot collide with the module's tokens, which
+// routesToken identifies the timer at which rejections of shapes expire in the Router. It cannot collide with the module's tokens, which
 // count up from 0.
 const routesToken = math.MaxUint64
 
-// classify sets which capabilities a server needs to receive a call. They depend on the call's shape, if it has one.
-func (t *Tracker) classify(call *Call) {
-	if call.Shape.IsSet() && t.set.Routes != nil {
-		call.RequiredProtocols = t.set.Routes.Needs(call.Shape, false)
+// setRequiredProtocols sets the protocols and shape capabilities that a server needs to receive a call with a shape. Package
+// routes represents the capabilities as bits of choice.Protocols.
+func (t *Tracker) setRequiredProtocols(call *Call) {
+	if call.Shape.IsSet() && t.settings.Routes != nil {
+		call.RequiredProtocols = t.settings.Routes.Needs(call.Shape, false)
 	}
 }
 
-// moduleEntry returns an entry of the server list as the module is given it, with the capabilities by shape.
+// moduleEntry returns an entry of the server list in the form for the module, with the capabilities by shape.
 func (t *Tracker) moduleEntry(e Entry) choice.Server {
-	if t.set.Routes == nil {
+	if t.settings.Routes == nil {
 		return e.Server
 	}
-	return t.set.Routes.UpdateServer(e.Server, e.Shapes)
+	return t.settings.Routes.UpdateServer(e.Server, e.Shapes)
 }
 
-// wayTo returns how a call is sent to a server, or false if the server does not accept it. A call without a shape is sent
+// routeTo returns how a call is sent to a server, or false if the server does not accept it. A call without a shape is sent
 // unchanged.
-func (t *Tracker) wayTo(call *Call, server string) (routes.Route, bool) {
-	if !call.Shape.IsSet() || t.set.Routes == nil {
+func (t *Tracker) routeTo(call *Call, server string) (routes.Route, bool) {
+	if !call.Shape.IsSet() || t.settings.Routes == nil {
 		return routes.Route{Protocol: call.RequiredProtocols}, true
 	}
-	way, ok := t.set.Routes.Route(call.Shape, server)
+	route, ok := t.settings.Routes.Route(call.Shape, server)
 	// An untranslatable call can only be sent unchanged. The server accepted that when the module was asked, but no longer does.
-	return way, ok && (way.Plan == nil || call.untranslatable == nil)
+	return route, ok && (route.Plan == nil || call.untranslatable == nil)
 }
 
 // learnShape learns from the end of an attempt which shapes its server accepts.
@@ -46,24 +47,24 @@
 	case e.ReplyUntranslatable != nil:
 		t.stats.UntranslatableReplies++
 	}
-	if t.set.Routes == nil || at.Route.To == nil {
+	if t.settings.Routes == nil || at.Route.To == nil {
 		return
 	}
 	switch {
 	case e.ShapeUnknown:
 		t.stats.UnknownShapes++
-		t.updateModule(t.set.Routes.MarkUnknown(t.now, at.Server.ID, time.Duration(at.Server.Started)*time.Millisecond, at.Route.To.Version))
+		t.updateModule(t.settings.Routes.MarkUnknown(t.now, at.Server.ID, time.Duration(at.Server.Started)*time.Millisecond, at.Route.To.Version))
 	case e.Result == choice.OK:
-		t.set.Routes.MarkKnown(at.Server.ID, at.Route.To.Version)
+		t.settings.Routes.MarkKnown(at.Server.ID, at.Route.To.Version)
 	}
 }
 
-// updateModule gives the module the changed servers, and sets the timer at which the routes next forget something.
+// updateModule gives the module the changed servers, and sets the timer at which the next rejection of a shape expires.
 func (t *Tracker) updateModule(changed []choice.Server) {
 	if len(changed) > 0 {
 		t.handle(choice.ServerList{Servers: changed})
 	}
-	if at, any := t.set.Routes.NextExpiry(); any && (t.routesTimer == 0 || at < t.routesTimer) {
+	if at, any := t.settings.Routes.NextExpiry(); any && (t.routesTimer == 0 || at < t.routesTimer) {
 		t.routesTimer = at
 		t.emit(Command{Kind: SetTimer, Token: routesToken, At: at})
 	}
@@ -76,13 +77,13 @@
 	if call.untranslatable == nil {
 		call.untranslatable = why
 	}
-	if call.Finished() || at.Number > 0 || call.inFlight > 0 || t.set.Routes == nil {
+	if call.Finished() || at.Number > 0 || call.inFlight > 0 || t.settings.Routes == nil {
 		return false
 	}
 	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: choice.NotSent,
 		Closed: true, Report: choice.NoReport})
 	call.attempts = call.attempts[:0]
-	call.RequiredProtocols = t.set.Routes.Needs(call.Shape, true)
+	call.RequiredProtocols = t.settings.Routes.Needs(call.Shape, true)
 	t.handle(call.Request)
 	return true
 }
@@ -90,7 +91,7 @@
 // ReplaceRoutes switches to another table of shapes. Calls in progress keep the table that they started with.
 func (t *Tracker) ReplaceRoutes(now time.Duration, table *routes.Table) ([]Command, error) {
 	t.startStep(now)
-	changed, err := t.set.Routes.ReplaceTable(table)
+	changed, err := t.settings.Routes.ReplaceTable(table)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/decide/calltrack/routed_test.go
+++ b/internal/decide/calltrack/routed_test.go
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// However often servers reject a shape, each time at which the routes forget something has one timer in effect, and a timer that
-// was superseded by an earlier one sets no further timers.
+// However often servers reject a shape, each time at which a rejection expires has one timer in effect, and a timer that was
+// superseded by an earlier one sets no further timers.
 func TestTimersOfRoutesDoNotGrow(t *testing.T) {
 	tab := routes.NewTable([]routes.Shape{{Name: "one", Version: "a/1", Speaks: 1}})
 	r, err := routes.New(routes.Settings{RejectionTTL: time.Second, MaxRejectionTTL: time.Minute}, tab)
@@ -58,7 +58,7 @@
 	}{
 		{func() []time.Duration { return reject(0, "a") }, 1000 * ms},
 		{func() []time.Duration { return fire(1000 * ms) }, 0},
-		{func() []time.Duration { return reject(1000*ms, "a") }, 3000 * ms}, // the time to forget doubles
+		{func() []time.Duration { return reject(1000*ms, "a") }, 3000 * ms}, // the time for which a rejection counts doubles
 		{func() []time.Duration { return reject(1500*ms, "b") }, 2500 * ms}, // earlier than the one that is set
 		{func() []time.Duration { return fire(2500 * ms) }, 3000 * ms},      // set a second time for 3000
 		{func() []time.Duration { return reject(2900*ms, "c") }, 0},         // would be 3900, after the one that is set
--- a/internal/decide/calltrack/tracker.go
+++ b/internal/decide/calltrack/tracker.go
@@ -34,7 +34,7 @@
 	finished       atomic.Bool // the final answer has been given, or the client has disconnected
 	disconnected   atomic.Bool // the client has disconnected; the Tracker may not have been notified yet
 	attempts       []*Attempt  // by attempt number; nil once an attempt has ended
-	inFlight       int         // attempts in flight
+	inFlight       int         // number of attempts in flight
 	untranslatable error       // why the call can't be translated into another shape
 	relaying       *Attempt    // the attempt whose answer is being relayed to the client; nil before and after
 
@@ -107,7 +107,7 @@
 	WriteBy        time.Time                      // set by the host: SendBy on the system clock
 }
 
-// ReportIllegalStep passes err to OnIllegalStep, unless one of them is nil.
+// ReportIllegalStep passes err to OnIllegalStep, unless either is nil.
 func (at *Attempt) ReportIllegalStep(err error) {
 	if err != nil && at.OnIllegalStep != nil {
 		at.OnIllegalStep(err)
@@ -219,12 +219,12 @@
 	OnIllegalStep func(error)                       // called with illegal state transitions, which are bugs in this program; may be nil
 	Routes        *routes.Router                    // routing by shape; nil if calls have no shapes
 	Observe       func(Record)                      // receives the Record of each ended request, on the event loop; nil to keep no records
-	Ranks         *subset.Subset                    // this agent's ranks at servers; nil for the first rank at each
+	Ranks         *subset.Subset                    // this agent's ranks at servers; nil for rank 0 at each
 }
 
 // Tracker tracks the calls of an agent. It is not safe for concurrent use.
 type Tracker struct {
-	set          Settings
+	settings     Settings
 	balancer     Module
 	now          time.Duration
 	pending      []choice.Event // events that the module has not handled yet; actions on one event may add further ones
@@ -239,14 +239,14 @@
 	stats        Stats
 	past         *aging.Restored      // facts learned by an earlier process; nil if there are none
 	newlyListed  []aging.ListedServer // listed servers that Recall has not looked up in past yet
-	routesTimer  time.Duration        // the time for which the routes' timer is set; 0 if it is not set
+	routesTimer  time.Duration        // the time for which the timer of routesToken is set; 0 if it is not set
 	shutdownBy   time.Duration        // the time by which all calls must be answered, as the process shuts down; 0 before that
 	reasonCounts map[Reason]int       // number of ended requests by reason, if Settings.Observe is set
 }
 
 // New returns a Tracker that uses balancer as its decision module.
 func New(set Settings, balancer Module) *Tracker {
-	return &Tracker{set: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*lifecycle.Server{},
+	return &Tracker{settings: set, balancer: balancer, calls: map[string]*Call{}, servers: map[string]*lifecycle.Server{},
 		listed: map[string]Entry{}, stats: Stats{Classes: make([]ClassStats, set.Classes)}, reasonCounts: map[Reason]int{}}
 }
 
@@ -270,7 +270,7 @@
 			return t.commands
 		}
 		t.routesTimer = 0
-		t.updateModule(t.set.Routes.Expire(now))
+		t.updateModule(t.settings.Routes.Expire(now))
 		return t.commands
 	}
 	t.handle(choice.TimerFired{Token: token})
@@ -289,12 +289,12 @@
 		t.observe(call, Failed, ReasonDisconnected)
 	case t.calls[call.ID] != nil: // ids must be unique
 		t.reply(call, Answer{Kind: Duplicate}, ReasonDuplicateID)
-	case t.set.MaxUnanswered > 0 && t.unanswered >= t.set.MaxUnanswered: // refused without the module
+	case t.settings.MaxUnanswered > 0 && t.unanswered >= t.settings.MaxUnanswered: // refused without the module
 		t.reply(call, Answer{Kind: Refused}, ReasonRequestLimit)
 	default:
 		t.calls[call.ID] = call
 		t.unanswered++
-		t.classify(call)
+		t.setRequiredProtocols(call)
 		t.handle(call.Request)
 	}
 	return t.commands
@@ -383,10 +383,10 @@
 	if known, ok := t.listed[id]; ok {
 		return known.SubsetRank
 	}
-	if t.set.Ranks == nil {
+	if t.settings.Ranks == nil {
 		return 0
 	}
-	return t.set.Ranks.Rank(id)
+	return t.settings.Ranks.Rank(id)
 }
 
 // applyEntries applies entries of the server list after the operators' overrides.
@@ -401,8 +401,8 @@
 	for id := range t.servers {
 		if full && !named[id] {
 			t.retire(id)
-			if t.set.Routes != nil {
-				t.set.Routes.RemoveServer(id)
+			if t.settings.Routes != nil {
+				t.settings.Routes.RemoveServer(id)
 			}
 		}
 	}
@@ -472,7 +472,7 @@
 			}
 		case choice.Refuse:
 			answer := Answer{Kind: Refused, After: act.After}
-			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.set.Routes.AnyUntranslated(call.Shape) {
+			if call := t.calls[act.Request]; call != nil && call.untranslatable != nil && !t.settings.Routes.AnyUntranslated(call.Shape) {
 				answer = Answer{Kind: Untranslatable, Cause: call.untranslatable}
 			}
 			t.finish(act.Request, answer, Reason(act.Reason.String()))
@@ -482,7 +482,7 @@
 	}
 }
 
-// send starts an attempt, or reports at once to the module why it is not made. Attempts are numbered in the order in which the
+// send starts an attempt, or at once gives the module its outcome if it is not made. Attempts are numbered in the order in which the
 // module orders them, including those that are not sent.
 func (t *Tracker) send(call *Call, act choice.Action) {
 	n := len(call.attempts)
@@ -493,20 +493,20 @@
 		end = min(end, t.now+act.After)
 	}
 	s := t.servers[act.Server]
-	way, fits := t.wayTo(call, act.Server)
+	route, fits := t.routeTo(call, act.Server)
 	failed := choice.Outcome{Request: call.ID, Attempt: n, Server: act.Server, Closed: call.Finished(), Report: choice.NoReport}
 	switch {
-	case failed.Closed || n >= t.set.MaxAttempts || end <= t.now || s != nil && (!fits || !t.set.HasTransport(way.Protocol)):
+	case failed.Closed || n >= t.settings.MaxAttempts || end <= t.now || s != nil && (!fits || !t.settings.HasTransport(route.Protocol)):
 		failed.Result = choice.NotSent
 	case s == nil:
 		failed.Result = choice.ConnectFailed
 	default:
-		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, Deadline: end, OnIllegalStep: t.set.OnIllegalStep, Route: way,
-			Speaks: way.Protocol, Payload: call.Payload}
+		at := &Attempt{Call: call, Number: n, Reason: act.Reason, Server: s, Sent: t.now, Deadline: end, OnIllegalStep: t.settings.OnIllegalStep,
+			Route: route, Speaks: route.Protocol, Payload: call.Payload}
 		if act.SendWithin != 0 {
 			at.SendBy = t.now + act.SendWithin
 		}
-		if way.Plan != nil {
+		if route.Plan != nil {
 			t.stats.Translated++
 		}
 		call.attempts[n] = at
--- a/internal/decide/gossip/datagram.go
+++ b/internal/decide/gossip/datagram.go
@@ -15,10 +15,10 @@
 	From    peerstate.Heartbeat
 	Gen     uint64                // generation of the sender's list
 	At      Cursor                // up to which the sender's list is complete
-	Order   uint16                // order of rows to which At refers, where it lies within a version
+	Order   uint16                // order of rows to which At refers, if it lies within a version
 	Age     time.Duration         // how long ago the sender's list was that of the service
 	Request bool                  // the sender requests what it lacks
-	Busy    bool                  // the sender is receiving that from another agent
+	Busy    bool                  // the sender is receiving what it lacks from another agent
 	Others  []peerstate.Heartbeat // heartbeats of other agents
 	Chunk   *Chunk
 }
@@ -27,15 +27,15 @@
 type Chunk struct {
 	Gen   uint64
 	Order uint16 // order of rows to which the cursors refer
-	After Cursor // an agent that is complete up to After
-	Upto  Cursor // is complete up to Upto with these rows
+	After Cursor // an agent whose list is complete up to After
+	Upto  Cursor // has it complete up to Upto with these rows
 	Head  int64  // version of the complete list of the sender
 	Rows  []Row
 }
 
 // Bounds of a datagram's contents.
 const (
-	MinDatagramBytes = 256 // the least that may be configured
+	MinDatagramBytes = 256 // minimum of Settings.DatagramBytes
 	MaxDatagramBytes = 8192
 	maxRows          = 256
 	maxOthers        = 256
@@ -202,13 +202,13 @@
 	return c
 }
 
-// Encoded sizes in bytes.
+// Encoded sizes in bytes: one for the header of an array of up to 23 elements, for other values see intBytes.
 const (
-	maxHeartbeatBytes = 1 + 5 + 9 + 5 + 2 + 5 // most bytes of a heartbeat
-	chunkHeaderBytes  = 1 + 9 + 3 + 9 + 3     // a chunk without its cursors and rows
+	maxHeartbeatBytes = 1 + 5 + 9 + 5 + 2 + 5 // maximum of the array header, Index, Epoch, Seq, Flags and Age
+	chunkHeaderBytes  = 1 + 9 + 3 + 9 + 3     // maximum of the array header, Gen, Order, Head and the header of Rows
 )
 
-// intBytes returns the encoded size of a non-negative integer or a length.
+// intBytes returns the encoded size of a non-negative integer, or of the header of a text, a byte string or an array.
 func intBytes(x uint64) int {
 	switch {
 	case x < 24:
@@ -223,10 +223,11 @@
 	return 9
 }
 
+// textBytes returns the encoded size of a text or byte string of n bytes.
 func textBytes(n int) int { return intBytes(uint64(n)) + n }
 
 func (c Cursor) encodedBytes() int { return 1 + intBytes(uint64(c.Version)) + textBytes(len(c.ID)) }
 
 func (r *Row) encodedBytes() int {
-	return 1 + textBytes(len(r.ID)) + intBytes(uint64(r.Version)) + 2 + textBytes(len(r.Body))
+	return 1 + textBytes(len(r.ID)) + intBytes(uint64(r.Version)) + 2 + textBytes(len(r.Body)) // 2 for Removed and Draining
 }
--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,7 +1,8 @@
 // Package gossip decides how the list of servers spreads among agents. A few agents, chosen without a leader, hold
-// watches on the discovery service; the others receive the list from them and from one another, by periodic digests,
-// datagrams without rows, to random agents and by chunks that are sent as soon as something changes. An agent that
-// knows of no other agent with a fresher list calls the service itself. The package does no I/O and reads no clock.
+// watches on the discovery service; the others receive the list from them and from one another. Each agent periodically
+// sends a digest, which is a datagram without rows, to a random other agent, and sends chunks of the list as soon as
+// something changes. An agent that knows of no other agent with a fresher list calls the service itself. The package
+// does no I/O and reads no clock.
 // docs/design/cold-start.md derives the figures.
 package gossip
 
@@ -18,10 +19,10 @@
 
 // Settings configure a Node, apart from its index.
 type Settings struct {
-	DatagramBytes  int           // most bytes of a datagram
+	DatagramBytes  int           // maximum size of a datagram in bytes
 	DigestInterval time.Duration // mean time between two digests
-	Fanout         int           // agents that are notified of a change at once
-	Watchers       int           // agents that are to watch the service
+	Fanout         int           // number of agents that are notified of a change at once
+	Watchers       int           // number of agents that are to watch the service
 	WatcherDelay   time.Duration // until further agents try to become watchers; each such delay doubles their number
 	StaleAfter     time.Duration // an agent whose list was not confirmed for this long calls the service itself
 	SurplusDelay   time.Duration // how long there must be too many watchers before one ends its watch
@@ -45,10 +46,10 @@
 	burstChunks = 32
 	// maxStash is how many chunks that arrive out of order are kept.
 	maxStash = 64
-	// chunksPerSecond bounds the chunks that an agent sends.
+	// chunksPerSecond bounds the chunks that an agent sends, apart from bursts of half a second's chunks.
 	chunksPerSecond = 600
-	// firstListTimeout is how long after the response to a watch request has begun the first list arrives, if anything
-	// has changed.
+	// firstListTimeout is the time from the start of the response to a watch request within which the first list arrives,
+	// if anything has changed.
 	firstListTimeout = 100 * time.Millisecond
 	// resendGap is the time between two requests for a chunk that was lost.
 	resendGap = 200 * time.Millisecond
@@ -84,7 +85,7 @@
 	Rows     []Row
 }
 
-// Node decides for one agent. It is not safe for concurrent use.
+// Node decides what one agent sends to others and when it watches the service. It is not safe for concurrent use.
 type Node struct {
 	settings  Settings
 	peers     *peerstate.Table
@@ -94,25 +95,25 @@
 	now       time.Duration
 	actions   []Action
 
-	bestWatchers   []int // the known watchers of lowest rank
-	list           *versionedList
-	restored       []Row // the list known at the start, until the service has confirmed it
-	version        int64 // version of restored
-	freshAt        time.Duration
-	transfer       *transfer
+	bestWatchers   []int           // the known watchers of lowest rank
+	list           *versionedList  // the latest complete list; empty and of generation 0 before there is one
+	restored       []Row           // the list known at the start, until the service has confirmed it
+	version        int64           // version of restored
+	freshAt        time.Duration   // when the list was last known to be that of the service
+	transfer       *transfer       // nil if none is in progress
 	deliveredEarly map[string]bool // servers whose drain or removal was delivered before the list was complete
 	requestedAt    time.Duration   // when the list was last requested
 	tokens         float64         // chunks that may be sent now
-	refilledAt     time.Duration
+	refilledAt     time.Duration   // when tokens was last refilled
 
 	watch         watchState
-	answeredAt    time.Duration // when the service answered
+	answeredAt    time.Duration // when the service accepted the watch
 	confirmed     bool          // the service has confirmed the list
 	seenVersion   int64         // version of the latest list of the watch
 	shortageSince time.Duration // since when there are too few watchers; 0 if there are enough
 	surplusSince  time.Duration // since when there are too many watchers; 0 if there are not
 	callAt        time.Duration // when to call the service; 0 for never
-	callEnded     bool          // the latest call has ended
+	callEnded     bool          // a call has ended, and since then none was made and none became unnecessary
 	retryAfter    time.Duration // earliest time of the next call
 	retryAt       time.Duration // time of the next call; 0 if not determined yet
 	slotAt        time.Duration // this agent's time slot, determined when its list became stale; 0 while it is not
@@ -132,16 +133,16 @@
 
 // transfer is a list, or the changes of one, that is being received from another agent.
 type transfer struct {
-	from        int
-	gen         uint64
-	order       uint16
-	full        bool
-	cursor      Cursor
-	head        int64
+	from        int    // index of the agent
+	gen         uint64 // generation of the sender's list
+	order       uint16 // the sender's order of rows
+	full        bool   // it is a whole list, not only changes
+	cursor      Cursor // complete up to here
+	head        int64  // version of the sender's list
 	rows        []Row
-	stash       []*Chunk
-	lastChunkAt time.Duration // when a chunk arrived
-	requestedAt time.Duration
+	stash       []*Chunk      // chunks that arrived out of order
+	lastChunkAt time.Duration // when the latest chunk arrived
+	requestedAt time.Duration // when the rest was last requested, or the start
 }
 
 // New returns a Node. The restored list of the given version is not passed on before the service has confirmed it.
@@ -161,7 +162,7 @@
 }
 
 // rankHash returns a number that is the same at every agent, so that agents of neighboring indexes, which may share a
-// machine or a zone, are not neighbors by rank.
+// machine or a zone, are not neighbors by rank. The constants are those of SplitMix64.
 func rankHash(index int) uint64 {
 	x := uint64(index+1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -176,7 +177,7 @@
 
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// Start returns the first actions.
+// Start returns the first actions. The first digest is sent within a quarter of the usual interval.
 func (n *Node) Start(now time.Duration) []Action {
 	n.advance(now)
 	n.freshAt = n.now // counts as fresh, to wait for other agents before calling the service
@@ -206,7 +207,7 @@
 	return next
 }
 
-// Tick advances the time.
+// Tick advances the time. The time to the next digest varies by a quarter of DigestInterval.
 func (n *Node) Tick(now time.Duration) []Action {
 	n.advance(now)
 	if n.now >= n.nextDigest {
@@ -236,8 +237,8 @@
 // Rows returns the servers of the list.
 func (n *Node) Rows() []Row { return n.list.live() }
 
-// pickPeer draws a random agent to send to: one that is known to be alive, or occasionally any, so that agents that lost
-// contact find one another again.
+// pickPeer draws a random agent to send to: one that is known to be alive, or once in eight times any, so that agents that
+// lost contact find one another again. It tries eight times; the last draw is taken whoever it is.
 func (n *Node) pickPeer() (index int, ok bool) {
 	if n.peers.Agents() < 2 {
 		return 0, false
@@ -306,8 +307,8 @@
 		return nil
 	}
 	n.peers.Receive(n.now, d.From)
-	for _, w := range d.Others {
-		n.peers.Receive(n.now, w)
+	for _, h := range d.Others {
+		n.peers.Receive(n.now, h)
 	}
 	if d.Chunk != nil {
 		n.receiveChunk(d.From.Index, d.Chunk)
@@ -317,7 +318,7 @@
 	return n.actions
 }
 
-// reconcile determines which of the two agents is behind.
+// reconcile determines which of the two agents is behind, and sends or requests what that one lacks.
 func (n *Node) reconcile(d *Datagram) {
 	if d.Gen == 0 && n.list.gen == 0 {
 		return
@@ -326,14 +327,14 @@
 	switch {
 	case d.Gen == n.list.gen && complete && d.At.Version == n.list.head:
 		if n.freshAt = max(n.freshAt, n.now-d.Age); d.Age > n.now-n.freshAt+2*n.settings.DigestInterval {
-			n.sendDigest(d.From.Index, false) // that agent only lacks the information that nothing has changed
+			n.sendDigest(d.From.Index, false) // the sender only lacks the information that nothing has changed
 		}
 	case d.Gen > n.list.gen || d.Gen == n.list.gen && complete && d.At.Version > n.list.head:
 		if complete && n.transfer == nil && n.now-n.requestedAt >= requestInterval {
 			n.requestedAt = n.now
 			n.sendDigest(d.From.Index, true)
 		}
-	case d.Busy || d.Chunk != nil && !d.Request: // it receives its list from another agent, or is sending one itself
+	case d.Busy || d.Chunk != nil && !d.Request: // the sender receives its list from another agent, or is sending one itself
 	default:
 		after := Cursor{}
 		if d.Gen == n.list.gen && n.list.covers(d.At) && (complete || d.Order == n.list.order) {
@@ -401,8 +402,8 @@
 	return max(t.lastChunkAt, t.requestedAt) + stallTimeout
 }
 
-// add takes a chunk that continues the transfer, and keeps one that is out of order. It reports whether the transfer has
-// made progress.
+// add adds a chunk that continues the transfer, and keeps one that is out of order in the stash. It reports whether the
+// transfer has made progress.
 func (t *transfer) add(c *Chunk) bool {
 	switch {
 	case c.Upto.compare(t.cursor) <= 0:
@@ -422,10 +423,10 @@
 	return true
 }
 
-// maxListRows bounds the servers in a list, including tombstones.
+// maxListRows bounds the rows of a list: listcheck.MaxServers servers, and the tombstones.
 const maxListRows = 50_000 + maxTombstones
 
-// deliverEarly delivers drains and removals before the list is complete: they take away no server that is needed, and
+// deliverEarly delivers drains and removals before the transfer is complete: no server in them is needed any more, so they
 // need not wait for the rest.
 func (n *Node) deliverEarly(t *transfer) {
 	if t.gen != n.list.gen {
@@ -471,15 +472,16 @@
 	n.announce(0, list.live(), true)
 }
 
-// put stores a row in the list. It reports whether it has to be delivered: also where it equals the row before, if
-// another one was delivered early from a transfer that never completed.
+// put stores a row in the list. It reports whether the row has to be delivered: also if it equals the previous row of the
+// server, but another one was delivered early from a transfer that never completed.
 func (n *Node) put(r Row) bool {
 	changed := n.list.put(r) || n.deliveredEarly[r.ID]
 	delete(n.deliveredEarly, r.ID)
 	return changed
 }
 
-// suspicious reports whether a list removes so many servers that other agents' data is not enough for it yet.
+// suspicious reports whether a list from other agents removes more than half of the servers, so that it has to wait for
+// confirmation by the service, up to confirmTimeout.
 func (n *Node) suspicious(next *versionedList) bool {
 	had, lost := 0, 0
 	for id, r := range n.list.rows {
@@ -500,7 +502,8 @@
 	return n.now-n.suspectSince < confirmTimeout
 }
 
-// announce delivers changes to the module and sends them to some other agents.
+// announce delivers changes to the module and notifies some other agents: by the changes since the previous version, as far
+// as they fit into two chunks, or by a digest if there is none. The agents request the rest.
 func (n *Node) announce(previous int64, changed []Row, full bool) {
 	if full || len(changed) > 0 {
 		n.emit(Action{Kind: Deliver, Full: full, Rows: changed})
@@ -566,7 +569,7 @@
 // ListReceived processes a list of the watch that was accepted, or changes of it.
 func (n *Node) ListReceived(now time.Duration, version int64, full bool, rows []Row) []Action {
 	n.advance(now)
-	restarted := version < n.seenVersion // accepted all the same: the service has restarted its count of versions
+	restarted := version < n.seenVersion // as the list was accepted, the service has restarted its count of versions
 	n.seenVersion = version
 	if n.list.gen == 0 || restarted {
 		var base []Row
@@ -649,7 +652,7 @@
 		return
 	}
 	n.surplusSince = 0
-	// A list that is being received is waited for, but not forever.
+	// A list that is being received is waited for, but not for longer than three times StaleAfter.
 	receiving := n.transfer != nil && n.now-n.transfer.lastChunkAt < transferTimeout && n.now-n.freshAt < 3*n.settings.StaleAfter
 	stale := n.now-n.freshAt > n.settings.StaleAfter && !receiving || n.suspectSince > 0
 	if !stale && len(watchers) >= n.settings.Watchers {
@@ -659,8 +662,9 @@
 	if n.shortageSince == 0 {
 		n.shortageSince = n.now
 	}
-	// Agents of lower rank go first, then twice as many in each further WatcherDelay. An agent whose list is stale also
-	// has a slot of its own.
+	// Agents of lower rank go first, then twice as many in each further WatcherDelay. Those that are leaving, or sent no
+	// heartbeat for twice watcherTimeout, are not waited for; those of which nothing is known are. An agent whose list is
+	// stale also has a time slot of its own.
 	before, alive := 0, 0
 	for p, rank := range n.ranks {
 		peer, known := n.peers.Get(p)
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -22,9 +22,9 @@
 
 	set         Settings
 	nodes       []*host
-	delay       time.Duration
-	loss        float64
-	dup         float64
+	delay       time.Duration           // maximum delay of a datagram
+	loss        float64                 // share of datagrams that are lost
+	dup         float64                 // share of datagrams that arrive twice
 	partitioned func(from, to int) bool // whether datagrams between two nodes are dropped; nil for none
 	replay      bool                    // some datagrams arrive a second time, much later
 
@@ -32,10 +32,10 @@
 	rows      map[string]Row
 	log       []Row // the change at i made version i+1
 	changedAt []time.Duration
-	callTime  time.Duration
-	freeAt    time.Duration
-	down      bool
-	reachable func(place int) bool // whether a node reaches the service; nil for all
+	callTime  time.Duration        // that the service needs for a call
+	freeAt    time.Duration        // when the service has worked through its calls
+	down      bool                 // the service is down
+	reachable func(index int) bool // whether a node reaches the service; nil for all
 	calls     int
 	sent      int
 	bytes     int
@@ -66,7 +66,7 @@
 	w         *world
 	index     int
 	node      *Node
-	life      int
+	life      int // counts processes; timers of earlier ones are ignored
 	alive     bool
 	timerAt   time.Duration // when the latest timer expires
 	watch     int           // counts watches; events of earlier ones are ignored
@@ -481,7 +481,7 @@
 func TestPartition(t *testing.T) {
 	w := newSettledWorld(t, 40, 30, 1)
 	w.partitioned = func(from, to int) bool { return from < 4 != (to < 4) }
-	w.reachable = func(place int) bool { return place < 4 }
+	w.reachable = func(index int) bool { return index < 4 }
 	w.run(10 * time.Second)
 	w.publish(Row{ID: "forms-3", Draining: true, Body: []byte("drains")})
 	w.publish(Row{ID: "forms-4", Removed: true})
@@ -620,7 +620,7 @@
 	if err != nil || !reflect.DeepEqual(got, &d) {
 		t.Errorf("%+v %+v, %v", got, got.Chunk, err)
 	}
-	for name, spoil := range map[string]func(*Datagram){
+	for name, corrupt := range map[string]func(*Datagram){
 		"a row after its chunk":  func(d *Datagram) { d.Chunk.Rows[0].Version = 42 },
 		"a row before its chunk": func(d *Datagram) { d.Chunk.Rows[0].Version = 40 },
 		"backwards":              func(d *Datagram) { d.Chunk.After.Version = 50 },
@@ -631,7 +631,7 @@
 		"too large":              func(d *Datagram) { d.Chunk.Rows[0].Body = make([]byte, MaxDatagramBytes) },
 	} {
 		bad, _ := Decode(d.Encode())
-		spoil(bad)
+		corrupt(bad)
 		if _, err := Decode(bad.Encode()); err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/internal/decide/gossip/versionedlist.go
+++ b/internal/decide/gossip/versionedlist.go
@@ -31,17 +31,17 @@
 
 func (r *Row) cursor() Cursor { return Cursor{r.Version, r.ID} }
 
-// versionedList is a list that is at least at a given version. The version of a row is one at which the row was as it
-// is: an agent that received several versions at once may assign a later version than others, but never one earlier than
-// the change.
+// versionedList is a server list that has all changes up to a version, and possibly later ones. The version of a row is
+// one at which the row had its present content: an agent that received several versions at once may assign a later
+// version to the row than others do, but never one earlier than that of the change.
 type versionedList struct {
-	gen        uint64 // generation: number of the service's count of versions; 0 for none
-	order      uint16 // random id of the order of rows: in another agent's list rows may have other versions
-	head       int64  // version of the list
-	floor      int64  // tombstones of earlier versions were discarded
-	rows       map[string]*Row
-	byCursor   []*Row
-	tombstones int // number of tombstones
+	gen        uint64          // generation: number of the service's count of versions; 0 for none
+	order      uint16          // random id of the order of rows: in another agent's list rows may have other versions
+	head       int64           // version up to which the list has all changes
+	floor      int64           // tombstones up to this version may have been discarded
+	rows       map[string]*Row // by server id, including tombstones
+	byCursor   []*Row          // the same, ordered by cursor
+	tombstones int             // number of tombstones
 }
 
 // maxTombstones is how many tombstones are kept.
@@ -92,7 +92,7 @@
 // end returns the cursor after all rows.
 func (l *versionedList) end() Cursor { return Cursor{l.head, lastID} }
 
-// covers reports whether an agent that is complete up to a cursor can be sent just the rest.
+// covers reports whether an agent whose list is complete up to a cursor needs only the rows after it.
 func (l *versionedList) covers(c Cursor) bool { return c.Version >= l.floor }
 
 // live returns the rows without tombstones.
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -13,7 +13,7 @@
 	"ternbeam/internal/decide/overrides"
 )
 
-// State is the state that a process starts with if it replaces another one.
+// State is the state that a process takes over from the one that it replaces.
 type State struct {
 	Name      string             `json:"name"`
 	Discovery string             `json:"discovery"`         // address of List's source; list versions differ between sources
--- a/internal/decide/learned/learned.go
+++ b/internal/decide/learned/learned.go
@@ -37,7 +37,7 @@
 func Identity(s choice.Server, addr string, multiplexed bool) uint64 {
 	b := make([]byte, 0, 128)
 	text := func(t string) { b = append(append(b, byte(len(t)), byte(len(t)>>8)), t...) }
-	number := func(x uint64) {
+	number := func(x uint64) { // its bytes, the lowest first, and an end mark
 		for ; ; x >>= 8 {
 			if b = append(b, byte(x)); x < 256 {
 				b = append(b, 0xff)
@@ -130,17 +130,17 @@
 	return n
 }
 
-// Weights of differences between two states; 1 stands for one server that is new or unknown.
+// Weights of differences between two states; 1 is the difference by one server that is new or no longer known.
 const (
 	weightCapacity = 1.0  // a capacity that doubled, halved, appeared or disappeared
 	weightFailing  = 1.0  // a failure rate that changed by 1
 	weightEjected  = 1.0  // a server that was ejected, or is no longer
-	weightTimes    = 1.0  // a class whose usual time doubled or halved
+	weightLatency  = 1.0  // a class whose usual time doubled or halved
 	weightAddress  = 0.25 // a server that connects by another address
 	weightFleet    = 0.5  // a server that was added to the list or removed from it
 )
 
-// ratioDistance returns the distance between two figures in doublings, 1 at most.
+// ratioDistance returns by how many doublings two figures differ, 1 at most.
 func ratioDistance(a, b float64) float64 {
 	switch {
 	case a == b:
@@ -183,10 +183,10 @@
 	}
 	for i, c := range now.Memory.Classes {
 		if i >= len(old.Memory.Classes) || old.Memory.Classes[i].Name != c.Name {
-			distance += weightTimes
+			distance += weightLatency
 			continue
 		}
-		distance += weightTimes * max(ratioDistance(float64(old.Memory.Classes[i].Usual), float64(c.Usual)),
+		distance += weightLatency * max(ratioDistance(float64(old.Memory.Classes[i].Usual), float64(c.Usual)),
 			ratioDistance(float64(old.Memory.Classes[i].Least), float64(c.Least)))
 	}
 	distance += math.Abs(old.Memory.Lost-now.Memory.Lost) + math.Abs(old.Memory.ColdBad-now.Memory.ColdBad)
--- a/internal/decide/learned/records.go
+++ b/internal/decide/learned/records.go
@@ -23,7 +23,7 @@
 
 // Upgrades convert a body of each older format into the next one.
 var Upgrades = []func(body []byte) ([]byte, error){
-	func(body []byte) ([]byte, error) { // what format 2 adds is optional; a body that is not of format 1 is an error
+	func(body []byte) ([]byte, error) { // from 1 to 2: what format 2 adds is optional; a body that is not of format 1 is an error
 		_, err := DecodeShared(body)
 		if err == nil {
 			return body, nil
@@ -141,7 +141,7 @@
 	return encoding.Marshal(t)
 }
 
-// checker records the first field with an invalid value.
+// checker checks decoded fields and records the first one with an invalid value.
 type checker struct{ err error }
 
 func (c *checker) fail(field, format string, args ...any) {
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -2,7 +2,8 @@
 // I/O and read no clock: the caller reports events and asks for the resulting state. All transports use them, and so does the
 // state explorer, so that it explores the code that runs in production.
 //
-// A place in the connection pool is a slot of the pool's limit on connections; the pool's host calls it a slot.
+// A slot of the connection pool is one connection of the pool's limit (see PoolState); Placing and NoPlace are about it. A Slot of
+// a MultiplexedConn is something else: it holds one attempt on a connection that several attempts share.
 package lifecycle
 
 import (
@@ -16,7 +17,7 @@
 
 // The stages of an attempt.
 const (
-	Placing  Stage = iota // waits for a place in the connection pool
+	Placing  Stage = iota // waits for a slot in the connection pool
 	Dialling              // waits for a connection to be established
 	Ready                 // has a connection; nothing is written yet
 	Writing               // some bytes may have been written, but not the last one
@@ -39,7 +40,7 @@
 	Malformed              // the received data can't be parsed
 	TimedOut               // the attempt timed out
 	Canceled               // the decision module canceled the attempt
-	NoPlace                // no place in the connection pool became free in time
+	NoPlace                // no slot in the connection pool became free in time
 )
 
 var causeNames = [...]string{"broken", "garbled", "late", "withdrawn", "no place"}
@@ -47,7 +48,7 @@
 // String returns the name of the cause, for logs and errors.
 func (c Cause) String() string { return causeNames[c] }
 
-// Attempt is the state machine of one attempt. The zero value waits for a place in the connection pool. A method that returns an
+// Attempt is the state machine of one attempt. The zero value waits for a slot in the connection pool. A method that returns an
 // error, because the transition is illegal in the current stage, leaves the state unchanged.
 type Attempt struct {
 	stage     Stage
@@ -76,7 +77,7 @@
 	return fmt.Errorf("lifecycle: illegal event for an attempt in stage %q: %s", a.stage, event)
 }
 
-// Dial records that the attempt has a place in the connection pool and that dialling has started.
+// Dial records that the attempt has a slot in the connection pool and that dialling has started.
 func (a *Attempt) Dial() error {
 	if a.stage != Placing {
 		return a.illegal("dialling")
--- a/internal/decide/lifecycle/conn.go
+++ b/internal/decide/lifecycle/conn.go
@@ -8,7 +8,7 @@
 	"ternbeam/choice"
 )
 
-// Server is one process of a server at one address. After a restart or a change of address a new Server takes its place.
+// Server is one process of a server, with its addresses. After a restart or a change of address a new Server replaces it.
 type Server struct {
 	ID          string
 	Addr        string
@@ -32,8 +32,8 @@
 
 // The states of a connection.
 const (
-	Queued   ConnState = iota // waits for a place
-	Dialled                   // has a place and is being dialled
+	Queued   ConnState = iota // waits for a slot
+	Dialled                   // has a slot and is being dialled
 	InUse                     // carries one or several attempts
 	Idle                      // available for the next attempt
 	Spoilt                    // in use, but must not be reused, as unexpected data may be pending on it
@@ -46,7 +46,7 @@
 // String returns the name of the state, for logs and errors.
 func (s ConnState) String() string { return connNames[s] }
 
-// Conn is the state machine of a connection. It starts when the connection asks for a place in the pool.
+// Conn is the state machine of a connection. It starts when the connection asks for a slot in the pool.
 type Conn struct {
 	Server *Server
 	Speaks choice.Protocols // the protocol spoken on it
@@ -75,13 +75,14 @@
 // Spoil records that unexpected data may be pending on a connection in use, so that it must not be reused.
 func (c *Conn) Spoil() error { return c.transition(Spoilt, InUse, Spoilt) }
 
-// PoolState is the state of a pool of connections to all servers. It limits their number by places: each connection that is
-// dialled, in use or idle holds one. It queues connections that wait for a place and keeps the idle ones. It does no I/O: its
-// owner closes the connections that the methods return as closed or evicted. It is not safe for concurrent use.
+// PoolState is the state of a pool of connections to all servers. It limits their number by slots: each connection that is
+// dialled, in use or idle holds one slot of the pool, whatever it carries. It queues connections that wait for a slot and keeps
+// the idle ones. It does no I/O: its owner closes the connections that the methods return as closed or evicted. It is not safe for
+// concurrent use.
 type PoolState struct {
 	limit     int
-	taken     int                 // number of places in use
-	queue     []*Conn             // connections that wait for a place, the longest-waiting first
+	taken     int                 // number of slots in use
+	queue     []*Conn             // connections that wait for a slot, the longest-waiting first
 	idle      map[*Server][]*Conn // by server, the most recently used last
 	idleList  Conn                // head of the ring of all idle connections, the longest idle first
 	idleCount int                 // number of idle connections
@@ -94,24 +95,24 @@
 	return p
 }
 
-// SetLimit changes the maximum number of connections. If more places are in use, the longest-idle connections are returned as
-// closed, and further connections are closed when they are released. If the new limit adds places, the connections that have
+// SetLimit changes the maximum number of connections. If more slots are in use, the longest-idle connections are returned as
+// closed, and further connections are closed when they are released. If the new limit adds slots, the connections that have
 // waited for longest get them and are returned as next.
 func (p *PoolState) SetLimit(maxConns int) (closed, next []*Conn) {
 	p.limit = maxConns
 	for p.taken > p.limit && p.idleCount > 0 {
 		c := p.idleList.next
-		p.CloseIdle(c) // its place is not passed on, as too many are in use
+		p.CloseIdle(c) // its slot is not passed on, as too many are in use
 		closed = append(closed, c)
 	}
 	for p.taken < p.limit && len(p.queue) > 0 {
 		p.taken++
-		next = append(next, p.freePlace())
+		next = append(next, p.releaseSlot())
 	}
 	return closed, next
 }
 
-// Count returns the number of places in use, how many of them idle connections hold, and how many connections wait for one.
+// Count returns the number of slots in use, how many of them idle connections hold, and how many connections wait for one.
 func (p *PoolState) Count() (open, idle, waiting int) { return p.taken, p.idleCount, len(p.queue) }
 
 // AcquireIdle takes an idle connection to a server with the given protocol, or returns nil if there is none. Of the connections
@@ -134,9 +135,9 @@
 	return acquired
 }
 
-// ReservePlace reserves a place for a new connection: a free one, or that of the longest-idle connection, which is returned as
-// evicted for the caller to close. If there is neither, the connection is queued for the next place that is released. It is
-// queued rather than rejected because servers that accept calls and never answer occupy many places for as long as a call may
+// ReservePlace reserves a slot for a new connection: a free one, or that of the longest-idle connection, which is returned as
+// evicted for the caller to close. If there is neither, the connection is queued for the next slot that is released. It is
+// queued rather than rejected because servers that accept calls and never answer occupy many slots for as long as a call may
 // take, and rejecting would fail calls that a short wait could still serve.
 func (p *PoolState) ReservePlace(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
 	c = &Conn{Server: s, Speaks: speaks, state: Dialled}
@@ -146,7 +147,7 @@
 	case p.idleCount > 0:
 		evicted = p.idleList.next
 		p.removeIdle(evicted)
-		evicted.state = Closed // its place passes to c
+		evicted.state = Closed // its slot passes to c
 	default:
 		c.state = Queued
 		p.queue = append(p.queue, c)
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// Abort ends a connection that was not established. If it held a place, the longest-waiting connection gets the place and is
+// Abort ends a connection that was not established. If it held a slot, the longest-waiting connection gets the slot and is
 // returned as next.
 func (p *PoolState) Abort(c *Conn) (next *Conn, err error) {
 	queued := c.state == Queued
@@ -174,11 +175,11 @@
 		p.queue = slices.DeleteFunc(p.queue, func(o *Conn) bool { return o == c })
 		return nil, nil
 	}
-	return p.freePlace(), nil
+	return p.releaseSlot(), nil
 }
 
-// freePlace releases a place. The longest-waiting connection, if any, gets it and is returned.
-func (p *PoolState) freePlace() (next *Conn) {
+// releaseSlot releases a slot. The longest-waiting connection, if any, gets it and is returned.
+func (p *PoolState) releaseSlot() (next *Conn) {
 	if len(p.queue) == 0 || p.taken > p.limit {
 		p.taken--
 		return nil
@@ -190,7 +191,7 @@
 }
 
 // Release takes back a connection that was in use. The connection is kept as idle if it may be reused and no other waits for its
-// place. Otherwise the caller closes it, and its place passes to next, if that is not nil.
+// slot. Otherwise the caller closes it, and its slot passes to next, if that is not nil.
 func (p *PoolState) Release(c *Conn) (kept bool, next *Conn, err error) {
 	if c.State() == InUse && len(p.queue) == 0 && p.taken <= p.limit {
 		c.state = Idle
@@ -203,20 +204,20 @@
 	if err := c.transition(Closed, InUse, Spoilt); err != nil {
 		return false, nil, err
 	}
-	return false, p.freePlace(), nil
+	return false, p.releaseSlot(), nil
 }
 
-// CloseIdle closes an idle connection, because of its idle timeout or because the server closed it. Its place passes to next, if
+// CloseIdle closes an idle connection, because of its idle timeout or because the server closed it. Its slot passes to next, if
 // that is not nil.
 func (p *PoolState) CloseIdle(c *Conn) (next *Conn, err error) {
 	if err := c.transition(Closed, Idle); err != nil {
 		return nil, err
 	}
 	p.removeIdle(c)
-	return p.freePlace(), nil
+	return p.releaseSlot(), nil
 }
 
-// RetireServer retires a server and returns its idle connections as closed, and the waiting connections that get their places as
+// RetireServer retires a server and returns its idle connections as closed, and the waiting connections that get their slots as
 // next. Connections in use continue.
 func (p *PoolState) RetireServer(s *Server) (closed, next []*Conn) {
 	s.Retire()
--- a/internal/decide/lifecycle/copy.go
+++ b/internal/decide/lifecycle/copy.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The copies in this file let the state explorer try several next steps from one state. They are deep copies.
+// The state explorer uses the deep copies in this file to try several next steps from one state.
 
 // Copies maps originals to their copies. Each copy is made once.
 type Copies[T any] struct {
@@ -65,7 +65,7 @@
 	return dst
 }
 
-// Queue returns the connections that wait for a place, the longest-waiting first.
+// Queue returns the connections that wait for a slot, the longest-waiting first.
 func (p *PoolState) Queue() []*Conn { return slices.Clone(p.queue) }
 
 // CopyTo copies the Slot to another one that belongs to attempt a, a copy, and to host.
@@ -86,21 +86,21 @@
 	return &dst
 }
 
-// Fingerprint appends to to everything that the connection's future behaviour depends on. Its attempts are represented by the
+// Fingerprint appends everything that the connection's future behaviour depends on to dst. Its attempts are represented by the
 // numbers that number returns.
-func (m *MultiplexedConn) Fingerprint(to []byte, number func(*Slot) int) []byte {
-	to = binary.AppendVarint(to, m.lastReply.UnixNano())
-	to = binary.AppendVarint(to, int64(m.seq))
-	to = append(to, byte(m.cause), b2i(m.broken), b2i(m.suspect), byte(len(m.slots)))
+func (m *MultiplexedConn) Fingerprint(dst []byte, number func(*Slot) int) []byte {
+	dst = binary.AppendVarint(dst, m.lastReply.UnixNano())
+	dst = binary.AppendVarint(dst, int64(m.seq))
+	dst = append(dst, byte(m.cause), boolByte(m.broken), boolByte(m.suspect), byte(len(m.slots)))
 	for _, s := range m.Slots() {
-		to = binary.AppendVarint(to, int64(s.Seq))
-		to = binary.AppendVarint(to, s.writeStarted.UnixNano())
-		to = append(to, byte(number(s)), byte(s.Attempt.stage))
+		dst = binary.AppendVarint(dst, int64(s.Seq))
+		dst = binary.AppendVarint(dst, s.writeStarted.UnixNano())
+		dst = append(dst, byte(number(s)), byte(s.Attempt.stage))
 	}
-	return to
+	return dst
 }
 
-func b2i(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -14,15 +14,15 @@
 func begin(now Conditions) step {
 	return func(a *Attempt) error { _, err := a.Begin(100, now); return err }
 }
-func wrote(n int) step          { return func(a *Attempt) error { return a.Wrote(n) } }
-func fail(c Cause) step         { return func(a *Attempt) error { return a.Fail(c) } }
-func ans(r choice.Result) step  { return func(a *Attempt) error { return a.Answer(r) } }
-func dial(a *Attempt) error     { return a.Dial() }
-func connect(a *Attempt) error  { return a.Connect() }
-func reading(a *Attempt) error  { return a.Read() }
-func unsure(a *Attempt) error   { return a.MarkUncertain() }
-func then(all ...[]step) []step { return slices.Concat(all...) }
-func steps(all ...step) []step  { return all }
+func wrote(n int) step            { return func(a *Attempt) error { return a.Wrote(n) } }
+func fail(c Cause) step           { return func(a *Attempt) error { return a.Fail(c) } }
+func answer(r choice.Result) step { return func(a *Attempt) error { return a.Answer(r) } }
+func dial(a *Attempt) error       { return a.Dial() }
+func connect(a *Attempt) error    { return a.Connect() }
+func reading(a *Attempt) error    { return a.Read() }
+func uncertain(a *Attempt) error  { return a.MarkUncertain() }
+func then(all ...[]step) []step   { return slices.Concat(all...) }
+func steps(all ...step) []step    { return all }
 
 var (
 	connected = steps(dial, connect)
@@ -42,7 +42,7 @@
 		"dial fails":                    {steps(dial, fail(Broken)), choice.ConnectFailed, false},
 		"dial hangs":                    {steps(dial, fail(TimedOut)), choice.ConnectFailed, false},
 		"withdrawn while it dials":      {steps(dial, fail(Canceled)), choice.Canceled, false},
-		"idle connection":               {steps(connect, begin(Conditions{}), wrote(100), reading, ans(choice.OK)), choice.OK, true},
+		"idle connection":               {steps(connect, begin(Conditions{}), wrote(100), reading, answer(choice.OK)), choice.OK, true},
 		"finished before it is sent":    {then(connected, steps(begin(Conditions{CallFinished: true}))), choice.NotSent, false},
 		"late before it is sent":        {then(connected, steps(begin(Conditions{TimedOut: true, Retired: true}))), choice.NotSent, false},
 		"drained before it is sent":     {then(connected, steps(begin(Conditions{Retired: true}))), choice.ConnectFailed, false},
@@ -53,17 +53,17 @@
 		"spoilt before the last byte":   {then(begun, steps(wrote(99), reading, fail(Malformed))), choice.ConnectFailed, false},
 		"late before the last byte":     {then(begun, steps(wrote(99), fail(TimedOut))), choice.ConnectFailed, false},
 		"breaks after the last byte":    {then(sent, steps(fail(Broken))), choice.Reset, true},
-		"breaks at an unknown byte":     {then(begun, steps(unsure, fail(Broken))), choice.Reset, true},
-		"write size known later":        {then(begun, steps(unsure, wrote(50), fail(Broken))), choice.ConnectFailed, false},
+		"breaks at an unknown byte":     {then(begun, steps(uncertain, fail(Broken))), choice.Reset, true},
+		"write size known later":        {then(begun, steps(uncertain, wrote(50), fail(Broken))), choice.ConnectFailed, false},
 		"late":                          {then(sent, steps(fail(TimedOut))), choice.TimedOut, true},
 		"late in the answer":            {then(sent, steps(reading, fail(TimedOut))), choice.TimedOut, true},
 		"withdrawn":                     {then(sent, steps(fail(Canceled))), choice.Canceled, true},
 		"spoilt":                        {then(sent, steps(reading, fail(Malformed))), choice.Failed, true},
-		"error":                         {then(sent, steps(reading, ans(choice.Failed))), choice.Failed, true},
-		"rejected by the server":        {then(sent, steps(reading, ans(choice.Rejected))), choice.Rejected, false},
-		"rejected before the last byte": {then(begun, steps(wrote(50), reading, ans(choice.Rejected))), choice.Rejected, false},
-		"answered before the last byte": {then(begun, steps(wrote(50), reading, ans(choice.OK))), choice.OK, true},
-		"oneway":                        {then(sent, steps(ans(choice.OK))), choice.OK, true},
+		"error":                         {then(sent, steps(reading, answer(choice.Failed))), choice.Failed, true},
+		"rejected by the server":        {then(sent, steps(reading, answer(choice.Rejected))), choice.Rejected, false},
+		"rejected before the last byte": {then(begun, steps(wrote(50), reading, answer(choice.Rejected))), choice.Rejected, false},
+		"answered before the last byte": {then(begun, steps(wrote(50), reading, answer(choice.OK))), choice.OK, true},
+		"oneway":                        {then(sent, steps(answer(choice.OK))), choice.OK, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a Attempt
@@ -94,12 +94,12 @@
 		"writes more than there is":  {begun, wrote(101)},
 		"reads before it is sent":    {connected, reading},
 		"reads twice":                {then(sent, steps(reading)), reading},
-		"is answered unread":         {sent, ans(choice.Failed)},
-		"is answered with a cause":   {then(sent, steps(reading)), ans(choice.TimedOut)},
-		"is answered while written":  {begun, ans(choice.OK)},
+		"is answered unread":         {sent, answer(choice.Failed)},
+		"is answered with a cause":   {then(sent, steps(reading)), answer(choice.TimedOut)},
+		"is answered while written":  {begun, answer(choice.OK)},
 		"ends twice":                 {then(sent, steps(fail(TimedOut))), fail(Broken)},
-		"is answered after its end":  {then(sent, steps(fail(TimedOut))), ans(choice.OK)},
-		"is unsure of what was sent": {sent, unsure},
+		"is answered after its end":  {then(sent, steps(fail(TimedOut))), answer(choice.OK)},
+		"is unsure of what was sent": {sent, uncertain},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a Attempt
@@ -116,7 +116,7 @@
 	}
 }
 
-// A random walk over a PoolState: places never exceed the limit and are never lost, queued connections get places in order, no idle
+// A random walk over a PoolState: slots never exceed the limit and are never lost, queued connections get slots in order, no idle
 // connection is to a retired server, and no connection is acquired twice.
 func TestBookWalks(t *testing.T) {
 	for seed := range uint64(300) {
@@ -124,7 +124,7 @@
 		most := 1 + r.IntN(4)
 		p := NewPoolState(most)
 		servers := []*Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
-		var granted, waiting []*Conn // connections that have a place, or wait for one, in order
+		var granted, waiting []*Conn // connections that have a slot, or wait for one, in order
 		var used []*Conn
 		grant := func(c *Conn) {
 			if c == nil {
--- a/internal/decide/lifecycle/multiplexed.go
+++ b/internal/decide/lifecycle/multiplexed.go
@@ -19,10 +19,10 @@
 type MultiplexedConn struct {
 	slots     map[int32]*Slot // by sequence id
 	queue     []*Slot         // slots that are not written yet, in order
-	seq       int32           // the last one that was assigned
+	seq       int32           // the sequence id that was assigned last
 	lastReply time.Time       // time of the latest reply, or of the connection's start
 	broken    bool            // further received data can't be interpreted
-	cause     Cause           // why it is broken
+	cause     Cause           // why the connection is broken
 	suspect   bool            // accepts no new attempts
 }
 
@@ -74,7 +74,7 @@
 	return s
 }
 
-// Remove frees the slot of an attempt that must not be sent, as its Begin has returned false.
+// Remove frees the slot of an attempt whose Begin has returned false, so that nothing of it may be sent.
 func (m *MultiplexedConn) Remove(s *Slot) { delete(m.slots, s.Seq) }
 
 // WriteStarted records that the message of an attempt is being written. Until WriteEnded it is unknown how much of it is written.
--- a/internal/decide/lifecycle/multiplexed_test.go
+++ b/internal/decide/lifecycle/multiplexed_test.go
@@ -20,7 +20,7 @@
 		m := NewMultiplexedConn(now)
 		m.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
 		ended := map[*Attempt]bool{}
-		var joined, writing, asked []*Slot // queued; being written; completely written
+		var joined, writing, written []*Slot // queued; being written; completely written
 		end := func(s *Slot) {
 			if ended[s.Attempt] || s.Attempt.Stage() != Ended {
 				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, s.Attempt.Stage())
@@ -70,16 +70,16 @@
 				s := writing[0]
 				writing = writing[1:]
 				oneway := r.IntN(4) == 0
-				over, err := m.WriteEnded(s, 10, oneway)
+				done, err := m.WriteEnded(s, 10, oneway)
 				check(err)
-				if over {
+				if done {
 					end(s)
 				}
 				if !oneway {
-					asked = append(asked, s)
+					written = append(written, s)
 				}
-			case k == 5 && len(asked) > 0:
-				s := take(&asked)
+			case k == 5 && len(written) > 0:
+				s := take(&written)
 				got, err := m.ReplyStarted(s.Seq, now)
 				if m.slots[s.Seq] != s {
 					continue // answered earlier
@@ -88,9 +88,9 @@
 				if got != s {
 					t.Fatalf("seed %d: the reply was given to another attempt", seed)
 				}
-				over, err := m.ReplyEnded(got, choice.Failed)
+				done, err := m.ReplyEnded(got, choice.Failed)
 				check(err)
-				if over {
+				if done {
 					end(s)
 				} else if !ended[s.Attempt] {
 					t.Fatalf("seed %d: a reply ended no attempt", seed)
@@ -99,7 +99,7 @@
 					t.Fatalf("seed %d: a second reply: %v", seed, err)
 				}
 			case k == 6:
-				for _, from := range []*[]*Slot{&joined, &writing, &asked} {
+				for _, from := range []*[]*Slot{&joined, &writing, &written} {
 					if len(*from) == 0 || r.IntN(3) > 0 {
 						continue
 					}
@@ -123,16 +123,16 @@
 					end(s)
 				}
 				for _, s := range writing {
-					over, err := m.WriteEnded(s, 5, false)
+					done, err := m.WriteEnded(s, 5, false)
 					check(err)
-					if over {
+					if done {
 						end(s)
 					}
 				}
 				if s, err := m.Join(&Attempt{}, nil, 4); s != nil || err != nil || len(m.slots) > 0 || !m.Broken() {
 					t.Fatalf("seed %d: a broken connection continues", seed)
 				}
-				joined, writing, asked = nil, nil, nil
+				joined, writing, written = nil, nil, nil
 				now = now.Add(time.Second)
 				m = NewMultiplexedConn(now)
 			}
@@ -142,7 +142,7 @@
 					live++
 				}
 			}
-			if rests, _ := m.CanRelease(r.IntN(2) == 0); rests && live > 0 {
+			if release, _ := m.CanRelease(r.IntN(2) == 0); release && live > 0 {
 				t.Fatalf("seed %d: it can be released with %d attempts pending", seed, live)
 			}
 		}
--- a/internal/decide/listcheck/listcheck.go
+++ b/internal/decide/listcheck/listcheck.go
@@ -74,11 +74,11 @@
 		v.Reason = fmt.Sprintf("version %d after version %d, accepted as it is the %dth older list in a row", l.Version, c.version, c.olderInRow+1)
 	}
 	c.olderInRow, c.version = 0, l.Version
-	last := make(map[string]int, len(l.Entries)) // index of the entry that takes precedence, by server
+	preferred := make(map[string]int, len(l.Entries)) // index of the entry that takes precedence, by server
 	for i, e := range l.Entries {
-		other, duplicate := last[e.ID]
+		other, duplicate := preferred[e.ID]
 		if !duplicate || takesPrecedence(e, l.Entries[other]) {
-			last[e.ID] = i
+			preferred[e.ID] = i
 		}
 		if duplicate && v.Reason == "" {
 			v.Reason = fmt.Sprintf("server %q is listed twice", e.ID)
@@ -86,14 +86,14 @@
 	}
 	known := c.known
 	if l.Full {
-		known = make(map[string]Entry, len(last))
+		known = make(map[string]Entry, len(preferred))
 	}
 	for i, e := range l.Entries {
-		if last[e.ID] != i {
+		if preferred[e.ID] != i {
 			v.Skip = append(v.Skip, i)
 			continue
 		}
-		// An older list was made before the drain, and a restarted discovery service has lost it.
+		// An older list was made before the drain, or by a restarted discovery service that has lost the drain.
 		if prev, ok := c.known[e.ID]; older && ok && prev.State == choice.Draining && e.State == choice.Ready && e.Started <= prev.Started {
 			e.State, v.Draining = choice.Draining, append(v.Draining, i)
 		}
@@ -102,7 +102,7 @@
 			continue
 		}
 		if known[e.ID] = e; len(known) > MaxServers {
-			delete(known, e.ID) // the bound holds for known servers, too
+			delete(known, e.ID) // the bound applies to the known servers, too
 		}
 	}
 	c.known = known
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -105,8 +105,8 @@
 	byID     map[string]*member
 	byAddr   map[string]*member
 	timers   timers
-	dirty    []*member
-	changes  []calltrack.Entry
+	dirty    []*member         // to be recomputed in finish
+	changes  []calltrack.Entry // of the merged list, by the event being handled
 	tiers    tiers
 	hasTier  bool // a source has reported a tier
 	bestTier int  // the best tier ever reported; servers without a reported tier belong to it
@@ -124,7 +124,7 @@
 	validUntil       time.Duration // when its last report expires; 0 for never
 	unreachableSince time.Duration // since when it is unreachable or its report has expired; 0 if neither
 	reported         bool          // it has reported at least once
-	expired          bool          // Hold has passed as well: its claims no longer support a server
+	expired          bool          // Hold has passed since unreachableSince: its claims no longer keep a server in the list
 }
 
 // claim is a Claim in effect, or the record of a withdrawn one.
@@ -141,11 +141,11 @@
 // member is one server.
 type member struct {
 	id          string
-	claims      []*claim // ordered by source; several of one source if it lists the server under several keys
-	addrs       []string // its entries in Set.byAddr
-	dirty       bool     // it is in Set.dirty
-	removed     bool
-	published   decision      // as last decided by its tier
+	claims      []*claim      // ordered by source; several of one source if it lists the server under several keys
+	addrs       []string      // its entries in Set.byAddr
+	dirty       bool          // it is in Set.dirty
+	removed     bool          // it was deleted from the Set
+	published   decision      // as last published by its tier
 	firstNamed  time.Duration // when it was first reported
 	joinedLater bool          // it was not in its source's first report, so it may have just started
 	tier        *tier
@@ -158,7 +158,7 @@
 	announced bool // the merged list contains it
 	tier      int
 	rule      Rule
-	eligible  bool // it is ready, apart from its tier
+	eligible  bool // it is ready, whether or not its tier is open
 }
 
 // New returns an empty Set.
@@ -475,7 +475,7 @@
 	return slices.ContainsFunc(withdrawal.member.claims, func(o *claim) bool { return !o.withdrawn && o.changedAt <= withdrawal.changedAt })
 }
 
-// schedule sets a timer, for a claim or, with nil, for the sources and tiers.
+// schedule sets a timer for a claim; nil stands for the sources and tiers.
 func (s *Set) schedule(at time.Duration, c *claim) { heap.Push(&s.timers, timer{at, c}) }
 
 // anySourceValid reports whether any source has reported and not expired.
@@ -492,7 +492,7 @@
 	var first *claim // the claim of highest priority that is not withdrawn
 	sources := 0
 	var last *source
-	supported, lapsed := false, false
+	supported, lapsed := false, false // listed by a source that has not expired, or by one that has
 	withdrawal, draining := (*claim)(nil), (*claim)(nil)
 	for _, c := range m.claims {
 		if c.source != last {
@@ -554,7 +554,7 @@
 	return slices.ContainsFunc(m.claims, func(o *claim) bool { return o.source == src && !o.withdrawn })
 }
 
-// restartedSince reports whether a source lists the server with a later start time than the withdrawn claim has.
+// restartedSince reports whether a source lists the server with a later start time than a withdrawn claim.
 func (s *Set) restartedSince(m *member, withdrawal *claim) bool {
 	return slices.ContainsFunc(m.claims, func(c *claim) bool {
 		return !c.withdrawn && c.HasDetails && withdrawal.HasDetails && c.Started > withdrawal.Started
@@ -601,9 +601,9 @@
 }
 
 // publish records a member's new decision and appends its entry to the changes if it differs from the previous one.
-func (s *Set) publish(m *member, e calltrack.Entry, rule Rule, tier int, ready bool) {
+func (s *Set) publish(m *member, e calltrack.Entry, rule Rule, tier int, eligible bool) {
 	prev := m.published
-	m.published = decision{entry: e, announced: true, tier: tier, rule: rule, eligible: ready}
+	m.published = decision{entry: e, announced: true, tier: tier, rule: rule, eligible: eligible}
 	if !prev.announced && e.State == choice.Removed || prev.announced && sameEntry(prev.entry, e) {
 		m.published.announced = prev.announced
 		return
@@ -662,8 +662,8 @@
 			if c.withdrawn {
 				state = "withdrawn"
 			}
-			add := func(name, value string, counts bool) {
-				v.Facts = append(v.Facts, Fact{name, value, c.source.Name, s.now - c.changedAt, counts && !c.withdrawn})
+			add := func(name, value string, inEffect bool) {
+				v.Facts = append(v.Facts, Fact{name, value, c.source.Name, s.now - c.changedAt, inEffect && !c.withdrawn})
 			}
 			add("state", state, c.State == v.State)
 			add("addresses", fmt.Sprint(c.Addrs), true)
--- a/internal/decide/membership/tiers.go
+++ b/internal/decide/membership/tiers.go
@@ -20,17 +20,17 @@
 	baseline   float64       // the highest ready weight of the best tier, decaying with time
 	baselineAt time.Duration // when baseline was last updated
 	dirty      bool          // apply has to run
-	pending    []*member     // updated and not published yet
+	pending    []*member     // members that were updated and not published yet
 }
 
 // tier is a tier with its members.
 type tier struct {
 	number      int
-	members     map[*member]decision // with what would be published if the tier were open
+	members     map[*member]decision // with the decision to publish while the tier is open
 	readyWeight float64              // sum over the eligible members
 	open        bool
 	openedAt    time.Duration
-	enoughSince time.Duration // since when the better tiers have had enough weight; 0 if they have not
+	enoughSince time.Duration // since when the better tiers have had the weight of Settings.CloseAbove; 0 if they have not
 	openParts   int           // number of parts that are admitted
 	nextSeq     int           // tierSeq of the next member
 }
@@ -41,7 +41,8 @@
 // baselineHalfLife is the time in which the baseline decays to half.
 const baselineHalfLife = time.Hour
 
-// effectiveWeight returns what a server adds to its tier's ready weight: a server of weight 0 gets few calls, but some.
+// effectiveWeight returns what a server adds to its tier's ready weight. A server of weight 0 gets few calls, but some, so it
+// counts a little.
 func effectiveWeight(d decision) float64 {
 	if !d.eligible {
 		return 0
--- a/internal/decide/overrides/overrides.go
+++ b/internal/decide/overrides/overrides.go
@@ -24,8 +24,8 @@
 
 // IsOffline reports whether an operator has taken a server offline.
 func (o *Set) IsOffline(id string) bool {
-	_, out := o.offline[id]
-	return out
+	_, offline := o.offline[id]
+	return offline
 }
 
 // Offline takes a server offline. It returns false if MaxOffline servers are offline already. For a server that is offline already
@@ -46,8 +46,8 @@
 
 // Online puts a server back online, however often it was taken offline. It returns false if it was not offline.
 func (o *Set) Online(now time.Duration, id string) bool {
-	from, out := o.offline[id]
-	if !out {
+	from, offline := o.offline[id]
+	if !offline {
 		return false
 	}
 	delete(o.offline, id)
--- a/internal/decide/pacing/local.go
+++ b/internal/decide/pacing/local.go
@@ -24,14 +24,14 @@
 	// wait.
 	deliveryFactor  = 2
 	longestInterval = time.Second
-	// fullListAfter is the number of ends, of a watch and of calls after it, from which the full list is requested: a
-	// service may accept no watch and still have drains to report.
+	// fullListAfter is the number of failures, the end of a watch and the calls after it, from which the full list is
+	// requested: a service may accept no watch and still have drains to report.
 	fullListAfter = 2
 	// defaultGrace is the grace of a drain where the settings give none.
 	defaultGrace = 500 * time.Millisecond
 
-	// MaxPending is how many calls may be pending at a time. The oldest is kept for up to CallTimeout, for a service that
-	// is slow; of the others the oldest is canceled for a new one, after some 0.7 s.
+	// MaxPending is how many calls may be pending at a time. The oldest is kept for up to CallTimeout, as the service may
+	// be slow. Of the others, the oldest is canceled for a new one, after some 0.7 s.
 	MaxPending = 8
 )
 
@@ -49,7 +49,7 @@
 	shortest   time.Duration // least time between two calls, before jitter
 	interval   time.Duration // current time between two calls, before jitter
 	fellSilent bool          // a watch fell silent, and none was established since
-	failures   int           // calls that have ended since a watch was established, including the watch itself
+	failures   int           // calls that have ended since a watch was last established, including the one that opened it
 }
 
 // NewLocalSchedule returns a LocalSchedule for the grace of drains, 0 for the default. Its random numbers follow from
--- a/internal/decide/pacing/local_test.go
+++ b/internal/decide/pacing/local_test.go
@@ -12,7 +12,7 @@
 // Limits that operators specify for a service beside the agent.
 const (
 	longestStall = 150 * time.Millisecond // stall of the agent while it receives, and again while it sends
-	exchange     = 50 * time.Millisecond  // duration of a call to such a service, with the list received
+	callTime     = 50 * time.Millisecond  // duration of a call to such a service, with the list received
 )
 
 // A service beside the agent costs nothing to call: it is called at once at the start, then soon. Agents that lose it
@@ -33,7 +33,7 @@
 			shortest, longest = min(shortest, interval), max(longest, interval)
 		}
 	}
-	if shortest < usual*3/4 || longest > usual*5/4 || longest-shortest < usual/3 {
+	if shortest < usual*3/4 || longest > usual*5/4 || longest-shortest < usual/3 { // intervalJitter is a quarter
 		t.Errorf("intervals from %v to %v", shortest, longest)
 	}
 }
@@ -46,7 +46,7 @@
 		for seed := range uint64(20) {
 			s := NewLocalSchedule(grace, seed)
 			for n := range 100 {
-				if spare := cmp.Or(grace, defaultGrace) - s.Interval() - exchange - 2*longestStall; spare < 0 {
+				if spare := cmp.Or(grace, defaultGrace) - s.Interval() - callTime - 2*longestStall; spare < 0 {
 					t.Fatalf("with a grace of %v, call %d is made %v too late", grace, n, -spare)
 				}
 				s.Ended(n%3 == 0)
--- a/internal/decide/pacing/pacing.go
+++ b/internal/decide/pacing/pacing.go
@@ -7,6 +7,9 @@
 // that all agents share. So the fleet calls at an even rate, with at most one call per agent and period, whatever caused
 // the calls: a cold start, an outage of the service, agents killed one after the other. docs/design/cold-start.md
 // derives the period. The package does no I/O and reads no clock.
+//
+// The platform's rules say from when on a change of the list counts as known to an agent, whether or not the agent has
+// received it. After that and the grace of a drain (Settings.Grace), the agent must not send to a server that drains.
 package pacing
 
 import (
@@ -30,14 +33,14 @@
 	// knownAfterSilence at most, and within that time all agents that watched may have to call one service, each in its
 	// slot.
 	WatchSilenceTimeout = 3 * time.Second
-	// knownAfterSilence is how long after a watch fell silent the changes that it missed count as known to the agent,
-	// whether or not they arrived.
+	// knownAfterSilence is the time from when a watch falls silent until the changes that it misses count as known to the
+	// agent, whether or not they arrived.
 	knownAfterSilence = 6 * time.Second
 	// CallTimeout is how long a call to a service that all agents call may wait for its answer before it counts as lost.
 	// The service drops callers by itself after a wait that it does not announce; work for a caller that gives up earlier
 	// is done all the same.
 	CallTimeout = 4500 * time.Millisecond
-	// usualCallTime is what a call takes where the service keeps up with its callers.
+	// usualCallTime is how long a call takes where the service keeps up with its callers.
 	usualCallTime = 500 * time.Millisecond
 
 	// minQueueWait is how long a caller waits at least before the service drops it.
@@ -57,12 +60,12 @@
 	backoffFactor = 3
 	// slowdownMargin is how much slower the service may have become than it was measured to be.
 	slowdownMargin = 1.5
-	// maxWaits is how many waits are remembered; the longest of them counts.
+	// maxWaits is how many waits for a response are remembered; the longest of them counts.
 	maxWaits = 4
 )
 
-// Scheduler decides for one agent. Times are those of a clock that all agents share, exact to a small part of a period;
-// an agent whose clock is off merely calls in another agent's slot. It is not safe for concurrent use.
+// Scheduler decides when one agent calls the service. Times are those of a clock that all agents share, exact to a small
+// part of a period; an agent whose clock is off merely calls in another agent's slot. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	rng      *rand.Rand
@@ -142,35 +145,36 @@
 	case s.delivered:
 	case hung && s.silences == 1: // a service with a queue reports sooner or later that it drops a caller; a first silence is a broken link
 		s.failures++
-	case s.answered || now-s.calledAt < minQueueWait/2: // the wait tells a service that is down from one that drops callers
+	case s.answered || now-s.calledAt < minQueueWait/2: // a service that drops callers lets them wait for longer, without an answer
 		s.failures++
 	default:
 		s.rejections++
 		s.waits = nil // the service is slower than it was measured to be
 	}
-	every := s.basePeriod(silent)
+	period := s.basePeriod(silent)
 	if s.rejections > 1 {
-		// A call in the next slot would meet the same queue, and each call makes it longer.
+		// A call in the next slot would meet the same queue, and each call makes it longer. After 8 steps the period is
+		// maxPeriod in any case. The next call is not made before half of the period has passed since the latest one.
 		for range min(s.rejections-1, 8) {
-			every = min(every*backoffFactor, maxPeriod)
+			period = min(period*backoffFactor, maxPeriod)
 		}
-		return s.nextSlot(max(now, s.calledAt+every/2), every)
+		return s.nextSlot(max(now, s.calledAt+period/2), period)
 	}
 	// After a watch fell silent, a call that fails in whatever way leaves time for another one before the drains that it
 	// missed count as known.
 	if left := s.silentSince + knownAfterSilence + s.settings.Grace - usualCallTime - now; s.silentSince > 0 && left > 0 {
-		every = min(every, max(left, minPeriod))
+		period = min(period, max(left, minPeriod))
 	}
-	return s.nextSlot(now, every)
+	return s.nextSlot(now, period)
 }
 
-// basePeriod returns the period before backoff, after nothing was received for the time silent.
+// basePeriod returns the period without the backoff for dropped calls, after nothing was received for the time silent.
 func (s *Scheduler) basePeriod(silent time.Duration) time.Duration {
 	// A caller that is served has waited minQueueWait at most: few agents cannot build a queue of that length.
 	most := min(defaultPeriod, time.Duration(s.settings.Agents-1)*minQueueWait)
 	if must := s.settings.MustAsk; must > 0 {
-		// The list has to arrive before its changes count as known: the time spent in silence and the duration of the call
-		// are subtracted.
+		// The list has to arrive before its changes count as known: the time spent in silence, the duration of the call and
+		// a margin of a twentieth are subtracted, but a quarter of the time is left to spread the calls.
 		most = min(most, max(must-silent-minQueueWait-must/20, must/4))
 	}
 	if silent > 0 { // what a watch or a call without a response missed has to arrive before the drains among it count as known
@@ -185,22 +189,23 @@
 		slowest = max(slowest, w)
 	}
 	quick := max(minPeriod, time.Duration(slowdownMargin*float64(s.settings.Agents)*float64(slowest)))
+	// It doubles with each failed call, up to maxFailurePeriod; the 8 only keeps the shift from overflowing.
 	return min(most, max(quick, min(quick<<min(s.failures, 8), maxFailurePeriod)))
 }
 
-// NextSlot returns the agent's next slot in periods of length every, or of the usual length if that is longer.
-func (s *Scheduler) NextSlot(now, every time.Duration) time.Duration {
-	return s.nextSlot(now, max(every, s.basePeriod(0)))
+// NextSlot returns the agent's next slot in periods of the given length, or of the usual length if that is longer.
+func (s *Scheduler) NextSlot(now, period time.Duration) time.Duration {
+	return s.nextSlot(now, max(period, s.basePeriod(0)))
 }
 
-// nextSlot returns the agent's next slot in periods of length every.
-func (s *Scheduler) nextSlot(now, every time.Duration) time.Duration {
-	if every <= 0 {
+// nextSlot returns the agent's next slot in periods of the given length.
+func (s *Scheduler) nextSlot(now, period time.Duration) time.Duration {
+	if period <= 0 {
 		return now
 	}
-	next := now - now%every + time.Duration(s.offset*float64(every))
+	next := now - now%period + time.Duration(s.offset*float64(period))
 	if next <= now {
-		next += every
+		next += period
 	}
 	return next
 }
--- a/internal/decide/pacing/pacing_test.go
+++ b/internal/decide/pacing/pacing_test.go
@@ -32,7 +32,7 @@
 type agent struct {
 	scheduler *Scheduler
 	nextAt    time.Duration // time of its next event
-	calling   bool          // the next event is a call; otherwise the end of the call
+	calling   bool          // its next event is the start of a call; otherwise the end of one
 	served    bool
 	calls     int
 	calledAt  time.Duration // time of its latest call
@@ -87,12 +87,12 @@
 	return last, calls, len(q)
 }
 
-// newFleet returns agents that start at a given time; place returns the index of each agent and the number of agents
-// that it assumes.
-func newFleet(n int, begin time.Duration, mustAsk time.Duration, seed uint64, place func(i int) (me, agents int)) []*agent {
+// newFleet returns agents that start at a given time. assumed returns the index and the number of agents that agent i
+// assumes.
+func newFleet(n int, begin time.Duration, mustAsk time.Duration, seed uint64, assumed func(i int) (me, agents int)) []*agent {
 	var all []*agent
 	for i := range n {
-		me, agents := place(i)
+		me, agents := assumed(i)
 		a := &agent{scheduler: New(Settings{Shared: true, Agents: agents, Me: me, MustAsk: mustAsk}, seed<<32+uint64(i)), calling: true}
 		a.nextAt = a.scheduler.FirstCall(begin)
 		all = append(all, a)
@@ -191,7 +191,7 @@
 func TestWrongPlaces(t *testing.T) {
 	const n = 300
 	begin := 1000 * time.Hour
-	for name, place := range map[string]func(i int) (int, int){
+	for name, assumed := range map[string]func(i int) (int, int){
 		"unknown":            func(int) (int, int) { return -1, n },
 		"ten times too many": func(i int) (int, int) { return -1, 10 * n },
 		"ten times too few":  func(i int) (int, int) { return -1, n / 10 },
@@ -200,7 +200,7 @@
 		for _, all := range []time.Duration{time.Second, 4 * time.Second, 6 * time.Second, 8 * time.Second} {
 			t.Run(fmt.Sprintf("%s, %v for all", name, all), func(t *testing.T) {
 				s := &service{perCall: all / n}
-				agents := newFleet(n, begin, mustAsk, 1, place)
+				agents := newFleet(n, begin, mustAsk, 1, assumed)
 				for _, what := range []string{"cold start", "lost"} {
 					last, calls, left := s.recover(agents, begin, time.Minute)
 					t.Logf("%s: all have it after %v and %d calls", what, last, calls)
--- a/internal/decide/peerstate/peerstate.go
+++ b/internal/decide/peerstate/peerstate.go
@@ -59,7 +59,7 @@
 	own       Heartbeat
 	peers     []Peer // by index
 	order     []int  // indexes in the order in which they are passed on
-	nextIndex int    // position in order
+	nextIndex int    // position in order of the heartbeat to pass on next
 	conflicts int    // how often another process claimed this index with a later epoch
 }
 
@@ -99,7 +99,7 @@
 		return false
 	}
 	if h.Index == t.settings.Me {
-		// This process continues after the greatest epoch known for its index, or others would ignore its heartbeats.
+		// This process takes an epoch after the greatest one known for its index, or others would ignore its heartbeats.
 		if h.Epoch > t.own.Epoch {
 			t.own.Epoch, t.own.Seq = h.Epoch+1, 0
 			t.conflicts++
@@ -135,9 +135,9 @@
 // WithFlags returns the indexes, in order, of agents that sent a heartbeat no longer ago than within, are not leaving,
 // and announced all of these flags.
 func (t *Table) WithFlags(now time.Duration, flags Flags, within time.Duration) (indexes []int) {
-	for p := range t.peers {
-		if t.Alive(now, p, within) && t.peers[p].Flags&flags == flags {
-			indexes = append(indexes, p)
+	for i := range t.peers {
+		if t.Alive(now, i, within) && t.peers[i].Flags&flags == flags {
+			indexes = append(indexes, i)
 		}
 	}
 	return indexes
@@ -146,24 +146,24 @@
 // Sample returns up to most heartbeats to pass on: those of the indexes in first, then those that were passed on longest
 // ago. Heartbeats older than within are left out.
 func (t *Table) Sample(now time.Duration, most int, first []int, within time.Duration) (out []Heartbeat) {
-	add := func(p int) {
-		if m := &t.peers[p]; m.known && now-m.SentAt <= within && len(out) < most {
-			w := m.Heartbeat
-			w.Age = now - m.SentAt
-			out = append(out, w)
+	add := func(index int) {
+		if p := &t.peers[index]; p.known && now-p.SentAt <= within && len(out) < most {
+			h := p.Heartbeat
+			h.Age = now - p.SentAt
+			out = append(out, h)
 		}
 	}
-	for _, p := range first {
-		add(p)
+	for _, index := range first {
+		add(index)
 	}
 	for range len(t.order) {
 		if len(out) == most {
 			break
 		}
-		p := t.order[t.nextIndex]
+		index := t.order[t.nextIndex]
 		t.nextIndex = (t.nextIndex + 1) % len(t.order)
-		if !slices.Contains(first, p) {
-			add(p)
+		if !slices.Contains(first, index) {
+			add(index)
 		}
 	}
 	return out
--- a/internal/decide/peerstate/peerstate_test.go
+++ b/internal/decide/peerstate/peerstate_test.go
@@ -18,12 +18,12 @@
 			return Heartbeat{Index: rapid.IntRange(0, 4).Draw(t, "place"), Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "epoch")), Seq: uint32(rapid.IntRange(0, 5).Draw(t, "beat"))}
 		}), 1, 20).Draw(t, "words")
 		a, b := New(Settings{Agents: 5, Me: 0, Epoch: 9}, 1), New(Settings{Agents: 5, Me: 0, Epoch: 9}, 2)
-		for _, w := range heartbeats {
-			a.Receive(second, w)
+		for _, h := range heartbeats {
+			a.Receive(second, h)
 		}
 		rand.New(rand.NewPCG(uint64(len(heartbeats)), 1)).Shuffle(len(heartbeats), func(i, j int) { heartbeats[i], heartbeats[j] = heartbeats[j], heartbeats[i] })
-		for _, w := range append(heartbeats, heartbeats...) {
-			b.Receive(second, w)
+		for _, h := range append(heartbeats, heartbeats...) {
+			b.Receive(second, h)
 		}
 		for p := 1; p < 5; p++ {
 			x, _ := a.Get(p)
@@ -93,9 +93,9 @@
 		if len(heartbeats) != 3 && len(heartbeats) != 5 || heartbeats[0].Index == 3 {
 			t.Fatalf("%+v", heartbeats)
 		}
-		for _, w := range heartbeats {
-			if seen[w.Index]++; w.Age != n*second-time.Duration(w.Index)*second {
-				t.Errorf("age %v of %d", w.Age, w.Index)
+		for _, h := range heartbeats {
+			if seen[h.Index]++; h.Age != n*second-time.Duration(h.Index)*second {
+				t.Errorf("age %v of %d", h.Age, h.Index)
 			}
 		}
 	}
--- a/internal/decide/relay/relay.go
+++ b/internal/decide/relay/relay.go
@@ -18,8 +18,8 @@
 	// MaxFirstByte is the longest time from the head of an answer to the first byte of its body. Before that byte there is
 	// nothing to relay.
 	MaxFirstByte = 500 * time.Millisecond
-	// MaxPause is the longest time since the last received data with which an answer starts to be relayed. A server that makes
-	// progress sends something at least that often; one that does not has probably stopped.
+	// MaxPause is the longest time since data was last received after which the answer to a first attempt still starts to be
+	// relayed. A server that makes progress sends something at least that often; one that does not has probably stopped.
 	MaxPause = 300 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 // HeldAnswer is the state of a held answer. All times are on one monotonic clock with an arbitrary origin. It is not safe for
 // concurrent use.
 type HeldAnswer struct {
-	until          time.Duration // when holding ends
+	until          time.Duration // when holding ends at the latest
 	endsAtDeadline bool          // until is the client's deadline
 	nextCheck      time.Duration // when to check whether data is still arriving; equal to until if that is the only check
 	maxPause       time.Duration // longest allowed time without data at a check
@@ -46,22 +46,24 @@
 	lastReceived   time.Duration // when data was last received; initially when the head was received
 }
 
-// NewHeldAnswer starts to hold an answer of unknown length whose head was received at now. left is the time until the client's deadline, limit the
-// maximum number of bytes to hold. If the answer has stopped by half of left it is replaced, but only if it is that of the first attempt:
-// the answer may also be long and its server slow, and then further attempts would do no better. An answer that is not complete at the
-// client's deadline is not relayed.
+// NewHeldAnswer starts to hold an answer of unknown length whose head was received at now. left is the time until the client's
+// deadline, limit the maximum number of bytes to hold. If the answer has stopped by half of left it is replaced, but only if it is
+// that of the first attempt (first): the answer may also be long and its server slow, and then further attempts would do no better.
+// An answer that is not complete at the client's deadline is not relayed.
 func NewHeldAnswer(now, left time.Duration, limit int, first bool) *HeldAnswer {
 	left = max(left, 0)
 	hold := min(MaxHold, left)
 	h := &HeldAnswer{until: now + hold, endsAtDeadline: hold == left, nextCheck: now + hold, limit: limit, firstAttempt: first, lastReceived: now}
 	if first {
-		untilCheck := min(MaxHold, left/2) // the other half is left for an attempt at another server
+		// The other half is left for an attempt at another server. A pause of half of the time until the check means that the
+		// answer has stopped.
+		untilCheck := min(MaxHold, left/2)
 		h.nextCheck, h.maxPause = now+untilCheck, min(MaxPause, untilCheck/2)
 	}
 	return h
 }
 
-// NewHeldLong is like NewHeldAnswer, for an answer that is known to be longer than limit.
+// NewHeldLong is like NewHeldAnswer, for an answer that is known to be longer than limit. It is held for half of left at most.
 func NewHeldLong(now, left time.Duration, limit int) *HeldAnswer {
 	hold := min(MaxHoldLong, max(left, 0)/2)
 	return &HeldAnswer{until: now + hold, nextCheck: now + hold, limit: limit, lastReceived: now}
--- a/internal/decide/resolve/resolve.go
+++ b/internal/decide/resolve/resolve.go
@@ -69,19 +69,19 @@
 	refilledAt     time.Duration // when tokens was last refilled
 	scheduled      queue         // questions that are not in flight
 	unresolved     int           // number of questions that are not resolved yet, see questionState
-	changed        bool          // a question was resolved since the last update
+	changed        bool          // a question was answered, or failed on all servers, since TakeUpdate was last called
 	lastTaken      *Snapshot     // the last one that TakeUpdate returned
-	unreachable    bool          // no server answers for the SRV records, and this was or will be reported
-	unreachableDue bool          // it is to be reported by TakeUpdate
+	unreachable    bool          // no server answers for the SRV records, and the last ones have expired, if there were any
+	unreachableDue bool          // TakeUpdate has yet to report that
 }
 
 // questionState is the state of a question.
 type questionState struct {
 	question      Question
-	answered      bool // it has been answered at least once
-	targets       []Target
-	addrs         []netip.Addr
-	expires       time.Duration
+	answered      bool          // it has been answered at least once
+	targets       []Target      // of the latest answer to a question for SRV records
+	addrs         []netip.Addr  // of the latest answer to a question for addresses
+	expires       time.Duration // when the answer expires by its TTL
 	nextAt        time.Duration // when to query it next
 	inFlight      uint64        // number of the query in flight; 0 if none is
 	server        int           // index of the server to query next, or queried now
@@ -91,7 +91,8 @@
 	resolved      bool          // it was answered, or a round failed on all servers
 }
 
-// New returns a Resolver. The seed is that of the jitter and the choice of servers.
+// New returns a Resolver. The seed is that of the jitter and the choice of servers. The budget starts with a full burst, see
+// advance.
 func New(set Settings, seed uint64) *Resolver {
 	r := &Resolver{settings: set, rng: rand.New(rand.NewPCG(seed, 3)), root: Question{canonicalName(set.Name), dns.TypeSRV},
 		questions: map[Question]*questionState{}, inFlight: map[uint64]*questionState{}, tokens: float64(set.Budget) / 4}
@@ -224,6 +225,7 @@
 	r.markResolved(s)
 	s.failedServers = 0
 	s.failedRounds++
+	// The interval doubles with each failed round; the 16 only keeps the shift from overflowing.
 	r.schedule(s, r.now+r.jitter(min(r.settings.MinInterval<<min(s.failedRounds-1, 16), r.settings.MaxInterval)))
 	if s.question == r.root && !r.unreachable && (!s.answered || r.now >= s.expires) {
 		r.unreachable, r.unreachableDue = true, true
@@ -250,12 +252,12 @@
 	}
 }
 
-// trackTargets tracks the address questions of the hosts in SRV records, and uses the addresses that came in the additional
-// section instead of asking. Questions that are no longer needed are dropped.
+// trackTargets tracks the address questions of the hosts in SRV records. Addresses in the additional section are used as their
+// answers. Questions that are no longer needed are dropped.
 func (r *Resolver) trackTargets(root *questionState, a Answer) {
 	wanted := map[Question]bool{r.root: true}
 	for i, t := range root.targets {
-		if i >= maxTargets || t.Host == "." { // means that the service is not available (RFC 2782)
+		if i >= maxTargets || t.Host == "." { // the host "." means that the service is not available (RFC 2782)
 			continue
 		}
 		for _, recordType := range r.recordTypes() {
--- a/internal/decide/resolve/resolve_test.go
+++ b/internal/decide/resolve/resolve_test.go
@@ -211,7 +211,7 @@
 	set.Budget = 60
 	w := newWorld(t, set, zone(0))
 	w.run(10 * time.Minute)
-	if n := len(w.queries); n > 60*10+15 || n < 500 {
+	if n := len(w.queries); n > 60*10+15 || n < 500 { // the budget of ten minutes and the initial burst
 		t.Errorf("%d queries in 10 min with a budget of 60 per minute", n)
 	}
 }
--- a/internal/decide/routes/routes.go
+++ b/internal/decide/routes/routes.go
@@ -86,7 +86,7 @@
 type rejection struct {
 	version string
 	until   time.Duration // the version is not sent until then; 0 if it may be sent again
-	wait    time.Duration // how long the next rejection counts
+	wait    time.Duration // for how long the next rejection counts
 }
 
 // server is the state of a server.
@@ -99,7 +99,7 @@
 // Limits on the versions of a server, and the layout of the capability bits, which are assigned once per process.
 const (
 	MaxVersions = 64 // versions per server; further ones are ignored
-	firstBit    = 16 // the bits below are protocols
+	firstBit    = 16 // the bits below are protocols, but for noServer
 	maxBits     = 64 - firstBit
 	noServer    = 1 << (firstBit - 1) // a bit that no server has: a need of 0 would be met by all of them
 )
@@ -108,18 +108,18 @@
 // takes two of the 48 bits, and keeps them until the process ends.
 var ErrTooManyShapes = errors.New("routes: more than 24 pairs of shape version and protocol since the agent was started, restart it")
 
-// capability is what a bit stands for: that a server can take calls of a version and protocol, unchanged or translated.
+// capability is what a bit stands for: that a server can take calls of a version and client protocol.
 type capability struct {
 	version      string
 	protocol     choice.Protocols
-	untranslated bool // the server takes them unchanged; if false, in either way
+	untranslated bool // the server takes them unchanged; if false, unchanged or translated
 }
 
 // Router holds the table in use and the state of all servers. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	table    *Table
-	bits     map[capability]choice.Protocols
+	bits     map[capability]choice.Protocols // the bit of each capability
 	servers  map[string]*server
 }
 
@@ -172,8 +172,8 @@
 	return r.changedSince(before), nil
 }
 
-// Needs returns the capability that a server must have for a call: to take it in any way, or, with untranslated, to take it
-// unchanged.
+// Needs returns the bit of the capability that a server must have for a call: to take it unchanged if untranslated is set, else
+// to take it unchanged or translated.
 func (r *Router) Needs(t CallShape, untranslated bool) choice.Protocols {
 	if bit := r.bits[capability{t.Table.shapes[t.Shape].Version, t.Protocol, untranslated}]; bit != 0 {
 		return bit
@@ -322,8 +322,8 @@
 	return nil
 }
 
-// MarkKnown records that a server has served a call of a version. If the server rejects the version again later, the time for
-// which that counts starts from Settings.Forget again.
+// MarkKnown records that a server has served a call of a version. If the server rejects the version again later, that counts
+// for Settings.RejectionTTL, as for the first time.
 func (r *Router) MarkKnown(id string, version string) {
 	s := r.servers[id]
 	if s == nil || len(s.rejections) == 0 {
@@ -337,11 +337,11 @@
 	for _, s := range r.servers {
 		before, due := choice.Server{}, false
 		for i := range s.rejections {
-			if d := &s.rejections[i]; d.until > 0 && d.until <= now {
+			if rej := &s.rejections[i]; rej.until > 0 && rej.until <= now {
 				if !due {
 					before, due = r.advertise(s), true
 				}
-				d.until = 0
+				rej.until = 0
 			}
 		}
 		if due {
@@ -357,9 +357,9 @@
 // NextExpiry returns when Expire has to be called next; any is false if no rejection is in effect.
 func (r *Router) NextExpiry() (at time.Duration, any bool) {
 	for _, s := range r.servers {
-		for _, d := range s.rejections {
-			if d.until > 0 && (!any || d.until < at) {
-				at, any = d.until, true
+		for _, rej := range s.rejections {
+			if rej.until > 0 && (!any || rej.until < at) {
+				at, any = rej.until, true
 			}
 		}
 	}
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -35,15 +35,15 @@
 
 // routes returns a Router over a table.
 func routes(t interface{ Fatal(...any) }, tab *Table) *Router {
-	r, err := New(Settings{RejectionTTL: firstForget, MaxRejectionTTL: mostForget}, tab)
+	r, err := New(Settings{RejectionTTL: firstTTL, MaxRejectionTTL: maxTTL}, tab)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// tag returns the CallShape of a call in a shape, from a client that speaks a protocol.
-func (t *Table) tag(name string, spoken choice.Protocols) CallShape {
+// callShape returns the CallShape of a call in a shape, from a client that speaks a protocol.
+func (t *Table) callShape(name string, spoken choice.Protocols) CallShape {
 	return CallShape{t, t.Index(name), spoken}
 }
 
@@ -76,22 +76,22 @@
 		{"other", http, http, []string{"a/1"}, "none", 0},
 	} {
 		r := routes(t, tab)
-		tag := tab.tag(c.from, c.spoken)
+		callShape := tab.callShape(c.from, c.spoken)
 		listed := r.UpdateServer(choice.Server{ID: "s", Protocols: c.speaks}, c.versions)
-		way, ok := r.Route(tag, "s")
+		route, ok := r.Route(callShape, "s")
 		got := "none"
 		if ok {
-			if got = "as it came"; way.Plan != nil {
-				got = way.Plan.(string)
+			if got = "as it came"; route.Plan != nil {
+				got = route.Plan.(string)
 			}
 		}
-		if got != c.want || ok && way.Protocol != c.protocol {
-			t.Errorf("%s over %b to a server that accepts %q over %b: %s over %b", c.from, c.spoken, c.versions, c.speaks, got, way.Protocol)
+		if got != c.want || ok && route.Protocol != c.protocol {
+			t.Errorf("%s over %b to a server that accepts %q over %b: %s over %b", c.from, c.spoken, c.versions, c.speaks, got, route.Protocol)
 		}
-		if can := r.Needs(tag, false)&^listed.Protocols == 0; can != ok {
+		if can := r.Needs(callShape, false)&^listed.Protocols == 0; can != ok {
 			t.Errorf("%s to %q: the server has the capability: %t", c.from, c.versions, can)
 		}
-		if exact := r.Needs(tag, true)&^listed.Protocols == 0; exact != (ok && way.Plan == nil) {
+		if exact := r.Needs(callShape, true)&^listed.Protocols == 0; exact != (ok && route.Plan == nil) {
 			t.Errorf("%s to %q: the server has the capability to take it unchanged: %t", c.from, c.versions, exact)
 		}
 	}
@@ -104,13 +104,13 @@
 	r := routes(t, tab)
 	s := choice.Server{ID: "s", Protocols: http, Started: 5}
 	r.UpdateServer(s, []string{"a/2"})
-	tag := tab.tag("old", http)
+	callShape := tab.callShape("old", http)
 	plan := func() any {
-		way, ok := r.Route(tag, "s")
+		route, ok := r.Route(callShape, "s")
 		if !ok {
 			return "none"
 		}
-		return way.Plan
+		return route.Plan
 	}
 	if got := plan(); got != "old to new" {
 		t.Fatal(got)
@@ -187,8 +187,8 @@
 	one := table(t)
 	r := routes(t, one)
 	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
-	tag := one.tag("old", http)
-	needs := r.Needs(tag, false)
+	callShape := one.callShape("old", http)
+	needs := r.Needs(callShape, false)
 	two := NewTable([]Shape{{"third", "c/1", http}, {"new", "a/2", http}, {"old", "a/1", http}})
 	if err := two.AddTranslation("old", "new", "another"); err != nil {
 		t.Fatal(err)
@@ -196,14 +196,14 @@
 	if _, err := r.ReplaceTable(two); err != nil {
 		t.Fatal(err)
 	}
-	if got := r.Needs(two.tag("old", http), false); got != needs {
+	if got := r.Needs(two.callShape("old", http), false); got != needs {
 		t.Errorf("the bit was %b and is now %b", needs, got)
 	}
-	if way, ok := r.Route(tag, "s"); !ok || way.Plan != "old to new" {
-		t.Errorf("a call of the old table is sent with plan %v", way.Plan)
+	if route, ok := r.Route(callShape, "s"); !ok || route.Plan != "old to new" {
+		t.Errorf("a call of the old table is sent with plan %v", route.Plan)
 	}
-	if way, ok := r.Route(two.tag("old", http), "s"); !ok || way.Plan != "another" {
-		t.Errorf("a call of the new table is sent with plan %v", way.Plan)
+	if route, ok := r.Route(two.callShape("old", http), "s"); !ok || route.Plan != "another" {
+		t.Errorf("a call of the new table is sent with plan %v", route.Plan)
 	}
 	var many []Shape
 	for i := range 30 {
@@ -212,17 +212,17 @@
 	if _, err := r.ReplaceTable(NewTable(many)); !errors.Is(err, ErrTooManyShapes) {
 		t.Errorf("%v", err)
 	}
-	if way, ok := r.Route(two.tag("old", http), "s"); !ok || way.Plan != "another" {
-		t.Errorf("after the error a call is sent with plan %v", way.Plan)
+	if route, ok := r.Route(two.callShape("old", http), "s"); !ok || route.Plan != "another" {
+		t.Errorf("after the error a call is sent with plan %v", route.Plan)
 	}
 	unseen := NewTable([]Shape{{"x", "x/1", http}})
-	if needs := r.Needs(unseen.tag("x", http), false); needs == 0 || needs&r.UpdateServer(choice.Server{ID: "s", Protocols: http | thrift}, []string{"x/1"}).Protocols != 0 {
+	if needs := r.Needs(unseen.callShape("x", http), false); needs == 0 || needs&r.UpdateServer(choice.Server{ID: "s", Protocols: http | thrift}, []string{"x/1"}).Protocols != 0 {
 		t.Errorf("a shape of a table never in use needs %b, which servers have", needs)
 	}
 }
 
-// expectedRejection is until when a server is not sent a version that it has rejected, and for how long if it rejects it again
-// after that.
+// expectedRejection is until when a server is not sent a version that it has rejected, and for how long it is not if it rejects
+// the version again after that.
 type expectedRejection struct{ until, wait time.Duration }
 
 // again returns the expectedRejection after another rejection. A rejection while one is in effect is of a call that was in flight.
@@ -230,14 +230,14 @@
 	if d.until > now {
 		return d
 	}
-	wait := max(d.wait, firstForget)
-	return expectedRejection{now + wait, min(2*wait, mostForget)}
+	wait := max(d.wait, firstTTL)
+	return expectedRejection{now + wait, min(2*wait, maxTTL)}
 }
 
 // How long rejections are remembered in these tests, initially and at most.
 const (
-	firstForget = time.Second
-	mostForget  = 4 * time.Second
+	firstTTL = time.Second
+	maxTTL   = 4 * time.Second
 )
 
 // For random events, the module knows how calls can be sent: a server has the capability of a shape if and only if there is a
@@ -301,21 +301,21 @@
 		}
 		for i := range tab.shapes {
 			for _, spoken := range splitProtocols(tab.shapes[i].Speaks) {
-				tag := CallShape{tab, i, spoken}
+				callShape := CallShape{tab, i, spoken}
 				for _, id := range ids {
-					way, ok := r.Route(tag, id)
+					route, ok := r.Route(callShape, id)
 					s, known := servers[id]
-					if bit := known && r.Needs(tag, false)&^s.Protocols == 0; bit != ok {
+					if bit := known && r.Needs(callShape, false)&^s.Protocols == 0; bit != ok {
 						t.Fatalf("%s to %s: has the capability: %t, has a route: %t", tab.shapes[i].Name, id, bit, ok)
 					}
 					if !ok {
 						continue
 					}
-					if way.Protocol&speaks[id] == 0 || way.Protocol&(way.Protocol-1) != 0 {
-						t.Fatalf("%s is sent to %s over %b, which it does not speak", tab.shapes[i].Name, id, way.Protocol)
+					if route.Protocol&speaks[id] == 0 || route.Protocol&(route.Protocol-1) != 0 {
+						t.Fatalf("%s is sent to %s over %b, which it does not speak", tab.shapes[i].Name, id, route.Protocol)
 					}
-					if unknown[serverVersion{id, way.To.Version}].until > now {
-						t.Fatalf("%s is sent to %s as %s, which it has rejected", tab.shapes[i].Name, id, way.To.Name)
+					if unknown[serverVersion{id, route.To.Version}].until > now {
+						t.Fatalf("%s is sent to %s as %s, which it has rejected", tab.shapes[i].Name, id, route.To.Name)
 					}
 				}
 			}
@@ -328,10 +328,10 @@
 	tab := table(b)
 	r := routes(b, tab)
 	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
-	tag := tab.tag("old", http)
+	callShape := tab.callShape("old", http)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := r.Route(tag, "s"); !ok || r.Needs(tag, false) == 0 {
+		if _, ok := r.Route(callShape, "s"); !ok || r.Needs(callShape, false) == 0 {
 			b.Fatal("no route")
 		}
 	}
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -20,8 +20,8 @@
 	// closeMargin is the time that is left until SIGKILL when the last connections are closed.
 	closeMargin = 100 * time.Millisecond
 	// idleDuration is how long idle connections stay open after SIGTERM, as clients learn of the shutdown only that late.
-	// New connections are accepted for acceptDuration, which is longer, also for clients whose request crossed the close of an idle
-	// connection.
+	// New connections are accepted for acceptDuration, which is longer, so that a client whose request crossed the close of its idle
+	// connection can connect again.
 	idleDuration   = 400 * time.Millisecond
 	acceptDuration = 500 * time.Millisecond
 )
--- a/internal/decide/subset/subset.go
+++ b/internal/decide/subset/subset.go
@@ -19,10 +19,10 @@
 // Subset computes the ranks of one agent. It is safe for concurrent use.
 type Subset struct {
 	settings Settings
-	known    bool
+	known    bool // the agent's index is known
 }
 
-// maxAgents bounds the time that a rank takes. Of more agents those beyond count as agents of unknown index.
+// maxAgents bounds the time that a rank takes. Agents with a greater index count as agents of unknown index.
 const maxAgents = 1 << 16
 
 // New returns a Subset for an agent.
@@ -39,26 +39,26 @@
 // It takes time in proportion to the number of agents, about 2 ns for each.
 func (s *Subset) Rank(server string) float64 {
 	h := xxhash.Sum64String(server)
-	if !s.known { // random: no better and no worse than for other agents of unknown index
-		return unit(mix(h ^ mix(s.settings.Seed)))
+	if !s.known { // a random rank, no better and no worse than those of other agents of unknown index
+		return unit(mix64(h ^ mix64(s.settings.Seed)))
 	}
-	mine, rank := mix(h+uint64(s.settings.Me)*golden), 0
+	mine, rank := mix64(h+uint64(s.settings.Me)*golden), 0
 	for a := range uint64(s.settings.Agents) {
-		if mix(h+a*golden) < mine {
+		if mix64(h+a*golden) < mine {
 			rank++
 		}
 	}
-	return (float64(rank) + unit(mine*golden)) / float64(s.settings.Agents)
+	return (float64(rank) + unit(mine*golden)) / float64(s.settings.Agents) // at a random point between two positions
 }
 
 // golden is 2^64 divided by the golden ratio, the increment of SplitMix64.
 const golden = 0x9e3779b97f4a7c15
 
-// unit maps x to a number from 0 to below 1.
+// unit maps x to a number from 0 to below 1, by its upper 53 bits: a float64 holds no more.
 func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
 
-// mix spreads the bits of x (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mix64 spreads the bits of x (the finalizer of SplitMix64).
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -9,10 +9,10 @@
 )
 
 // drawnServers returns the servers at which each agent ranks below a share.
-func drawnServers(agents, servers int, share float64, place func(agent int) Settings) [][]int {
+func drawnServers(agents, servers int, share float64, settingsOf func(agent int) Settings) [][]int {
 	all := make([][]int, agents)
 	for a := range all {
-		s := New(place(a))
+		s := New(settingsOf(a))
 		for i := range servers {
 			if s.Rank(fmt.Sprint("forms-", i)) < share {
 				all[a] = append(all[a], i)
@@ -76,14 +76,14 @@
 func TestWrongPlaces(t *testing.T) {
 	const agents = 300
 	_, chance := unevenness(100, drawnServers(agents, 100, 0.16, func(a int) Settings { return Settings{Agents: agents, Me: -1, Seed: uint64(a)} }))
-	for name, place := range map[string]func(a int) Settings{
+	for name, settingsOf := range map[string]func(a int) Settings{
 		"a tenth of the number":                 func(a int) Settings { return Settings{Agents: agents / 10, Me: a, Seed: uint64(a)} },
 		"ten times the number":                  func(a int) Settings { return Settings{Agents: agents * 10, Me: a, Seed: uint64(a)} },
 		"half know an old number":               func(a int) Settings { return Settings{Agents: []int{agents, agents / 2}[a%2], Me: a, Seed: uint64(a)} },
 		"two have the same index":               func(a int) Settings { return Settings{Agents: agents, Me: max(a, 1), Seed: uint64(a)} },
 		"two halves that count only themselves": func(a int) Settings { return Settings{Agents: agents / 2, Me: a % (agents / 2), Seed: uint64(a)} },
 	} {
-		_, calls := unevenness(100, drawnServers(agents, 100, 0.16, place))
+		_, calls := unevenness(100, drawnServers(agents, 100, 0.16, settingsOf))
 		t.Logf("%s: %.3f, with random ranks %.3f", name, calls, chance)
 		if calls > chance*1.25 {
 			t.Errorf("%s: calls vary by %.3f, with random ranks by %.3f", name, calls, chance)
@@ -118,12 +118,12 @@
 func TestFewMoves(t *testing.T) {
 	before := drawnServers(300, 100, 0.16, correctSettings(300))
 	more := moves(before, drawnServers(301, 100, 0.16, correctSettings(301)))
-	own := 16
+	own := 16 // pairs of the agent that is added: 0.16 of the 100 servers
 	t.Logf("one more agent: %d moves", more)
 	if more > 3*own {
 		t.Errorf("one more agent moves %d pairs, its own are %d", more, own)
 	}
-	if n := moves(before, drawnServers(300, 101, 0.16, correctSettings(300))); n != 48 {
+	if n := moves(before, drawnServers(300, 101, 0.16, correctSettings(300))); n != 48 { // 0.16 of the 300 agents
 		t.Errorf("one more server moves %d pairs, 48 are its own", n)
 	}
 }
--- a/internal/decide/writepolicy/writepolicy.go
+++ b/internal/decide/writepolicy/writepolicy.go
@@ -12,7 +12,7 @@
 
 // Settings bound the writes.
 type Settings struct {
-	CheckInterval  time.Duration // between two checks for updates
+	CheckInterval  time.Duration // time between two checks for updates
 	MinInterval    time.Duration // minimum time between two writes
 	MaxInterval    time.Duration // time after which any update is written
 	UpdateShare    float64       // updates, relative to the number of known servers, from which they are written earlier
@@ -35,7 +35,7 @@
 	Load    float64 // calls in progress, as a share of the maximum
 }
 
-// Policy decides for one agent. It is not safe for concurrent use.
+// Policy decides when one agent writes. It is not safe for concurrent use.
 type Policy struct {
 	settings       Settings
 	rng            *rand.Rand
@@ -47,8 +47,8 @@
 	minInterval    time.Duration // for the next write, with jitter
 	maxInterval    time.Duration // likewise
 	recentBytes    float64       // leaky bucket of bytes written, which drains by BytesPerMinute
-	leakedAt       time.Duration
-	ended          bool
+	leakedAt       time.Duration // when recentBytes was last drained
+	ended          bool          // End was called
 }
 
 // New returns a Policy that starts now. The first check is at a random time, as agents on one disk may have been started
@@ -81,7 +81,7 @@
 	p.nextCheck = now + p.settings.CheckInterval
 	p.leak(now)
 	since := now - p.writtenAt
-	updates := v.Updates - p.writtenUpdates // a count that wraps around still differs
+	updates := v.Updates - p.writtenUpdates // right even if the count has wrapped around
 	switch {
 	case p.ended || updates == 0:
 		return false
@@ -108,8 +108,8 @@
 	p.recentBytes += float64(bytes)
 	if err != nil {
 		p.failures++
-		wait := p.settings.RetryDelay << min(p.failures-1, 20)
-		if wait > p.settings.MaxRetryDelay || wait <= 0 {
+		wait := p.settings.RetryDelay << min(p.failures-1, 20) // the 20 bounds the shift
+		if wait > p.settings.MaxRetryDelay || wait <= 0 {      // at or below 0 it has overflowed
 			wait = p.settings.MaxRetryDelay
 		}
 		p.nextCheck = now + p.jitter(wait)
@@ -154,7 +154,7 @@
 	return shared, buckets
 }
 
-// tooOld reports whether what was written then has lost too much weight by its age alone.
+// tooOld reports whether data written at the moment then is to be written again, as it loses weight by its age alone.
 func tooOld(set Settings, then, now learned.Clock) bool {
 	if then.BootID == "" {
 		return now.Wall-then.Wall >= set.StaleAfter
@@ -164,8 +164,8 @@
 
 // ClockSteps follows the clocks of a machine: it sums up by how much the wall clock stepped against the time since boot.
 type ClockSteps struct {
-	last   learned.Clock
-	Unsure time.Duration
+	last   learned.Clock // the latest reading
+	Unsure time.Duration // sum of the steps so far
 }
 
 // minClockStep is the least drift that counts as a step: between two checks clocks are slewed by less.
--- a/internal/decide/writepolicy/writepolicy_test.go
+++ b/internal/decide/writepolicy/writepolicy_test.go
@@ -14,12 +14,12 @@
 )
 
 // runChecks runs the checks of a Policy until some time, and returns when it wrote. Writes take no time.
-func runChecks(k *Policy, until time.Duration, view func(now time.Duration) AgentState, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
-	for k.NextCheck() < until {
-		now := k.NextCheck()
-		if k.Check(now, view(now)) {
+func runChecks(p *Policy, until time.Duration, view func(now time.Duration) AgentState, write func(now time.Duration) (int64, error)) (writes []time.Duration) {
+	for p.NextCheck() < until {
+		now := p.NextCheck()
+		if p.Check(now, view(now)) {
 			bytes, err := write(now)
-			k.WriteDone(now, bytes, err)
+			p.WriteDone(now, bytes, err)
 			writes = append(writes, now)
 		}
 	}
@@ -99,10 +99,10 @@
 
 // What was not written because of a failure is written once the failure ends, within the longest retry delay.
 func TestRecovers(t *testing.T) {
-	k := New(Defaults, 0, 1)
+	p := New(Defaults, 0, 1)
 	failing := true
 	fails := 0
-	writes := runChecks(k, time.Hour, func(now time.Duration) AgentState {
+	writes := runChecks(p, time.Hour, func(now time.Duration) AgentState {
 		failing = now < 30*time.Minute
 		return AgentState{Updates: 5, Servers: 1}
 	},
@@ -114,22 +114,22 @@
 			return 1, nil
 		})
 	last := writes[len(writes)-1]
-	if last < 30*time.Minute || last > 30*time.Minute+Defaults.MaxRetryDelay*5/4 || fails != len(writes)-1 || fails > 12 || k.Failures() != 0 {
+	if last < 30*time.Minute || last > 30*time.Minute+Defaults.MaxRetryDelay*5/4 || fails != len(writes)-1 || fails > 12 || p.Failures() != 0 {
 		t.Errorf("%d failures, the last write at %v", fails, last)
 	}
 }
 
 // At shutdown there is one more write, if anything has changed.
 func TestEnd(t *testing.T) {
-	k := New(Defaults, 0, 1)
-	runChecks(k, time.Minute, updateRate(100, 0), succeed)
+	p := New(Defaults, 0, 1)
+	runChecks(p, time.Minute, updateRate(100, 0), succeed)
 	v := AgentState{Updates: 1 << 20, Servers: 1}
-	if !k.End(v) || k.End(v) || k.Check(time.Hour, v) {
+	if !p.End(v) || p.End(v) || p.Check(time.Hour, v) {
 		t.Error("not exactly one last write")
 	}
-	k = New(Defaults, 0, 1)
-	runChecks(k, time.Minute, func(time.Duration) AgentState { return AgentState{Updates: 3, Servers: 1} }, succeed)
-	if k.End(AgentState{Updates: 3, Servers: 1}) {
+	p = New(Defaults, 0, 1)
+	runChecks(p, time.Minute, func(time.Duration) AgentState { return AgentState{Updates: 3, Servers: 1} }, succeed)
+	if p.End(AgentState{Updates: 3, Servers: 1}) {
 		t.Error("a last write without updates")
 	}
 }
@@ -138,17 +138,17 @@
 // one write, and each check is later than the one before.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := New(Defaults, 0, rapid.Uint64().Draw(t, "seed"))
+		p := New(Defaults, 0, rapid.Uint64().Draw(t, "seed"))
 		var writes []time.Duration
 		bytes := 0.0
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "looks") {
-			if k.NextCheck() < now {
-				t.Fatalf("a check at %v after one at %v", k.NextCheck(), now)
+			if p.NextCheck() < now {
+				t.Fatalf("a check at %v after one at %v", p.NextCheck(), now)
 			}
-			now = k.NextCheck() + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
+			now = p.NextCheck() + time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
 			v := AgentState{Updates: rapid.Uint64().Draw(t, "news"), Servers: rapid.IntRange(0, 100).Draw(t, "servers"), Load: rapid.Float64Range(0, 1).Draw(t, "load")}
-			if !k.Check(now, v) {
+			if !p.Check(now, v) {
 				continue
 			}
 			var err error
@@ -158,7 +158,7 @@
 			} else if n := len(writes); n > 0 && now-writes[n-1] < Defaults.MinInterval*3/4 {
 				t.Fatalf("writes at %v and %v", writes[n-1], now)
 			}
-			k.WriteDone(now, size, err)
+			p.WriteDone(now, size, err)
 			if err == nil {
 				writes = append(writes, now)
 			}
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -21,7 +21,7 @@
 	{"window counted from the repeat", "choice/choice.go", "send.SendWithin = first.sent", "send.SendWithin = b.now", "keyed"},
 	{"group of a keyed call not looked at", "choice/choice.go", "return s.Cell == first.srv.Cell", "return true", "keyed"},
 	{"unsafe call sent again", "choice/choice.go", "case first == nil || c.Effect == Safe:", "case first == nil || c.Effect != Keyed:", "unsafe"},
-	{"place leaked where a dial is given up", "internal/decide/lifecycle/conn.go", "\t\treturn nil, nil\n\t}\n\treturn p.freePlace(), nil", "\t}\n\treturn nil, nil", "withdrawn"},
+	{"place leaked where a dial is given up", "internal/decide/lifecycle/conn.go", "\t\treturn nil, nil\n\t}\n\treturn p.releaseSlot(), nil", "\t}\n\treturn nil, nil", "withdrawn"},
 	{"withdrawn copy's reply wins", "internal/decide/calltrack/tracker.go", "if call == nil || call.finished.Load() {", "if call == nil || call.Finished() && call.inFlight == 0 {", "copies"},
 	{"sent after it was withdrawn", "internal/decide/lifecycle/attempt.go", "case now.Canceled:", "case now.Canceled && now.TimedOut:", "withdrawn"},
 	{"withdrawn and told as never run", "internal/decide/lifecycle/attempt.go", "case c == Canceled:\n\t\ta.end(choice.Canceled)", "case c == Canceled:\n\t\ta.end(choice.ConnectFailed)", "withdrawn"},
