--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -103,8 +103,8 @@
 		return nil, errors.Join(errs...)
 	}
 	table := routes.NewTable(shapes)
-	// Lossless translations come first, those within the client's protocol before all others; else the order is that of the file.
-	for _, pass := range []func(*translate.Plan) bool{
+	// Lossless translations come first, those within the client's protocol before all others; otherwise the order of set.Plans is kept.
+	for _, selects := range []func(*translate.Plan) bool{
 		func(p *translate.Plan) bool { return p.From.Protocol == p.To.Protocol && len(p.Losses()) == 0 },
 		func(p *translate.Plan) bool { return p.From.Protocol != p.To.Protocol && len(p.Losses()) == 0 },
 		func(p *translate.Plan) bool { return len(p.Losses()) > 0 },
@@ -112,7 +112,7 @@
 		for _, p := range set.Plans {
 			_, from := index[p.From]
 			_, to := index[p.To]
-			if pass(p) && from && to {
+			if selects(p) && from && to {
 				if err := table.AddTranslation(p.From.Name, p.To.Name, p); err != nil {
 					return nil, err
 				}
@@ -125,9 +125,9 @@
 // ErrUnknownShape is returned for a call whose class has shapes, none of which the call matches.
 var ErrUnknownShape = errors.New("in none of the shapes of its class")
 
-// HTTP determines the shape of a request of a class, and sets the fields of the request that a transport needs for it. keyLast
-// reports whether the last segment of the path is the call's key. The CallShape is zero for a class without shapes. The error
-// wraps ErrUnknownShape.
+// HTTP determines the shape of a request of a class, and sets the fields of the request from which a transport learns the shape's
+// headers and status. keyLast reports whether the last segment of the path is the call's key. The CallShape is zero for a class
+// without shapes. The error wraps ErrUnknownShape.
 func (b *Bridge) HTTP(class string, r *httpmsg.Request) (shape routes.CallShape, keyLast bool, err error) {
 	active := b.current.Load()
 	s := active.set.HTTPShape(class, r.Method, r.URL.EscapedPath())
@@ -141,13 +141,13 @@
 	return routes.CallShape{Table: active.table, Shape: active.index[s], Protocol: protocol.HTTP}, s.EndsInKey(), nil
 }
 
-// applyShape sets the fields of a request that tell a transport about its shape.
+// applyShape sets the fields of a request from which a transport learns the shape's headers and status.
 func applyShape(r *httpmsg.Request, s *translate.Shape) {
 	r.UnknownShapeStatus, r.ForwardHeaders, r.ReplyHeaders = s.UnknownShapeCode, s.RequestHeaders(), s.ReplyHeaders()
 }
 
-// Thrift determines the shape of a call in an encoding, and sets the field of the call that a transport needs for it. The
-// CallShape is zero for a class without shapes. The error wraps ErrUnknownShape.
+// Thrift determines the shape of a call in an encoding, and sets UnknownShapeType of the call for the transport. The CallShape is
+// zero for a class without shapes. The error wraps ErrUnknownShape.
 func (b *Bridge) Thrift(c *thriftmap.Call, encoding choice.Protocols) (routes.CallShape, error) {
 	active := b.current.Load()
 	s := active.set.ThriftShape(c.Method.Name) // in the table: the service has the method
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -17,7 +17,8 @@
 
 const (
 	maxListBytes = 8 << 20 // of one list: some 50,000 entries
-	// progressBytes is the amount of data that counts as progress of a list. One that takes longer than silenceTimeout needs some 57 KB/s.
+	// progressBytes is the amount of data that counts as progress of a list. A list that takes longer than silenceTimeout must arrive at some
+	// 57 KB/s or more.
 	progressBytes = 256 << 10
 	// listStallTimeout limits the time from the start of a list, or from its latest progress, to more progress or its end. If a service
 	// stops in the middle of a list without closing, it is called again soon enough to learn what a silent watch missed. The next call may
@@ -71,7 +72,7 @@
 	if _, needed := d.version(); needed || events.Full {
 		onAnswer, onData := answered, alive
 		if events.Full {
-			onAnswer, onData = events.Answered, reportAlive // the full list may take as long as the call
+			onAnswer, onData = events.Answered, reportAlive // the timer is not reset: its limit is for the answer and the full list together
 		}
 		if err := d.read(ctx, "", onAnswer, onData, func(l rawList) error {
 			silence.reset(limit) // for the watch
@@ -232,7 +233,7 @@
 	// a list that arrives in drips may never be complete.
 	var received, decoded, reported int64 // bytes received, bytes of complete lists, and bytes at the last report
 	inList := false                       // in the middle of a list
-	lines := json.NewDecoder(readerFunc(func(p []byte) (int, error) {
+	decoder := json.NewDecoder(readerFunc(func(p []byte) (int, error) {
 		if received-decoded > maxListBytes {
 			return 0, fmt.Errorf("a list of over %d bytes", maxListBytes)
 		}
@@ -255,14 +256,14 @@
 	}))
 	for {
 		var l rawList
-		if err := lines.Decode(&l); err != nil {
-			return cmp.Or(context.Cause(ctx), fmt.Errorf("reading the list, byte %d: %w", lines.InputOffset(), err))
+		if err := decoder.Decode(&l); err != nil {
+			return cmp.Or(context.Cause(ctx), fmt.Errorf("reading the list, byte %d: %w", decoder.InputOffset(), err))
 		}
-		rest, err := io.ReadAll(lines.Buffered())
+		rest, err := io.ReadAll(decoder.Buffered())
 		if err != nil {
 			return err
 		}
-		decoded, inList, reported = lines.InputOffset(), len(bytes.TrimSpace(rest)) > 0, received
+		decoded, inList, reported = decoder.InputOffset(), len(bytes.TrimSpace(rest)) > 0, received
 		alive(listComplete)
 		if err := take(l); err != nil {
 			return err
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -42,13 +42,13 @@
 func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 func reset(_ http.ResponseWriter, _ *http.Request)  { panic(http.ErrAbortHandler) }
 func busy(w http.ResponseWriter, _ *http.Request)   { w.WriteHeader(http.StatusServiceUnavailable) }
-func headOnly(w http.ResponseWriter, r *http.Request) {
+func headersOnly(w http.ResponseWriter, r *http.Request) {
 	w.(http.Flusher).Flush()
 	<-r.Context().Done()
 }
 
-// All open watches fall silent, and servers begin to drain. The drain must be received before it counts as known to the agent, 6 s after the
-// silence began, and the minimum grace has passed, whatever happens to the first calls after that.
+// All open watches fall silent, and servers begin to drain. 6 s after the silence began, the drain counts as known to the agent; it must be received
+// before that time and the minimum grace have passed, whatever happens to the first calls after the silence.
 func TestDrainBehindSilentWatches(t *testing.T) {
 	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
@@ -58,10 +58,10 @@
 	for name, handlers := range map[string][]func(http.ResponseWriter, *http.Request){
 		"answered":                        {answers},
 		"silent":                          {silent, answers},
-		"a head, then silent":             {headOnly, answers},
+		"a head, then silent":             {headersOnly, answers},
 		"reset":                           {reset, answers},
 		"503":                             {busy, busy, answers},
-		"silent, a head, 503, then reset": {silent, headOnly, busy, reset, answers},
+		"silent, a head, 503, then reset": {silent, headersOnly, busy, reset, answers},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -95,8 +95,8 @@
 	}
 }
 
-// A list that has started and arrives in drips does not count as activity: it may never be complete. Lists that are indented, after
-// empty lines, are accepted like others.
+// A list that has started and arrives in drips does not count as activity: it may never be complete. An indented list after empty lines is
+// accepted like any other.
 func TestListInDrips(t *testing.T) {
 	drip := func(w http.ResponseWriter, r *http.Request) {
 		write(w, inService+`{"version":9,"servers":[`)
@@ -128,7 +128,7 @@
 }
 
 // A service that all agents share stops in the middle of a list without closing. It must be called again soon, not only after the silence
-// timeout. If its lists always take longer than that, the next answer delivers one.
+// timeout. If its lists always take longer than the stall timeout, the answer to the second call is received completely.
 func TestListThatStopsShort(t *testing.T) {
 	half := inService[:len(inService)/2]
 	stops := func(w http.ResponseWriter, r *http.Request) { write(w, half); <-r.Context().Done() }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,8 +19,8 @@
 // dialTimeout limits connecting to discovery.
 const dialTimeout = time.Second
 
-// dial connects to discovery. What discovery has written counts as known to the agent, even if system calls fail on the connection, so it is
-// wrapped to retry them.
+// dial connects to discovery. What discovery has written counts as known to the agent, even if system calls fail on the connection, so the
+// connection is wrapped to retry failed calls.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -32,8 +32,8 @@
 // Client watches the list of one discovery service. It is safe for concurrent use.
 type Client struct {
 	addr           string
-	silenceTimeout time.Duration // after which a watch counts as broken
-	stallTimeout   time.Duration // after which a list that has started counts as stalled, the first time
+	silenceTimeout time.Duration // how long a watch may be silent before it counts as broken
+	stallTimeout   time.Duration // how long a list that has started may make no progress, unless the one before it has stalled
 	client         *http.Client
 	log            *slog.Logger
 
@@ -51,8 +51,8 @@
 	at time.Duration
 }
 
-// UnknownVersion is the version of a list when none has been received from this discovery service yet: another service may count
-// differently.
+// UnknownVersion is the version of a list when none has been received from this discovery service yet: versions of different services
+// are not comparable.
 const UnknownVersion = listcheck.UnknownVersion
 
 // New returns a Client that starts from a known list, which may have the version UnknownVersion.
@@ -106,7 +106,7 @@
 	}
 }
 
-// Watch delivers lists in order until the watch ends. It returns how long nothing had been received if that ended the watch, otherwise 0.
+// Watch delivers lists in order until the watch ends. If it ended because nothing was received for too long, Watch returns that time, otherwise 0.
 // It logs the error, unless the previous watch ended with the same one.
 func (d *Client) Watch(ctx context.Context, events Events) (silent time.Duration) {
 	err := d.watch(ctx, events)
@@ -114,7 +114,7 @@
 		d.logEnd(err)
 	}
 	var silence silenceError
-	if errors.As(err, &silence) && time.Duration(silence) < d.silenceTimeout { // of a list that had started
+	if errors.As(err, &silence) && time.Duration(silence) < d.silenceTimeout { // only a list that has started has a shorter limit
 		d.mu.Lock()
 		d.stalled = true
 		d.mu.Unlock()
--- a/internal/discovery/dnssource/dnssource.go
+++ b/internal/discovery/dnssource/dnssource.go
@@ -29,7 +29,7 @@
 // maxInFlight limits the number of concurrent queries.
 const maxInFlight = 32
 
-// Run queries until the context ends. It calls deliver with each new state of the records, and lost when no name server answers.
+// Run sends queries until ctx is done. It calls deliver with each new state of the records, and lost when no name server answers.
 func Run(ctx context.Context, set Settings, deliver func(resolve.Snapshot), lost func()) {
 	set.Settings.Servers = len(set.Addrs)
 	r := resolve.New(set.Settings, set.Seed)
@@ -52,13 +52,13 @@
 			default:
 				break send
 			}
-			a := queue[0]
+			q := queue[0]
 			queue = queue[1:]
 			go func() {
-				answer := Exchange(ctx, set.Addrs[a.Server], a)
+				answer := Exchange(ctx, set.Addrs[q.Server], q)
 				<-slots
 				select {
-				case answers <- done{a, answer}:
+				case answers <- done{q, answer}:
 				case <-ctx.Done():
 				}
 			}()
--- a/internal/discovery/dnssource/dnssource_test.go
+++ b/internal/discovery/dnssource/dnssource_test.go
@@ -21,17 +21,17 @@
 	lost      chan struct{}
 }
 
-func start(t *testing.T, least time.Duration, servers ...string) runningSource {
+func start(t *testing.T, minInterval time.Duration, servers ...string) runningSource {
 	t.Helper()
 	set := Settings{Settings: resolve.Defaults, Addrs: servers, Seed: 1, Log: slog.New(slog.DiscardHandler),
 		Now: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
-	set.Name, set.Timeout, set.TCPTimeout, set.MinInterval, set.MaxInterval = service, 50*time.Millisecond, 50*time.Millisecond, least, least
+	set.Name, set.Timeout, set.TCPTimeout, set.MinInterval, set.MaxInterval = service, 50*time.Millisecond, 50*time.Millisecond, minInterval, minInterval
 	ctx, cancel := context.WithCancel(context.Background())
 	r := runningSource{make(chan resolve.Snapshot, 1000), make(chan struct{}, 1000)}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		Run(ctx, set, func(w resolve.Snapshot) { r.snapshots <- w }, func() { r.lost <- struct{}{} })
+		Run(ctx, set, func(s resolve.Snapshot) { r.snapshots <- s }, func() { r.lost <- struct{}{} })
 	}()
 	t.Cleanup(func() { cancel(); <-ended })
 	return r
@@ -43,8 +43,8 @@
 	timeout := time.After(testkit.WaitTimeout)
 	for {
 		select {
-		case w := <-r.snapshots:
-			if holds(w) {
+		case s := <-r.snapshots:
+			if holds(s) {
 				return
 			}
 		case <-timeout:
@@ -53,7 +53,7 @@
 	}
 }
 
-func newNames(t *testing.T, records ...string) *standin.NameServer {
+func newNameServer(t *testing.T, records ...string) *standin.NameServer {
 	t.Helper()
 	n, err := standin.NewNameServer()
 	if err != nil {
@@ -75,7 +75,7 @@
 }
 
 func has(n int) func(resolve.Snapshot) bool {
-	return func(w resolve.Snapshot) bool { return len(w.Claims) == n }
+	return func(s resolve.Snapshot) bool { return len(s.Claims) == n }
 }
 
 // For each fault of a name server, another server is queried. Without another one, the loss is reported, and the source recovers with the
@@ -86,17 +86,17 @@
 		"a loop of names": standin.NameLoop} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad := newNames(t, records(1, 2)...)
+			bad := newNameServer(t, records(1, 2)...)
 			bad.SetFault(fault)
 			alone := start(t, 20*time.Millisecond, bad.Addr())
 			select {
 			case <-alone.lost:
-			case w := <-alone.snapshots:
-				t.Fatalf("delivered %+v", w)
+			case s := <-alone.snapshots:
+				t.Fatalf("delivered %+v", s)
 			case <-time.After(testkit.WaitTimeout):
 				t.Fatal("neither a snapshot nor the loss of all servers is reported")
 			}
-			good := newNames(t, records(1, 2)...)
+			good := newNameServer(t, records(1, 2)...)
 			start(t, 20*time.Millisecond, bad.Addr(), good.Addr()).waitFor(t, "by the other server", has(2))
 			bad.SetFault(standin.NameOK)
 			alone.waitFor(t, "when it is well", has(2))
@@ -106,20 +106,20 @@
 
 // A truncated answer is fetched over TCP, and so are 600 records, which fit in no datagram.
 func TestLargeAnswers(t *testing.T) {
-	n := newNames(t, records(60, 3)...)
+	n := newNameServer(t, records(60, 3)...)
 	n.SetFault(standin.NameTruncated)
 	start(t, time.Second, n.Addr()).waitFor(t, "by TCP", has(3))
 	var many []string
 	for i := range 600 {
 		many = append(many, fmt.Sprintf("%s 60 SRV 1 5 %d forms-0.example.org.", service, 1000+i))
 	}
-	large := newNames(t, append(many, "forms-0.example.org. 60 A 127.0.0.1")...)
+	large := newNameServer(t, append(many, "forms-0.example.org. 60 A 127.0.0.1")...)
 	start(t, time.Second, large.Addr()).waitFor(t, "600 records", has(600))
 }
 
 // A change of the zone is delivered soon after the TTL. A name that no longer exists is delivered as empty.
 func TestChanges(t *testing.T) {
-	n := newNames(t, records(0, 3)...)
+	n := newNameServer(t, records(0, 3)...)
 	r := start(t, 20*time.Millisecond, n.Addr())
 	r.waitFor(t, "three servers", has(3))
 	if err := n.SetZone(records(0, 2)...); err != nil {
@@ -129,7 +129,7 @@
 	n.SetFault(standin.NameNXDomain)
 	r.waitFor(t, "none", has(0))
 	n.SetFault(standin.NameOK)
-	r.waitFor(t, "two again", func(w resolve.Snapshot) bool {
-		return len(w.Claims) == 2 && strings.HasPrefix(w.Claims[0].Addrs[0], "[::1]:")
+	r.waitFor(t, "two again", func(s resolve.Snapshot) bool {
+		return len(s.Claims) == 2 && strings.HasPrefix(s.Claims[0].Addrs[0], "[::1]:")
 	})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -47,8 +47,8 @@
 var states = map[string]choice.State{"in_service": choice.Ready, terminating: choice.Draining,
 	"terminated": choice.Removed}
 
-// Server converts an entry for the module. Module time is Unix time, so a start time needs no conversion, and 0 still
-// means "long ago".
+// Server converts an entry for the choice module. The module's clock counts from the Unix epoch, so a start time only changes its unit,
+// and 0 still means "long ago".
 func (e Entry) Server(zones []string) (choice.Server, error) {
 	state, ok := states[e.State]
 	if !ok {
--- a/internal/discovery/localwatch.go
+++ b/internal/discovery/localwatch.go
@@ -11,7 +11,7 @@
 	"ternbeam/internal/decide/pacing"
 )
 
-// errSuperseded ends a call that another call replaces, by being made or by establishing a watch.
+// errSuperseded cancels a call to make room for a newer one, or because another call has established a watch.
 var errSuperseded = errors.New("superseded by another call")
 
 // localWatch keeps a watch on a discovery service that serves only this agent. While no watch is established, it makes further calls in
@@ -26,7 +26,7 @@
 	events chan callEvent
 	calls  sync.WaitGroup // goroutines of calls
 
-	// The following fields belong to run.
+	// The following fields are used by run's goroutine only.
 	pending     []*localCall // the oldest first
 	established *localCall   // whose watch is established, nil if there is none
 }
@@ -122,7 +122,7 @@
 	})
 }
 
-// send passes an event to run, unless the call no longer matters.
+// send passes an event to run, or drops it if the call has been canceled or run has ended.
 func (w *localWatch) send(ctx context.Context, e callEvent) {
 	select {
 	case w.events <- e:
@@ -134,7 +134,7 @@
 func (w *localWatch) handle(e callEvent) {
 	switch e.kind {
 	case callDelivered:
-		if w.established == nil { // an established watch may take as long as it needs
+		if w.established == nil { // the first list of an established watch may come at any time, which says nothing about the service's speed
 			w.schedule.ListReceived(e.took)
 		}
 	case callEstablished:
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -27,12 +27,12 @@
 	t.Helper()
 	lists := make(chan List, 1000)
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		d.KeepWatching(ctx, pacing.New(set, 1), func(l List) { lists <- l }, nil)
-		close(over)
+		close(ended)
 	}()
-	t.Cleanup(func() { cancel(); <-over })
+	t.Cleanup(func() { cancel(); <-ended })
 	return lists
 }
 
@@ -125,7 +125,7 @@
 
 // A service that accepts no watch, but answers requests for the full list, still delivers: each change within two intervals.
 func TestServiceThatTakesNoWatch(t *testing.T) {
-	for name, refuse := range map[string]func(http.ResponseWriter, *http.Request){"503": busy, "reset": reset, "silent": silent, "a head alone": headOnly} {
+	for name, refuse := range map[string]func(http.ResponseWriter, *http.Request){"503": busy, "reset": reset, "silent": silent, "a head alone": headersOnly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var drained atomic.Bool
--- a/internal/discovery/silence.go
+++ b/internal/discovery/silence.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// suspensionMargin is the lateness of a timer that shows that the process was suspended, and also the time that it takes to read data
+// suspensionMargin is how late a timer must be to show that the process was suspended, and also how long the process then has to read data
 // received meanwhile.
 const suspensionMargin = 500 * time.Millisecond
 
@@ -29,7 +29,7 @@
 	limit time.Duration
 }
 
-// newSilenceTimer returns a running silenceTimer. It calls expired once, on a goroutine of its own.
+// newSilenceTimer returns a running silenceTimer. It calls expired at most once for each quiet period, on a goroutine of its own.
 func newSilenceTimer(limit time.Duration, expired func(limit time.Duration)) *silenceTimer {
 	s := &silenceTimer{expired: expired}
 	s.last.Store(&quietPeriod{time.Now(), limit})
--- a/internal/discovery/standstill_test.go
+++ b/internal/discovery/standstill_test.go
@@ -34,11 +34,11 @@
 	stopped, sent := make(chan struct{}), make(chan struct{})
 	addr, requests := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		write(w, inService)
-		beat := time.NewTicker(silence / 10)
-		defer beat.Stop()
+		heartbeat := time.NewTicker(silence / 10)
+		defer heartbeat.Stop()
 		for running := true; running; {
 			select {
-			case <-beat.C:
+			case <-heartbeat.C:
 				write(w, "\n")
 			case <-stopped:
 				running = false
--- a/internal/http/httpback/crossing_test.go
+++ b/internal/http/httpback/crossing_test.go
@@ -78,10 +78,10 @@
 	b := runServer(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		id := readRequestID(r)
 		fmt.Fprint(c, answerWithID(id))
-		crossed := make(chan string, 1)
-		go func() { crossed <- readRequestID(r) }()
+		nextRequest := make(chan string, 1)
+		go func() { nextRequest <- readRequestID(r) }()
 		select {
-		case <-crossed: // the next request was sent without the reuse delay
+		case <-nextRequest: // the next request was sent without the reuse delay
 		case <-time.After(3 * time.Millisecond):
 		}
 		fmt.Fprint(c, answerWithID(id))
@@ -171,8 +171,8 @@
 
 // withStall returns u with a call of stall between the check of the connection and the first byte written.
 func withStall(u *exchange.Transport, stall func()) *exchange.Transport {
-	begin := u.NewCodec
-	u.NewCodec = func(at *core.Attempt) exchange.Codec { stall(); return begin(at) }
+	newCodec := u.NewCodec
+	u.NewCodec = func(at *core.Attempt) exchange.Codec { stall(); return newCodec(at) }
 	return u
 }
 
--- a/internal/http/httpback/fuzz_test.go
+++ b/internal/http/httpback/fuzz_test.go
@@ -76,8 +76,8 @@
 }
 
 // readAnswer reads one complete answer.
-func readAnswer(r *bufio.Reader, begin func() error, wanted []string) (answer, error) {
-	h, err := readHeads(r, begin, wanted)
+func readAnswer(r *bufio.Reader, awaitData func() error, wanted []string) (answer, error) {
+	h, err := readHeads(r, awaitData, wanted)
 	if err != nil {
 		return answer{}, err
 	}
--- a/internal/http/httpback/httpback.go
+++ b/internal/http/httpback/httpback.go
@@ -34,6 +34,7 @@
 	}}
 }
 
+// codec encodes and decodes one attempt. It implements exchange.StreamingCodec.
 type codec struct {
 	request      *httpmsg.Request
 	host         string
@@ -132,11 +133,11 @@
 	reusable bool // the connection can be used again
 }
 
-// readHeads reads the head of one answer and skips those of 1xx answers. begin waits for the first byte of a head. wanted names
+// readHeads reads the head of one answer and skips those of 1xx answers. awaitData waits for the first byte of a head. wanted names
 // headers to return in addition to the usual ones.
-func readHeads(r *bufio.Reader, begin func() error, wanted []string) (head, error) {
+func readHeads(r *bufio.Reader, awaitData func() error, wanted []string) (head, error) {
 	for remaining := httpmsg.MaxHead; ; { // shared with the heads of 1xx answers
-		if err := begin(); err != nil {
+		if err := awaitData(); err != nil {
 			return head{}, err
 		}
 		text, err := readHead(r, remaining)
@@ -171,7 +172,7 @@
 	reportCount int // number of X-Backend-Load headers
 	report      string
 	contentType string
-	wanted      [][2]string
+	wanted      [][2]string // the further headers that were asked for, as name and value
 }
 
 // findHeaders returns all values of the named headers.
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -67,9 +67,11 @@
 			a.Call.Disconnected = func() bool { return true }
 		}, choice.NotSent},
 		"drains":              {func(u *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { u.Pool.Retire(a.Server) }, choice.ConnectFailed},
-		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Canceled},
+		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, cancel context.CancelCauseFunc) { cancel(core.ErrCanceled) }, choice.Canceled},
 		"send window is over": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.WriteBy = time.Now() }, choice.NotSent},
-		"deadline is over":    {func(_ *exchange.Transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
+		"deadline is over": {func(_ *exchange.Transport, _ *core.Attempt, cancel context.CancelCauseFunc) {
+			cancel(context.DeadlineExceeded)
+		}, choice.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var seen testkit.Counter
@@ -301,7 +303,7 @@
 	}
 }
 
-// Valid answers, with something unusual in them.
+// Valid answers with something unusual in them are accepted.
 func TestOddAnswers(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for name, answer := range map[string]string{
@@ -353,7 +355,7 @@
 	}
 }
 
-// The same for bytes that arrive while the connection is idle.
+// Bytes that arrive while a connection is idle must not be taken for the answer to the next request either.
 func TestIdleConnectionThatSpeaksIsDropped(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {}))
@@ -434,29 +436,29 @@
 		}
 	}
 	x, y := startServer(t, serve), startServer(t, serve)
-	var patient atomic.Bool
+	var noDeadline atomic.Bool
 	u := newTransport(pool.Settings{MaxConns: 1})
 	do := func(id string, b *lifecycle.Server) choice.Result {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		defer cancel()
-		if patient.Load() {
+		if noDeadline.Load() {
 			ctx = context.Background()
 		}
 		return u.Attempt(ctx, attempt(id, b)).Result
 	}
-	patient.Store(true)
+	noDeadline.Store(true)
 	if a, b := do("a", x), do("b", y); a != choice.OK || b != choice.OK || openConns(u) != 1 {
 		t.Errorf("results %d and %d, %d connections", a, b, openConns(u))
 	}
 	first, waiting := make(chan choice.Result, 1), make(chan choice.Result, 2)
 	go func() { first <- do("held", x) }()
 	<-arrived
-	patient.Store(false)
+	noDeadline.Store(false)
 	queued := func() int { _, _, n := u.Pool.Count(); return n }
 	if got := do("c", y); got != choice.NotSent || queued() != 0 {
 		t.Errorf("result %d with every connection in use, %d waiting", got, queued())
 	}
-	patient.Store(true)
+	noDeadline.Store(true)
 	for _, id := range []string{"d", "e"} {
 		go func() { waiting <- do(id, y) }()
 	}
--- a/internal/http/httpfront/crossing_test.go
+++ b/internal/http/httpfront/crossing_test.go
@@ -121,7 +121,7 @@
 // panickingShapes panics on some requests.
 type panickingShapes struct{}
 
-func (panickingShapes) HTTP(_ string, r *httpmsg.Request) (tag routes.CallShape, keyLast bool, err error) {
+func (panickingShapes) HTTP(_ string, r *httpmsg.Request) (shape routes.CallShape, keyLast bool, err error) {
 	if strings.Contains(r.URL.Path, "panic") {
 		panic("planted")
 	}
@@ -311,16 +311,16 @@
 	for kind, request := range requestsByKind {
 		t.Run(kind, func(t *testing.T) {
 			r := newTestFront(t, 4)
-			var cross func()
-			var crossing atomic.Bool
+			var connectAnother func()
+			var secondRequest atomic.Bool
 			closed := make(chan net.Conn, 10)
 			newcomers := make(chan *conntrack.Conn, 1)
 			r.http.ConnState = func(c net.Conn, state http.ConnState) {
-				if state == http.StateActive && crossing.Load() { // the request has been read, but its handler has not run
-					cross()
+				if state == http.StateActive && secondRequest.Load() { // the request has been read, but its handler has not run
+					connectAnother()
 				}
 				r.connState(c, state)
-				if state == http.StateClosed && crossing.Load() {
+				if state == http.StateClosed && secondRequest.Load() {
 					closed <- c.(*recordingConn).Conn
 				}
 			}
@@ -334,11 +334,11 @@
 				testkit.Eventually(t, "the attempt has started", func() bool { return r.servers.attempts(id) > 0 })
 				<-r.conns
 			}
-			cross = sync.OnceFunc(func() { // another client connects and takes the last free connection
+			connectAnother = sync.OnceFunc(func() { // another client connects and takes the last free connection
 				r.dial(t)
 				newcomers <- <-r.conns
 			})
-			crossing.Store(true)
+			secondRequest.Store(true)
 			send(t, c, request("a"))
 			if conn, newcomer := <-closed, <-newcomers; conn != net.Conn(newcomer) {
 				t.Fatal("a connection other than the new one is closed")
@@ -360,14 +360,14 @@
 	for kind, request := range requestsByKind {
 		t.Run(kind, func(t *testing.T) {
 			r := newTestFront(t, 4)
-			var crossing atomic.Bool
+			var secondRequest atomic.Bool
 			closed := make(chan net.Conn, 10)
 			r.http.ConnState = func(c net.Conn, state http.ConnState) {
-				if state == http.StateActive && crossing.Load() { // the request has been read, but its handler has not run
+				if state == http.StateActive && secondRequest.Load() { // the request has been read, but its handler has not run
 					r.tracker.MarkClosed(c.(*recordingConn).Conn)
 				}
 				r.connState(c, state)
-				if state == http.StateClosed && crossing.Load() {
+				if state == http.StateClosed && secondRequest.Load() {
 					closed <- c.(*recordingConn).Conn
 				}
 			}
@@ -375,7 +375,7 @@
 			r.serveOne(t, c)
 			first := <-r.conns
 			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.AwaitsRequest(first) })
-			crossing.Store(true)
+			secondRequest.Store(true)
 			send(t, c, request("a"))
 			if conn := <-closed; conn != net.Conn(first) { // nobody serves it any more
 				t.Fatal("a different connection is closed")
@@ -462,14 +462,14 @@
 
 // Guards against a leaked stream, with a writer that waits for a reader, when an answer starts as its client disconnects.
 func TestAnswerThatNobodyTakesIsClosed(t *testing.T) {
-	for name, cross := range map[string]func(h answerSlot, ans core.Answer){
-		"the answer first":     func(h answerSlot, ans core.Answer) { h.deliver(ans); h.call.MarkDisconnected(); h.discard() },
-		"the disconnect first": func(h answerSlot, ans core.Answer) { h.call.MarkDisconnected(); h.discard(); h.deliver(ans) },
-		"between":              func(h answerSlot, ans core.Answer) { h.call.MarkDisconnected(); h.deliver(ans); h.discard() },
+	for name, race := range map[string]func(s answerSlot, ans core.Answer){
+		"the answer first":     func(s answerSlot, ans core.Answer) { s.deliver(ans); s.call.MarkDisconnected(); s.discard() },
+		"the disconnect first": func(s answerSlot, ans core.Answer) { s.call.MarkDisconnected(); s.discard(); s.deliver(ans) },
+		"between":              func(s answerSlot, ans core.Answer) { s.call.MarkDisconnected(); s.deliver(ans); s.discard() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			in, out := io.Pipe()
-			cross(newAnswerSlot(&core.Call{}), core.Answer{Reply: &httpmsg.Reply{Stream: in}})
+			race(newAnswerSlot(&core.Call{}), core.Answer{Reply: &httpmsg.Reply{Stream: in}})
 			if _, err := out.Write([]byte("x")); err != io.ErrClosedPipe {
 				t.Error(err)
 			}
@@ -549,7 +549,8 @@
 				}
 			}
 			s := r.core.Snapshot()
-			ended := s.Stats.Disconnected + s.Stats.Served + s.Stats.Refused + s.Stats.Failed // disconnected before being read: no requests
+			// Requests of clients that disconnected before they were read are not counted.
+			ended := s.Stats.Disconnected + s.Stats.Served + s.Stats.Refused + s.Stats.Failed
 			return s.Open == 0 && s.Held == 0 && ended == s.Stats.Requests && r.tracker.Count() == 0
 		})
 	}
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -70,7 +70,8 @@
 	// No http.ServeMux: it would redirect a request whose path is not in canonical form.
 	handler := func(w http.ResponseWriter, in *http.Request) {
 		defer f.answerPanic(w, in)
-		// False if closed while the request was being read: its client retries, and the request must not take effect twice.
+		// MarkBusy fails if the connection was closed while the request was being read: the client retries, and the request must not take
+		// effect twice.
 		if !f.tracker.MarkBusy(clientConnOf(in).conn) {
 			f.log.Warn("request dropped as its connection had been closed", "id", in.Header.Get("X-Correlation-Id"))
 			panic(http.ErrAbortHandler)
@@ -136,7 +137,7 @@
 
 	answerStarted bool // the final answer to the current request has started
 
-	opened time.Duration // on the module's clock
+	opened time.Duration // on the core's clock
 }
 
 type clientConnKey struct{}
@@ -235,7 +236,7 @@
 	client := clientConnOf(in)
 	gone := func() bool {
 		gone, over := client.conn.Probe()
-		if over { // requests in the unread data can't be separated any more
+		if over { // more unread data than is kept, so the requests in it can't be separated any more
 			w.Header().Set("Connection", "close")
 		}
 		return gone
@@ -261,7 +262,7 @@
 	}
 	if call.BodyPending {
 		defer body.stop() // however the call ends
-		broken, err := body.pump(f.core, call), error(nil)
+		bodyEnded, err := body.pump(f.core, call), error(nil)
 		select {
 		case ans := <-slot.answers:
 			if body.stop() {
@@ -269,7 +270,7 @@
 			}
 			f.writeFinal(w, in, call, ans)
 			return
-		case err = <-broken: // nil if the body is complete
+		case err = <-bodyEnded: // nil if the body is complete
 		}
 		if err != nil {
 			f.core.CountMalformed()
--- a/internal/http/httpfront/long.go
+++ b/internal/http/httpfront/long.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// longHeadTimeout limits the time for a head when clients may be slow. They may be slow for up to 2 s.
+	// longHeadTimeout limits the time for a head when long bodies are allowed. Clients may then be slow for up to 2 s.
 	longHeadTimeout = 2400 * time.Millisecond
 
 	// bodyGrace and minBodyRate limit how long the agent waits for a body: bodyGrace in total, plus the time that the body takes at
@@ -154,7 +154,7 @@
 				err = &http.MaxBytesError{Limit: httpmsg.MaxStreamedBody}
 			}
 			if err != nil && err != io.EOF {
-				c.ClientDisconnected(call) // before an attempt fails because of it, which would be retried
+				c.ClientDisconnected(call) // first, as an attempt that fails because the body ends would be retried
 				b.upload.Finish(err)
 				ended <- fmt.Errorf("%w: %w", errBody, err)
 				return
--- a/internal/http/httpfront/tape.go
+++ b/internal/http/httpfront/tape.go
@@ -12,7 +12,7 @@
 	"ternbeam/internal/http/httpmsg"
 )
 
-// recordingListener accepts connections that record the bytes read last.
+// recordingListener accepts connections as recordingConns.
 type recordingListener struct {
 	*conntrack.Listener
 	headTimeout time.Duration // for a request that has started on an idle connection
@@ -40,8 +40,8 @@
 	mu         sync.Mutex // net/http may continue to read while a request is answered
 	recorded   []byte
 	idle       bool  // nothing has been received since the last request ended
-	received   int64 // total bytes
-	requestEnd int64 // total bytes up to the end of the current request, or unknownEnd
+	received   int64 // total bytes read from the connection
+	requestEnd int64 // the value of received at which the current request ends, or unknownEnd
 }
 
 // unknownEnd is the requestEnd of a request whose length is unknown, or whose head is not recorded.
--- a/internal/http/httpfront/tape_test.go
+++ b/internal/http/httpfront/tape_test.go
@@ -32,7 +32,7 @@
 					number, strings.Repeat("y", random.IntN(3000)), len(body), body)
 			}
 			more := make(chan bool, requests)
-			conn, sent := serveRecorded(t, func(on *recordingConn) { more <- on.hasMore() })
+			conn, sent := serveRecorded(t, func(rec *recordingConn) { more <- rec.hasMore() })
 			for text.Len() > 0 {
 				conn.Write(text.Next(1 + random.IntN(9000)))
 				time.Sleep(time.Duration(random.IntN(2)) * time.Millisecond)
@@ -48,7 +48,7 @@
 }
 
 // serveRecorded serves one connection. It reads each request's body, and calls check after everything has been sent.
-func serveRecorded(t *testing.T, check func(on *recordingConn)) (client net.Conn, sent chan struct{}) {
+func serveRecorded(t *testing.T, check func(rec *recordingConn)) (client net.Conn, sent chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,11 +60,11 @@
 		return context.WithValue(ctx, clientConnKey{}, &clientConn{recorder: c.(*recordingConn)})
 	}
 	server := &http.Server{ConnContext: contextOf, ConnState: front.connState, Handler: http.HandlerFunc(func(_ http.ResponseWriter, in *http.Request) {
-		on := clientConnOf(in).recorder
-		on.headRead(in)
+		rec := clientConnOf(in).recorder
+		rec.headRead(in)
 		io.Copy(io.Discard, in.Body)
 		<-sent
-		check(on)
+		check(rec)
 	})}
 	go server.Serve(recordingListener{front.tracker.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler)).ReaderCloses(), headTimeout})
 	t.Cleanup(func() { server.Close() })
--- a/internal/http/httpmsg/upload.go
+++ b/internal/http/httpmsg/upload.go
@@ -17,7 +17,7 @@
 	length int64 // -1 if unknown
 
 	mu       sync.Mutex
-	changed  chan struct{} // closed when anything changes
+	changed  chan struct{} // closed and replaced when anything changes
 	parts    [][]byte      // the bytes that are kept
 	dropped  int64         // bytes dropped, which precede the first of the parts
 	received int64         // bytes received in total
@@ -139,7 +139,7 @@
 	if u.limit == maxKeptBytes {
 		u.budget.used.Add(-maxKeptBytes)
 	}
-	u.limit, u.dropped, u.parts = 0, u.received+1, nil
+	u.limit, u.dropped, u.parts = 0, u.received+1, nil // dropped is beyond every reader's offset, so Open and Next return ErrDropped
 	u.notifyLocked()
 }
 
--- a/internal/http/httpmsg/upload_test.go
+++ b/internal/http/httpmsg/upload_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-func newBudget(keeps int64) *Budget { return &Budget{MaxBytes: keeps * maxKeptBytes} }
+// newBudget returns a budget with room for the kept bytes of this number of uploads.
+func newBudget(uploads int64) *Budget { return &Budget{MaxBytes: uploads * maxKeptBytes} }
 
 // readN reads n bytes of an UploadReader, or up to its end.
-func readN(t *testing.T, o *UploadReader, n int) (got []byte) {
+func readN(t *testing.T, r *UploadReader, n int) (got []byte) {
 	t.Helper()
 	for len(got) < n {
-		p, err := o.Next()
+		p, err := r.Next()
 		if err == io.EOF {
 			return got
 		}
@@ -70,12 +71,12 @@
 	if u.Append(part, giveUp) {
 		t.Error("it holds more than MinBuffered bytes")
 	}
-	o, err := u.Open()
+	r, err := u.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan []byte)
-	go func() { done <- readN(t, o, 10*MinBuffered) }()
+	go func() { done <- readN(t, r, 10*MinBuffered) }()
 	for range 8 * MinBuffered / PartSize {
 		if !u.Append(part, nil) {
 			t.Fatal("no room although it is read")
@@ -96,17 +97,17 @@
 // Readers of a body that fails or is closed get an error, and the budget gets its bytes back.
 func TestUploadEnds(t *testing.T) {
 	b := newBudget(1)
-	u, poor := NewUpload(-1, b), NewUpload(-1, b)
-	if u.limit != maxKeptBytes || poor.limit != MinBuffered {
-		t.Errorf("%d and %d kept", u.limit, poor.limit)
+	u, overBudget := NewUpload(-1, b), NewUpload(-1, b)
+	if u.limit != maxKeptBytes || overBudget.limit != MinBuffered {
+		t.Errorf("%d and %d kept", u.limit, overBudget.limit)
 	}
-	o, err := u.Open()
+	r, err := u.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error)
 	go func() {
-		_, err := o.Next()
+		_, err := r.Next()
 		ended <- err
 	}()
 	broken := errors.New("broken")
@@ -121,7 +122,7 @@
 	if b.used.Load() != 0 {
 		t.Errorf("%d of the budget used", b.used.Load())
 	}
-	p, err := poor.Open()
+	p, err := overBudget.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/conffile/conffile.go
+++ b/internal/settings/conffile/conffile.go
@@ -55,7 +55,7 @@
 // an index, the last table of the array is found. Of a text that is not valid TOML only the keys before the first syntax error
 // are found.
 func findLines(text []byte) map[string]int {
-	at := map[string]int{}
+	lines := map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
 	var table, indexed []string // the current table's name, without and with the indices of arrays
@@ -84,26 +84,26 @@
 					indexed = append(indexed, strconv.Itoa(n-1))
 				}
 			}
-			at[strings.Join(indexed, ".")] = line
+			lines[strings.Join(indexed, ".")] = line
 		case unstable.KeyValue:
-			at[strings.Join(append(slices.Clone(indexed), key...), ".")] = line
+			lines[strings.Join(append(slices.Clone(indexed), key...), ".")] = line
 			key = append(slices.Clone(table), key...)
 		}
-		at[strings.Join(key, ".")] = line
+		lines[strings.Join(key, ".")] = line
 	}
-	return at
+	return lines
 }
 
 // Problem records a problem with a key. If the file does not have the key, the problem has the line of the table that
 // should contain it.
 func (f *File) Problem(key, format string, args ...any) {
-	line, at := 1, key
-	for at != "" {
-		if l := f.lines[at]; l > 0 {
+	line, ancestor := 1, key
+	for ancestor != "" {
+		if l := f.lines[ancestor]; l > 0 {
 			line = l
 			break
 		}
-		at = at[:max(0, strings.LastIndexByte(at, '.'))]
+		ancestor = ancestor[:max(0, strings.LastIndexByte(ancestor, '.'))]
 	}
 	p := problem{line, fmt.Sprintf("%s: %s", key, fmt.Sprintf(format, args...))}
 	if !slices.Contains(f.problems, p) { // a table that is checked several times has its problem once
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -29,7 +29,7 @@
 // the runtime does not count.
 func (l Limits) HeapLimit() int64 { return l.MemoryMB << 20 * 6 / 10 }
 
-// Config is an agent's configuration: the file, with some of its addresses overridden by the environment.
+// Config is an agent's configuration: the content of the file, with the name and some addresses overridden by the environment.
 type Config struct {
 	Name      string
 	Listen    string
--- a/internal/settings/config/where.go
+++ b/internal/settings/config/where.go
@@ -16,14 +16,14 @@
 	var syntaxErr *json.SyntaxError
 	var typeErr *json.UnmarshalTypeError
 	var keyErr *wire.KeyError
-	lines, settings := locateKeys(text)
+	lines, settingsOffset := locateKeys(text)
 	switch {
 	case errors.As(err, &syntaxErr):
 		return fmt.Errorf("line %d: %w", lineAt(text, syntaxErr.Offset), err)
 	case errors.As(err, &typeErr):
 		offset, key := typeErr.Offset, typeErr.Field
 		if errors.Is(err, errSettings) {
-			offset, key = offset+settings, "settings."+key
+			offset, key = offset+settingsOffset, "settings."+key
 		}
 		return fmt.Errorf("line %d: %s: %w", lineAt(text, offset), key, err)
 	case errors.As(err, &keyErr):
@@ -52,8 +52,8 @@
 	}
 }
 
-// locateKeys returns the lines of all keys, and the offset at which the value of settings begins.
-func locateKeys(text []byte) (lines keyLines, settings int64) {
+// locateKeys returns the lines of all keys, and the offset at which the value of the key settings begins.
+func locateKeys(text []byte) (lines keyLines, settingsOffset int64) {
 	lines = keyLines{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	var value func(path string)
@@ -66,7 +66,7 @@
 		lines[path] = lineAt(text, d.InputOffset())
 		if path == "settings" {
 			colon := bytes.IndexByte(text[begin:], ':') // begin is the end of the key
-			settings = begin + int64(colon) + 1
+			settingsOffset = begin + int64(colon) + 1
 		}
 		join := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 		switch t {
@@ -87,5 +87,5 @@
 		}
 	}
 	value("")
-	return lines, settings
+	return lines, settingsOffset
 }
--- a/internal/settings/sourceconf/sourceconf.go
+++ b/internal/settings/sourceconf/sourceconf.go
@@ -19,15 +19,15 @@
 type DNS struct {
 	Name    string        // of the SRV records
 	Servers []string      // name servers, as address and port
-	Hold    time.Duration // how long its facts count after they expire; 0 for no limit
+	Hold    time.Duration // how long its records stay valid after they expire; 0 for no limit
 	Resolve resolve.Settings
 }
 
 // Config is the content of such a file.
 type Config struct {
-	ListHold   time.Duration // how long the list's facts count once it is unreachable; 0 for no limit
+	ListHold   time.Duration // how long the list stays valid once its service is unreachable; 0 for no limit
 	DNS        []DNS
-	Membership membership.Settings // its sources are not set
+	Membership membership.Settings // without the sources
 	Addresses  addresses.Settings
 }
 
--- a/internal/settings/stateconf/stateconf.go
+++ b/internal/settings/stateconf/stateconf.go
@@ -69,18 +69,18 @@
 	const year = 31_536_000
 	src.Duration("load_ms", f.LoadMS, time.Millisecond, 0, 5000, &c.LoadTimeout)
 	src.Number("most_mib", f.MostMiB, 1, 1024, func(x float64) { c.MaxBytes = int64(x * (1 << 20)) })
-	k, w := &c.WritePolicy, &f.Write
-	src.Duration("write.look_ms", w.LookMS, time.Millisecond, 20, 60_000, &k.CheckInterval)
-	src.Duration("write.least_s", w.LeastS, time.Second, 0.02, 3600, &k.MinInterval)
-	src.Duration("write.most_s", w.MostS, time.Second, 0.02, 86_400, &k.MaxInterval)
-	if k.MaxInterval < k.MinInterval {
+	policy, w := &c.WritePolicy, &f.Write
+	src.Duration("write.look_ms", w.LookMS, time.Millisecond, 20, 60_000, &policy.CheckInterval)
+	src.Duration("write.least_s", w.LeastS, time.Second, 0.02, 3600, &policy.MinInterval)
+	src.Duration("write.most_s", w.MostS, time.Second, 0.02, 86_400, &policy.MaxInterval)
+	if policy.MaxInterval < policy.MinInterval {
 		src.Problem("write.most_s", "must not be below least_s")
 	}
-	src.Float("write.enough", w.Enough, 0, 1000, &k.UpdateShare)
-	src.Number("write.busy", w.Busy, 0.01, 1, func(x float64) { k.BusyLoad = x })
-	src.Number("write.kib_a_minute", w.KiBAMinute, 1, 1<<20, func(x float64) { k.BytesPerMinute = x * (1 << 10) })
-	src.Float("write.change", w.Change, 0, 1000, &k.MinDistance)
-	src.Duration("write.stale_s", w.StaleS, time.Second, 1, 86_400, &k.StaleAfter)
+	src.Float("write.enough", w.Enough, 0, 1000, &policy.UpdateShare)
+	src.Number("write.busy", w.Busy, 0.01, 1, func(x float64) { policy.BusyLoad = x })
+	src.Number("write.kib_a_minute", w.KiBAMinute, 1, 1<<20, func(x float64) { policy.BytesPerMinute = x * (1 << 10) })
+	src.Float("write.change", w.Change, 0, 1000, &policy.MinDistance)
+	src.Duration("write.stale_s", w.StaleS, time.Second, 1, 86_400, &policy.StaleAfter)
 	src.Duration("write.end_ms", w.EndMS, time.Millisecond, 0, 10_000, &c.FinalWriteTimeout)
 	a, h := &c.Aging, &f.HalfLife
 	src.Duration("half_life.capacity_s", h.CapacityS, time.Second, 1, year, &a.Capacity)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -107,20 +107,20 @@
 				fs := crashfs.FromFiles(c.initial)
 				fs.CrashAfter = at
 				done, err := c.play(fs)
-				for left := range fs.CrashStates() {
+				for crashed := range fs.CrashStates() {
 					states++
-					files := left.Files()
-					got, report, openErr := bodies(left, c.set)
+					files := crashed.Files()
+					got, report, openErr := bodies(crashed, c.set)
 					if openErr != nil || !maps.Equal(got, c.expected(c.before, done)) && !maps.Equal(got, c.expected(c.before, done+1)) {
 						t.Fatalf("crash after %q, %d puts succeeded: %v, %v, %+v\nfiles %q", fs.Ops, done, openErr, got, report, files)
 					}
 					if states%7 == 0 { // use the folder again, without a crash
 						again := putSequence{set: c.set, parts: [][][]store.Record{{{rec("again", "!")}}}}
 						again.parts[0][0][0].Format = 2
-						if _, err := again.play(left); err != nil {
+						if _, err := again.play(crashed); err != nil {
 							t.Fatalf("after %q: %v", fs.Ops, err)
 						}
-						if after, _, err := bodies(left, c.set); err != nil || after["again"] != "!" || len(after) != len(got)+1 {
+						if after, _, err := bodies(crashed, c.set); err != nil || after["again"] != "!" || len(after) != len(got)+1 {
 							t.Fatalf("after %q: %v, %v", fs.Ops, err, after)
 						}
 					}
@@ -164,11 +164,11 @@
 				cut := maps.Clone(files)
 				cut[name] = text[:i]
 				got, report, err := bodies(crashfs.FromFiles(cut), plain.set)
-				was := false
+				matchesPut := false
 				for n := 0; n <= done; n++ {
-					was = was || maps.Equal(got, puts.expected(map[string]string{}, n))
+					matchesPut = matchesPut || maps.Equal(got, puts.expected(map[string]string{}, n))
 				}
-				if err != nil || !was || name == newest && len(report.Dropped) == 0 {
+				if err != nil || !matchesPut || name == newest && len(report.Dropped) == 0 {
 					t.Fatalf("%s cut off at byte %d: %v, %v, %+v", name, i, err, got, report)
 				}
 				for _, mask := range []byte{0x01, 0x80, 0xff} {
@@ -177,12 +177,12 @@
 					bad[name] = append([]byte{}, text...)
 					bad[name][i] ^= mask
 					got, report, err := bodies(crashfs.FromFiles(bad), plain.set)
-					was := false
+					matchesPut := false
 					for n := 0; n <= done; n++ {
-						was = was || maps.Equal(got, puts.expected(map[string]string{}, n))
+						matchesPut = matchesPut || maps.Equal(got, puts.expected(map[string]string{}, n))
 					}
 					read := strings.HasSuffix(name, newest[len("snapshot"):]) // the previous generation is not read
-					if err != nil || !was || read && len(report.Dropped) == 0 {
+					if err != nil || !matchesPut || read && len(report.Dropped) == 0 {
 						t.Fatalf("byte %d of %s ^ %#x: %v, %v, %+v", i, name, mask, err, got, report)
 					}
 					if name == newest && processes == 1 && !maps.Equal(got, puts.expected(map[string]string{}, done)) {
@@ -229,8 +229,8 @@
 		if err := st.Put(rec("last", "x")); err != nil {
 			t.Fatal(err)
 		}
-		for left := range fs.CrashStates() {
-			if got, report, err := bodies(left, plain.set); err != nil || !maps.Equal(got, want) {
+		for crashed := range fs.CrashStates() {
+			if got, report, err := bodies(crashed, plain.set); err != nil || !maps.Equal(got, want) {
 				t.Fatalf("operation %d: %v, %v, %+v", op, err, got, report)
 			}
 		}
--- a/internal/store/dir.go
+++ b/internal/store/dir.go
@@ -66,8 +66,8 @@
 }
 
 // Lock locks the folder for this process. The system releases the lock when the process ends for any reason. The lock file contains the owner's
-// process id and start time while it runs, and still does if the process ended without unlocking; left is that text.
-func (d Dir) Lock() (unlock func() error, left string, err error) {
+// process id and start time, and is emptied by unlock; previousOwner is what a process that ended without unlocking has left in it.
+func (d Dir) Lock() (unlock func() error, previousOwner string, err error) {
 	name := d.path(lockName)
 	lock := flock.New(name, flock.SetPermissions(0o600))
 	got, err := lock.TryLock()
--- a/internal/store/frames/frames.go
+++ b/internal/store/frames/frames.go
@@ -70,10 +70,10 @@
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	decoding   = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: MaxRecords,
+	decMode    = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxArrayElements: MaxRecords,
 		MaxMapPairs: 16, IndefLength: cbor.IndefLengthForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		UTF8: cbor.UTF8RejectInvalid}.DecMode())
-	encoding = must(cbor.CoreDetEncOptions().EncMode())
+	encMode = must(cbor.CoreDetEncOptions().EncMode())
 )
 
 func must[T any](mode T, err error) T {
@@ -110,7 +110,7 @@
 
 // encodeFrame encodes a frame.
 func encodeFrame(generation uint64, number int, p payload) ([]byte, error) {
-	body, err := encoding.Marshal(p)
+	body, err := encMode.Marshal(p)
 	if err != nil {
 		return nil, fmt.Errorf("encoding a frame: %w", err)
 	}
@@ -217,7 +217,7 @@
 	if binary.LittleEndian.Uint32(rest[4:]) != sum(generation, number, body) {
 		return p, 0, errors.New("wrong checksum")
 	}
-	if err := decoding.Unmarshal(body, &p); err != nil {
+	if err := decMode.Unmarshal(body, &p); err != nil {
 		return p, 0, fmt.Errorf("complete, but unreadable: %w", err)
 	}
 	if (p.End == nil) == (p.Batch == nil) {
--- a/internal/store/frames/recover.go
+++ b/internal/store/frames/recover.go
@@ -43,7 +43,7 @@
 // Drop is data that a recovery skipped.
 type Drop struct {
 	File  string `json:"file"`
-	Bytes int    `json:"bytes"` // number of bytes skipped; 0 for a whole log
+	Bytes int    `json:"bytes"` // number of bytes skipped; 0 for a file that was not read
 	Why   string `json:"why"`
 }
 
@@ -56,9 +56,9 @@
 	Dropped []Drop
 }
 
-// Recover recovers the records of a folder from the newest intact snapshot and the logs from its generation on, up to the first fault. A later log is
-// applied only if the log before it is complete, because then the damaged snapshot between them has no other content than they have. read returns
-// the content of a file.
+// Recover recovers the records of a folder from the newest intact snapshot and the logs from its generation on, up to the first fault. A later log
+// is applied only if the log before it is complete: only then do the older snapshot and the logs before contain everything that the damaged snapshot
+// between them contained. read returns the content of a file.
 func Recover(names []string, read func(name string) ([]byte, error)) Recovered {
 	got := Recovered{Records: map[string]Record{}}
 	logs, snapshots := map[uint64]File{}, []File{}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,7 +16,7 @@
 // Record is a named value with a kind and a format.
 type Record = frames.Record
 
-// FS is the operations of a store on its folder. Names have no path separators.
+// FS performs a store's operations on its folder. File names have no path separators.
 type FS interface {
 	List() ([]string, error) // names of the files
 	// Read returns the content of a file. It fails if the file has more than limit bytes.
@@ -27,9 +27,9 @@
 	Remove(name string) error
 	// Sync makes all creations, renames and removals so far durable.
 	Sync() error
-	// Lock locks the folder for this process. left identifies the previous owner if that did not unlock the folder, and is empty otherwise.
-	// It fails with ErrOwned if another process holds the lock.
-	Lock() (unlock func() error, left string, err error)
+	// Lock locks the folder for this process. previousOwner identifies the process that held the lock before if that ended without unlocking,
+	// and is empty otherwise. Lock fails with ErrOwned if another process holds the lock.
+	Lock() (unlock func() error, previousOwner string, err error)
 }
 
 // File is a file that is written sequentially.
@@ -58,13 +58,13 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	or := func(x *int64, other int64) {
+	setDefault := func(x *int64, value int64) {
 		if *x == 0 {
-			*x = other
+			*x = value
 		}
 	}
-	or(&s.MaxBytes, 64<<20)
-	or(&s.MaxLogBytes, 256<<10)
+	setDefault(&s.MaxBytes, 64<<20)
+	setDefault(&s.MaxLogBytes, 256<<10)
 	if s.MaxRecords == 0 {
 		s.MaxRecords = frames.MaxRecords
 	}
@@ -90,7 +90,7 @@
 	fs      FS
 	unlock  func() error
 	records map[string]Record
-	bytes   int64
+	bytes   int64 // total size of the records, as limited by MaxBytes
 
 	newest     uint64 // the highest generation in a file name
 	log        File   // log of the newest generation; nil if the next write must begin a new generation
@@ -102,7 +102,7 @@
 // Open locks a folder for this process and reads its records. Unreadable data is skipped and reported; an error means that the folder itself
 // cannot be used.
 func Open(fs FS, set Settings) (*Store, Report, error) {
-	unlock, left, err := fs.Lock()
+	unlock, previousOwner, err := fs.Lock()
 	if err != nil {
 		return nil, Report{}, fmt.Errorf("locking the folder: %w", err)
 	}
@@ -112,7 +112,7 @@
 		return nil, Report{}, errors.Join(err, unlock())
 	}
 	s.records, s.newest = got.Records, got.Newest
-	report := Report{Left: left, From: got.From, Batches: got.Batches, Records: len(got.Records), Dropped: got.Dropped}
+	report := Report{Left: previousOwner, From: got.From, Batches: got.Batches, Records: len(got.Records), Dropped: got.Dropped}
 	report.Upgraded = s.upgrade(&report)
 	for _, r := range s.records {
 		s.bytes += size(r)
@@ -183,8 +183,8 @@
 // All returns all records by name. The map must not be modified and is valid until the next Put.
 func (s *Store) All() map[string]Record { return s.records }
 
-// Put writes records atomically and returns once they are durable. After an I/O error it is unknown whether they are; they become durable with the
-// next successful Put. The caller must not modify the bodies afterwards.
+// Put writes records atomically and returns once they are durable. After an I/O error it is unknown whether they are durable; they become so with
+// the next successful Put. The caller must not modify the bodies afterwards.
 func (s *Store) Put(batch ...Record) error {
 	if s.fs == nil {
 		return ErrClosed
@@ -205,7 +205,8 @@
 	if s.log == nil {
 		return s.Compact()
 	}
-	// Every batch goes to the log before it goes to a snapshot, so that a sealed log can replace an unreadable snapshot.
+	// While there is a log, a batch is written to it before the next snapshot: the previous snapshot and its complete log can then replace
+	// that snapshot if it is unreadable.
 	if err := s.append(batch); err != nil {
 		return err
 	}
@@ -278,7 +279,7 @@
 	}
 	old := s.log
 	s.log = nil
-	s.newest++ // also if it fails, as files that were begun under a generation must not be taken for a later attempt's
+	s.newest++ // also if Compact fails: a later attempt must not share its generation with files that this one began
 	g := s.newest
 	defer func() {
 		if old != nil {
@@ -316,7 +317,7 @@
 		log.Close()
 		return err
 	}
-	if old != nil { // without the seal, a fallback to the previous generation would only lose the later logs
+	if old != nil { // errors are ignored: without this end frame, a fallback to the previous generation merely loses the later logs
 		if seal, err := frames.EncodeEnd(g-1, s.logFrames, s.logRecords); err == nil {
 			old.Write(seal)
 		}
@@ -338,8 +339,8 @@
 	return errors.Join(err, f.Close())
 }
 
-// prune removes the generations before the one that precedes g, and unfinished files. Errors are ignored: the next call tries again, and all files
-// to keep are already durable.
+// prune removes unfinished files, and all generations before that of the latest snapshot that precedes g. Errors are ignored: the next call tries
+// again, and all files to keep are already durable.
 func (s *Store) prune(g uint64) {
 	names, err := s.fs.List()
 	if err != nil {
--- a/internal/sysio/peek/peek.go
+++ b/internal/sysio/peek/peek.go
@@ -105,17 +105,17 @@
 
 // StateOf asks the kernel for the state of a connection.
 func StateOf(c net.Conn) State {
-	var ask [1]unix.PollFd // no events requested: poll(2) always reports the end of the connection
+	var fds [1]unix.PollFd // no events requested: poll(2) always reports the end of the connection
 	var failed error
 	err := control(c, func(fd int) error {
-		ask[0].Fd = int32(fd)
-		_, failed = unix.Poll(ask[:], 0)
+		fds[0].Fd = int32(fd)
+		_, failed = unix.Poll(fds[:], 0)
 		return failed
 	})
 	switch {
 	case err == nil && failed != nil:
 		return Unknown
-	case err != nil, ask[0].Revents&(unix.POLLERR|unix.POLLHUP|unix.POLLNVAL) != 0:
+	case err != nil, fds[0].Revents&(unix.POLLERR|unix.POLLHUP|unix.POLLNVAL) != 0:
 		return Ended
 	}
 	return Open
@@ -124,17 +124,17 @@
 // HungUp reports whether the other side has closed its sending side or reset the connection, regardless of unread data before that. It returns
 // false if the system call fails, and true for a connection that was closed on this side.
 func HungUp(c net.Conn) bool {
-	ask := [1]unix.PollFd{{Events: unix.POLLRDHUP}}
+	fds := [1]unix.PollFd{{Events: unix.POLLRDHUP}}
 	ready := 0
 	err := control(c, func(fd int) (failed error) {
-		ask[0].Fd = int32(fd)
-		ready, failed = unix.Poll(ask[:], 0)
+		fds[0].Fd = int32(fd)
+		ready, failed = unix.Poll(fds[:], 0)
 		return failed
 	})
 	if err != nil {
 		return true
 	}
-	return ready > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return ready > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // control makes a system call on a connection's descriptor and repeats it after EINTR. It returns an error if the connection has no descriptor
--- a/internal/sysio/socketio/readiness.go
+++ b/internal/sysio/socketio/readiness.go
@@ -12,7 +12,7 @@
 // One goroutine at a time may make calls; ReadySince may be called from any goroutine. The zero Readiness knows nothing before the first wait.
 type Readiness struct {
 	waiting bool          // the latest call returned EAGAIN, and the descriptor is being waited for
-	since   time.Duration // for the next call; relative to origin, 0 if unknown
+	since   time.Duration // when the descriptor may have become ready for the next call at the earliest; relative to origin, 0 if unknown
 	latest  atomic.Int64  // the value of since for the latest successful call
 }
 
--- a/internal/sysio/socketio/socketio.go
+++ b/internal/sysio/socketio/socketio.go
@@ -184,8 +184,8 @@
 
 // Ready reports whether a descriptor is ready for an event of poll(2). It also returns true if poll(2) fails, so that the call is tried again.
 func Ready(fd uintptr, event int16) bool {
-	ask := [1]unix.PollFd{{Fd: int32(fd), Events: event}}
-	ready, err := unix.Poll(ask[:], 0)
+	fds := [1]unix.PollFd{{Fd: int32(fd), Events: event}}
+	ready, err := unix.Poll(fds[:], 0)
 	return ready > 0 || err != nil
 }
 
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -35,7 +35,7 @@
 	err   error // failure to connect to the server; nil also if only the call that started the dial gave up
 }
 
-// errNoConn means that no connection was established within the call's time.
+// errNoConn means that a call got no connection: none was established within its time, or the idle one that it was given had broken.
 var errNoConn = errors.New("no connection within the call's time")
 
 // connKey identifies the calls that may share a connection.
@@ -156,7 +156,7 @@
 	return true
 }
 
-// maxBatchBytes is how many bytes are written in one system call if several calls wait.
+// maxBatchBytes is the size at which no further queued call is added to those that one system call writes.
 const maxBatchBytes = 32 << 10
 
 // write sends queued calls until the queue is empty.
@@ -337,18 +337,19 @@
 	return nil
 }
 
-// releaseIfIdle returns the connection to the pool when it has no calls. A connection that has only abandoned calls, and gets no new ones, is closed.
+// releaseIfIdle returns the connection to the pool when it has no calls. A connection that has only abandoned calls, and gets no new ones, is
+// closed.
 func (mc *muxConn) releaseIfIdle() {
 	m := mc.m
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := -1
+	index := -1
 	for i, other := range m.busy[mc.key] {
 		if other == mc {
-			at = i
+			index = i
 		}
 	}
-	if at < 0 {
+	if index < 0 {
 		return // already idle or closed
 	}
 	mc.mu.Lock()
@@ -361,7 +362,7 @@
 	if conns := m.busy[mc.key]; len(conns) == 1 {
 		delete(m.busy, mc.key)
 	} else {
-		m.busy[mc.key] = append(conns[:at:at], conns[at+1:]...)
+		m.busy[mc.key] = append(conns[:index:index], conns[index+1:]...)
 	}
 	m.pool.Release(mc.conn, reuse)
 }
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -218,11 +218,11 @@
 		return standin.Step{}
 	}})
 	tr := newTransport(t, pool.Settings{})
-	ctx, withdraw := context.WithCancelCause(context.Background())
+	ctx, cancel := context.WithCancelCause(context.Background())
 	got := make(chan core.AttemptOutcome, 1)
 	go func() { got <- tr.try(ctx, server, thriftwire.Binary, "payOut", "withdrawn") }()
 	testkit.Eventually(t, "the server has received the call", func() bool { return s.DedupGroup().Deliveries("withdrawn") == 1 })
-	withdraw(core.ErrCanceled)
+	cancel(core.ErrCanceled)
 	if e := <-got; e.Result != choice.Canceled {
 		t.Errorf("result %d of the canceled call", e.Result)
 	}
@@ -281,14 +281,14 @@
 // canceled or its call has finished. A call that is being written may be executed.
 func TestQueuedCallsAreNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
-		meanwhile func(tr *transport, at *core.Attempt, withdraw context.CancelCauseFunc)
+		meanwhile func(tr *transport, at *core.Attempt, cancel context.CancelCauseFunc)
 		want      choice.Result
 	}{
 		"nothing":   {func(*transport, *core.Attempt, context.CancelCauseFunc) {}, choice.OK},
 		"drains":    {func(tr *transport, at *core.Attempt, _ context.CancelCauseFunc) { tr.pool.Retire(at.Server) }, choice.ConnectFailed},
 		"answered":  {func(_ *transport, at *core.Attempt, _ context.CancelCauseFunc) { at.Call.Abort() }, choice.NotSent},
-		"withdrawn": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(core.ErrCanceled) }, choice.Canceled},
-		"time over": {func(_ *transport, _ *core.Attempt, w context.CancelCauseFunc) { w(context.DeadlineExceeded) }, choice.NotSent},
+		"withdrawn": {func(_ *transport, _ *core.Attempt, cancel context.CancelCauseFunc) { cancel(core.ErrCanceled) }, choice.Canceled},
+		"time over": {func(_ *transport, _ *core.Attempt, cancel context.CancelCauseFunc) { cancel(context.DeadlineExceeded) }, choice.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, server := start(t, standin.Options{ID: "s", Multiplexed: true})
@@ -300,11 +300,11 @@
 			first, second := make(chan core.AttemptOutcome, 1), make(chan core.AttemptOutcome, 1)
 			go func() { first <- tr.try(within(t, testkit.WaitTimeout), server, thriftwire.Compact, "payOut", "first") }()
 			<-began
-			ctx, withdraw := context.WithCancelCause(context.Background())
+			ctx, cancel := context.WithCancelCause(context.Background())
 			at := tr.attempt(server, thriftwire.Compact, "payOut", "second")
 			go func() { second <- tr.Attempt(ctx, at) }()
 			testkit.Eventually(t, "the second call is queued", func() bool { return tr.queued() == 1 })
-			c.meanwhile(tr, at, withdraw)
+			c.meanwhile(tr, at, cancel)
 			if name == "withdrawn" || name == "time over" {
 				if got := <-second; got.Result != c.want {
 					t.Errorf("result %d", got.Result)
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -176,10 +176,10 @@
 	}
 	method := c.front.service.Method(h.Name(message))
 	oneway := h.Type == thriftwire.Oneway || method != nil && method.Oneway
-	read, err := c.front.service.Read(h, message)
+	decoded, err := c.front.service.Read(h, message)
 	var call *core.Call
 	if err == nil {
-		call, err = c.front.call(read, arrival)
+		call, err = c.front.call(decoded, arrival)
 	}
 	if err != nil {
 		c.front.core.CountMalformed()
@@ -197,7 +197,7 @@
 	case s == nil && oneway:
 		return net.ErrClosed
 	case s == nil: // too many calls in flight; the core has not seen this one
-		c.queueAnswer(c.addCall(nil, h.Seq, false), read.AppendRefusal(nil, 0))
+		c.queueAnswer(c.addCall(nil, h.Seq, false), decoded.AppendRefusal(nil, 0))
 		return nil
 	}
 	if !oneway { // the client of a oneway may disconnect
@@ -208,31 +208,31 @@
 			c.finishOneway()
 			return
 		}
-		c.queueAnswer(s, encode(read, ans))
+		c.queueAnswer(s, encode(decoded, ans))
 	}
 	c.front.core.Submit(call)
 	return nil
 }
 
 // encode encodes a final answer as a frame.
-func encode(read *thriftmap.Call, ans core.Answer) []byte {
+func encode(decoded *thriftmap.Call, ans core.Answer) []byte {
 	switch ans.Kind {
 	case core.Served:
 		if r, ok := ans.Reply.(*thriftmap.Reply); ok {
-			return read.AppendReply(make([]byte, 0, len(r.Message)+16), r)
+			return decoded.AppendReply(make([]byte, 0, len(r.Message)+16), r)
 		}
 	case core.Refused:
-		return read.AppendRefusal(nil, ans.After)
+		return decoded.AppendRefusal(nil, ans.After)
 	case core.Untranslatable: // a request that can't be translated is the client's fault, like one that can't be read
-		return read.AppendException(nil, thriftwire.ProtocolError, ans.Cause.Error())
+		return decoded.AppendException(nil, thriftwire.ProtocolError, ans.Cause.Error())
 	case core.Duplicate:
-		return read.AppendFailure(nil, "a call with this correlation id is under way")
+		return decoded.AppendFailure(nil, "a call with this correlation id is under way")
 	}
-	return read.AppendFailure(nil, "failed")
+	return decoded.AppendFailure(nil, "failed")
 }
 
-// addCall adds a call to the order of answers. It returns nil if the client has the maximum number of calls in flight. A oneway gets no answer, so
-// it waits until there is room instead. A nil call stands for one that is answered at once.
+// addCall adds a call to the order of answers. It returns nil if the client has the maximum number of calls in flight. For a oneway, which could not
+// be refused as it gets no answer, it waits until there is room instead. A nil call stands for one that is answered at once.
 func (c *client) addCall(call *core.Call, seq int32, oneway bool) *slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -415,7 +415,7 @@
 		stopping := c.front.stopping.Load()
 		c.mu.Lock()
 		idle, fresh := c.isIdleLocked(), !c.frameReceived
-		var deadline time.Time // at shutdown the tracker closes connections without a call
+		var deadline time.Time // none at shutdown, when the tracker closes connections without a call
 		if idle && !stopping {
 			deadline = time.Now().Add(c.front.service.IdleTimeout)
 		}
@@ -472,8 +472,8 @@
 	c.chunk, c.start, c.end = nil, 0, 0
 }
 
-// readChunk waits for data and reads it into a new chunk. System calls that fail are retried while the connection is open, because a connected client
-// still waits for its answers.
+// readChunk waits for data and reads it into a new chunk. System calls that fail are retried while the connection is open, because a connected
+// client still waits for its answers.
 func (c *client) readChunk() error {
 	tries := c.conn.NewReadTries()
 	for {
--- a/internal/thrift/thriftfront/client_test.go
+++ b/internal/thrift/thriftfront/client_test.go
@@ -12,16 +12,16 @@
 )
 
 // newTestClient returns a client connection of a front without a core, and the listener that accepted it.
-func newTestClient(t *testing.T, most int) (c *client, listener *conntrack.Listener) {
+func newTestClient(t *testing.T, maxConns int) (c *client, listener *conntrack.Listener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	d := conntrack.New(most)
-	listener = d.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler))
-	c = &client{front: &Front{service: &thriftmap.Map{MaxCalls: 2}, tracker: d, clients: map[*client]bool{}, removed: make(chan struct{}, 1)}, conn: connect(t, listener)}
+	tracker := conntrack.New(maxConns)
+	listener = tracker.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler))
+	c = &client{front: &Front{service: &thriftmap.Map{MaxCalls: 2}, tracker: tracker, clients: map[*client]bool{}, removed: make(chan struct{}, 1)}, conn: connect(t, listener)}
 	c.changed.L = &c.mu
 	return c, listener
 }
--- a/internal/thrift/thriftfront/front.go
+++ b/internal/thrift/thriftfront/front.go
@@ -72,12 +72,12 @@
 	}
 }
 
-// Stop shuts the front down gracefully, as httpfront.Front.Stop does for HTTP: new connections are accepted for some time (plan.Accept), idle connections are closed
-// after plan.Idle, and other connections once all their calls are answered. Connections on which no call has arrived are closed after
-// conntrack.SilentGrace at the latest. Stop returns when all clients are removed, or at plan.CloseBy.
+// Stop shuts the front down gracefully, as httpfront.Front.Stop does for HTTP: new connections are accepted for some time (plan.Accept), idle
+// connections are closed after plan.Idle, and other connections once all their calls are answered. Connections on which no call has arrived are
+// closed after conntrack.SilentGrace at the latest. Stop returns when all clients are removed, or at plan.CloseBy.
 func (f *Front) Stop(begin time.Time, plan shutdown.Schedule) {
-	by := begin.Add(plan.CloseBy)
-	end := time.NewTimer(time.Until(by))
+	closeBy := begin.Add(plan.CloseBy)
+	end := time.NewTimer(time.Until(closeBy))
 	defer end.Stop()
 	time.Sleep(plan.Idle) // Thrift has no message that announces a close; calls that arrive meanwhile are answered
 	f.stopping.Store(true)
@@ -86,8 +86,8 @@
 		c.wake()
 	}
 	f.mu.Unlock()
-	f.listener.CloseAfter(max(0, plan.Accept-plan.Idle), by)
-	silent := time.AfterFunc(min(conntrack.SilentGrace, time.Until(by)-conntrack.AnswerWriteTime), f.listener.CloseSilent)
+	f.listener.CloseAfter(max(0, plan.Accept-plan.Idle), closeBy)
+	silent := time.AfterFunc(min(conntrack.SilentGrace, time.Until(closeBy)-conntrack.AnswerWriteTime), f.listener.CloseSilent)
 	defer silent.Stop()
 	for f.count() > 0 {
 		select {
@@ -120,25 +120,25 @@
 var requiredProtocol = map[thriftwire.Encoding]choice.Protocols{thriftwire.Binary: protocol.ThriftBinary,
 	thriftwire.Compact: protocol.ThriftCompact}
 
-// call converts a call as read into one for the core. An error is a *thriftmap.Refusal to send to the client.
-func (f *Front) call(read *thriftmap.Call, arrival time.Duration) (*core.Call, error) {
-	call := &core.Call{Payload: read}
-	if call.Tenant = f.cfg.TenantIndex(read.Tenant); call.Tenant < 0 {
-		return nil, &thriftmap.Refusal{Kind: thriftwire.ProtocolError, Text: fmt.Sprintf("unknown tenant %q", read.Tenant)}
+// call converts a decoded call into one for the core. An error is a *thriftmap.Refusal to send to the client.
+func (f *Front) call(decoded *thriftmap.Call, arrival time.Duration) (*core.Call, error) {
+	call := &core.Call{Payload: decoded}
+	if call.Tenant = f.cfg.TenantIndex(decoded.Tenant); call.Tenant < 0 {
+		return nil, &thriftmap.Refusal{Kind: thriftwire.ProtocolError, Text: fmt.Sprintf("unknown tenant %q", decoded.Tenant)}
 	}
-	if call.ID = read.ID; call.ID == "" {
+	if call.ID = decoded.ID; call.ID == "" {
 		call.ID = fmt.Sprint(f.idPrefix, f.assignedIDs.Add(1))
 	}
-	call.Class, call.Key, call.ClientRetry, call.RequiredProtocols = read.Method.Class, read.Key, read.ClientRetry, requiredProtocol[read.Head.Encoding]
+	call.Class, call.Key, call.ClientRetry, call.RequiredProtocols = decoded.Method.Class, decoded.Key, decoded.ClientRetry, requiredProtocol[decoded.Head.Encoding]
 	if f.shapes != nil {
 		var err error
-		if call.Shape, err = f.shapes.Thrift(read, call.RequiredProtocols); err != nil {
+		if call.Shape, err = f.shapes.Thrift(decoded, call.RequiredProtocols); err != nil {
 			return nil, &thriftmap.Refusal{Kind: thriftwire.UnknownMethod, Text: err.Error()}
 		}
 	}
 	left := f.cfg.Module.Classes[call.Class].Deadline
-	if read.TimeLeft > 0 {
-		left = min(left, read.TimeLeft)
+	if decoded.TimeLeft > 0 {
+		left = min(left, decoded.TimeLeft)
 	}
 	call.Deadline = arrival + left
 	return call, nil
--- a/internal/thrift/thriftmap/call.go
+++ b/internal/thrift/thriftmap/call.go
@@ -48,7 +48,7 @@
 	Oneway bool
 
 	effect           choice.Effect
-	void             bool
+	void             bool // an empty result means success
 	args, result     *thriftwire.Plan
 	hasID, hasTenant bool
 	defaultTenant    string
@@ -59,8 +59,8 @@
 	retryType        thriftwire.Type
 	failedField      int16
 	reasonField      int16
-	answers          []int16
-	loadSlot, loads  int
+	answers          []int16 // fields of the result that count as served, in addition to the success
+	loadSlot, loads  int     // index of the first load figure in the result of Scan, and the number of places that may hold a load report
 }
 
 // Call is a decoded call. It refers to the message, which must not be modified.
@@ -78,7 +78,7 @@
 	IdempotencyKey   string // idempotency key, any bytes; empty if there is none
 	UnknownShapeType int32  // type of the application exception with which a server says that it does not know the call's shape; 0 for none
 
-	left thriftwire.Field
+	timeLeftField thriftwire.Field // the field that TimeLeft was read from
 }
 
 // Refusal is the error for a call that can't be accepted. It is sent to the client as a TApplicationException.
@@ -138,8 +138,8 @@
 		}
 		c.ClientRetry = f.Bits != 0
 	}
-	if c.left = found[timeSlot]; c.left.Found() {
-		if c.TimeLeft, err = timeLeft(c.left, method.timeUnit); err != nil {
+	if c.timeLeftField = found[timeSlot]; c.timeLeftField.Found() {
+		if c.TimeLeft, err = timeLeft(c.timeLeftField, method.timeUnit); err != nil {
 			return nil, err
 		}
 	}
@@ -209,7 +209,7 @@
 	h := c.Head
 	edits = append(edits, thriftwire.Edit{At: int32(h.SeqAt), End: int32(h.SeqEnd),
 		With: thriftwire.AppendSeq(seqBytes[:0], h.Encoding, seq)})
-	if f := c.left; f.Found() {
+	if f := c.timeLeftField; f.Found() {
 		x := float64(max(left, 0)) / float64(c.Method.timeUnit)
 		edit := thriftwire.Edit{At: f.Start, End: f.End}
 		if f.Type == thriftwire.Double {
@@ -290,7 +290,7 @@
 // report reads the load that a reply reports. If a figure is implausible, there is no report.
 func (m *Method) report(found []thriftwire.Field) choice.Report {
 	for i := range m.loads {
-		report, any := choice.NoReport, false
+		report, reported := choice.NoReport, false
 		for j, to := range [...]*float64{&report.Util, &report.Rate, &report.Errors, &report.InFlight, &report.Queue} {
 			f := found[5*i+j]
 			if !f.Found() || !f.Type.Integer() && f.Type != thriftwire.Double {
@@ -299,9 +299,9 @@
 			if *to = f.Float(); !wire.PlausibleFigure(*to) {
 				return choice.NoReport
 			}
-			any = true
+			reported = true
 		}
-		if any {
+		if reported {
 			return report
 		}
 	}
--- a/internal/thrift/thriftmap/call_test.go
+++ b/internal/thrift/thriftmap/call_test.go
@@ -89,12 +89,12 @@
 			t.Errorf("%v: %+v", e, c)
 		}
 		frame := c.AppendRequest(nil, 5, 250*time.Millisecond)
-		on := read(t, m, frame[4:])
-		if on.Head.Seq != 5 || on.TimeLeft != 250*time.Millisecond || on.Key != c.Key {
-			t.Errorf("%v: forwarded as %+v", e, on)
+		forwarded := read(t, m, frame[4:])
+		if forwarded.Head.Seq != 5 || forwarded.TimeLeft != 250*time.Millisecond || forwarded.Key != c.Key {
+			t.Errorf("%v: forwarded as %+v", e, forwarded)
 		}
 		// Restoring the old values restores the original message.
-		back := on.AppendRequest(nil, 77, 1500*time.Millisecond)
+		back := forwarded.AppendRequest(nil, 77, 1500*time.Millisecond)
 		if !bytes.Equal(back[4:], c.Message) {
 			t.Errorf("%v: % x\nbecame % x", e, c.Message, back[4:])
 		}
@@ -134,10 +134,10 @@
 		calls := map[string]*Call{"Submit": read(t, m, submit(e)), "Reset": read(t, m, resetCall.Buf), "Shaped": read(t, m, submit(e))}
 		calls["Shaped"].UnknownShapeType = 1
 		for name, c := range map[string]struct {
-			method string
-			reply  []byte
-			want   choice.Result
-			spoilt bool
+			method  string
+			reply   []byte
+			want    choice.Result
+			invalid bool
 		}{
 			"success":                  {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(0)), choice.OK, false},
 			"answering exception":      {"Submit", result(e, "Submit", thriftwire.Reply, 5, open(4)), choice.OK, false},
@@ -168,7 +168,7 @@
 				t.Fatal(err)
 			}
 			out, err := calls[c.method].ReadReply(h, c.reply, 5)
-			if (err != nil) != c.spoilt || err == nil && (out.Result != c.want || out.ShapeUnknown != (name == "shape not known")) {
+			if (err != nil) != c.invalid || err == nil && (out.Result != c.want || out.ShapeUnknown != (name == "shape not known")) {
 				t.Errorf("%v, %s: %+v, %v", e, name, out, err)
 			}
 		}
--- a/internal/thrift/thriftmap/file.go
+++ b/internal/thrift/thriftmap/file.go
@@ -13,7 +13,7 @@
 	"ternbeam/internal/thrift/thriftwire"
 )
 
-// file is the configuration file.
+// file is the layout of the configuration file.
 type file struct {
 	Listen           string            `toml:"listen"`
 	MaxFrameBytes    *int              `toml:"max_frame_bytes"`
--- a/internal/thrift/thriftmap/file_test.go
+++ b/internal/thrift/thriftmap/file_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// The defaults equal the values in the sample, which the sample states.
+// The values in the sample are the defaults, as the sample states.
 func TestDefaults(t *testing.T) {
 	short, err := Parse([]byte("listen = \"127.0.0.1:0\"\n[header]\ndefault_tenant = \"x\"\n[methods.f]\nclass = \"pay-out\"\n"), classes)
 	if err != nil {
--- a/internal/thrift/thriftwire/plan.go
+++ b/internal/thrift/thriftwire/plan.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Plan selects the fields to look for in a message, by their field ids. It is safe for concurrent use after Strict.
+// Plan selects the fields to look for in a message, by their field ids. It is safe for concurrent use; Strict must be called before that.
 type Plan struct {
 	nodes    []node // one for each struct on the paths; the first is the message's struct
 	slots    int
--- a/internal/thrift/thriftwire/thriftwire.go
+++ b/internal/thrift/thriftwire/thriftwire.go
@@ -475,8 +475,8 @@
 	return nil
 }
 
-// readStruct reads a struct and stores the fields that the node of the plan selects; node -1 selects none. The caller has checked the depth: skip does so,
-// and the depth of fields in the plan is limited by NewPlan.
+// readStruct reads a struct and stores the fields that the node of the plan selects; node -1 selects none. The caller has checked the depth: skip
+// does so, and the depth of fields in the plan is limited by NewPlan.
 func (s *scanner) readStruct(node, depth int) error {
 	var last int16
 	for {
--- a/internal/translate/fates.go
+++ b/internal/translate/fates.go
@@ -28,7 +28,7 @@
 	if refusal == nil {
 		refusal = c.convert(ws.src, ws.dst)
 	}
-	var fates []FieldTrace
+	var traces []FieldTrace
 	used := map[int]bool{}
 	for i := range c.ops {
 		o := &c.ops[i]
@@ -40,17 +40,17 @@
 			}
 			f.From, f.FromValue = f.From+c.src.fields[src].name, f.FromValue+c.src.fields[src].display(ws.src[src])
 		}
-		fates = append(fates, f)
+		traces = append(traces, f)
 	}
 	for i, f := range c.src.fields {
 		if !used[i] && f.envelope == noEnvelope {
-			fates = append(fates, FieldTrace{From: f.name, FromValue: f.display(ws.src[i])})
+			traces = append(traces, FieldTrace{From: f.name, FromValue: f.display(ws.src[i])})
 		}
 	}
 	if refusal != nil {
-		return fates, refusal
+		return traces, refusal
 	}
-	return fates, nil
+	return traces, nil
 }
 
 // display formats a value for people; an absent value is a dash.
--- a/internal/translate/http.go
+++ b/internal/translate/http.go
@@ -350,7 +350,7 @@
 	return refusal
 }
 
-// read reads the fields of the headers and the body, and checks that all fields are present that are not optional.
+// read reads the fields of the headers and the body, and checks that all required fields are present.
 func (c *conversion) read(m *Message, ws *workspace) *Refusal {
 	if len(m.Body) > c.src.maxBody {
 		return tooLong(len(m.Body), c.src.maxBody)
@@ -637,28 +637,28 @@
 	return to
 }
 
-// any reports whether the node, or any node below it, has a value.
-func (n *node) any(from []value) bool {
+// hasValue reports whether the node, or any node below it, has a value.
+func (n *node) hasValue(from []value) bool {
 	if n.field >= 0 {
 		return from[n.field].set
 	}
-	return slices.ContainsFunc(n.members, func(m *node) bool { return m.any(from) })
+	return slices.ContainsFunc(n.members, func(m *node) bool { return m.hasValue(from) })
 }
 
 func (c *conversion) appendObject(to []byte, n *node, ws *workspace) ([]byte, *Refusal) {
 	to = append(to, '{')
 	begin := len(to)
-	next := func(name []byte) {
+	appendName := func(name []byte) {
 		if len(to) > begin {
 			to = append(to, ',')
 		}
 		to = append(to, name...)
 	}
 	for _, m := range n.members {
-		if !m.any(ws.dst) {
+		if !m.hasValue(ws.dst) {
 			continue
 		}
-		next(m.quoted)
+		appendName(m.quoted)
 		var refusal *Refusal
 		if m.field < 0 {
 			to, refusal = c.appendObject(to, m, ws)
@@ -678,7 +678,7 @@
 			if err != nil {
 				return to, malformed(err)
 			}
-			next(append(name, ':'))
+			appendName(append(name, ':'))
 			to = append(to, k.text...)
 		}
 	}
--- a/internal/translate/mapping.go
+++ b/internal/translate/mapping.go
@@ -93,7 +93,7 @@
 	for _, s := range set.Shapes {
 		if s.Protocol == "thrift" {
 			set.byMethod[s.method] = s
-			set.byClass[s.Class] = append(set.byClass[s.Class], nil...)
+			set.byClass[s.Class] = append(set.byClass[s.Class], nil...) // adds no shape, but the class, for HasClass
 		} else {
 			set.byClass[s.Class] = append(set.byClass[s.Class], s)
 		}
@@ -190,8 +190,8 @@
 }
 
 func (c *compiler) conversion(key, kind string, src, dst *message, rules map[string]*ruleText, drop, absent, omit []string) conversion {
-	v := conversion{src: src, dst: dst}
-	used := map[string]string{} // source fields: mapped, dropped or absent
+	conv := conversion{src: src, dst: dst}
+	used := map[string]string{} // by source field: mapped, dropped or absent
 	use := func(at, name, as string) *field {
 		f := src.byName[name]
 		if f == nil {
@@ -208,7 +208,7 @@
 	for _, name := range drop {
 		f := use(key+"drop."+kind, name, "dropped")
 		if f != nil && (f.optional || f.Type != Enum || len(f.values) > 1) { // a field with only one possible value carries no information
-			v.losses = append(v.losses, fmt.Sprintf("%s %s: dropped", kind, name))
+			conv.losses = append(conv.losses, fmt.Sprintf("%s %s: dropped", kind, name))
 		}
 	}
 	for _, name := range absent {
@@ -216,7 +216,7 @@
 			if !f.optional {
 				c.file.Problem(key+"absent."+kind, "field %s must be absent but is not optional", name)
 			}
-			v.absent = append(v.absent, slices.Index(src.fields, f))
+			conv.absent = append(conv.absent, slices.Index(src.fields, f))
 		}
 	}
 	for _, name := range omit {
@@ -234,7 +234,7 @@
 			c.file.Problem(key+kind+"."+name, "the target %s has no such field", kind)
 			continue
 		}
-		v.ops = append(v.ops, c.rule(key+kind+"."+name, kind, &v, dst.byName[name], rules[name], use))
+		conv.ops = append(conv.ops, c.rule(key+kind+"."+name, kind, &conv, dst.byName[name], rules[name], use))
 	}
 	for i, f := range dst.fields {
 		if f.envelope != noEnvelope {
@@ -243,9 +243,9 @@
 		if rules[f.name] == nil && !slices.Contains(omit, f.name) {
 			c.file.Problem(key+kind, "target field %s has neither a rule nor an entry in omit", f.name)
 		}
-		for j := range v.ops {
-			if v.ops[j].to == f {
-				v.ops[j].dst = i
+		for j := range conv.ops {
+			if conv.ops[j].to == f {
+				conv.ops[j].dst = i
 			}
 		}
 	}
@@ -254,14 +254,14 @@
 			c.file.Problem(key+kind, "source field %s is in no rule, and neither in drop nor in absent", f.name)
 		}
 	}
-	c.checkSplits(key+kind, v.ops)
+	c.checkSplits(key+kind, conv.ops)
 	switch {
 	case src.unknown == "drop":
-		v.losses = append(v.losses, kind+": members that no field declares")
+		conv.losses = append(conv.losses, kind+": members that no field declares")
 	case src.unknown == "keep" && (dst.unknown != "keep" || !dst.has(inJSON)):
 		c.file.Problem(key+kind, "the source keeps members that no field declares, but the target has no JSON body with unknown = \"keep\"")
 	}
-	return v
+	return conv
 }
 
 // checkSplits checks that every part of a field that is split is used exactly once, and counts the parts.
@@ -288,7 +288,7 @@
 }
 
 // rule compiles the rule of one field.
-func (c *compiler) rule(key, kind string, v *conversion, to *field, t *ruleText, use func(at, name, as string) *field) op {
+func (c *compiler) rule(key, kind string, conv *conversion, to *field, t *ruleText, use func(at, name, as string) *field) op {
 	o := op{to: to, part: -1}
 	sources := 0
 	for _, set := range []bool{t.From != "", t.Value != nil, len(t.Join) > 0} {
@@ -313,19 +313,19 @@
 		return o
 	}
 	if len(t.Join) > 0 {
-		c.join(key, &o, v, t, use)
+		c.join(key, &o, conv, t, use)
 		return o
 	}
 	f := use(key+".from", t.From, "mapped")
 	if f == nil {
 		return o
 	}
-	o.from, o.src = f, []int{slices.Index(v.src.fields, f)}
+	o.from, o.src = f, []int{slices.Index(conv.src.fields, f)}
 	switch constant("default", t.Default); {
 	case t.Default != nil && !f.optional:
 		c.file.Problem(key+".default", "field %s is never absent", f.name)
 	case t.Default != nil:
-		v.losses = append(v.losses, fmt.Sprintf("%s %s: whether it was absent", kind, f.name))
+		conv.losses = append(conv.losses, fmt.Sprintf("%s %s: whether it was absent", kind, f.name))
 	case f.optional && !to.optional:
 		c.file.Problem(key, "field %s is optional and %s is not: a default is needed", f.name, to.name)
 	}
@@ -336,11 +336,11 @@
 		o.separator, o.part, o.convert = []byte(t.Split), t.Part-1, (*op).split
 		return o
 	}
-	c.convert(key, kind, &o, v, t)
+	c.convert(key, kind, &o, conv, t)
 	return o
 }
 
-func (c *compiler) join(key string, o *op, v *conversion, t *ruleText, use func(at, name, as string) *field) {
+func (c *compiler) join(key string, o *op, conv *conversion, t *ruleText, use func(at, name, as string) *field) {
 	if t.With == "" || o.to.Type != Text {
 		c.file.Problem(key+".join", "only texts can be joined, into a text; with is the separator and must not be empty")
 	}
@@ -352,13 +352,13 @@
 		if f.Type != Text || f.optional {
 			c.file.Problem(key+".join", "field %s must be a text that is not optional", name)
 		}
-		o.src = append(o.src, slices.Index(v.src.fields, f))
+		o.src = append(o.src, slices.Index(conv.src.fields, f))
 	}
 	o.separator = []byte(t.With)
 }
 
 // convert selects the conversion between the types of two fields.
-func (c *compiler) convert(key, kind string, o *op, v *conversion, t *ruleText) {
+func (c *compiler) convert(key, kind string, o *op, conv *conversion, t *ruleText) {
 	from, to := o.from, o.to
 	number := func(f *field) bool { return f.Type == Int || f.Type == Decimal }
 	enumerated := func(f *field) bool { return f.Type == Enum || f.Type == Bool }
@@ -385,7 +385,7 @@
 			o.shift += places
 		}
 	case enumerated(from) && enumerated(to):
-		c.values(key, kind, o, v, t)
+		c.values(key, kind, o, conv, t)
 	case from.Type == to.Type, from.Type == Text && to.Type == Bytes:
 		o.convert = (*op).identity
 	case from.Type == Bytes && to.Type == Text:
@@ -409,7 +409,7 @@
 
 // values compiles the mapping between the values of two enums or bools. A value without an entry is mapped to the one of the
 // same name; a value that is mapped to "" is refused.
-func (c *compiler) values(key, kind string, o *op, v *conversion, t *ruleText) {
+func (c *compiler) values(key, kind string, o *op, conv *conversion, t *ruleText) {
 	o.convert = (*op).mapValue
 	for _, name := range sortedKeys(t.Values) {
 		if !slices.Contains(valueNames(o.from), name) {
@@ -427,7 +427,7 @@
 		case index < 0 && to != "":
 			c.file.Problem(key+".values", "%s has no value %q for %q; \"\" refuses it", o.to.name, to, name)
 		case index >= 0 && sources[index] != "":
-			v.losses = append(v.losses, fmt.Sprintf("%s %s: whether it was %s or %s", kind, o.from.name, sources[index], name))
+			conv.losses = append(conv.losses, fmt.Sprintf("%s %s: whether it was %s or %s", kind, o.from.name, sources[index], name))
 		case index >= 0:
 			sources[index] = name
 		}
@@ -603,8 +603,8 @@
 
 // HasClass reports whether a class has any shapes.
 func (s *Set) HasClass(name string) bool {
-	_, any := s.byClass[name]
-	return any
+	_, ok := s.byClass[name]
+	return ok
 }
 
 // Method returns the HTTP or Thrift method of the shape's requests.
@@ -617,5 +617,6 @@
 // caller must not modify them.
 func (s *Shape) RequestHeaders() []string { return s.request.headers }
 
-// ReplyHeaders returns those of a reply.
+// ReplyHeaders returns the names of the headers of an HTTP reply that are fields of the shape, in canonical form. The caller
+// must not modify them.
 func (s *Shape) ReplyHeaders() []string { return s.reply.headers }
--- a/internal/translate/shape.go
+++ b/internal/translate/shape.go
@@ -28,12 +28,12 @@
 	maxText        = 64 << 10 // bytes of a text or bytes field without a max of its own
 )
 
-// envelope identifies a field that every message of a protocol carries for the agent, whatever its shape. In HTTP the
-// envelope has fixed headers; in Thrift each shape declares where its fields are.
-type envelope int
+// envelopeField identifies a field of the envelope, which every message of a protocol carries for the agent, whatever its shape. In
+// HTTP the envelope has fixed headers; in Thrift each shape declares where its fields are.
+type envelopeField int
 
 const (
-	envelopeID envelope = iota
+	envelopeID envelopeField = iota
 	envelopeTenant
 	envelopeIdempotency
 	envelopeTimeLeft
@@ -79,7 +79,7 @@
 	escaped  string          // its escaped name in a query or a form
 	wire     thriftwire.Type // in Thrift
 	numbers  []int64         // of an enum's values, in Thrift
-	envelope envelope
+	envelope envelopeField   // noEnvelope for a field of the shape itself
 }
 
 // message describes a request or a reply of a shape.
@@ -392,18 +392,18 @@
 	if f.Type, known = typeNames[t.Type]; !known {
 		c.file.Problem(key+".type", "%q is not one of %s", t.Type, strings.Join(sortedKeys(typeNames), ", "))
 	}
-	only := func(set bool, attr string, types ...Type) {
+	allowOnly := func(set bool, attr string, types ...Type) {
 		if set && !slices.Contains(types, f.Type) {
 			c.file.Problem(key+"."+attr, "a field of type %v has none", f.Type)
 		}
 	}
-	only(t.Scale != 0, "scale", Decimal)
-	only(len(t.Values) > 0, "values", Enum)
-	only(t.Form != "", "form", Date, Instant)
-	only(t.Zone != "", "zone", Instant)
-	only(t.Quoted, "quoted", Int, Decimal)
-	only(t.Min != "", "min", Text, Bytes, Int, Decimal)
-	only(t.Max != "", "max", Text, Bytes, Int, Decimal)
+	allowOnly(t.Scale != 0, "scale", Decimal)
+	allowOnly(len(t.Values) > 0, "values", Enum)
+	allowOnly(t.Form != "", "form", Date, Instant)
+	allowOnly(t.Zone != "", "zone", Instant)
+	allowOnly(t.Quoted, "quoted", Int, Decimal)
+	allowOnly(t.Min != "", "min", Text, Bytes, Int, Decimal)
+	allowOnly(t.Max != "", "max", Text, Bytes, Int, Decimal)
 	if f.scale = t.Scale; f.scale < 0 || f.scale > maxDecimals {
 		c.file.Problem(key+".scale", "%d is not from 0 to %d", t.Scale, maxDecimals)
 		f.scale = 0
--- a/internal/translate/thrift.go
+++ b/internal/translate/thrift.go
@@ -34,15 +34,15 @@
 			c.file.Problem(key+".reply."+f.name+".at", "%q: the reply of a successful call is in field 0 of the result", f.at)
 		}
 	}
-	for as, entry := range map[envelope]struct{ key, path string }{
+	for which, entry := range map[envelopeField]struct{ key, path string }{
 		envelopeID: {"id", t.Envelope.ID}, envelopeTenant: {"tenant", t.Envelope.Tenant},
 		envelopeIdempotency: {"idempotency_key", t.Envelope.Idempotency}, envelopeTimeLeft: {"time_left_ms", t.Envelope.Left},
 		envelopeRepeat: {"repeat", t.Envelope.Repeat},
 	} {
-		if entry.path == "" && (as == envelopeID || as == envelopeTenant || as == envelopeTimeLeft) {
+		if entry.path == "" && (which == envelopeID || which == envelopeTenant || which == envelopeTimeLeft) {
 			c.file.Problem(key+".envelope."+entry.key, "is required")
 		}
-		c.addEnvelopeField(key+".envelope."+entry.key, &s.request, entry.path, as)
+		c.addEnvelopeField(key+".envelope."+entry.key, &s.request, entry.path, which)
 	}
 	for _, path := range t.Envelope.Load {
 		c.addEnvelopeField(key+".envelope.load", &s.reply, path, envelopeLoad)
@@ -50,13 +50,13 @@
 }
 
 // addEnvelopeField adds a field of the envelope to a message. Conversions ignore it.
-func (c *compiler) addEnvelopeField(key string, m *message, path string, as envelope) {
+func (c *compiler) addEnvelopeField(key string, m *message, path string, which envelopeField) {
 	if path == "" {
 		return
 	}
 	f := &field{name: "the envelope's " + path, place: inThrift, at: path, path: strings.Split(path, "."), optional: true,
-		envelope: as, wire: thriftwire.String}
-	switch as {
+		envelope: which, wire: thriftwire.String}
+	switch which {
 	case envelopeTimeLeft:
 		f.wire = thriftwire.I64
 	case envelopeRepeat:
@@ -253,7 +253,7 @@
 func (c *conversion) appendStruct(w *thriftwire.Writer, n *node, from []value, result bool) *Refusal {
 	for _, m := range n.members {
 		switch {
-		case !m.any(from) && !(result && m.id == 0 && m.field < 0):
+		case !m.hasValue(from) && !(result && m.id == 0 && m.field < 0):
 		case m.field < 0:
 			w.Struct(m.id)
 			if refusal := c.appendStruct(w, m, from, false); refusal != nil {
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -483,8 +483,8 @@
 	}
 }
 
-// small returns the plan of a mapping between two shapes with the given request fields and rules.
-func small(t *testing.T, old, new, rules string) *Plan {
+// compileMapping returns the plan of a mapping between two shapes with the given request fields and rules.
+func compileMapping(t *testing.T, old, new, rules string) *Plan {
 	t.Helper()
 	set, err := Compile([]byte("[shapes.a]\nclass = \"c\"\nversion = \"1\"\nprotocol = \"http\"\nmethod = \"POST\"\npath = \"/a\"\n[shapes.a.request]\n" + old +
 		"\n[shapes.b]\nclass = \"c\"\nversion = \"2\"\nprotocol = \"http\"\nmethod = \"POST\"\npath = \"/b\"\n[shapes.b.request]\n" + new +
@@ -526,7 +526,7 @@
 		"bytes that are not UTF-8": {`x = { at = "form:x", type = "bytes" }`, `x = { at = "json:x", type = "text" }`, "[mappings.m.request]\nx = { from = \"x\" }", "x=%2Fw%3D%3D", "!out of range", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := small(t, c.old, c.new, c.rules)
+			p := compileMapping(t, c.old, c.new, c.rules)
 			if got := strings.Join(p.Losses(), "; "); got != c.loses {
 				t.Errorf("the mapping loses %q, want %q", got, c.loses)
 			}
