--- a/cmd/ternbeam-lab/main.go
+++ b/cmd/ternbeam-lab/main.go
@@ -44,14 +44,14 @@
 	for _, v := range []struct {
 		name             string
 		client, old, new string
-		plain, stale     bool
+		noShapes, stale  bool
 	}{{"untranslated, HTTP", "http", "http", "http", true, false}, {"HTTP to HTTP", "http", "http", "http", false, false},
 		{"HTTP to compact", "http", "http", "thrift-compact", false, false}, {"binary to HTTP", "thrift-binary", "thrift-binary", "http", false, false},
 		{"binary to compact", "thrift-binary", "thrift-binary", "thrift-compact", false, false},
 		{"HTTP, list stale on the way back", "http", "http", "http", false, true},
 		{"binary to compact, list stale", "thrift-binary", "thrift-binary", "thrift-compact", false, true}} {
 		s := base
-		s.Name, s.Client, s.Old, s.New, s.NoShapes, s.StaleList = v.name, v.client, v.old, v.new, v.plain, v.stale
+		s.Name, s.Client, s.Old, s.New, s.NoShapes, s.StaleList = v.name, v.client, v.old, v.new, v.noShapes, v.stale
 		sets = append(sets, s)
 	}
 	var results []rollout.Result
--- a/cmd/ternbeam-load/main.go
+++ b/cmd/ternbeam-load/main.go
@@ -247,7 +247,7 @@
 	if err := out.Encode(at); err != nil {
 		return err
 	}
-	for asks := bufio.NewScanner(os.Stdin); asks.Scan(); {
+	for requests := bufio.NewScanner(os.Stdin); requests.Scan(); {
 		var r syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
 			return err
--- a/internal/lab/crashfs/crashfs.go
+++ b/internal/lab/crashfs/crashfs.go
@@ -91,14 +91,14 @@
 	return slices.Sorted(maps.Keys(f.names)), f.injectedError("list", "")
 }
 
-// Read returns the bytes of a file. It fails if there are more than most.
-func (f *FS) Read(name string, most int64) ([]byte, error) {
+// Read returns the bytes of a file. It fails if there are more than maxBytes.
+func (f *FS) Read(name string, maxBytes int64) ([]byte, error) {
 	n := f.names[name]
 	switch {
 	case n == nil:
 		return nil, fmt.Errorf("file %q does not exist", name)
-	case int64(len(n.bytes)) > most:
-		return nil, fmt.Errorf("file %s is larger than %d bytes", name, most)
+	case int64(len(n.bytes)) > maxBytes:
+		return nil, fmt.Errorf("file %s is larger than %d bytes", name, maxBytes)
 	}
 	return slices.Clone(n.bytes), f.injectedError("read", name)
 }
@@ -229,10 +229,10 @@
 // survived or did not, and so did each unsynced write or a part of it, independently of their order.
 func (f *FS) CrashStates() iter.Seq[*FS] {
 	return func(yield func(*FS) bool) {
-		for some := range 1 << len(f.pending) {
+		for mask := range 1 << len(f.pending) {
 			at := maps.Clone(f.durable)
 			for i, change := range f.pending {
-				if some>>i&1 == 1 {
+				if mask>>i&1 == 1 {
 					change(at)
 				}
 			}
@@ -269,6 +269,8 @@
 	})
 }
 
+// tear iterates over what the file may contain after a crash: text, extended by what may remain of each unsynced write from
+// index from on.
 func (n *inode) tear(from int, text []byte, each func([]byte) bool) bool {
 	if from == len(n.pending) {
 		if text == nil {
--- a/internal/lab/drive/drive.go
+++ b/internal/lab/drive/drive.go
@@ -262,7 +262,8 @@
 	}
 }
 
-// bindServer assigns a started server to one of the trace: which one the balancer draws first is random.
+// bindServer records that a server of the trace is played by a started one. Which started server the balancer draws first is
+// random; errOtherDraw means that this one contradicts an earlier binding.
 func (s *harness) bindServer(traced, server int) error {
 	if have, known := s.serverOf[traced]; known {
 		if have != server {
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -129,7 +129,7 @@
 			pairs := 0
 			x.onState = func(w *world) {
 				// With spare places, idle connections are not part of the key; they only save a dial.
-				key := string(w.key(nil, false)) + fmt.Sprint(len(w.pool.Idle()), w.chance.drawn)
+				key := string(w.key(nil, false)) + fmt.Sprint(len(w.pool.Idle()), w.random.drawn)
 				if w.fault != "" {
 					return
 				}
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -158,6 +158,8 @@
 	t.conn, data.attempt = c, t.index
 }
 
+// releaseConn returns a connection to the pool and reports whether the pool kept it. A place that becomes free goes to an attempt
+// that waits for one.
 func (w *world) releaseConn(c *lifecycle.Conn) (kept bool) {
 	c.Host.(*connData).attempt = -1
 	kept, next, err := w.pool.Release(c)
@@ -188,7 +190,7 @@
 	t.ReportIllegalStep(err)
 	if !ok {
 		t.notSent = true
-		w.checkEnding(t)
+		w.checkAttemptEnd(t)
 		return
 	}
 	w.checkSend(t)
@@ -217,14 +219,14 @@
 	if r == choice.Rejected && t.mayHaveRun {
 		w.undoRun(t)
 	}
-	w.checkEnding(t)
+	w.checkAttemptEnd(t)
 }
 
 // fail ends an attempt without an answer; its connection is not reused.
 func (w *world) fail(t *attempt, cause lifecycle.Cause) {
 	t.ReportIllegalStep(t.State.Fail(cause))
 	w.spoil(t)
-	w.checkEnding(t)
+	w.checkAttemptEnd(t)
 }
 
 // spoil marks an attempt's connection as not reusable. If there are always spare places, the time of closing makes no
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -55,7 +55,7 @@
 		num(int(s.Started))
 		flag(s.Retired())
 	}
-	live := make([]int, len(w.calls))
+	live := make([]int, len(w.calls)) // attempts whose end the loop has not processed, by call
 	for _, t := range w.attempts {
 		live[t.call]++
 	}
@@ -84,7 +84,7 @@
 		stage := a.Stage()
 		switch {
 		case !exact && t.hung && stage == lifecycle.Writing && t.SendBy == 0:
-			stage = lifecycle.Dialling // it ends as a dial would
+			stage = lifecycle.Dialling // hung without a write deadline, it can only end as a hung dial does
 		case stage == lifecycle.Ended:
 			r := a.Result()
 			if !exact && unsentCalls == 0 && w.cfg.Past == NoPast {
@@ -118,7 +118,7 @@
 			num(len(t.race.Dialing()), t.sendCount)
 		}
 	}
-	for _, c := range w.pool.Idle() { // correct code has no such idle connection
+	for _, c := range w.pool.Idle() { // correct code keeps no idle connection to a former process
 		if p := c.Host.(*connData).peer; p != w.currentProcess(c.Server.ID) && !c.Server.Retired() {
 			num(p.server, int(p.started), p.moves, p.offlineRestarts)
 		}
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -225,7 +225,7 @@
 			break
 		}
 		t.ReportIllegalStep(l.state.Abandon(s, cause))
-		w.checkEnding(t)
+		w.checkAttemptEnd(t)
 	}
 	w.releaseUnusedMuxConns()
 }
@@ -286,7 +286,7 @@
 		t.ReportIllegalStep(err)
 		w.placeGranted(next)
 	}
-	w.checkEnding(t)
+	w.checkAttemptEnd(t)
 }
 
 // writeEnded ends a write. Either all of it was written, or all attempts before last were written completely, last
@@ -351,7 +351,7 @@
 	if t := w.attemptOf(s); t == nil {
 		w.violate("an attempt ends a second time, after the loop has processed its end")
 	} else {
-		w.checkEnding(t)
+		w.checkAttemptEnd(t)
 	}
 }
 
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -9,7 +9,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// planted lists bugs, each a single change of the production code, and the world in which the explorer finds it.
+// planted lists bugs, each a single change of one source file, and the world in which the explorer finds it.
 var planted = []struct{ name, file, old, new, world string }{
 	{"told as never run after the last byte", "internal/decide/lifecycle/attempt.go", "case !a.MayHaveRun():", "case true:", "unsafe"},
 	{"refused after a reset", "choice/choice.go", "} else if r.mayRefuse() {", "} else if true {", "unsafe"},
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// checkBegin checks that a call does not exceed the maximum of attempts, and that none is started at a server that is
+// checkAttemptStart checks that a call does not exceed the maximum of attempts, and that none is started at a server that is
 // draining, removed or taken offline.
-func (w *world) checkBegin(t *attempt) {
+func (w *world) checkAttemptStart(t *attempt) {
 	c := w.callOf(t)
 	if c.attemptCount++; c.attemptCount > w.cfg.Attempts {
 		w.violate("%s has more than %d attempts", c.tracked.ID, w.cfg.Attempts)
@@ -97,8 +97,8 @@
 	w.checkRefusal(c)
 }
 
-// checkEnding checks that an attempt reported as never run has not run.
-func (w *world) checkEnding(t *attempt) {
+// checkAttemptEnd checks that an attempt reported as never run has not run.
+func (w *world) checkAttemptEnd(t *attempt) {
 	r := t.State.Result()
 	never := r == choice.Rejected || r == choice.ConnectFailed || r == choice.NotSent
 	if never && t.mayHaveRun {
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkBegun checks that an answer whose relay has started is either given to the client or discarded.
-func (w *world) checkBegun(t *attempt) {
+// checkRelayStart checks that an answer whose relay has started is either given to the client or discarded.
+func (w *world) checkRelayStart(t *attempt) {
 	c := w.callOf(t)
 	given := len(c.answers) > 0 && c.answers[0] == calltrack.Served && w.tracker.IsRelaying(c.tracked, t.Attempt)
 	if given == t.replyDropped {
@@ -118,9 +118,9 @@
 	}
 }
 
-// checkEnd checks the state in which nothing more can happen: every call has its answer, and no places, calls or
+// checkEndState checks the state in which nothing more can happen: every call has its answer, and no places, calls or
 // attempts are left.
-func (w *world) checkEnd() {
+func (w *world) checkEndState() {
 	for _, c := range w.calls {
 		if c.arrived && !c.disconnected && len(c.answers) != 1 {
 			w.violate("%s has %d answers at the end", c.tracked.ID, len(c.answers))
--- a/internal/lab/explore/search.go
+++ b/internal/lab/explore/search.go
@@ -40,7 +40,7 @@
 	step        Step
 	fingerprint fingerprint
 	fault       string
-	end, stuck  bool
+	end, stuck  bool // as returned by atEnd
 }
 
 // chunkSize is the number of states that are expanded before their results are merged.
@@ -84,6 +84,7 @@
 	return x.done()
 }
 
+// explorer is a running exploration.
 type explorer struct {
 	cfg     *Config
 	root    *world
@@ -193,8 +194,8 @@
 	return found
 }
 
-// applyForced applies forced steps: as long as only one step is possible and the balancer draws nothing in it. It calls
-// onStep for each, if not nil.
+// applyForced applies forced steps, as long as only one step is possible and the balancer cannot draw random numbers in it.
+// It calls onStep for each, if not nil.
 func (w *world) applyForced(onStep func(Step)) {
 	for w.fault == "" {
 		all := w.enabled()
@@ -223,7 +224,7 @@
 				if !yield(s, next) {
 					return
 				}
-				if s.Most || !s.Kind.mayDraw() || !next.chance.drawn {
+				if s.Most || !s.Kind.mayDraw() || !next.random.drawn {
 					break
 				}
 				s.Most = true
@@ -232,13 +233,13 @@
 	}
 }
 
-// atEnd checks a state without possible steps. If an attempt is paused for something that never happens, no real
-// schedule ends there: the one in which it continues is another state.
+// atEnd checks a state without possible steps. If an attempt is paused there, the state is not an end but stuck: the change
+// that the attempt waits for never comes, and the ordering in which it does not pause is explored as another state.
 func (w *world) atEnd() (end, stuck bool) {
 	if slices.ContainsFunc(w.attempts, func(t *attempt) bool { return t.paused }) {
 		return false, true
 	}
-	w.checkEnd()
+	w.checkEndState()
 	return true, false
 }
 
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -67,6 +67,7 @@
 // mayDraw reports whether the balancer may draw random numbers in such a step.
 func (k StepKind) mayDraw() bool { return k == CallArrives || k == FireTimer || k == TakeEnd }
 
+// kindNames has the names of the kinds of steps, as printed and as stored in trace files.
 var kindNames = [kindCount]string{"asks", "leaves", "drains", "restarts", "is gone", "is missing from the whole list", "moves",
 	"is taken out", "is put back",
 	"time passes",
@@ -110,14 +111,16 @@
 	return fmt.Sprintf("attempt %d %s%s", s.N, kindNames[s.Kind], draw)
 }
 
-// enabled returns the steps that are possible next, without their variants by random draws.
+// enabled returns the steps that are possible next, without their variants by random draws. With the reduction, these are only
+// the steps of one attempt, if it has any: the result is the same if those of the others come later. An attempt whose next step
+// depends on others can pause instead.
 func (w *world) enabled() (all []Step) {
 	for _, t := range w.attempts {
 		kinds := w.options(t)
 		for _, k := range kinds {
 			all = append(all, Step{Kind: k, N: uint8(t.index)})
 		}
-		if len(kinds) > 0 && !w.cfg.allOrders() { // reduction: the steps of the others may as well follow later
+		if len(kinds) > 0 && !w.cfg.allOrders() { // reduction: the steps of the others may follow later
 			return all
 		}
 	}
@@ -269,7 +272,7 @@
 
 // apply applies one step to the world.
 func (w *world) apply(s Step) {
-	w.chance.most = s.Most
+	w.random.most = s.Most
 	if s.Kind < TakeEnd {
 		w.applyOutside(s)
 		return
@@ -289,13 +292,13 @@
 	case TakeRelayStart:
 		t.relayPending = false
 		w.execute(w.tracker.RelayStarted(w.now, t.Attempt, calltrack.AttemptOutcome{Result: choice.OK, Report: choice.NoReport, Reply: t.Attempt}))
-		w.checkBegun(t)
+		w.checkRelayStart(t)
 	case AnswerBegins:
 		t.ReportIllegalStep(t.State.Read())
 		t.relayPending, t.relayStarted = true, true
 	case AnswerEnds:
 		t.ReportIllegalStep(t.State.Answer(choice.OK))
-		w.checkEnding(t)
+		w.checkAttemptEnd(t)
 	case AnswerBreaks:
 		w.fail(t, lifecycle.Broken)
 	case Acquire:
--- a/internal/lab/explore/story.go
+++ b/internal/lab/explore/story.go
@@ -55,7 +55,7 @@
 // Event is a step of a trace with the call, attempt and server that it concerns.
 type Event struct {
 	Step
-	Call    int // the call whose client or attempt takes the step
+	Call    int // the call whose client or attempt takes the step; for a change of the list, the server
 	Attempt int // number of the attempt within its call
 	Server  int // server of the attempt
 }
--- a/internal/lab/explore/world.go
+++ b/internal/lab/explore/world.go
@@ -65,7 +65,7 @@
 	for i := range 8 {
 		s.ID, c.Name = fmt.Sprint("server ", i), fmt.Sprint(choice.Effect(i))
 		m.Servers, m.Classes = append(m.Servers, s), append(m.Classes, c)
-		s.Started = 0 // matches the start time of the servers; only the first entry keeps another one
+		s.Started = 0 // the start time of the servers in the world; only the first entry keeps the given one
 	}
 	return m
 }
@@ -99,7 +99,7 @@
 	cfg             *Config
 	settings        choice.Settings
 	now             time.Duration
-	chance          *drawSource
+	random          *drawSource
 	tracker         *calltrack.Tracker
 	balancer        *choice.Balancer
 	pool            *lifecycle.PoolState
@@ -149,7 +149,7 @@
 	index            int             // among all attempts of the world
 	call             int             // index of its call
 	cell             int             // of its server
-	conn             *lifecycle.Conn // that it waits for or uses
+	conn             *lifecycle.Conn // the connection that it waits for or uses
 	hostCanceled     bool            // its host was notified of the cancellation
 	balancerCanceled bool            // the balancer has ordered the cancellation
 	race             *addresses.Race // its dials, if servers have several addresses
@@ -210,7 +210,7 @@
 
 // newWorld returns the initial state of the world.
 func newWorld(cfg *Config) *world {
-	w := &world{cfg: cfg, now: startTime, chance: &drawSource{}}
+	w := &world{cfg: cfg, now: startTime, random: &drawSource{}}
 	w.settings = choice.Settings{Balancers: 1, Tick: time.Millisecond, MaxAttempts: cfg.Attempts, CanCancel: true,
 		ParallelAttempts: cfg.Past == LostCalls}
 	effects := []choice.Effect{choice.Safe, choice.Keyed, choice.Unsafe}
@@ -225,7 +225,7 @@
 		w.settings.Classes = append(w.settings.Classes, c)
 	}
 	var err error
-	if w.balancer, err = choice.NewWithSource(w.settings, w.chance); err != nil {
+	if w.balancer, err = choice.NewWithSource(w.settings, w.random); err != nil {
 		panic(err) // the settings are constants and valid
 	}
 	w.tracker = calltrack.New(w.trackerSettings(), cancelObserver{w.balancer, w})
@@ -262,7 +262,8 @@
 		OnIllegalStep: func(err error) { w.violate("%v", err) }}
 }
 
-// runPast gives the balancer its past: calls that are served, and one that is lost by a server which answers others.
+// runPast gives the balancer its past: calls that are served and, for LostCalls, one that its server loses while others are
+// answered.
 func (w *world) runPast(past Past) {
 	var callTime time.Duration
 	switch past {
@@ -329,11 +330,11 @@
 // copy returns a deep copy of the world.
 func (w *world) copy() *world {
 	copies := calltrack.NewCopies()
-	c := &world{cfg: w.cfg, settings: w.settings, now: w.now, chance: &drawSource{}, timers: slices.Clone(w.timers),
+	c := &world{cfg: w.cfg, settings: w.settings, now: w.now, random: &drawSource{}, timers: slices.Clone(w.timers),
 		servers: slices.Clone(w.servers), moves: slices.Clone(w.moves), offline: slices.Clone(w.offline),
 		offlineRestarts: slices.Clone(w.offlineRestarts), operatorChanges: w.operatorChanges,
 		attemptsStarted: w.attemptsStarted, listChanges: w.listChanges, disconnects: w.disconnects, fault: w.fault}
-	c.balancer = w.balancer.Clone(c.chance)
+	c.balancer = w.balancer.Clone(c.random)
 	c.tracker = w.tracker.Copy(c.trackerSettings(), cancelObserver{c.balancer, c}, copies)
 	conns := lifecycle.Copies[lifecycle.Conn]{Fill: func(o, dst *lifecycle.Conn) {
 		var host any
@@ -363,6 +364,7 @@
 	return c
 }
 
+// violate records a violated property, if it is the first one.
 func (w *world) violate(format string, args ...any) {
 	if w.fault == "" {
 		w.fault = fmt.Sprintf(format, args...)
@@ -424,7 +426,7 @@
 	}
 	w.attempts = append(w.attempts, t)
 	slices.SortFunc(w.attempts, func(a, b *attempt) int { return cmp.Or(a.call-b.call, a.Number-b.Number) })
-	w.checkBegin(t)
+	w.checkAttemptStart(t)
 }
 
 // attemptByIndex returns the attempt with the given index, or nil.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -33,12 +33,12 @@
 // fleet is the state of a run.
 type fleet struct {
 	*Scenario
-	number        int
+	number        int // of the run; determines its ports
 	record        *Record
 	versionedList *standin.VersionedList
 	list          *List
-	relay         *relay // nil if agents do not exchange lists
-	groups        map[string][]int
+	relay         *relay           // nil if agents do not exchange lists
+	groups        map[string][]int // agents drawn for each Action.Group
 	servers       []*server
 	agents        []*process
 	rng           *rand.Rand
@@ -105,10 +105,10 @@
 	}
 	report.Events, _ = f.record.Since(0)
 	for _, s := range f.servers {
-		report.Doubles += s.pod.DuplicateEffects() // each server deduplicates on its own
+		report.Doubles += s.group.DuplicateEffects() // each server deduplicates on its own
 		report.Push = max(report.Push, s.maxOverload())
 		for _, other := range f.servers[:s.number] {
-			for _, id := range standin.CommonEffects(s.pod, other.pod) {
+			for _, id := range standin.CommonEffects(s.group, other.group) {
 				agent, call := parseCallID(id)
 				report.Twice = append(report.Twice, DuplicateEffect{Agent: agent, Call: call, Servers: [2]string{other.id, s.id}})
 			}
@@ -122,7 +122,7 @@
 // build starts the servers, the list service and the relay, and prepares the agents without starting them.
 func (f *fleet) build(o Options) error {
 	for i := range f.Servers {
-		s := &server{id: fmt.Sprint("forms-", i), number: i, cell: i, opts: f.Server, pod: standin.NewDedupGroup(), record: f.record, now: f.record.Now}
+		s := &server{id: fmt.Sprint("forms-", i), number: i, cell: i, opts: f.Server, group: standin.NewDedupGroup(), record: f.record, now: f.record.Now}
 		f.servers = append(f.servers, s)
 		if err := s.start(f.Cold); err != nil {
 			return err
@@ -147,9 +147,9 @@
 	}
 	known := f.initialList()
 	for i := range f.Agents {
-		me, number := placements[f.Places](i, f.Agents)
+		rank, total := placements[f.Places](i, f.Agents)
 		p := standin.Platform{Name: fmt.Sprint("n", i), Listen: f.listenAddr(i), Discovery: f.list.Addr(i), InitialList: known, Seed: f.Seed<<20 + uint64(i) + 1,
-			Balancers: number, Index: me, MaxPollInterval: mustAsk, Deadline: f.Kiosks.Left, SlowStartMinShare: f.Server.ColdFrom, SlowStartWindow: f.Server.ColdFor,
+			Balancers: total, Index: rank, MaxPollInterval: mustAsk, Deadline: f.Kiosks.Left, SlowStartMinShare: f.Server.ColdFrom, SlowStartWindow: f.Server.ColdFor,
 			ConnectTimeout: 250 * time.Millisecond, CanCancel: true, Peers: peers}
 		if f.Talk {
 			p.PeerListen = f.peerAddr(i)
--- a/internal/lab/fleet/kiosk.go
+++ b/internal/lab/fleet/kiosk.go
@@ -42,12 +42,12 @@
 		case <-ctx.Done():
 			return nil
 		}
-		ask := standin.Request{Method: standin.Check, ID: callID(agent, call), Tenant: standin.Tenants[rng.IntN(len(standin.Tenants))], Key: "k", TimeLeft: opts.Left}
+		request := standin.Request{Method: standin.Check, ID: callID(agent, call), Tenant: standin.Tenants[rng.IntN(len(standin.Tenants))], Key: "k", TimeLeft: opts.Left}
 		switch x := rng.Float64(); {
 		case x < opts.Keyed:
-			ask.Method, ask.IdempotencyKey = standin.Record, ask.ID
+			request.Method, request.IdempotencyKey = standin.Record, request.ID
 		case x < opts.Keyed+opts.Unsafe:
-			ask.Method = standin.Pay
+			request.Method = standin.Pay
 		}
 		select {
 		case slots <- struct{}{}:
@@ -56,7 +56,7 @@
 		}
 		open.Go(func() {
 			defer func() { <-slots }()
-			answer := k.Do(ask)
+			answer := k.Do(request)
 			kind := answer.Kind.String()
 			if errors.Is(answer.Err, syscall.ECONNREFUSED) {
 				kind = Unreachable
--- a/internal/lab/fleet/list.go
+++ b/internal/lab/fleet/list.go
@@ -33,7 +33,7 @@
 	Full                 // accepts only a limited number of watches
 	Refuses              // answers 503 at once; watches end
 	Resets               // resets connections; watches end
-	Silent               // accepts connections, but sends nothing, on watches neither
+	Silent               // accepts connections, but sends nothing, not even on open watches
 	SilencesWatches      // used only in scenarios, for SilenceWatches: open watches become silent for good, and new calls are not affected
 )
 
@@ -252,6 +252,7 @@
 	version := int64(-1)
 	fmt.Sscan(r.URL.Query().Get("index"), &version)
 	counted := false
+	// setCounted counts this watch as open or not, and records a change.
 	setCounted := func(count bool) {
 		if count != counted {
 			counted = count
--- a/internal/lab/fleet/process.go
+++ b/internal/lab/fleet/process.go
@@ -29,9 +29,9 @@
 }
 
 // newProcess writes the configuration of an agent, without starting it.
-func newProcess(number int, program, dir string, p standin.Platform, talk bool, record *Record) (*process, error) {
+func newProcess(number int, program, dir string, p standin.Platform, exchangesLists bool, record *Record) (*process, error) {
 	a := &process{number: number, program: program, record: record, config: filepath.Join(dir, p.Name+".json"), log: filepath.Join(dir, p.Name+".log")}
-	if err := os.WriteFile(a.config, p.Config(), 0o600); err != nil || !talk {
+	if err := os.WriteFile(a.config, p.Config(), 0o600); err != nil || !exchangesLists {
 		return a, err
 	}
 	a.peers = filepath.Join(dir, "peers.toml")
--- a/internal/lab/fleet/rules.go
+++ b/internal/lab/fleet/rules.go
@@ -11,12 +11,12 @@
 	// drainGrace is how long an agent may still send to a server after it was notified that the server drains: the tolerance of the
 	// platform's rules, plus the time that a loaded machine needs to forward a call.
 	drainGrace = standin.DrainGrace + 50*time.Millisecond
-	// notifiedAfter is the time after the silencing of a watch from which on the agent counts as notified of changes of the list,
-	// whether or not it received them.
+	// notifiedAfter is how long after its watch was silenced an agent counts as notified of changes of the list, whether or not
+	// it received them.
 	notifiedAfter = 6 * time.Second
 	// answerGrace is how long after a call's deadline its answer may arrive.
 	answerGrace = 70 * time.Millisecond
-	// machineNoise is the delay that the machine adds to both, with many processes on few cores.
+	// machineNoise is the delay that the machine adds to drainGrace and to answerGrace, with many processes on few cores.
 	machineNoise = 200 * time.Millisecond
 )
 
--- a/internal/lab/fleet/rules_test.go
+++ b/internal/lab/fleet/rules_test.go
@@ -102,7 +102,7 @@
 	opts := ServerOptions{Capacity: 100, ColdFrom: 0.5, ColdFor: time.Hour, Push: 2, FallIn: 3 * sec, Queue: time.Hour}
 	for rate, crashes := range map[int]bool{50: false, 95: false, 130: true} {
 		now := time.Duration(0)
-		s := &server{id: "s", opts: opts, pod: standin.NewDedupGroup(), record: NewRecord(), now: func() time.Duration { return now }}
+		s := &server{id: "s", opts: opts, group: standin.NewDedupGroup(), record: NewRecord(), now: func() time.Duration { return now }}
 		if err := s.start(true); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/fleet/scenario.go
+++ b/internal/lab/fleet/scenario.go
@@ -16,7 +16,7 @@
 	Servers  int
 	Seed     uint64
 	Known    string        // which list agents have at their first start; one of the Known constants
-	Places   string        // the rank and number that agents are given, a key of placements; empty for the truth
+	Places   string        // what agents are told of their rank and number, a key of placements; empty for the true ones
 	MustAsk  time.Duration // within this time an agent must call the list service again
 	All      time.Duration // time that the list service needs to answer all agents
 	Patience time.Duration // time after which that service abandons a waiting call
@@ -80,9 +80,9 @@
 	KnownWrong = "wrong" // an older version; half of its servers no longer exist
 )
 
-// placements returns the rank and number that agents are given, by name in scenarios: each function gives both for an agent
-// and the true number of agents.
-var placements = map[string]func(agent, agents int) (me, number int){
+// placements has, by name in scenarios, functions that return what an agent is told: its rank, and the number of agents. Their
+// arguments are the true rank and the true number.
+var placements = map[string]func(agent, agents int) (rank, total int){
 	"":        func(i, n int) (int, int) { return i, n },
 	"none":    func(_, n int) (int, int) { return n, n }, // a rank that is out of range
 	"tenth":   func(i, n int) (int, int) { return i, max(1, n/10) },
@@ -92,7 +92,7 @@
 	"old":     func(i, n int) (int, int) { return i, n / (1 + i%2) },             // half of the agents know an old number, half as large
 }
 
-// setPlaces sets the rank and number that agents are given, by its name in scenarios.
+// setPlaces sets what agents are told of their rank and number, by its name in scenarios.
 func (s *Scenario) setPlaces(name string) error {
 	if s.Places = name; placements[name] == nil {
 		return fmt.Errorf("must be one of %s, or omitted", strings.Join(slices.Sorted(maps.Keys(placements))[1:], ", "))
--- a/internal/lab/fleet/server.go
+++ b/internal/lab/fleet/server.go
@@ -31,7 +31,7 @@
 	number int
 	cell   int
 	opts   ServerOptions
-	pod    *standin.DedupGroup
+	group  *standin.DedupGroup
 	record *Record
 	now    func() time.Duration
 
@@ -51,7 +51,7 @@
 func (s *server) start(cold bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	running, err := standin.Start(standin.Options{ID: s.id, Protocol: "http", Cell: s.cell, DedupGroup: s.pod, Script: s.handleCall, Load: s.load, NoLoad: !s.opts.Reports})
+	running, err := standin.Start(standin.Options{ID: s.id, Protocol: "http", Cell: s.cell, DedupGroup: s.group, Script: s.handleCall, Load: s.load, NoLoad: !s.opts.Reports})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/loadgen/loadgen.go
+++ b/internal/lab/loadgen/loadgen.go
@@ -96,7 +96,7 @@
 	in       *bufio.Reader
 	protocol string
 	name     string
-	n        int
+	n        int // calls made so far
 	buf      []byte
 }
 
--- a/internal/lab/replay/corpus_test.go
+++ b/internal/lab/replay/corpus_test.go
@@ -31,10 +31,11 @@
 		o.Name = name
 		all = append(all, o)
 	}
-	each := func(field string, set func(*OldRefund, string), fates map[string][]string) {
-		for _, fate := range []string{"served", "unfit"} {
-			for _, text := range fates[fate] {
-				add(fmt.Sprintf("%s %.24q", field, text), func(o *OldRefund) { set(o, text); o.Expected = fate })
+	// each adds a request for each edge case of one field, given by expected outcome.
+	each := func(field string, set func(*OldRefund, string), outcomes map[string][]string) {
+		for _, outcome := range []string{"served", "unfit"} {
+			for _, text := range outcomes[outcome] {
+				add(fmt.Sprintf("%s %.24q", field, text), func(o *OldRefund) { set(o, text); o.Expected = outcome })
 			}
 		}
 	}
@@ -142,14 +143,14 @@
 		}
 	}
 	all := load(t)
-	fates := map[string]int{}
+	outcomes := map[string]int{}
 	for _, o := range all {
-		fates[o.Expected]++
+		outcomes[o.Expected]++
 		if _, err := url.ParseQuery(string(o.HTTP("x").Request.Body)); err != nil && o.Expected == "served" {
 			t.Errorf("%+v: %v", o, err)
 		}
 	}
-	if fates["served"] < 200 || fates["unfit"] < 40 {
-		t.Errorf("too few requests of some outcome: %v", fates)
+	if outcomes["served"] < 200 || outcomes["unfit"] < 40 {
+		t.Errorf("too few requests of some outcome: %v", outcomes)
 	}
 }
--- a/internal/lab/replay/hard_test.go
+++ b/internal/lab/replay/hard_test.go
@@ -22,8 +22,8 @@
 	return o
 }
 
-// ask sends one request on a new connection and returns the answer.
-func (w *World) ask(t testing.TB, e Exchange) Message {
+// send sends one request on a new connection and returns the answer.
+func (w *World) send(t testing.TB, e Exchange) Message {
 	t.Helper()
 	p := w.Player(testkit.WaitTimeout)
 	defer p.Close()
@@ -38,7 +38,7 @@
 // in the same deduplication group. It must have the same key and id, so that the group drops it as a duplicate.
 func TestRepeatInAnotherShapeIsDropped(t *testing.T) {
 	for _, key := range []string{"once", "%41 é+", strings.Repeat("k", 4090)} {
-		pod := standin.NewDedupGroup()
+		group := standin.NewDedupGroup()
 		var first atomic.Bool
 		lose := func(c standin.Call) standin.Step {
 			if first.CompareAndSwap(false, true) {
@@ -52,18 +52,18 @@
 			}
 			first.Store(false)
 			id := fmt.Sprint("r-", tries)
-			w := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}, DedupGroup: pod, Script: lose},
-				standin.Options{ID: "new", Protocol: "thrift-compact", Shapes: []string{"2"}, DedupGroup: pod, Script: lose})
+			w := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}, DedupGroup: group, Script: lose},
+				standin.Options{ID: "new", Protocol: "thrift-compact", Shapes: []string{"2"}, DedupGroup: group, Script: lose})
 			own := fmt.Sprint(tries, key)
-			m := w.ask(t, refund(t, own).HTTP(id))
-			saw := w.Deliveries(id)
-			if m.Status != 200 || len(saw) != 2 || pod.Effects(own) != 1 {
-				t.Fatalf("received %v, %d deliveries, %d effects", m, len(saw), pod.Effects(own))
+			m := w.send(t, refund(t, own).HTTP(id))
+			deliveries := w.Deliveries(id)
+			if m.Status != 200 || len(deliveries) != 2 || group.Effects(own) != 1 {
+				t.Fatalf("received %v, %d deliveries, %d effects", m, len(deliveries), group.Effects(own))
 			}
-			if saw[0].IdempotencyKey != own || saw[1].IdempotencyKey != own || saw[0].Refund != saw[1].Refund {
-				t.Fatalf("servers received %+v", saw)
+			if deliveries[0].IdempotencyKey != own || deliveries[1].IdempotencyKey != own || deliveries[0].Refund != deliveries[1].Refund {
+				t.Fatalf("servers received %+v", deliveries)
 			}
-			if saw[0].Version == "1" && saw[1].Version == "2" {
+			if deliveries[0].Version == "1" && deliveries[1].Version == "2" {
 				break
 			}
 		}
@@ -75,17 +75,17 @@
 	odd := func(standin.Call) standin.Step { return standin.Step{Fault: standin.UndefinedValue} }
 	for _, client := range protocols {
 		for _, server := range protocols {
-			pod := standin.NewDedupGroup()
-			w := newWorld(t, standin.Platform{}, standin.Options{ID: "a", Protocol: server, Shapes: []string{"2"}, DedupGroup: pod, Script: odd},
-				standin.Options{ID: "b", Protocol: server, Shapes: []string{"2"}, DedupGroup: pod, Script: odd})
-			m := w.ask(t, refund(t, "once").exchange("o-1", client))
+			group := standin.NewDedupGroup()
+			w := newWorld(t, standin.Platform{}, standin.Options{ID: "a", Protocol: server, Shapes: []string{"2"}, DedupGroup: group, Script: odd},
+				standin.Options{ID: "b", Protocol: server, Shapes: []string{"2"}, DedupGroup: group, Script: odd})
+			m := w.send(t, refund(t, "once").exchange("o-1", client))
 			failed := m.Status == 502
 			if client != "http" {
 				result, err := standin.DecodeThrift(m.Thrift)
 				failed = err == nil && result[2] != nil && result[0] == nil && result[1] == nil
 			}
-			if saw := w.Deliveries("o-1"); !failed || len(saw) != 1 || pod.Effects("once") != 1 {
-				t.Errorf("%s to %s: received %v, %d deliveries, %d effects", client, server, m, len(saw), pod.Effects("once"))
+			if deliveries := w.Deliveries("o-1"); !failed || len(deliveries) != 1 || group.Effects("once") != 1 {
+				t.Errorf("%s to %s: received %v, %d deliveries, %d effects", client, server, m, len(deliveries), group.Effects("once"))
 			}
 		}
 	}
@@ -108,17 +108,17 @@
 	long.Memo = &memo
 	new := standin.Options{ID: "new", Protocol: "http", Shapes: []string{"2"}}
 	w := world(new)
-	if m := w.ask(t, refund(t, "short").HTTP("g-0")); m.Status != 200 {
+	if m := w.send(t, refund(t, "short").HTTP("g-0")); m.Status != 200 {
 		t.Errorf("received %v", m)
 	}
-	if m := w.ask(t, long.HTTP("g-1")); m.Status != 422 || !strings.Contains(string(m.Body), "200") || len(w.Deliveries("g-1")) > 0 {
+	if m := w.send(t, long.HTTP("g-1")); m.Status != 422 || !strings.Contains(string(m.Body), "200") || len(w.Deliveries("g-1")) > 0 {
 		t.Errorf("received %v %s, deliveries %v", m, m.Body, w.Deliveries("g-1"))
 	}
 	w = world(new, standin.Options{ID: "new2", Protocol: "http", Shapes: []string{"2"}}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}})
 	for i := range 20 {
 		id := fmt.Sprint("g-", i)
 		long.Key = []byte(id)
-		if m := w.ask(t, long.HTTP(id)); m.Status != 200 || len(w.Deliveries(id)) != 1 || w.Deliveries(id)[0].Version != "1" {
+		if m := w.send(t, long.HTTP(id)); m.Status != 200 || len(w.Deliveries(id)) != 1 || w.Deliveries(id)[0].Version != "1" {
 			t.Fatalf("received %v, deliveries %+v", m, w.Deliveries(id))
 		}
 	}
@@ -133,7 +133,7 @@
 	odd := refund(t, "k")
 	odd.First = "a|b"
 	for i := range 8 {
-		if m := w.ask(t, odd.HTTP(fmt.Sprint("u-", i))); m.Status != 503 {
+		if m := w.send(t, odd.HTTP(fmt.Sprint("u-", i))); m.Status != 503 {
 			t.Errorf("received %v %s", m, m.Body)
 		}
 	}
@@ -141,7 +141,7 @@
 	old.Drain()
 	w.List.Update(old.Entry())
 	testkit.Eventually(t, "the call is refused as untranslatable", func() bool {
-		m := w.ask(t, odd.HTTP(fmt.Sprint("v-", time.Now().UnixNano())))
+		m := w.send(t, odd.HTTP(fmt.Sprint("v-", time.Now().UnixNano())))
 		return m.Status == 422 && strings.Contains(string(m.Body), "first")
 	})
 }
@@ -150,13 +150,13 @@
 func TestNobodyTakesIt(t *testing.T) {
 	w := newWorld(t, standin.Platform{MaxRetryAfter: time.Second}, standin.Options{ID: "a", Protocol: "http", Shapes: []string{"3"}})
 	began := time.Now()
-	m := w.ask(t, refund(t, "k").HTTP("n-1"))
+	m := w.send(t, refund(t, "k").HTTP("n-1"))
 	if m.Status != 503 || len(m.Headers) != 1 || m.Headers[0][0] != "Retry-After" || len(w.Deliveries("n-1")) > 0 || time.Since(began) > 2*time.Second {
 		t.Errorf("received %v after %v", m, time.Since(began))
 	}
 	odd := refund(t, "k").HTTP("n-2")
 	odd.Request.Target += "/more"
-	if m := w.ask(t, odd); m.Status != 400 || !strings.Contains(string(m.Body), "none of the shapes") {
+	if m := w.send(t, odd); m.Status != 400 || !strings.Contains(string(m.Body), "none of the shapes") {
 		t.Errorf("received %v %s", m, m.Body)
 	}
 }
@@ -171,44 +171,44 @@
 	var text atomic.Pointer[string]
 	text.Store(&first)
 	log := new(testkit.Log)
-	held, go1 := make(chan struct{}), make(chan struct{})
+	held, proceed := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	script := func(c standin.Call) standin.Step {
 		if c.ID == "m-1" && c.Delivery == 1 {
 			once.Do(func() { close(held) })
-			return standin.Step{Fault: standin.ResetBefore, Until: go1}
+			return standin.Step{Fault: standin.ResetBefore, Until: proceed}
 		}
 		return standin.Step{}
 	}
-	pod := standin.NewDedupGroup()
+	group := standin.NewDedupGroup()
 	w, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(*text.Load())) },
-		slog.New(slog.NewTextHandler(log, nil)), standin.Options{ID: "a", Protocol: "http", Shapes: []string{"2"}, DedupGroup: pod, Script: script},
-		standin.Options{ID: "b", Protocol: "thrift-binary", Shapes: []string{"2"}, DedupGroup: pod, Script: script})
+		slog.New(slog.NewTextHandler(log, nil)), standin.Options{ID: "a", Protocol: "http", Shapes: []string{"2"}, DedupGroup: group, Script: script},
+		standin.Options{ID: "b", Protocol: "thrift-binary", Shapes: []string{"2"}, DedupGroup: group, Script: script})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	answered := make(chan Message)
-	go func() { answered <- w.ask(t, refund(t, "k1").HTTP("m-1")) }()
+	go func() { answered <- w.send(t, refund(t, "k1").HTTP("m-1")) }()
 	<-held
 	text.Store(&second)
 	w.Reload()
 	testkit.Eventually(t, "the new file is in use", func() bool { return log.Contains("new shapes") })
-	m2 := w.ask(t, refund(t, "k2").HTTP("m-2"))
-	close(go1)
+	m2 := w.send(t, refund(t, "k2").HTTP("m-2"))
+	close(proceed)
 	m1 := <-answered
-	saw := w.Deliveries("m-1")
-	if m1.Status != 200 || m2.Status != 200 || len(saw) != 2 || saw[0].Refund.Goods != "jewellery" || saw[1].Refund != saw[0].Refund {
-		t.Errorf("received %v, servers received %+v", m1, saw)
+	deliveries := w.Deliveries("m-1")
+	if m1.Status != 200 || m2.Status != 200 || len(deliveries) != 2 || deliveries[0].Refund.Goods != "jewellery" || deliveries[1].Refund != deliveries[0].Refund {
+		t.Errorf("received %v, servers received %+v", m1, deliveries)
 	}
-	if saw := w.Deliveries("m-2"); len(saw) != 1 || saw[0].Refund.Goods != "other" {
-		t.Errorf("after the change servers received %+v", saw)
+	if deliveries := w.Deliveries("m-2"); len(deliveries) != 1 || deliveries[0].Refund.Goods != "other" {
+		t.Errorf("after the change servers received %+v", deliveries)
 	}
 	broken := "shapes"
 	text.Store(&broken)
 	w.Reload()
 	testkit.Eventually(t, "the invalid file is refused", func() bool { return log.Contains("keeping the old shapes") })
-	if m := w.ask(t, refund(t, "k3").HTTP("m-3")); m.Status != 200 || w.Deliveries("m-3")[0].Refund.Goods != "other" {
+	if m := w.send(t, refund(t, "k3").HTTP("m-3")); m.Status != 200 || w.Deliveries("m-3")[0].Refund.Goods != "other" {
 		t.Errorf("received %v", m)
 	}
 }
@@ -220,7 +220,7 @@
 		t.Run(protocol, func(t *testing.T) {
 			var refused atomic.Int32
 			drifted := func(forget string) (*World, *standin.DedupGroup) {
-				pod := standin.NewDedupGroup()
+				group := standin.NewDedupGroup()
 				count := func(c standin.Call) {
 					if c.Version == "2" {
 						refused.Add(1)
@@ -229,21 +229,21 @@
 				text := strings.Replace(deploy.Translate, "forget_s = 5.0", "forget_s = "+forget, 1)
 				// The list reports version 2, but the servers accept version 1.
 				w, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(text)) }, slog.New(slog.DiscardHandler),
-					standin.Options{ID: "a", Protocol: protocol, Shapes: []string{"1"}, ListedShapes: []string{"2"}, DedupGroup: pod, OnCall: count},
-					standin.Options{ID: "b", Protocol: protocol, Shapes: []string{"1"}, ListedShapes: []string{"2"}, DedupGroup: pod, OnCall: count})
+					standin.Options{ID: "a", Protocol: protocol, Shapes: []string{"1"}, ListedShapes: []string{"2"}, DedupGroup: group, OnCall: count},
+					standin.Options{ID: "b", Protocol: protocol, Shapes: []string{"1"}, ListedShapes: []string{"2"}, DedupGroup: group, OnCall: count})
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(w.Close)
-				return w, pod
+				return w, group
 			}
-			w, pod := drifted("80.0")
+			w, group := drifted("80.0")
 			for i := range 20 {
 				id := fmt.Sprint("d-", i)
-				m := w.ask(t, refund(t, id).exchange(id, protocol))
-				saw := w.Deliveries(id)
-				if last := saw[len(saw)-1]; unserved(m) || last.Version != "1" || pod.Effects(id) != 1 {
-					t.Fatalf("call %d: received %v, servers received %+v", i, m, saw)
+				m := w.send(t, refund(t, id).exchange(id, protocol))
+				deliveries := w.Deliveries(id)
+				if last := deliveries[len(deliveries)-1]; unserved(m) || last.Version != "1" || group.Effects(id) != 1 {
+					t.Fatalf("call %d: received %v, servers received %+v", i, m, deliveries)
 				}
 			}
 			learning := refused.Load()
@@ -253,7 +253,7 @@
 			w, _ = drifted("0.3")
 			testkit.Eventually(t, "the learned shapes expire and are learned again", func() bool {
 				id := fmt.Sprint("f-", time.Now().UnixNano())
-				if m := w.ask(t, refund(t, id).exchange(id, protocol)); unserved(m) {
+				if m := w.send(t, refund(t, id).exchange(id, protocol)); unserved(m) {
 					t.Fatalf("received %v", m)
 				}
 				return refused.Load() > 2*learning
--- a/internal/lab/replay/recording.go
+++ b/internal/lab/replay/recording.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// ask sends a request and returns its answer. If a reused connection turns out to be closed, it retries once on a new one.
-func (p *player) ask(protocol string, m Message) (Message, error) {
+// send sends a request and returns its answer. If a reused connection turns out to be closed, it retries once on a new one.
+func (p *player) send(protocol string, m Message) (Message, error) {
 	for fresh := false; ; fresh = true {
 		if p.conns[protocol] == nil {
 			fresh = true
@@ -115,15 +115,15 @@
 			p.conns[protocol].Close()
 			delete(p.conns, protocol)
 		}
-		if errors.Is(err, errIdle) && !fresh {
+		if errors.Is(err, errNoAnswer) && !fresh {
 			continue // the peer had closed the idle connection
 		}
 		return answer, err
 	}
 }
 
-// errIdle is returned if a connection ended before any byte of the answer was received.
-var errIdle = errors.New("the connection was closed without an answer")
+// errNoAnswer is returned if a connection ended before any byte of the answer was received.
+var errNoAnswer = errors.New("the connection was closed without an answer")
 
 func (p *player) roundTrip(protocol string, m Message) (answer Message, keep bool, err error) {
 	c, in := p.conns[protocol], p.readers[protocol]
@@ -134,10 +134,10 @@
 		text = encodeHTTP(m)
 	}
 	if _, err := c.Write(text); err != nil {
-		return answer, false, fmt.Errorf("%w: %w", errIdle, err)
+		return answer, false, fmt.Errorf("%w: %w", errNoAnswer, err)
 	}
 	if _, err := in.Peek(1); errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
-		return answer, false, errIdle
+		return answer, false, errNoAnswer
 	}
 	if protocol == "thrift" {
 		answer.Thrift, err = thriftwire.ReadFrame(in, maxFrameBytes)
--- a/internal/lab/replay/redact.go
+++ b/internal/lab/replay/redact.go
@@ -23,7 +23,7 @@
 type Redactor struct {
 	names  []string
 	plan   *thriftwire.Plan // for the names that are paths of Thrift field ids
-	paths  int
+	paths  int              // number of paths in plan
 	secret [32]byte
 }
 
@@ -71,7 +71,7 @@
 		return err
 	}
 	if path, query, has := strings.Cut(m.Target, "?"); m.Target != "" {
-		if at := strings.LastIndexByte(path, '/'); r.hides("path") && at >= 0 {
+		if at := strings.LastIndexByte(path, '/'); r.redacts("path") && at >= 0 {
 			last, err := url.PathUnescape(path[at+1:])
 			if err != nil {
 				return err
@@ -90,7 +90,7 @@
 		if strings.EqualFold(h[0], "Content-Type") {
 			kind, _, _ = strings.Cut(h[1], ";")
 		}
-		if r.hides(h[0]) {
+		if r.redacts(h[0]) {
 			m.Headers[i][1] = r.replacement(h[1])
 		}
 	}
@@ -108,7 +108,7 @@
 	return err
 }
 
-func (r *Redactor) hides(name string) bool {
+func (r *Redactor) redacts(name string) bool {
 	return slices.ContainsFunc(r.names, func(n string) bool { return strings.EqualFold(n, name) })
 }
 
@@ -129,7 +129,7 @@
 		if err != nil {
 			return "", err
 		}
-		if !has || !r.hides(name) {
+		if !has || !r.redacts(name) {
 			continue
 		}
 		if value, err = url.QueryUnescape(value); err != nil {
@@ -159,7 +159,7 @@
 		if err := to.WriteToken(token); err != nil {
 			return nil, err
 		}
-		if name == "" || !r.hides(name) {
+		if name == "" || !r.redacts(name) {
 			continue
 		}
 		hidden := jsontext.Null
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -77,13 +77,13 @@
 
 // Add starts another server and adds it to the list. It must not be called concurrently with itself or Close.
 func (w *World) Add(opts standin.Options) (*standin.Server, error) {
-	also := opts.OnCall
+	onCall := opts.OnCall
 	opts.OnCall = func(c standin.Call) {
 		w.mu.Lock()
 		w.deliveries[c.ID] = append(w.deliveries[c.ID], c)
 		w.mu.Unlock()
-		if also != nil {
-			also(c)
+		if onCall != nil {
+			onCall(c)
 		}
 	}
 	s, err := standin.Start(opts)
@@ -134,7 +134,7 @@
 func (p *Player) Close() { p.close() }
 
 // Do sends the request of an exchange and returns the answer.
-func (p *Player) Do(e Exchange) (Message, error) { return p.ask(e.Protocol, e.Request) }
+func (p *Player) Do(e Exchange) (Message, error) { return p.send(e.Protocol, e.Request) }
 
 // Report is the result of a comparison.
 type Report struct {
@@ -159,27 +159,27 @@
 		}
 		want, err1 := before.Do(e)
 		got, err2 := after.Do(e)
-		there, here := old.Deliveries(id), new.Deliveries(id)
-		say := func(format string, args ...any) {
+		oldCalls, newCalls := old.Deliveries(id), new.Deliveries(id)
+		addDifference := func(format string, args ...any) {
 			r.Different = append(r.Different, name+": "+fmt.Sprintf(format, args...))
 		}
 		switch {
 		case err != nil:
-			say("%v", err)
+			addDifference("%v", err)
 		case err1 != nil || err2 != nil:
-			say("request failed: %v with the old servers, %v with the new ones", err1, err2)
-		case unfit(got) && len(here) == 0:
+			addDifference("request failed: %v with the old servers, %v with the new ones", err1, err2)
+		case isUntranslatable(got) && len(newCalls) == 0:
 			r.Untranslatable = append(r.Untranslatable, name+": "+refusalText(got))
 		case !got.same(want):
-			say("the client received %v, with the old servers %v", got, want)
-		case len(there) != len(here):
-			say("%d deliveries to the new servers, %d to the old ones", len(here), len(there))
-		case len(here) == 1 && (here[0].Refund != there[0].Refund || here[0].ParseError != there[0].ParseError):
-			say("a new server received %+v %s, an old one %+v %s", here[0].Refund, here[0].ParseError, there[0].Refund, there[0].ParseError)
-		case len(here) == 1 && (here[0].IdempotencyKey != key || there[0].IdempotencyKey != key):
-			say("key %q was received as %q", key, here[0].IdempotencyKey)
-		case len(here) == 1 && (here[0].Tenant != there[0].Tenant || here[0].ClientRetry != there[0].ClientRetry):
-			say("tenant %q, repeat %t; the old servers received %q, %t", here[0].Tenant, here[0].ClientRetry, there[0].Tenant, there[0].ClientRetry)
+			addDifference("the client received %v, with the old servers %v", got, want)
+		case len(oldCalls) != len(newCalls):
+			addDifference("%d deliveries to the new servers, %d to the old ones", len(newCalls), len(oldCalls))
+		case len(newCalls) == 1 && (newCalls[0].Refund != oldCalls[0].Refund || newCalls[0].ParseError != oldCalls[0].ParseError):
+			addDifference("a new server received %+v %s, an old one %+v %s", newCalls[0].Refund, newCalls[0].ParseError, oldCalls[0].Refund, oldCalls[0].ParseError)
+		case len(newCalls) == 1 && (newCalls[0].IdempotencyKey != key || oldCalls[0].IdempotencyKey != key):
+			addDifference("key %q was received as %q", key, newCalls[0].IdempotencyKey)
+		case len(newCalls) == 1 && (newCalls[0].Tenant != oldCalls[0].Tenant || newCalls[0].ClientRetry != oldCalls[0].ClientRetry):
+			addDifference("tenant %q, repeat %t; the old servers received %q, %t", newCalls[0].Tenant, newCalls[0].ClientRetry, oldCalls[0].Tenant, oldCalls[0].ClientRetry)
 		default:
 			r.Same++
 		}
@@ -192,8 +192,8 @@
 		bytes.Equal(m.Thrift, other.Thrift)
 }
 
-// unfit reports whether an answer says that the call cannot be represented in a shape that servers accept.
-func unfit(m Message) bool {
+// isUntranslatable reports whether an answer says that the call cannot be represented in a shape that servers accept.
+func isUntranslatable(m Message) bool {
 	if m.Thrift == nil {
 		return m.Status == 422
 	}
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -69,8 +69,8 @@
 					t.Errorf("%d of %d are unfit, same %d, different %q", len(r.Untranslatable), len(unfit), r.Same, first(r.Different))
 				}
 				for version, w := range map[string]*World{"1": old, "2": new} {
-					if saw := w.Deliveries("c-0"); len(saw) != 1 || saw[0].Version != version {
-						t.Errorf("servers of version %s received %+v", version, saw)
+					if deliveries := w.Deliveries("c-0"); len(deliveries) != 1 || deliveries[0].Version != version {
+						t.Errorf("servers of version %s received %+v", version, deliveries)
 					}
 					if n := w.Agent.IllegalSteps(); n > 0 {
 						t.Errorf("%d illegal state transitions", n)
--- a/internal/lab/replay/tap.go
+++ b/internal/lab/replay/tap.go
@@ -168,7 +168,7 @@
 	}
 	defer up.Close()
 	var mu sync.Mutex
-	inFlight, n := map[int32][][]byte{}, 0
+	inFlight, n := map[int32][][]byte{}, 0 // calls without a reply, by sequence id, and how many they are
 	go func() {
 		defer c.Close()
 		for {
--- a/internal/lab/replay/tap_test.go
+++ b/internal/lab/replay/tap_test.go
@@ -41,7 +41,7 @@
 			p := newPlayer(l.Addr().String(), l.Addr().String(), testkit.WaitTimeout)
 			for i, o := range all {
 				e := o.exchange(string(rune('a'+i)), client)
-				m, err := p.ask(e.Protocol, e.Request)
+				m, err := p.send(e.Protocol, e.Request)
 				if err != nil || unserved(m) {
 					t.Fatalf("received %v, %v", m, err)
 				}
--- a/internal/lab/restart/restart.go
+++ b/internal/lab/restart/restart.go
@@ -52,7 +52,7 @@
 type Variant struct {
 	Name      string
 	Restore   func(stored learned.State, seed uint64) *aging.Restored // nil to start without
-	NoRestart bool                                                    // no restart
+	NoRestart bool                                                    // the first agent keeps running
 }
 
 // storedFor returns a Variant.Restore for which the state was stored the given time ago.
@@ -173,7 +173,7 @@
 	}
 	var mu sync.Mutex
 	var lastErr error
-	jobs := make(chan [2]int)
+	jobs := make(chan [2]int) // indexes of a variant and of a seed
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
--- a/internal/lab/rollout/rollout.go
+++ b/internal/lab/rollout/rollout.go
@@ -69,10 +69,10 @@
 	if set.NoShapes {
 		shapes = nil
 	}
-	p := &play{set: set, group: standin.NewDedupGroup(), sent: map[string]sentRefund{}, firstUnknown: map[string]time.Time{}}
+	p := &rollout{set: set, group: standin.NewDedupGroup(), sent: map[string]sentRefund{}, firstUnknown: map[string]time.Time{}}
 	var first []standin.Options
 	for i := range set.Servers {
-		first = append(first, p.server(i, "old", false))
+		first = append(first, p.serverOptions(i, "old", false))
 	}
 	w, err := replay.NewWorld(standin.Platform{Deadline: 2 * time.Second, MaxRetryAfter: time.Second, CanCancel: true, MaxAttempts: 5}, shapes,
 		slog.New(slog.DiscardHandler), first...)
@@ -84,19 +84,21 @@
 	replaced := make(chan error, 1)
 	go func() { replaced <- p.replace() }()
 	length := time.Duration(2*set.Servers+3) * set.ReplaceInterval
-	p.load(length)
+	p.sendCalls(length)
 	if err := <-replaced; err != nil {
 		return Result{}, err
 	}
 	return p.count(), nil
 }
 
+// sentRefund is what a client sent, to compare with what servers receive.
 type sentRefund struct {
 	refund standin.Refund
 	key    string
 }
 
-type play struct {
+// rollout is the state of a running rolling deploy.
+type rollout struct {
 	set   Settings
 	world *replay.World
 	group *standin.DedupGroup
@@ -110,8 +112,8 @@
 	seconds [][2]int
 }
 
-// server returns the options of the server at a place in a stage: old, new or back (rolled back).
-func (p *play) server(place int, stage string, slow bool) standin.Options {
+// serverOptions returns the options of the server at a place in a stage: old, new or back (rolled back).
+func (p *rollout) serverOptions(place int, stage string, slow bool) standin.Options {
 	o := standin.Options{ID: fmt.Sprintf("%s-%02d", stage, place), Protocol: p.set.Old, Shapes: []string{"1"}, DedupGroup: p.group, MaxCalls: maxCalls,
 		ServiceTime: p.set.ServiceTime, SlowStartMinShare: 0.4}
 	if slow {
@@ -139,7 +141,7 @@
 		want := p.sent[c.ID]
 		if c.Version != version {
 			p.result.UnknownShape++
-			if _, any := p.firstUnknown[o.ID]; !any {
+			if _, known := p.firstUnknown[o.ID]; !known {
 				p.firstUnknown[o.ID] = now
 			}
 		} else {
@@ -159,7 +161,7 @@
 }
 
 // replace replaces the old servers by new ones and then rolls them back.
-func (p *play) replace() error {
+func (p *rollout) replace() error {
 	now := append([]*standin.Server{}, p.world.Servers...)
 	tick := time.NewTicker(p.set.ReplaceInterval)
 	defer tick.Stop()
@@ -169,7 +171,7 @@
 		for i := range now {
 			<-tick.C
 			old := now[i]
-			s, err := p.world.Add(p.server(i, stage, true))
+			s, err := p.world.Add(p.serverOptions(i, stage, true))
 			if err != nil {
 				return err
 			}
@@ -195,8 +197,8 @@
 	return nil
 }
 
-// load sends calls at a constant rate, each at its scheduled time or as soon as a client is free.
-func (p *play) load(length time.Duration) {
+// sendCalls sends calls at a constant rate, each at its scheduled time or as soon as a client is free.
+func (p *rollout) sendCalls(length time.Duration) {
 	rng := rand.New(rand.NewPCG(p.set.Seed, 0))
 	n := int(p.set.Rate * length.Seconds())
 	p.seconds = make([][2]int, int(length/time.Second)+1)
@@ -207,7 +209,7 @@
 			player := p.world.Player(5 * time.Second)
 			defer player.Close()
 			for j := range jobs {
-				p.ask(player, j)
+				p.sendCall(player, j)
 			}
 		})
 	}
@@ -221,15 +223,16 @@
 	clients.Wait()
 }
 
+// job is one call to send.
 type job struct {
-	i      int
-	at     time.Time
-	second int
+	i      int       // number of the call
+	at     time.Time // scheduled time
+	second int       // second of the run in which it is scheduled
 	pence  int
 }
 
-// ask sends one refund and counts the answer.
-func (p *play) ask(player *replay.Player, j job) {
+// sendCall sends one refund and counts the answer.
+func (p *rollout) sendCall(player *replay.Player, j job) {
 	id, key := fmt.Sprint("c-", j.i), fmt.Sprintf("key %d %%41 é", j.i)
 	day := time.Unix(0, 0).UTC().AddDate(0, 0, j.pence%20000)
 	goods := j.pence % 3
@@ -292,7 +295,7 @@
 }
 
 // count returns the totals after the run.
-func (p *play) count() Result {
+func (p *rollout) count() Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r := p.result
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -216,26 +216,28 @@
 	w.execute(agent, agent.tracker.CallArrived(w.now, call))
 }
 
+// payload links a call in the call tracker to its number in the World and its result.
 type payload struct {
 	number int
 	call   *Call
 }
 
-// startAgent starts an agent, with the learned state of an earlier one if past is not nil.
-func (w *World) startAgent(number int, past *aging.Restored, seed uint64) error {
+// startAgent starts an agent, with the learned state of an earlier one if past is not nil. seedOffset distinguishes the runs
+// of one agent, so that each draws other random numbers.
+func (w *World) startAgent(number int, past *aging.Restored, seedOffset uint64) error {
 	me, agents := number, w.cfg.Agents
 	if w.cfg.BelievedRank != nil {
 		me, agents = w.cfg.BelievedRank(number)
 	}
-	settings, agentSeed := w.cfg.Module, w.cfg.Seed+seed+uint64(number)<<32
+	settings, agentSeed := w.cfg.Module, w.cfg.Seed+seedOffset+uint64(number)<<32
 	settings.Balancers = agents
-	module, err := choice.New(settings, agentSeed)
+	balancer, err := choice.New(settings, agentSeed)
 	if err != nil {
 		return err
 	}
 	a := &agent{number: number, attempts: map[*calltrack.Attempt]*attempt{}}
 	a.tracker = calltrack.New(calltrack.Settings{MaxAttempts: settings.MaxAttempts,
-		Ranks: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), HasTransport: func(choice.Protocols) bool { return true }}, module)
+		Ranks: subset.New(subset.Settings{Agents: agents, Me: me, Seed: agentSeed}), HasTransport: func(choice.Protocols) bool { return true }}, balancer)
 	w.agents[number] = a
 	w.execute(a, a.tracker.Start(w.now))
 	var entries []calltrack.Entry
@@ -398,7 +400,7 @@
 	return r
 }
 
-// LostShare returns the share of the value of the calls that arrived from from until to (exclusive) that was lost. A call that
+// LostShare returns which share of the value of the calls that arrived in the half-open interval [from, to) was lost. A call that
 // is served within its class's aim earns its full value, one served at the deadline nothing, with a linear decrease between;
 // all other calls earn nothing.
 func (w *World) LostShare(from, to time.Duration) float64 {
--- a/internal/lab/standin/names.go
+++ b/internal/lab/standin/names.go
@@ -127,14 +127,14 @@
 	return n.streaks[dns.CanonicalName(target)]
 }
 
-func (n *NameServer) answer(w dns.ResponseWriter, ask *dns.Msg) {
+func (n *NameServer) answer(w dns.ResponseWriter, query *dns.Msg) {
 	n.mu.Lock()
 	n.queries++
 	fault := n.fault
 	m := new(dns.Msg)
-	m.SetReply(ask)
-	if len(ask.Question) == 1 {
-		q := ask.Question[0]
+	m.SetReply(query)
+	if len(query.Question) == 1 {
+		q := query.Question[0]
 		q.Name = dns.CanonicalName(q.Name)
 		m.Answer = n.zone[q]
 		if q.Qtype == dns.TypeSRV && fault == NameOK {
--- a/internal/lab/standin/shapes.go
+++ b/internal/lab/standin/shapes.go
@@ -41,8 +41,8 @@
 // ErrUnknownShape is the error for a message in a shape that the server does not know.
 var ErrUnknownShape = errors.New("unknown shape")
 
-// shaped is a call in a shape, of either protocol.
-type shaped struct {
+// shapedCall is the content of a call with a shape, of either protocol.
+type shapedCall struct {
 	version string // of the shape, from its path or method
 	refund  Refund
 	err     error // why it cannot be parsed in that shape
@@ -101,7 +101,7 @@
 		return Call{}, nil, err
 	}
 	body := []byte(call.Text)
-	var s shaped
+	var s shapedCall
 	switch form, isOld := strings.CutPrefix(r.URL.EscapedPath(), "/refund-record/"); {
 	case call.Method != Record:
 		return call, nil, fmt.Errorf("class %q has no shapes", call.Method)
@@ -115,11 +115,11 @@
 		s.err = ErrUnknownShape
 	}
 	call.setShape(&s)
-	return call, &shapedHTTP{s, call.IdempotencyKey}, nil
+	return call, &shapedHTTPEncoder{s, call.IdempotencyKey}, nil
 }
 
 // setShape sets the fields of the call that depend on its shape.
-func (c *Call) setShape(s *shaped) {
+func (c *Call) setShape(s *shapedCall) {
 	c.Version, c.Refund, c.Key = s.version, s.refund, s.refund.Form
 	if s.err != nil {
 		c.ParseError = s.err.Error()
@@ -181,12 +181,12 @@
 	return r, splitTraveller(&r, v.Traveller)
 }
 
-type shapedHTTP struct {
-	shaped
+type shapedHTTPEncoder struct {
+	shapedCall
 	key string
 }
 
-func (f *shapedHTTP) reply(r reply) []byte {
+func (f *shapedHTTPEncoder) reply(r reply) []byte {
 	receipt, paid := Receipt(f.key, f.refund)
 	state := "pending"
 	if paid {
@@ -221,7 +221,7 @@
 	if err != nil {
 		return Call{}, nil, err
 	}
-	f := &shapedThrift{thriftEncoder: thriftEncoder{protocol: protocolOf(frame), method: Record}}
+	f := &shapedThriftEncoder{thriftEncoder: thriftEncoder{protocol: protocolOf(frame), method: Record}}
 	buf := thrift.NewTMemoryBufferLen(0)
 	buf.Write(frame)
 	ctx := context.Background()
@@ -247,7 +247,7 @@
 	left, _ := h[5].(int64)
 	again, _ := h[6].(bool)
 	call := Call{Method: Record, ID: text(h, 1), Tenant: text(h, 2), IdempotencyKey: text(h, 4), TimeLeft: time.Duration(left) * time.Millisecond, ClientRetry: again}
-	s := &f.shaped
+	s := &f.shapedCall
 	switch f.name {
 	case "refund":
 		s.version = "1"
@@ -332,13 +332,13 @@
 	}
 }
 
-type shapedThrift struct {
+type shapedThriftEncoder struct {
 	thriftEncoder
-	shaped
+	shapedCall
 	key string
 }
 
-func (f *shapedThrift) reply(r reply) []byte {
+func (f *shapedThriftEncoder) reply(r reply) []byte {
 	if r.fault != None && r.fault != UnknownShape {
 		return f.thriftEncoder.reply(r)
 	}
@@ -349,7 +349,7 @@
 	}, r.fault == UnknownShape)
 }
 
-func (f *shapedThrift) state(paid, undefined bool) any {
+func (f *shapedThriftEncoder) state(paid, undefined bool) any {
 	switch {
 	case f.version == "1":
 		return paid
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -183,9 +183,9 @@
 	accepted  int
 	inFlight  int
 	completed int
-	drained   time.Time
-	late      int
-	rejected  int
+	drained   time.Time // start of the drain; zero before
+	late      int       // calls that arrived later than DrainGrace after it
+	rejected  int       // calls rejected because of Options.MaxCalls
 }
 
 // DrainGrace is how long after the start of a drain new calls are still allowed to arrive.
@@ -307,7 +307,7 @@
 	fault     Fault // Reject, Error, WrongSeq, UnknownShape, or None; the other faults concern sending
 	text      string
 	load      *load
-	undefined bool
+	undefined bool // it has a value that the shape does not define
 }
 
 type load struct{ util, qps, eps, inFlight, queue float64 }
--- a/internal/lab/standin/thrift.go
+++ b/internal/lab/standin/thrift.go
@@ -114,24 +114,24 @@
 	case WrongSeq:
 		f.seq += 1000
 	}
-	well := refused == nil && failed == nil
+	succeeded := refused == nil && failed == nil
 	var result thrift.TStruct
 	switch f.method {
 	case Check:
 		res := &formapi.FormServiceFormCheckResult{Refused: refused, Failed: failed}
-		if well {
+		if succeeded {
 			res.Success = &formapi.FormResult_{Text: r.text, Load: l}
 		}
 		result = res
 	case Record:
 		res := &formapi.FormServiceRefundRecordResult{Refused: refused, Failed: failed}
-		if well {
+		if succeeded {
 			res.Success = &formapi.Receipt{ReceiptId: r.text, Load: l}
 		}
 		result = res
 	default:
 		res := &formapi.FormServicePayOutResult{Refused: refused, Failed: failed}
-		if well {
+		if succeeded {
 			res.Success = &formapi.Receipt{ReceiptId: r.text, Load: l}
 		}
 		result = res
--- a/internal/lab/sysfault/busy.go
+++ b/internal/lab/sysfault/busy.go
@@ -34,7 +34,8 @@
 	return err
 }
 
-// markBusy starts a busy period. The period is dated back by the time that the thread has since waited for a processor.
+// markBusy starts a busy period. The period is dated back by the time that the thread has waited for a processor since it
+// was last idle.
 func (b *busyPeriods) markBusy() {
 	b.busySince = time.Now().Add(b.waited - b.processorWait())
 }
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -297,14 +297,14 @@
 // hold blocks chosen calls of all threads for some time. It handles other stops meanwhile: a new thread stops for the tracer, and a Go
 // program may have no other thread to run on.
 func (t *tracer) hold(length time.Duration) {
-	const look = time.Millisecond // how often stops are polled for
+	const pollInterval = time.Millisecond // how often stops are polled for
 	for end := time.Now().Add(length); time.Now().Before(end); {
 		next, err := t.wait(unix.WNOHANG)
 		switch {
 		case err != nil && err != unix.EINTR: // all threads have ended
 			return
 		case err != nil || next.tid == 0:
-			time.Sleep(min(look, time.Until(end)))
+			time.Sleep(min(pollInterval, time.Until(end)))
 		case next.isChosenCall():
 			t.queued = append(t.queued, next)
 		case next.status.Stopped():
