--- a/cmd/ternbeam/brokenanswer_test.go
+++ b/cmd/ternbeam/brokenanswer_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// allowedErrors returns which errors a client of one class may see: an answer by the agent instead of a server if the request must not be sent again,
-// and a partial answer if answers are relayed.
+// allowedErrors returns which errors a client of one class may see: an answer by the agent instead of a server if the request must not be sent
+// again, and a partial answer if answers are relayed.
 func (b brokenAnswer) allowedErrors(class string, withOps bool) func(error) bool {
 	return func(err error) bool {
 		return errors.Is(err, errNotServed) && class != "form-check" || errors.Is(err, errPartial) && b.relayed && withOps
@@ -73,9 +73,9 @@
 	}
 }
 
-// Checks that a request gets a final answer although a server breaks off its answer while the agent can hold it: another server answers a request that
-// may be sent again, an error answers any other, and each answer arrives complete on the client's connection. An answer that announces more than
-// 64 KiB is relayed soon, because the client measures the time to the first byte; there the client can tell that it is incomplete.
+// Checks that a request gets a final answer although a server breaks off its answer while the agent can hold it: another server answers a request
+// that may be sent again, an error answers any other, and each answer arrives complete on the client's connection. An answer that announces more
+// than 64 KiB is relayed soon, because the client measures the time to the first byte; there the client can tell that it is incomplete.
 func TestAnswersThatBreakOffAreReplaced(t *testing.T) {
 	t.Parallel()
 	for _, broken := range brokenAnswers() {
@@ -101,8 +101,8 @@
 	}
 }
 
-// lateServers hang in the first attempt of each request until the client's time is nearly over, and break off the answer to the second attempt when it
-// has ended.
+// lateServers hang in the first attempt of each request until the client's time is nearly over, and break off the answer to the second attempt after
+// the client's time has ended.
 type lateServers struct {
 	mu       sync.Mutex
 	attempts map[string]int // by request id
--- a/cmd/ternbeam/drainfaults_test.go
+++ b/cmd/ternbeam/drainfaults_test.go
@@ -196,8 +196,8 @@
 }
 
 // knownSince returns the time from which the process that runs at a given time counts as knowing of a drain, and false if it does not know yet.
-// While discovery is up, a change counts as known at once. A change that a silent watch missed counts as known 6 s after the watch fell silent, or as
-// soon as the agent closes that watch.
+// While discovery is up, a change counts as known at once. A change that a silent watch missed counts as known 6 s after the watch fell silent, or
+// as soon as the agent closes that watch.
 func (w *drainFaultRun) knownSince(d drain, at time.Duration) (time.Duration, bool) {
 	since := d.from
 	for _, s := range w.starts {
@@ -277,8 +277,8 @@
 	return w
 }
 
-// Checks that no request reaches a draining server later than the grace period after its agent counts as knowing of the drain, under random faults of
-// discovery and of the process.
+// Checks that no request reaches a draining server later than the grace period after its agent counts as knowing of the drain, under random faults
+// of discovery and of the process.
 func TestDrainsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	seeds, err := strconv.Atoi(cmp.Or(os.Getenv(faultSeedsEnv), fmt.Sprint(defaultFaultSeeds)))
--- a/cmd/ternbeam/heldanswer_test.go
+++ b/cmd/ternbeam/heldanswer_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// stoppingServer sends the start of an answer to each request and breaks it off half a second later, while the agent is stopped. The agent is stopped
-// before the answer has to be relayed, and continued after that.
+// stoppingServer sends the start of an answer to each request and breaks it off half a second later, while the agent is stopped. The agent is
+// stopped before the answer has to be relayed, and continued after that.
 type stoppingServer struct {
 	t        *testing.T
 	agent    *process // set before the first request
@@ -44,8 +44,8 @@
 	s.agent.sendSignals(s.t, syscall.SIGCONT)
 }
 
-// Guards against a partial answer instead of an error if the server has broken the answer off in time and the agent was stalled when it had to relay
-// the answer.
+// Guards against a client that gets a partial answer instead of an error. The server breaks its answer off before the answer has to be relayed, but
+// the agent is stalled from just before that until after the time at which it has to relay the answer.
 func TestAnswersThatBreakOffDuringAHoldUpAreErrors(t *testing.T) {
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
--- a/cmd/ternbeam/keptconnection_test.go
+++ b/cmd/ternbeam/keptconnection_test.go
@@ -40,8 +40,8 @@
 	return sysfault.Outcome{Hold: maxStall}
 }
 
-// startWithHeldClose starts the program, with or without an operations address, and a client of a given class whose connection has carried a request.
-// The next close of that connection is held.
+// startWithHeldClose starts the program, with or without an operations address, and a client of a given class whose connection has carried a
+// request. The next close of that connection is held.
 func startWithHeldClose(t *testing.T, class string, withOps bool) (*sysfault.Process, *testkit.Log, *testClient, *heldClose) {
 	t.Helper()
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
@@ -125,7 +125,7 @@
 
 // Guards against a connection that is closed at SIGTERM although its client, which does not know of the shutdown yet, sends a request.
 func TestKeptConnectionsAreNotClosedAsTheEndBegins(t *testing.T) {
-	const noticeDelay = 400 * time.Millisecond // after which clients know of the shutdown, by the platform's page
+	const noticeDelay = 400 * time.Millisecond // after which clients know of the shutdown, as the platform documents
 	for _, delay := range []time.Duration{20 * time.Millisecond, noticeDelay - maxStall} {
 		for _, withOps := range []bool{false, true} {
 			t.Run(fmt.Sprintf("a request after %v, second address %t", delay, withOps), func(t *testing.T) {
--- a/cmd/ternbeam/kernelwait_test.go
+++ b/cmd/ternbeam/kernelwait_test.go
@@ -25,9 +25,9 @@
 	return server.Listener.Addr()
 }
 
-// Guards against a forwarded deadline that ignores the time a request waited in the kernel, on a new connection in the accept queue or on a kept one,
-// while the process was suspended. The client counts that time. Seed 1 of TestAnswersUnderRandomFaultsAtTheEnd found it in CI under other load: a
-// server received 205 ms more than the client had left. Failing registrations of connections and failing reads had delayed the request, and only
+// Guards against a forwarded deadline that ignores the time a request waited in the kernel, on a new connection in the accept queue or on a kept
+// one, while the process was suspended. The client counts that time. Seed 1 of TestAnswersUnderRandomFaultsAtTheEnd found it in CI under other load:
+// a server received 205 ms more than the client had left. Failing registrations of connections and failing reads had delayed the request, and only
 // failing accepts were counted.
 func TestWaitInTheKernelCountsForTheDeadline(t *testing.T) {
 	for _, kept := range []bool{false, true} {
@@ -82,7 +82,8 @@
 	c.doOnly(t, traffic, log)
 }
 
-// Guards against a forwarded deadline that was encoded before the process was stalled, where the process stalls again in the write of the request.
+// Guards against a forwarded deadline that is too long: it is encoded before the process stalls, and the process stalls again in the write of the
+// request.
 func TestHoldUpsBeforeAWriteCountForTheDeadline(t *testing.T) {
 	const maxPolls = 5 // while a request is handled
 	for poll := range maxPolls {
@@ -130,8 +131,8 @@
 	return c.doOnly(t, traffic, log)
 }
 
-// Guards against a forwarded deadline that was encoded before a time in which no part of the request could be written, where the process then stalls
-// in the next write: the sum of both times is more than the forwarded deadline may exceed the client's.
+// Guards against a forwarded deadline that is too long: it is encoded before the writes of its request fail for a while, and the process stalls in
+// the next write. The sum of both times is more than a forwarded deadline may exceed the client's.
 func TestUnsentRequestsAreWordedAnewBeforeAHoldUp(t *testing.T) {
 	retryUntilValid(t, func() bool {
 		watch := watchMachineStalls()
--- a/cmd/ternbeam/localdiscovery_test.go
+++ b/cmd/ternbeam/localdiscovery_test.go
@@ -14,7 +14,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// outage is how discovery behaves while it is down. Calls that it accepts during that time are never answered, except queued ones.
+// outage is how discovery behaves while it is down. Calls that it accepts during that time never get a complete list. Connections in its accept
+// queue are answered when it is up again.
 type outage string
 
 const (
--- a/cmd/ternbeam/main.go
+++ b/cmd/ternbeam/main.go
@@ -189,23 +189,23 @@
 			fmt.Fprintf(out, "%s: %v\n", name, err)
 		}
 	}
-	for _, later := range []bool{false, true} { // the configuration first, since it defines the classes
+	for _, wantTOML := range []bool{false, true} { // the configuration first, since it defines the classes
 		for _, name := range files {
-			if isTOML := filepath.Ext(name) == ".toml"; isTOML != later {
+			if isTOML := filepath.Ext(name) == ".toml"; isTOML != wantTOML {
 				continue
 			}
 			text, err := os.ReadFile(name)
 			switch {
 			case err != nil:
-			case later && bytes.Contains(text, []byte("\n[half_life]")) || filepath.Base(name) == "state.toml":
+			case wantTOML && bytes.Contains(text, []byte("\n[half_life]")) || filepath.Base(name) == "state.toml":
 				_, err = stateconf.Parse(text)
-			case later && (bytes.Contains(text, []byte("\n[[dns]]")) || filepath.Base(name) == "sources.toml"):
+			case wantTOML && (bytes.Contains(text, []byte("\n[[dns]]")) || filepath.Base(name) == "sources.toml"):
 				_, err = sourceconf.Parse(text)
-			case later && (bytes.Contains(text, []byte("\n[lists]")) || filepath.Base(name) == "peers.toml"):
+			case wantTOML && (bytes.Contains(text, []byte("\n[lists]")) || filepath.Base(name) == "peers.toml"):
 				_, err = peerconf.Parse(text)
-			case later && (bytes.Contains(text, []byte("\n[shapes.")) || filepath.Base(name) == "translate.toml"):
+			case wantTOML && (bytes.Contains(text, []byte("\n[shapes.")) || filepath.Base(name) == "translate.toml"):
 				_, err = translate.Compile(text)
-			case later:
+			case wantTOML:
 				_, err = thriftmap.Parse(text, classes)
 			default:
 				var cfg *config.Config
--- a/cmd/ternbeam/openconnection_test.go
+++ b/cmd/ternbeam/openconnection_test.go
@@ -32,7 +32,8 @@
 	return all
 }
 
-// Guards against client connections that end without a complete answer because a failed call is taken for the end of a connection that is still open.
+// Guards against client connections that end without a complete answer because a failed call is taken for the end of a connection that is still
+// open.
 func TestOpenConnectionsOutliveFailedCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
--- a/cmd/ternbeam/outage_test.go
+++ b/cmd/ternbeam/outage_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// The platform's rules for drains: if lists are pushed, what discovery has when it is up again counts as known to the agent at once, and drainGrace
-// after a drain is known no new request may go to the server.
+// The platform's rules for drains: if lists are pushed, the agent counts as knowing of a drain at once, or as soon as discovery is up again. From
+// drainGrace after that, no new request may go to the draining server.
 const (
 	drainGrace  = 500 * time.Millisecond
 	socketSlack = 50 * time.Millisecond
@@ -105,8 +105,8 @@
 	return string(c.how)
 }
 
-// run runs the case and returns for how long the draining server received requests after the agent counts as knowing of the drain. The run is void if
-// the machine itself stalled for longer than the platform may stall a process.
+// run runs the case and returns for how long the draining server received requests after the agent counts as knowing of the drain. The run is void
+// if the machine itself stalled for longer than the platform may stall a process.
 func (c outageCase) run(t *testing.T) (late time.Duration, log string, void bool) {
 	draining, other := newCountingServer(t, nil), newCountingServer(t, nil)
 	before := listText(1, listEntry{server: draining}, listEntry{server: other})
--- a/cmd/ternbeam/pipelined_test.go
+++ b/cmd/ternbeam/pipelined_test.go
@@ -175,7 +175,8 @@
 	}
 }
 
-// Guards against the same when connection slots run short.
+// Guards against a connection that is closed after the first answer, although further requests have arrived behind the first one, because connection
+// slots run short.
 func TestPipelinedRequestsAreAnsweredWherePlacesAreShort(t *testing.T) {
 	const sockets, maxClients = 160, 160
 	config, listen := configureLimited(t, unusedAddr(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
--- a/cmd/ternbeam/processorwait_test.go
+++ b/cmd/ternbeam/processorwait_test.go
@@ -9,8 +9,9 @@
 	"ternbeam/internal/lab/sysfault"
 )
 
-// watchProcessorWaits starts to measure how long the threads of a process wait for a processor in total, by the kernel's account (proc(5), schedstat).
-// The returned function stops that and returns the result. On an overloaded machine thousands of such waits delay a process as much as stalls do.
+// watchProcessorWaits starts to measure how long the threads of a process wait for a processor in total, by the kernel's account (proc(5),
+// schedstat). The returned function stops that and returns the result. On an overloaded machine thousands of such waits delay a process as much as
+// stalls do.
 func watchProcessorWaits(pid int) (waited func() time.Duration) {
 	const checkInterval = 20 * time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
--- a/cmd/ternbeam/randomfaults_test.go
+++ b/cmd/ternbeam/randomfaults_test.go
@@ -86,19 +86,19 @@
 
 // newRandomFaults draws several sequences of fault windows that run in parallel and fill a span of time.
 func newRandomFaults(random *rand.Rand, duration time.Duration) *randomFaults {
-	const rows = 3 // sequences of windows that run in parallel
+	const sequences = 3 // that run in parallel
 	f := &randomFaults{random: rand.New(rand.NewPCG(random.Uint64(), 0))}
-	for range rows {
+	for range sequences {
 		for at := time.Duration(0); at < duration; {
 			at += time.Duration(random.Int64N(int64(150 * time.Millisecond)))
 			drawn := randomErrnos[random.IntN(len(randomErrnos))]
-			m := faultWindow{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
+			w := faultWindow{from: at, to: at + time.Duration(random.Int64N(int64(60*time.Millisecond))), call: drawn.call,
 				probability: []float64{0.1, 0.5, 1}[random.IntN(3)]}
-			m.outcome.Errno = drawn.errnos[random.IntN(len(drawn.errnos))]
-			if (m.call == sysfault.Read || m.call == sysfault.Write) && random.IntN(3) == 0 {
-				m.outcome = sysfault.Outcome{Limit: 1 + random.IntN(40)}
+			w.outcome.Errno = drawn.errnos[random.IntN(len(drawn.errnos))]
+			if (w.call == sysfault.Read || w.call == sysfault.Write) && random.IntN(3) == 0 {
+				w.outcome = sysfault.Outcome{Limit: 1 + random.IntN(40)}
 			}
-			f.windows, at = append(f.windows, m), m.to
+			f.windows, at = append(f.windows, w), w.to
 		}
 	}
 	if random.IntN(2) == 0 {
@@ -129,9 +129,9 @@
 		f.holdTimes = f.holdTimes[1:]
 		return sysfault.Outcome{Hold: time.Duration(f.random.Int64N(int64(maxStall)))}
 	}
-	for _, m := range f.windows {
-		if m.call == e.Call && m.from <= at && at < m.to && f.random.Float64() < m.probability {
-			return m.outcome
+	for _, w := range f.windows {
+		if w.call == e.Call && w.from <= at && at < w.to && f.random.Float64() < w.probability {
+			return w.outcome
 		}
 	}
 	return sysfault.Outcome{}
@@ -144,21 +144,24 @@
 	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, steady) })
 }
 
-// The same while the process shuts down: it gets several signals, clients continue to send on open connections, open new ones for 0.4 s, and
-// SIGKILL is sent as early as the platform may send it. A request may go unanswered if its connection ends before any part of an answer and no
-// server has received it, because the agent may close a connection between two requests. Every request that a server received must be answered.
+// Like TestAnswersUnderRandomFaults, while the process shuts down: it gets several signals, clients continue to send on open connections, open new
+// ones for 0.4 s, and SIGKILL is sent as early as the platform may send it. A request may go unanswered if its connection ends before any part of an
+// answer and no server has received it, because the agent may close a connection between two requests. Every request that a server received must be
+// answered.
 func TestAnswersUnderRandomFaultsAtTheEnd(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, terminated) })
 }
 
-// The same on connections that are idle between requests for about as long as the idle time after which a connection may be closed.
+// Like TestAnswersUnderRandomFaults, on connections that are idle between requests for about as long as the idle time after which a connection may
+// be closed.
 func TestAnswersOnIdleConnectionsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultIdleSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, withIdleClients) })
 }
 
-// The same while a second process replaces the first, which gets SIGTERM when the second reports that it is ready. Clients use either process.
+// Like TestAnswersUnderRandomFaults, while a second process replaces the first, which gets SIGTERM when the second reports that it is ready. Clients
+// use either process.
 func TestAnswersUnderRandomFaultsAcrossAReplacement(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultReplacementSeeds, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, replaced) })
--- a/cmd/ternbeam/randomworld_test.go
+++ b/cmd/ternbeam/randomworld_test.go
@@ -89,8 +89,8 @@
 	serverSlack     = 50 * time.Millisecond  // between an attempt's first byte and its record here
 )
 
-// stallExcess returns by how much the longest uninterrupted wait of the agent's system calls for the test's tracer between two times exceeds maxStall.
-// The agent cannot notice such a wait while it makes the calls.
+// stallExcess returns by how much the longest uninterrupted wait of the agent's system calls for the test's tracer between two times exceeds
+// maxStall. The agent cannot notice such a wait while it makes the calls.
 func (w *trafficRecord) stallExcess(from, to time.Time) (excess time.Duration) {
 	for _, p := range w.stalls {
 		if p.From.Before(to) && p.To.After(from) {
@@ -212,7 +212,7 @@
 	}
 	const excess, arrivesAfter = deadlineSlack + serverSlack + 50*time.Millisecond, 400 * time.Millisecond
 	for name, test := range map[string]struct {
-		stood   []sysfault.Period
+		stalls  []sysfault.Period
 		excused bool
 	}{
 		"not at all":      {nil, false},
@@ -222,7 +222,7 @@
 		"afterwards":      {held(arrivesAfter, maxStall+60*time.Millisecond), false},
 	} {
 		w := newTrafficRecord()
-		w.stalls = test.stood
+		w.stalls = test.stalls
 		r := &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", sentAt: begin, took: time.Second,
 			arrivals: []arrival{{begin.Add(arrivesAfter), clientTimeout - arrivesAfter + excess}}}
 		if all := w.violations(r); (len(all) == 0) != test.excused {
--- a/cmd/ternbeam/replacefaults_test.go
+++ b/cmd/ternbeam/replacefaults_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Guards against the same if the path of the shared folder is too long for a Unix socket.
+// Guards against a server that operators took offline being used again because the path of the shared folder is too long for a Unix socket.
 func TestReplacementHasWhatWasLeftInAFolderWithALongName(t *testing.T) {
 	s := newReplacementTest(t, 2)
 	s.sharedDir = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
--- a/cmd/ternbeam/shutdown_test.go
+++ b/cmd/ternbeam/shutdown_test.go
@@ -164,8 +164,8 @@
 	replaceable bool          // it has an operations address: bodies may be long, and idle connections stay open for a while
 }
 
-// run shuts a process down and returns the failures and its log. The run is void if the machine itself stalled for longer than the platform may stall
-// a process.
+// run shuts a process down and returns the failures and its log. The run is void if the machine itself stalled for longer than the platform may
+// stall a process.
 func (s shutdownCase) run(t *testing.T) (failures []string, log string, void bool) {
 	deadline, stalled := s.deadline, s.stalled
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(deadline), hangingServer(t), hangingServer(t))
@@ -237,7 +237,8 @@
 // maxVoidRuns is how many runs are tried if the machine stalls in each.
 const maxVoidRuns = 10
 
-// watchMachineStalls starts to measure how late the machine wakes a sleeping goroutine. The returned function stops that and returns the longest delay.
+// watchMachineStalls starts to measure how late the machine wakes a sleeping goroutine. The returned function stops that and returns the longest
+// delay.
 func watchMachineStalls() (longest func() time.Duration) {
 	const sleepTime = 2 * time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
--- a/cmd/ternbeam/signals_test.go
+++ b/cmd/ternbeam/signals_test.go
@@ -15,8 +15,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// Sends SIGTERM during SIGHUP, and again while the last call is in flight. Checks that there is one shutdown, in which that call is answered, and that
-// a configuration that is no longer in use does not change the discovery address.
+// Sends SIGTERM during SIGHUP, and again while the last call is in flight. Checks that there is one shutdown, in which that call is answered, and
+// that a configuration that is no longer in use does not change the discovery address.
 func TestSignalsCross(t *testing.T) {
 	held, received := make(chan struct{}), make(chan struct{}, 10)
 	release := sync.OnceFunc(func() { close(held) })
--- a/cmd/ternbeam/thriftclients_test.go
+++ b/cmd/ternbeam/thriftclients_test.go
@@ -54,11 +54,12 @@
 	return agent
 }
 
-// askWithRetry makes a call on a stand-in client's connection, and repeats it on a new one if the connection ended before any part of an answer arrived.
-func askWithRetry(kiosk standin.Kiosk, ask standin.Request) standin.Answer {
-	answer := kiosk.Do(ask)
-	if answer.Kind == standin.Lost && answer.Took < ask.TimeLeft {
-		answer = kiosk.Do(ask)
+// callWithRetry makes a call on a stand-in client's connection, and repeats it on a new one if the connection ended before any part of an answer
+// arrived.
+func callWithRetry(kiosk standin.Kiosk, req standin.Request) standin.Answer {
+	answer := kiosk.Do(req)
+	if answer.Kind == standin.Lost && answer.Took < req.TimeLeft {
+		answer = kiosk.Do(req)
 	}
 	return answer
 }
@@ -74,7 +75,7 @@
 	random := rand.New(rand.NewPCG(1, xxhash.Sum64String(name)))
 	for call, end := 0, time.Now().Add(duration); time.Now().Before(end); call++ {
 		id := fmt.Sprintf("%s-%d", name, call)
-		answer := askWithRetry(kiosk, standin.Request{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, TimeLeft: deadline})
+		answer := callWithRetry(kiosk, standin.Request{Method: standin.Check, ID: id, Tenant: standin.Tenants[0], Key: id, TimeLeft: deadline})
 		if answer.Kind == standin.Lost {
 			unanswered++
 		}
--- a/cmd/ternbeam/translate.go
+++ b/cmd/ternbeam/translate.go
@@ -72,7 +72,7 @@
 	if err := d.Decode(&input); err != nil {
 		return fmt.Errorf("reading the message: %w", err)
 	}
-	return printFates(k.Stdout, plan, c.Reply, input, c.Encoding)
+	return printTrace(k.Stdout, plan, c.Reply, input, c.Encoding)
 }
 
 // printLosses prints what each mapping loses.
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// printFates translates a message and prints the result of each of its fields, then the translated message.
-func printFates(out io.Writer, plan *translate.Plan, reply bool, input messageInput, encoding string) error {
+// printTrace translates a message and prints what becomes of each of its fields, then the translated message.
+func printTrace(out io.Writer, plan *translate.Plan, reply bool, input messageInput, encoding string) error {
 	m := &translate.Message{Method: input.Method, Target: input.Target, Body: append([]byte(input.Text), input.Body...), Thrift: input.Thrift}
 	params := translate.WriteOptions{Encoding: thriftwire.Binary, Envelope: translate.Envelope{TimeLeft: time.Second}}
 	if encoding == "compact" {
@@ -106,10 +106,10 @@
 			params.Envelope.Tenant = h[1]
 		}
 	}
-	fates, err := plan.Trace(m, reply)
+	traces, err := plan.Trace(m, reply)
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "read\tvalue\twritten\tvalue")
-	for _, f := range fates {
+	for _, f := range traces {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", f.From, f.FromValue, f.To, f.ToValue)
 	}
 	table.Flush()
--- a/cmd/ternbeam/unknownwait_test.go
+++ b/cmd/ternbeam/unknownwait_test.go
@@ -14,8 +14,8 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// unknownWait makes one request wait in the kernel, through a system call that fails for a while or is delayed, and hides for how long: TCP_INFO fails
-// from the first read of the request's connection on.
+// unknownWait makes one request wait in the kernel, through a system call that fails for a while or is delayed, and hides for how long: TCP_INFO
+// fails from the first read of the request's connection on.
 type unknownWait struct {
 	call    sysfault.Call // the call that reads the request or accepts its connection
 	delayed bool          // the call is delayed; otherwise it fails for a while
@@ -97,8 +97,8 @@
 	}
 }
 
-// tryUnknownWait sends a request that waits in the kernel, and others behind it that do not. It returns false if the machine itself stalled for longer
-// than the platform may stall a process.
+// tryUnknownWait sends a request that waits in the kernel, and others behind it that do not. It returns false if the machine itself stalled for
+// longer than the platform may stall a process.
 func tryUnknownWait(t *testing.T, wait *unknownWait, kept bool) (valid bool) {
 	watch := watchMachineStalls()
 	traffic := newTrafficRecord()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -88,15 +88,15 @@
 	service, sources := opts.Service, opts.Sources
 	a := &Agent{cfg: cfg, thrift: service, log: log, tracker: conntrack.New(cfg.ClientSockets()), shapes: opts.Shapes}
 	a.claimState(opts.SharedDir)
-	pooled := pool.Settings{DialTimeout: cfg.ConnectTimeout(), IdleTimeout: cfg.IdleTimeout(), MaxConns: cfg.BackendSockets(),
+	poolSettings := pool.Settings{DialTimeout: cfg.ConnectTimeout(), IdleTimeout: cfg.IdleTimeout(), MaxConns: cfg.BackendSockets(),
 		OnIllegalStep: a.recordIllegalStep, Addresses: addresses.Defaults}
 	var feed core.Feed
 	if sources != nil {
-		pooled.Addresses = sources.Addresses
+		poolSettings.Addresses = sources.Addresses
 		feed = members.New(members.Settings{Config: *sources, Discovery: cfg.Discovery, LastList: cfg.InitialList, Pacing: cfg.Pacing, Zones: cfg.Host.Zones, Seed: cfg.Seed,
 			Log: log}).Feed
 	}
-	a.pool = pool.New(pooled)
+	a.pool = pool.New(poolSettings)
 	if opts.Peers != nil {
 		if sources != nil {
 			return nil, errors.New("server lists from other agents and additional sources of servers can't be combined yet")
--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -34,15 +34,15 @@
 				testkit.Eventually(t, "the log has "+untilLogged, func() bool { return log.Contains(untilLogged) })
 			}
 			restart("nothing is kept yet")
-			var asks sync.WaitGroup
+			var calls sync.WaitGroup
 			for i := range 40 {
-				asks.Go(func() {
-					a := newAsk(standin.Check, fmt.Sprint("r", i))
+				calls.Go(func() {
+					a := newCall(standin.Check, fmt.Sprint("r", i))
 					a.TimeLeft = 900 * time.Millisecond
 					w.client.Do(a)
 				})
 			}
-			asks.Wait()
+			calls.Wait()
 			restart("learned: recalled")
 			records, _, err := store.Peek(store.Dir(dir), statestore.StoreSettings(0))
 			if err != nil {
--- a/internal/agent/overload_test.go
+++ b/internal/agent/overload_test.go
@@ -25,11 +25,11 @@
 		full.Store(true)
 		w := newTestbed(t, protocolVariants[0], standin.Platform{}, nil, standin.Options{ID: "a", Script: script}, standin.Options{ID: "b", Script: script})
 		for i := range 30 {
-			w.client.Do(newAsk(m, fmt.Sprint(m, i)))
+			w.client.Do(newCall(m, fmt.Sprint(m, i)))
 		}
 		full.Store(false)
 		testkit.Eventually(t, fmt.Sprint(m, " is served again"), func() bool {
-			return w.client.Do(newAsk(m, fmt.Sprint(m, time.Now().UnixNano()))).Kind == standin.Served
+			return w.client.Do(newCall(m, fmt.Sprint(m, time.Now().UnixNano()))).Kind == standin.Served
 		})
 	}
 }
--- a/internal/agent/parity_test.go
+++ b/internal/agent/parity_test.go
@@ -37,44 +37,44 @@
 		name      string
 		script    standin.Script
 		platform  standin.Platform
-		pods      int // number of pods that hold the two servers
+		groups    int // number of deduplication groups, each in its own cell, that the two servers belong to
 		want      map[standin.Method]outcome
-		least     time.Duration // minimum time until the answer
-		most      time.Duration // maximum time until the answer; 0 for no limit
+		minTime   time.Duration // minimum time until the answer
+		maxTime   time.Duration // maximum time until the answer; 0 for no limit
 		noEffects bool
 	}{
-		{name: "none", pods: 1, want: same(servedFirst)},
-		{name: "rejected once", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Reject}), pods: 1, want: same(servedOnRetry)},
-		{name: "rejected, with another pod", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Reject}), pods: 2,
+		{name: "none", groups: 1, want: same(servedFirst)},
+		{name: "rejected once", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Reject}), groups: 1, want: same(servedOnRetry)},
+		{name: "rejected, with another pod", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Reject}), groups: 2,
 			want: same(outcome{standin.Refused, 2}), platform: standin.Platform{MaxAttempts: 2}, noEffects: true},
-		{name: "always rejected", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.Reject}), pods: 1,
+		{name: "always rejected", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.Reject}), groups: 1,
 			want: same(outcome{standin.Refused, 3}), noEffects: true},
-		{name: "error", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Error}), pods: 1, want: mayHaveRun},
-		{name: "reset before", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetBefore}), pods: 1, want: mayHaveRun},
-		{name: "truncated reply", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.CutReply}), pods: 1, want: mayHaveRun},
-		{name: "slow reply", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Trickle}), pods: 1, want: same(servedFirst),
-			least: 250 * time.Millisecond, most: 4 * time.Second},
-		{name: "spoilt", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.InvalidBytes}), pods: 1, want: mayHaveRun,
-			most: 2 * time.Second},
-		{name: "reply to another call", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.WrongSeq}), pods: 1, want: mayHaveRun,
-			most: 2 * time.Second},
-		{name: "reply of 2 GiB", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.HugeReply}), pods: 1, want: mayHaveRun,
-			most: 2 * time.Second},
-		{name: "reset after", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetAfter}), pods: 1, want: same(servedFirst)},
-		{name: "two replies", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.TwoReplies}), pods: 1, want: same(servedFirst)},
-		{name: "silence", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.NoReply}), pods: 1,
-			platform: standin.Platform{Deadline: deadline}, least: deadline - 20*time.Millisecond, most: 3 * deadline,
+		{name: "error", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Error}), groups: 1, want: mayHaveRun},
+		{name: "reset before", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetBefore}), groups: 1, want: mayHaveRun},
+		{name: "truncated reply", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.CutReply}), groups: 1, want: mayHaveRun},
+		{name: "slow reply", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.Trickle}), groups: 1, want: same(servedFirst),
+			minTime: 250 * time.Millisecond, maxTime: 4 * time.Second},
+		{name: "spoilt", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.InvalidBytes}), groups: 1, want: mayHaveRun,
+			maxTime: 2 * time.Second},
+		{name: "reply to another call", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.WrongSeq}), groups: 1, want: mayHaveRun,
+			maxTime: 2 * time.Second},
+		{name: "reply of 2 GiB", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.HugeReply}), groups: 1, want: mayHaveRun,
+			maxTime: 2 * time.Second},
+		{name: "reset after", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetAfter}), groups: 1, want: same(servedFirst)},
+		{name: "two replies", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.TwoReplies}), groups: 1, want: same(servedFirst)},
+		{name: "silence", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.NoReply}), groups: 1,
+			platform: standin.Platform{Deadline: deadline}, minTime: deadline - 20*time.Millisecond, maxTime: 3 * deadline,
 			want: map[standin.Method]outcome{standin.Check: refusedOnce, standin.Record: failedOnce, standin.Pay: failedOnce}},
-		// A call that may have run is retried only within its pod and deduplication window, and otherwise failed, never refused.
-		{name: "connection lost, with another pod", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.ResetBefore}), pods: 2,
+		// A call that may have run is retried only within its deduplication group and window, and otherwise failed, never refused.
+		{name: "connection lost, with another pod", script: standin.FirstDeliveries(9, standin.Step{Fault: standin.ResetBefore}), groups: 2,
 			want:     map[standin.Method]outcome{standin.Record: {standin.Failed, 2}, standin.Pay: failedOnce},
 			platform: standin.Platform{MaxAttempts: 2}},
 		{name: "connection lost beyond the window", script: standin.FirstDeliveries(1, standin.Step{Fault: standin.ResetBefore,
-			Delay: 100 * time.Millisecond}), pods: 1, platform: standin.Platform{DedupWindow: 50 * time.Millisecond},
+			Delay: 100 * time.Millisecond}), groups: 1, platform: standin.Platform{DedupWindow: 50 * time.Millisecond},
 			want: map[standin.Method]outcome{standin.Check: servedOnRetry, standin.Record: failedOnce, standin.Pay: failedOnce}},
 		// The reply arrives just as the deadline fires, or just after.
-		{name: "reply at the deadline", script: standin.FirstDeliveries(9, standin.Step{Delay: deadline}), pods: 1,
-			platform: standin.Platform{Deadline: deadline}, want: nil, most: 3 * deadline},
+		{name: "reply at the deadline", script: standin.FirstDeliveries(9, standin.Step{Delay: deadline}), groups: 1,
+			platform: standin.Platform{Deadline: deadline}, want: nil, maxTime: 3 * deadline},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -83,14 +83,14 @@
 					t.Run(fmt.Sprint(variant.name, " ", m), func(t *testing.T) {
 						t.Parallel()
 						first, second := standin.NewDedupGroup(), standin.NewDedupGroup()
-						if c.pods == 1 {
+						if c.groups == 1 {
 							second = first
 						}
 						// Each case has its own testbed: a fault that the choice module has seen changes its later decisions.
 						w := newTestbed(t, variant, c.platform, nil,
 							standin.Options{ID: "a", DedupGroup: first, Cell: 1, Script: c.script},
-							standin.Options{ID: "b", DedupGroup: second, Cell: c.pods, Script: c.script})
-						w.expect(t, newAsk(m, "first"), c.want[m], c.least, c.most, c.noEffects, c.want == nil)
+							standin.Options{ID: "b", DedupGroup: second, Cell: c.groups, Script: c.script})
+						w.expect(t, newCall(m, "first"), c.want[m], c.minTime, c.maxTime, c.noEffects, c.want == nil)
 						w.waitIdle(t)
 					})
 				}
@@ -99,13 +99,13 @@
 	}
 }
 
-// expect makes one call and compares its outcome with want. With either, any outcome passes except a lost or rejected call, and
+// expect makes one call and compares its outcome with want. With anyOutcome, all outcomes pass except a lost call and a bad request, and
 // there must be exactly one delivery.
-func (w *testbed) expect(t *testing.T, a standin.Request, want outcome, least, most time.Duration, noEffects, either bool) {
+func (w *testbed) expect(t *testing.T, a standin.Request, want outcome, minTime, maxTime time.Duration, noEffects, anyOutcome bool) {
 	t.Helper()
 	got := w.client.Do(a)
 	effects, deliveries := w.effects(a), w.deliveries(a.ID)
-	if either {
+	if anyOutcome {
 		if got.Kind == standin.Lost || got.Kind == standin.BadRequest || deliveries != 1 {
 			t.Errorf("%s was %s after %d deliveries: %v", a.ID, got.Kind, deliveries, got.Err)
 		}
@@ -120,11 +120,11 @@
 			t.Errorf("%s was served %q, not %q", a.ID, got.Text, text)
 		}
 	}
-	if wanted := map[bool]int{true: 1}[a.Method != standin.Check && !noEffects]; effects != wanted && (want != outcome{} || either) {
+	if wanted := map[bool]int{true: 1}[a.Method != standin.Check && !noEffects]; effects != wanted && (want != outcome{} || anyOutcome) {
 		t.Errorf("%s had its effect %d times", a.ID, effects)
 	}
-	if got.Took < least || most > 0 && got.Took > most {
-		t.Errorf("%s was answered after %v, not between %v and %v", a.ID, got.Took, least, most)
+	if got.Took < minTime || maxTime > 0 && got.Took > maxTime {
+		t.Errorf("%s was answered after %v, not between %v and %v", a.ID, got.Took, minTime, maxTime)
 	}
 }
 
@@ -132,7 +132,7 @@
 func TestRefusalSaysWhenAlike(t *testing.T) {
 	for _, variant := range protocolVariants {
 		w := newTestbed(t, variant, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
-		got := w.client.Do(newAsk(standin.Pay, "id"))
+		got := w.client.Do(newCall(standin.Pay, "id"))
 		if got.Kind != standin.Refused || got.RetryAfter != 300*time.Millisecond || got.Took > 2*time.Second {
 			t.Errorf("%s: %s, retry after %v, answered after %v", variant.name, got.Kind, got.RetryAfter, got.Took)
 		}
@@ -144,7 +144,7 @@
 	for _, variant := range protocolVariants {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
-			pod := standin.NewDedupGroup()
+			group := standin.NewDedupGroup()
 			hold := make(chan struct{})
 			script := func(c standin.Call) standin.Step {
 				if c.ID == "held" {
@@ -152,14 +152,14 @@
 				}
 				return standin.Step{}
 			}
-			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a", DedupGroup: pod, Cell: 1, Script: script})
+			w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "a", DedupGroup: group, Cell: 1, Script: script})
 			held := make(chan standin.Answer, 1)
-			go func() { held <- w.client.Do(newAsk(standin.Pay, "held")) }()
+			go func() { held <- w.client.Do(newCall(standin.Pay, "held")) }()
 			testkit.Eventually(t, "the call is in flight", func() bool { return w.deliveries("held") == 1 })
 			w.servers[0].Drain()
 			w.list.Update(w.servers[0].Entry())
 			testkit.Eventually(t, "the agent has the update", func() bool { return len(w.core.Snapshot().Servers) == 0 })
-			if got := w.client.Do(newAsk(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
+			if got := w.client.Do(newCall(standin.Pay, "new")); got.Kind != standin.Refused || w.deliveries("new") != 0 {
 				t.Errorf("a new call was %s after %d deliveries", got.Kind, w.deliveries("new"))
 			}
 			close(hold)
@@ -186,7 +186,7 @@
 			var all sync.WaitGroup
 			for i := range 5 {
 				all.Go(func() {
-					if got := w.client.Do(newAsk(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
+					if got := w.client.Do(newCall(standin.Pay, fmt.Sprint("before", i))); got.Kind != standin.Served {
 						t.Errorf("%s: %v", got.Kind, got.Err)
 					}
 				})
@@ -194,7 +194,7 @@
 			testkit.Eventually(t, "all calls are in flight", func() bool { _, open := w.heldAndOpen(); return open == 5 })
 			w.stop()
 			if got := make(chan standin.Answer, 1); true {
-				go func() { got <- w.client.Do(newAsk(standin.Pay, "after")) }()
+				go func() { got <- w.client.Do(newCall(standin.Pay, "after")) }()
 				testkit.Eventually(t, "one more call is in flight", func() bool { return w.deliveries("after") == 1 })
 				time.Sleep(shutdown.Plan(w.cfg.MaxDeadline(), false).Accept + 50*time.Millisecond) // all calls must outlast the accept phase
 				close(release)
@@ -232,7 +232,7 @@
 		}
 		defer k.Close()
 		for j := range 20 {
-			a := newAsk(standin.Record, fmt.Sprint(i, "-", j))
+			a := newCall(standin.Record, fmt.Sprint(i, "-", j))
 			if got := k.Do(a); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", c.client, got.Kind, got.Err)
 			}
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -97,7 +97,7 @@
 	return s.Listener.Addr().String()
 }
 
-// An agent that must request the list does so at its start, and again after a call that failed.
+// An agent that shares its list service with other agents requests the list at its start, and again after a call that failed.
 func TestAsksForTheList(t *testing.T) {
 	calls := 0
 	cfg := testConfig{}.config(t)
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -150,7 +150,7 @@
 				for k := range 4 {
 					clients.Go(func() {
 						for i := 0; ctx.Err() == nil; i++ {
-							a := newAsk(standin.Check, fmt.Sprintf("k%d-%d", k, i))
+							a := newCall(standin.Check, fmt.Sprintf("k%d-%d", k, i))
 							if s.client.Do(a).Kind == standin.Served {
 								served.Add(1)
 							}
@@ -212,7 +212,7 @@
 // If the list service is down and the fleet is replaced, the agent follows the SRV records.
 func TestListDownAndFleetReplaced(t *testing.T) {
 	s := newDNSTestbed(t, protocolVariants[0], standin.Options{ID: "a"}, standin.Options{ID: "b"})
-	served := func(id string) bool { return s.client.Do(newAsk(standin.Check, id)).Kind == standin.Served }
+	served := func(id string) bool { return s.client.Do(newCall(standin.Check, id)).Kind == standin.Served }
 	if !served("first") {
 		t.Fatal("not served at first")
 	}
@@ -338,7 +338,7 @@
 				_, client := startWithAddresses(t, variant, server, addrs, standin.Platform{Deadline: 3 * time.Second, ConnectTimeout: 2 * time.Second})
 				methods := []standin.Method{standin.Check, standin.Record, standin.Pay}
 				for i := range 6 {
-					a := newAsk(methods[i%3], fmt.Sprint("c", i))
+					a := newCall(methods[i%3], fmt.Sprint("c", i))
 					a.TimeLeft = 2500 * time.Millisecond
 					got := client.Do(a)
 					if want := len(dead) < 3; (got.Kind == standin.Served) != want {
@@ -384,7 +384,7 @@
 				}()
 				r, client := startWithAddresses(t, variant, server, []string{server.Addr(), silent.Addr().String()},
 					standin.Platform{Deadline: 700 * time.Millisecond, DedupWindow: 300 * time.Millisecond})
-				a := newAsk(method, "stalls")
+				a := newCall(method, "stalls")
 				a.TimeLeft = 700 * time.Millisecond
 				if got := client.Do(a); got.Kind != standin.Failed {
 					t.Errorf("%v, %v", got.Kind, got.Err)
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -95,7 +95,7 @@
 			}
 			c.Close()
 		}
-		if got := w.client.Do(newAsk(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
+		if got := w.client.Do(newCall(standin.Pay, "whole")); got.Kind != standin.Served || w.deliveries("cut") != 0 {
 			t.Errorf("%v: the complete call was %s, the truncated one was delivered %d times", e, got.Kind, w.deliveries("cut"))
 		}
 		w.waitIdle(t)
@@ -139,7 +139,7 @@
 			"bad type id":               bad("\x5e\x00"),
 			"structs 40 deep":           bad(strings.Repeat("\x5c", 40) + strings.Repeat("\x00", 41)),
 		}
-		excepted := map[string][]byte{
+		excepted := map[string][]byte{ // answered with an exception, after which the connection can be used
 			"no id":                id("-", "oban"),
 			"id that is not UTF-8": id("\xff\xfe", "oban"),
 			"empty id":             id("", "oban"),
@@ -154,7 +154,7 @@
 			thriftwire.Compact: compactOnly}[e] {
 			excepted[name] = f
 		}
-		closed := map[string][]byte{
+		closed := map[string][]byte{ // not answered; the connection is closed, except after the oneway
 			"length 0":               {0, 0, 0, 0},
 			"negative length":        {0xff, 0xff, 0xff, 0xfe, 1, 2},
 			"length over the bound":  {0, 1, 0, 1, 0x80},
@@ -396,10 +396,10 @@
 	for _, variant := range protocolVariants[1:] {
 		w := newTestbed(t, variant, standin.Platform{}, nil, standin.Options{ID: "s"})
 		for i := range 3 {
-			if got := w.client.Do(newAsk(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
+			if got := w.client.Do(newCall(standin.Note, fmt.Sprint("n", i))); got.Kind != standin.Sent {
 				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
-			if got := w.client.Do(newAsk(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
+			if got := w.client.Do(newCall(standin.Pay, fmt.Sprint("p", i))); got.Kind != standin.Served {
 				t.Errorf("%s: %s, %v", variant.name, got.Kind, got.Err)
 			}
 		}
@@ -439,7 +439,7 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		if got := w.client.Do(newAsk(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
+		if got := w.client.Do(newCall(standin.Check, fmt.Sprint("other", i))); got.Kind != standin.Served && got.Kind != standin.Refused {
 			t.Fatalf("another client's call was %s: %v", got.Kind, got.Err)
 		}
 		select {
@@ -519,19 +519,19 @@
 			Protocol: variant.protocol})
 		testkit.Eventually(t, "the agent knows the server", func() bool { return len(w.core.Snapshot().Servers) == 1 })
 		for _, c := range []struct {
-			ask  standin.Request
+			req  standin.Request
 			kind standin.AnswerKind
 			text string
 		}{
-			{newAsk(standin.Check, "1"), standin.Served, "checked form-1 "},
-			{newAsk(standin.Record, "2"), standin.Served, "receipt of once-2"},
-			{newAsk(standin.Pay, "full"), standin.Refused, ""},
-			{newAsk(standin.Pay, "3"), standin.Failed, "failed"},
-			{newAsk(standin.Note, "4"), standin.Sent, ""},
-			{newAsk(standin.Check, "5"), standin.Served, "checked form-5 "},
+			{newCall(standin.Check, "1"), standin.Served, "checked form-1 "},
+			{newCall(standin.Record, "2"), standin.Served, "receipt of once-2"},
+			{newCall(standin.Pay, "full"), standin.Refused, ""},
+			{newCall(standin.Pay, "3"), standin.Failed, "failed"},
+			{newCall(standin.Note, "4"), standin.Sent, ""},
+			{newCall(standin.Check, "5"), standin.Served, "checked form-5 "},
 		} {
-			if got := w.client.Do(c.ask); got.Kind != c.kind || got.Text != c.text {
-				t.Errorf("%s, %s: %s %q, %v", variant.name, c.ask.ID, got.Kind, got.Text, got.Err)
+			if got := w.client.Do(c.req); got.Kind != c.kind || got.Text != c.text {
+				t.Errorf("%s, %s: %s %q, %v", variant.name, c.req.ID, got.Kind, got.Text, got.Err)
 			}
 		}
 		socket.Interrupt()
--- a/internal/agent/world_test.go
+++ b/internal/agent/world_test.go
@@ -80,8 +80,8 @@
 	t.Cleanup(w.client.Close)
 }
 
-// newAsk returns a call with all fields that its method requires.
-func newAsk(m standin.Method, id string) standin.Request {
+// newCall returns a call with all fields that its method requires.
+func newCall(m standin.Method, id string) standin.Request {
 	a := standin.Request{Method: m, ID: id, Tenant: "oban", Key: "form-" + id, TimeLeft: 5 * time.Second}
 	if m == standin.Record {
 		a.IdempotencyKey = "once-" + id
@@ -89,35 +89,35 @@
 	return a
 }
 
-// effects returns how often a call took effect, over all pods.
+// effects returns how often a call took effect, over all deduplication groups.
 func (w *testbed) effects(a standin.Request) (n int) {
 	key := a.ID
 	if a.IdempotencyKey != "" {
 		key = a.IdempotencyKey
 	}
-	for _, p := range w.pods() {
-		n += p.Effects(key)
+	for _, g := range w.dedupGroups() {
+		n += g.Effects(key)
 	}
 	return n
 }
 
 // deliveries returns how often servers received a call.
 func (w *testbed) deliveries(id string) (n int) {
-	for _, p := range w.pods() {
-		n += p.Deliveries(id)
+	for _, g := range w.dedupGroups() {
+		n += g.Deliveries(id)
 	}
 	return n
 }
 
-func (w *testbed) pods() (pods []*standin.DedupGroup) {
+func (w *testbed) dedupGroups() (all []*standin.DedupGroup) {
 	seen := map[*standin.DedupGroup]bool{}
 	for _, s := range w.servers {
 		if !seen[s.DedupGroup()] {
 			seen[s.DedupGroup()] = true
-			pods = append(pods, s.DedupGroup())
+			all = append(all, s.DedupGroup())
 		}
 	}
-	return pods
+	return all
 }
 
 // waitIdle waits until no call or attempt is in flight in the agent.
--- a/internal/host/accept/socket_test.go
+++ b/internal/host/accept/socket_test.go
@@ -88,9 +88,9 @@
 // QueuedSince is when the queue was last seen empty: it covers the whole time for which nobody accepts, and no more.
 func TestQueuedSince(t *testing.T) {
 	s, l := newSocket(t)
-	dialled := make(chan time.Time, 1) // when the latest dial began
+	dialed := make(chan time.Time, 1) // when the latest dial began
 	dial := func() {
-		dialled <- time.Now()
+		dialed <- time.Now()
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Error(err)
@@ -109,17 +109,17 @@
 	const waits = 50 * time.Millisecond
 	dial()
 	time.Sleep(waits)
-	if since, began := accept(), <-dialled; since.After(began) {
+	if since, began := accept(), <-dialed; since.After(began) {
 		t.Errorf("before the first wait: since %v after the dial", since.Sub(began))
 	}
 	for range 2 {
 		time.AfterFunc(waits, dial)
 		woken := accept()
-		if began := <-dialled; woken.Before(began) || woken.After(time.Now()) {
+		if began := <-dialed; woken.Before(began) || woken.After(time.Now()) {
 			t.Errorf("after a wait: since %v after the dial", woken.Sub(began))
 		}
 		dial()
-		<-dialled
+		<-dialed
 		time.Sleep(waits)
 		if since := accept(); !since.Equal(woken) {
 			t.Errorf("without a wait: since %v after the latest one", since.Sub(woken))
--- a/internal/host/conntrack/conn.go
+++ b/internal/host/conntrack/conn.go
@@ -24,7 +24,7 @@
 	receivedAt    atomic.Int64   // time of the latest read, as the duration since started
 
 	listener *Listener
-	readDone chan struct{} // receives a value when a read has returned data, as the reader may not be reading any more
+	readDone chan struct{} // receives a value when a Read has returned data, after which BeingRead may be false
 
 	// mu is acquired by readers that hold the descriptor (ReadNow). Nothing that waits for those, such as closing the connection, may be
 	// called while mu is held.
@@ -193,8 +193,9 @@
 	}
 }
 
-// SetReadDeadline implements net.Conn. A reader that waits for a request sets a deadline. One that clears it has found a request in data
-// that it had read before, which a pending request to close the connection must not cut off.
+// SetReadDeadline implements net.Conn. A reader sets a deadline while it waits for a request. It clears the deadline when it has found a
+// request in data that it had read before. A pending request of end to close the connection is then withdrawn, so that the request just found
+// is answered.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +207,7 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// LimitReading moves the read deadline forward to within from now, unless there is none or an earlier one.
+// LimitReading shortens the read deadline to the given time from now. It has no effect if there is no deadline or an earlier one.
 func (c *Conn) LimitReading(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,10 +230,10 @@
 func (c *Conn) HasNoUnread() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.quietLocked()
+	return c.hasNoUnreadLocked()
 }
 
-func (c *Conn) quietLocked() bool { return c.unreadLocked() == peek.UnreadNothing }
+func (c *Conn) hasNoUnreadLocked() bool { return c.unreadLocked() == peek.UnreadNothing }
 
 // unread returns what has been received and not been returned by Read, including data that Probe has buffered.
 func (c *Conn) unread() peek.Unread {
@@ -253,7 +254,7 @@
 func (c *Conn) stopReading(received int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.receivedBytes.Load() > received || !c.quietLocked() {
+	if c.receivedBytes.Load() > received || !c.hasNoUnreadLocked() {
 		return false
 	}
 	c.stopped = true
@@ -261,7 +262,7 @@
 }
 
 // ReadNow reads from the connection's descriptor without blocking, for readers that poll it themselves. Done is false if there is nothing
-// to read. The connection can't be closed as unused between the read and its being recorded.
+// to read. The read and its record are one step under the lock, so that the connection can't be closed as unused between them.
 func (c *Conn) ReadNow(fd uintptr, p []byte) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,11 +298,11 @@
 // lastReceived returns when bytes were last read.
 func (c *Conn) lastReceived() time.Time { return started.Add(time.Duration(c.receivedAt.Load())) }
 
-// probeBuffers are the buffers that Probe reads into: a new one for each request would be most of the garbage.
+// probeBuffers are the buffers that Probe reads into. They are pooled: a new one for each request would make up most of the garbage.
 var probeBuffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
 
 // Probe reports, without blocking, whether the client has closed the connection, even if the FIN is queued behind unread data that
-// fills the receive buffer. It reads up to maxBufferedBytes of that data and keeps them for Read. If there is more, it returns over, and
+// fills the receive buffer. It reads up to maxBufferedBytes of that data and keeps them for Read. If there is more, over is true, and
 // the connection can't carry another request.
 func (c *Conn) Probe() (gone, over bool) {
 	c.mu.Lock()
@@ -311,7 +312,7 @@
 	}
 	part := probeBuffers.Get().(*[4 << 10]byte)
 	defer probeBuffers.Put(part)
-	for most := 2 * maxBufferedBytes; most > 0; most -= len(part) {
+	for remaining := 2 * maxBufferedBytes; remaining > 0; remaining -= len(part) {
 		n, err := peek.ReadNow(c.TCPConn, part[:])
 		if err == peek.ErrNoData {
 			c.stream.Reads().RecordEmpty()
--- a/internal/host/conntrack/ends.go
+++ b/internal/host/conntrack/ends.go
@@ -21,16 +21,16 @@
 	EndedSilent                      // no complete first request in time
 	EndedForRoom                     // its slot was needed for other connections
 	EndedForShutdown                 // its listener was shutting down
-	endCauses
+	numEndCauses
 )
 
-var endCauseNames = [endCauses]string{"", "client", "request", "idle", "silent", "room", "shutdown"}
+var endCauseNames = [numEndCauses]string{"", "client", "request", "idle", "silent", "room", "shutdown"}
 
 // String returns the name of the cause in the log.
 func (c EndCause) String() string { return endCauseNames[c] }
 
 // EndCounts counts ended connections by cause.
-type EndCounts [endCauses]int
+type EndCounts [numEndCauses]int
 
 // String lists the causes whose count is not zero.
 func (n EndCounts) String() string {
--- a/internal/host/conntrack/room.go
+++ b/internal/host/conntrack/room.go
@@ -16,8 +16,8 @@
 	maxYielding  = 8
 	maxYieldWait = 20 * time.Millisecond
 
-	// freshGrace is how long a new connection keeps its slot for sending a request, provided that a newcomer does not wait longer than
-	// maxQueueWait for it, in the kernel's queue and here.
+	// freshGrace is how long a new connection may keep its slot without having sent a request. A newcomer that needs the slot waits until it
+	// is over, but no longer than maxQueueWait, which includes the newcomer's time in the kernel's accept queue.
 	freshGrace         = 300 * time.Millisecond
 	maxQueueWait       = 200 * time.Millisecond
 	graceCheckInterval = 5 * time.Millisecond // how often a waiting newcomer is checked for a request
@@ -96,8 +96,8 @@
 	}
 }
 
-// makeRoomLocked closes a connection that has received nothing since it was queued, or else one whose partial request has stalled; the newest
-// only if there is no other. A connection whose request was read, but not yet reported by MarkBusy, is never closed.
+// makeRoomLocked closes a connection that has received nothing since it was queued, or else one whose partial request has stalled. It closes
+// the newest only if there is no other. A connection whose request was read, but not yet reported by MarkBusy, is never closed.
 func (t *Tracker) makeRoomLocked(newest *entry) {
 	now := t.now()
 	for _, eligible := range []func(e *entry) bool{
@@ -115,8 +115,9 @@
 	}
 }
 
-// yieldOneLocked closes the first eligible connection of a queue that has no unread data. It reports whether no other connection needs to be
-// closed: one whose client has disconnected frees its slot as well, and one whose state the system can't tell may be such a connection.
+// yieldOneLocked closes the first eligible connection of a queue that has no unread data. It returns true if no other connection needs to be
+// closed. That is so too if it finds a connection whose client has disconnected, as its slot becomes free anyway, or one whose state the
+// system can't tell, as it may be such a connection.
 func (t *Tracker) yieldOneLocked(from *list.List, eligible func(e *entry) bool) (done bool) {
 	unknown := false
 	for element := from.Front(); element != nil; element = element.Next() {
@@ -140,8 +141,8 @@
 	return unknown
 }
 
-// yieldLocked closes a connection without a request whose slot is needed. If readers close connections, its reader does: only the reader
-// knows whether it has read a request from the kernel that is not recorded yet.
+// yieldLocked closes a connection without a request whose slot is needed, or asks its reader to do so if readers close connections: only the
+// reader knows whether it has read a request from the kernel that is not recorded yet. It returns false if the connection stays open.
 func (t *Tracker) yieldLocked(e *entry, cause EndCause) bool {
 	if !e.listener.readerCloses {
 		return !e.requestBegun() && t.closeLocked(e, cause)
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -47,8 +47,8 @@
 	fresh *list.List // entries that have not received anything yet, the oldest first
 	idle  *list.List // entries between two requests, the longest idle first
 
-	yielding int           // number of connections that their readers are about to close
-	yielded  chan struct{} // receives a value when one of them is closed, or has received a request after all
+	yielding int           // number of entries that are yielding: their readers are about to close the connections
+	yielded  chan struct{} // receives a value when one of them has stopped yielding: it is closed, or has received a request after all
 	closing  []*Conn       // removed connections, which unlock closes
 }
 
@@ -68,9 +68,9 @@
 	Accepted      int
 	ClosedForRoom int // closed without a request, to make room for others
 	EndedIdle     int // idle ones that their listener's shutdown asked to close, with no data of a request
-	EndedSilent   int // the same, for those that had not sent any data yet
-	KeptPartial   int // left open then, as part of a request had been received
-	EndedPartial  int // asked to close later in the shutdown, without a complete request
+	EndedSilent   int // ones without any data yet that their listener's shutdown asked to close
+	KeptPartial   int // left open by the shutdown at first, as part of a request had been received
+	EndedPartial  int // asked to close later in the shutdown, still without a complete request
 
 	Ended EndCounts // closed connections by cause
 
--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -14,19 +14,19 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-func newListener(t *testing.T, most int) *Listener {
+func newListener(t *testing.T, maxConns int) *Listener {
 	t.Helper()
-	return newLoggedListener(t, most, slog.New(slog.DiscardHandler))
+	return newLoggedListener(t, maxConns, slog.New(slog.DiscardHandler))
 }
 
-func newLoggedListener(t *testing.T, most int, log *slog.Logger) *Listener {
+func newLoggedListener(t *testing.T, maxConns int, log *slog.Logger) *Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return New(most).Listen(l.(*net.TCPListener), log)
+	return New(maxConns).Listen(l.(*net.TCPListener), log)
 }
 
 // dialClient connects and sends data, before the connection is accepted.
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -65,7 +65,7 @@
 	InitialList   discovery.List // the list of servers to start with
 	Discovery     string         // address of the list service
 	Pacing        pacing.Settings
-	Feed          Feed // if not nil, it provides the list; InitialList and Discovery are ignored then
+	Feed          Feed // if not nil, it provides the list; InitialList, Discovery and Inherited are ignored then
 	Pool          *pool.Pool
 	Transports    map[choice.Protocols]Transport // by the protocol that a server speaks
 	Log           *slog.Logger
@@ -190,8 +190,8 @@
 
 const (
 	// firstListTimeout is how long the agent waits for the first list before it reports itself ready. emptyListTimeout applies
-	// instead if the agent knows no server and would refuse all calls: a list service that is busy with a whole fleet, if it is not
-	// too slow, needs that long.
+	// instead if the agent shares its list service with others and knows no server, so that it would refuse all calls: a service
+	// that is busy with a whole fleet may need that long to answer, unless it is too slow.
 	firstListTimeout = 200 * time.Millisecond
 	emptyListTimeout = 5 * time.Second
 	sweepInterval    = time.Second     // between closing server connections that were idle for too long or closed by the server
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -42,10 +42,10 @@
 	return c.applyOperatorChange(ctx, id, (*calltrack.Tracker).Online, handover.Update{Online: id})
 }
 
-func (c *Core) applyOperatorChange(ctx context.Context, id string, how func(*calltrack.Tracker, time.Duration, string) ([]calltrack.Command, bool),
+func (c *Core) applyOperatorChange(ctx context.Context, id string, change func(*calltrack.Tracker, time.Duration, string) ([]calltrack.Command, bool),
 	update handover.Update) (known bool, err error) {
 	return queryUrgent(ctx, c, func() bool {
-		commands, known := how(c.tracker, c.Now(), id)
+		commands, known := change(c.tracker, c.Now(), id)
 		c.execute(commands)
 		if known {
 			c.notifySubscribers(update, nil)
--- a/internal/host/core/handover.go
+++ b/internal/host/core/handover.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// inheritLearned restores what the replaced process had learned about the listed servers. With that the agent is ready for clients.
+// inheritLearned restores what the replaced process had learned about the listed servers, and marks the agent as ready for clients.
 func (c *Core) inheritLearned() {
 	if c.set.Inherited == nil {
 		return
@@ -114,9 +114,9 @@
 	}
 }
 
-// recordList updates the current list, and notifies other processes of servers that drain or were removed by the change.
+// recordList updates the current list, and notifies other processes of the servers that the change drains or removes.
 func (c *Core) recordList(l discovery.List) {
-	if !c.set.OpsEnabled { // without operations address there is never another process
+	if !c.set.OpsEnabled { // without an operations address there is never another process
 		return
 	}
 	var ended []discovery.Entry
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -23,25 +23,26 @@
 	})
 }
 
-// recall passes what was learned earlier about servers that have just entered the list to the module.
+// recall gives the module what was learned earlier about servers that have just entered the list, and the pool the addresses of these
+// servers that connected.
 func (c *Core) recall() {
 	if c.learnedClock == nil {
 		return
 	}
-	n, worked := c.tracker.Recall(c.Now(), c.learnedClock())
-	c.set.Pool.RestoreConnected(worked)
-	if n+len(worked) > 0 {
-		c.log.Info("learned: recalled", "servers", n, "addresses", len(worked), "of", c.tracker.ServerCount())
+	n, addrs := c.tracker.Recall(c.Now(), c.learnedClock())
+	c.set.Pool.RestoreConnected(addrs)
+	if n+len(addrs) > 0 {
+		c.log.Info("learned: recalled", "servers", n, "addresses", len(addrs), "of", c.tracker.ServerCount())
 	}
 }
 
-// AgentState returns the module's count of what it has learned, the number of servers, and the load.
+// View returns the module's count of what it has learned, the number of servers, and the load.
 func (c *Core) View(ctx context.Context) (writepolicy.AgentState, error) {
 	return query(ctx, c, func() writepolicy.AgentState {
 		open, _ := c.tracker.Count()
 		load := 0.0
-		if most := c.set.MaxUnanswered; most > 0 {
-			load = float64(open) / float64(most)
+		if limit := c.set.MaxUnanswered; limit > 0 {
+			load = float64(open) / float64(limit)
 		}
 		return writepolicy.AgentState{Updates: c.tracker.Revision(), Servers: c.tracker.ServerCount(), Load: load}
 	})
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -64,13 +64,14 @@
 	}
 }
 
-// applyList applies the list of servers, or a change of it, and forwards what has ended to other processes.
+// applyList applies the list of servers, or a change of it, and notifies other processes of this agent of the servers that it drains or
+// removes.
 func (c *Core) applyList(l discovery.List) {
 	c.recordList(l)
 	c.applyEntries(l)
 }
 
-// applyEntries applies a list without forwarding it to other processes.
+// applyEntries applies a list without notifying other processes.
 func (c *Core) applyEntries(l discovery.List) {
 	entries := make([]calltrack.Entry, 0, len(l.Servers))
 	var draining []string
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -25,16 +25,16 @@
 	// deadline would be too late for another attempt.
 	StallTimeout = 300 * time.Millisecond
 
-	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet: the deadline in it may be up to 0.15 s too
-	// late, and the process may be suspended for as long in the write itself.
+	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet. The deadline in a message may be at most
+	// 0.15 s too late when a server receives it, and the process may be suspended for as long as that in the write itself.
 	maxUnsentAge = 5 * time.Millisecond
 
 	// reservedDivisor is the reciprocal of the share of an attempt's time that is reserved for another attempt, in case an answer keeps
 	// arriving without becoming complete.
 	reservedDivisor = 4
 
-	// maxInlineMessageBytes is the size up to which a message is written before the answer is awaited. A longer one is written meanwhile,
-	// as its answer may arrive before the server has read it completely.
+	// maxInlineMessageBytes is the size up to which a message is written before the answer is awaited. A longer one is written while the
+	// answer is awaited, as the answer may arrive before the server has read the message completely.
 	maxInlineMessageBytes = 8 << 10
 
 	stallGrace = 10 * time.Millisecond // extra time for a read whose deadline has passed
@@ -83,7 +83,7 @@
 	codec := t.NewCodec(at)
 	deadline, _ := ctx.Deadline()
 	message, encodedAt := codec.Message(deadline), time.Now()
-	if message == nil { // it can't be sent any more, which counts as late
+	if message == nil { // it can't be sent any more, which counts as a timeout
 		t.Pool.Release(c, true)
 		return Fail(at, lifecycle.TimedOut)
 	}
@@ -116,7 +116,7 @@
 	return e
 }
 
-// reencode encodes a message again right before it is written, as less time is left until its deadline. It returns the old message if the
+// reencode encodes a message again right before it is written, as its time left has become shorter. It returns the old message if the
 // new one can't be sent any more.
 func reencode(at *core.Attempt, codec Codec, message []byte, deadline time.Time) []byte {
 	encoded := codec.Message(deadline)
--- a/internal/host/members/members.go
+++ b/internal/host/members/members.go
@@ -1,5 +1,5 @@
 // Package members runs the sources of the list of servers: it watches the platform's list, queries name servers, and passes their reports to
-// the membership (internal/decide/membership), which is used by one goroutine.
+// the membership (internal/decide/membership), which only the goroutine of Feed changes.
 package members
 
 import (
@@ -22,7 +22,7 @@
 type Settings struct {
 	sourceconf.Config
 	Discovery string         // address of the platform's list; empty for none
-	LastList  discovery.List // the last known platform's list
+	LastList  discovery.List // the platform's list as it was known last
 	Pacing    pacing.Settings
 	Zones     []string
 	Seed      uint64
--- a/internal/host/peers/peers.go
+++ b/internal/host/peers/peers.go
@@ -1,5 +1,5 @@
 // Package peers runs the gossip of server lists for one agent: it sends and receives datagrams, opens and closes the
-// watch on the discovery service when the gossip node asks for it, and delivers changes of the list to the module.
+// watch on the discovery service when the gossip node asks for it, and delivers changes of the list to the core.
 package peers
 
 import (
@@ -44,12 +44,12 @@
 	events      chan func()
 	node        *gossip.Node
 	cancelWatch context.CancelFunc // cancels the watch; nil while there is none
-	delivered   map[string]bool    // ids of the servers that the module knows
+	delivered   map[string]bool    // ids of the servers that were delivered and not removed since
 
 	Rejected atomic.Int64 // datagrams that no agent can have sent
 }
 
-// maxQueuedEvents is how many events may wait; further datagrams are dropped, as on any link.
+// maxQueuedEvents is how many events may wait. Datagrams beyond that are dropped, as a network may drop them.
 const maxQueuedEvents = 1024
 
 // New returns a Host that listens for datagrams.
@@ -161,7 +161,7 @@
 	}
 }
 
-// deliverEntries delivers entries of the list to the module.
+// deliverEntries delivers entries of the list to the core. If the list is full, it also removes the servers that it does not name.
 func (h *Host) deliverEntries(entries []discovery.Entry, full bool, deliver func([]calltrack.Entry)) {
 	var changes []calltrack.Entry
 	named := make(map[string]bool, len(entries))
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -20,7 +20,7 @@
 	"ternbeam/internal/lab/testkit"
 )
 
-// testGroup is a group of hosts that reach one another, with what each has delivered to its module.
+// testGroup is a group of hosts that reach one another, with the servers that each has delivered.
 type testGroup struct {
 	hosts []*Host
 	addrs []string
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -211,6 +211,7 @@
 	r := p.addrs.NewRace(time.Since(p.startedAt), s.Addrs)
 	p.mu.Unlock()
 	results := make(chan dialResult, len(s.Addrs)) // buffered so that late dials do not block
+	// The number of dials in progress, and how many of them are counted in extraDials.
 	pending, extra := 0, 0
 	defer func() {
 		go func() { // collect the dials in progress, which the context ends
@@ -374,10 +375,10 @@
 
 // SetMaxConns changes the maximum number of connections. If there are more, idle ones are closed now, the longest idle first, and
 // those in use when they are released.
-func (p *Pool) SetMaxConns(most int) {
+func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeLocked(p.state.SetLimit(most))
+	p.closeLocked(p.state.SetLimit(maxConns))
 }
 
 // Count returns how many slots are in use, how many of them by idle connections, and how many attempts wait for a slot.
--- a/internal/host/pool/race_test.go
+++ b/internal/host/pool/race_test.go
@@ -51,8 +51,8 @@
 	return &conn{Conn: local, n: n}, nil
 }
 
-func newPool(n *network, most int) *Pool {
-	return New(Settings{Dial: n.dial, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: most, Addresses: addresses.Defaults})
+func newPool(n *network, maxConns int) *Pool {
+	return New(Settings{Dial: n.dial, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: maxConns, Addresses: addresses.Defaults})
 }
 
 // A first address that does not answer costs the fallback delay once per pool, and nothing if a pool was given the addresses that
@@ -105,25 +105,25 @@
 // At the limit of connections a race dials one address at a time. Connections that lose are closed, and none is leaked.
 func TestRacesAtTheLimit(t *testing.T) {
 	for _, c := range []struct {
-		most  int
-		open  int64 // at a time
-		hangs []string
+		maxConns int
+		open     int64 // at a time
+		hangs    []string
 	}{{1, 1, nil}, {10, 2, []string{deadAddr}}} {
 		n := &network{hangs: c.hangs, refuses: []string{refusedAddr}}
-		p := newPool(n, c.most)
+		p := newPool(n, c.maxConns)
 		s := &lifecycle.Server{ID: "s", Addr: refusedAddr, Addrs: []string{refusedAddr, deadAddr, goodAddr}}
 		got, err := p.Acquire(context.Background(), s, 0, new(lifecycle.Attempt))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if n.maxOpen.Load() > c.open {
-			t.Errorf("%d slots: %d open at a time", c.most, n.maxOpen.Load())
+			t.Errorf("%d slots: %d open at a time", c.maxConns, n.maxOpen.Load())
 		}
 		p.Release(got, false)
 		for end := time.Now().Add(10 * time.Second); n.open.Load() != 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
 		if open := n.open.Load(); open != 0 {
-			t.Errorf("%d slots: %d left open", c.most, open)
+			t.Errorf("%d slots: %d left open", c.maxConns, open)
 		}
 	}
 	p := newPool(&network{hangs: []string{deadAddr, goodAddr, refusedAddr}}, 10)
--- a/internal/host/stallwatch/stallwatch.go
+++ b/internal/host/stallwatch/stallwatch.go
@@ -53,13 +53,13 @@
 // once runs a check. A stall is logged as soon as it is detected, because the process may not survive it, and again when it ends.
 func (w Watch) once(ctx context.Context, check Check) {
 	begin := time.Now()
-	found := time.AfterFunc(w.Limit, func() {
+	timer := time.AfterFunc(w.Limit, func() {
 		if ctx.Err() == nil {
 			w.Log.Error("a part of the process has stalled", "part", check.Part, "for", w.Limit, "stacks", stacks())
 		}
 	})
 	check.Run(ctx)
-	if !found.Stop() && ctx.Err() == nil {
+	if !timer.Stop() && ctx.Err() == nil {
 		w.Log.Warn("a stall is over", "part", check.Part, "took", time.Since(begin).Round(time.Millisecond))
 	}
 }
--- a/internal/host/statestore/bench_test.go
+++ b/internal/host/statestore/bench_test.go
@@ -18,8 +18,8 @@
 	"ternbeam/internal/store"
 )
 
-// Time of a write for the goroutine that writes, and its size in bytes, where every tenth server changed by more than
-// the minimum. The folder is on the real disk, and so are syncs.
+// BenchmarkWrite measures how long a write takes the goroutine that writes, and its size in bytes, if every tenth server has changed by more
+// than the minimum. The folder is on a real disk, and syncs are real.
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{12, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -85,8 +85,8 @@
 	return <-answer, nil
 }
 
-// Time that an event waits for the loop, on one CPU, without a Runner and with one that writes everything 10 times a
-// second, at one event per millisecond.
+// BenchmarkPause measures how long an event waits for the event loop on one CPU, at one event per millisecond, without a Runner and with one
+// that writes everything 10 times a second.
 func BenchmarkPause(b *testing.B) {
 	for _, n := range []int{12, 1000, 10000} {
 		for _, writing := range []bool{false, true} {
@@ -107,10 +107,10 @@
 					set := stateconf.Default(b.TempDir())
 					set.WritePolicy.CheckInterval, set.WritePolicy.MinInterval, set.WritePolicy.MaxInterval, set.WritePolicy.BytesPerMinute = 100*time.Millisecond, 50*time.Millisecond, 50*time.Millisecond, 1<<40
 					set.FinalWriteTimeout = time.Minute
-					k := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.DiscardHandler)})
-					go k.Run(l)
-					k.Restored()
-					defer func() { k.Close(); close(l.events); looping.Wait() }()
+					runner := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.DiscardHandler)})
+					go runner.Run(l)
+					runner.Restored()
+					defer func() { runner.Close(); close(l.events); looping.Wait() }()
 				} else {
 					defer func() { close(l.events); looping.Wait() }()
 				}
--- a/internal/host/statestore/statestore.go
+++ b/internal/host/statestore/statestore.go
@@ -46,7 +46,7 @@
 	policy         *writepolicy.Policy
 	steps          writepolicy.ClockSteps
 	startedAt      time.Time
-	lastWritten    learned.State // as written last
+	lastWritten    learned.State // what the folder holds, as far as this process has written it
 	readOnlyReason error         // why nothing may ever be written
 	failureLogged  bool          // a failure to write was logged
 }
@@ -112,7 +112,7 @@
 
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// Close writes updates for the last time, and returns when that is done or has taken as long as configured.
+// Close makes Run write for the last time, and returns when that is done or has taken as long as configured.
 func (r *Runner) Close() {
 	close(r.stop)
 	timeout := time.NewTimer(r.settings.FinalWriteTimeout)
--- a/internal/host/statestore/statestore_test.go
+++ b/internal/host/statestore/statestore_test.go
@@ -54,11 +54,11 @@
 func runOnce(t *testing.T, fs store.FS, name, logged string) (*aging.Restored, string) {
 	t.Helper()
 	var l testkit.Log
-	k := New(Settings{Config: quickConfig(), Name: name, Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
-	go k.Run(new(agent))
-	restored := k.Restored()
+	runner := New(Settings{Config: quickConfig(), Name: name, Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
+	go runner.Run(new(agent))
+	restored := runner.Restored()
 	testkit.Eventually(t, "it logs "+logged, func() bool { return l.Contains(logged) })
-	k.Close()
+	runner.Close()
 	return restored, l.String()
 }
 
@@ -169,10 +169,10 @@
 		t.Run(name, func(t *testing.T) {
 			fs := newFailingFS(ops...)
 			var l testkit.Log
-			k := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
+			runner := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
 			a := new(agent)
-			go k.Run(a)
-			if restored := k.Restored(); restored != nil {
+			go runner.Run(a)
+			if restored := runner.Restored(); restored != nil {
 				t.Error("a state was restored")
 			}
 			updates := func() uint64 { a.mu.Lock(); defer a.mu.Unlock(); return a.updates }
@@ -182,7 +182,7 @@
 			}
 			fs.heal()
 			testkit.Eventually(t, "it writes again", func() bool { return l.Contains("learned: written again") })
-			k.Close()
+			runner.Close()
 			records, _, err := store.Peek(fs, store.Settings{})
 			if s, _, e := readState(records); err != nil || e != nil || s.Count() != 1 {
 				t.Errorf("%v, %v", err, e)
@@ -199,9 +199,9 @@
 		t.Fatal(err)
 	}
 	var l testkit.Log
-	k := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: dir})
-	go k.Run(new(agent))
-	if restored := k.Restored(); restored != nil {
+	runner := New(Settings{Config: quickConfig(), Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: dir})
+	go runner.Run(new(agent))
+	if restored := runner.Restored(); restored != nil {
 		t.Error("a state was restored")
 	}
 	testkit.Eventually(t, "it logs that", func() bool { return l.Contains("another process owns the folder") })
@@ -209,7 +209,7 @@
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "it writes", func() bool { return l.Contains(`"learned: written"`) })
-	k.Close()
+	runner.Close()
 }
 
 // hungFS is a folder whose operations do not return.
@@ -229,15 +229,15 @@
 	set.LoadTimeout, set.FinalWriteTimeout = 20*time.Millisecond, 20*time.Millisecond
 	var l testkit.Log
 	fs := hungFS{crashfs.New(), make(chan struct{})}
-	k := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
-	go k.Run(new(agent))
-	if restored := k.Restored(); restored != nil {
+	runner := New(Settings{Config: set, Name: "n1", Log: slog.New(slog.NewTextHandler(&l, nil)), FS: fs})
+	go runner.Run(new(agent))
+	if restored := runner.Restored(); restored != nil {
 		t.Error("a state was restored")
 	}
-	k.Close()
+	runner.Close()
 	if log := l.String(); !strings.Contains(log, "not read in time") || !strings.Contains(log, "not done in time") {
 		t.Errorf("logged\n%s", log)
 	}
 	close(fs.until)
-	<-k.stopped
+	<-runner.stopped
 }
