--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -69,7 +69,7 @@
 
 // reloadDiscovery switches to the discovery address in the configuration file. work lasts as long as the agent runs.
 func (a *Agent) reloadDiscovery(work context.Context) error {
-	addr, err := a.cfg.NewDiscovery()
+	addr, err := a.cfg.ReloadDiscovery()
 	if err != nil {
 		return err
 	}
--- a/internal/bridge/bridge.go
+++ b/internal/bridge/bridge.go
@@ -52,7 +52,7 @@
 // NewRouter returns a router over the current table that has learned nothing yet.
 func (b *Bridge) NewRouter() (*routes.Router, error) {
 	s := b.current.Load()
-	return routes.New(routes.Settings{RejectionTTL: s.set.Forget, MaxRejectionTTL: s.set.MaxForget}, s.table)
+	return routes.New(routes.Settings{RejectionTTL: s.set.RejectionTTL, MaxRejectionTTL: s.set.MaxRejectionTTL}, s.table)
 }
 
 // Replace replaces the set of shapes. The event loop must have the new table before any call refers to it, so use is called
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -17,13 +17,13 @@
 
 // The stages of an attempt.
 const (
-	Placing  Stage = iota // waits for a slot in the connection pool
-	Dialling              // waits for a connection to be established
-	Ready                 // has a connection; nothing is written yet
-	Writing               // some bytes may have been written, but not the last one
-	Waiting               // the last byte has been written; waits for the answer
-	Reading               // the first byte of the answer has been received
-	Ended                 // has a result
+	AwaitingSlot Stage = iota // waits for a slot in the connection pool
+	Dialing                   // waits for a connection to be established
+	Ready                     // has a connection; nothing is written yet
+	Writing                   // some bytes may have been written, but not the last one
+	Waiting                   // the last byte has been written; waits for the answer
+	Reading                   // the first byte of the answer has been received
+	Ended                     // has a result
 )
 
 var stageNames = [...]string{"placing", "dialling", "ready", "writing", "waiting", "reading", "ended"}
@@ -40,7 +40,7 @@
 	Malformed              // the received data can't be parsed
 	TimedOut               // the attempt timed out
 	Canceled               // the decision module canceled the attempt
-	NoPlace                // no slot in the connection pool became free in time
+	NoSlot                 // no slot in the connection pool became free in time
 )
 
 var causeNames = [...]string{"broken", "garbled", "late", "withdrawn", "no place"}
@@ -79,16 +79,16 @@
 
 // Dial records that the attempt has a slot in the connection pool and that dialling has started.
 func (a *Attempt) Dial() error {
-	if a.stage != Placing {
+	if a.stage != AwaitingSlot {
 		return a.illegal("dialling")
 	}
-	a.stage = Dialling
+	a.stage = Dialing
 	return nil
 }
 
 // Connect records that the attempt has a connection: an idle one, or the one that it dialled.
 func (a *Attempt) Connect() error {
-	if a.stage != Placing && a.stage != Dialling {
+	if a.stage != AwaitingSlot && a.stage != Dialing {
 		return a.illegal("connected")
 	}
 	a.stage = Ready
@@ -183,7 +183,7 @@
 		return a.illegal(c.String())
 	case c == Canceled:
 		a.end(choice.Canceled)
-	case (a.stage == Placing || a.stage == Ready) && (c == NoPlace || c == TimedOut):
+	case (a.stage == AwaitingSlot || a.stage == Ready) && (c == NoSlot || c == TimedOut):
 		a.end(choice.NotSent)
 	case !a.MayHaveRun():
 		a.end(choice.ConnectFailed)
--- a/internal/decide/lifecycle/conn.go
+++ b/internal/decide/lifecycle/conn.go
@@ -135,11 +135,11 @@
 	return acquired
 }
 
-// ReservePlace reserves a slot for a new connection: a free one, or that of the longest-idle connection, which is returned as
+// ReserveSlot reserves a slot for a new connection: a free one, or that of the longest-idle connection, which is returned as
 // evicted for the caller to close. If there is neither, the connection is queued for the next slot that is released. It is
 // queued rather than rejected because servers that accept calls and never answer occupy many slots for as long as a call may
 // take, and rejecting would fail calls that a short wait could still serve.
-func (p *PoolState) ReservePlace(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
+func (p *PoolState) ReserveSlot(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
 	c = &Conn{Server: s, Speaks: speaks, state: Dialled}
 	switch {
 	case p.taken < p.limit:
--- a/internal/decide/lifecycle/copy.go
+++ b/internal/decide/lifecycle/copy.go
@@ -69,14 +69,14 @@
 func (p *PoolState) Queue() []*Conn { return slices.Clone(p.queue) }
 
 // CopyTo copies the Slot to another one that belongs to attempt a, a copy, and to host.
-func (s *Slot) CopyTo(dst *Slot, a *Attempt, host any) {
-	*dst = Slot{Seq: s.Seq, Attempt: a, Host: host, writeStarted: s.writeStarted}
+func (s *PendingCall) CopyTo(dst *PendingCall, a *Attempt, host any) {
+	*dst = PendingCall{Seq: s.Seq, Attempt: a, Host: host, writeStarted: s.writeStarted}
 }
 
 // Copy returns an equal MultiplexedConn with the copies of its slots.
-func (m *MultiplexedConn) Copy(slots *Copies[Slot]) *MultiplexedConn {
+func (m *MultiplexedConn) Copy(slots *Copies[PendingCall]) *MultiplexedConn {
 	dst := *m
-	dst.slots, dst.queue = make(map[int32]*Slot, len(m.slots)), nil
+	dst.slots, dst.queue = make(map[int32]*PendingCall, len(m.slots)), nil
 	for seq, s := range m.slots {
 		dst.slots[seq] = slots.Of(s)
 	}
@@ -88,11 +88,11 @@
 
 // Fingerprint appends everything that the connection's future behaviour depends on to dst. Its attempts are represented by the
 // numbers that number returns.
-func (m *MultiplexedConn) Fingerprint(dst []byte, number func(*Slot) int) []byte {
+func (m *MultiplexedConn) Fingerprint(dst []byte, number func(*PendingCall) int) []byte {
 	dst = binary.AppendVarint(dst, m.lastReply.UnixNano())
 	dst = binary.AppendVarint(dst, int64(m.seq))
 	dst = append(dst, byte(m.cause), boolByte(m.broken), boolByte(m.suspect), byte(len(m.slots)))
-	for _, s := range m.Slots() {
+	for _, s := range m.PendingCalls() {
 		dst = binary.AppendVarint(dst, int64(s.Seq))
 		dst = binary.AppendVarint(dst, s.writeStarted.UnixNano())
 		dst = append(dst, byte(number(s)), byte(s.Attempt.stage))
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -37,7 +37,7 @@
 		want  choice.Result
 		ran   bool
 	}{
-		"no place":                      {steps(fail(NoPlace)), choice.NotSent, false},
+		"no place":                      {steps(fail(NoSlot)), choice.NotSent, false},
 		"withdrawn while it waits":      {steps(fail(Canceled)), choice.Canceled, false},
 		"dial fails":                    {steps(dial, fail(Broken)), choice.ConnectFailed, false},
 		"dial hangs":                    {steps(dial, fail(TimedOut)), choice.ConnectFailed, false},
@@ -146,7 +146,7 @@
 					used = append(used, c)
 					continue
 				}
-				c, evicted := p.ReservePlace(s, choice.Protocols(1))
+				c, evicted := p.ReserveSlot(s, choice.Protocols(1))
 				if evicted != nil && (evicted.State() != Closed || slices.Contains(used, evicted)) {
 					t.Fatalf("seed %d: evicted %+v", seed, evicted)
 				}
--- a/internal/decide/lifecycle/multiplexed.go
+++ b/internal/decide/lifecycle/multiplexed.go
@@ -17,18 +17,18 @@
 // MultiplexedConn is the state machine of a connection that carries several concurrent attempts, told apart by sequence ids. It
 // is not safe for concurrent use.
 type MultiplexedConn struct {
-	slots     map[int32]*Slot // by sequence id
-	queue     []*Slot         // slots that are not written yet, in order
-	seq       int32           // the sequence id that was assigned last
-	lastReply time.Time       // time of the latest reply, or of the connection's start
-	broken    bool            // further received data can't be interpreted
-	cause     Cause           // why the connection is broken
-	suspect   bool            // accepts no new attempts
+	slots     map[int32]*PendingCall // by sequence id
+	queue     []*PendingCall         // slots that are not written yet, in order
+	seq       int32                  // the sequence id that was assigned last
+	lastReply time.Time              // time of the latest reply, or of the connection's start
+	broken    bool                   // further received data can't be interpreted
+	cause     Cause                  // why the connection is broken
+	suspect   bool                   // accepts no new attempts
 }
 
-// Slot holds an attempt on a MultiplexedConn. If the attempt has ended while the slot is still there, it was abandoned and its
+// PendingCall holds an attempt on a MultiplexedConn. If the attempt has ended while the slot is still there, it was abandoned and its
 // reply is still outstanding.
-type Slot struct {
+type PendingCall struct {
 	Seq          int32 // sequence id of the call and its reply
 	Attempt      *Attempt
 	Host         any // the host's data for the slot
@@ -37,12 +37,12 @@
 
 // NewMultiplexedConn returns the state machine of a connection that was established at now.
 func NewMultiplexedConn(now time.Time) *MultiplexedConn {
-	return &MultiplexedConn{slots: map[int32]*Slot{}, lastReply: now}
+	return &MultiplexedConn{slots: map[int32]*PendingCall{}, lastReply: now}
 }
 
 // Join gives an attempt a slot and queues it to be written. It returns nil if the connection has maxSlots slots already, or
 // accepts no new attempts.
-func (m *MultiplexedConn) Join(a *Attempt, host any, maxSlots int) (*Slot, error) {
+func (m *MultiplexedConn) Join(a *Attempt, host any, maxSlots int) (*PendingCall, error) {
 	if m.broken || m.suspect || len(m.slots) >= maxSlots {
 		return nil, nil
 	}
@@ -55,17 +55,17 @@
 		}
 	}
 	var err error
-	if a.stage == Placing { // the connection was dialled for another attempt and is shared
+	if a.stage == AwaitingSlot { // the connection was dialled for another attempt and is shared
 		err = a.Connect()
 	}
-	s := &Slot{Seq: m.seq, Attempt: a, Host: host}
+	s := &PendingCall{Seq: m.seq, Attempt: a, Host: host}
 	m.slots[s.Seq] = s
 	m.queue = append(m.queue, s)
 	return s, err
 }
 
 // Next takes the next slot to write from the queue. It returns nil if there is none.
-func (m *MultiplexedConn) Next() *Slot {
+func (m *MultiplexedConn) Next() *PendingCall {
 	if m.broken || len(m.queue) == 0 {
 		return nil
 	}
@@ -75,17 +75,17 @@
 }
 
 // Remove frees the slot of an attempt whose Begin has returned false, so that nothing of it may be sent.
-func (m *MultiplexedConn) Remove(s *Slot) { delete(m.slots, s.Seq) }
+func (m *MultiplexedConn) Remove(s *PendingCall) { delete(m.slots, s.Seq) }
 
 // WriteStarted records that the message of an attempt is being written. Until WriteEnded it is unknown how much of it is written.
-func (m *MultiplexedConn) WriteStarted(s *Slot, now time.Time) error {
+func (m *MultiplexedConn) WriteStarted(s *PendingCall, now time.Time) error {
 	s.writeStarted = now
 	return s.Attempt.MarkUncertain()
 }
 
 // WriteEnded records the end of a write, with the number of bytes of the message that were written. If no reply will follow,
 // because the call is oneway or was not written completely, this ends the attempt, unless it has ended before.
-func (m *MultiplexedConn) WriteEnded(s *Slot, n int, oneway bool) (ended bool, err error) {
+func (m *MultiplexedConn) WriteEnded(s *PendingCall, n int, oneway bool) (ended bool, err error) {
 	if s.Attempt.stage != Ended {
 		err = s.Attempt.Wrote(n)
 	}
@@ -103,7 +103,7 @@
 }
 
 // ReplyStarted records the start of a reply with a sequence id and returns the slot that it belongs to.
-func (m *MultiplexedConn) ReplyStarted(seq int32, now time.Time) (*Slot, error) {
+func (m *MultiplexedConn) ReplyStarted(seq int32, now time.Time) (*PendingCall, error) {
 	s := m.slots[seq]
 	if s == nil || s.Attempt.stage == Ready {
 		return nil, ErrUnexpectedReply
@@ -113,7 +113,7 @@
 }
 
 // ReplyEnded records the result of a complete reply. It ends the attempt, unless that was abandoned.
-func (m *MultiplexedConn) ReplyEnded(s *Slot, r choice.Result) (ended bool, err error) {
+func (m *MultiplexedConn) ReplyEnded(s *PendingCall, r choice.Result) (ended bool, err error) {
 	delete(m.slots, s.Seq)
 	if s.Attempt.stage == Ended {
 		return false, nil
@@ -123,11 +123,11 @@
 
 // Abandon ends an attempt whose reply is no longer waited for. If the attempt timed out and the connection received no reply at
 // all since the attempt was written, the connection becomes suspect and accepts no new attempts.
-func (m *MultiplexedConn) Abandon(s *Slot, c Cause) error {
+func (m *MultiplexedConn) Abandon(s *PendingCall, c Cause) error {
 	switch s.Attempt.stage {
 	case Ready:
 		delete(m.slots, s.Seq)
-		m.queue = slices.DeleteFunc(m.queue, func(o *Slot) bool { return o == s })
+		m.queue = slices.DeleteFunc(m.queue, func(o *PendingCall) bool { return o == s })
 	case Waiting:
 		if c == TimedOut && m.lastReply.Before(s.writeStarted) {
 			m.suspect = true
@@ -138,7 +138,7 @@
 
 // Break marks the connection as broken and ends its attempts with the cause of the first Break: those that can't have run end as
 // never sent. It returns the slots of the attempts that it ended. Attempts that are being written are ended by WriteEnded.
-func (m *MultiplexedConn) Break(c Cause) (ended []*Slot, err error) {
+func (m *MultiplexedConn) Break(c Cause) (ended []*PendingCall, err error) {
 	if !m.broken {
 		m.broken, m.cause = true, c
 	}
@@ -157,8 +157,8 @@
 	return ended, err
 }
 
-// Slots returns all slots, ordered by sequence id.
-func (m *MultiplexedConn) Slots() (all []*Slot) {
+// PendingCalls returns all slots, ordered by sequence id.
+func (m *MultiplexedConn) PendingCalls() (all []*PendingCall) {
 	for _, seq := range slices.Sorted(maps.Keys(m.slots)) {
 		all = append(all, m.slots[seq])
 	}
--- a/internal/decide/lifecycle/multiplexed_test.go
+++ b/internal/decide/lifecycle/multiplexed_test.go
@@ -20,8 +20,8 @@
 		m := NewMultiplexedConn(now)
 		m.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
 		ended := map[*Attempt]bool{}
-		var joined, writing, written []*Slot // queued; being written; completely written
-		end := func(s *Slot) {
+		var joined, writing, written []*PendingCall // queued; being written; completely written
+		end := func(s *PendingCall) {
 			if ended[s.Attempt] || s.Attempt.Stage() != Ended {
 				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, s.Attempt.Stage())
 			}
@@ -32,7 +32,7 @@
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
-		take := func(from *[]*Slot) *Slot {
+		take := func(from *[]*PendingCall) *PendingCall {
 			i := r.IntN(len(*from))
 			s := (*from)[i]
 			*from = slices.Delete(*from, i, i+1)
@@ -99,7 +99,7 @@
 					t.Fatalf("seed %d: a second reply: %v", seed, err)
 				}
 			case k == 6:
-				for _, from := range []*[]*Slot{&joined, &writing, &written} {
+				for _, from := range []*[]*PendingCall{&joined, &writing, &written} {
 					if len(*from) == 0 || r.IntN(3) > 0 {
 						continue
 					}
@@ -110,7 +110,7 @@
 					check(m.Abandon(s, []Cause{TimedOut, Canceled}[r.IntN(2)]))
 					end(s)
 					if from == &joined {
-						joined = slices.DeleteFunc(joined, func(o *Slot) bool { return o == s })
+						joined = slices.DeleteFunc(joined, func(o *PendingCall) bool { return o == s })
 					}
 					if (from != &joined) != s.Attempt.MayHaveRun() {
 						t.Fatalf("seed %d: can have run: %t", seed, s.Attempt.MayHaveRun())
@@ -137,7 +137,7 @@
 				m = NewMultiplexedConn(now)
 			}
 			live := 0
-			for _, s := range m.Slots() {
+			for _, s := range m.PendingCalls() {
 				if !ended[s.Attempt] {
 					live++
 				}
@@ -154,7 +154,7 @@
 	for _, replied := range []bool{true, false} {
 		now := time.Unix(0, 0)
 		m := NewMultiplexedConn(now)
-		var slots []*Slot
+		var slots []*PendingCall
 		for range 2 {
 			s, err := m.Join(&Attempt{}, nil, 4)
 			if err != nil || m.Next() != s {
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -142,8 +142,8 @@
 func FailUnconnected(ctx context.Context, at *core.Attempt, err error) core.AttemptOutcome {
 	cause := lifecycle.Broken
 	switch {
-	case errors.Is(err, pool.ErrNoPlace):
-		cause = lifecycle.NoPlace
+	case errors.Is(err, pool.ErrNoSlot):
+		cause = lifecycle.NoSlot
 	case errors.Is(context.Cause(ctx), core.ErrCanceled):
 		cause = lifecycle.Canceled
 	}
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -17,8 +17,8 @@
 	"ternbeam/internal/sysio/socketio"
 )
 
-// ErrNoPlace means that every slot for a connection is in use by an attempt and none was released before the context ended.
-var ErrNoPlace = errors.New("no connection slot is free")
+// ErrNoSlot means that every slot for a connection is in use by an attempt and none was released before the context ended.
+var ErrNoSlot = errors.New("no connection slot is free")
 
 // Conn is a connection to a server.
 type Conn struct {
@@ -99,7 +99,7 @@
 			if !p.waitLocked(ctx, left) {
 				p.returnLocked(c, true)
 				p.mu.Unlock()
-				return nil, ErrNoPlace
+				return nil, ErrNoSlot
 			}
 		}
 		if p.usable(c) {
@@ -285,7 +285,7 @@
 
 // reserveLocked waits for a slot for a connection.
 func (p *Pool) reserveLocked(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols) (*lifecycle.Conn, error) {
-	lc, evicted := p.state.ReservePlace(s, speaks)
+	lc, evicted := p.state.ReserveSlot(s, speaks)
 	if evicted != nil {
 		evicted.Host.(*Conn).Close()
 	}
@@ -304,7 +304,7 @@
 	p.mu.Lock()
 	delete(p.granted, lc)
 	p.giveUpLocked(lc) // it may just have been given a slot
-	return nil, ErrNoPlace
+	return nil, ErrNoSlot
 }
 
 func (p *Pool) giveUpLocked(lc *lifecycle.Conn) {
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -23,7 +23,7 @@
 func (w *world) resumeAfterPoolChange(s *lifecycle.Server, idle bool) {
 	for _, t := range w.attempts {
 		releases := t.State.Stage() == lifecycle.Ended && t.conn != nil
-		acquires := t.State.Stage() == lifecycle.Placing
+		acquires := t.State.Stage() == lifecycle.AwaitingSlot
 		if !w.hasSparePlaces() && (releases || acquires) || t.Server == s && (releases || acquires && idle) {
 			t.paused = false
 		}
@@ -56,7 +56,7 @@
 			return
 		}
 	}
-	c, evicted := w.pool.ReservePlace(t.Server, t.Call.RequiredProtocols)
+	c, evicted := w.pool.ReserveSlot(t.Server, t.Call.RequiredProtocols)
 	if evicted != nil {
 		evicted.Host.(*connData).attempt = -1
 	}
@@ -70,7 +70,7 @@
 // placeGranted starts the dial of the attempt whose queued connection got a place.
 func (w *world) placeGranted(c *lifecycle.Conn) {
 	for _, t := range w.attempts {
-		if c != nil && t.conn == c && t.State.Stage() == lifecycle.Placing {
+		if c != nil && t.conn == c && t.State.Stage() == lifecycle.AwaitingSlot {
 			w.dial(t)
 			t.paused = false
 		}
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -84,7 +84,7 @@
 		stage := a.Stage()
 		switch {
 		case !exact && t.hung && stage == lifecycle.Writing && t.SendBy == 0:
-			stage = lifecycle.Dialling // hung without a write deadline, it can only end as a hung dial does
+			stage = lifecycle.Dialing // hung without a write deadline, it can only end as a hung dial does
 		case stage == lifecycle.Ended:
 			r := a.Result()
 			if !exact && unsentCalls == 0 && w.cfg.Past == NoPast {
@@ -134,7 +134,7 @@
 		num(int(p.started), p.moves, p.offlineRestarts)
 		num(int(l.conn.State()), len(l.writing))
 		server(l.conn.Server)
-		number := func(s *lifecycle.Slot) int {
+		number := func(s *lifecycle.PendingCall) int {
 			return slices.IndexFunc(w.attempts, func(t *attempt) bool { return t.Attempt == s.Host })
 		}
 		dst = l.state.Fingerprint(dst, number)
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -19,16 +19,16 @@
 type muxConn struct {
 	conn    *lifecycle.Conn
 	state   *lifecycle.MultiplexedConn
-	writing []*lifecycle.Slot // slots being written, in order
+	writing []*lifecycle.PendingCall // slots being written, in order
 }
 
 // clock returns the world's time as a time.Time.
 func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.now) }
 
 // slotOf returns the multiplexed connection that carries an attempt and the attempt's slot on it, or nil.
-func (w *world) slotOf(t *attempt) (*muxConn, *lifecycle.Slot) {
+func (w *world) slotOf(t *attempt) (*muxConn, *lifecycle.PendingCall) {
 	for _, l := range w.muxConns {
-		for _, s := range l.state.Slots() {
+		for _, s := range l.state.PendingCalls() {
 			if s.Host == t.Attempt {
 				return l, s
 			}
@@ -38,7 +38,7 @@
 }
 
 // attemptOf returns the attempt in a slot, or nil if the loop has already processed its end.
-func (w *world) attemptOf(s *lifecycle.Slot) *attempt {
+func (w *world) attemptOf(s *lifecycle.PendingCall) *attempt {
 	for _, t := range w.attempts {
 		if t.Attempt == s.Host {
 			return t
@@ -50,7 +50,7 @@
 // otherDialing returns another attempt that is dialing the same server, or nil.
 func (w *world) otherDialing(t *attempt) *attempt {
 	for _, o := range w.attempts {
-		if o != t && o.Server == t.Server && o.conn != nil && o.State.Stage() <= lifecycle.Dialling {
+		if o != t && o.Server == t.Server && o.conn != nil && o.State.Stage() <= lifecycle.Dialing {
 			return o
 		}
 	}
@@ -61,7 +61,7 @@
 func (w *world) canJoin(t *attempt) bool {
 	return slices.ContainsFunc(w.muxConns, func(l *muxConn) bool {
 		_, reuse := l.state.CanRelease(false)
-		return l.conn.Server == t.Server && l.conn.State() != lifecycle.Idle && reuse && len(l.state.Slots()) < maxAttemptsPerMuxConn
+		return l.conn.Server == t.Server && l.conn.State() != lifecycle.Idle && reuse && len(l.state.PendingCalls()) < maxAttemptsPerMuxConn
 	})
 }
 
@@ -76,26 +76,26 @@
 	case stage >= lifecycle.Ready && l == nil:
 		w.violate("attempt %d has lost its slot on its connection", t.index)
 		return nil
-	case t.hostCanceled && (stage != lifecycle.Placing || t.awaitsDial):
+	case t.hostCanceled && (stage != lifecycle.AwaitingSlot || t.awaitsDial):
 		all = append(all, Cancel)
-	case w.now >= t.Deadline && (stage != lifecycle.Placing || t.awaitsDial):
+	case w.now >= t.Deadline && (stage != lifecycle.AwaitingSlot || t.awaitsDial):
 		all = append(all, TimeOut)
 	}
 	switch stage {
-	case lifecycle.Placing:
+	case lifecycle.AwaitingSlot:
 		switch {
 		case t.conn != nil: // waits for a place in the pool
-			all = append(all, NoPlace)
+			all = append(all, NoSlot)
 		case t.awaitsDial: // no step until the other attempt's dial ends
 		case w.canJoin(t) || w.otherDialing(t) != nil || w.idleConn(t) == nil:
 			all = append(all, Acquire)
 		default:
 			all = append(all, Acquire, AcquireStrayBytes, AcquireClosed)
 		}
-	case lifecycle.Dialling:
+	case lifecycle.Dialing:
 		all = append(all, DialSucceeds, DialFails)
 	case lifecycle.Ready:
-		for _, o := range l.state.Slots() { // in the order of sending
+		for _, o := range l.state.PendingCalls() { // in the order of sending
 			if o.Attempt.Stage() == lifecycle.Ready {
 				if o == s {
 					all = append(all, Send)
@@ -136,8 +136,8 @@
 }
 
 // abandonedSlot returns the first slot of a connection whose attempt was written and then abandoned, or nil.
-func (w *world) abandonedSlot(l *muxConn) *lifecycle.Slot {
-	for _, s := range l.state.Slots() {
+func (w *world) abandonedSlot(l *muxConn) *lifecycle.PendingCall {
+	for _, s := range l.state.PendingCalls() {
 		if s.Attempt.Stage() == lifecycle.Ended && !slices.Contains(l.writing, s) {
 			return s
 		}
@@ -174,8 +174,8 @@
 		fallthrough
 	case Acquire:
 		w.join(t)
-	case NoPlace:
-		w.failUnconnected(t, lifecycle.NoPlace)
+	case NoSlot:
+		w.failUnconnected(t, lifecycle.NoSlot)
 	case DialSucceeds:
 		t.ReportIllegalStep(t.State.Connect())
 		t.ReportIllegalStep(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
@@ -250,7 +250,7 @@
 		}
 		return
 	}
-	c, evicted := w.pool.ReservePlace(t.Server, t.Call.RequiredProtocols)
+	c, evicted := w.pool.ReserveSlot(t.Server, t.Call.RequiredProtocols)
 	if evicted != nil {
 		w.removeMuxConn(evicted)
 	}
@@ -291,7 +291,7 @@
 
 // writeEnded ends a write. Either all of it was written, or all attempts before last were written completely, last
 // partly or not at all, and the attempts after it not at all.
-func (w *world) writeEnded(l *muxConn, last *lifecycle.Slot, k StepKind) {
+func (w *world) writeEnded(l *muxConn, last *lifecycle.PendingCall, k StepKind) {
 	n := messageSize
 	for _, s := range l.writing {
 		if s == last && k != WriteCompletes {
@@ -347,7 +347,7 @@
 	}
 }
 
-func (w *world) slotEnded(s *lifecycle.Slot) {
+func (w *world) slotEnded(s *lifecycle.PendingCall) {
 	if t := w.attemptOf(s); t == nil {
 		w.violate("an attempt ends a second time, after the loop has processed its end")
 	} else {
@@ -372,7 +372,7 @@
 		if !release || len(l.writing) > 0 || l.conn.State() == lifecycle.Idle {
 			continue
 		}
-		if slices.ContainsFunc(l.state.Slots(), func(s *lifecycle.Slot) bool { return s.Attempt.Stage() != lifecycle.Ended }) {
+		if slices.ContainsFunc(l.state.PendingCalls(), func(s *lifecycle.PendingCall) bool { return s.Attempt.Stage() != lifecycle.Ended }) {
 			w.violate("a multiplexed connection that carries an attempt is released")
 		}
 		if !reuse {
@@ -394,7 +394,7 @@
 // copyMuxConns returns deep copies of the multiplexed connections.
 func (w *world) copyMuxConns(copies *calltrack.Copies, conns *lifecycle.Copies[lifecycle.Conn]) (all []*muxConn) {
 	for _, l := range w.muxConns {
-		slots := lifecycle.Copies[lifecycle.Slot]{Fill: func(s, dst *lifecycle.Slot) {
+		slots := lifecycle.Copies[lifecycle.PendingCall]{Fill: func(s, dst *lifecycle.PendingCall) {
 			at := copies.Attempts.Of(s.Host.(*calltrack.Attempt))
 			s.CopyTo(dst, &at.State, at)
 		}}
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -136,7 +136,7 @@
 		w.violate("%d answers are still being relayed at the end", n)
 	}
 	for _, l := range w.muxConns { // one on which a late reply may still arrive stays in use
-		if l.conn.State() != lifecycle.Idle && len(l.state.Slots()) == 0 {
+		if l.conn.State() != lifecycle.Idle && len(l.state.PendingCalls()) == 0 {
 			w.violate("a multiplexed connection that carries nothing is %v at the end", l.conn.State())
 		}
 	}
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -30,7 +30,7 @@
 	Acquire                           // the attempt asks for a connection
 	AcquireStrayBytes                 // the same; the idle connection that it would get has received unsolicited bytes
 	AcquireClosed                     // the same; that connection was idle for too long or closed by its server
-	NoPlace                           // it stops waiting for a place in the pool
+	NoSlot                            // it stops waiting for a place in the pool
 	DialSucceeds                      // its dial succeeds
 	DialFails                         // its dial fails
 	DialNext                          // its dial takes long, and the next address is dialed in parallel
@@ -210,7 +210,7 @@
 	}
 	if t.hung || w.cfg.allOrders() { // what ends a wait for the network
 		switch stage := t.State.Stage(); {
-		case stage != lifecycle.Dialling && stage != lifecycle.Writing && stage != lifecycle.Waiting:
+		case stage != lifecycle.Dialing && stage != lifecycle.Writing && stage != lifecycle.Waiting:
 		case t.hostCanceled:
 			all = append(all, Cancel)
 		case stage == lifecycle.Writing && t.SendBy != 0 && w.now >= t.SendBy:
@@ -223,17 +223,17 @@
 		}
 	}
 	switch t.State.Stage() {
-	case lifecycle.Placing:
+	case lifecycle.AwaitingSlot:
 		switch {
 		case t.conn != nil: // waits for a place in the pool
-			all = append(all, NoPlace)
+			all = append(all, NoSlot)
 		case w.idleConn(t) != nil:
 			all = append(all, Acquire, AcquireStrayBytes, AcquireClosed)
 		default:
 			all = append(all, Acquire)
 		}
 		return orPause(!w.hasSparePlaces() && (t.conn == nil || w.now < t.Deadline))
-	case lifecycle.Dialling:
+	case lifecycle.Dialing:
 		all = append(all, DialSucceeds, DialFails)
 		all = append(all, w.raceOptions(t)...)
 		return orHang()
@@ -312,8 +312,8 @@
 		w.placeGranted(next)
 		w.resumeAfterPoolChange(t.Server, true)
 		w.acquire(t)
-	case NoPlace:
-		w.fail(t, lifecycle.NoPlace)
+	case NoSlot:
+		w.fail(t, lifecycle.NoSlot)
 	case DialSucceeds:
 		w.dialSucceeded(t, 0)
 	case DialFails:
@@ -374,7 +374,7 @@
 		w.fail(t, lifecycle.Canceled)
 	case TimeOut:
 		cause := lifecycle.TimedOut
-		if t.State.Stage() == lifecycle.Dialling {
+		if t.State.Stage() == lifecycle.Dialing {
 			cause = lifecycle.Broken // as reported by the dial
 		}
 		w.fail(t, cause)
@@ -454,7 +454,7 @@
 			}
 		case lifecycle.Writing:
 			t.paused = false
-		case lifecycle.Placing:
+		case lifecycle.AwaitingSlot:
 			if t.conn != nil {
 				t.paused = false
 			}
--- a/internal/settings/config/config.go
+++ b/internal/settings/config/config.go
@@ -95,9 +95,9 @@
 	return cfg, nil
 }
 
-// NewDiscovery reads the file again and returns its current discovery address. It ignores the environment, which is as
+// ReloadDiscovery reads the file again and returns its current discovery address. It ignores the environment, which is as
 // old as the process. Nothing else in the file can change while the agent runs.
-func (c *Config) NewDiscovery() (string, error) {
+func (c *Config) ReloadDiscovery() (string, error) {
 	text, err := os.ReadFile(c.Path)
 	if err != nil {
 		return "", err
--- a/internal/sysio/socketio/socketio.go
+++ b/internal/sysio/socketio/socketio.go
@@ -146,7 +146,7 @@
 	tries := NewTries(o.name, c.observe)
 	for {
 		n, err = o.run(p)
-		if err == nil || !tries.Again(c, err) {
+		if err == nil || !tries.ShouldRetry(c, err) {
 			break
 		}
 	}
@@ -166,8 +166,8 @@
 // NewTries returns a Tries for the system call with this name. It calls observe, which may be nil, for each failure that is retried.
 func NewTries(name string, observe func(Failure)) Tries { return Tries{name: name, observe: observe} }
 
-// Again reports whether a call that failed with err must be repeated, after waiting for the backoff time.
-func (t *Tries) Again(conn net.Conn, err error) bool {
+// ShouldRetry reports whether a call that failed with err must be repeated, after waiting for the backoff time.
+func (t *Tries) ShouldRetry(conn net.Conn, err error) bool {
 	t.failures++
 	if err == syscall.EAGAIN && t.failures == 1 { // data or the end may have arrived just now
 		return true
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -66,7 +66,7 @@
 	ctx  context.Context
 	at   *core.Attempt
 	call *thriftmap.Call
-	slot *lifecycle.Slot
+	slot *lifecycle.PendingCall
 	done chan core.AttemptOutcome
 }
 
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -335,7 +335,7 @@
 	for _, conns := range tr.multi.busy {
 		for _, mc := range conns {
 			mc.mu.Lock()
-			for _, s := range mc.state.Slots() {
+			for _, s := range mc.state.PendingCalls() {
 				if s.Attempt.Stage() == lifecycle.Ready {
 					n++
 				}
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -481,7 +481,7 @@
 		if err == nil {
 			err = c.fillErr
 		}
-		if err == nil || !tries.Again(c.conn, err) {
+		if err == nil || !tries.ShouldRetry(c.conn, err) {
 			return err
 		}
 	}
--- a/internal/translate/mapping.go
+++ b/internal/translate/mapping.go
@@ -14,10 +14,10 @@
 
 // Set is a compiled file of shapes and mappings. It is read-only and safe for concurrent use.
 type Set struct {
-	Shapes    map[string]*Shape // by name
-	Plans     []*Plan           // sorted by mapping; within a mapping in the order of its from and to
-	Forget    time.Duration     // how long a server is not sent a shape that it did not know; doubled each time
-	MaxForget time.Duration     // upper bound of the doubled Forget
+	Shapes          map[string]*Shape // by name
+	Plans           []*Plan           // sorted by mapping; within a mapping in the order of its from and to
+	RejectionTTL    time.Duration     // how long a server is not sent a shape that it did not know; doubled each time
+	MaxRejectionTTL time.Duration     // upper bound of the doubled Forget
 
 	byClass  map[string][]*Shape // the HTTP shapes of each class; empty for a class with Thrift shapes only
 	byMethod map[string]*Shape   // the Thrift shapes
@@ -75,10 +75,10 @@
 	if err := c.file.Err(); err != nil {
 		return nil, err
 	}
-	set := &Set{Shapes: c.shapes, Forget: defaultForget, MaxForget: defaultMaxForget}
-	c.file.Duration("drift.forget_s", t.Drift.ForgetS, time.Second, minForgetS, maxForgetS, &set.Forget)
-	c.file.Duration("drift.most_forget_s", t.Drift.MostForgetS, time.Second, minForgetS, maxMostForgetS, &set.MaxForget)
-	if set.MaxForget < set.Forget {
+	set := &Set{Shapes: c.shapes, RejectionTTL: defaultForget, MaxRejectionTTL: defaultMaxForget}
+	c.file.Duration("drift.forget_s", t.Drift.ForgetS, time.Second, minForgetS, maxForgetS, &set.RejectionTTL)
+	c.file.Duration("drift.most_forget_s", t.Drift.MostForgetS, time.Second, minForgetS, maxMostForgetS, &set.MaxRejectionTTL)
+	if set.MaxRejectionTTL < set.RejectionTTL {
 		c.file.Problem("drift.most_forget_s", "must not be below forget_s")
 	}
 	if len(t.Shapes) > maxShapes || len(t.Mappings) > maxShapes {
