--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -122,7 +122,7 @@
 	return count
 }
 
-func TestTies(t *testing.T) {
+func TestTiesGoToLargerServerOrRandom(t *testing.T) {
 	settings := testSettings()
 	settings.UseListWeights = true
 	h := newHarness(t, settings, 1, 1.99)
@@ -174,7 +174,7 @@
 }
 
 // Guards against a server that receives requests and answers none while others answer.
-func TestSilentServerIsEjectedRescuedAndReadmitted(t *testing.T) {
+func TestSilentServerIsEjectedAndReadmitted(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	var held []string
 	for h.servers[0].ejectedUntil == 0 {
@@ -222,7 +222,7 @@
 }
 
 // Guards against taking one expensive request for a silent server at a balancer with little traffic.
-func TestOneLateAnswerEjectsNone(t *testing.T) {
+func TestOneLateAnswerDoesNotEjectServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	_, to := h.request(1)
 	h.advance(h.horizon)
@@ -233,7 +233,7 @@
 
 // Guards against ejecting all servers under congestion, and against a measure of congestion that leaves out
 // the ejected servers.
-func TestJamEjectsNoneAndRefuses(t *testing.T) {
+func TestCongestionShedsWithoutEjecting(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 200 { // normal operation at first
 		id, to := h.request(1)
@@ -265,7 +265,7 @@
 }
 
 // Guards against requests of high value waiting behind those of low value.
-func TestCheapGivesWayFirst(t *testing.T) {
+func TestLowValueRequestsAreShedFirst(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	refused := [2]int{}
 	for i := range 2000 {
@@ -283,7 +283,7 @@
 }
 
 // Guards against a server that fails fast and so looks idle.
-func TestFastFailuresDrawLess(t *testing.T) {
+func TestFastFailingServerGetsFewerRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	bad := 0
 	for range 60 {
@@ -307,7 +307,7 @@
 }
 
 // Guards against overloading a cold server: under congestion it has the lowest load of all.
-func TestColdServerInAJam(t *testing.T) {
+func TestColdServerUnderCongestion(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1, 1, 1, 1)
 	for range 500 {
 		h.request(1)
@@ -327,7 +327,7 @@
 }
 
 // A restart, recognized by a new start time, discards what was learned about the server.
-func TestRestartForgets(t *testing.T) {
+func TestRestartDiscardsServerState(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	h.now = h.at
 	s := h.servers[0]
@@ -340,7 +340,7 @@
 	}
 }
 
-func TestKeyedStaysInItsCell(t *testing.T) {
+func TestKeyedRetryStaysInCell(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	for range 30 {
 		id, to := h.request(2)
@@ -376,7 +376,7 @@
 }
 
 // A server in the own zone is preferred as long as it has free capacity.
-func TestOwnZone(t *testing.T) {
+func TestOwnZoneIsPreferred(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.1
 	h := newHarness(t, settings, 1, 1)
@@ -392,7 +392,7 @@
 	}
 }
 
-func TestUnknownIsPassedOver(t *testing.T) {
+func TestEventsWithUnknownIDsAreIgnored(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	for _, e := range []Event{Outcome{Request: "no"}, Outcome{Request: "no", Attempt: -1}, ClientDisconnected{"no"},
 		StreamStarted{Request: "no"}, Probed{Server: "no"}, TimerFired{99}, Request{ID: "x", Class: 9}} {
@@ -402,7 +402,7 @@
 	}
 }
 
-func TestNoServerRefuses(t *testing.T) {
+func TestRequestIsRefusedWithoutServers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	a := h.Handle(h.at, Request{ID: "x", Deadline: h.at + 1e9})
 	if last := a[len(a)-1]; last.Kind != Refuse {
@@ -428,7 +428,7 @@
 
 // Guards against rejecting every request when all servers are cold: the limits on cold servers must not
 // apply then.
-func TestAllColdStillServes(t *testing.T) {
+func TestFleetOfColdServersIsUsed(t *testing.T) {
 	h := newHarness(t, testSettings())
 	l := ServerList{Full: true}
 	for i := range 4 {
@@ -448,7 +448,7 @@
 
 // Guards against canceling an attempt that can be made nowhere else: a keyed request whose cell contains
 // only the silent server.
-func TestRescueOnlyWhatCanGoElsewhere(t *testing.T) {
+func TestAttemptWithoutAlternativeIsNotCanceled(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	for range 10 {
 		h.request(2)
@@ -464,7 +464,7 @@
 
 // The server of a key is drawn in proportion to capacity, is the same at every balancer, and is avoided
 // when it is busy.
-func TestHomeOfAKey(t *testing.T) {
+func TestKeyAffinity(t *testing.T) {
 	settings := testSettings()
 	settings.UseListWeights, settings.KeyAffinity = true, true
 	h, other := newHarness(t, settings, 1, 2, 3, 4), newHarness(t, settings, 1, 2, 3, 4)
@@ -502,7 +502,7 @@
 
 // Guards against a server that one expensive request makes look slow, and that stays idle as it gets no
 // requests to prove the opposite (seen with two of 15 servers, for 30 s).
-func TestOldEstimateFades(t *testing.T) {
+func TestOldCapacityEstimateDecays(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	for range 30 {
 		id, to := h.request(0)
@@ -548,7 +548,7 @@
 // Guards against a list that is outdated: if the balancer sees that a server is unhealthy, it does not
 // matter that the list calls it ready, but a server that drains according to the list gets nothing in any
 // case.
-func TestLateList(t *testing.T) {
+func TestOutdatedServerList(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	list := func(state State, id string) {
 		h.Handle(h.at, ServerList{Servers: []Server{{ID: id, Weight: 1, State: state}}})
@@ -567,7 +567,7 @@
 
 // Guards against many servers that die at once, before the list shows it: each request that a dead server
 // did not take is served elsewhere, and soon none is sent there.
-func TestManyDieAtOnce(t *testing.T) {
+func TestManyServersFailAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1, 1, 1)
 	dead := func(id string) bool { return id < "s2" }
 	late := 0
@@ -596,7 +596,7 @@
 
 // Guards against congestion in which all requests of the least valuable class are shed, so that ejected
 // servers never get the request that tries them and stay idle.
-func TestTrialIsNotRefused(t *testing.T) {
+func TestTrialIsNotShed(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	s := h.byID["s0"]
 	h.eject(s)
@@ -640,7 +640,7 @@
 
 // Guards against balancers that see very little themselves: with no own request in flight anywhere, the one
 // server that others have left free gets the request.
-func TestServersAreAskedFirst(t *testing.T) {
+func TestServersAreProbedBeforeSend(t *testing.T) {
 	h := newProbingHarness(t, 1, 1, 1, 1)
 	load := map[string]float64{"s0": 9, "s1": 9, "s2": 0, "s3": 9}
 	free := 0
@@ -666,7 +666,7 @@
 
 // Guards against sending to a server that does not answer probes, when the answers of other servers become
 // outdated.
-func TestMuteServerGetsNothing(t *testing.T) {
+func TestServerThatIgnoresProbesGetsNoRequests(t *testing.T) {
 	h := newProbingHarness(t, 1, 1, 1, 1)
 	load := map[string]float64{"s0": -1}
 	sent := 0
@@ -692,7 +692,7 @@
 }
 
 // Guards against queues when all servers drawn are busy: requests of low value are shed at once.
-func TestFullServersRefuse(t *testing.T) {
+func TestLowValueRequestsAreShedWhenServersAreBusy(t *testing.T) {
 	h := newProbingHarness(t, 1, 1)
 	refused := [2]int{}
 	for i := range 200 {
@@ -713,7 +713,7 @@
 
 // Guards against a balancer with little traffic that uses each server of a large fleet too seldom to know
 // its state.
-func TestQuietBalancerKeepsToASubset(t *testing.T) {
+func TestLowTrafficBalancerUsesSubset(t *testing.T) {
 	h := newHarness(t, testSettings(), make([]float64, 100)...)
 	for i, s := range h.servers {
 		s.SubsetRank = (float64(i) + 0.5) / 100
@@ -746,7 +746,7 @@
 }
 
 // Guards against taking long processing times, expensive requests or one slow server for congestion.
-func TestSlackIsCountedFromTheLeastTime(t *testing.T) {
+func TestSlackIsMeasuredFromMinLatency(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	for range 600 { // each takes half of the target latency
 		id, to := h.request(1)
@@ -765,7 +765,7 @@
 }
 
 // Guards against the cost of probes while the utilization is known to be low.
-func TestNobodyIsAskedWhileAllIsIdle(t *testing.T) {
+func TestNoProbesAtLowUtilization(t *testing.T) {
 	h := newProbingHarness(t, 1, 1)
 	send := func(use float64) (probes int) {
 		for _, s := range h.servers {
@@ -792,7 +792,7 @@
 
 // Guards against a server that is fully used according to its reports and idle by own counts (with hot keys
 // and slowed servers): if servers are not probed, utilization reduces their free capacity.
-func TestUsedServerGetsLess(t *testing.T) {
+func TestReportedUtilizationReducesRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1)
 	busy := 0
 	for range 100 {
@@ -812,7 +812,7 @@
 
 // Guards against missing that one class is already late because another one has a long target latency: the
 // slack is that of the class with the least.
-func TestTightestClassSetsTheSlack(t *testing.T) {
+func TestClassWithLeastSlackDefinesSlack(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Aim = 150e6
 	h := newHarness(t, settings, 1, 1)
@@ -826,7 +826,7 @@
 
 // Guards against a queue at one of a few servers that the mean utilization hides: from a tenth of the slack
 // used, servers are probed again.
-func TestLateAnswersMakeItAsk(t *testing.T) {
+func TestLateAnswersResumeProbing(t *testing.T) {
 	h := newProbingHarness(t, 1, 1)
 	h.at += time.Second
 	h.congestion = 0.11
@@ -841,7 +841,7 @@
 }
 
 // Guards against a division by the cost of probes if it is 0: no server was drawn then.
-func TestFreeProbes(t *testing.T) {
+func TestZeroProbeCost(t *testing.T) {
 	h := newProbingHarness(t, 1, 1, 1)
 	h.settings.ProbeCost = 0
 	e := Request{ID: "free", Class: 1, Deadline: h.at + 2*time.Second}
@@ -850,7 +850,7 @@
 	}
 }
 
-func TestPricesOutOfRange(t *testing.T) {
+func TestCostsOutOfRange(t *testing.T) {
 	for _, cost := range []float64{-0.1, math.NaN()} {
 		cross, probe := testSettings(), testSettings()
 		cross.CrossZoneCost, probe.ProbeCost = cost, cost
@@ -864,7 +864,7 @@
 
 // Guards against a server that answers most requests and loses some: a late attempt there is hedged at
 // another server, but only while such losses are seen, not under congestion, and within the retry budget.
-func TestLateAttemptsAreCopiedWhileSomeGetLost(t *testing.T) {
+func TestLateAttemptsAreHedgedWhileRequestsAreLost(t *testing.T) {
 	lose := func(h *harness) { // one request is lost at a server that answers a later one
 		type sent struct{ id, to string }
 		var all []sent
@@ -925,7 +925,7 @@
 
 // Guards against taking a stall of this process for congestion: while it was stalled it could not see what
 // servers did. The same time counts if the process was running.
-func TestStallsAreNoJam(t *testing.T) {
+func TestProcessStallIsNotCongestion(t *testing.T) {
 	for name, c := range map[string]struct {
 		pass func(h *harness, d time.Duration)
 		want bool
@@ -957,7 +957,7 @@
 
 // Guards against seeing congestion where there is none: an attempt whose server has answered one sent much
 // later is lost or expensive, and does not count, neither while it is in flight nor when it times out.
-func TestLostAttemptIsNoJam(t *testing.T) {
+func TestLostAttemptIsNotCongestion(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 1) // one server, so that all go there
 		early, to := h.request(0)
@@ -979,7 +979,7 @@
 
 // Guards against a retry budget that runs out while a server loses more than the usual share of its
 // requests.
-func TestBudgetGrowsWithWhatGetsLost(t *testing.T) {
+func TestRetryBudgetGrowsWithLossRate(t *testing.T) {
 	for _, lost := range []float64{0, 0.2} {
 		h := newHarness(t, testSettings(), 1, 1)
 		h.retryBudget, h.lossRate = 0, lost
@@ -1005,7 +1005,7 @@
 
 // Guards against shedding, and against avoiding servers, because some clients wait for less than the usual
 // latency: in one run three in ten gave up after 100 to 190 ms, and the agents took that for congestion.
-func TestClientsInAHurryAreNoJam(t *testing.T) {
+func TestShortClientTimeoutsAreNotCongestion(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1)
 	for i := range 200 {
 		if to := h.impatientRequest(i%3 != 0); to == "" {
@@ -1024,7 +1024,7 @@
 
 // A server that answers none of the impatient clients is ejected nevertheless, though each of their
 // timeouts counts less than one of a client that waits.
-func TestSilenceIsFoundByClientsInAHurry(t *testing.T) {
+func TestShortClientTimeoutsEjectSilentServer(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	n := 0
 	for ; n < 2*maxMissedAnswers && h.byID["s0"].ejectedUntil == 0; n++ {
@@ -1039,7 +1039,7 @@
 // each one by itself would send there only after a long time, and since the share of a new server was
 // computed from the whole fleet and not from the subset. A cold server must not get more than
 // coldSendFactor allows either.
-func TestQuietFleetWarmsNewServers(t *testing.T) {
+func TestLowTrafficFleetWarmsUpNewServers(t *testing.T) {
 	const agents, warm, cold, rate, took, span = 80, 42, 18, 50, 300 * time.Millisecond, 3 * time.Second
 	settings := testSettings()
 	settings.Balancers, settings.KeyAffinity = agents, true
@@ -1101,7 +1101,7 @@
 
 // Guards against trials of a silent server that become more frequent with more balancers, or each take as
 // long as a client waits; and against a fleet that stops trying the server.
-func TestTrialsOfAFleetAreConstant(t *testing.T) {
+func TestTrialRateIsIndependentOfFleetSize(t *testing.T) {
 	const span, rate = 2 * time.Minute, 3 // calls per second of each balancer
 	for _, agents := range []int{1, 10, 100, 500} {
 		trials, longest := 0, time.Duration(0)
@@ -1153,7 +1153,7 @@
 
 // A balancer that does not draw from an ejected server readmits it after its turn without a trial, as other
 // balancers try it. A canceled trial uses up the balancer's turn.
-func TestTurnsPass(t *testing.T) {
+func TestTrialTurnPassesWithoutAnsweredTrial(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 10
 	h := newHarness(t, settings, make([]float64, 40)...)
@@ -1186,7 +1186,7 @@
 // server that has fallen silent, at a balancer with so little traffic that sixteen mean latencies are
 // longer than that. The request is hedged, once, at the cost of one further attempt; when the second
 // attempt is answered, the first one counts as a failure of the silent server.
-func TestFirstToMeetSilenceIsCopied(t *testing.T) {
+func TestFirstRequestToSilentServerIsHedged(t *testing.T) {
 	settings := testSettings()
 	settings.ParallelAttempts = true
 	h := newHarness(t, settings, 1, 1)
@@ -1232,7 +1232,7 @@
 
 // Guards against shedding at a balancer with little traffic because servers that fell silent owe it answers
 // while others answer in time; and against missing congestion at all servers.
-func TestSilentServersAreNoJam(t *testing.T) {
+func TestSilentServersAreNotCongestion(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		settings := testSettings()
 		settings.ParallelAttempts, settings.CanCancel = false, false
@@ -1261,7 +1261,7 @@
 // have had theirs, those that have readmitted the server send it more, according to the load that it
 // reports, and less and less over time. If it reports nothing they send it no more than usual, as a rush
 // would be worse.
-func TestTakenBackBeforeTheOthersKnow(t *testing.T) {
+func TestReadmitFactorFollowsLoadAndDecays(t *testing.T) {
 	settings := testSettings()
 	settings.Balancers = 100
 	for _, c := range []struct {
@@ -1305,7 +1305,7 @@
 // Guards against a server that failed once and is never drawn again by a balancer with idle servers, as
 // nothing could show that it is healthy. Its failure rate decays, more slowly the longer a round of turns
 // is.
-func TestFailuresWearOff(t *testing.T) {
+func TestFailureRateDecays(t *testing.T) {
 	left := func(balancers int) float64 {
 		settings := testSettings()
 		settings.Balancers = balancers
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -26,7 +26,7 @@
 
 // Data that is exported and imported at once makes a new Balancer draw as the old one does. Its effect
 // fades with time and with the servers' own reports.
-func TestRecallGoesOn(t *testing.T) {
+func TestRecallRestoresWeightsAndEjections(t *testing.T) {
 	old := newLearnedHarness(t)
 	var m Memory
 	old.Export(old.at, &m)
@@ -70,7 +70,7 @@
 }
 
 // A second export gives the same data, also into a value that was used before.
-func TestExportReuses(t *testing.T) {
+func TestExportIntoUsedMemory(t *testing.T) {
 	h := newLearnedHarness(t)
 	var m, again Memory
 	h.Export(h.at, &m)
@@ -86,7 +86,7 @@
 
 // Imported data does not replace what a server has reported or done itself, and is ignored if the server
 // was restarted or is not in the list.
-func TestRecallGivesWay(t *testing.T) {
+func TestRecallDoesNotOverrideObservations(t *testing.T) {
 	e := ServerMemory{ID: "s0", Rate: 5, Trust: 1, Failing: 0.4}
 	for name, c := range map[string]struct {
 		do      func(h *harness)
@@ -114,7 +114,7 @@
 }
 
 // Failures at cold servers lower the number of requests that cold servers get.
-func TestBadColdStarts(t *testing.T) {
+func TestColdServerFailuresReduceAllowance(t *testing.T) {
 	allowance := func(m Memory) float64 {
 		h := newHarness(t, testSettings(), 1, 1)
 		h.Recall(h.at, m)
@@ -130,7 +130,7 @@
 
 // Whatever figures are imported, the results are finite and within bounds, and at most a quarter of the
 // servers is ejected.
-func TestRecallOfAnything(t *testing.T) {
+func TestRecallOfRandomMemoryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := func(name string) float64 {
 			return rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{math.NaN(), math.Inf(1), math.Inf(-1), 0, -1, 1e308, 1e-308})).Draw(t, name)
--- a/choice/pendingbody_test.go
+++ b/choice/pendingbody_test.go
@@ -9,7 +9,7 @@
 // A server need not answer a request whose body is still being received: it is not ejected for that, and no
 // congestion is seen in it. Once the body is received the latency counts, and the deadline is the one given
 // then.
-func TestComingRequestsOweNothing(t *testing.T) {
+func TestPendingBodyIsNotSilenceOrCongestion(t *testing.T) {
 	for _, pending := range []bool{true, false} {
 		h := newHarness(t, testSettings(), 1, 1)
 		to := map[string]string{}
@@ -58,7 +58,7 @@
 }
 
 // Ejected counts the servers that get no requests, and none while most seem unhealthy.
-func TestEjectedIsCounted(t *testing.T) {
+func TestEjectedCount(t *testing.T) {
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	if n := h.Ejected(); n != 0 {
 		t.Errorf("%d ejected at the start", n)
--- a/choice/rescue_test.go
+++ b/choice/rescue_test.go
@@ -9,7 +9,7 @@
 // When a server answers nothing, as many of its attempts are canceled as the retry budget allows, and each
 // of those requests is sent again. The others stay in flight, and none is refused because another one took
 // the budget.
-func TestRescueWithdrawsWhatItCanSendAgain(t *testing.T) {
+func TestCancelsAtSilentServerStayWithinRetryBudget(t *testing.T) {
 	b, err := New(Settings{Balancers: 1, MaxAttempts: 3, CanCancel: true, Tick: time.Millisecond,
 		Classes: []Class{{Name: "c", Effect: Safe, Aim: time.Second / 2, Deadline: time.Minute, Value: 1}}}, 1)
 	if err != nil {
--- a/choice/shutdown_test.go
+++ b/choice/shutdown_test.go
@@ -7,7 +7,7 @@
 
 // A shutdown brings the deadlines of open requests forward: each has its final answer by then, once,
 // including one whose body is still being received.
-func TestEndingCutsOpenRequests(t *testing.T) {
+func TestShutdownShortensOpenRequests(t *testing.T) {
 	const by = 2 * time.Second
 	for name, request := range map[string]Request{
 		"taken":             {ID: "a", Deadline: time.Minute},
--- a/choice/window_test.go
+++ b/choice/window_test.go
@@ -7,7 +7,7 @@
 
 // A keyed request is sent again only while its server would still drop it, even if the send is delayed by
 // as much as is allowed for.
-func TestWindowAllowsForAStall(t *testing.T) {
+func TestDedupWindowAllowsForSendDelay(t *testing.T) {
 	const window, tick, stall = time.Second, 5 * time.Millisecond, 150 * time.Millisecond
 	for _, c := range []struct {
 		after time.Duration
--- a/clock_test.go
+++ b/clock_test.go
@@ -19,7 +19,7 @@
 }
 
 // All other packages measure durations with internal/clock, which a step of the wall clock does not affect.
-func TestWallClockIsReadInFewPlaces(t *testing.T) {
+func TestOnlyListedPackagesReadWallClock(t *testing.T) {
 	for _, tree := range []string{"choice", "internal", "cmd/ternbeam"} {
 		err := fs.WalkDir(os.DirFS("."), tree, func(name string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || isWithin(path.Dir(name), "internal/lab") {
--- a/cmd/ternbeam/brokenanswer_test.go
+++ b/cmd/ternbeam/brokenanswer_test.go
@@ -76,7 +76,7 @@
 // Checks that a request gets a final answer although a server breaks off its answer while the agent can hold it: another server answers a request
 // that may be sent again, an error answers any other, and each answer arrives complete on the client's connection. An answer that announces more
 // than 64 KiB is relayed soon, because the client measures the time to the first byte; there the client can tell that it is incomplete.
-func TestAnswersThatBreakOffAreReplaced(t *testing.T) {
+func TestTruncatedAnswersAreRetriedOrReportedAsErrors(t *testing.T) {
 	t.Parallel()
 	for _, broken := range brokenAnswers() {
 		for _, withOps := range []bool{false, true} {
@@ -130,7 +130,7 @@
 }
 
 // Guards against a partial answer instead of an error if the answer to another attempt is incomplete when the client's time ends.
-func TestAnswersThatBreakOffTooLateAreErrors(t *testing.T) {
+func TestAnswersIncompleteAtTheDeadlineAreErrors(t *testing.T) {
 	t.Parallel()
 	servers := lateServers{attempts: map[string]int{}}
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), serveConnections(t, servers.serve), serveConnections(t, servers.serve))
--- a/cmd/ternbeam/check_test.go
+++ b/cmd/ternbeam/check_test.go
@@ -51,7 +51,7 @@
 }
 
 // Checks that the reported line is the one with the error, also inside the settings.
-func TestCheckNamesTheLine(t *testing.T) {
+func TestCheckReportsTheLineOfAnError(t *testing.T) {
 	good := strings.ReplaceAll(string(standin.Platform{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"}.Config()), `,"`, ",\n\"")
 	for _, c := range []struct{ old, new string }{{`"MostHeld":1000`, `"MostHeld":"x"`}, {`"by_key"`, `"by_luck"`},
 		{`"sockets":1024`, `"sockets":"x"`}} {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestCheckHoldsClassesAgainstTheSettings(t *testing.T) {
+func TestCheckComparesServiceClassesWithSettings(t *testing.T) {
 	dir := t.TempDir()
 	cfg, service := filepath.Join(dir, "a.json"), filepath.Join(dir, "b.toml")
 	text := strings.Replace(string(standin.Platform{Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2"}.Config()), `"pay-out"`, `"pay"`, 1)
--- a/cmd/ternbeam/crowd_test.go
+++ b/cmd/ternbeam/crowd_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a new connection that is closed to make room for others before its client, on a slow machine, has sent its request.
-func TestNewConnectionsHaveTimeToSendInACrowd(t *testing.T) {
+func TestNewConnectionsHaveTimeToSendWhenSlotsRunShort(t *testing.T) {
 	const sockets, crowd, sendDelay = 160, 150, 130 * time.Millisecond
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
@@ -48,7 +48,7 @@
 }
 
 // Guards against an accept that finds no connection, right before one arrives, being counted and logged as a failure.
-func TestEmptyAcceptsAreNoFailures(t *testing.T) {
+func TestEmptyAcceptsAreNotLoggedAsFailures(t *testing.T) {
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	accepts := 0
 	_, log := startUnderFaults(t, []sysfault.Call{sysfault.Accept}, func(sysfault.Event) (o sysfault.Outcome) {
--- a/cmd/ternbeam/drainreads_test.go
+++ b/cmd/ternbeam/drainreads_test.go
@@ -13,7 +13,7 @@
 
 // Guards against requests to a draining server because the agent did not read the drain that discovery sent: a system call on the connection to
 // discovery failed.
-func TestDrainsAreReadThoughCallsFail(t *testing.T) {
+func TestDrainsAreReadDespiteFailedSystemCalls(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.EAGAIN, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EIO, syscall.EBADF} {
 		for _, every := range []int64{2, 3} {
--- a/cmd/ternbeam/fulllog_test.go
+++ b/cmd/ternbeam/fulllog_test.go
@@ -29,7 +29,7 @@
 }
 
 // Guards against requests that are never answered because the process blocks on writing its log.
-func TestRequestsAreAnsweredWhenNobodyReadsTheLog(t *testing.T) {
+func TestRequestsAreAnsweredWhenTheLogPipeIsFull(t *testing.T) {
 	t.Parallel()
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(1509*time.Millisecond), hangingServer(t), slowServer(t))
 	cmd := agentCommand(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
--- a/cmd/ternbeam/heldanswer_test.go
+++ b/cmd/ternbeam/heldanswer_test.go
@@ -46,7 +46,7 @@
 
 // Guards against a client that gets a partial answer instead of an error. The server breaks its answer off before the answer has to be relayed, but
 // the agent is stalled from just before that until after the time at which it has to relay the answer.
-func TestAnswersThatBreakOffDuringAHoldUpAreErrors(t *testing.T) {
+func TestAnswersTruncatedDuringAStallAreErrors(t *testing.T) {
 	for _, class := range []string{"form-check", "refund-pay"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/ternbeam/keptconnection_test.go
+++ b/cmd/ternbeam/keptconnection_test.go
@@ -62,7 +62,7 @@
 }
 
 // Guards against a connection that is closed as idle although its client has just sent a request.
-func TestKeptConnectionsAreNotClosedUnderRequests(t *testing.T) {
+func TestIdleConnectionsAreNotClosedWhenARequestArrives(t *testing.T) {
 	const maxIdleTime, afterHold = 2300 * time.Millisecond, 20 * time.Millisecond
 	for _, class := range []string{"form-check", "refund-pay"} {
 		for _, withOps := range []bool{false, true} {
@@ -84,7 +84,7 @@
 }
 
 // Guards against a connection that stays open forever because its client has sent only the start of its next request.
-func TestNextRequestsThatStopAreEnded(t *testing.T) {
+func TestIncompleteNextRequestDoesNotKeepTheConnectionOpen(t *testing.T) {
 	t.Parallel()
 	const answerTimeout = 3 * time.Second
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
@@ -124,7 +124,7 @@
 }
 
 // Guards against a connection that is closed at SIGTERM although its client, which does not know of the shutdown yet, sends a request.
-func TestKeptConnectionsAreNotClosedAsTheEndBegins(t *testing.T) {
+func TestIdleConnectionsAreNotClosedWhenShutdownBegins(t *testing.T) {
 	const noticeDelay = 400 * time.Millisecond // after which clients know of the shutdown, as the platform documents
 	for _, delay := range []time.Duration{20 * time.Millisecond, noticeDelay - maxStall} {
 		for _, withOps := range []bool{false, true} {
--- a/cmd/ternbeam/kernelwait_test.go
+++ b/cmd/ternbeam/kernelwait_test.go
@@ -29,7 +29,7 @@
 // one, while the process was suspended. The client counts that time. Seed 1 of TestAnswersUnderRandomFaultsAtTheEnd found it in CI under other load:
 // a server received 205 ms more than the client had left. Failing registrations of connections and failing reads had delayed the request, and only
 // failing accepts were counted.
-func TestWaitInTheKernelCountsForTheDeadline(t *testing.T) {
+func TestWaitInTheKernelCountsAgainstTheDeadline(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		t.Run(fmt.Sprint("kept connection ", kept), func(t *testing.T) {
 			t.Parallel()
@@ -70,7 +70,7 @@
 }
 
 // Guards against a forwarded deadline that was encoded before writes of its request failed for a while.
-func TestFailedWritesCountForTheDeadline(t *testing.T) {
+func TestTimeOfFailedWritesCountsAgainstTheDeadline(t *testing.T) {
 	traffic := newTrafficRecord()
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), recordingServer(t, traffic))
 	f := &failingFor{errno: syscall.ENOBUFS, duration: 400 * time.Millisecond}
@@ -84,7 +84,7 @@
 
 // Guards against a forwarded deadline that is too long: it is encoded before the process stalls, and the process stalls again in the write of the
 // request.
-func TestHoldUpsBeforeAWriteCountForTheDeadline(t *testing.T) {
+func TestStallsBeforeAWriteCountAgainstTheDeadline(t *testing.T) {
 	const maxPolls = 5 // while a request is handled
 	for poll := range maxPolls {
 		t.Run(fmt.Sprint("poll ", poll), func(t *testing.T) {
@@ -133,7 +133,7 @@
 
 // Guards against a forwarded deadline that is too long: it is encoded before the writes of its request fail for a while, and the process stalls in
 // the next write. The sum of both times is more than a forwarded deadline may exceed the client's.
-func TestUnsentRequestsAreWordedAnewBeforeAHoldUp(t *testing.T) {
+func TestDeadlineIsReencodedAfterFailedWrites(t *testing.T) {
 	retryUntilValid(t, func() bool {
 		watch := watchMachineStalls()
 		excess := excessAfterFailedWrite(t)
--- a/cmd/ternbeam/longfailure_test.go
+++ b/cmd/ternbeam/longfailure_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against answers that are dropped while system calls on their client's connection fail, although the client still waits.
-func TestAnswersOutliveFailuresOfASecond(t *testing.T) {
+func TestAnswersSurviveSystemCallsThatFailForOverASecond(t *testing.T) {
 	t.Parallel()
 	const failing = 1200 * time.Millisecond // clients wait for 1.5 s
 	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.Accept} {
--- a/cmd/ternbeam/main_test.go
+++ b/cmd/ternbeam/main_test.go
@@ -197,7 +197,7 @@
 
 // Runs the program against peers on loopback: it becomes ready, serves a request from a backend that only the watch lists, and shuts
 // down gracefully.
-func TestProgram(t *testing.T) {
+func TestProgramServesReloadsAndShutsDown(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "checked %s", r.URL.Path)
 	}))
@@ -246,7 +246,7 @@
 	p.awaitExit(t, time.Minute)
 }
 
-func TestBadConfigurationEndsTheProgram(t *testing.T) {
+func TestMissingConfigurationExitsWithAnError(t *testing.T) {
 	cmd, log := startCommand(t, "NODE_CONFIG="+filepath.Join(t.TempDir(), "nothing.json"))
 	if err := cmd.Wait(); err == nil {
 		t.Error("the program exits without an error")
--- a/cmd/ternbeam/memory_test.go
+++ b/cmd/ternbeam/memory_test.go
@@ -10,7 +10,7 @@
 
 // Guards against an idle agent's heap growing over minutes to the first GC goal of 16 MB, which looks like a leak from outside: in the scenario of
 // constant replacement each of 80 idle agents grew from 3 to 17 MB.
-func TestHeapOfAQuietAgentSettles(t *testing.T) {
+func TestHeapOfAnIdleAgentStaysBounded(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	const step, steps = 256 << 10, 40 // 10 MB in all
 	fill := func(tick func()) (maxGrowth uint64) {
--- a/cmd/ternbeam/openconnection_test.go
+++ b/cmd/ternbeam/openconnection_test.go
@@ -34,7 +34,7 @@
 
 // Guards against client connections that end without a complete answer because a failed call is taken for the end of a connection that is still
 // open.
-func TestOpenConnectionsOutliveFailedCalls(t *testing.T) {
+func TestOpenClientConnectionsSurviveFailedSystemCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
 		testAnswersUnderFault(t, fault, onAddress)
@@ -42,7 +42,7 @@
 }
 
 // Guards against requests that fail because a failed call is taken for the end of a connection to a server that is still open.
-func TestServerConnectionsOutliveFailedCalls(t *testing.T) {
+func TestServerConnectionsSurviveFailedSystemCalls(t *testing.T) {
 	t.Parallel()
 	for _, fault := range openConnectionFaults() {
 		if fault.call != sysfault.Read && fault.call != sysfault.Write && fault.call != sysfault.RecvFrom {
--- a/cmd/ternbeam/outage_test.go
+++ b/cmd/ternbeam/outage_test.go
@@ -158,7 +158,7 @@
 
 // Checks that no request reaches a draining server later than the grace period after discovery comes back with the drain, for every kind of outage.
 // Discovery comes back at the worst moment, right after it has accepted a call that it never answers; the process may be stopped just then.
-func TestDrainsOfAnOutageAreHeardInTime(t *testing.T) {
+func TestDrainsTakeEffectInTimeAfterADiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	for _, how := range []outage{hangs, sendsHeadOnly, sendsHalfList, sendsSpaces, unavailable, resets, refuses, notAccepting} {
 		for _, c := range []outageCase{{how: how}, {how: how, stalled: true}, {how: how, atStart: true}} {
--- a/cmd/ternbeam/pipelined_test.go
+++ b/cmd/ternbeam/pipelined_test.go
@@ -121,7 +121,7 @@
 	return server.Listener.Addr(), release
 }
 
-// pipelinedEnd is a case of TestPipelinedRequestsAreAnsweredAtTheEnd: pipelined requests during shutdown.
+// pipelinedEnd is a case of TestPipelinedRequestsAreAnsweredDuringShutdown: pipelined requests during shutdown.
 type pipelinedEnd struct {
 	class  string
 	before bool          // the requests are sent before SIGTERM on a used connection, otherwise after it on a new one
@@ -162,7 +162,7 @@
 }
 
 // Guards against a connection that is closed after the first answer during shutdown although further requests have arrived behind the first one.
-func TestPipelinedRequestsAreAnsweredAtTheEnd(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredDuringShutdown(t *testing.T) {
 	for _, class := range []string{"form-check", "refund-pay"} {
 		for _, before := range []bool{true, false} {
 			for _, pause := range []time.Duration{0, 10 * time.Millisecond} {
@@ -177,7 +177,7 @@
 
 // Guards against a connection that is closed after the first answer, although further requests have arrived behind the first one, because connection
 // slots run short.
-func TestPipelinedRequestsAreAnsweredWherePlacesAreShort(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredWhenSlotsRunShort(t *testing.T) {
 	const sockets, maxClients = 160, 160
 	config, listen := configureLimited(t, unusedAddr(t), shutdownSettings(randomDeadline), sockets, slowServer(t))
 	startReady(t, config, listen, false)
--- a/cmd/ternbeam/randomholds_test.go
+++ b/cmd/ternbeam/randomholds_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// defaultStallSeeds is the default number of seeds of TestAnswersUnderRandomHoldUps.
+// defaultStallSeeds is the default number of seeds of TestAnswersUnderRandomStalls.
 const defaultStallSeeds = 8
 
 // Checks that a process that is stopped repeatedly for up to 0.15 s, and gets SIGTERM meanwhile, gives each request one final answer, with servers
 // that fail and reset connections, and with clients that pause, disconnect and open many connections. Unlike a held system call, SIGSTOP stops every
 // thread.
-func TestAnswersUnderRandomHoldUps(t *testing.T) {
+func TestAnswersUnderRandomStalls(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, defaultStallSeeds, func(t *testing.T, seed uint64) {
 		retryUntilValid(t, func() bool { return tryRandomStalls(t, seed) })
--- a/cmd/ternbeam/randomworld_test.go
+++ b/cmd/ternbeam/randomworld_test.go
@@ -174,7 +174,7 @@
 }
 
 // Checks that a violation of each rule is detected.
-func TestJudgeOfRandomFaultsSees(t *testing.T) {
+func TestTrafficRecordDetectsEachViolation(t *testing.T) {
 	begin, w := time.Unix(1000, 0), newTrafficRecord()
 	good := func() *requestRecord {
 		return &requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", sentAt: begin, took: time.Second,
@@ -205,7 +205,7 @@
 }
 
 // Checks that an excessive time left is excused only if the test held the agent's system calls for longer than maxStall while the attempt was made.
-func TestJudgeKnowsWhatTheTestHeldUp(t *testing.T) {
+func TestExcessTimeLeftIsExcusedOnlyByHeldSystemCalls(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	held := func(from, length time.Duration) []sysfault.Period {
 		return []sysfault.Period{{From: begin.Add(from), To: begin.Add(from + length)}}
@@ -232,7 +232,7 @@
 }
 
 // Checks that late answers are distinguished from all other violations.
-func TestLatenessIsToldFromOtherFaults(t *testing.T) {
+func TestLateAnswersAreDistinguishedFromOtherViolations(t *testing.T) {
 	late := requestRecord{class: "refund-pay", path: "/refund-pay/1", body: "checked /refund-pay/1", took: clientTimeout + 2*answerSlack}
 	timedOut, lost := late, late
 	timedOut.err, lost.err = fmt.Errorf("no answer: %w", os.ErrDeadlineExceeded), io.EOF
--- a/cmd/ternbeam/replace_test.go
+++ b/cmd/ternbeam/replace_test.go
@@ -253,7 +253,7 @@
 }
 
 // Checks that after a new process is killed at any stage of its start the old one continues to serve, and the next one takes over.
-func TestReplacementThatIsKilledLeavesTheOldServing(t *testing.T) {
+func TestOldProcessServesAfterItsReplacementIsKilled(t *testing.T) {
 	s := newReplacementTest(t, 2)
 	old := s.start()
 	s.awaitReady(old)
@@ -298,7 +298,7 @@
 
 // Starts a process while its predecessor is already shutting down; it takes over the state that the predecessor still has, or starts without any.
 // Then both get SIGTERM while the predecessor is still shutting down. Each process exits on its own, and every answer belongs to its request.
-func TestProcessBeginsAsTheOneBeforeEnds(t *testing.T) {
+func TestProcessStartsWhileItsPredecessorShutsDown(t *testing.T) {
 	for name, end := range map[string]func(s *replacementTest, old, next *process){
 		"the next one keeps running": func(s *replacementTest, _, next *process) { s.awaitReady(next) },
 		"both get SIGTERM": func(s *replacementTest, old, next *process) {
@@ -348,7 +348,7 @@
 
 // Checks that a third process that is started while two serve takes over from the one that became ready last, whichever of the others exits first,
 // and that an operator's command to one of them reaches all.
-func TestThirdProcess(t *testing.T) {
+func TestThirdProcessTakesOverFromTheLastReadyProcess(t *testing.T) {
 	for name, first := range map[string]int{"the first exits first": 0, "the second exits first": 1} {
 		t.Run(name, func(t *testing.T) {
 			s := newReplacementTest(t, 3)
--- a/cmd/ternbeam/replacefaults_test.go
+++ b/cmd/ternbeam/replacefaults_test.go
@@ -61,7 +61,7 @@
 
 // Guards against a server that operators took offline being used again because a failed system call keeps a process from inheriting its
 // predecessor's state.
-func TestReplacementHasWhatWasLeftThoughCallsFail(t *testing.T) {
+func TestReplacementInheritsStateDespiteFailedSystemCalls(t *testing.T) {
 	t.Parallel()
 	const failures = 3
 	for _, fault := range handoverFaults() {
@@ -81,7 +81,7 @@
 }
 
 // Guards against a server that operators took offline being used again because the path of the shared folder is too long for a Unix socket.
-func TestReplacementHasWhatWasLeftInAFolderWithALongName(t *testing.T) {
+func TestReplacementInheritsStateThroughALongSocketPath(t *testing.T) {
 	s := newReplacementTest(t, 2)
 	s.sharedDir = filepath.Join(t.TempDir(), strings.Repeat("long-", 40))
 	if err := os.Mkdir(s.sharedDir, 0o700); err != nil {
--- a/cmd/ternbeam/shutdown_test.go
+++ b/cmd/ternbeam/shutdown_test.go
@@ -133,7 +133,7 @@
 // Checks that every request that an agent accepts is answered before SIGKILL while all servers hang: those it has at SIGTERM and those that arrive
 // during shutdown. Whatever the settings say, the platform counts at most 3 s of the deadline. The process may be stalled at SIGTERM and again right
 // before SIGKILL.
-func TestRequestsAreAnsweredBeforeTheKill(t *testing.T) {
+func TestRequestsAreAnsweredBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 3825 * time.Millisecond, 20 * time.Second} {
 		for _, c := range []shutdownCase{{}, {stalled: true}, {replaceable: true}, {stalled: true, replaceable: true}} {
--- a/cmd/ternbeam/signals_test.go
+++ b/cmd/ternbeam/signals_test.go
@@ -17,7 +17,7 @@
 
 // Sends SIGTERM during SIGHUP, and again while the last call is in flight. Checks that there is one shutdown, in which that call is answered, and
 // that a configuration that is no longer in use does not change the discovery address.
-func TestSignalsCross(t *testing.T) {
+func TestOverlappingSignalsCauseOneShutdown(t *testing.T) {
 	held, received := make(chan struct{}), make(chan struct{}, 10)
 	release := sync.OnceFunc(func() { close(held) })
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -69,7 +69,7 @@
 }
 
 // Sends SIGTERM before the agent is ready, while it waits for its first list. Checks that it exits at once, because it has accepted no calls.
-func TestEndsBeforeItIsReady(t *testing.T) {
+func TestSIGTERMBeforeReadyExitsAtOnce(t *testing.T) {
 	asked := make(chan struct{}, 10)
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		asked <- struct{}{}
@@ -92,7 +92,7 @@
 }
 
 // Checks that the agent continues to serve and shuts down as usual after the reader of its log has closed the pipe.
-func TestNobodyReadsTheLog(t *testing.T) {
+func TestAgentServesAfterTheLogPipeIsClosed(t *testing.T) {
 	config, listen := configure(t, unusedAddr(t), settings)
 	cmd := agentCommand(t, "NODE_CONFIG="+config, "NODE_NAME=n1", "NODE_LISTEN="+listen)
 	reader, writer, err := os.Pipe()
--- a/cmd/ternbeam/startfaults_test.go
+++ b/cmd/ternbeam/startfaults_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a process that refuses to start because a system call on its configuration file fails temporarily.
-func TestProcessStartsThoughItsConfigurationIsUnreadableAtFirst(t *testing.T) {
+func TestStartRetriesReadingTheConfiguration(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EINTR, syscall.ESTALE} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			t.Parallel()
@@ -38,7 +38,7 @@
 }
 
 // Guards against a process that refuses to start because the system temporarily denies it sockets.
-func TestProcessStartsThoughSocketsAreDeniedAtFirst(t *testing.T) {
+func TestStartRetriesCreatingSockets(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EACCES, syscall.EPERM, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			t.Parallel()
--- a/cmd/ternbeam/state_test.go
+++ b/cmd/ternbeam/state_test.go
@@ -171,7 +171,7 @@
 }
 
 // Checks that the sample files are valid and that errors in a file are reported by line and key.
-func TestCheckOfNewFiles(t *testing.T) {
+func TestCheckOfStateAndSourcesFiles(t *testing.T) {
 	dir := t.TempDir()
 	for name, c := range map[string]struct{ text, want string }{
 		"state.toml":   {"folder = \"kept\"\n[write]\nleast_s = 0\nmost = 1\n", "line 1: folder: must be the full path"},
--- a/cmd/ternbeam/steadyanswer_test.go
+++ b/cmd/ternbeam/steadyanswer_test.go
@@ -74,7 +74,7 @@
 }
 
 // Guards against steadily sent answers that are never served because they take long, and against endless ones that use up a client's time.
-func TestSteadyAnswersAreServed(t *testing.T) {
+func TestSlowlySentAnswersAreServed(t *testing.T) {
 	t.Parallel()
 	var answers []steadyAnswer
 	for _, framing := range []string{"length", "chunked", "none"} {
--- a/cmd/ternbeam/thriftclients_test.go
+++ b/cmd/ternbeam/thriftclients_test.go
@@ -85,7 +85,7 @@
 }
 
 // Guards against an agent that hangs when it closes connections that its Thrift clients are about to use.
-func TestThriftClientsAreAnsweredAsConnectionsEnd(t *testing.T) {
+func TestClosingThriftConnectionsDoesNotHangTheAgent(t *testing.T) {
 	t.Parallel()
 	const (
 		sockets  = 200 // of which 80 are for clients
--- a/cmd/ternbeam/unknownstate_test.go
+++ b/cmd/ternbeam/unknownstate_test.go
@@ -23,7 +23,7 @@
 
 // Guards against client connections that end without a complete answer because a system call on them fails while the kernel does not report their
 // state.
-func TestAnswersSurviveFailuresOfAnUnknownState(t *testing.T) {
+func TestAnswersSurviveFailedCallsWhileConnectionStateIsUnknown(t *testing.T) {
 	for _, call := range []sysfault.Call{sysfault.Write, sysfault.Read, sysfault.RecvFrom} {
 		for _, errno := range []syscall.Errno{syscall.ECONNRESET, syscall.ENOTCONN} {
 			t.Run(fmt.Sprint(call, " ", errno), func(t *testing.T) {
@@ -59,7 +59,7 @@
 
 // Guards against a partial answer that is taken for a complete one because the reset behind it is read again while the kernel does not report the
 // connection's state.
-func TestResetAnswersAreNoneWhileTheStateIsUnknown(t *testing.T) {
+func TestResetAnswersAreNotServedWhileConnectionStateIsUnknown(t *testing.T) {
 	resets := serveConnections(t, func(conn *net.TCPConn) {
 		defer conn.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
@@ -90,7 +90,7 @@
 }
 
 // Guards against random faults in a system call that the program never makes.
-func TestChosenCallsAreMade(t *testing.T) {
+func TestProgramMakesAllSystemCallsOfRandomFaults(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[sysfault.Call]bool{}
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
@@ -123,7 +123,7 @@
 }
 
 // Guards against an evaluation that does not know for how long the test itself held a system call of the process.
-func TestHoldsAreStandstills(t *testing.T) {
+func TestHeldSystemCallsAreReportedAsStalledPeriods(t *testing.T) {
 	const hold = 100 * time.Millisecond
 	config, listen := configure(t, unusedAddr(t), shutdownSettings(randomDeadline), slowServer(t))
 	var armed, held atomic.Bool
--- a/cmd/ternbeam/unknownwait_test.go
+++ b/cmd/ternbeam/unknownwait_test.go
@@ -77,7 +77,7 @@
 }
 
 // Guards against a forwarded deadline that is too long if a request has waited in the kernel and the kernel does not report for how long.
-func TestUnknownWaitCountsForTheDeadline(t *testing.T) {
+func TestUnknownWaitInTheKernelCountsAgainstTheDeadline(t *testing.T) {
 	for _, wait := range []struct {
 		call          sysfault.Call
 		delayed, kept bool
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -45,7 +45,7 @@
 	return strings.Split(out.String(), "\n")
 }
 
-func TestOneYieldABatch(t *testing.T) {
+func TestOneYieldPerBatch(t *testing.T) {
 	lines := reply(t, script(1, 2))
 	yields := 0
 	for _, l := range lines {
@@ -62,7 +62,7 @@
 }
 
 // Several instances in one process act like each of them in a process of its own.
-func TestInstancesShareNothing(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	together := reply(t, script(1, 2))
 	for _, i := range []int{1, 2} {
 		own := fmt.Sprintf(`"I":"agent_%d"`, i)
--- a/connectionends_test.go
+++ b/connectionends_test.go
@@ -92,7 +92,7 @@
 }
 
 // Each function that can end a client connection is listed on docs/ops/connection-ends.md, and each row there names an existing test.
-func TestConnectionEndsAreAccounted(t *testing.T) {
+func TestConnectionEndsAreDocumented(t *testing.T) {
 	text, err := os.ReadFile("docs/ops/connection-ends.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -192,7 +192,7 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestPassesRequestAndAnswerOn(t *testing.T) {
+func TestForwardsRequestAndAnswer(t *testing.T) {
 	var got http.Header
 	var line, body string
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
@@ -225,7 +225,7 @@
 
 // A connection pool must not retry by itself when a reused connection breaks: that would be an attempt which the choice module
 // never ordered.
-func TestNeverSendsAgainByItself(t *testing.T) {
+func TestConnectionPoolDoesNotRetry(t *testing.T) {
 	for _, class := range []string{"check", "record"} {
 		t.Run(class, func(t *testing.T) {
 			var seen testkit.Counter
@@ -254,7 +254,7 @@
 }
 
 // Only an answer marked unprocessed proves that the request did not run, and a backend's status is never passed to the client.
-func TestStatusOfBackends(t *testing.T) {
+func TestBackendStatusMapsToClientStatus(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		status        int
@@ -292,7 +292,7 @@
 }
 
 // An answer that is delimited by the end of its connection is served after an orderly close, and fails after a reset.
-func TestUnframedAnswerIsServedIfItEndsOrderly(t *testing.T) {
+func TestCloseDelimitedAnswerIsServedAfterOrderlyClose(t *testing.T) {
 	for name, c := range map[string]struct {
 		reset  bool
 		status int
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestRefusedConnectionGoesElsewhere(t *testing.T) {
+func TestRefusedConnectionIsRetriedOnAnotherBackend(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -336,7 +336,7 @@
 }
 
 // A backend that accepts requests and never answers makes them fail at the deadline, and no state or connection remains.
-func TestSilentBackend(t *testing.T) {
+func TestRequestsToASilentBackendFailAtTheDeadline(t *testing.T) {
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -420,7 +420,7 @@
 }
 
 // Request smuggling: if the end of a request is ambiguous, one reading of it may hide a second request in the body.
-func TestHiddenRequestIsNotPassedOn(t *testing.T) {
+func TestSmuggledRequestIsNotForwarded(t *testing.T) {
 	var seen testkit.Counter
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) { seen.Add(r) })
 	r := start(t, testConfig{known: []discovery.Entry{e}}.config(t))
@@ -452,7 +452,7 @@
 
 // A client that sends nothing, or an incomplete request, soon gets an error or a close. A body that is too long is refused
 // without reading it.
-func TestUnfinishedRequestsEnd(t *testing.T) {
+func TestIncompleteRequestsGetAnErrorOrAClose(t *testing.T) {
 	r := start(t, testConfig{}.config(t))
 	head := "POST /pay/x HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: id\r\nX-Service-Class: pay\r\nX-Account: oban\r\n" +
 		"X-Time-Left: 15\r\n"
@@ -476,7 +476,7 @@
 	}
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	cfg := testConfig{}.config(t)
 	cfg.Module.MaxRetryAfter = time.Second
 	r := start(t, cfg) // knows no backend
@@ -491,7 +491,7 @@
 	}
 }
 
-func TestClientThatLeaves(t *testing.T) {
+func TestClientDisconnectEndsTheRequest(t *testing.T) {
 	arrived := make(chan struct{})
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		close(arrived)
@@ -509,7 +509,7 @@
 	}
 }
 
-func TestRepeatedIDIsTurnedDown(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		close(arrived)
@@ -530,7 +530,7 @@
 
 // A backend closes idle connections after a known time. The agent closes them earlier: a request written at the moment of the
 // backend's close would be reset.
-func TestIdleConnectionsAreDropped(t *testing.T) {
+func TestIdleBackendConnectionsAreClosed(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -554,7 +554,7 @@
 }
 
 // During shutdown an agent keeps accepting for a while, answers all calls that it received and asks clients to close.
-func TestEndsGently(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
@@ -598,7 +598,7 @@
 }
 
 // If clients keep more connections than there are descriptors, the agent closes idle ones and no answer is lost.
-func TestIdleClientsGiveWay(t *testing.T) {
+func TestIdleClientConnectionsAreClosedAtTheSocketLimit(t *testing.T) {
 	e := newBackend(t, "b", func(http.ResponseWriter, *http.Request) {})
 	cfg := testConfig{known: []discovery.Entry{e}, sockets: config.MinSockets}.config(t)
 	r := start(t, cfg)
@@ -618,7 +618,7 @@
 
 // Clients that send one request and keep their connection must not exhaust the third of the descriptors that clients may use:
 // once a fourth is in use, the first answer on a connection closes it. Connections with a second request are kept.
-func TestConnectionsEndWithTheAnswerWhereCrowded(t *testing.T) {
+func TestConnectionsCloseAfterTheFirstAnswerWhenSlotsRunShort(t *testing.T) {
 	e := newBackend(t, "b", func(http.ResponseWriter, *http.Request) {})
 	r := start(t, testConfig{known: []discovery.Entry{e}, sockets: config.MinSockets}.config(t))
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections() // the one of the readiness check
--- a/internal/agent/learned_test.go
+++ b/internal/agent/learned_test.go
@@ -16,7 +16,7 @@
 
 // An agent that shuts down stores what it learned about a silent server; the next agent on the same folder restores it, and an
 // agent whose servers were all replaced restores nothing.
-func TestNextAgentRecalls(t *testing.T) {
+func TestNextAgentRestoresLearnedState(t *testing.T) {
 	for _, variant := range protocolVariants[:2] {
 		t.Run(variant.name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/agent/long_test.go
+++ b/internal/agent/long_test.go
@@ -91,7 +91,7 @@
 
 // Twenty bodies of 32 MB are in transfer at once in each direction, and every peer pauses until all have got as far: the agent's
 // memory for them stays small, and each body arrives unchanged and once.
-func TestLongBodiesBothWays(t *testing.T) {
+func TestLongBodiesInBothDirectionsUseBoundedMemory(t *testing.T) {
 	const peers, size = 20, 32 << 20
 	up, down := newBarrier(peers), newBarrier(peers)
 	var counter testkit.Counter
@@ -181,7 +181,7 @@
 
 // An answer that its server truncates, at any byte, is never treated as complete; if nothing was sent to the client yet, the
 // client gets a failure as the final answer.
-func TestAnswersThatBreakOff(t *testing.T) {
+func TestTruncatedAnswersAreNotTreatedAsComplete(t *testing.T) {
 	const size = 200_000
 	for _, form := range []string{"length", "chunked", "close"} {
 		for _, at := range []int{0, 1, 1000, 64<<10 - 1, 64 << 10, 64<<10 + 1, 100_000, size - 1} {
@@ -228,7 +228,7 @@
 }
 
 // The first bytes of a long answer are relayed without waiting for the rest, and the answer may end after the deadline.
-func TestFirstBytesDoNotWait(t *testing.T) {
+func TestFirstBytesOfLongAnswersAreRelayedAtOnce(t *testing.T) {
 	gate := make(chan struct{})
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "100000")
@@ -257,7 +257,7 @@
 
 // A client that disconnects while its answer is relayed frees the server's connection, and so does one that disconnects while its
 // body is uploaded: that call never ran.
-func TestPeersThatLeaveInTheMidst(t *testing.T) {
+func TestClientDisconnectDuringTransferFreesTheConnection(t *testing.T) {
 	var counter testkit.Counter
 	begun, ended := make(chan struct{}, 2), make(chan struct{}, 2)
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
@@ -310,7 +310,7 @@
 }
 
 // Every valid form of an HTTP/1.1 request is served. A request with an ambiguous end is not, however it is spelled.
-func TestFormsOfRequests(t *testing.T) {
+func TestRequestFraming(t *testing.T) {
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -381,7 +381,7 @@
 
 // Pipelined calls are answered in order, also if some of them are chunked, and a call with an ambiguous end is detected behind
 // them.
-func TestPipelinedForms(t *testing.T) {
+func TestPipelinedRequestsWithMixedFraming(t *testing.T) {
 	e := newBackend(t, "a", func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(w, r.Body)
 	})
@@ -460,7 +460,7 @@
 
 // A body that is still fully buffered can be sent to another server. Once its first bytes were dropped the call is refused, since
 // no attempt can have run.
-func TestLongBodiesAreSentAgainWhileTheyAreKept(t *testing.T) {
+func TestLongBodiesAreRetriedOnlyWhileFullyBuffered(t *testing.T) {
 	var counter testkit.Counter
 	for _, c := range []struct {
 		name       string
--- a/internal/agent/operate_test.go
+++ b/internal/agent/operate_test.go
@@ -48,7 +48,7 @@
 }
 
 // Each call is counted once, under its class and the result that its client saw; attempts are counted when they are written.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
+func TestCountersMatchClientResultsAndAttempts(t *testing.T) {
 	var got atomic.Int64
 	gate := make(chan struct{})
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {
@@ -96,7 +96,7 @@
 
 // A server that an operator took offline gets no calls whatever the list reports. Back online it gets calls again, and its
 // earlier failures are forgotten.
-func TestOutAndBackAgainstTheList(t *testing.T) {
+func TestOfflineOverrideTakesPrecedenceOverTheList(t *testing.T) {
 	var mu sync.Mutex
 	got := map[string]int{}
 	serve := func(id string) discovery.Entry {
@@ -160,7 +160,7 @@
 }
 
 // The operations address answers quickly in spite of full load and of callers that send incomplete requests.
-func TestSecondAddressUnderFullLoad(t *testing.T) {
+func TestOperationsAddressUnderFullLoad(t *testing.T) {
 	e := newBackend(t, "b", func(w http.ResponseWriter, r *http.Request) {})
 	r := testConfig{known: []discovery.Entry{e}}.startWithOps(t)
 	for range 100 {
--- a/internal/agent/overload_test.go
+++ b/internal/agent/overload_test.go
@@ -12,7 +12,7 @@
 
 // Servers that rejected every call and then recover get calls again, also if all calls are of one class: if the agent refused
 // every call immediately, it would never find out that the overload is over.
-func TestJamEndsWithOneClass(t *testing.T) {
+func TestCallsResumeAfterOverloadWithASingleClass(t *testing.T) {
 	var full atomic.Bool
 	full.Store(true)
 	script := func(standin.Call) standin.Step {
--- a/internal/agent/parity_test.go
+++ b/internal/agent/parity_test.go
@@ -25,7 +25,7 @@
 )
 
 // The same faults must have the same outcomes in every protocol: final answers, attempts, effects and times.
-func TestFaultsFareAlike(t *testing.T) {
+func TestFaultsHaveTheSameOutcomesInEveryProtocol(t *testing.T) {
 	const deadline = 700 * time.Millisecond
 	// mayHaveRun is the outcome of a fault after which the attempt may have run.
 	mayHaveRun := map[standin.Method]outcome{standin.Check: servedOnRetry, standin.Record: servedOnRetry,
@@ -129,7 +129,7 @@
 }
 
 // A refusal is immediate and carries a retry delay, in every protocol.
-func TestRefusalSaysWhenAlike(t *testing.T) {
+func TestRefusalCarriesRetryDelayInEveryProtocol(t *testing.T) {
 	for _, variant := range protocolVariants {
 		w := newTestbed(t, variant, standin.Platform{MaxRetryAfter: time.Second}, nil) // knows no server
 		got := w.client.Do(newCall(standin.Pay, "id"))
@@ -140,7 +140,7 @@
 }
 
 // After the grace period a draining server gets no new calls, and the calls that it has are answered.
-func TestDrainFaresAlike(t *testing.T) {
+func TestDrainInEveryProtocol(t *testing.T) {
 	for _, variant := range protocolVariants {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
@@ -176,7 +176,7 @@
 }
 
 // During shutdown an agent answers all calls that it received, on every front.
-func TestEndsGentlyAlike(t *testing.T) {
+func TestGracefulShutdownInEveryProtocol(t *testing.T) {
 	for _, variant := range protocolVariants {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -98,7 +98,7 @@
 }
 
 // An agent that shares its list service with other agents requests the list at its start, and again after a call that failed.
-func TestAsksForTheList(t *testing.T) {
+func TestListIsRequestedAgainAfterAFailedCall(t *testing.T) {
 	calls := 0
 	cfg := testConfig{}.config(t)
 	cfg.Pacing.Shared = true
@@ -191,7 +191,7 @@
 
 // SIGHUP arrives while the file can't be read, or is half written: the agent retries without another signal. The list of the new
 // discovery service is in effect soon after the signal, even if the first read failed.
-func TestReloadReadsAgain(t *testing.T) {
+func TestReloadRetriesAnUnreadableFile(t *testing.T) {
 	for name, broken := range map[string]func(t *testing.T, path string){
 		"no file":      func(*testing.T, string) {},
 		"half written": func(t *testing.T, path string) { writeFile(t, path, `{"discovery":"127.0`) },
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -126,7 +126,7 @@
 // A server that the list reports as draining, or that is removed from the SRV records, gets no new calls from 500 ms after the
 // agent was notified, under constant load and in every protocol. The time of notification is taken from the list service and the
 // name server.
-func TestDrainByEitherSource(t *testing.T) {
+func TestDrainByListOrSRVRecords(t *testing.T) {
 	for _, variant := range protocolVariants {
 		for _, by := range []string{"list", "srv"} {
 			t.Run(variant.name+"/"+by, func(t *testing.T) {
@@ -210,7 +210,7 @@
 }
 
 // If the list service is down and the fleet is replaced, the agent follows the SRV records.
-func TestListDownAndFleetReplaced(t *testing.T) {
+func TestSRVRecordsAreFollowedWhileTheListServiceIsDown(t *testing.T) {
 	s := newDNSTestbed(t, protocolVariants[0], standin.Options{ID: "a"}, standin.Options{ID: "b"})
 	served := func(id string) bool { return s.client.Do(newCall(standin.Check, id)).Kind == standin.Served }
 	if !served("first") {
@@ -309,7 +309,7 @@
 
 // A server has a Unix socket, an IPv6 and an IPv4 address, of which none, one, two or all are dead: while any of them works every
 // call is served through it, with one delivery per attempt, since only dials race.
-func TestAddressesBlackholed(t *testing.T) {
+func TestCallsAreServedWhileAnyServerAddressWorks(t *testing.T) {
 	for _, variant := range protocolVariants[:3] {
 		for _, dead := range [][]string{nil, {"unix"}, {"ipv6"}, {"ipv4"}, {"unix", "ipv6"}, {"unix", "ipv6", "ipv4"}} {
 			t.Run(fmt.Sprint(variant.name, dead), func(t *testing.T) {
@@ -358,7 +358,7 @@
 
 // If the dial to the first address succeeds and the reply stalls, nothing is sent to another address unless the choice module
 // orders a retry, which it never does for a call that must not run twice.
-func TestStalledReply(t *testing.T) {
+func TestStalledReplyIsNotRetriedOnAnotherAddress(t *testing.T) {
 	for _, variant := range protocolVariants[:3] {
 		for _, method := range []standin.Method{standin.Record, standin.Pay} {
 			t.Run(fmt.Sprint(variant.name, method), func(t *testing.T) {
--- a/internal/agent/thrift_test.go
+++ b/internal/agent/thrift_test.go
@@ -82,7 +82,7 @@
 }
 
 // A frame that is truncated at any byte is not a call, and does not affect other clients.
-func TestClientCutsAtEveryByte(t *testing.T) {
+func TestTruncatedFrameIsNotACall(t *testing.T) {
 	for _, e := range encodings {
 		w := newTestbed(t, variantOf(e), standin.Platform{}, nil, standin.Options{ID: "a"})
 		whole := call(e, 7, "cut")
@@ -104,7 +104,7 @@
 
 // Malformed and malicious frames get an exception or a close. Other connections are not affected, and earlier calls on the same
 // connection are answered.
-func TestBadFrames(t *testing.T) {
+func TestMalformedFrames(t *testing.T) {
 	for _, e := range encodings {
 		hold := make(chan struct{}) // one per encoding: calls left over from the previous testbed must not see another one
 		seq := thriftwire.AppendSeq(nil, e, 9)
@@ -240,7 +240,7 @@
 
 // Several calls may be in flight on a connection. They are answered in order, or in any order if the client allows it; calls with
 // the same sequence id keep their order in either case. The sequence id is returned byte for byte.
-func TestSeveralCallsOnAConnection(t *testing.T) {
+func TestMultipleCallsInFlightOnAConnection(t *testing.T) {
 	for _, e := range encodings {
 		for _, any := range []bool{false, true} {
 			release := map[string]chan struct{}{}
@@ -320,7 +320,7 @@
 }
 
 // All calls of a client that disconnects are canceled; a oneway is delivered even if its client disconnects.
-func TestThriftClientsThatLeave(t *testing.T) {
+func TestThriftClientDisconnectCancelsItsCalls(t *testing.T) {
 	release := make(chan struct{})
 	w := newTestbed(t, protocolVariants[2], standin.Platform{MaxAttempts: 1}, nil, standin.Options{ID: "s",
 		Script: func(c standin.Call) standin.Step {
@@ -353,7 +353,7 @@
 
 // A client disconnects while it has the maximum of calls in flight, so that the agent does not read from it. The agent notices the
 // disconnect nevertheless, and forwards no further call of it.
-func TestThriftClientLeavesWhileNothingIsRead(t *testing.T) {
+func TestThriftClientDisconnectIsNoticedAtTheInFlightLimit(t *testing.T) {
 	for name, oneway := range map[string]bool{"calls that wait for answers": false, "a oneway that waits for its turn": true} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", reset ", reset), func(t *testing.T) {
@@ -415,7 +415,7 @@
 
 // A client that sends calls and never reads loses its connection. It does not delay other clients, and the memory for its answers
 // is bounded.
-func TestClientThatReadsNothing(t *testing.T) {
+func TestThriftClientThatNeverReadsIsDisconnected(t *testing.T) {
 	w := newTestbed(t, protocolVariants[1], standin.Platform{}, nil, standin.Options{ID: "s"})
 	c := w.dial(t)
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -456,7 +456,7 @@
 
 // An idle connection is closed after the idle timeout, and one with an incomplete frame after the frame timeout. A connection
 // with a call in flight is kept until the call ends.
-func TestThriftTimes(t *testing.T) {
+func TestThriftIdleAndFrameTimeouts(t *testing.T) {
 	w := newTestbed(t, protocolVariants[1], standin.Platform{}, func(text string) string {
 		text = strings.Replace(text, "idle_timeout_ms = 300000", "idle_timeout_ms = 100", 1)
 		return strings.Replace(text, "frame_timeout_ms = 2500", "frame_timeout_ms = 100", 1)
@@ -497,7 +497,7 @@
 func (s *apacheService) Note(context.Context, *formapi.Header, string) error { return nil }
 
 // The clients and servers of the Apache Thrift library work with the agent between them, in both protocols.
-func TestApacheServer(t *testing.T) {
+func TestApacheThriftInteroperability(t *testing.T) {
 	for _, variant := range protocolVariants[1:3] {
 		var factory thrift.TProtocolFactory = thrift.NewTBinaryProtocolFactoryConf(nil)
 		if variant.protocol == "thrift-compact" {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestNowIsUnixTimeAndTurnsBack(t *testing.T) {
+func TestNowIsUnixTimeAndRoundTrips(t *testing.T) {
 	if off := time.Duration(time.Now().UnixNano()) - Now(); off.Abs() > time.Minute {
 		t.Errorf("off by %v", off)
 	}
@@ -16,7 +16,7 @@
 }
 
 // Differences and deadlines follow the monotonic clock, so a step of the wall clock does not change them.
-func TestStepOfTheWallClockDoesNotMoveNow(t *testing.T) {
+func TestWallClockStepDoesNotAffectNow(t *testing.T) {
 	before := time.Now()
 	if later := FromTime(before.Add(time.Second)) - FromTime(before); later != time.Second {
 		t.Errorf("a second became %v", later)
--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -15,7 +15,7 @@
 	name = "forms-07.example.org:8000"
 )
 
-func TestKinds(t *testing.T) {
+func TestParse(t *testing.T) {
 	for addr, want := range map[string]struct {
 		kind            Kind
 		network, target string
@@ -29,7 +29,7 @@
 
 // The order: the address that connected last, then by kind, then those that failed recently, the one avoided for the shortest
 // time first. No address is left out.
-func TestOrder(t *testing.T) {
+func TestSortedOrder(t *testing.T) {
 	all := []string{name, four, six, unix}
 	b := NewHistory(Defaults)
 	at := func(when time.Duration, want ...string) {
@@ -104,7 +104,7 @@
 
 // For random outcomes: each address is dialled at most once, the first one at once, never more in parallel than there is room
 // for, and there is at most one winner.
-func TestRaces(t *testing.T) {
+func TestRandomRaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewHistory(Defaults)
 		all := []string{unix, six, four, name}[:rapid.IntRange(1, 4).Draw(t, "addresses")]
--- a/internal/decide/aging/aging_test.go
+++ b/internal/decide/aging/aging_test.go
@@ -93,7 +93,7 @@
 
 // Each kind of fact has its half-life; capacities are clamped to a factor of the median; an ejection is restored with
 // one trial, soon, and not at all when it is old.
-func TestWorth(t *testing.T) {
+func TestRecallDecaysByHalfLife(t *testing.T) {
 	m := recallAfter(t, 0, unchanged)
 	slow, failing := server(m, "sb"), server(m, "sc")
 	if len(m.Servers) != 8 || server(m, "sa").Trust != 1 || slow.Rate != 100/settings.ClampFactor || !failing.Ejected || failing.Trial != time.Second ||
@@ -122,7 +122,7 @@
 }
 
 // Servers that are others by now have no remembered facts, and the more of them there are, the less everything counts.
-func TestFleetThatChanged(t *testing.T) {
+func TestRecallAfterFleetChange(t *testing.T) {
 	changeFrom := func(from int, change func(*ListedServer)) func([]ListedServer) []ListedServer {
 		return func(l []ListedServer) []ListedServer {
 			for i := from; i < len(l); i++ {
@@ -158,7 +158,7 @@
 }
 
 // A list that is older than the stored state loses no facts: the list after it finds them; and none is returned twice.
-func TestListsInTurn(t *testing.T) {
+func TestRecallFromSuccessiveLists(t *testing.T) {
 	at := clock(1000*day, time.Hour, "a")
 	state, current := newFleet(at, 8)
 	p := New(settings, state)
@@ -178,7 +178,7 @@
 }
 
 // For any state, older facts never have more weight, neither about servers nor shared.
-func TestOlderIsNeverWorthMore(t *testing.T) {
+func TestOlderFactsNeverHaveMoreWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := func(name string) time.Duration { return time.Duration(rapid.Int64Range(0, int64(5*day)).Draw(t, name)) }
 		first := age("first")
@@ -206,7 +206,7 @@
 }
 
 // The address that connected is remembered for two half-lives, for the same server only.
-func TestAddressThatWorked(t *testing.T) {
+func TestConnectedAddressIsRemembered(t *testing.T) {
 	for age, want := range map[time.Duration]int{0: 1, 2 * settings.Address: 1, 2*settings.Address + time.Second: 0} {
 		state, named := newFleet(clock(1000*day, time.Hour, "a"), 8)
 		state.Buckets[0].Servers[3].Worked = "[::1]:80"
--- a/internal/decide/calltrack/crossing_test.go
+++ b/internal/decide/calltrack/crossing_test.go
@@ -9,7 +9,7 @@
 
 // A client disconnects while its call is on its way to the tracker, so the two events may arrive in either order. In both, the call
 // ends at once, nothing is sent for it, and the tracker keeps nothing of it.
-func TestClientLeavesAsItsCallArrives(t *testing.T) {
+func TestClientDisconnectsAsItsCallArrives(t *testing.T) {
 	for name, cross := range map[string]func(tracker *Tracker, call *Call) []Command{
 		"disconnect first": func(tracker *Tracker, call *Call) []Command {
 			return append(tracker.ClientDisconnected(time.Hour, call), tracker.CallArrived(time.Hour, call)...)
--- a/internal/decide/calltrack/record_test.go
+++ b/internal/decide/calltrack/record_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestRecordOfAClientThatLeaves(t *testing.T) {
+func TestRecordOfClientDisconnect(t *testing.T) {
 	tracker, records := observed(scripted{"request": {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}}})
 	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}}
 	tracker.CallArrived(time.Second, call)
@@ -84,7 +84,7 @@
 
 // The transport may notice that the client has disconnected before the front reports it. The call then ends as one whose client
 // disconnected, whichever notification comes first, and is counted once.
-func TestAttemptNoticesThatTheClientLeft(t *testing.T) {
+func TestAttemptDetectsClientDisconnect(t *testing.T) {
 	tracker, records := observed(scripted{
 		"request":     {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}},
 		"first ended": {{Kind: choice.Refuse, Request: "4f", Reason: choice.AttemptNotSent}},
--- a/internal/decide/calltrack/routed_test.go
+++ b/internal/decide/calltrack/routed_test.go
@@ -20,7 +20,7 @@
 
 // However often servers reject a shape, each time at which a rejection expires has one timer in effect, and a timer that was
 // superseded by an earlier one sets no further timers.
-func TestTimersOfRoutesDoNotGrow(t *testing.T) {
+func TestRouteTimersDoNotAccumulate(t *testing.T) {
 	tab := routes.NewTable([]routes.Shape{{Name: "one", Version: "a/1", Speaks: 1}})
 	r, err := routes.New(routes.Settings{RejectionTTL: time.Second, MaxRejectionTTL: time.Minute}, tab)
 	if err != nil {
--- a/internal/decide/calltrack/shutdown_test.go
+++ b/internal/decide/calltrack/shutdown_test.go
@@ -8,7 +8,7 @@
 )
 
 // A shutdown shortens the deadlines of unanswered calls, of their attempts, of later calls and of calls whose body ends later.
-func TestEndBindsCallsAndAttempts(t *testing.T) {
+func TestShutdownShortensCallAndAttemptDeadlines(t *testing.T) {
 	const by = 2 * time.Second
 	tracker, _ := observed(scripted{"request": {{Kind: choice.Send, Request: "open", Server: "s-1"}}})
 	open := &Call{Request: choice.Request{ID: "open", Deadline: time.Hour, BodyPending: true}}
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -367,7 +367,7 @@
 }
 
 // The number of calls to the service after a failure does not grow with the fleet, and all agents have the list soon.
-func TestFewCalls(t *testing.T) {
+func TestServiceCallsDoNotGrowWithFleet(t *testing.T) {
 	for _, agents := range []int{5, 50, 200} {
 		t.Run(fmt.Sprint(agents, " agents"), func(t *testing.T) {
 			w := newWorld(t, agents, 60, 1)
@@ -502,7 +502,7 @@
 }
 
 // An agent that reaches no other agent, or is the only one, calls the service itself.
-func TestAlone(t *testing.T) {
+func TestIsolatedAgentCallsService(t *testing.T) {
 	w := newSettledWorld(t, 20, 10, 1)
 	w.partitioned = func(from, to int) bool { return from == 7 || to == 7 }
 	w.run(3 * time.Second)
@@ -517,7 +517,7 @@
 }
 
 // A watcher that is stopped for long is replaced, and has the current list soon after it continues.
-func TestStopped(t *testing.T) {
+func TestStoppedWatcherIsReplaced(t *testing.T) {
 	w := newSettledWorld(t, 20, 10, 1)
 	var first *host
 	for _, h := range w.nodes {
@@ -540,7 +540,7 @@
 }
 
 // The service restarts its count of versions: lists from before the restart do not win against those after it.
-func TestServiceBeginsAnew(t *testing.T) {
+func TestServiceRestartsVersions(t *testing.T) {
 	w := newSettledWorld(t, 20, 10, 1)
 	w.down = true
 	w.run(time.Second)
@@ -560,7 +560,7 @@
 }
 
 // A list from another agent that removes more than half of the servers is not accepted until the service confirms it.
-func TestDoubt(t *testing.T) {
+func TestMassRemovalNeedsConfirmation(t *testing.T) {
 	w := newSettledWorld(t, 3, 10, 1)
 	victim := w.nodes[0]
 	gen, version := victim.node.Version()
@@ -587,7 +587,7 @@
 }
 
 // A drain is delivered before the list that contains it is complete.
-func TestDrainIsHeededAtOnce(t *testing.T) {
+func TestDrainIsDeliveredBeforeListIsComplete(t *testing.T) {
 	w := newSettledWorld(t, 2, 10, 1)
 	h := w.nodes[0]
 	gen, version := h.node.Version()
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -43,7 +43,7 @@
 }
 
 // A notification of a drain applies to the server process that it is about and not to a later one.
-func TestCounts(t *testing.T) {
+func TestDrainAppliesOnlyToItsServerProcess(t *testing.T) {
 	for _, c := range []struct {
 		known, notified choice.Server
 		want            bool
--- a/internal/decide/learned/learned_test.go
+++ b/internal/decide/learned/learned_test.go
@@ -45,7 +45,7 @@
 }
 
 // Records are decoded as they were encoded.
-func TestReadsWhatItWords(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 12, 1000} {
 		want := sample(n)
 		got, dropped, err := Read(records(t, want))
@@ -95,7 +95,7 @@
 }
 
 // Values out of range are reported by field; a bucket that cannot be read is dropped alone.
-func TestBadFigures(t *testing.T) {
+func TestInvalidValuesAreReported(t *testing.T) {
 	for want, corrupt := range map[string]func(*State){
 		"shared: at.wall":      func(s *State) { s.Shared.At.Wall = -1 },
 		"shared: lost":         func(s *State) { s.Shared.Memory.Lost = math.NaN() },
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -31,7 +31,7 @@
 )
 
 // The result of an attempt, and whether it can have run, follow from its stage and the cause alone.
-func TestEndings(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps []step
 		want  choice.Result
@@ -80,7 +80,7 @@
 }
 
 // An illegal transition returns an error and changes nothing.
-func TestIllegalSteps(t *testing.T) {
+func TestIllegalTransitions(t *testing.T) {
 	for name, c := range map[string]struct {
 		before []step
 		step   step
@@ -118,7 +118,7 @@
 
 // A random walk over a PoolState: slots never exceed the limit and are never lost, queued connections get slots in order, no idle
 // connection is to a retired server, and no connection is acquired twice.
-func TestBookWalks(t *testing.T) {
+func TestPoolStateRandomWalk(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		most := 1 + r.IntN(4)
--- a/internal/decide/lifecycle/multiplexed_test.go
+++ b/internal/decide/lifecycle/multiplexed_test.go
@@ -13,7 +13,7 @@
 
 // A random walk over a MultiplexedConn: a reply ends the attempt that it answers and no other, each attempt ends once, an attempt that
 // is not written never ran, a failure ends all attempts, and the connection is released only when no attempt waits on it.
-func TestLineWalks(t *testing.T) {
+func TestMultiplexedConnRandomWalk(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		now := time.Unix(0, 0)
@@ -150,7 +150,7 @@
 }
 
 // A connection on which no reply was received while an attempt timed out accepts no new attempts. One reply prevents that.
-func TestSuspectLine(t *testing.T) {
+func TestSuspectMultiplexedConn(t *testing.T) {
 	for _, replied := range []bool{true, false} {
 		now := time.Unix(0, 0)
 		m := NewMultiplexedConn(now)
--- a/internal/decide/listcheck/listcheck_test.go
+++ b/internal/decide/listcheck/listcheck_test.go
@@ -18,7 +18,7 @@
 	return es
 }
 
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	draining := Entry{ID: "a", State: choice.Draining, Started: 5}
 	for name, c := range map[string]struct {
 		before []List
@@ -64,7 +64,7 @@
 // For random lists: of a rejected list only the drains are applied, and all those of servers that have not restarted since.
 // Of an accepted list exactly one entry of each server is applied. A drain ends only by a list that is not older, a removal
 // or a restart. The test keeps the applied state independently of the Checker.
-func TestAnyLists(t *testing.T) {
+func TestRandomLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := New(UnknownVersion)
 		applied := map[string]Entry{}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -468,7 +468,7 @@
 }
 
 // Members returns the facts of each source with their age.
-func TestView(t *testing.T) {
+func TestMembers(t *testing.T) {
 	b := newHarness()
 	b.report(list, true, 1, claims(listClaim, 2)...)
 	b.at += time.Minute
--- a/internal/decide/overrides/overrides_test.go
+++ b/internal/decide/overrides/overrides_test.go
@@ -15,7 +15,7 @@
 )
 
 // The precedence of overrides and server list, as in the table in docs/design/operation.md.
-func TestCounts(t *testing.T) {
+func TestPrecedence(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(o *Set)
 		entry  choice.Server
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestBounds(t *testing.T) {
+func TestMaxOffline(t *testing.T) {
 	var o Set
 	for i := range MaxOffline {
 		if !o.Offline(out, fmt.Sprint(i)) {
@@ -64,7 +64,7 @@
 }
 
 // A start time from a clock that was ahead must not make a server count as cold for too long.
-func TestTakenStartIsNotInTheFuture(t *testing.T) {
+func TestRestoredStartTimeIsNotInTheFuture(t *testing.T) {
 	var o Set
 	o.Restore(back, Snapshot{BackOnline: map[string][2]int64{"a": {time.Hour.Milliseconds(), time.Hour.Milliseconds()}}})
 	if got := o.Apply(choice.Server{ID: "a"}).Started; got != back {
--- a/internal/decide/pacing/local_test.go
+++ b/internal/decide/pacing/local_test.go
@@ -17,7 +17,7 @@
 
 // A service beside the agent costs nothing to call: it is called at once at the start, then soon. Agents that lose it
 // together call at different times.
-func TestServiceBesideTheAgentIsAskedSoon(t *testing.T) {
+func TestLocalServiceIsCalledSoon(t *testing.T) {
 	if a := New(Settings{Agents: 300, Me: 299}, 1); a.FirstCall(time.Hour) != time.Hour || a.Local() == nil {
 		t.Error("a service beside the agent is not called at once")
 	}
@@ -41,7 +41,7 @@
 // Changes that a service beside the agent received while it was down count as known from its return on, and it may
 // return right after any call, whatever becomes of that call. The next call is made so soon that nothing is sent to a
 // draining server after the grace, even if the agent is stalled twice.
-func TestNewsOfTheReturnIsHeardWithinTheGrace(t *testing.T) {
+func TestChangesAfterServiceReturnArriveWithinGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second} {
 		for seed := range uint64(20) {
 			s := NewLocalSchedule(grace, seed)
@@ -65,7 +65,7 @@
 
 // A service that sends lists slowly is called less often until a watch is established; one that sends them at once is
 // called at the usual rate.
-func TestSlowDeliveriesSpaceCalls(t *testing.T) {
+func TestSlowListsReduceCallRate(t *testing.T) {
 	const usual = defaultGrace / intervalsPerGrace
 	s := NewLocalSchedule(defaultGrace, 1)
 	for _, c := range []struct{ took, want time.Duration }{
@@ -86,7 +86,7 @@
 // A silent watch is detected after WatchSilenceTimeout, and the changes that it missed count as known 6 s after it fell
 // silent. Until then the full list is requested often enough, also beside calls without a response, until a watch is
 // established.
-func TestWholeListIsAskedForBehindSilence(t *testing.T) {
+func TestFullListIsRequestedAfterSilence(t *testing.T) {
 	s := NewLocalSchedule(defaultGrace, 1)
 	if s.NextCall(0).Full {
 		t.Error("the full list is requested though nothing is wrong")
@@ -121,7 +121,7 @@
 }
 
 // For any outcomes of calls, intervals stay within their bounds, and the same seed yields the same intervals.
-func TestAnyCourseOfCalls(t *testing.T) {
+func TestIntervalsForRandomOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "grace"))
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/internal/decide/pacing/pacing_test.go
+++ b/internal/decide/pacing/pacing_test.go
@@ -162,7 +162,7 @@
 }
 
 // With random delays of up to 3 s instead of slots the fleet never recovers the list: the model must reproduce that.
-func TestModelSeesCollapse(t *testing.T) {
+func TestModelReproducesCollapse(t *testing.T) {
 	const n = 300
 	s := &service{perCall: 8 * time.Second / n}
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -188,7 +188,7 @@
 
 // Unknown or wrong indexes, numbers of agents that are ten times too high or too low, and clocks that are off cost no
 // more than random slots.
-func TestWrongPlaces(t *testing.T) {
+func TestWrongIndexesAndAgentCounts(t *testing.T) {
 	const n = 300
 	begin := 1000 * time.Hour
 	for name, assumed := range map[string]func(i int) (int, int){
@@ -231,7 +231,7 @@
 }
 
 // A service that is down receives less than one call per agent in 3 s.
-func TestDownIsCheap(t *testing.T) {
+func TestDownServiceReceivesFewCalls(t *testing.T) {
 	const n, long = 100, 2 * time.Minute
 	begin := 1000 * time.Hour
 	s := &service{perCall: time.Millisecond}
@@ -251,7 +251,7 @@
 }
 
 // After a silence the call is made early enough to be answered before changes of the list count as known.
-func TestAskedInTime(t *testing.T) {
+func TestCallAfterSilenceIsInTime(t *testing.T) {
 	for _, must := range []time.Duration{2 * time.Second, 8 * time.Second, mustAsk, time.Minute} {
 		for seed := range uint64(50) {
 			a := New(Settings{Shared: true, Agents: 100, Me: -1, MustAsk: must}, seed)
@@ -300,7 +300,7 @@
 }
 
 // One call without a response is no sign of a queue; two are, and so is a dropped call after one.
-func TestHung(t *testing.T) {
+func TestQueueDetectionFromFailedCalls(t *testing.T) {
 	const n = 300
 	for name, c := range map[string]struct {
 		waits []time.Duration // of failed calls; CallTimeout stands for no response
@@ -330,7 +330,7 @@
 // A watch falls silent, and the call after it fails some time later: answered and broken off, cut short, or refused. The
 // next call is made in time for the changes that the watch missed, if any time is left, and a service that stays down is
 // not called faster for good.
-func TestCallBehindASilentWatchFails(t *testing.T) {
+func TestCallAfterSilentWatchFails(t *testing.T) {
 	const agents = 80
 	for name, silent := range map[string]time.Duration{"broken off": 0, "stopped short": time.Second} {
 		for seed := range uint64(50) {
@@ -363,7 +363,7 @@
 // A call to a shared service gets no response while the service is down, and still none after its return. The next call
 // is made in time for the list to arrive before its changes count as known, 6 s after the return, plus the grace of a
 // drain.
-func TestCallThatHangsAcrossTheReturn(t *testing.T) {
+func TestCallHangsAcrossServiceReturn(t *testing.T) {
 	for _, agents := range []int{2, 12, 300, 900} {
 		for seed := range uint64(50) {
 			a := New(Settings{Shared: true, Agents: agents, Me: int(seed) % agents, MustAsk: mustAsk, Grace: defaultGrace}, seed)
--- a/internal/decide/peerstate/peerstate_test.go
+++ b/internal/decide/peerstate/peerstate_test.go
@@ -12,7 +12,7 @@
 
 // Later epochs and later sequence numbers win, in whatever order and however often heartbeats arrive, so that all who
 // receive the same ones know the same.
-func TestOrderDoesNotMatter(t *testing.T) {
+func TestHeartbeatOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heartbeats := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Heartbeat {
 			return Heartbeat{Index: rapid.IntRange(0, 4).Draw(t, "place"), Epoch: uint64(rapid.IntRange(1, 3).Draw(t, "epoch")), Seq: uint32(rapid.IntRange(0, 5).Draw(t, "beat"))}
@@ -37,7 +37,7 @@
 
 // An agent that sends nothing more is not alive after a while, an old heartbeat does not bring it back, and a new epoch
 // does.
-func TestThere(t *testing.T) {
+func TestAlive(t *testing.T) {
 	c := New(Settings{Agents: 3, Me: 0, Epoch: 1}, 1)
 	if c.Alive(0, 1, second) || c.Receive(0, Heartbeat{Index: 3}) || c.Receive(0, Heartbeat{Index: -1}) {
 		t.Error("an agent is alive of which nothing was received, or an index out of range was accepted")
@@ -63,7 +63,7 @@
 
 // A process continues after the epoch that others remember of an earlier one, though the clock went back; two processes
 // of one index both notice the conflict.
-func TestRivals(t *testing.T) {
+func TestIndexConflicts(t *testing.T) {
 	a, other := New(Settings{Agents: 2, Me: 0, Epoch: 10}, 1), New(Settings{Agents: 2, Me: 1, Epoch: 1}, 1)
 	other.Receive(0, Heartbeat{Index: 0, Epoch: 99, Seq: 50})
 	a.Receive(0, Heartbeat{Index: 0, Epoch: 99, Seq: 50})
--- a/internal/decide/relay/relay_test.go
+++ b/internal/decide/relay/relay_test.go
@@ -58,7 +58,7 @@
 
 // An answer that is still arriving at half of the client's time is held further, and relayed only if the client waits for longer
 // than MaxHold.
-func TestHeldOnFromHalfOfTheTime(t *testing.T) {
+func TestArrivingAnswerIsHeldPastHalfOfRemainingTime(t *testing.T) {
 	for left, want := range map[time.Duration]Verdict{600 * ms: Relay, 500 * ms: Replace, 200 * ms: Replace} {
 		h := NewHeldAnswer(0, left, 64, true)
 		h.Received(left*2/5, 10)
--- a/internal/decide/resolve/resolve_test.go
+++ b/internal/decide/resolve/resolve_test.go
@@ -45,7 +45,7 @@
 	return wire
 }
 
-func TestRead(t *testing.T) {
+func TestParseAnswer(t *testing.T) {
 	loop := []string{}
 	for i := range 12 {
 		loop = append(loop, fmt.Sprintf("n%d.example.org. 60 CNAME n%d.example.org.", i, i+1))
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestWord(t *testing.T) {
+func TestSnapshotFromRecords(t *testing.T) {
 	w := newWorld(t, Defaults, zone(time.Minute))
 	w.run(0)
 	want := []membership.Claim{{Key: "a.example.org.:80", Addrs: []string{"[::1]:80", "127.0.0.1:80"}, HasTier: true, Tier: 1},
@@ -186,7 +186,7 @@
 
 // The rate of queries follows the TTLs, within limits. It cannot depend on the number of calls, which the Resolver does not
 // know.
-func TestHowOftenItAsks(t *testing.T) {
+func TestQueryRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		ttl         time.Duration
 		least, most int // queries of the SRV records in 10 min
@@ -218,7 +218,7 @@
 
 // If name servers fail, the next one is asked, with backoff after each round. Addresses are kept beyond their TTL for a while,
 // the failure is reported once, and updates resume when a server answers again.
-func TestNobodyAnswers(t *testing.T) {
+func TestAllNameServersFail(t *testing.T) {
 	for _, verdict := range []Verdict{NoReply, Refused, Malformed} {
 		t.Run(verdict.String(), func(t *testing.T) {
 			set := Defaults
@@ -257,7 +257,7 @@
 }
 
 // A truncated answer is asked for over TCP once; if that fails, the next server is asked.
-func TestCutOff(t *testing.T) {
+func TestTruncatedAnswer(t *testing.T) {
 	set := Defaults
 	set.Servers = 2
 	healthy := zone(time.Minute)
@@ -282,7 +282,7 @@
 }
 
 // Unusual SRV records: a service that is not available, no records, hosts without addresses, a host and port twice.
-func TestOddRecords(t *testing.T) {
+func TestUnusualRecords(t *testing.T) {
 	for name, c := range map[string]struct {
 		targets []Target
 		claims  int // -1 for no update
--- a/internal/decide/routes/routes_test.go
+++ b/internal/decide/routes/routes_test.go
@@ -48,7 +48,7 @@
 }
 
 // How a call is sent, by the shape in which it was received and what the server accepts.
-func TestWays(t *testing.T) {
+func TestRoute(t *testing.T) {
 	tab := table(t)
 	for _, c := range []struct {
 		from     string
@@ -99,7 +99,7 @@
 
 // A version that a server rejects is not sent to it for a while, which gets longer with each rejection. Only then other
 // versions are tried. A restart or a change of the server's list entry ends this.
-func TestDrift(t *testing.T) {
+func TestRejectedVersionBackoff(t *testing.T) {
 	tab := table(t)
 	r := routes(t, tab)
 	s := choice.Server{ID: "s", Protocols: http, Started: 5}
@@ -168,7 +168,7 @@
 }
 
 // If a server has served a version again, a later rejection counts for the initial time, not the doubled one.
-func TestKnewEndsTheDoubling(t *testing.T) {
+func TestMarkKnownResetsBackoff(t *testing.T) {
 	tab := table(t)
 	r := routes(t, tab)
 	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
@@ -183,7 +183,7 @@
 
 // Bits keep their meaning when the table is replaced. Calls of the old table keep its translations. Too many shapes are an
 // error, and the old table stays in use.
-func TestTablesChange(t *testing.T) {
+func TestReplaceTable(t *testing.T) {
 	one := table(t)
 	r := routes(t, one)
 	r.UpdateServer(choice.Server{ID: "s", Protocols: http}, []string{"a/2"})
@@ -242,14 +242,14 @@
 
 // For random events, the module knows how calls can be sent: a server has the capability of a shape if and only if there is a
 // route to it, each change is reported, and no call is sent in a version that the server has rejected, until that expires.
-func TestWalk(t *testing.T) {
+func TestRandomWalk(t *testing.T) {
 	const rounds = 40 // few walks reach the end of a doubled wait
 	for range rounds {
 		rapid.Check(t, walk)
 	}
 }
 
-// walk is one random walk of TestWalk.
+// walk is one random walk of TestRandomWalk.
 func walk(t *rapid.T) {
 	tab := table(t)
 	r := routes(t, tab)
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -22,7 +22,7 @@
 
 // With any settings, a process that stalls at SIGTERM and again while it answers is done before SIGKILL, and no request received
 // before SIGTERM gets less time than its own deadline, unless that exceeds MaxDeadline.
-func TestPlanHoldsBeforeTheKill(t *testing.T) {
+func TestPlanCompletesBeforeKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deadline := time.Duration(rapid.Int64Range(int64(10*time.Millisecond), int64(time.Hour)).Draw(t, "deadline"))
 		replaced := rapid.Bool().Draw(t, "replaced")
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -47,7 +47,7 @@
 
 // Every server is used by the same number of agents as any other, give or take one, for any share and any number of
 // agents; and its calls are spread far more evenly than with random ranks.
-func TestEvenByConstruction(t *testing.T) {
+func TestServersAreUsedEvenly(t *testing.T) {
 	for _, agents := range []int{20, 50, 300, 1000} {
 		for _, share := range []float64{0.08, 0.16, 0.5, 1} {
 			all := drawnServers(agents, 100, share, correctSettings(agents))
@@ -73,7 +73,7 @@
 }
 
 // A wrong index or number of agents is no worse than random ranks.
-func TestWrongPlaces(t *testing.T) {
+func TestWrongIndexesAndAgentCounts(t *testing.T) {
 	const agents = 300
 	_, chance := unevenness(100, drawnServers(agents, 100, 0.16, func(a int) Settings { return Settings{Agents: agents, Me: -1, Seed: uint64(a)} }))
 	for name, settingsOf := range map[string]func(a int) Settings{
@@ -115,7 +115,7 @@
 
 // One more agent moves little besides its own pairs, and one more server moves nothing but its own pairs, as the ranks
 // at other servers do not depend on it.
-func TestFewMoves(t *testing.T) {
+func TestAddingAgentOrServerMovesFewPairs(t *testing.T) {
 	before := drawnServers(300, 100, 0.16, correctSettings(300))
 	more := moves(before, drawnServers(301, 100, 0.16, correctSettings(301)))
 	own := 16 // pairs of the agent that is added: 0.16 of the 100 servers
@@ -129,7 +129,7 @@
 }
 
 // The servers that one agent uses are independent of those that another one uses.
-func TestPlacesAreIndependent(t *testing.T) {
+func TestRanksAreIndependent(t *testing.T) {
 	all := drawnServers(200, 400, 0.1, correctSettings(200))
 	for a := range 20 {
 		for b := range a {
@@ -150,7 +150,7 @@
 }
 
 // Ranks lie from 0 to below 1 and depend on nothing but the settings and the name.
-func TestPlacesAreBounded(t *testing.T) {
+func TestRanksAreBounded(t *testing.T) {
 	for _, set := range []Settings{{}, {Agents: 1}, {Agents: 1, Me: 1, Seed: 3}, {Agents: -5, Me: -5}, {Agents: 1 << 40, Me: 1 << 39}, {Agents: 1 << 40, Me: 7}} {
 		for i := range 4 {
 			p := New(set).Rank(fmt.Sprint(i))
--- a/internal/decide/writepolicy/writepolicy_test.go
+++ b/internal/decide/writepolicy/writepolicy_test.go
@@ -46,7 +46,7 @@
 	return shortest, longest
 }
 
-func TestWhenItWrites(t *testing.T) {
+func TestWriteIntervals(t *testing.T) {
 	set := Defaults
 	tolerance := set.CheckInterval
 	for name, c := range map[string]struct {
@@ -78,7 +78,7 @@
 }
 
 // Agents that start together on one disk do not write at the same time.
-func TestNeighbours(t *testing.T) {
+func TestAgentsOnOneDiskSpreadWrites(t *testing.T) {
 	at := map[time.Duration]int{}
 	const agents = 100
 	for seed := range uint64(agents) {
@@ -98,7 +98,7 @@
 }
 
 // What was not written because of a failure is written once the failure ends, within the longest retry delay.
-func TestRecovers(t *testing.T) {
+func TestWriteAfterFailureEnds(t *testing.T) {
 	p := New(Defaults, 0, 1)
 	failing := true
 	fails := 0
@@ -120,7 +120,7 @@
 }
 
 // At shutdown there is one more write, if anything has changed.
-func TestEnd(t *testing.T) {
+func TestWriteAtShutdown(t *testing.T) {
 	p := New(Defaults, 0, 1)
 	runChecks(p, time.Minute, updateRate(100, 0), succeed)
 	v := AgentState{Updates: 1 << 20, Servers: 1}
@@ -136,7 +136,7 @@
 
 // For any input no two writes are closer than 3/4 of the least interval, no more bytes are written than the bound plus
 // one write, and each check is later than the one before.
-func TestBounds(t *testing.T) {
+func TestWriteRateIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(Defaults, 0, rapid.Uint64().Draw(t, "seed"))
 		var writes []time.Duration
@@ -182,7 +182,7 @@
 }
 
 // Only parts that changed enough, or are old, are written.
-func TestPick(t *testing.T) {
+func TestSelectChanged(t *testing.T) {
 	const n = 1000
 	same := func(int) float64 { return 100 }
 	base := newState(0, n, same)
@@ -219,7 +219,7 @@
 }
 
 // Steps of the wall clock are detected in both directions, and slewing is not.
-func TestSteps(t *testing.T) {
+func TestWallClockStepsAreDetected(t *testing.T) {
 	var s ClockSteps
 	observe := func(wall, boot time.Duration) time.Duration {
 		return s.Observe(learned.Clock{Wall: wall, Boot: boot, BootID: "a"}).Unsure
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -49,7 +49,7 @@
 
 // All open watches fall silent, and servers begin to drain. 6 s after the silence began, the drain counts as known to the agent; it must be received
 // before that time and the minimum grace have passed, whatever happens to the first calls after the silence.
-func TestDrainBehindSilentWatches(t *testing.T) {
+func TestDrainAfterWatchesFallSilent(t *testing.T) {
 	// Only the silence timeout is shortened; all other times are real.
 	const silence = 100 * time.Millisecond
 	limit := 6*time.Second + 500*time.Millisecond - pacing.WatchSilenceTimeout + silence
@@ -97,7 +97,7 @@
 
 // A list that has started and arrives in drips does not count as activity: it may never be complete. An indented list after empty lines is
 // accepted like any other.
-func TestListInDrips(t *testing.T) {
+func TestTrickledListIsNotActivity(t *testing.T) {
 	drip := func(w http.ResponseWriter, r *http.Request) {
 		write(w, inService+`{"version":9,"servers":[`)
 		for r.Context().Err() == nil {
@@ -129,7 +129,7 @@
 
 // A service that all agents share stops in the middle of a list without closing. It must be called again soon, not only after the silence
 // timeout. If its lists always take longer than the stall timeout, the answer to the second call is received completely.
-func TestListThatStopsShort(t *testing.T) {
+func TestStalledListIsRequestedAgain(t *testing.T) {
 	half := inService[:len(inService)/2]
 	stops := func(w http.ResponseWriter, r *http.Request) { write(w, half); <-r.Context().Done() }
 	slow := func(w http.ResponseWriter, r *http.Request) {
@@ -159,7 +159,7 @@
 }
 
 // A watch that is reset between two lists, in the middle of one, or right after its start is restarted from the last complete list.
-func TestWatchIsResetAnywhere(t *testing.T) {
+func TestWatchResetAtEveryByte(t *testing.T) {
 	next := `{"version":9,"servers":[{"id":"b","addr":"127.0.0.1:1","state":"terminating"}]}` + "\n"
 	for cut := range len(next) + 1 {
 		t.Run(fmt.Sprint("cut at ", cut), func(t *testing.T) {
@@ -195,7 +195,7 @@
 
 // Discovery restarts its versions, and only the resulting list announces a drain: the drain takes effect at once, although the list is
 // rejected at first. The next call, for the full list, determines whether the server still drains.
-func TestDrainInAListThatIsNotBelieved(t *testing.T) {
+func TestDrainInRejectedListTakesEffect(t *testing.T) {
 	entry := func(id, state string) string {
 		return fmt.Sprintf(`{"id":%q,"addr":"127.0.0.1:1","state":%q}`, id, state)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,7 +23,7 @@
 var sequentialCalls = pacing.Settings{Grace: 2500 * time.Millisecond}
 
 // A watch that ends, and one that stays open but is silent, are both restarted from the last version.
-func TestWatchIsBegunAgain(t *testing.T) {
+func TestWatchIsRestarted(t *testing.T) {
 	calls := make(chan string, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
@@ -76,7 +76,7 @@
 }
 
 // Empty lines alone keep a watch alive.
-func TestHeartbeatsKeepTheWatch(t *testing.T) {
+func TestEmptyLinesKeepWatchAlive(t *testing.T) {
 	calls := make(chan struct{}, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- struct{}{}
@@ -131,7 +131,7 @@
 
 // Invalid lists are not delivered: the last accepted list stays in effect, the next call starts from it, and the error is logged
 // once for as long as it stays the same.
-func TestSpoiltListsAreNotDelivered(t *testing.T) {
+func TestInvalidListsAreNotDelivered(t *testing.T) {
 	const good = `{"version":8,"full":true,"servers":[{"id":"a","state":"terminating"}]}` + "\n"
 	for name, c := range map[string]struct{ text, want string }{
 		"broken off": {`{"version":9,"servers":[{"id":"b`, "unexpected EOF"},
@@ -201,7 +201,7 @@
 }
 
 // If a server is listed twice, the entry that sends it less traffic takes effect.
-func TestServerNamedTwice(t *testing.T) {
+func TestServerListedTwice(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"version":8,"full":true,"servers":[{"id":"a","state":"in_service"},{"id":"b","state":"in_service"},{"id":"a","state":"terminating"}]}`)
 	}))
--- a/internal/discovery/dnssource/dnssource_test.go
+++ b/internal/discovery/dnssource/dnssource_test.go
@@ -80,7 +80,7 @@
 
 // For each fault of a name server, another server is queried. Without another one, the loss is reported, and the source recovers with the
 // server.
-func TestFaults(t *testing.T) {
+func TestNameServerFaults(t *testing.T) {
 	for name, fault := range map[string]standin.NameFault{"silent": standin.NameSilent, "cut off, and TCP hangs": standin.NameTruncatedNoTCP,
 		"refused": standin.NameRefused, "fails": standin.NameServFail, "another id": standin.NameWrongID, "another port": standin.NameWrongPort,
 		"a loop of names": standin.NameLoop} {
@@ -118,7 +118,7 @@
 }
 
 // A change of the zone is delivered soon after the TTL. A name that no longer exists is delivered as empty.
-func TestChanges(t *testing.T) {
+func TestZoneChanges(t *testing.T) {
 	n := newNameServer(t, records(0, 3)...)
 	r := start(t, 20*time.Millisecond, n.Addr())
 	r.waitFor(t, "three servers", has(3))
--- a/internal/discovery/localwatch_test.go
+++ b/internal/discovery/localwatch_test.go
@@ -49,7 +49,7 @@
 }
 
 // Calls that hang are not waited for: a bounded number of further calls runs in parallel, and the first one answered becomes the watch.
-func TestCallsBesideOnesThatHang(t *testing.T) {
+func TestHungCallsDoNotBlockFurtherCalls(t *testing.T) {
 	var up atomic.Bool
 	var open, maxOpen, made atomic.Int32
 	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 }
 
 // A service that needs a second for each answer still delivers: the oldest call is kept when later ones are made.
-func TestSlowServiceIsHeard(t *testing.T) {
+func TestSlowServiceDeliversList(t *testing.T) {
 	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(time.Second):
@@ -124,7 +124,7 @@
 }
 
 // A service that accepts no watch, but answers requests for the full list, still delivers: each change within two intervals.
-func TestServiceThatTakesNoWatch(t *testing.T) {
+func TestServiceThatAcceptsNoWatch(t *testing.T) {
 	for name, refuse := range map[string]func(http.ResponseWriter, *http.Request){"503": busy, "reset": reset, "silent": silent, "a head alone": headersOnly} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -157,7 +157,7 @@
 }
 
 // A watch on which only part of a list was received is not established: the list may never be complete.
-func TestPartOfALargeListIsNoWatch(t *testing.T) {
+func TestPartialListDoesNotEstablishWatch(t *testing.T) {
 	large := `{"version":8,"servers":[{"id":"` + strings.Repeat("a", 2*progressBytes)
 	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		write(w, large)
@@ -177,7 +177,7 @@
 
 // A call that hung brings an older list after another call has delivered a newer one. The older list is rejected, and does not suggest that
 // discovery has restarted its versions, however often it happens.
-func TestLateAnswersOfOlderLists(t *testing.T) {
+func TestLateOlderListsAreRejected(t *testing.T) {
 	d := New("127.0.0.1:1", List{Version: 7}, slog.New(slog.DiscardHandler))
 	var delivered []int64
 	events := Events{Deliver: func(l List) { delivered = append(delivered, l.Version) }}
@@ -209,7 +209,7 @@
 
 // The full list is requested, but the answer states that it is a change, or has a change after the full list: the statement in the list takes
 // precedence over the request. Drains in the change take effect at once, and no server counts as removed.
-func TestChangeWhereTheWholeListWasAskedFor(t *testing.T) {
+func TestChangeInAnswerToFullListRequest(t *testing.T) {
 	const (
 		whole  = `{"version":8,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"},{"id":"b","addr":"127.0.0.1:2","state":"in_service"}]}` + "\n"
 		change = `{"version":9,"full":false,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"terminating"}]}` + "\n"
@@ -252,7 +252,7 @@
 }
 
 // A drain or removal takes effect even if the rest of the entry is invalid.
-func TestDrainOfAnEntryThatIsWrong(t *testing.T) {
+func TestDrainInInvalidEntryTakesEffect(t *testing.T) {
 	for _, e := range []Entry{{Addr: "x"}, {}, {Addr: "127.0.0.1:1", Protocol: "odd"}, {Addr: "127.0.0.1:1", Shapes: make([]string, maxShapes+1)}} {
 		for text, state := range map[string]choice.State{"terminating": choice.Draining, "terminated": choice.Removed} {
 			e.ID, e.State = "s", text
@@ -268,7 +268,7 @@
 }
 
 // Lists of parallel calls are delivered one at a time, and none after KeepWatching has returned.
-func TestNothingIsDeliveredAfterTheEnd(t *testing.T) {
+func TestNoDeliveryAfterKeepWatchingReturns(t *testing.T) {
 	addr, _ := startService(t, func(w http.ResponseWriter, r *http.Request) {
 		for i := 8; r.Context().Err() == nil; i++ {
 			write(w, fmt.Sprintf(`{"version":%d,"servers":[{"id":"a","addr":"127.0.0.1:1","state":"in_service"}]}`+"\n", i))
--- a/internal/discovery/standstill_test.go
+++ b/internal/discovery/standstill_test.go
@@ -22,7 +22,7 @@
 
 // The process is suspended for longer than the silence timeout, and a change arrives meanwhile. After resuming, the change must be read,
 // and the watch, which was never silent, must not be abandoned. A subprocess is suspended here, by SIGSTOP.
-func TestNewsOfAStandstillAreRead(t *testing.T) {
+func TestChangeDuringSuspensionIsRead(t *testing.T) {
 	const silence = 300 * time.Millisecond
 	if addr := os.Getenv(watchedAddrVar); addr != "" {
 		log := slog.New(slog.NewTextHandler(os.Stdout, nil))
--- a/internal/host/accept/accept_test.go
+++ b/internal/host/accept/accept_test.go
@@ -22,7 +22,7 @@
 }
 
 // Accepting continues after each documented error, whether it occurs once or repeatedly.
-func TestDocumentedErrorsAreSurvived(t *testing.T) {
+func TestAcceptContinuesAfterDocumentedErrors(t *testing.T) {
 	for _, errno := range documented {
 		for _, times := range []int{1, 100} {
 			t.Run(fmt.Sprint(errno, " ", times), func(t *testing.T) {
@@ -57,7 +57,7 @@
 }
 
 // Errors that end the listener itself are not retried.
-func TestFinalErrors(t *testing.T) {
+func TestPermanentErrorsAreNotRetried(t *testing.T) {
 	for _, final := range []error{net.ErrClosed, os.ErrDeadlineExceeded} {
 		r := NewRetrier(slog.New(slog.DiscardHandler))
 		if _, err := Do(r, func() (net.Conn, error) { return nil, &net.OpError{Op: "accept", Err: final} }); !errors.Is(err, final) {
--- a/internal/host/conntrack/readrace_test.go
+++ b/internal/host/conntrack/readrace_test.go
@@ -11,7 +11,7 @@
 // not recorded yet, so that its connection looks as if it had received nothing. It must not be closed to make room: the request would be
 // dropped after it was read. Found by code review after the incident of 2026-12-02: the tracker closed connections directly once more than
 // maxYielding were yielding.
-func TestNoRoomIsMadeOverARequestThatIsBeingRead(t *testing.T) {
+func TestConnectionWithRequestBeingReadIsNotClosedForRoom(t *testing.T) {
 	d := newListener(t, 1).ReaderCloses()
 	for range maxYielding + 3 { // nobody reads these: they keep yielding
 		dialClient(t, d, "")
--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -66,7 +66,7 @@
 }
 
 // Hundreds of clients that connect and send nothing must not displace normal ones, whose idle connections stay open.
-func TestSilentConnectionsGiveWayFirst(t *testing.T) {
+func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	d := newListener(t, 4)
 	idle := dialClient(t, d, "")
 	accepted := acceptConn(t, d)
@@ -93,7 +93,7 @@
 }
 
 // If every connection has sent data, the one that has been idle for longest is closed, and the newcomer only if all others are busy.
-func TestIdleConnectionsGiveWayInTurn(t *testing.T) {
+func TestLongestIdleConnectionIsClosedFirst(t *testing.T) {
 	d := newListener(t, 2)
 	var clients, conns []net.Conn
 	for range 2 {
@@ -116,7 +116,7 @@
 }
 
 // Connections that the kernel accepted before the shutdown are served, however late the agent accepts them.
-func TestQueueIsTakenAtTheEnd(t *testing.T) {
+func TestAcceptQueueIsServedAtShutdown(t *testing.T) {
 	d := newListener(t, 10)
 	for range 3 {
 		dialClient(t, d, "GET /")
@@ -135,7 +135,7 @@
 }
 
 // The shutdown closes connections that have sent nothing, but waits for those that have sent part of a request.
-func TestSilentConnectionsAreDroppedAtTheEnd(t *testing.T) {
+func TestSilentConnectionsAreClosedAtShutdown(t *testing.T) {
 	d := newListener(t, 10)
 	silent, partial := dialClient(t, d, ""), dialClient(t, d, "GET /")
 	acceptConn(t, d)
@@ -147,7 +147,7 @@
 }
 
 // An accept queue that never becomes empty, as two processes share it, does not keep the listener open.
-func TestBusyQueueEnds(t *testing.T) {
+func TestBusyAcceptQueueDoesNotBlockShutdown(t *testing.T) {
 	d := newListener(t, 1000)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -185,7 +185,7 @@
 
 // Data arrives while an idle connection is being closed. Its reader gets the data first, whichever came first, and the connection stays open
 // with the read deadline that was set.
-func TestBytesComeAsAnIdleConnectionEnds(t *testing.T) {
+func TestDataArrivesAsIdleConnectionIsClosed(t *testing.T) {
 	for name, race := range map[string]func(c *Conn, client net.Conn){
 		"closing, then data": func(c *Conn, client net.Conn) { c.end(EndedForRoom); io.WriteString(client, "GET") },
 		"data, then closing": func(c *Conn, client net.Conn) { io.WriteString(client, "GET"); c.end(EndedForRoom) },
@@ -231,7 +231,7 @@
 
 // An accept that fails for lack of memory or descriptors, as Linux documents, does not stop the listener: queued connections are accepted
 // while the agent serves and while it shuts down, and the shutdown completes as usual.
-func TestFailedAcceptsEndNothing(t *testing.T) {
+func TestFailedAcceptsDoNotStopListener(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.ENFILE, syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN} {
 		for _, ending := range []bool{false, true} {
 			t.Run(fmt.Sprint(errno, ", ending ", ending), func(t *testing.T) {
@@ -288,7 +288,7 @@
 }
 
 // Idle connections stay open as long as their clients keep them, unless they hold more than their share of the slots.
-func TestIdleConnectionsStayWhileThereIsRoom(t *testing.T) {
+func TestIdleConnectionsStayOpenWithinTheirShare(t *testing.T) {
 	const most, kept, surplus = 16, 16 / idleShareDivisor, 3
 	d := newListener(t, most)
 	now := time.Now()
@@ -323,7 +323,7 @@
 }
 
 // Guards against closing an idle connection for room while disconnected clients still hold slots because their readers are late.
-func TestClientsThatHaveLeftGiveWayFirst(t *testing.T) {
+func TestSlotsOfDisconnectedClientsAreFreedFirst(t *testing.T) {
 	for _, readerCloses := range []bool{false, true} {
 		d := newListener(t, 4)
 		d.readerCloses = readerCloses
@@ -346,7 +346,7 @@
 }
 
 // Guards against an answer that is not sent because the write deadline passes before the first write is attempted.
-func TestAnswersAreSentThoughTheirTimeHasPassed(t *testing.T) {
+func TestAnswerIsSentAfterWriteDeadline(t *testing.T) {
 	d := newListener(t, 10)
 	client := dialClient(t, d, "GET /")
 	conn := acceptConn(t, d)
@@ -365,7 +365,7 @@
 }
 
 // Guards against closing connections of clients that send requests rarely while their slots are not needed.
-func TestHalfOfThePlacesMayBeHeldByClientsThatAskRarely(t *testing.T) {
+func TestRarelyUsedConnectionsMayHoldHalfOfTheSlots(t *testing.T) {
 	const most, rarely = 32, surplusIdleAfter + 100*time.Millisecond
 	d := newListener(t, most)
 	now := time.Now()
@@ -387,7 +387,7 @@
 }
 
 // Connections that were used recently stay open even beyond the share of idle ones.
-func TestConnectionsThatWereUsedLatelyStay(t *testing.T) {
+func TestRecentlyUsedConnectionsStayOpen(t *testing.T) {
 	const most = 16
 	d := newListener(t, most)
 	now := time.Now()
@@ -407,7 +407,7 @@
 }
 
 // A newcomer waits for the slot of a connection that was accepted recently only while it has sent nothing itself, and not for long.
-func TestNewcomersWaitForThoseThatHaveJustCome(t *testing.T) {
+func TestNewConnectionWaitsForRecentlyAcceptedOnes(t *testing.T) {
 	const slack = 100 * time.Millisecond // for a busy machine; less than maxQueueWait
 	d := newListener(t, 2)
 	for range 2 {
--- a/internal/host/core/list_test.go
+++ b/internal/host/core/list_test.go
@@ -63,7 +63,7 @@
 }
 
 // A server that has restarted, moved or changed its protocol according to the list is treated as a new one, with new connections.
-func TestRestartedServerIsAnother(t *testing.T) {
+func TestRestartedServerIsTreatedAsNew(t *testing.T) {
 	e := discovery.Entry{ID: "b", Addr: "127.0.0.1:1", Zone: "z", State: "in_service", StartedMS: 5}
 	for name, change := range map[string]func(*discovery.Entry){
 		"nothing": func(*discovery.Entry) {}, "restarted": func(e *discovery.Entry) { e.StartedMS = 6 },
--- a/internal/host/logqueue/logqueue_test.go
+++ b/internal/host/logqueue/logqueue_test.go
@@ -27,7 +27,7 @@
 }
 
 // If nobody reads, neither Write nor Close blocks, and the next line that is written reports how many were dropped.
-func TestNobodyReads(t *testing.T) {
+func TestBlockedOutputDropsLines(t *testing.T) {
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestManyWriters(t *testing.T) {
+func TestConcurrentWriters(t *testing.T) {
 	var out bytes.Buffer
 	w := New(&out)
 	var wait sync.WaitGroup
--- a/internal/host/peers/peers_test.go
+++ b/internal/host/peers/peers_test.go
@@ -77,7 +77,7 @@
 
 // One agent watches, and all receive its list and its changes, and nothing else; datagrams from strangers are counted
 // and change nothing.
-func TestListsPassOn(t *testing.T) {
+func TestListsReachAllAgents(t *testing.T) {
 	var entries []discovery.Entry
 	for i := range 30 {
 		entries = append(entries, discovery.Entry{ID: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), State: "in_service", Weight: 1})
@@ -150,7 +150,7 @@
 }
 
 // Errors in the configuration are reported before anything is sent.
-func TestProblems(t *testing.T) {
+func TestConfigurationErrors(t *testing.T) {
 	valid := Settings{Settings: gossip.Defaults, Listen: "127.0.0.1:0", Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Log: slog.New(slog.DiscardHandler)}
 	for name, corrupt := range map[string]func(*Settings){
 		"no listener":  func(s *Settings) { s.Listen = "" },
--- a/internal/host/pool/race_test.go
+++ b/internal/host/pool/race_test.go
@@ -103,7 +103,7 @@
 }
 
 // At the limit of connections a race dials one address at a time. Connections that lose are closed, and none is leaked.
-func TestRacesAtTheLimit(t *testing.T) {
+func TestDialRacesAtConnectionLimit(t *testing.T) {
 	for _, c := range []struct {
 		maxConns int
 		open     int64 // at a time
--- a/internal/host/statestore/statestore_test.go
+++ b/internal/host/statestore/statestore_test.go
@@ -64,7 +64,7 @@
 
 // The state that an agent wrote is restored by its next process; another agent's state is neither restored nor
 // overwritten.
-func TestNextAgentRemembers(t *testing.T) {
+func TestStateIsRestoredByNextProcess(t *testing.T) {
 	fs := crashfs.New()
 	if restored, log := runOnce(t, fs, "n1", "learned: written"); restored != nil || !strings.Contains(log, "nothing is kept yet") {
 		t.Errorf("restored %v\n%s", restored, log)
@@ -192,7 +192,7 @@
 }
 
 // Two agents share one folder: the second one runs without writing, and takes over the folder once the first has exited.
-func TestTwoAgents(t *testing.T) {
+func TestTwoAgentsShareOneFolder(t *testing.T) {
 	dir := store.Dir(t.TempDir())
 	first, _, err := store.Open(dir, store.Settings{})
 	if err != nil {
--- a/internal/host/takeover/takeover_test.go
+++ b/internal/host/takeover/takeover_test.go
@@ -85,7 +85,7 @@
 }
 
 // A claim that breaks off at any point, or is invalid, does not affect the old process.
-func TestClaimsThatBreak(t *testing.T) {
+func TestIncompleteOrInvalidClaims(t *testing.T) {
 	o := startOldProcess(t)
 	frame, err := handover.Encode(hello{"n1"})
 	if err != nil {
@@ -130,7 +130,7 @@
 }
 
 // Claim fails with ErrNoPreviousProcess if there is no socket file or nobody listens on it, and with another error if the answer is unreadable.
-func TestNothingToClaim(t *testing.T) {
+func TestClaimWithoutPreviousProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	if _, err := Claim(path, "n1"); !errors.Is(err, ErrNoPreviousProcess) {
 		t.Errorf("no socket file: %v", err)
--- a/internal/http/httpback/crossing_test.go
+++ b/internal/http/httpback/crossing_test.go
@@ -74,7 +74,7 @@
 
 // Guards against taking a second answer to a request for the answer to the next one. A server answers twice, some milliseconds apart,
 // and the next request may already be on that connection. So a connection is not reused before a delay, in which the second answer arrives.
-func TestSecondAnswerMeetsNextRequest(t *testing.T) {
+func TestSecondAnswerIsNotTakenForNextRequest(t *testing.T) {
 	b := runServer(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		id := readRequestID(r)
 		fmt.Fprint(c, answerWithID(id))
@@ -97,7 +97,7 @@
 
 // A few of the calls that find no connection past its reuse delay wait for one; the others open more connections, within the limit, so that
 // in the end every call finds one. The reuse delay is observed on each connection.
-func TestFewWaitForRest(t *testing.T) {
+func TestFewAttemptsWaitForReuseDelay(t *testing.T) {
 	const reuseDelay, calls, maxConns = 100 * time.Millisecond, 12, 20
 	var opened atomic.Int32
 	var mu sync.Mutex
@@ -147,7 +147,7 @@
 }
 
 // An attempt that waits for a connection's reuse delay is canceled or times out: nothing is sent, and the connection is released.
-func TestWithdrawnWhileItRests(t *testing.T) {
+func TestAttemptIsCanceledDuringReuseDelay(t *testing.T) {
 	var seen testkit.Counter
 	b := startServer(t, func(_ http.ResponseWriter, r *http.Request) { seen.Add(r) })
 	u := newTransport(pool.Settings{ReuseDelay: testkit.WaitTimeout})
@@ -178,7 +178,7 @@
 
 // The process is suspended between the check of an idle connection and the first byte, and the server closes the idle connection
 // meanwhile. The request must not be written there: it would count as one that may have run, and an unsafe one would be lost.
-func TestIdleConnectionEndsDuringAStandstill(t *testing.T) {
+func TestIdleConnectionClosesDuringSuspension(t *testing.T) {
 	closed := make(chan net.Conn, 1)
 	b := runServer(t, func(c net.Conn, r *bufio.Reader, _ int) {
 		for id := readRequestID(r); id != ""; id = readRequestID(r) {
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -55,7 +55,7 @@
 
 // While a dial is in progress, the call may end, its deadline may pass, the module may cancel the attempt or the backend may begin to
 // drain: then nothing may be sent.
-func TestNothingIsSentAfterASlowDial(t *testing.T) {
+func TestAttemptThatEndsDuringDialIsNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
 		meanwhile func(u *exchange.Transport, a *core.Attempt, cancel context.CancelCauseFunc)
 		want      choice.Result
@@ -93,7 +93,7 @@
 
 // Only the status that the call's shape declares, together with the server's explicit statement that it has not begun, proves that the
 // shape is unknown and nothing has run. The reply headers that the shape declares are returned with the answer.
-func TestShapes(t *testing.T) {
+func TestUnknownShapeAndReplyHeaders(t *testing.T) {
 	b := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		h := w.Header()
 		h.Set("x-receipt", "r-9")
@@ -126,7 +126,7 @@
 
 // A request that the backend may have read completely may have run. Only an incomplete write, or one that never started, proves
 // that it did not.
-func TestBreaks(t *testing.T) {
+func TestResultWhenConnectionBreaks(t *testing.T) {
 	var seen testkit.Counter
 	b := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if seen.Add(r); r.Header.Get("X-Correlation-Id") != "whole" {
@@ -193,7 +193,7 @@
 
 // An attempt with an invalid answer may have run. The answer is recognized as invalid well before the deadline, while the connection
 // stays open, and that connection is not used again.
-func TestSpoiltAnswers(t *testing.T) {
+func TestInvalidAnswers(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, answer := range map[string]string{
 		"noise":             "\x8e\x1f7\x00noise without a line",
@@ -256,7 +256,7 @@
 }
 
 // An answer of unknown length is complete if its connection closes in order. If the connection is reset, the call may have run.
-func TestAnswersThatEndWithTheirConnection(t *testing.T) {
+func TestAnswersOfUnknownLength(t *testing.T) {
 	for name, c := range map[string]struct {
 		head, body string
 		reset      bool
@@ -304,7 +304,7 @@
 }
 
 // Valid answers with something unusual in them are accepted.
-func TestOddAnswers(t *testing.T) {
+func TestUnusualValidAnswers(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	for name, answer := range map[string]string{
 		"plain":             good,
@@ -324,7 +324,7 @@
 }
 
 // The time that one exchange may take does not limit how long its connection may be idle.
-func TestIdleConnectionIsUsedAgain(t *testing.T) {
+func TestStallTimeoutDoesNotLimitIdleTime(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	b, accepted := scriptedServer(t, good, good)
 	u := newTransport(pool.Settings{})
@@ -337,7 +337,7 @@
 }
 
 // Bytes behind an answer must not be taken for the answer to the next request.
-func TestBytesBehindAnAnswerEndItsConnection(t *testing.T) {
+func TestExtraBytesAfterAnswerCloseConnection(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"
 	u := newTransport(pool.Settings{})
 	for name, more := range map[string]string{"a second copy": good, "noise": "\x00\x01"} {
@@ -356,7 +356,7 @@
 }
 
 // Bytes that arrive while a connection is idle must not be taken for the answer to the next request either.
-func TestIdleConnectionThatSpeaksIsDropped(t *testing.T) {
+func TestIdleConnectionThatReceivesDataIsClosed(t *testing.T) {
 	conns := make(chan net.Conn, 2)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {}))
 	s.Config.ConnState = func(c net.Conn, state http.ConnState) {
--- a/internal/http/httpfront/crossing_test.go
+++ b/internal/http/httpfront/crossing_test.go
@@ -129,7 +129,7 @@
 }
 
 // Guards against a connection that closes without an answer when the handler of its request panics.
-func TestRequestsWhoseHandlingPanicsAreAnswered(t *testing.T) {
+func TestRequestIsAnsweredIfItsHandlerPanics(t *testing.T) {
 	r := newTestFront(t, 10)
 	r.WithShapes(panickingShapes{})
 	r.serve()
@@ -154,7 +154,7 @@
 }
 
 // Guards against a shutdown that waits for a silent client a second time for as long as idle connections stay open.
-func TestSilentConnectionsDoNotHoldUpTheEnd(t *testing.T) {
+func TestSilentConnectionsDoNotDelayShutdown(t *testing.T) {
 	const idle, slack, closeBy = time.Second, 500 * time.Millisecond, 10 * time.Second
 	r := newTestFront(t, 10)
 	r.serve()
@@ -213,7 +213,7 @@
 
 // net/http reads no further than the first byte behind a request, so it does not notice the disconnect of a client that has sent more.
 // Neither the waiting request nor the one behind it may be forwarded after the disconnect.
-func TestClientThatSentMoreLeaves(t *testing.T) {
+func TestDisconnectAfterPipelinedDataIsDetected(t *testing.T) {
 	for kind, request := range requestsByKind {
 		for _, reset := range []bool{false, true} {
 			for name, more := range map[string]string{"a byte": "G", "a request": request("b"), "much": strings.Repeat(request("b"), 1000)} {
@@ -246,7 +246,7 @@
 }
 
 // A client may disconnect before its request is read: while the request is in the kernel's queue, or while the agent is suspended.
-func TestClientIsGoneBeforeItsRequestIsRead(t *testing.T) {
+func TestClientDisconnectsBeforeItsRequestIsRead(t *testing.T) {
 	for kind, request := range requestsByKind {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(kind, ", reset ", reset), func(t *testing.T) {
@@ -267,7 +267,7 @@
 
 // Guards against an answer that is lost because it is late, after the agent was suspended: a client whose connection closes without an
 // answer retries a request that may have taken effect.
-func TestAnswerAfterTheConnectionsTime(t *testing.T) {
+func TestAnswerIsSentAfterWriteTimeout(t *testing.T) {
 	r := newTestFront(t, 10)
 	r.http.WriteTimeout = 1 // counted from the request
 	c := r.serve().dial(t)
@@ -307,7 +307,7 @@
 // Another client takes the last free connection after a request has been read from an idle connection, but before its handler runs. The
 // idle connection must not be the one that is closed, and its request is answered once. The new connection, on which nothing was
 // received, is closed.
-func TestPlaceIsTakenWhileARequestIsRead(t *testing.T) {
+func TestLastSlotIsTakenWhileARequestIsRead(t *testing.T) {
 	for kind, request := range requestsByKind {
 		t.Run(kind, func(t *testing.T) {
 			r := newTestFront(t, 4)
@@ -406,7 +406,7 @@
 
 // A request that arrives in pieces while the agent begins to shut down is answered, on a connection that was idle before
 // and on a new one.
-func TestRequestComesInPiecesAcrossTheEnd(t *testing.T) {
+func TestRequestInPiecesIsAnsweredDuringShutdown(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
 		for kind, request := range requestsByKind {
 			t.Run(fmt.Sprint(kind, ", fresh ", fresh), func(t *testing.T) {
@@ -461,7 +461,7 @@
 }
 
 // Guards against a leaked stream, with a writer that waits for a reader, when an answer starts as its client disconnects.
-func TestAnswerThatNobodyTakesIsClosed(t *testing.T) {
+func TestAnswerToDisconnectedClientIsClosed(t *testing.T) {
 	for name, race := range map[string]func(s answerSlot, ans core.Answer){
 		"the answer first":     func(s answerSlot, ans core.Answer) { s.deliver(ans); s.call.MarkDisconnected(); s.discard() },
 		"the disconnect first": func(s answerSlot, ans core.Answer) { s.call.MarkDisconnected(); s.discard(); s.deliver(ans) },
@@ -479,7 +479,7 @@
 
 // Many clients disconnect at once, in rounds of up to 200, half of them after sending bytes that nobody reads. From 0.1 s later, nothing
 // may be forwarded for them, and all that they held is released. Time in which the machine itself paused is not counted.
-func TestThousandLeavings(t *testing.T) {
+func TestManyClientsDisconnectAtOnce(t *testing.T) {
 	r := newTestFront(t, 1000)
 	r.probeInterval = conntrack.ProbeInterval
 	r.serve()
@@ -559,7 +559,7 @@
 
 // A request is completely received when the agent is about to exit, and its own deadline is later than that. As the request was
 // read, it must get its final answer before the process exits.
-func TestRequestReadNearTheEndIsAnsweredBeforeIt(t *testing.T) {
+func TestRequestReadJustBeforeExitIsAnswered(t *testing.T) {
 	for _, fresh := range []bool{false, true} {
 		for kind, request := range requestsByKind {
 			t.Run(fmt.Sprint(kind, ", fresh ", fresh), func(t *testing.T) {
@@ -582,7 +582,7 @@
 
 // Data of the next request that was read during the previous request counts as received: when the agent shuts down right after the
 // first answer, the connection stays open for the next request, although nothing of it is left in the kernel.
-func TestNextRequestIsReadAheadAtTheEnd(t *testing.T) {
+func TestReadAheadRequestIsAnsweredAtShutdown(t *testing.T) {
 	for name, sendBoth := range map[string]func(t *testing.T, c net.Conn, awaitStart func()){
 		"in net/http's buffer": func(t *testing.T, c net.Conn, awaitStart func()) {
 			send(t, c, requestsByKind["safe"]("a")+requestsByKind["safe"]("b"))
@@ -627,7 +627,7 @@
 
 // The agent was suspended, so the deadline for a head has passed when the agent reads. A request that was completely received is still
 // answered, but a client that has sent nothing or only part of a request is not waited for.
-func TestTimeToReadPassesOverAWholeRequest(t *testing.T) {
+func TestCompleteRequestIsAnsweredAfterReadTimeout(t *testing.T) {
 	for kind, request := range requestsByKind {
 		t.Run(kind, func(t *testing.T) {
 			r := newTestFront(t, 10)
@@ -656,7 +656,7 @@
 
 // A client has disconnected, and nobody has noticed yet: the check right before an attempt is written must detect this, whether or not
 // the client had sent more data, and must not mistake a connected client for a disconnected one.
-func TestDisconnectedIsAskedBeforeEachAttempt(t *testing.T) {
+func TestDisconnectIsDetectedBeforeEachAttempt(t *testing.T) {
 	for _, more := range []string{"", "G", strings.Repeat("GET / HTTP/1.1\r\n", 100)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d bytes more, reset %t", len(more), reset), func(t *testing.T) {
--- a/internal/http/httpfront/tape_test.go
+++ b/internal/http/httpfront/tape_test.go
@@ -19,7 +19,7 @@
 
 // Requests are sent back to back, with random sizes, in pieces of random sizes. A request must have more data behind it if and only if
 // it is not the last.
-func TestTapeKnowsWhetherMoreHasCome(t *testing.T) {
+func TestRecordingConnDetectsFurtherData(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/http/httpmsg/upload_test.go
+++ b/internal/http/httpmsg/upload_test.go
@@ -28,7 +28,7 @@
 }
 
 // Bytes that are kept can be read again from the first one, however small the pieces in which they were received.
-func TestUploadIsReadAgain(t *testing.T) {
+func TestUploadCanBeReadAgain(t *testing.T) {
 	u := NewUpload(-1, newBudget(1))
 	var want []byte
 	for i := range 1000 {
@@ -59,7 +59,7 @@
 }
 
 // Without room, appending waits for a reader, and what was read is dropped: then no other reader can start.
-func TestUploadBoundsWhatItKeeps(t *testing.T) {
+func TestUploadBufferIsBounded(t *testing.T) {
 	b := newBudget(0)
 	u := NewUpload(10*MinBuffered, b)
 	part := bytes.Repeat([]byte{1}, PartSize)
@@ -95,7 +95,7 @@
 }
 
 // Readers of a body that fails or is closed get an error, and the budget gets its bytes back.
-func TestUploadEnds(t *testing.T) {
+func TestFailedOrClosedUpload(t *testing.T) {
 	b := newBudget(1)
 	u, overBudget := NewUpload(-1, b), NewUpload(-1, b)
 	if u.limit != maxKeptBytes || overBudget.limit != MinBuffered {
--- a/internal/http/httpops/httpops_test.go
+++ b/internal/http/httpops/httpops_test.go
@@ -72,7 +72,7 @@
 	return resp.StatusCode, string(text)
 }
 
-func TestCalls(t *testing.T) {
+func TestControlRequests(t *testing.T) {
 	s := newFakeAgent()
 	addr := startServer(t, s, 4)
 	for _, c := range []struct {
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestFiguresInTheGivenForm(t *testing.T) {
+func TestCountersFormat(t *testing.T) {
 	_, got := call(t, startServer(t, newFakeAgent(), 4), "GET /control/counters")
 	want := `svc_succeeded{service="pay"} 3
 svc_declined{service="pay"} 2
@@ -120,7 +120,7 @@
 }
 
 // Connections without a complete request, or without any data, must not keep other clients out.
-func TestSilentCallersGiveWay(t *testing.T) {
+func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	addr := startServer(t, newFakeAgent(), 8)
 	for i := range 100 {
 		c, err := net.Dial("tcp", addr)
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -36,7 +36,7 @@
 
 // Without load reports, calls are distributed nearly as evenly as if each call picked a server at random, and more evenly than by
 // agents that do not know their rank.
-func TestCallsAreEven(t *testing.T) {
+func TestCallsAreSpreadEvenly(t *testing.T) {
 	f := testFleet()
 	r, err := Measure(f)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestFleetsThatCantBe(t *testing.T) {
+func TestInvalidFleets(t *testing.T) {
 	for _, f := range []Fleet{{}, {Agents: 1, Servers: 1, Rate: 1, Utilization: 1}, {Agents: 1, Servers: 1, Rate: 1, Utilization: 1, Warm: time.Minute, Silent: 2}} {
 		if _, err := Measure(f); err == nil {
 			t.Errorf("no error for %+v", f)
--- a/internal/lab/drive/drive_test.go
+++ b/internal/lab/drive/drive_test.go
@@ -12,7 +12,7 @@
 )
 
 // On sockets, and with every protocol, the agent behaves as in the traces of small worlds.
-func TestStoriesOnSockets(t *testing.T) {
+func TestTracesOnSockets(t *testing.T) {
 	// The agent's deadline runs while a trace is driven. This limit on concurrent traces leaves each enough time, even on a
 	// slow machine.
 	slots := make(chan struct{}, 6)
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -66,7 +66,7 @@
 }
 
 // With every order of independent steps and exact state keys, the same outcomes are found as with the reduction.
-func TestReductionLosesNothing(t *testing.T) {
+func TestReductionFindsTheSameOutcomes(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"one call":          {Servers: 2, Calls: []choice.Effect{choice.Unsafe}, Attempts: 2, Places: 2, Lists: 1, Leaves: 1, Cells: 2},
 		"one keyed call":    {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Cells: 2},
@@ -114,7 +114,7 @@
 }
 
 // Two states with the same key lead to the same states.
-func TestStatesTakenForOneGoOnAlike(t *testing.T) {
+func TestStatesWithTheSameKeyHaveTheSameSuccessors(t *testing.T) {
 	for name, cfg := range map[string]Config{
 		"two calls":   {Servers: 2, Calls: []choice.Effect{choice.Safe, choice.Unsafe}, Attempts: 2, Places: 4},
 		"a change":    {Servers: 2, Calls: []choice.Effect{choice.Keyed}, Attempts: 2, Places: 2, Cells: 2, Lists: 1, Leaves: 1},
@@ -159,7 +159,7 @@
 }
 
 // A copy of a world has the same state, behaves like the original, and does not share state with it.
-func TestCopies(t *testing.T) {
+func TestWorldCopiesAreIndependent(t *testing.T) {
 	for name, cfg := range Worlds {
 		t.Run(name, func(t *testing.T) {
 			root := newWorld(&cfg)
@@ -204,7 +204,7 @@
 
 // Guards against a bug that the explorer found: a retry that was allowed when the balancer ordered it waited for its
 // connection, or to be written, until the first attempt's deduplication window had passed, and the call ran twice.
-func TestKeyedRepeatIsWrittenWithinItsWindow(t *testing.T) {
+func TestKeyedRetryIsWrittenWithinTheDedupWindow(t *testing.T) {
 	cfg := Worlds["keyed"]
 	before := []Step{{Kind: CallArrives}, {Kind: Acquire}, {Kind: DialSucceeds}, {Kind: Send}, {Kind: WriteAll}, {Kind: AnswerError},
 		{Kind: Release}, {Kind: TakeEnd}, {Kind: Acquire, N: 1}}
@@ -224,7 +224,7 @@
 }
 
 // A trace that is encoded and decoded is unchanged, and decoding an invalid one is an error.
-func TestStoriesAreKept(t *testing.T) {
+func TestTraceEncodingRoundTrip(t *testing.T) {
 	cfg, steps := Worlds["keyed"], []Step{{Kind: CallArrives, Most: true}, {Kind: Acquire}, {Kind: DialFails}, {Kind: TakeEnd}}
 	text, err := EncodeTrace(cfg, "none", steps)
 	if err != nil {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -197,7 +197,7 @@
 `
 
 // Agents that exchange lists recover from faults, in a small fleet in which few of them can reach the list service.
-func TestSmallFleetTalks(t *testing.T) {
+func TestSmallFleetThatExchangesLists(t *testing.T) {
 	t.Parallel()
 	r, _ := runScenario(t, talkingScenario)
 	if r.Steps[0].Datagrams == 0 {
@@ -225,7 +225,7 @@
 
 // A program that exits, and one that never calls the list service, are reported as faults. An interrupted run leaves no processes
 // behind.
-func TestVerdictSees(t *testing.T) {
+func TestProgramsThatExitOrNeverCallTheListAreReported(t *testing.T) {
 	scenario := func() *Scenario {
 		s, err := Parse([]byte("agents = 3\n[[step]]\nname = \"cold start\"\nlimit_s = 0.3\n"))
 		if err != nil {
@@ -304,7 +304,7 @@
 }
 
 // The scenarios in lab/fleet can be parsed.
-func TestShipped(t *testing.T) {
+func TestShippedScenariosParse(t *testing.T) {
 	all, _ := filepath.Glob("../../../lab/fleet/*.toml")
 	if len(all) == 0 {
 		t.Fatal("no scenarios found")
@@ -429,7 +429,7 @@
 }
 
 // Calls to silent servers are counted by second.
-func TestSilentCount(t *testing.T) {
+func TestCallsToSilentServersAreCountedPerSecond(t *testing.T) {
 	received := func(at time.Duration, id string) Event { return Event{At: at, Kind: CallReceived, Said: id} }
 	events := []Event{received(sec, "a"), {At: 2 * sec, Kind: ServerSilenced, Agent: -1, Said: "a"}, received(2*sec+ms, "a"), received(3*sec, "b"), received(4*sec+ms, "a"), received(4*sec+2*ms, "a"),
 		{At: 5 * sec, Kind: ServerAnswersAgain, Agent: -1, Said: "a"}, received(6*sec, "a")}
--- a/internal/lab/fleet/relay_test.go
+++ b/internal/lab/fleet/relay_test.go
@@ -58,7 +58,7 @@
 }
 
 // Datagrams are lost, duplicated and delayed at the configured rates, and identically for the same seed.
-func TestFate(t *testing.T) {
+func TestDatagramLossDuplicationAndDelay(t *testing.T) {
 	const n = 20_000
 	simulate := func(seed uint64) (lost, twice, replayed float64, all string) {
 		r, err := newRelay(2, func(i int) string { return fmt.Sprintf("127.0.0.1:%d", 1+i) }, LinkOptions{Loss: 0.2, Twice: 0.05, Late: 0.02, Delay: 200 * time.Millisecond}, seed)
--- a/internal/lab/fleet/rules_test.go
+++ b/internal/lab/fleet/rules_test.go
@@ -57,7 +57,7 @@
 }
 
 // If lists are pushed, an agent counts as notified of the list as soon as it can reach the service, with or without a watch.
-func TestDrainsRuleWhereListsArePushed(t *testing.T) {
+func TestDrainsRuleWithPushedLists(t *testing.T) {
 	send := func(at time.Duration) Event { return Event{At: at, Kind: CallReceived, Agent: 0, Said: "s"} }
 	drain := Event{At: 2 * sec, Kind: ServerDraining, Agent: -1, Said: "s"}
 	begin := []Event{{At: 0, Kind: ProcessStarted, Agent: 0}, {At: sec, Kind: WatchStarted, Agent: 0}}
@@ -98,7 +98,7 @@
 }
 
 // A cold server crashes only if its load exceeds its limit.
-func TestColdServerFalls(t *testing.T) {
+func TestColdServerCrashesOnlyAboveItsLoadLimit(t *testing.T) {
 	opts := ServerOptions{Capacity: 100, ColdFrom: 0.5, ColdFor: time.Hour, Push: 2, FallIn: 3 * sec, Queue: time.Hour}
 	for rate, crashes := range map[int]bool{50: false, 95: false, 130: true} {
 		now := time.Duration(0)
--- a/internal/lab/killer/killer_test.go
+++ b/internal/lab/killer/killer_test.go
@@ -21,7 +21,7 @@
 }
 
 // Kills the real agent while it writes its state. Each start must load the state that had been confirmed.
-func TestKilledWhileItWrites(t *testing.T) {
+func TestConfirmedStateSurvivesKillsDuringWrites(t *testing.T) {
 	program := build(t)
 	const kills = 20
 	r, err := Run(Options{Program: program, Dir: t.TempDir(), Kills: kills, Seed: 1})
--- a/internal/lab/outage/outage_test.go
+++ b/internal/lab/outage/outage_test.go
@@ -4,7 +4,7 @@
 
 // With SRV records, an agent loses hardly any value while the list service is down and all servers are replaced. Without them,
 // it loses nearly all once the last server that it knows has been replaced.
-func TestRecordsCarryTheAgent(t *testing.T) {
+func TestSRVRecordsLimitTheLossDuringAListOutage(t *testing.T) {
 	rows, err := Compare(50, 4)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/replay/hard_test.go
+++ b/internal/lab/replay/hard_test.go
@@ -36,7 +36,7 @@
 
 // The first attempt takes effect at an old server over HTTP and its answer is lost; the retry goes to a new server over Thrift
 // in the same deduplication group. It must have the same key and id, so that the group drops it as a duplicate.
-func TestRepeatInAnotherShapeIsDropped(t *testing.T) {
+func TestRetryInAnotherShapeIsDeduplicated(t *testing.T) {
 	for _, key := range []string{"once", "%41 é+", strings.Repeat("k", 4090)} {
 		group := standin.NewDedupGroup()
 		var first atomic.Bool
@@ -71,7 +71,7 @@
 }
 
 // An answer that cannot be represented in the client's shape arrives after the effect. The call must fail and not be retried.
-func TestReplyThatCannotBeToldIsAFailure(t *testing.T) {
+func TestUntranslatableReplyIsAFailure(t *testing.T) {
 	odd := func(standin.Call) standin.Step { return standin.Step{Fault: standin.UndefinedValue} }
 	for _, client := range protocols {
 		for _, server := range protocols {
@@ -93,7 +93,7 @@
 
 // A request whose translation exceeds the server's size limit must be refused before anything is sent, and must still reach
 // a server that accepts it untranslated.
-func TestGrowthBeyondTheBound(t *testing.T) {
+func TestTranslationBeyondTheSizeLimitIsNotSent(t *testing.T) {
 	text := strings.Replace(deploy.Translate, "[shapes.refund-record-2.request]", "[shapes.refund-record-2.max_body_bytes]\nrequest = 200\n\n[shapes.refund-record-2.request]", 1)
 	world := func(servers ...standin.Options) *World {
 		w, err := NewWorld(standin.Platform{}, func() (*translate.Set, error) { return translate.Compile([]byte(text)) }, slog.New(slog.DiscardHandler), servers...)
@@ -126,7 +126,7 @@
 
 // A call that only an old server can accept, and that this server rejects for now, must get a plain refusal, as it can be
 // retried later.
-func TestUnfitForSomeIsNotUnfit(t *testing.T) {
+func TestCallThatSomeServerCanAcceptIsNotUntranslatable(t *testing.T) {
 	full := func(standin.Call) standin.Step { return standin.Step{Fault: standin.Reject} }
 	w := newWorld(t, standin.Platform{MaxRetryAfter: time.Second}, standin.Options{ID: "new", Protocol: "http", Shapes: []string{"2"}},
 		standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}, Script: full})
@@ -147,7 +147,7 @@
 }
 
 // A call that no server accepts must be refused at once with Retry-After, and a call in an unknown shape with status 400.
-func TestNobodyTakesIt(t *testing.T) {
+func TestCallThatNoServerAcceptsIsRefused(t *testing.T) {
 	w := newWorld(t, standin.Platform{MaxRetryAfter: time.Second}, standin.Options{ID: "a", Protocol: "http", Shapes: []string{"3"}})
 	began := time.Now()
 	m := w.send(t, refund(t, "k").HTTP("n-1"))
@@ -215,7 +215,7 @@
 
 // The agent must learn from rejected calls that servers were rolled back while the list still reports the new shape, without
 // any client noticing. What it learned must expire, after which the list counts again.
-func TestDriftIsLearnedAndForgotten(t *testing.T) {
+func TestShapeDriftIsLearnedAndExpires(t *testing.T) {
 	for _, protocol := range protocols {
 		t.Run(protocol, func(t *testing.T) {
 			var refused atomic.Int32
--- a/internal/lab/replay/replay_test.go
+++ b/internal/lab/replay/replay_test.go
@@ -38,7 +38,7 @@
 
 // Sends the corpus through all pairs of protocols. What the new servers receive and what the clients are answered must equal
 // the results with old servers, byte for byte.
-func TestCorpusThroughAllPairs(t *testing.T) {
+func TestCorpusThroughAllProtocolPairs(t *testing.T) {
 	all := load(t)
 	for _, client := range protocols {
 		for _, server := range append([]string{"thrift-binary multiplexed"}, protocols...) {
@@ -84,7 +84,7 @@
 func first(all []string) []string { return all[:min(len(all), 8)] }
 
 // Compare must detect a server that receives something different, and a client that receives a different answer.
-func TestCompareSeesDifferences(t *testing.T) {
+func TestCompareDetectsDifferences(t *testing.T) {
 	all := load(t)
 	wrong := strings.Replace(deploy.Translate, `W = "watch", J = "jewellery"`, `W = "jewellery", J = "watch"`, 1)
 	old := newWorld(t, standin.Platform{}, standin.Options{ID: "old", Protocol: "http", Shapes: []string{"1"}})
--- a/internal/lab/replay/tap_test.go
+++ b/internal/lab/replay/tap_test.go
@@ -15,7 +15,7 @@
 
 // A tap must record exchanges with redacted values and forward the answers to the clients. A replay of the recording must give
 // the same results with old and new servers.
-func TestRecordingIsPlayed(t *testing.T) {
+func TestRecordingIsReplayed(t *testing.T) {
 	all := load(t)[:12]
 	for _, client := range protocols {
 		t.Run(client, func(t *testing.T) {
@@ -122,7 +122,7 @@
 }
 
 // Errors in a recording must name the line.
-func TestReadProblems(t *testing.T) {
+func TestRecordingErrorsNameTheLine(t *testing.T) {
 	good := `{"protocol":"http","request":{"method":"GET","target":"/"},"answer":{}}` + "\n"
 	for text, want := range map[string]string{good + "{": "line 2", good + `{"protocol":"smtp"}`: "line 2: protocol", good + `{"protocol":"thrift","request":{}}`: "line 2: request.thrift64",
 		`{"protocl":"http"}`: "protocl", strings.Repeat(" ", MaxLineBytes+1): "line 1"} {
--- a/internal/lab/restart/restart_test.go
+++ b/internal/lab/restart/restart_test.go
@@ -9,7 +9,7 @@
 
 // At a low rate, an agent with stored learned state loses much less after a restart than one without, and one whose stored state
 // is wrong loses no more than that, within the noise. The results of the long run are in docs/design/learning.md.
-func TestMemoryHelpsAndDoesNoHarm(t *testing.T) {
+func TestStoredStateReducesTheLossAfterARestart(t *testing.T) {
 	rows, err := Compare(20, true, []Variant{Variants[1], {Name: "wrong", Restore: WrongState}, {Name: WithoutState}}, 24)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 
 // Stored state that is inverted: the silent server is stored as excellent, and the best ones as slow, failing and ejected. The
 // additional loss must stay within a bound.
-func TestMemoryTheWrongWayRound(t *testing.T) {
+func TestInvertedStoredStateHasBoundedLoss(t *testing.T) {
 	inverted := func(stored learned.State, _ uint64) *aging.Restored {
 		for i := range stored.Buckets {
 			b := &stored.Buckets[i]
--- a/internal/lab/rollout/rollout_test.go
+++ b/internal/lab/rollout/rollout_test.go
@@ -39,7 +39,7 @@
 }
 
 // A mapping that changes the meaning for the servers must be detected from what the servers received.
-func TestRolloutSeesMisreading(t *testing.T) {
+func TestRolloutDetectsMisreading(t *testing.T) {
 	wrong := strings.Replace(deploy.Translate, `W = "watch", J = "jewellery"`, `W = "jewellery", J = "watch"`, 1)
 	r, err := Run(Settings{Client: "http", Old: "http", New: "http", Servers: 2, Rate: 40, ReplaceInterval: 300 * time.Millisecond, Seed: 1, ShapesText: wrong})
 	if err != nil || r.Misread == 0 {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -30,7 +30,7 @@
 
 // Every call of an agent that keeps running is answered by its deadline. Healthy servers serve nearly all calls, and silent
 // servers serve none.
-func TestCallsEnd(t *testing.T) {
+func TestCallsAreAnsweredByTheDeadline(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		cfg := restart.WorldConfig(100, true, 1)
 		for i := range cfg.Servers {
--- a/internal/settings/wire/wire_test.go
+++ b/internal/settings/wire/wire_test.go
@@ -92,7 +92,7 @@
 }
 
 // A list number may be reused for a new list later in the batch: an earlier event keeps the list that it referred to.
-func TestRecycledList(t *testing.T) {
+func TestReusedListNumber(t *testing.T) {
 	got, err := read(t, launch,
 		`{"type":"Census","Buffer":15,"RowsIn":[{"Backend":"a:1","Mode":"ready","Units":1.5,"CameUpNs":6,"Pack":2}]}`,
 		`{"type":"Members","I":"agent_1","Form":"restored","Revision":1,"Buffer":15}`,
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestFaultsNameTheLine(t *testing.T) {
+func TestErrorsNameTheLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"broken":   {`{"type":`, "line 3: broken JSON"},
 		"array":    {`[1]`, "line 3: not an object"},
--- a/internal/store/dir_test.go
+++ b/internal/store/dir_test.go
@@ -70,7 +70,7 @@
 }
 
 // A batch that exceeds a limit is rejected, and the store keeps its records.
-func TestBounds(t *testing.T) {
+func TestBatchLimits(t *testing.T) {
 	st, _, err := store.Open(store.Dir(t.TempDir()), store.Settings{MaxBytes: 100, MaxRecords: 2})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/store/frames/frames_test.go
+++ b/internal/store/frames/frames_test.go
@@ -32,7 +32,7 @@
 }
 
 // An encoded file is decoded completely, and each kind of fault is reported with its position.
-func TestFaultsAreNamed(t *testing.T) {
+func TestFaultsAreReportedWithPosition(t *testing.T) {
 	batches := [][]Record{one("a", "1"), one("b", "2")}
 	good := sample(t, Snapshot, batches...)
 	if c := Decode(Snapshot, 7, good); c.Fault != nil || !c.Ended || c.Valid != len(good) || !reflect.DeepEqual(c.Batches, batches) {
@@ -73,7 +73,7 @@
 }
 
 // Records and batches that could not be decoded are not encoded.
-func TestRefused(t *testing.T) {
+func TestInvalidBatchesAreNotEncoded(t *testing.T) {
 	for _, r := range []Record{{}, {Name: strings.Repeat("n", MaxName+1)}, {Name: "n", Kind: strings.Repeat("k", MaxName+1)},
 		{Name: "n", Body: make([]byte, MaxFrame+1)}} {
 		if _, err := EncodeBatch(1, 0, []Record{r}); err == nil {
@@ -86,7 +86,7 @@
 }
 
 // File names are parsed as they are built, and other names are rejected.
-func TestNames(t *testing.T) {
+func TestFileNames(t *testing.T) {
 	for _, f := range []File{{"snapshot-000000000000000a", Snapshot, 10}, {"log-ffffffffffffffff", Log, 1<<64 - 1}} {
 		if got, ok := Parse(f.Name); !ok || got != f || Name(f.Kind, f.Generation) != f.Name {
 			t.Errorf("%+v, %t", got, ok)
--- a/internal/sysio/socketio/readiness_test.go
+++ b/internal/sysio/socketio/readiness_test.go
@@ -73,7 +73,7 @@
 }
 
 // A non-blocking read that found no data counts like an earlier wait.
-func TestReadinessAfterALook(t *testing.T) {
+func TestReadinessAfterAnEmptyRead(t *testing.T) {
 	c, other := pair(t)
 	c.Reads().StartAt(time.Now().Add(-time.Hour))
 	before := time.Now()
--- a/internal/sysio/socketio/socketio_test.go
+++ b/internal/sysio/socketio/socketio_test.go
@@ -159,7 +159,7 @@
 
 // A read returns io.EOF after the other side has closed its sending side, the deadline error once the deadline has passed, and net.ErrClosed
 // after Close.
-func TestReadEnds(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	c, other := pair(t)
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -191,7 +191,7 @@
 }
 
 // Short writes between errors neither lose nor repeat a byte.
-func TestWriteGoesOnBehindWhatWasWritten(t *testing.T) {
+func TestWriteContinuesAfterShortWrite(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			c, other := pair(t)
--- a/internal/sysio/transient/transient_test.go
+++ b/internal/sysio/transient/transient_test.go
@@ -16,7 +16,7 @@
 
 func isENFILE(err error) bool { return errors.Is(err, syscall.ENFILE) }
 
-func TestUntil(t *testing.T) {
+func TestRetry(t *testing.T) {
 	calls := 0
 	if err := Retry(context.Background(), func() error {
 		if calls++; calls < 4 {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTellingFirst(t *testing.T) {
+func TestNotifyFirst(t *testing.T) {
 	var notified []error
 	retry := NotifyFirst(func(err error) { notified = append(notified, err) }, isENFILE)
 	first, second := failure(syscall.ENFILE), failure(syscall.EMFILE)
--- a/internal/thrift/thriftback/thriftback_test.go
+++ b/internal/thrift/thriftback/thriftback_test.go
@@ -118,7 +118,7 @@
 }
 
 // If a server cuts off its reply at any byte, the call counts as possibly executed and the connection is not used again.
-func TestServerCutsAtEveryByte(t *testing.T) {
+func TestReplyCutOffAtEveryByte(t *testing.T) {
 	for _, multiplexed := range []bool{false, true} {
 		for e := range encodings {
 			n := 0
@@ -174,7 +174,7 @@
 
 // A reply without a call, or a second reply to one, breaks the connection, because no call may get another call's reply. The calls on it count as
 // possibly executed.
-func TestForeignReplies(t *testing.T) {
+func TestUnexpectedReplies(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.WrongSeq, standin.TwoReplies, standin.InvalidBytes} {
 		release := make(chan struct{})
 		_, server := start(t, standin.Options{ID: "s", Multiplexed: true, Script: func(c standin.Call) standin.Step {
@@ -347,7 +347,7 @@
 }
 
 // If a connection breaks, calls that were written count as possibly executed, and queued calls as never executed.
-func TestBreakWithCallsQueued(t *testing.T) {
+func TestConnectionBreaksWithQueuedCalls(t *testing.T) {
 	server, conns := startStuckServer(t)
 	gate, began := make(chan struct{}), make(chan struct{}, 1)
 	tr := newTransport(t, pool.Settings{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/thrift/thriftfront/client_test.go
+++ b/internal/thrift/thriftfront/client_test.go
@@ -43,7 +43,7 @@
 
 // The tracker closes a connection to make room while a call is being read from it. The call must not be accepted, because its client gets no
 // answer and retries elsewhere. The front has no core here that could accept it.
-func TestConnectionClosesAsACallIsRead(t *testing.T) {
+func TestConnectionIsClosedWhileACallIsRead(t *testing.T) {
 	c, listener := newTestClient(t, 1)
 	connect(t, listener) // takes the only place
 	var w thriftwire.Writer
@@ -60,7 +60,7 @@
 
 // A client disconnects, which the writer notices, after the reader has added a call that is refused at once to the order of answers and before
 // it has answered it.
-func TestClientLeavesAsACallIsRefused(t *testing.T) {
+func TestClientDisconnectsAsACallIsRefused(t *testing.T) {
 	c, _ := newTestClient(t, 10)
 	s := c.addCall(nil, 1, false)
 	c.abort()
--- a/internal/thrift/thriftmap/call_test.go
+++ b/internal/thrift/thriftmap/call_test.go
@@ -192,7 +192,7 @@
 }
 
 // Retry times sent to a client are rounded up, so that none is earlier than the module requires.
-func TestRefusalRoundsUp(t *testing.T) {
+func TestRefusalRoundsRetryTimeUp(t *testing.T) {
 	m := parse(t)
 	for _, e := range encodings {
 		frame := read(t, m, submit(e)).AppendRefusal(nil, 1200*time.Millisecond)
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestFieldsOfOtherTypes(t *testing.T) {
+func TestInvalidFieldsAreRefused(t *testing.T) {
 	m := parse(t)
 	for name, write := range map[string]func(*thriftwire.Writer){
 		"no key":           func(w *thriftwire.Writer) {},
--- a/internal/thrift/thriftwire/thriftwire_test.go
+++ b/internal/thrift/thriftwire/thriftwire_test.go
@@ -182,7 +182,7 @@
 }
 
 // A message that is cut off at any byte, or has bytes after its end, is malformed, whatever it contains.
-func TestCutAtEveryByte(t *testing.T) {
+func TestMessageCutOffAtEveryByte(t *testing.T) {
 	plan := newPlan(t, 32, "1.1", "1.5")
 	for _, e := range encodings {
 		for seed := range uint64(20) {
@@ -281,7 +281,7 @@
 }
 
 // Messages at the limits are accepted.
-func TestAtTheBounds(t *testing.T) {
+func TestMessagesAtTheLimits(t *testing.T) {
 	binary, compact := binaryHead, compactHead
 	for name, m := range map[string]string{
 		"empty struct":            binary + "\x00",
@@ -315,7 +315,7 @@
 	}
 }
 
-func TestPlans(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	for _, paths := range [][]string{{"x"}, {"1..2"}, {"1.40000"}, {"1", "1"}, {"1.2", "1.2"}, {"1.1.1.1.1.1.1.1"}} {
 		if _, err := NewPlan(8, paths...); err == nil {
 			t.Errorf("%q: no error", paths)
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -127,7 +127,7 @@
 }
 
 // Every idempotency key is the same after each translation, byte for byte, or the call is refused.
-func TestKeysSurvive(t *testing.T) {
+func TestIdempotencyKeysSurviveTranslation(t *testing.T) {
 	set := sample(t)
 	r := rand.New(rand.NewPCG(1, 0))
 	keys := []string{"%", "%41", "a b", "é", "+", strings.Repeat("k", 4096), `"\`, "|", "\xff\xfe", "a\tb"}
@@ -279,7 +279,7 @@
 }
 
 // A local time that occurred twice or never, because the clocks were changed, is refused; all others survive a round trip.
-func TestClocks(t *testing.T) {
+func TestAmbiguousLocalTimes(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/London")
 	if err != nil {
 		t.Fatal(err)
--- a/layout_test.go
+++ b/layout_test.go
@@ -124,7 +124,7 @@
 }
 
 // Each kind of violation is detected.
-func TestLayoutFaults(t *testing.T) {
+func TestLayoutViolationsAreDetected(t *testing.T) {
 	for _, c := range []struct{ pkg, text, want string }{
 		{"choice", `import "net"`, "imports net"},
 		{"internal/decide/lifecycle", `import "os"`, "imports os"},
--- a/times_test.go
+++ b/times_test.go
@@ -40,7 +40,7 @@
 
 // Each time constant is documented on docs/design/times.md with its value and a reason, and the page names no constant that does
 // not exist.
-func TestConstantsOfTimeHaveReasons(t *testing.T) {
+func TestTimeConstantsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("docs/design/times.md")
 	if err != nil {
 		t.Fatal(err)
