--- a/internal/decide/addresses/addresses.go
+++ b/internal/decide/addresses/addresses.go
@@ -46,7 +46,7 @@
 // Settings configure a History and its races.
 type Settings struct {
 	Order    []Kind        // preferred kinds, the best first; kinds not listed come last
-	Delay    time.Duration // after which the next address is dialled in parallel if none has connected yet
+	Delay    time.Duration // after which the next address is dialed in parallel if none has connected yet
 	Avoid    time.Duration // for which a failed address is tried last; doubles with each further failure
 	MaxAvoid time.Duration // maximum of that
 	Remember time.Duration // for which the address that connected last is tried first
@@ -165,13 +165,13 @@
 	return best
 }
 
-// Race is the dialling of one connection over several addresses. It is not safe for concurrent use.
+// Race is the dialing of one connection over several addresses. It is not safe for concurrent use.
 type Race struct {
 	history *History
 	addrs   []string      // in the order in which to try them
 	next    int           // index of the first address not tried yet
-	dialing []string      // addresses being dialled
-	nextAt  time.Duration // when the next address may be dialled in parallel
+	dialing []string      // addresses being dialed
+	nextAt  time.Duration // when the next address may be dialed in parallel
 	won     bool          // a dial has connected
 }
 
@@ -180,7 +180,7 @@
 	return &Race{history: h, addrs: h.Sorted(now, addrs), nextAt: now}
 }
 
-// Start returns the addresses to be dialled now: the first one at once, the next one when those before it have failed or have
+// Start returns the addresses to be dialed now: the first one at once, the next one when those before it have failed or have
 // not connected within Settings.Delay. room is the number of parallel dials that are allowed in addition to the first.
 func (r *Race) Start(now time.Duration, room int) (dial []string) {
 	for !r.won && r.next < len(r.addrs) && (len(r.dialing) == 0 || now >= r.nextAt && len(r.dialing) < min(r.history.settings.MaxDials, 1+room)) {
@@ -215,7 +215,7 @@
 	return !r.won && len(r.dialing) == 0 && r.next >= len(r.addrs)
 }
 
-// TimedOut ends the race because its time is over. The addresses still being dialled are recorded as failed.
+// TimedOut ends the race because its time is over. The addresses still being dialed are recorded as failed.
 func (r *Race) TimedOut(now time.Duration) {
 	for _, addr := range r.dialing {
 		r.history.RecordFailure(now, addr)
@@ -223,7 +223,7 @@
 	r.dialing, r.next = nil, len(r.addrs)
 }
 
-// removeDialing removes an address from those being dialled.
+// removeDialing removes an address from those being dialed.
 func (r *Race) removeDialing(addr string) {
 	if i := slices.Index(r.dialing, addr); i >= 0 {
 		r.dialing = slices.Delete(r.dialing, i, i+1)
@@ -252,5 +252,5 @@
 	return &dst
 }
 
-// Dialing returns the addresses being dialled, in the order in which their dials were started.
+// Dialing returns the addresses being dialed, in the order in which their dials were started.
 func (r *Race) Dialing() []string { return r.dialing }
--- a/internal/decide/addresses/addresses_test.go
+++ b/internal/decide/addresses/addresses_test.go
@@ -59,7 +59,7 @@
 	at(2*time.Minute+Defaults.Remember, unix, six, four, name)
 }
 
-// The next address is dialled when the one before fails, or after the delay, but not while there is no room.
+// The next address is dialed when the one before fails, or after the delay, but not while there is no room.
 func TestRace(t *testing.T) {
 	const delay = 250 * time.Millisecond
 	begin := func() *Race { return NewHistory(Defaults).NewRace(0, []string{four, six, unix}) }
@@ -102,7 +102,7 @@
 	}
 }
 
-// For random outcomes: each address is dialled at most once, the first one at once, never more in parallel than there is room
+// For random outcomes: each address is dialed at most once, the first one at once, never more in parallel than there is room
 // for, and there is at most one winner.
 func TestRandomRaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -111,22 +111,22 @@
 		now := time.Duration(0)
 		for range 3 {
 			r := b.NewRace(now, all)
-			dialing, dialled := map[string]bool{}, map[string]bool{}
+			dialing, dialed := map[string]bool{}, map[string]bool{}
 			wins, over := 0, false
 			for range rapid.IntRange(0, 20).Draw(t, "steps") {
 				room := rapid.IntRange(-1, 3).Draw(t, "room")
 				before := len(dialing)
 				for _, a := range r.Start(now, room) {
-					if dialled[a] || over {
-						t.Fatalf("%s is dialled twice, or after the end of the race", a)
+					if dialed[a] || over {
+						t.Fatalf("%s is dialed twice, or after the end of the race", a)
 					}
-					dialled[a], dialing[a] = true, true
+					dialed[a], dialing[a] = true, true
 				}
 				if len(dialing) > max(1, before, min(Defaults.MaxDials, 1+room)) {
 					t.Fatalf("%d parallel dials with room for %d", len(dialing), room)
 				}
-				if len(dialled) == 0 {
-					t.Fatal("the first address is not dialled at once")
+				if len(dialed) == 0 {
+					t.Fatal("the first address is not dialed at once")
 				}
 				for a := range dialing {
 					switch rapid.IntRange(0, 3).Draw(t, "of "+a) {
@@ -139,8 +139,8 @@
 					case 1:
 						delete(dialing, a)
 						lost := r.Failed(now, a)
-						if lost != (!over && len(dialing) == 0 && len(dialled) == len(all)) {
-							t.Fatalf("lost is %t with %d addresses being dialled and %d not tried", lost, len(dialing), len(all)-len(dialled))
+						if lost != (!over && len(dialing) == 0 && len(dialed) == len(all)) {
+							t.Fatalf("lost is %t with %d addresses being dialed and %d not tried", lost, len(dialing), len(all)-len(dialed))
 						}
 						over = over || lost
 					}
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -2,8 +2,8 @@
 // I/O and read no clock: the caller reports events and asks for the resulting state. All transports use them, and so does the
 // state explorer, so that it explores the code that runs in production.
 //
-// A slot of the connection pool is one connection of the pool's limit (see PoolState); Placing and NoPlace are about it. A Slot of
-// a MultiplexedConn is something else: it holds one attempt on a connection that several attempts share.
+// A slot is a connection's share of the connection pool's limit (see PoolState); AwaitingSlot and NoSlot are about it. A PendingCall
+// is something else: it holds one attempt on a MultiplexedConn, which several attempts share.
 package lifecycle
 
 import (
@@ -77,7 +77,7 @@
 	return fmt.Errorf("lifecycle: illegal event for an attempt in stage %q: %s", a.stage, event)
 }
 
-// Dial records that the attempt has a slot in the connection pool and that dialling has started.
+// Dial records that the attempt has a slot in the connection pool and that dialing has started.
 func (a *Attempt) Dial() error {
 	if a.stage != AwaitingSlot {
 		return a.illegal("dialling")
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Connect records that the attempt has a connection: an idle one, or the one that it dialled.
+// Connect records that the attempt has a connection: an idle one, or the one that it dialed.
 func (a *Attempt) Connect() error {
 	if a.stage != AwaitingSlot && a.stage != Dialing {
 		return a.illegal("connected")
--- a/internal/decide/lifecycle/conn.go
+++ b/internal/decide/lifecycle/conn.go
@@ -33,7 +33,7 @@
 // The states of a connection.
 const (
 	Queued   ConnState = iota // waits for a slot
-	Dialled                   // has a slot and is being dialled
+	Dialed                    // has a slot and is being dialed
 	InUse                     // carries one or several attempts
 	Idle                      // available for the next attempt
 	Spoilt                    // in use, but must not be reused, as unexpected data may be pending on it
@@ -76,7 +76,7 @@
 func (c *Conn) Spoil() error { return c.transition(Spoilt, InUse, Spoilt) }
 
 // PoolState is the state of a pool of connections to all servers. It limits their number by slots: each connection that is
-// dialled, in use or idle holds one slot of the pool, whatever it carries. It queues connections that wait for a slot and keeps
+// dialed, in use or idle holds one slot of the pool, whatever it carries. It queues connections that wait for a slot and keeps
 // the idle ones. It does no I/O: its owner closes the connections that the methods return as closed or evicted. It is not safe for
 // concurrent use.
 type PoolState struct {
@@ -140,7 +140,7 @@
 // queued rather than rejected because servers that accept calls and never answer occupy many slots for as long as a call may
 // take, and rejecting would fail calls that a short wait could still serve.
 func (p *PoolState) ReserveSlot(s *Server, speaks choice.Protocols) (c, evicted *Conn) {
-	c = &Conn{Server: s, Speaks: speaks, state: Dialled}
+	c = &Conn{Server: s, Speaks: speaks, state: Dialed}
 	switch {
 	case p.taken < p.limit:
 		p.taken++
@@ -155,9 +155,9 @@
 	return c, evicted
 }
 
-// Open records that a dialled connection is established. It is now in use.
+// Open records that a dialed connection is established. It is now in use.
 func (p *PoolState) Open(c *Conn, host any) error {
-	if err := c.transition(InUse, Dialled); err != nil {
+	if err := c.transition(InUse, Dialed); err != nil {
 		return err
 	}
 	c.Host = host
@@ -168,7 +168,7 @@
 // returned as next.
 func (p *PoolState) Abort(c *Conn) (next *Conn, err error) {
 	queued := c.state == Queued
-	if err := c.transition(Closed, Queued, Dialled); err != nil {
+	if err := c.transition(Closed, Queued, Dialed); err != nil {
 		return nil, err
 	}
 	if queued {
@@ -186,7 +186,7 @@
 	}
 	next = p.queue[0]
 	p.queue = slices.Delete(p.queue, 0, 1)
-	next.state = Dialled
+	next.state = Dialed
 	return next
 }
 
--- a/internal/decide/lifecycle/copy.go
+++ b/internal/decide/lifecycle/copy.go
@@ -68,20 +68,20 @@
 // Queue returns the connections that wait for a slot, the longest-waiting first.
 func (p *PoolState) Queue() []*Conn { return slices.Clone(p.queue) }
 
-// CopyTo copies the Slot to another one that belongs to attempt a, a copy, and to host.
-func (s *PendingCall) CopyTo(dst *PendingCall, a *Attempt, host any) {
-	*dst = PendingCall{Seq: s.Seq, Attempt: a, Host: host, writeStarted: s.writeStarted}
+// CopyTo copies the PendingCall to another one that belongs to attempt a, a copy, and to host.
+func (p *PendingCall) CopyTo(dst *PendingCall, a *Attempt, host any) {
+	*dst = PendingCall{Seq: p.Seq, Attempt: a, Host: host, writeStarted: p.writeStarted}
 }
 
-// Copy returns an equal MultiplexedConn with the copies of its slots.
-func (m *MultiplexedConn) Copy(slots *Copies[PendingCall]) *MultiplexedConn {
+// Copy returns an equal MultiplexedConn with the copies of its pending calls.
+func (m *MultiplexedConn) Copy(pendingCalls *Copies[PendingCall]) *MultiplexedConn {
 	dst := *m
-	dst.slots, dst.queue = make(map[int32]*PendingCall, len(m.slots)), nil
-	for seq, s := range m.slots {
-		dst.slots[seq] = slots.Of(s)
+	dst.pendingCalls, dst.queue = make(map[int32]*PendingCall, len(m.pendingCalls)), nil
+	for seq, p := range m.pendingCalls {
+		dst.pendingCalls[seq] = pendingCalls.Of(p)
 	}
-	for _, s := range m.queue {
-		dst.queue = append(dst.queue, slots.Of(s))
+	for _, p := range m.queue {
+		dst.queue = append(dst.queue, pendingCalls.Of(p))
 	}
 	return &dst
 }
@@ -91,11 +91,11 @@
 func (m *MultiplexedConn) Fingerprint(dst []byte, number func(*PendingCall) int) []byte {
 	dst = binary.AppendVarint(dst, m.lastReply.UnixNano())
 	dst = binary.AppendVarint(dst, int64(m.seq))
-	dst = append(dst, byte(m.cause), boolByte(m.broken), boolByte(m.suspect), byte(len(m.slots)))
-	for _, s := range m.PendingCalls() {
-		dst = binary.AppendVarint(dst, int64(s.Seq))
-		dst = binary.AppendVarint(dst, s.writeStarted.UnixNano())
-		dst = append(dst, byte(number(s)), byte(s.Attempt.stage))
+	dst = append(dst, byte(m.cause), boolByte(m.broken), boolByte(m.suspect), byte(len(m.pendingCalls)))
+	for _, p := range m.PendingCalls() {
+		dst = binary.AppendVarint(dst, int64(p.Seq))
+		dst = binary.AppendVarint(dst, p.writeStarted.UnixNano())
+		dst = append(dst, byte(number(p)), byte(p.Attempt.stage))
 	}
 	return dst
 }
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -130,7 +130,7 @@
 			if c == nil {
 				return
 			}
-			if len(waiting) == 0 || waiting[0] != c || c.State() != Dialled {
+			if len(waiting) == 0 || waiting[0] != c || c.State() != Dialed {
 				t.Fatalf("seed %d: a place was granted out of order", seed)
 			}
 			waiting, granted = waiting[1:], append(granted, c)
@@ -150,7 +150,7 @@
 				if evicted != nil && (evicted.State() != Closed || slices.Contains(used, evicted)) {
 					t.Fatalf("seed %d: evicted %+v", seed, evicted)
 				}
-				if c.State() == Dialled {
+				if c.State() == Dialed {
 					granted = append(granted, c)
 				} else {
 					waiting = append(waiting, c)
--- a/internal/decide/lifecycle/multiplexed_test.go
+++ b/internal/decide/lifecycle/multiplexed_test.go
@@ -21,11 +21,11 @@
 		m.seq = math.MaxInt32 - int32(r.IntN(4)) // ids wrap around and skip those in use
 		ended := map[*Attempt]bool{}
 		var joined, writing, written []*PendingCall // queued; being written; completely written
-		end := func(s *PendingCall) {
-			if ended[s.Attempt] || s.Attempt.Stage() != Ended {
-				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, s.Attempt.Stage())
+		end := func(p *PendingCall) {
+			if ended[p.Attempt] || p.Attempt.Stage() != Ended {
+				t.Fatalf("seed %d: an attempt ended twice, or is in stage %v", seed, p.Attempt.Stage())
 			}
-			ended[s.Attempt] = true
+			ended[p.Attempt] = true
 		}
 		check := func(err error) {
 			if err != nil {
@@ -34,68 +34,68 @@
 		}
 		take := func(from *[]*PendingCall) *PendingCall {
 			i := r.IntN(len(*from))
-			s := (*from)[i]
+			p := (*from)[i]
 			*from = slices.Delete(*from, i, i+1)
-			return s
+			return p
 		}
 		for range 200 {
 			now = now.Add(time.Second)
 			switch k := r.IntN(9); {
 			case k <= 2:
 				a := &Attempt{}
-				s, err := m.Join(a, a, 4)
+				p, err := m.Join(a, a, 4)
 				check(err)
-				if s != nil {
-					joined = append(joined, s)
+				if p != nil {
+					joined = append(joined, p)
 				}
 			case k == 3:
-				s := m.Next()
-				if (s == nil) != (len(joined) == 0) || s != nil && s != joined[0] {
+				p := m.Next()
+				if (p == nil) != (len(joined) == 0) || p != nil && p != joined[0] {
 					t.Fatalf("seed %d: out of order", seed)
 				}
-				if s == nil {
+				if p == nil {
 					continue
 				}
 				joined = joined[1:]
-				send, err := s.Attempt.Begin(10, Conditions{CallFinished: r.IntN(4) == 0})
+				send, err := p.Attempt.Begin(10, Conditions{CallFinished: r.IntN(4) == 0})
 				check(err)
 				if !send {
-					m.Remove(s)
-					end(s)
+					m.Remove(p)
+					end(p)
 					continue
 				}
-				check(m.WriteStarted(s, now))
-				writing = append(writing, s)
+				check(m.WriteStarted(p, now))
+				writing = append(writing, p)
 			case k == 4 && len(writing) > 0:
-				s := writing[0]
+				p := writing[0]
 				writing = writing[1:]
 				oneway := r.IntN(4) == 0
-				done, err := m.WriteEnded(s, 10, oneway)
+				done, err := m.WriteEnded(p, 10, oneway)
 				check(err)
 				if done {
-					end(s)
+					end(p)
 				}
 				if !oneway {
-					written = append(written, s)
+					written = append(written, p)
 				}
 			case k == 5 && len(written) > 0:
-				s := take(&written)
-				got, err := m.ReplyStarted(s.Seq, now)
-				if m.slots[s.Seq] != s {
+				p := take(&written)
+				got, err := m.ReplyStarted(p.Seq, now)
+				if m.pendingCalls[p.Seq] != p {
 					continue // answered earlier
 				}
 				check(err)
-				if got != s {
+				if got != p {
 					t.Fatalf("seed %d: the reply was given to another attempt", seed)
 				}
 				done, err := m.ReplyEnded(got, choice.Failed)
 				check(err)
 				if done {
-					end(s)
-				} else if !ended[s.Attempt] {
+					end(p)
+				} else if !ended[p.Attempt] {
 					t.Fatalf("seed %d: a reply ended no attempt", seed)
 				}
-				if _, err := m.ReplyStarted(s.Seq, now); !errors.Is(err, ErrUnexpectedReply) {
+				if _, err := m.ReplyStarted(p.Seq, now); !errors.Is(err, ErrUnexpectedReply) {
 					t.Fatalf("seed %d: a second reply: %v", seed, err)
 				}
 			case k == 6:
@@ -103,33 +103,33 @@
 					if len(*from) == 0 || r.IntN(3) > 0 {
 						continue
 					}
-					s := (*from)[r.IntN(len(*from))]
-					if ended[s.Attempt] {
+					p := (*from)[r.IntN(len(*from))]
+					if ended[p.Attempt] {
 						continue
 					}
-					check(m.Abandon(s, []Cause{TimedOut, Canceled}[r.IntN(2)]))
-					end(s)
+					check(m.Abandon(p, []Cause{TimedOut, Canceled}[r.IntN(2)]))
+					end(p)
 					if from == &joined {
-						joined = slices.DeleteFunc(joined, func(o *PendingCall) bool { return o == s })
+						joined = slices.DeleteFunc(joined, func(o *PendingCall) bool { return o == p })
 					}
-					if (from != &joined) != s.Attempt.MayHaveRun() {
-						t.Fatalf("seed %d: can have run: %t", seed, s.Attempt.MayHaveRun())
+					if (from != &joined) != p.Attempt.MayHaveRun() {
+						t.Fatalf("seed %d: can have run: %t", seed, p.Attempt.MayHaveRun())
 					}
 				}
 			case k == 7 && r.IntN(10) == 0:
 				failed, err := m.Break([]Cause{Broken, Malformed}[r.IntN(2)])
 				check(err)
-				for _, s := range failed {
-					end(s)
+				for _, p := range failed {
+					end(p)
 				}
-				for _, s := range writing {
-					done, err := m.WriteEnded(s, 5, false)
+				for _, p := range writing {
+					done, err := m.WriteEnded(p, 5, false)
 					check(err)
 					if done {
-						end(s)
+						end(p)
 					}
 				}
-				if s, err := m.Join(&Attempt{}, nil, 4); s != nil || err != nil || len(m.slots) > 0 || !m.Broken() {
+				if p, err := m.Join(&Attempt{}, nil, 4); p != nil || err != nil || len(m.pendingCalls) > 0 || !m.Broken() {
 					t.Fatalf("seed %d: a broken connection continues", seed)
 				}
 				joined, writing, written = nil, nil, nil
@@ -137,8 +137,8 @@
 				m = NewMultiplexedConn(now)
 			}
 			live := 0
-			for _, s := range m.PendingCalls() {
-				if !ended[s.Attempt] {
+			for _, p := range m.PendingCalls() {
+				if !ended[p.Attempt] {
 					live++
 				}
 			}
@@ -154,28 +154,28 @@
 	for _, replied := range []bool{true, false} {
 		now := time.Unix(0, 0)
 		m := NewMultiplexedConn(now)
-		var slots []*PendingCall
+		var pendingCalls []*PendingCall
 		for range 2 {
-			s, err := m.Join(&Attempt{}, nil, 4)
-			if err != nil || m.Next() != s {
+			p, err := m.Join(&Attempt{}, nil, 4)
+			if err != nil || m.Next() != p {
 				t.Fatal(err)
 			}
 			now = now.Add(time.Second)
-			s.Attempt.Begin(1, Conditions{})
-			m.WriteStarted(s, now)
-			m.WriteEnded(s, 1, false)
-			slots = append(slots, s)
+			p.Attempt.Begin(1, Conditions{})
+			m.WriteStarted(p, now)
+			m.WriteEnded(p, 1, false)
+			pendingCalls = append(pendingCalls, p)
 		}
 		now = now.Add(time.Second)
 		if replied {
-			m.ReplyStarted(slots[1].Seq, now)
-			m.ReplyEnded(slots[1], choice.OK)
+			m.ReplyStarted(pendingCalls[1].Seq, now)
+			m.ReplyEnded(pendingCalls[1], choice.OK)
 		}
-		if err := m.Abandon(slots[0], TimedOut); err != nil {
+		if err := m.Abandon(pendingCalls[0], TimedOut); err != nil {
 			t.Fatal(err)
 		}
-		if s, _ := m.Join(&Attempt{}, nil, 4); (s != nil) != replied {
-			t.Errorf("reply received: %t, accepts a new attempt: %t", replied, s != nil)
+		if p, _ := m.Join(&Attempt{}, nil, 4); (p != nil) != replied {
+			t.Errorf("reply received: %t, accepts a new attempt: %t", replied, p != nil)
 		}
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -17,8 +17,10 @@
 
 const (
 	maxListBytes = 8 << 20 // of one list: some 50,000 entries
-	// progressBytes is the amount of data that counts as progress of a list. A list that takes longer than silenceTimeout must arrive at some
-	// 57 KB/s or more.
+	// progressBytes is the amount of data that counts as progress of a list: it resets the silence timer to listStallTimeout, so a list that takes
+	// longer than that must arrive at 256 KiB/s or more. Once a list has stalled, and until one is accepted, the timer is reset to the silence
+	// timeout of 3 s instead, which allows some 85 KiB/s. The timer is not reset during a full list that Events.Full requests: Events.Timeout
+	// limits the answer and that list together.
 	progressBytes = 256 << 10
 	// listStallTimeout limits the time from the start of a list, or from its latest progress, to more progress or its end. If a service
 	// stops in the middle of a list without closing, it is called again soon enough to learn what a silent watch missed. The next call may
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -366,23 +366,23 @@
 	}
 	s.Start()
 	defer s.Close()
-	var dialled net.Conn
+	var dialed net.Conn
 	u := newTransport(pool.Settings{Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
-		dialled = c
+		dialed = c
 		return c, err
 	}})
 	b := &lifecycle.Server{ID: "b", Addr: s.Listener.Addr().String()}
 	if got := exchangeOnce(t, u, b, "first"); got.Result != choice.OK || idleConns(u) != 1 {
 		t.Fatalf("result %d, %d idle connections", got.Result, idleConns(u))
 	}
-	first := dialled
+	first := dialed
 	io.WriteString(<-conns, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 	testkit.Eventually(t, "the bytes have arrived", func() bool { return !peek.HasNoUnread(first) })
 	if got := exchangeOnce(t, u, b, "second"); got.Result != choice.OK || len(replyBody(got)) != 0 {
 		t.Errorf("result %d, %q", got.Result, replyBody(got))
 	}
-	if idleConns(u) != 1 || dialled == first {
+	if idleConns(u) != 1 || dialed == first {
 		t.Error("the connection was used again")
 	}
 }
--- a/internal/lab/explore/host.go
+++ b/internal/lab/explore/host.go
@@ -61,14 +61,14 @@
 		evicted.Host.(*connData).attempt = -1
 	}
 	t.conn = c
-	if c.State() == lifecycle.Dialled {
+	if c.State() == lifecycle.Dialed {
 		w.dial(t)
 	}
 	w.resumeAfterPoolChange(t.Server, tookIdle)
 }
 
-// placeGranted starts the dial of the attempt whose queued connection got a place.
-func (w *world) placeGranted(c *lifecycle.Conn) {
+// slotGranted starts the dial of the attempt whose queued connection got a slot.
+func (w *world) slotGranted(c *lifecycle.Conn) {
 	for _, t := range w.attempts {
 		if c != nil && t.conn == c && t.State.Stage() == lifecycle.AwaitingSlot {
 			w.dial(t)
@@ -158,7 +158,7 @@
 	t.conn, data.attempt = c, t.index
 }
 
-// releaseConn returns a connection to the pool and reports whether the pool kept it. A place that becomes free goes to an attempt
+// releaseConn returns a connection to the pool and reports whether the pool kept it. A slot that becomes free goes to an attempt
 // that waits for one.
 func (w *world) releaseConn(c *lifecycle.Conn) (kept bool) {
 	c.Host.(*connData).attempt = -1
@@ -166,7 +166,7 @@
 	if err != nil {
 		w.violate("%v", err)
 	}
-	w.placeGranted(next)
+	w.slotGranted(next)
 	return kept
 }
 
@@ -249,10 +249,10 @@
 	c := t.conn
 	t.conn = nil
 	switch c.State() {
-	case lifecycle.Queued, lifecycle.Dialled:
+	case lifecycle.Queued, lifecycle.Dialed:
 		next, err := w.pool.Abort(c)
 		t.ReportIllegalStep(err)
-		w.placeGranted(next)
+		w.slotGranted(next)
 		if !w.hasSparePlaces() {
 			w.resumeAfterPoolChange(c.Server, false)
 		}
--- a/internal/lab/explore/key.go
+++ b/internal/lab/explore/key.go
@@ -129,17 +129,17 @@
 			num(int(p.started), p.moves, p.offlineRestarts)
 		}
 	}
-	for _, l := range w.muxConns {
-		p := l.conn.Host.(*connData).peer
-		num(int(p.started), p.moves, p.offlineRestarts)
-		num(int(l.conn.State()), len(l.writing))
-		server(l.conn.Server)
-		number := func(s *lifecycle.PendingCall) int {
-			return slices.IndexFunc(w.attempts, func(t *attempt) bool { return t.Attempt == s.Host })
+	for _, mc := range w.muxConns {
+		peer := mc.conn.Host.(*connData).peer
+		num(int(peer.started), peer.moves, peer.offlineRestarts)
+		num(int(mc.conn.State()), len(mc.writing))
+		server(mc.conn.Server)
+		number := func(p *lifecycle.PendingCall) int {
+			return slices.IndexFunc(w.attempts, func(t *attempt) bool { return t.Attempt == p.Host })
 		}
-		dst = l.state.Fingerprint(dst, number)
-		for _, s := range l.writing {
-			num(int(s.Seq))
+		dst = mc.state.Fingerprint(dst, number)
+		for _, p := range mc.writing {
+			num(int(p.Seq))
 		}
 	}
 	if w.hasSparePlaces() && !exact {
--- a/internal/lab/explore/line.go
+++ b/internal/lab/explore/line.go
@@ -19,28 +19,28 @@
 type muxConn struct {
 	conn    *lifecycle.Conn
 	state   *lifecycle.MultiplexedConn
-	writing []*lifecycle.PendingCall // slots being written, in order
+	writing []*lifecycle.PendingCall // calls being written, in order
 }
 
 // clock returns the world's time as a time.Time.
 func (w *world) clock() time.Time { return time.Unix(0, 0).Add(w.now) }
 
-// slotOf returns the multiplexed connection that carries an attempt and the attempt's slot on it, or nil.
-func (w *world) slotOf(t *attempt) (*muxConn, *lifecycle.PendingCall) {
-	for _, l := range w.muxConns {
-		for _, s := range l.state.PendingCalls() {
-			if s.Host == t.Attempt {
-				return l, s
+// pendingCallOf returns the multiplexed connection that carries an attempt and the attempt's pending call on it, or nil.
+func (w *world) pendingCallOf(t *attempt) (*muxConn, *lifecycle.PendingCall) {
+	for _, mc := range w.muxConns {
+		for _, p := range mc.state.PendingCalls() {
+			if p.Host == t.Attempt {
+				return mc, p
 			}
 		}
 	}
 	return nil, nil
 }
 
-// attemptOf returns the attempt in a slot, or nil if the loop has already processed its end.
-func (w *world) attemptOf(s *lifecycle.PendingCall) *attempt {
+// attemptOf returns the attempt of a pending call, or nil if the loop has already processed its end.
+func (w *world) attemptOf(p *lifecycle.PendingCall) *attempt {
 	for _, t := range w.attempts {
-		if t.Attempt == s.Host {
+		if t.Attempt == p.Host {
 			return t
 		}
 	}
@@ -57,11 +57,11 @@
 	return nil
 }
 
-// canJoin reports whether a multiplexed connection in use has a free slot for an attempt.
+// canJoin reports whether a multiplexed connection in use can take an attempt.
 func (w *world) canJoin(t *attempt) bool {
-	return slices.ContainsFunc(w.muxConns, func(l *muxConn) bool {
-		_, reuse := l.state.CanRelease(false)
-		return l.conn.Server == t.Server && l.conn.State() != lifecycle.Idle && reuse && len(l.state.PendingCalls()) < maxAttemptsPerMuxConn
+	return slices.ContainsFunc(w.muxConns, func(mc *muxConn) bool {
+		_, reuse := mc.state.CanRelease(false)
+		return mc.conn.Server == t.Server && mc.conn.State() != lifecycle.Idle && reuse && len(mc.state.PendingCalls()) < maxAttemptsPerMuxConn
 	})
 }
 
@@ -69,11 +69,11 @@
 // multiplexed.
 func (w *world) muxOptions(t *attempt) (all []StepKind) {
 	stage := t.State.Stage()
-	l, s := w.slotOf(t)
+	mc, p := w.pendingCallOf(t)
 	switch {
 	case stage == lifecycle.Ended:
 		return nil
-	case stage >= lifecycle.Ready && l == nil:
+	case stage >= lifecycle.Ready && mc == nil:
 		w.violate("attempt %d has lost its slot on its connection", t.index)
 		return nil
 	case t.hostCanceled && (stage != lifecycle.AwaitingSlot || t.awaitsDial):
@@ -84,7 +84,7 @@
 	switch stage {
 	case lifecycle.AwaitingSlot:
 		switch {
-		case t.conn != nil: // waits for a place in the pool
+		case t.conn != nil: // waits for a slot in the pool
 			all = append(all, NoSlot)
 		case t.awaitsDial: // no step until the other attempt's dial ends
 		case w.canJoin(t) || w.otherDialing(t) != nil || w.idleConn(t) == nil:
@@ -95,9 +95,9 @@
 	case lifecycle.Dialing:
 		all = append(all, DialSucceeds, DialFails)
 	case lifecycle.Ready:
-		for _, o := range l.state.PendingCalls() { // in the order of sending
+		for _, o := range mc.state.PendingCalls() { // in the order of sending
 			if o.Attempt.Stage() == lifecycle.Ready {
-				if o == s {
+				if o == p {
 					all = append(all, Send)
 				}
 				break
@@ -116,16 +116,16 @@
 
 // muxConnSteps returns the steps of multiplexed connections that belong to no single attempt.
 func (w *world) muxConnSteps() (all []Step) {
-	for i, l := range w.muxConns {
-		if w.abandonedSlot(l) != nil {
+	for i, mc := range w.muxConns {
+		if w.abandonedCall(mc) != nil {
 			all = append(all, Step{Kind: LateReply, N: uint8(i)})
 		}
 		inTime := true
-		for _, s := range l.writing {
-			by := s.Host.(*calltrack.Attempt).SendBy
+		for _, p := range mc.writing {
+			by := p.Host.(*calltrack.Attempt).SendBy
 			inTime = inTime && (by == 0 || w.now < by)
 		}
-		if len(l.writing) > 0 {
+		if len(mc.writing) > 0 {
 			all = append(all, Step{Kind: WriteFails, N: uint8(i)})
 			if inTime { // after the write deadline the write cannot complete
 				all = append(all, Step{Kind: WriteCompletes, N: uint8(i)})
@@ -135,30 +135,30 @@
 	return all
 }
 
-// abandonedSlot returns the first slot of a connection whose attempt was written and then abandoned, or nil.
-func (w *world) abandonedSlot(l *muxConn) *lifecycle.PendingCall {
-	for _, s := range l.state.PendingCalls() {
-		if s.Attempt.Stage() == lifecycle.Ended && !slices.Contains(l.writing, s) {
-			return s
+// abandonedCall returns the first pending call of a connection whose attempt was written and then abandoned, or nil.
+func (w *world) abandonedCall(mc *muxConn) *lifecycle.PendingCall {
+	for _, p := range mc.state.PendingCalls() {
+		if p.Attempt.Stage() == lifecycle.Ended && !slices.Contains(mc.writing, p) {
+			return p
 		}
 	}
 	return nil
 }
 
 // applyToMuxConn applies a step of a multiplexed connection.
-func (w *world) applyToMuxConn(l *muxConn, k StepKind) {
+func (w *world) applyToMuxConn(mc *muxConn, k StepKind) {
 	switch k {
 	case LateReply:
-		w.deliverReply(l, w.abandonedSlot(l).Seq, nil, choice.OK)
+		w.deliverReply(mc, w.abandonedCall(mc).Seq, nil, choice.OK)
 	case WriteCompletes, WriteFails:
-		w.writeEnded(l, l.writing[0], k)
+		w.writeEnded(mc, mc.writing[0], k)
 	}
 	w.releaseUnusedMuxConns()
 }
 
 // applyMux applies a step of an attempt on a multiplexed connection: of its host, its network or its server.
 func (w *world) applyMux(t *attempt, k StepKind) {
-	l, s := w.slotOf(t)
+	mc, p := w.pendingCallOf(t)
 	switch k {
 	case AcquireStrayBytes, AcquireClosed:
 		c := w.idleConn(t)
@@ -168,7 +168,7 @@
 		} else {
 			next, err := w.pool.CloseIdle(c)
 			t.ReportIllegalStep(err)
-			w.placeGranted(next)
+			w.slotGranted(next)
 		}
 		w.removeMuxConn(c)
 		fallthrough
@@ -179,44 +179,44 @@
 	case DialSucceeds:
 		t.ReportIllegalStep(t.State.Connect())
 		t.ReportIllegalStep(w.pool.Open(t.conn, &connData{attempt: -1, peer: w.currentProcess(t.Server.ID)}))
-		l = &muxConn{conn: t.conn, state: lifecycle.NewMultiplexedConn(w.clock())}
+		mc = &muxConn{conn: t.conn, state: lifecycle.NewMultiplexedConn(w.clock())}
 		t.conn = nil
-		w.muxConns = append(w.muxConns, l)
-		w.joinConn(l, t)
+		w.muxConns = append(w.muxConns, mc)
+		w.joinConn(mc, t)
 		w.dialEnded(t, false)
 	case DialFails:
 		w.failUnconnected(t, lifecycle.Broken)
 		w.dialEnded(t, true)
 	case Send:
-		if next := l.state.Next(); next != s {
+		if next := mc.state.Next(); next != p {
 			w.violate("attempt %d is sent out of order", t.index)
 		}
 		if w.send(t); t.State.Stage() == lifecycle.Ended {
-			l.state.Remove(s)
+			mc.state.Remove(p)
 		} else {
-			t.ReportIllegalStep(l.state.WriteStarted(s, w.clock()))
+			t.ReportIllegalStep(mc.state.WriteStarted(p, w.clock()))
 			w.recordRun(t) // from here on the attempt may have run
-			l.writing = append(l.writing, s)
+			mc.writing = append(mc.writing, p)
 		}
 	case WriteCut:
-		w.writeEnded(l, s, k)
+		w.writeEnded(mc, p, k)
 	case AnswerOK, AnswerError, AnswerEarlyError, AnswerReject, AnswerEarly, AnswerTwice:
 		r := map[StepKind]choice.Result{AnswerError: choice.Failed, AnswerEarlyError: choice.Failed,
 			AnswerReject: choice.Rejected, AnswerEarly: choice.Rejected}[k] // else OK
-		w.deliverReply(l, s.Seq, t, r)
+		w.deliverReply(mc, p.Seq, t, r)
 		if k == AnswerTwice {
-			w.deliverReply(l, s.Seq, t, r)
+			w.deliverReply(mc, p.Seq, t, r)
 		}
 	case AnswerGarbled:
-		w.breakMuxConn(l, lifecycle.Malformed)
+		w.breakMuxConn(mc, lifecycle.Malformed)
 	case Reset:
-		w.breakMuxConn(l, lifecycle.Broken)
+		w.breakMuxConn(mc, lifecycle.Broken)
 	case Cancel, TimeOut:
 		cause := lifecycle.Canceled
 		if k == TimeOut {
 			cause = lifecycle.TimedOut
 		}
-		if l == nil { // no connection was established
+		if mc == nil { // no connection was established
 			if k == TimeOut {
 				cause = lifecycle.Broken
 			}
@@ -224,16 +224,16 @@
 			w.dialEnded(t, false)
 			break
 		}
-		t.ReportIllegalStep(l.state.Abandon(s, cause))
+		t.ReportIllegalStep(mc.state.Abandon(p, cause))
 		w.checkAttemptEnd(t)
 	}
 	w.releaseUnusedMuxConns()
 }
 
-// join assigns an attempt to a multiplexed connection: one in use with a free slot, else an idle or a new one.
+// join assigns an attempt to a multiplexed connection: one in use that can take one more, else an idle or a new one.
 func (w *world) join(t *attempt) {
-	for _, l := range w.muxConns {
-		if l.conn.Server == t.Server && l.conn.State() != lifecycle.Idle && w.joinConn(l, t) {
+	for _, mc := range w.muxConns {
+		if mc.conn.Server == t.Server && mc.conn.State() != lifecycle.Idle && w.joinConn(mc, t) {
 			return
 		}
 	}
@@ -243,8 +243,8 @@
 	}
 	if c := w.pool.AcquireIdle(t.Server, t.Call.RequiredProtocols, nil); c != nil {
 		t.ReportIllegalStep(t.State.Connect())
-		for _, l := range w.muxConns {
-			if l.conn == c && !w.joinConn(l, t) {
+		for _, mc := range w.muxConns {
+			if mc.conn == c && !w.joinConn(mc, t) {
 				w.violate("an idle multiplexed connection accepts no attempt")
 			}
 		}
@@ -254,15 +254,15 @@
 	if evicted != nil {
 		w.removeMuxConn(evicted)
 	}
-	if t.conn = c; c.State() == lifecycle.Dialled {
+	if t.conn = c; c.State() == lifecycle.Dialed {
 		t.ReportIllegalStep(t.State.Dial())
 	}
 }
 
-func (w *world) joinConn(l *muxConn, t *attempt) bool {
-	s, err := l.state.Join(&t.State, t.Attempt, maxAttemptsPerMuxConn)
+func (w *world) joinConn(mc *muxConn, t *attempt) bool {
+	p, err := mc.state.Join(&t.State, t.Attempt, maxAttemptsPerMuxConn)
 	t.ReportIllegalStep(err)
-	return s != nil
+	return p != nil
 }
 
 // dialEnded resumes the attempts that waited for another attempt's dial. If the server refused it, they fail too.
@@ -284,37 +284,37 @@
 		next, err := w.pool.Abort(t.conn)
 		t.conn = nil
 		t.ReportIllegalStep(err)
-		w.placeGranted(next)
+		w.slotGranted(next)
 	}
 	w.checkAttemptEnd(t)
 }
 
 // writeEnded ends a write. Either all of it was written, or all attempts before last were written completely, last
 // partly or not at all, and the attempts after it not at all.
-func (w *world) writeEnded(l *muxConn, last *lifecycle.PendingCall, k StepKind) {
+func (w *world) writeEnded(mc *muxConn, last *lifecycle.PendingCall, k StepKind) {
 	n := messageSize
-	for _, s := range l.writing {
-		if s == last && k != WriteCompletes {
+	for _, p := range mc.writing {
+		if p == last && k != WriteCompletes {
 			n = map[StepKind]int{WriteCut: messageSize - 1}[k]
 		}
-		t := w.attemptOf(s)
+		t := w.attemptOf(p)
 		if n < messageSize && t != nil && t.State.Stage() != lifecycle.Ended { // the server has not received it
 			w.undoRun(t)
 		}
-		ended, err := l.state.WriteEnded(s, n, false)
+		ended, err := mc.state.WriteEnded(p, n, false)
 		if err != nil {
 			w.violate("%v", err)
 		}
 		if ended {
-			w.slotEnded(s)
+			w.pendingCallEnded(p)
 		}
-		if s == last && k != WriteCompletes {
+		if p == last && k != WriteCompletes {
 			n = 0
 		}
 	}
-	l.writing = nil
-	if k != WriteCompletes || l.state.Broken() {
-		w.breakMuxConn(l, lifecycle.Broken)
+	mc.writing = nil
+	if k != WriteCompletes || mc.state.Broken() {
+		w.breakMuxConn(mc, lifecycle.Broken)
 	}
 }
 
@@ -326,81 +326,81 @@
 }
 
 // deliverReply delivers a reply with the given sequence id. intended is the attempt that the server replies to, or nil.
-func (w *world) deliverReply(l *muxConn, seq int32, intended *attempt, r choice.Result) {
-	s, err := l.state.ReplyStarted(seq, w.clock())
+func (w *world) deliverReply(mc *muxConn, seq int32, intended *attempt, r choice.Result) {
+	p, err := mc.state.ReplyStarted(seq, w.clock())
 	if err != nil {
-		w.breakMuxConn(l, lifecycle.Malformed)
+		w.breakMuxConn(mc, lifecycle.Malformed)
 		return
 	}
-	if intended != nil && s.Host != intended.Attempt {
+	if intended != nil && p.Host != intended.Attempt {
 		w.violate("the reply to attempt %d is assigned to another attempt", intended.index)
 	}
 	if r == choice.Rejected && intended != nil {
 		w.undoRun(intended)
 	}
-	ended, err := l.state.ReplyEnded(s, r)
+	ended, err := mc.state.ReplyEnded(p, r)
 	if err != nil {
 		w.violate("%v", err)
 	}
 	if ended {
-		w.slotEnded(s)
+		w.pendingCallEnded(p)
 	}
 }
 
-func (w *world) slotEnded(s *lifecycle.PendingCall) {
-	if t := w.attemptOf(s); t == nil {
+func (w *world) pendingCallEnded(p *lifecycle.PendingCall) {
+	if t := w.attemptOf(p); t == nil {
 		w.violate("an attempt ends a second time, after the loop has processed its end")
 	} else {
 		w.checkAttemptEnd(t)
 	}
 }
 
-func (w *world) breakMuxConn(l *muxConn, c lifecycle.Cause) {
-	ended, err := l.state.Break(c)
+func (w *world) breakMuxConn(mc *muxConn, c lifecycle.Cause) {
+	ended, err := mc.state.Break(c)
 	if err != nil {
 		w.violate("%v", err)
 	}
-	for _, s := range ended {
-		w.slotEnded(s)
+	for _, p := range ended {
+		w.pendingCallEnded(p)
 	}
 }
 
 // releaseUnusedMuxConns releases the multiplexed connections that carry nothing any more.
 func (w *world) releaseUnusedMuxConns() {
-	for _, l := range slices.Clone(w.muxConns) {
-		release, reuse := l.state.CanRelease(l.conn.Server.Retired())
-		if !release || len(l.writing) > 0 || l.conn.State() == lifecycle.Idle {
+	for _, mc := range slices.Clone(w.muxConns) {
+		release, reuse := mc.state.CanRelease(mc.conn.Server.Retired())
+		if !release || len(mc.writing) > 0 || mc.conn.State() == lifecycle.Idle {
 			continue
 		}
-		if slices.ContainsFunc(l.state.PendingCalls(), func(s *lifecycle.PendingCall) bool { return s.Attempt.Stage() != lifecycle.Ended }) {
+		if slices.ContainsFunc(mc.state.PendingCalls(), func(p *lifecycle.PendingCall) bool { return p.Attempt.Stage() != lifecycle.Ended }) {
 			w.violate("a multiplexed connection that carries an attempt is released")
 		}
 		if !reuse {
-			if err := l.conn.Spoil(); err != nil {
+			if err := mc.conn.Spoil(); err != nil {
 				w.violate("%v", err)
 			}
 		}
-		if !w.releaseConn(l.conn) {
-			w.removeMuxConn(l.conn)
+		if !w.releaseConn(mc.conn) {
+			w.removeMuxConn(mc.conn)
 		}
 	}
 }
 
 // removeMuxConn removes a multiplexed connection that was closed.
 func (w *world) removeMuxConn(c *lifecycle.Conn) {
-	w.muxConns = slices.DeleteFunc(w.muxConns, func(l *muxConn) bool { return l.conn == c })
+	w.muxConns = slices.DeleteFunc(w.muxConns, func(mc *muxConn) bool { return mc.conn == c })
 }
 
 // copyMuxConns returns deep copies of the multiplexed connections.
 func (w *world) copyMuxConns(copies *calltrack.Copies, conns *lifecycle.Copies[lifecycle.Conn]) (all []*muxConn) {
-	for _, l := range w.muxConns {
-		slots := lifecycle.Copies[lifecycle.PendingCall]{Fill: func(s, dst *lifecycle.PendingCall) {
-			at := copies.Attempts.Of(s.Host.(*calltrack.Attempt))
-			s.CopyTo(dst, &at.State, at)
+	for _, mc := range w.muxConns {
+		pendingCalls := lifecycle.Copies[lifecycle.PendingCall]{Fill: func(p, dst *lifecycle.PendingCall) {
+			at := copies.Attempts.Of(p.Host.(*calltrack.Attempt))
+			p.CopyTo(dst, &at.State, at)
 		}}
-		dup := &muxConn{conn: conns.Of(l.conn), state: l.state.Copy(&slots)}
-		for _, s := range l.writing {
-			dup.writing = append(dup.writing, slots.Of(s))
+		dup := &muxConn{conn: conns.Of(mc.conn), state: mc.state.Copy(&pendingCalls)}
+		for _, p := range mc.writing {
+			dup.writing = append(dup.writing, pendingCalls.Of(p))
 		}
 		all = append(all, dup)
 	}
--- a/internal/lab/explore/properties.go
+++ b/internal/lab/explore/properties.go
@@ -65,8 +65,8 @@
 		w.violate("attempt %d of %s is sent on two connections", t.Number, c.tracked.ID)
 	}
 	conn := t.conn
-	if l, _ := w.slotOf(t); l != nil {
-		conn = l.conn
+	if mc, _ := w.pendingCallOf(t); mc != nil {
+		conn = mc.conn
 	}
 	switch {
 	case len(c.answers) > 0 || c.disconnected:
@@ -135,9 +135,9 @@
 	if n := w.tracker.RelayingCount(); n != 0 {
 		w.violate("%d answers are still being relayed at the end", n)
 	}
-	for _, l := range w.muxConns { // one on which a late reply may still arrive stays in use
-		if l.conn.State() != lifecycle.Idle && len(l.state.PendingCalls()) == 0 {
-			w.violate("a multiplexed connection that carries nothing is %v at the end", l.conn.State())
+	for _, mc := range w.muxConns { // one on which a late reply may still arrive stays in use
+		if mc.conn.State() != lifecycle.Idle && len(mc.state.PendingCalls()) == 0 {
+			w.violate("a multiplexed connection that carries nothing is %v at the end", mc.conn.State())
 		}
 	}
 	if open, idle, waiting := w.pool.Count(); !w.cfg.Lines && open != idle || waiting != 0 || w.cfg.Lines && open != len(w.muxConns) {
--- a/internal/lab/explore/steps.go
+++ b/internal/lab/explore/steps.go
@@ -30,7 +30,7 @@
 	Acquire                           // the attempt asks for a connection
 	AcquireStrayBytes                 // the same; the idle connection that it would get has received unsolicited bytes
 	AcquireClosed                     // the same; that connection was idle for too long or closed by its server
-	NoSlot                            // it stops waiting for a place in the pool
+	NoSlot                            // it stops waiting for a slot in the pool
 	DialSucceeds                      // its dial succeeds
 	DialFails                         // its dial fails
 	DialNext                          // its dial takes long, and the next address is dialed in parallel
@@ -225,7 +225,7 @@
 	switch t.State.Stage() {
 	case lifecycle.AwaitingSlot:
 		switch {
-		case t.conn != nil: // waits for a place in the pool
+		case t.conn != nil: // waits for a slot in the pool
 			all = append(all, NoSlot)
 		case w.idleConn(t) != nil:
 			all = append(all, Acquire, AcquireStrayBytes, AcquireClosed)
@@ -309,7 +309,7 @@
 	case AcquireClosed:
 		next, err := w.pool.CloseIdle(w.idleConn(t))
 		t.ReportIllegalStep(err)
-		w.placeGranted(next)
+		w.slotGranted(next)
 		w.resumeAfterPoolChange(t.Server, true)
 		w.acquire(t)
 	case NoSlot:
@@ -444,7 +444,7 @@
 }
 
 // resumeByTime resumes the paused attempts for which the time makes a difference: those of keyed calls that are being
-// written, those that may no longer be sent, and those that wait for a place.
+// written, those that may no longer be sent, and those that wait for a slot.
 func (w *world) resumeByTime() {
 	for _, t := range w.attempts {
 		switch t.State.Stage() {
--- a/internal/thrift/thriftback/multiplexed.go
+++ b/internal/thrift/thriftback/multiplexed.go
@@ -63,11 +63,11 @@
 
 // muxAttempt is one attempt on a muxConn. Its state is protected by the mutex of the muxConn.
 type muxAttempt struct {
-	ctx  context.Context
-	at   *core.Attempt
-	call *thriftmap.Call
-	slot *lifecycle.PendingCall
-	done chan core.AttemptOutcome
+	ctx         context.Context
+	at          *core.Attempt
+	call        *thriftmap.Call
+	pendingCall *lifecycle.PendingCall
+	done        chan core.AttemptOutcome
 }
 
 // attempt makes one attempt.
@@ -143,12 +143,12 @@
 func (mc *muxConn) enqueue(a *muxAttempt, maxCalls int) bool {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
-	slot, err := mc.state.Join(&a.at.State, a, maxCalls)
+	pendingCall, err := mc.state.Join(&a.at.State, a, maxCalls)
 	a.at.ReportIllegalStep(err)
-	if slot == nil {
+	if pendingCall == nil {
 		return false
 	}
-	a.slot = slot
+	a.pendingCall = pendingCall
 	if !mc.writing {
 		mc.writing = true
 		go mc.write()
@@ -170,22 +170,22 @@
 		deadline := time.Now().Add(exchange.StallTimeout)
 		mc.mu.Lock()
 		for len(buf) < maxBatchBytes {
-			slot := mc.state.Next()
-			if slot == nil {
+			pendingCall := mc.state.Next()
+			if pendingCall == nil {
 				break
 			}
-			a := slot.Host.(*muxAttempt)
+			a := pendingCall.Host.(*muxAttempt)
 			end, _ := a.ctx.Deadline()
 			before := len(buf)
-			buf = a.call.AppendRequest(buf, slot.Seq, time.Until(end))
+			buf = a.call.AppendRequest(buf, pendingCall.Seq, time.Until(end))
 			// Conditions may have changed since the call was queued.
 			if !exchange.BeginSend(a.ctx, a.at, len(buf)-before) {
 				buf = buf[:before]
-				mc.state.Remove(slot)
+				mc.state.Remove(pendingCall)
 				a.done <- core.ResultOnly(a.at.State.Result())
 				continue
 			}
-			a.at.ReportIllegalStep(mc.state.WriteStarted(slot, time.Now()))
+			a.at.ReportIllegalStep(mc.state.WriteStarted(pendingCall, time.Now()))
 			if w := a.at.WriteBy; !w.IsZero() && w.Before(deadline) {
 				deadline = w
 			}
@@ -203,7 +203,7 @@
 		mc.mu.Lock()
 		begin := 0
 		for i, a := range out {
-			ended, problem := mc.state.WriteEnded(a.slot, min(ends[i], max(begin, n))-begin, a.call.Method.Oneway)
+			ended, problem := mc.state.WriteEnded(a.pendingCall, min(ends[i], max(begin, n))-begin, a.call.Method.Oneway)
 			begin = ends[i]
 			a.at.ReportIllegalStep(problem)
 			if n >= ends[i] {
@@ -224,8 +224,8 @@
 func (mc *muxConn) breakLocked(c lifecycle.Cause) {
 	mc.conn.Close()
 	ended, err := mc.state.Break(c)
-	for _, s := range ended {
-		a := s.Host.(*muxAttempt)
+	for _, p := range ended {
+		a := p.Host.(*muxAttempt)
 		a.at.ReportIllegalStep(err)
 		a.done <- core.ResultOnly(a.at.State.Result())
 	}
@@ -245,7 +245,7 @@
 	if errors.Is(context.Cause(a.ctx), core.ErrCanceled) {
 		cause = lifecycle.Canceled
 	}
-	a.at.ReportIllegalStep(mc.state.Abandon(a.slot, cause))
+	a.at.ReportIllegalStep(mc.state.Abandon(a.pendingCall, cause))
 	return core.ResultOnly(a.at.State.Result())
 }
 
@@ -320,16 +320,16 @@
 	}
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
-	slot, err := mc.state.ReplyStarted(h.Seq, time.Now())
+	pendingCall, err := mc.state.ReplyStarted(h.Seq, time.Now())
 	if err != nil {
 		return fmt.Errorf("%w: %w: sequence id %d", exchange.ErrInvalidAnswer, err, h.Seq)
 	}
-	a := slot.Host.(*muxAttempt)
+	a := pendingCall.Host.(*muxAttempt)
 	e, err := outcome(a.call, h, message, h.Seq)
 	if err != nil {
 		return err // the caller breaks the connection, which ends this call too
 	}
-	ended, err := mc.state.ReplyEnded(slot, e.Result)
+	ended, err := mc.state.ReplyEnded(pendingCall, e.Result)
 	a.at.ReportIllegalStep(err)
 	if ended {
 		a.done <- e
