--- a/cmd/ternbeam/main.go
+++ b/cmd/ternbeam/main.go
@@ -1,6 +1,7 @@
 // Command ternbeam is a client-side load-balancing agent. Without arguments it serves, configured by the environment:
-// NODE_CONFIG names its configuration file. On SIGTERM or SIGINT it answers the calls that it has received and exits. On SIGHUP it
-// reads the configuration again.
+// NODE_CONFIG names its configuration file, and TMPDIR the folder that it shares with a process that replaces it; without TMPDIR
+// no handover takes place. On SIGTERM or SIGINT it answers the calls that it has received and exits. On SIGHUP it reads the
+// configuration again.
 package main
 
 import (
--- a/connectionends_test.go
+++ b/connectionends_test.go
@@ -29,7 +29,7 @@
 		return f.Name == "panic"
 	case *ast.SelectorExpr:
 		switch f.Sel.Name {
-		case "Close", "CloseWrite", "CloseRead", "SetLinger", "end", "yieldLocked", "closeLocked", "stopReading":
+		case "Close", "CloseWrite", "CloseRead", "SetLinger", "end", "closeOrAskReaderLocked", "closeLocked", "stopReading":
 			return true
 		case "Set":
 			return len(call.Args) == 2 && isStringLiteral(call.Args[0], "Connection")
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -45,12 +45,12 @@
 
 // Agent is a client-side load balancer on real sockets.
 type Agent struct {
-	cfg     *config.Config
-	thrift  *thriftmap.Map // nil if Thrift is off
-	log     *slog.Logger
-	core    *core.Core
-	pool    *pool.Pool
-	tracker *conntrack.Tracker
+	cfg    *config.Config
+	thrift *thriftmap.Map // nil if Thrift is off
+	log    *slog.Logger
+	core   *core.Core
+	pool   *pool.Pool
+	conns  *conntrack.Tracker
 
 	stateStore *statestore.Runner // nil if learned state is not persisted
 	bridge     *bridge.Bridge     // nil if no shapes are configured
@@ -86,8 +86,8 @@
 // NewWithOptions is New with more options.
 func NewWithOptions(cfg *config.Config, opts Options, log *slog.Logger) (*Agent, error) {
 	service, sources := opts.Service, opts.Sources
-	a := &Agent{cfg: cfg, thrift: service, log: log, tracker: conntrack.New(cfg.ClientSockets()), shapes: opts.Shapes}
-	a.claimState(opts.SharedDir)
+	a := &Agent{cfg: cfg, thrift: service, log: log, conns: conntrack.New(cfg.ClientSockets()), shapes: opts.Shapes}
+	a.requestHandover(opts.SharedDir)
 	poolSettings := pool.Settings{DialTimeout: cfg.ConnectTimeout(), IdleTimeout: cfg.IdleTimeout(), MaxConns: cfg.BackendSockets(),
 		OnIllegalStep: a.recordIllegalStep, Addresses: addresses.Defaults}
 	var feed core.Feed
@@ -133,7 +133,7 @@
 	a.core, err = core.New(core.Settings{Module: cfg.Module, Seed: cfg.Seed, Zones: cfg.Host.Zones,
 		MaxUnanswered: cfg.Host.Ceilings.MostHeld, InitialList: cfg.InitialList, Discovery: cfg.Discovery, Pacing: cfg.Pacing, Feed: feed, Pool: a.pool, Log: log,
 		Transports: transports, OnIllegalStep: a.recordIllegalStep, Routes: callRoutes,
-		OpsEnabled: cfg.Ops != "", ClientStats: a.tracker.Stats, Inherited: a.handover.inheritedState()})
+		OpsEnabled: cfg.Ops != "", ClientStats: a.conns.Stats, Inherited: a.handover.receivedState()})
 	return a, err
 }
 
@@ -194,7 +194,7 @@
 // listenForClients listens on an address for clients, or returns the listener that the previous process handed over. If the
 // agent has an operations address, it may be replaced while it serves, so SO_REUSEPORT lets two processes listen there.
 func (a *Agent) listenForClients(addr string) (*net.TCPListener, error) {
-	if l := a.handover.inheritedListener(addr); l != nil {
+	if l := a.handover.receivedListener(addr); l != nil {
 		return l, nil
 	}
 	var lc net.ListenConfig
@@ -339,12 +339,12 @@
 	watch := stallwatch.Watch{Log: a.log, Interval: stallwatch.Interval, Limit: stallwatch.Limit}
 	watch.Run(ctx,
 		stallwatch.Check{Part: "event loop", Run: a.core.Ping},
-		stallwatch.Check{Part: "connections of clients", Run: func(context.Context) { a.tracker.Count() }})
+		stallwatch.Check{Part: "connections of clients", Run: func(context.Context) { a.conns.Count() }})
 }
 
 // fronts returns the fronts, one for each listener.
 func (a *Agent) fronts() []front {
-	httpFront := httpfront.New(a.cfg, a.core, a.tracker, a.listeners[0], a.log)
+	httpFront := httpfront.New(a.cfg, a.core, a.conns, a.listeners[0], a.log)
 	if a.bridge != nil {
 		httpFront.WithShapes(a.bridge)
 	}
@@ -352,7 +352,7 @@
 		return []front{httpFront}
 	}
 	a.log.Info("taking Thrift", "listen", a.listeners[1].Addr().String())
-	thriftFront := thriftfront.New(a.cfg, a.thrift, a.core, a.tracker, a.listeners[1], a.log)
+	thriftFront := thriftfront.New(a.cfg, a.thrift, a.core, a.conns, a.listeners[1], a.log)
 	if a.bridge != nil {
 		thriftFront.WithShapes(a.bridge)
 	}
--- a/internal/agent/handover.go
+++ b/internal/agent/handover.go
@@ -28,14 +28,14 @@
 
 // handoverState is what an Agent knows of the processes that it replaces and that replace it.
 type handoverState struct {
-	claimPath string           // socket on which a replacing process claims the state; empty if this process can't be replaced
-	received  *takeover.Result // what the previous process handed over; nil if there was none
-
-	mu           sync.Mutex
-	concurrent   int           // other processes that serve at the same time
-	replacements int           // those of them that replace this one
-	reoffer      chan struct{} // signals that no replacing process is left, so this process offers its state again
-	subscribers  map[*takeover.Link]*core.Subscriber
+	socketPath string           // Unix socket on which a replacing process requests the handover; empty if this process can't be replaced
+	received   *takeover.Result // what the previous process handed over; nil if there was none
+
+	mu              sync.Mutex
+	concurrent      int           // other processes that serve at the same time
+	replacements    int           // those of them that replace this one
+	replacementGone chan struct{} // signals that no replacing process is left, so this process must listen on socketPath again
+	subscribers     map[*takeover.Link]*core.Subscriber
 }
 
 // socketPath returns the path of the Unix socket in a folder. If the path is too long for a socket address, it opens the folder
@@ -52,9 +52,9 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", dirFD, socketName), nil
 }
 
-// claimState requests the state and listeners of the process that serves under this agent's name. If there is none, or the
-// request fails, the agent starts without them.
-func (a *Agent) claimState(shared string) {
+// requestHandover requests the handover from the process that serves under this agent's name: its state and listeners. If there is
+// none, or the request fails, the agent starts without them.
+func (a *Agent) requestHandover(shared string) {
 	if shared == "" || a.cfg.Ops == "" {
 		return
 	}
@@ -63,7 +63,7 @@
 		a.log.Warn("the shared folder can't be opened: a replacement begins from nothing", "error", err)
 		return
 	}
-	a.handover.claimPath = path
+	a.handover.socketPath = path
 	received, err := takeover.Claim(path, a.cfg.Name)
 	switch {
 	case errors.Is(err, takeover.ErrNoPreviousProcess):
@@ -84,16 +84,16 @@
 	a.log.Info("replacing another process", "servers", len(list.Servers), "out", len(received.State.Overrides.Offline), "listeners", len(received.Listeners))
 }
 
-// inheritedState returns the state that the core starts with, or nil if nothing was handed over.
-func (h *handoverState) inheritedState() *core.InheritedState {
+// receivedState returns the state that was handed over, with which the core starts, or nil if there is none.
+func (h *handoverState) receivedState() *core.InheritedState {
 	if h.received == nil {
 		return nil
 	}
 	return &core.InheritedState{Overrides: h.received.State.Overrides, Learned: h.received.State.Learned}
 }
 
-// inheritedListener returns the listener that was handed over for an address, or nil, and passes its ownership to the caller.
-func (h *handoverState) inheritedListener(addr string) *net.TCPListener {
+// receivedListener returns the listener that was handed over for an address, or nil, and passes its ownership to the caller.
+func (h *handoverState) receivedListener(addr string) *net.TCPListener {
 	if h.received == nil {
 		return nil
 	}
@@ -106,10 +106,10 @@
 	return nil
 }
 
-// runHandover exchanges updates with the previous process as long as both run, and lets the next process claim the state once
-// this one is ready for clients. The returned function stops offering the state.
+// runHandover exchanges updates with the previous process as long as both run, and serves handover requests of the next process
+// once this one is ready for clients. The returned function stops that.
 func (a *Agent) runHandover(ctx context.Context) (end func()) {
-	if a.handover.claimPath == "" {
+	if a.handover.socketPath == "" {
 		return func() {}
 	}
 	if received := a.handover.received; received != nil {
@@ -119,16 +119,16 @@
 			}
 		}
 		previous := a.core.Subscribe(received.Link.Send)
-		a.processesChanged(1, 0)
+		a.addProcesses(1, 0)
 		go func() {
 			received.Link.Run(func(u handover.Update) { a.core.ReceiveUpdate(ctx, u, previous) })
 			a.core.Unsubscribe(previous)
-			a.processesChanged(-1, 0)
+			a.addProcesses(-1, 0)
 			a.log.Info("the process before is gone")
 		}()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	a.handover.reoffer = make(chan struct{}, 1)
+	a.handover.replacementGone = make(chan struct{}, 1)
 	go func() {
 		select {
 		case <-a.core.Ready():
@@ -136,14 +136,14 @@
 			return
 		}
 		for ctx.Err() == nil { // again after a replacing process has exited: it took over the path, so nobody listens there now
-			server := a.newTakeoverServer(ctx)
+			server := a.newHandoverServer(ctx)
 			if server == nil {
 				return
 			}
 			go server.Serve(a.handOver, a.serveReplacement)
 			select {
 			case <-ctx.Done():
-			case <-a.handover.reoffer:
+			case <-a.handover.replacementGone:
 			}
 			server.Close()
 		}
@@ -151,11 +151,11 @@
 	return cancel
 }
 
-// newTakeoverServer starts the server from which the next process claims the state, and retries until its socket can be opened in
-// the shared folder. It returns nil if ctx is canceled first.
-func (a *Agent) newTakeoverServer(ctx context.Context) (server *takeover.Server) {
+// newHandoverServer starts the server from which the next process requests the handover, and retries until its socket can be opened
+// in the shared folder. It returns nil if ctx is canceled first.
+func (a *Agent) newHandoverServer(ctx context.Context) (server *takeover.Server) {
 	transient.Retry(ctx, func() (err error) {
-		server, err = takeover.NewServer(a.handover.claimPath, a.cfg.Name, a.log)
+		server, err = takeover.NewServer(a.handover.socketPath, a.cfg.Name, a.log)
 		return err
 	}, transient.NotifyFirst(func(err error) {
 		a.log.Warn("until this succeeds a replacement begins from nothing, trying again", "error", err)
@@ -188,7 +188,7 @@
 	if next == nil {
 		return // nothing was handed over
 	}
-	a.processesChanged(1, 1)
+	a.addProcesses(1, 1)
 	a.log.Info("a process that replaces this one has begun")
 	a.core.Broadcast(handover.Update{Replaced: true}) // for the previous process
 	replacedToo := false
@@ -198,28 +198,28 @@
 	})
 	a.core.Unsubscribe(next)
 	if replacedToo { // a third process serves now
-		a.processesChanged(-1, 0)
+		a.addProcesses(-1, 0)
 		a.log.Info("the process that replaced this one was replaced, too")
 		return
 	}
-	a.processesChanged(-1, -1)
+	a.addProcesses(-1, -1)
 	a.log.Info("the process that replaces this one is gone")
 	if !a.replaced() {
 		select {
-		case a.handover.reoffer <- struct{}{}:
+		case a.handover.replacementGone <- struct{}{}:
 		default: // a signal is already pending
 		}
 	}
 }
 
-// processesChanged updates the number of concurrent processes and the limits of this one: together they may use what one
-// process may use. Client connections are not limited this way: they belong to the same clients whichever process holds them,
-// and closing some would turn away clients that are about to send a call.
-func (a *Agent) processesChanged(concurrent, replacements int) {
+// addProcesses adds to the number of concurrent processes, and of those that replace this one, and updates the limits of this
+// process: together all may use what one process may use. Client connections are not limited this way: they belong to the same
+// clients whichever process holds them, and closing some would turn away clients that are about to send a call.
+func (a *Agent) addProcesses(concurrentDelta, replacementsDelta int) {
 	a.handover.mu.Lock()
 	defer a.handover.mu.Unlock()
-	a.handover.concurrent += concurrent
-	a.handover.replacements += replacements
+	a.handover.concurrent += concurrentDelta
+	a.handover.replacements += replacementsDelta
 	parts := 1
 	if a.handover.concurrent > 0 {
 		parts = 2 // a third process starts only while the first shuts down
--- a/internal/host/conntrack/conn.go
+++ b/internal/host/conntrack/conn.go
@@ -30,8 +30,8 @@
 	// called while mu is held.
 	mu           sync.Mutex
 	reading      bool   // a Read is in progress and receives what arrives
-	buffered     []byte // data that Probe has read and Read has not returned yet
-	overflowed   bool   // Probe has discarded data, so that what follows can't be used
+	buffered     []byte // data that CheckDisconnected has read and Read has not returned yet
+	overflowed   bool   // CheckDisconnected has discarded data, so that what follows can't be used
 	endRequested bool   // the reader has been asked to close the connection, unless data has been received
 	stopped      bool   // the connection is being closed, and nothing more is read
 	readDeadline time.Time
@@ -52,7 +52,7 @@
 	return c, nil
 }
 
-// maxBufferedBytes is how many bytes Probe buffers: more than a usual request has.
+// maxBufferedBytes is how many bytes CheckDisconnected buffers: more than a usual request has.
 const maxBufferedBytes = 128 << 10
 
 // ReceivedBytes returns how many bytes have been read from the connection.
@@ -176,8 +176,8 @@
 // Disconnected reports, without blocking, whether the client has ended the connection. Data that it sent before can still be read.
 func (c *Conn) Disconnected() bool { return peek.HungUp(c.TCPConn) }
 
-// end expires the read deadline, so that the reader of the connection closes it. Data that has been received takes precedence, and
-// the connection stays open then: no request is read and left without an answer.
+// end sets a read deadline that has passed, so that the reader of the connection closes it. Data that has been received takes
+// precedence, and the connection stays open then: no request is read and left without an answer.
 func (c *Conn) end(cause EndCause) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,8 +194,7 @@
 }
 
 // SetReadDeadline implements net.Conn. A reader sets a deadline while it waits for a request. It clears the deadline when it has found a
-// request in data that it had read before. A pending request of end to close the connection is then withdrawn, so that the request just found
-// is answered.
+// request in data that it had read before. This cancels a pending end, so that the request just found is answered.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,16 +225,16 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// HasNoUnread reports whether the connection is certain to be open and without unread data.
-func (c *Conn) HasNoUnread() bool {
+// KnownOpenAndEmpty reports whether the connection is certain to be open and without unread data.
+func (c *Conn) KnownOpenAndEmpty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hasNoUnreadLocked()
+	return c.knownOpenAndEmptyLocked()
 }
 
-func (c *Conn) hasNoUnreadLocked() bool { return c.unreadLocked() == peek.UnreadNothing }
+func (c *Conn) knownOpenAndEmptyLocked() bool { return c.unreadLocked() == peek.UnreadNothing }
 
-// unread returns what has been received and not been returned by Read, including data that Probe has buffered.
+// unread returns what has been received and not been returned by Read, including data that CheckDisconnected has buffered.
 func (c *Conn) unread() peek.Unread {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,7 +253,7 @@
 func (c *Conn) stopReading(received int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.receivedBytes.Load() > received || !c.hasNoUnreadLocked() {
+	if c.receivedBytes.Load() > received || !c.knownOpenAndEmptyLocked() {
 		return false
 	}
 	c.stopped = true
@@ -298,20 +297,21 @@
 // lastReceived returns when bytes were last read.
 func (c *Conn) lastReceived() time.Time { return started.Add(time.Duration(c.receivedAt.Load())) }
 
-// probeBuffers are the buffers that Probe reads into. They are pooled: a new one for each request would make up most of the garbage.
-var probeBuffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
+// readAheadBuffers are the buffers that CheckDisconnected reads into. They are pooled: a new one for each request would make up most of the
+// garbage.
+var readAheadBuffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
 
-// Probe reports, without blocking, whether the client has closed the connection, even if the FIN is queued behind unread data that
-// fills the receive buffer. It reads up to maxBufferedBytes of that data and keeps them for Read. If there is more, over is true, and
-// the connection can't carry another request.
-func (c *Conn) Probe() (gone, over bool) {
+// CheckDisconnected reports, without blocking, whether the client has closed the connection, even if the FIN is queued behind unread data
+// that fills the receive buffer. It reads that data, at most 2*maxBufferedBytes in one call, and keeps up to maxBufferedBytes for Read. If
+// there is more, it discards what it can't keep: overflowed is true from then on, and the connection can't carry another request.
+func (c *Conn) CheckDisconnected() (gone, overflowed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reading { // the reader notices the end itself, unless it arrives at this moment
 		return peek.HungUp(c.TCPConn), c.overflowed
 	}
-	part := probeBuffers.Get().(*[4 << 10]byte)
-	defer probeBuffers.Put(part)
+	part := readAheadBuffers.Get().(*[4 << 10]byte)
+	defer readAheadBuffers.Put(part)
 	for remaining := 2 * maxBufferedBytes; remaining > 0; remaining -= len(part) {
 		n, err := peek.ReadNow(c.TCPConn, part[:])
 		if err == peek.ErrNoData {
--- a/internal/host/conntrack/ends.go
+++ b/internal/host/conntrack/ends.go
@@ -14,13 +14,13 @@
 
 // The causes. From EndedIdle on, the agent itself ended a connection that had no request: a request then in transit is never read.
 const (
-	NotEnded         EndCause = iota // the agent has not ended it so far
-	EndedByClient                    // the client closed or reset the connection
-	EndedWithRequest                 // after the answer to a request, or without an answer, which is logged separately
-	EndedIdle                        // no data for too long after an answer
-	EndedSilent                      // no complete first request in time
-	EndedForRoom                     // its slot was needed for other connections
-	EndedForShutdown                 // its listener was shutting down
+	NotEnded           EndCause = iota // the agent has not ended it so far
+	EndedByClient                      // the client closed or reset the connection
+	EndedDuringRequest                 // it had a request, answered or not; unanswered requests are logged separately
+	EndedIdle                          // no data for too long after an answer
+	EndedSilent                        // no complete first request in time
+	EndedForRoom                       // its slot was needed for other connections
+	EndedForShutdown                   // its listener was shutting down
 	numEndCauses
 )
 
@@ -51,7 +51,7 @@
 	case expired && cause != NotEnded:
 		return cause
 	case e.queue == nil:
-		return EndedWithRequest
+		return EndedDuringRequest
 	case !expired:
 		return EndedByClient
 	case e.queue == e.listener.tracker.fresh:
--- a/internal/host/conntrack/ends_test.go
+++ b/internal/host/conntrack/ends_test.go
@@ -23,13 +23,13 @@
 	expire := func(_ *Listener, _, conn net.Conn) { conn.SetReadDeadline(time.Unix(1, 0)) }
 	return []endCase{
 		{EndedByClient, answered, func(_ *Listener, client, _ net.Conn) { client.Close() }},
-		{EndedWithRequest, func(d *Listener, conn net.Conn) { d.tracker.MarkBusy(conn) }, expire},
+		{EndedDuringRequest, func(d *Listener, conn net.Conn) { d.tracker.MarkBusy(conn) }, expire},
 		{EndedIdle, answered, expire},
 		{EndedSilent, nothing, expire},
 		{EndedForRoom, answered, func(d *Listener, _, conn net.Conn) {
 			d.tracker.mu.Lock()
 			defer d.tracker.mu.Unlock()
-			d.tracker.yieldLocked(d.tracker.conns[conn], EndedForRoom)
+			d.tracker.closeOrAskReaderLocked(d.tracker.conns[conn], EndedForRoom)
 		}},
 		{EndedForShutdown, answered, func(d *Listener, _, _ net.Conn) { d.CloseIdle() }},
 	}
--- a/internal/host/conntrack/listener.go
+++ b/internal/host/conntrack/listener.go
@@ -16,20 +16,20 @@
 // at most once, from another goroutine.
 type Listener struct {
 	*net.TCPListener
-	tracker      *Tracker
-	ending       atomic.Bool
-	drainBy      time.Time   // when draining the accept queue ends at the latest; set by Accept
-	drainLatest  time.Time   // upper bound of drainBy, zero for none; set before ending
-	handedOver   atomic.Bool // another process accepts on the socket, and takes what is queued
-	closed       chan struct{}
-	retrier      *accept.Retrier
-	socket       *accept.Socket               // accepts connections; nil if it could not be opened, and TCPListener accepts them
-	accept       func() (*net.TCPConn, error) // Accept of socket or of TCPListener, or a test's
-	readerCloses bool                         // readers close connections when their read deadline expires
-	unfinished   *countedLog                  // connections that ended with an unfinished request
-	unread       *countedLog                  // connections closed with unread data
-	failures     *countedLog                  // system calls that failed on established connections
-	endings      *countedLog                  // connections that the agent closed without a request
+	tracker       *Tracker
+	ending        atomic.Bool
+	drainEnd      time.Time   // when Accept stops draining the accept queue, even if it is not empty; set by Accept
+	drainEndLimit time.Time   // drainEnd is set no later than this; zero for no limit; set before ending
+	handedOver    atomic.Bool // another process accepts on the socket, and takes what is queued
+	closed        chan struct{}
+	retrier       *accept.Retrier
+	socket        *accept.Socket               // accepts connections; nil if it could not be opened, and TCPListener accepts them
+	accept        func() (*net.TCPConn, error) // Accept of socket or of TCPListener, or a test's
+	readerCloses  bool                         // readers close connections when their read deadline expires
+	unfinished    *countedLog                  // connections that ended with an unfinished request
+	unread        *countedLog                  // connections closed with unread data
+	failures      *countedLog                  // system calls that failed on established connections
+	endings       *countedLog                  // connections that the agent closed without a request
 
 	// The following fields are guarded by the Tracker's lock.
 	count     int           // connections of this listener
@@ -81,7 +81,7 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	for queued := true; ; queued = false {
 		socket, err := accept.Do(l.retrier, func() (*net.TCPConn, error) {
-			if !l.drainBy.IsZero() && time.Now().After(l.drainBy) {
+			if !l.drainEnd.IsZero() && time.Now().After(l.drainEnd) {
 				return nil, net.ErrClosed
 			}
 			return l.accept()
@@ -99,10 +99,10 @@
 		case !queued || l.handedOver.Load() || errors.Is(err, net.ErrClosed):
 			return nil, l.end()
 		}
-		if l.drainBy.IsZero() {
-			l.drainBy = time.Now().Add(maxQueueDrain) // a queue shared by two processes may never be seen empty
-			if !l.drainLatest.IsZero() && l.drainLatest.Before(l.drainBy) {
-				l.drainBy = l.drainLatest
+		if l.drainEnd.IsZero() {
+			l.drainEnd = time.Now().Add(maxQueueDrain) // a queue shared by two processes may never be seen empty
+			if !l.drainEndLimit.IsZero() && l.drainEndLimit.Before(l.drainEnd) {
+				l.drainEnd = l.drainEndLimit
 			}
 		}
 		l.SetDeadline(time.Now().Add(queueEmptyAfter)) // with an expired deadline even queued connections would not be accepted
@@ -120,7 +120,7 @@
 // stops early enough for the last connection to be answered by end.
 func (l *Listener) CloseAfter(acceptFor time.Duration, end time.Time) {
 	if !end.IsZero() {
-		l.drainLatest = end.Add(-AnswerWriteTime - SilentGrace)
+		l.drainEndLimit = end.Add(-AnswerWriteTime - SilentGrace)
 	}
 	l.handedOver.Store(acceptFor == 0)
 	l.ending.Store(true)
--- a/internal/host/conntrack/tracker.go
+++ b/internal/host/conntrack/tracker.go
@@ -17,8 +17,9 @@
 	// SilentGrace is how long a connection accepted just before the shutdown has to send a request.
 	SilentGrace = 200 * time.Millisecond
 
-	// AnswerWriteTime is the time for writing answers at the end of a shutdown: that long before the agent exits, every accepted request
-	// has its answer, and connections without a request are closed.
+	// AnswerWriteTime is the time that is left for writing answers and closing connections at the end of a shutdown
+	// (shutdown.Schedule.CloseBy): that long before it, connections without a complete request are closed. The final answers are due earlier,
+	// at AnswerBy.
 	AnswerWriteTime = 50 * time.Millisecond
 
 	// ProbeInterval is how often a client that waits for an answer is checked for a disconnect while its connection is not being read. From
@@ -47,9 +48,9 @@
 	fresh *list.List // entries that have not received anything yet, the oldest first
 	idle  *list.List // entries between two requests, the longest idle first
 
-	yielding int           // number of entries that are yielding: their readers are about to close the connections
-	yielded  chan struct{} // receives a value when one of them has stopped yielding: it is closed, or has received a request after all
-	closing  []*Conn       // removed connections, which unlock closes
+	closingSoon        int           // number of entries that are closingSoon
+	closingSoonChanged chan struct{} // receives a value when an entry stops being closingSoon
+	closing            []*Conn       // removed connections, which unlock closes
 }
 
 // unlock releases the lock and then closes the connections that were removed while it was held. Closing waits for system calls in progress
@@ -99,7 +100,7 @@
 
 	acceptedAt, queuedAt time.Time // when it was registered, and when it was queued
 
-	yielding bool // its reader is about to close it, and its slot counts as free
+	closingSoon bool // the connection is about to be closed by its reader, and does not count against maxConns
 }
 
 // requestBegun reports whether any data of a request has been received since the connection was queued.
@@ -107,12 +108,12 @@
 
 // New returns a Tracker with a maximum number of connections.
 func New(maxConns int) *Tracker {
-	return &Tracker{maxConns: maxConns, now: time.Now, conns: map[net.Conn]*entry{}, fresh: list.New(), idle: list.New(), yielded: make(chan struct{}, 1)}
+	return &Tracker{maxConns: maxConns, now: time.Now, conns: map[net.Conn]*entry{}, fresh: list.New(), idle: list.New(), closingSoonChanged: make(chan struct{}, 1)}
 }
 
 // add registers an accepted connection, and closes others if there are too many.
 func (t *Tracker) add(e *entry) {
-	t.awaitYielding()
+	t.awaitClosingSoon()
 	t.awaitFreshGrace(e.conn)
 	t.mu.Lock()
 	defer t.unlock()
@@ -142,7 +143,7 @@
 		t.stats.Dropped++
 		return false
 	}
-	t.doneYieldingLocked(e)
+	t.unmarkClosingSoonLocked(e)
 	e.unqueueLocked()
 	return true
 }
@@ -195,7 +196,7 @@
 }
 
 func (t *Tracker) removeLocked(e *entry) {
-	t.doneYieldingLocked(e)
+	t.unmarkClosingSoonLocked(e)
 	e.unqueueLocked()
 	delete(t.conns, e.conn)
 	if e.listener.count--; e.listener.count == 0 && e.listener.emptied != nil {
@@ -208,7 +209,7 @@
 func (t *Tracker) shutDownLocked(e *entry) {
 	if !e.listener.readerCloses {
 		t.closeLocked(e, EndedForShutdown)
-	} else if e.conn.HasNoUnread() {
+	} else if e.conn.KnownOpenAndEmpty() {
 		e.conn.end(EndedForShutdown)
 	}
 }
--- a/internal/host/conntrack/tracker_test.go
+++ b/internal/host/conntrack/tracker_test.go
@@ -196,7 +196,7 @@
 		},
 		"data, then the deadline expires": func(c *Conn, client net.Conn) {
 			io.WriteString(client, "GET")
-			testkit.Eventually(t, "the data has arrived", func() bool { return !c.HasNoUnread() })
+			testkit.Eventually(t, "the data has arrived", func() bool { return !c.KnownOpenAndEmpty() })
 			c.SetReadDeadline(time.Unix(1, 0))
 		},
 	} {
@@ -205,13 +205,13 @@
 			client := dialClient(t, d, "")
 			c := acceptConn(t, d).(*Conn)
 			race(c, client)
-			testkit.Eventually(t, "the data has arrived", func() bool { return !c.HasNoUnread() })
+			testkit.Eventually(t, "the data has arrived", func() bool { return !c.KnownOpenAndEmpty() })
 			p := make([]byte, 10)
 			if n, err := c.Read(p); string(p[:n]) != "GET" {
 				t.Fatalf("%q, %v", p[:n], err)
 			}
 			io.WriteString(client, " /")
-			testkit.Eventually(t, "more data has arrived", func() bool { return !c.HasNoUnread() })
+			testkit.Eventually(t, "more data has arrived", func() bool { return !c.KnownOpenAndEmpty() })
 			if n, err := c.Read(p); string(p[:n]) != " /" {
 				t.Errorf("the connection does not continue: %q, %v", p[:n], err)
 			}
@@ -278,7 +278,7 @@
 		before := d.tracker.Stats().ClosedUnread
 		dialClient(t, d, data)
 		c := acceptConn(t, d).(*Conn)
-		testkit.Eventually(t, "the data has arrived", func() bool { return c.HasNoUnread() == (data == "") })
+		testkit.Eventually(t, "the data has arrived", func() bool { return c.KnownOpenAndEmpty() == (data == "") })
 		c.Close()
 		c.Close()
 		if got := d.tracker.Stats().ClosedUnread - before; got != want {
--- a/internal/host/exchange/exchange.go
+++ b/internal/host/exchange/exchange.go
@@ -26,7 +26,8 @@
 	StallTimeout = 300 * time.Millisecond
 
 	// maxUnsentAge is the maximum age of an encoded message of which nothing has been written yet. The deadline in a message may be at most
-	// 0.15 s too late when a server receives it, and the process may be suspended for as long as that in the write itself.
+	// 0.15 s too late when a server receives it. A suspension of the process in the write itself may take that long (shutdown.MaxStall), and the
+	// age before the write adds to it.
 	maxUnsentAge = 5 * time.Millisecond
 
 	// reservedDivisor is the reciprocal of the share of an attempt's time that is reserved for another attempt, in case an answer keeps
@@ -43,6 +44,9 @@
 	relayStallTimeout = 10 * time.Second
 )
 
+// expiredDeadline is a deadline that has passed: pending reads and writes end at once with os.ErrDeadlineExceeded.
+var expiredDeadline = time.Unix(1, 0)
+
 // ErrInvalidAnswer means that an answer can't be interpreted and counts as an error of the server.
 var ErrInvalidAnswer = errors.New("spoilt answer")
 
@@ -56,13 +60,13 @@
 	Answer(in *AnswerReader) (e core.AttemptOutcome, reusable bool, err error)
 }
 
-// StreamingCodec is a Codec whose message may continue after what Message returns. Follow writes the rest, while the answer is
-// awaited, and returns how many bytes of it were written; an error means that it was not written completely. Stop ends a Follow
-// that waits for more data from the client.
+// StreamingCodec is a Codec whose message may continue after what Message returns. WriteRest writes the rest, while the answer
+// is awaited, and returns how many bytes of it were written; an error means that it was not written completely. StopRest ends a
+// WriteRest that waits for more data from the client.
 type StreamingCodec interface {
-	Follows() bool // if false, Message returns the whole message, and Follow is not called
-	Follow(w net.Conn) (n int, err error)
-	Stop()
+	HasRest() bool // if false, Message returns the whole message, and WriteRest is not called
+	WriteRest(w net.Conn) (n int, err error)
+	StopRest()
 }
 
 // Transport makes attempts over the connections of a Pool, one at a time on each.
@@ -70,8 +74,10 @@
 	Pool         *pool.Pool
 	StallTimeout time.Duration // how long a partly received answer may stall
 
-	LongAnswers bool // an answer that keeps arriving may take as long as the attempt
-	NewCodec    func(at *core.Attempt) Codec
+	// NoRetryReserve lets an answer that keeps arriving take until the attempt's deadline. Otherwise a share of the time that is left when it
+	// starts to arrive is reserved for another attempt, see reservedDivisor.
+	NoRetryReserve bool
+	NewCodec       func(at *core.Attempt) Codec
 }
 
 // Attempt implements core.Transport.
@@ -89,7 +95,7 @@
 	}
 	size := len(message)
 	stream, _ := codec.(StreamingCodec)
-	if stream != nil && !stream.Follows() {
+	if stream != nil && !stream.HasRest() {
 		stream = nil
 	}
 	if stream != nil {
@@ -97,13 +103,13 @@
 	}
 	// Dialing takes time: by now the attempt may not be sent any more, or not on this connection.
 	send := BeginSend(ctx, at, size)
-	usable := !send || t.Pool.Usable(c)
+	usable := !send || t.Pool.StillUsable(c)
 	if !usable {
 		Fail(at, lifecycle.Broken) // nothing was written yet
 	}
 	if !send || !usable {
 		if stream != nil {
-			stream.Stop()
+			stream.StopRest()
 		}
 		t.Pool.Release(c, usable)
 		return core.ResultOnly(at.State.Result())
@@ -169,18 +175,18 @@
 func (t *Transport) exchange(ctx context.Context, c *pool.Conn, at *core.Attempt, codec Codec, message []byte,
 	stream StreamingCodec, deadline time.Time) (e core.AttemptOutcome, reuse bool) {
 	c.SetReadDeadline(deadline) // the write deadline is set as writing begins
-	detach := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	detach := context.AfterFunc(ctx, func() { c.SetDeadline(expiredDeadline) })
 	in := answerReaders.Get().(*AnswerReader)
 	defer answerReaders.Put(in)
 	in.reset(ctx, at, c.Conn, deadline, t.StallTimeout)
-	in.longAnswers, in.detachContext = t.LongAnswers, detach
+	in.noRetryReserve, in.detachContext = t.NoRetryReserve, detach
 	in.send(codec, message, stream)
 	e, reusable, err := codec.Answer(in)
 	reuse = (in.relaying || detach()) && err == nil && reusable && in.Buffered() == 0
 	if n := in.bytesSent(false); !reuse || n < 0 || n != in.messageBytes {
 		reuse = false
 		if stream != nil {
-			stream.Stop()
+			stream.StopRest()
 		}
 		c.Close() // ends a write that is still in progress
 	}
@@ -209,8 +215,8 @@
 	return failure(at, lifecycle.Broken, err), false
 }
 
-// AnswerReader reads the answer to a message from a connection and limits the time that it may take. It also writes the message, which may
-// continue while the answer is read. Only the goroutine of its attempt may use it.
+// AnswerReader is one exchange on a connection: it writes the message, which may continue while the answer is read, and limits the time that
+// writing and reading may take. A Codec reads the answer from it. Only the goroutine of its attempt may use it.
 type AnswerReader struct {
 	*bufio.Reader
 	conn         net.Conn
@@ -226,10 +232,10 @@
 	writeDone    chan writeResult // receives the result of writing
 	writeErr     error            // error of writing, once writtenBytes is known
 
-	longAnswers   bool        // an answer may take as long as the attempt
-	detachContext func() bool // detaches the connection's deadlines from the attempt's context; false if the context has ended
-	relaying      bool        // the answer is being relayed
-	onHoldExpired func() bool // called if a held answer is not complete in time; nil if the answer is not held
+	noRetryReserve bool        // as in Transport
+	detachContext  func() bool // detaches the connection's deadlines from the attempt's context; false if the context has ended
+	relaying       bool        // the answer is being relayed
+	onHoldExpired  func() bool // called if a held answer is not complete in time; nil if the answer is not held
 }
 
 // writeResult is the result of writing a message.
@@ -250,7 +256,7 @@
 		n, err := r.writeMessage(codec, message, stream != nil)
 		if err == nil && stream != nil {
 			var more int
-			more, err = stream.Follow(conn)
+			more, err = stream.WriteRest(conn)
 			n += more
 		}
 		if err != nil {
@@ -308,7 +314,7 @@
 func (r *AnswerReader) setWriteDeadline(by time.Time) {
 	r.conn.SetWriteDeadline(earliest(by, r.deadline, r.at.WriteBy))
 	if r.ctx.Err() != nil { // the context has just ended, and the expired deadline that it has set must stay
-		r.conn.SetWriteDeadline(time.Unix(1, 0))
+		r.conn.SetWriteDeadline(expiredDeadline)
 	}
 }
 
@@ -354,7 +360,7 @@
 }
 
 // AwaitData waits for the first byte of an answer, or of its next part, until the attempt's deadline. From then on the answer may stall
-// only for StallTimeout, and unless answers may be long it must be complete before the time reserved for another attempt.
+// only for StallTimeout, and unless noRetryReserve is set it must be complete before the time reserved for another attempt.
 func (r *AnswerReader) AwaitData() error {
 	r.setMidAnswer(false)
 	_, err := r.Peek(1)
@@ -375,7 +381,7 @@
 		r.setReadDeadline(r.deadline)
 		return
 	}
-	if !r.longAnswers && !r.deadline.IsZero() {
+	if !r.noRetryReserve && !r.deadline.IsZero() {
 		r.completeBy = r.deadline.Add(-time.Until(r.deadline) / reservedDivisor)
 	}
 	r.limitStall(r.stallTimeout)
@@ -399,7 +405,7 @@
 func (r *AnswerReader) setReadDeadline(by time.Time) {
 	r.conn.SetReadDeadline(by)
 	if r.ctx.Err() != nil { // the context has just ended, and the expired deadline that it has set must stay
-		r.conn.SetReadDeadline(time.Unix(1, 0))
+		r.conn.SetReadDeadline(expiredDeadline)
 	}
 }
 
--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -46,10 +46,10 @@
 	// the answer to the next request. The duplicates that were observed arrived within 5.4 ms.
 	ReuseDelay = 10 * time.Millisecond
 
-	// maxReuseWaits limits how many attempts wait for the reuse delay of a connection while there are free slots for new ones.
+	// maxDelayedReuses limits how many attempts wait for the reuse delay of a connection while there are free slots for new ones.
 	// Waiting costs less than a handshake. Where calls arrive so fast that more attempts would wait, a new connection is dialed,
 	// which is then reused many times.
-	maxReuseWaits = 4
+	maxDelayedReuses = 4
 
 	// recheckAfter is the age of the last check of an idle connection at which it is checked again before it is written to. The
 	// steps in between take less time, unless the process is suspended.
@@ -60,13 +60,13 @@
 type Pool struct {
 	set Settings
 
-	mu         sync.Mutex
-	state      *lifecycle.PoolState
-	granted    map[*lifecycle.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
-	addrs      *addresses.History
-	extraDials int // dials in progress beyond the first of each race
-	reuseWaits int // attempts that wait for the reuse delay of a connection
-	startedAt  time.Time
+	mu            sync.Mutex
+	state         *lifecycle.PoolState
+	granted       map[*lifecycle.Conn]chan struct{} // channels of waiting attempts, closed once their connection has a slot
+	addrs         *addresses.History
+	extraDials    int // dials in progress beyond the first of each race
+	delayedReuses int // attempts that wait for the reuse delay of a connection
+	startedAt     time.Time
 }
 
 // New returns an empty Pool.
@@ -85,14 +85,13 @@
 }
 
 // Acquire returns an idle connection for a protocol, or dials a new one. A server that supports several protocols speaks
-// only one of them on each connection. It returns ErrNoPlace if no slot becomes free in time, or the error
-// of the dial.
+// only one of them on each connection. It returns ErrNoSlot if no slot becomes free in time, or the error of the dial.
 func (p *Pool) Acquire(ctx context.Context, s *lifecycle.Server, speaks choice.Protocols, at *lifecycle.Attempt) (*Conn, error) {
 	p.mu.Lock()
-	for lc := p.state.AcquireIdle(s, speaks, p.reusable); lc != nil; lc = p.state.AcquireIdle(s, speaks, p.reusable) {
+	for lc := p.state.AcquireIdle(s, speaks, p.reuseDelayOver); lc != nil; lc = p.state.AcquireIdle(s, speaks, p.reuseDelayOver) {
 		c := lc.Host.(*Conn)
-		if left := p.reuseWait(c); left > 0 {
-			if open, _, _ := p.state.Count(); p.reuseWaits >= maxReuseWaits && open < p.set.MaxConns {
+		if left := p.reuseDelayLeft(c); left > 0 {
+			if open, _, _ := p.state.Count(); p.delayedReuses >= maxDelayedReuses && open < p.set.MaxConns {
 				p.returnLocked(c, true)
 				break // dial a new one
 			}
@@ -138,25 +137,26 @@
 	return time.Since(c.idleSince) < p.set.IdleTimeout && peek.HasNoUnread(c.Conn)
 }
 
-// Usable reports whether a request may still be written to a connection. It is called right before the first byte is written: the
-// process may have been suspended since a connection was acquired from the idle ones.
-func (p *Pool) Usable(c *Conn) bool {
+// StillUsable reports whether a request may still be written to an acquired connection. It is called right before the first byte is
+// written, and checks usable again if the process may have been suspended since the connection was acquired from the idle ones.
+func (p *Pool) StillUsable(c *Conn) bool {
 	return c.checkedAt.IsZero() || time.Since(c.checkedAt) < recheckAfter || p.usable(c)
 }
 
-// reuseWait returns how long a connection must still stay idle before it can be reused. It may be negative.
-func (p *Pool) reuseWait(c *Conn) time.Duration {
+// reuseDelayLeft returns how long a connection must still stay idle before it can be reused. It may be negative.
+func (p *Pool) reuseDelayLeft(c *Conn) time.Duration {
 	if c.state.Speaks&protocol.HTTP == 0 { // Thrift replies carry the ids of their calls
 		return 0
 	}
 	return p.set.ReuseDelay - time.Since(c.idleSince)
 }
 
-func (p *Pool) reusable(lc *lifecycle.Conn) bool { return p.reuseWait(lc.Host.(*Conn)) <= 0 }
+// reuseDelayOver reports whether a connection has been idle for the reuse delay. It does not tell whether the connection is usable.
+func (p *Pool) reuseDelayOver(lc *lifecycle.Conn) bool { return p.reuseDelayLeft(lc.Host.(*Conn)) <= 0 }
 
 // waitLocked releases the lock and waits. It returns false if the context ended before.
 func (p *Pool) waitLocked(ctx context.Context, d time.Duration) bool {
-	p.reuseWaits++
+	p.delayedReuses++
 	p.mu.Unlock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -167,7 +167,7 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	p.reuseWaits--
+	p.delayedReuses--
 	return elapsed
 }
 
--- a/internal/http/httpback/httpback.go
+++ b/internal/http/httpback/httpback.go
@@ -27,7 +27,7 @@
 // New returns a transport over pool p. fields names the values that are read from load reports. If long is true, long answers are
 // relayed while they are received; otherwise an answer longer than httpmsg.MaxBody is invalid.
 func New(p *pool.Pool, fields []string, long bool) *exchange.Transport {
-	return &exchange.Transport{Pool: p, StallTimeout: exchange.StallTimeout, LongAnswers: long, NewCodec: func(at *core.Attempt) exchange.Codec {
+	return &exchange.Transport{Pool: p, StallTimeout: exchange.StallTimeout, NoRetryReserve: long, NewCodec: func(at *core.Attempt) exchange.Codec {
 		c := &codec{request: at.Payload.(*httpmsg.Request), host: hostHeader(at.Server.Addr), fields: fields, firstAttempt: at.Number == 0}
 		c.bufferAnswer = !long || at.Route.Plan != nil || len(c.request.ReplyHeaders) > 0 || c.request.UnknownShapeStatus != 0
 		return c
@@ -40,7 +40,7 @@
 	host         string
 	fields       []string
 	firstAttempt bool                  // of the call
-	bufferAnswer bool                  // answers are not relayed while they are received, because their shape matters
+	bufferAnswer bool                  // answers are read completely before the client gets them: long ones are off, or their shape matters
 	body         *httpmsg.UploadReader // of a request that is forwarded while it is received
 }
 
--- a/internal/http/httpback/streaming.go
+++ b/internal/http/httpback/streaming.go
@@ -21,18 +21,18 @@
 
 const maxTrailerBytes = 4 << 10
 
-// Follows reports whether the rest of the body is sent after the message. It implements exchange.StreamingCodec.
-func (c *codec) Follows() bool { return c.request.Upload != nil }
+// HasRest reports whether the body is sent after the message, while it is being received. It implements exchange.StreamingCodec.
+func (c *codec) HasRest() bool { return c.request.Upload != nil }
 
-// Stop ends a Follow that waits for more of the body. It implements exchange.StreamingCodec.
-func (c *codec) Stop() {
+// StopRest ends a WriteRest that waits for more of the body. It implements exchange.StreamingCodec.
+func (c *codec) StopRest() {
 	if c.body != nil {
 		c.body.Close()
 	}
 }
 
-// Follow sends the body while it is being received.
-func (c *codec) Follow(w net.Conn) (n int, err error) {
+// WriteRest sends the body while it is being received. It implements exchange.StreamingCodec.
+func (c *codec) WriteRest(w net.Conn) (n int, err error) {
 	defer c.body.Close()
 	length := c.request.Upload.Length()
 	sent := int64(0)
--- a/internal/http/httpfront/answer.go
+++ b/internal/http/httpfront/answer.go
@@ -40,9 +40,10 @@
 	panic(http.ErrAbortHandler) // net/http would treat a partly written answer as complete
 }
 
-// answerDisconnected answers a request whose client has disconnected. Normally nobody reads this answer; a client that still
-// does must not mistake the close for an empty answer.
-func (f *Front) answerDisconnected(w http.ResponseWriter, in *http.Request) {
+// writeFailedAndClose writes the answer core.Failed, after which the connection closes. It is for a request whose handler has panicked
+// or whose client has disconnected. A disconnected client normally does not read the answer; one that still does must not mistake the
+// close for an empty answer.
+func (f *Front) writeFailedAndClose(w http.ResponseWriter, in *http.Request) {
 	w.Header().Set("Connection", "close")
 	f.writeAnswer(w, in, core.Answer{Kind: core.Failed}, minWriteTimeout)
 }
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -33,7 +33,7 @@
 	headTimeout = 2 * time.Second
 	readTimeout = 2500 * time.Millisecond // for head and body
 	// idleTimeout limits how long the connection of a client that never returns is kept. When idle connections use up too much of the
-	// connection limit, the tracker ends them much earlier.
+	// connection limit, package conntrack ends them much earlier.
 	idleTimeout     = 10 * time.Minute
 	minWriteTimeout = time.Second            // minimum time for which a client may accept nothing of its answer
 	answerGrace     = 500 * time.Millisecond // an answer is still useful for this long after the client's deadline
@@ -47,7 +47,7 @@
 	core          *core.Core
 	log           *slog.Logger
 	http          *http.Server
-	tracker       *conntrack.Tracker
+	conns         *conntrack.Tracker
 	listener      *conntrack.Listener
 	shuttingDown  atomic.Bool // answers announce that their connection closes
 	probeInterval time.Duration
@@ -64,15 +64,15 @@
 // WithShapes makes the Front determine the shapes of requests. It must be called before Serve.
 func (f *Front) WithShapes(s ShapeFinder) { f.shapes = s }
 
-// New returns a Front that accepts connections on l and tracks them in tracker.
-func New(cfg *config.Config, c *core.Core, tracker *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
-	f := &Front{cfg: cfg, core: c, log: log, tracker: tracker, listener: tracker.Listen(l, log).ReaderCloses(), probeInterval: conntrack.ProbeInterval}
+// New returns a Front that accepts connections on l and tracks them in conns.
+func New(cfg *config.Config, c *core.Core, conns *conntrack.Tracker, l *net.TCPListener, log *slog.Logger) *Front {
+	f := &Front{cfg: cfg, core: c, log: log, conns: conns, listener: conns.Listen(l, log).ReaderCloses(), probeInterval: conntrack.ProbeInterval}
 	// No http.ServeMux: it would redirect a request whose path is not in canonical form.
 	handler := func(w http.ResponseWriter, in *http.Request) {
 		defer f.answerPanic(w, in)
 		// MarkBusy fails if the connection was closed while the request was being read: the client retries, and the request must not take
 		// effect twice.
-		if !f.tracker.MarkBusy(clientConnOf(in).conn) {
+		if !f.conns.MarkBusy(clientConnOf(in).conn) {
 			f.log.Warn("request dropped as its connection had been closed", "id", in.Header.Get("X-Correlation-Id"))
 			panic(http.ErrAbortHandler)
 		}
@@ -114,18 +114,18 @@
 		panic(cause)
 	}
 	f.log.Error("the handling of a request panicked", "id", in.Header.Get("X-Correlation-Id"), "cause", cause, "stack", string(debug.Stack()))
-	f.answerDisconnected(w, in)
+	f.writeFailedAndClose(w, in)
 }
 
-// connState is the ConnState callback of the HTTP server. It keeps the tracker up to date.
+// connState is the ConnState callback of the HTTP server. It keeps the state of the connection in conns up to date.
 func (f *Front) connState(conn net.Conn, state http.ConnState) {
 	c := conn.(*recordingConn).Conn
 	switch state {
 	case http.StateIdle:
 		conn.(*recordingConn).requestDone()
-		f.tracker.MarkIdle(c)
+		f.conns.MarkIdle(c)
 	case http.StateClosed, http.StateHijacked:
-		f.tracker.MarkClosed(c)
+		f.conns.MarkClosed(c)
 	}
 }
 
@@ -144,8 +144,8 @@
 
 // withClientConn makes the connection available to the handlers of its requests, as the server's ConnContext.
 func (f *Front) withClientConn(ctx context.Context, c net.Conn) context.Context {
-	t := c.(*recordingConn)
-	return context.WithValue(ctx, clientConnKey{}, &clientConn{conn: t.Conn, recorder: t, opened: f.core.Now()})
+	rc := c.(*recordingConn)
+	return context.WithValue(ctx, clientConnKey{}, &clientConn{conn: rc.Conn, recorder: rc, opened: f.core.Now()})
 }
 
 func clientConnOf(in *http.Request) *clientConn {
@@ -184,7 +184,7 @@
 		f.listener.CloseUnfinished() // a request that is incomplete by now would be forwarded too late
 		stage("unfinished requests told to end")
 		if !f.waitEmpty(end) {
-			f.log.Warn("connections were still open at the end", "connections", f.tracker.Count())
+			f.log.Warn("connections were still open at the end", "connections", f.conns.Count())
 		}
 	}
 	f.http.Close()
@@ -200,10 +200,10 @@
 
 // startStageLog logs the beginning of a shutdown and returns a function that logs each further stage.
 func (f *Front) startStageLog(begin time.Time) (stage func(name string)) {
-	f.log.Info("shutdown", "stage", "begun", "connections", f.tracker.Count())
+	f.log.Info("shutdown", "stage", "begun", "connections", f.conns.Count())
 	return func(name string) {
-		s := f.tracker.Stats()
-		f.log.Info("shutdown", "stage", name, "after", time.Since(begin).Round(time.Millisecond), "connections", f.tracker.Count(), "accepted", s.Accepted,
+		s := f.conns.Stats()
+		f.log.Info("shutdown", "stage", name, "after", time.Since(begin).Round(time.Millisecond), "connections", f.conns.Count(), "accepted", s.Accepted,
 			"closed_for_room", s.ClosedForRoom, "ended_idle", s.EndedIdle, "ended_silent", s.EndedSilent, "kept_begun", s.KeptPartial, "ended_begun", s.EndedPartial)
 	}
 }
@@ -224,7 +224,7 @@
 		switch tooLarge := (*http.MaxBytesError)(nil); {
 		case errors.As(err, &tooLarge):
 			status = http.StatusRequestEntityTooLarge
-		case errors.Is(err, errFraming):
+		case errors.Is(err, errUnsupportedFraming):
 			status = http.StatusLengthRequired
 		}
 		f.core.CountMalformed()               // not logged one by one: there may be thousands
@@ -235,8 +235,8 @@
 	http.NewResponseController(w).SetReadDeadline(time.Time{}) // otherwise it would also end the wait for the client's disconnect
 	client := clientConnOf(in)
 	gone := func() bool {
-		gone, over := client.conn.Probe()
-		if over { // more unread data than is kept, so the requests in it can't be separated any more
+		gone, overflowed := client.conn.CheckDisconnected()
+		if overflowed { // more unread data than is kept, so the requests in it can't be separated any more
 			w.Header().Set("Connection", "close")
 		}
 		return gone
@@ -245,7 +245,7 @@
 	// so while an earlier request was handled, or long ago: nobody waits for the answer, so this request is not forwarded.
 	if !call.BodyPending && gone() {
 		f.core.CountUnsubmitted()
-		f.answerDisconnected(w, in)
+		f.writeFailedAndClose(w, in)
 		return
 	}
 	slot := newAnswerSlot(call)
@@ -257,7 +257,7 @@
 	f.core.Submit(call)
 	// Some clients send one request and keep their connection forever. Near the connection limit, the connection closes after the
 	// first answer; a client that does return opens another one.
-	if client.requests == 1 && f.tracker.NearlyFull() {
+	if client.requests == 1 && f.conns.NearlyFull() {
 		endConnection(w, in)
 	}
 	if call.BodyPending {
@@ -284,7 +284,7 @@
 		return
 	}
 	f.core.ClientDisconnected(call)
-	f.answerDisconnected(w, in)
+	f.writeFailedAndClose(w, in)
 }
 
 // await waits for the answer to a call. It returns false if the client disconnects first. Meanwhile net/http reads the connection
@@ -342,10 +342,11 @@
 var methods = map[choice.Effect]string{choice.Safe: http.MethodGet, choice.Keyed: http.MethodPost,
 	choice.Unsafe: http.MethodPost}
 
-// errFraming rejects a request whose end could be determined in two ways. net/http drops a Content-Length
-// next to a Transfer-Encoding before any handler can see it, and drops the Transfer-Encoding in HTTP/1.0. The two may
-// disagree on where the request ends, and so smuggle another request in its body. The application sends neither.
-var errFraming = errors.New("requests are taken without Transfer-Encoding and as HTTP 1.1 only")
+// errUnsupportedFraming rejects a request that is not HTTP/1.1, or that has a Transfer-Encoding although its body may not be long:
+// the end of such a request could be determined in two ways. net/http drops a Content-Length next to a Transfer-Encoding before any
+// handler can see it, and drops the Transfer-Encoding in HTTP/1.0. The two may disagree on where the request ends, and so smuggle
+// another request in its body. The application sends neither.
+var errUnsupportedFraming = errors.New("requests are taken without Transfer-Encoding and as HTTP 1.1 only")
 
 // errTwoLengths rejects a request that has both a Content-Length and a Transfer-Encoding.
 var errTwoLengths = errors.New("a Content-Length beside a Transfer-Encoding")
@@ -379,7 +380,7 @@
 func (f *Front) parseHead(in *http.Request) (call *core.Call, wait time.Duration, err error) {
 	chunked := len(in.TransferEncoding) > 0
 	if !in.ProtoAtLeast(1, 1) || chunked && !f.longBodies {
-		return nil, 0, errFraming
+		return nil, 0, errUnsupportedFraming
 	}
 	if chunked {
 		if clientConnOf(in).recorder.hasAmbiguousLength(in) {
--- a/internal/http/httpfront/front_test.go
+++ b/internal/http/httpfront/front_test.go
@@ -77,9 +77,9 @@
 // testFront is a front on loopback with a core whose servers are stubs.
 type testFront struct {
 	*Front
-	servers *stubServers
-	addr    string
-	conns   chan *conntrack.Conn // in the order in which they are accepted
+	servers       *stubServers
+	addr          string
+	acceptedConns chan *conntrack.Conn // in the order in which they are accepted
 }
 
 // newTestFront returns a testFront that does not serve yet, with at most maxClients connections.
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testFront{servers: &stubServers{started: make(chan *core.Attempt, 1<<14), outcomes: make(chan core.AttemptOutcome), seen: map[string]int{}}, conns: make(chan *conntrack.Conn, 1<<14)} // more than any test sends: a full channel would block accepting
+	r := &testFront{servers: &stubServers{started: make(chan *core.Attempt, 1<<14), outcomes: make(chan core.AttemptOutcome), seen: map[string]int{}}, acceptedConns: make(chan *conntrack.Conn, 1<<14)} // more than any test sends: a full channel would block accepting
 	known := discovery.List{Full: true}
 	for i := range 64 { // enough that the attempts that a test leaves unanswered don't make the servers look silent
 		known.Servers = append(known.Servers, discovery.Entry{ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", Zone: "z", State: "in_service"})
@@ -111,7 +111,7 @@
 	r.Front = New(cfg, c, conntrack.New(maxClients), l.(*net.TCPListener), slog.New(slog.DiscardHandler))
 	r.probeInterval = time.Millisecond
 	r.http.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
-		r.conns <- conn.(*recordingConn).Conn
+		r.acceptedConns <- conn.(*recordingConn).Conn
 		return r.withClientConn(ctx, conn)
 	}
 	t.Cleanup(func() { r.http.Close() })
@@ -159,7 +159,7 @@
 	r := newTestFront(t, 10)
 	r.serve()
 	r.dial(t)
-	testkit.Eventually(t, "the connection is accepted", func() bool { return r.tracker.Count() == 1 })
+	testkit.Eventually(t, "the connection is accepted", func() bool { return r.conns.Count() == 1 })
 	begin := time.Now()
 	r.Stop(begin, shutdown.Schedule{Accept: idle, Idle: idle, AnswerBy: closeBy - conntrack.AnswerWriteTime, CloseBy: closeBy})
 	if took := time.Since(begin); took > idle+conntrack.SilentGrace+slack {
@@ -223,7 +223,7 @@
 					send(t, c, request("a"))
 					at := <-r.servers.started
 					go io.WriteString(c, more) // it may not all be accepted
-					served := <-r.conns
+					served := <-r.acceptedConns
 					testkit.Eventually(t, "data is received behind the request", func() bool { return !peek.HasNoUnread(served) || served.ReceivedBytes() > len(request("a")) })
 					disconnect(c, reset)
 					testkit.Eventually(t, "the disconnect is noticed", at.Call.Finished)
@@ -231,7 +231,7 @@
 					case r.servers.outcomes <- neverRan:
 					case <-time.After(10 * time.Millisecond): // the attempt was canceled before
 					}
-					testkit.Eventually(t, "the connection is released", func() bool { return r.tracker.Count() == 0 })
+					testkit.Eventually(t, "the connection is released", func() bool { return r.conns.Count() == 0 })
 					testkit.Eventually(t, "the call is released", func() bool {
 						s := r.core.Snapshot()
 						return s.Open == 0 && s.Held == 0 && s.Stats.Disconnected == 1
@@ -255,8 +255,8 @@
 				send(t, c, request("a"))
 				disconnect(c, reset)
 				r.serve()
-				<-r.conns
-				testkit.Eventually(t, "the connection is released", func() bool { return r.tracker.Count() == 0 })
+				<-r.acceptedConns
+				testkit.Eventually(t, "the connection is released", func() bool { return r.conns.Count() == 0 })
 				if n, s := r.servers.attempts("a"), r.core.Snapshot(); n != 0 || s.Open != 0 || s.Stats.Requests != 0 {
 					t.Errorf("%d attempts; %d open of %d", n, s.Open, s.Stats.Requests)
 				}
@@ -326,17 +326,17 @@
 			}
 			c := r.serve().dial(t)
 			r.serveOne(t, c)
-			first := <-r.conns
-			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.AwaitsRequest(first) })
+			first := <-r.acceptedConns
+			testkit.Eventually(t, "the connection is idle", func() bool { return r.conns.AwaitsRequest(first) })
 			for i := range 3 {
 				id := fmt.Sprint("other", i)
 				send(t, r.dial(t), requestsByKind["safe"](id))
 				testkit.Eventually(t, "the attempt has started", func() bool { return r.servers.attempts(id) > 0 })
-				<-r.conns
+				<-r.acceptedConns
 			}
 			connectAnother = sync.OnceFunc(func() { // another client connects and takes the last free connection
 				r.dial(t)
-				newcomers <- <-r.conns
+				newcomers <- <-r.acceptedConns
 			})
 			secondRequest.Store(true)
 			send(t, c, request("a"))
@@ -364,7 +364,7 @@
 			closed := make(chan net.Conn, 10)
 			r.http.ConnState = func(c net.Conn, state http.ConnState) {
 				if state == http.StateActive && secondRequest.Load() { // the request has been read, but its handler has not run
-					r.tracker.MarkClosed(c.(*recordingConn).Conn)
+					r.conns.MarkClosed(c.(*recordingConn).Conn)
 				}
 				r.connState(c, state)
 				if state == http.StateClosed && secondRequest.Load() {
@@ -373,8 +373,8 @@
 			}
 			c := r.serve().dial(t)
 			r.serveOne(t, c)
-			first := <-r.conns
-			testkit.Eventually(t, "the connection is idle", func() bool { return r.tracker.AwaitsRequest(first) })
+			first := <-r.acceptedConns
+			testkit.Eventually(t, "the connection is idle", func() bool { return r.conns.AwaitsRequest(first) })
 			secondRequest.Store(true)
 			send(t, c, request("a"))
 			if conn := <-closed; conn != net.Conn(first) { // nobody serves it any more
@@ -397,7 +397,7 @@
 	if !fresh {
 		r.serveOne(t, c)
 	}
-	conn := <-r.conns
+	conn := <-r.acceptedConns
 	half := conn.ReceivedBytes() + 10
 	send(t, c, text[:10])
 	testkit.Eventually(t, "the first bytes are read", func() bool { return conn.ReceivedBytes() >= half })
@@ -551,7 +551,7 @@
 			s := r.core.Snapshot()
 			// Requests of clients that disconnected before they were read are not counted.
 			ended := s.Stats.Disconnected + s.Stats.Served + s.Stats.Refused + s.Stats.Failed
-			return s.Open == 0 && s.Held == 0 && ended == s.Stats.Requests && r.tracker.Count() == 0
+			return s.Open == 0 && s.Held == 0 && ended == s.Stats.Requests && r.conns.Count() == 0
 		})
 	}
 	t.Logf("%d disconnects, the longest noticed after %v", r.core.Snapshot().Stats.Disconnected, longest)
@@ -605,7 +605,7 @@
 			}
 			c := r.serve().dial(t)
 			sendBoth(t, c, func() { <-r.servers.started })
-			conn := <-r.conns
+			conn := <-r.acceptedConns
 			testkit.Eventually(t, "the next request is read ahead", func() bool {
 				return conn.ReceivedBytes() == 2*len(requestsByKind["safe"]("a")) && peek.HasNoUnread(conn)
 			})
@@ -667,7 +667,7 @@
 				at := <-r.servers.started
 				if more != "" {
 					send(t, c, more)
-					conn := <-r.conns
+					conn := <-r.acceptedConns
 					testkit.Eventually(t, "the connection is no longer being read", func() bool { return !conn.BeingRead() })
 				}
 				if at.Call.Abandoned() {
--- a/internal/http/httpfront/recordingconn.go
+++ b/internal/http/httpfront/recordingconn.go
@@ -120,12 +120,12 @@
 }
 
 // hasMore reports whether there is data behind a request whose body has been read, usually another request. If the end of the request is
-// unknown, it only sees data that net/http has not read yet.
+// unknown, it only sees data that net/http has not read yet. It also returns true if the client has disconnected or the system can't tell.
 func (c *recordingConn) hasMore() bool {
 	c.mu.Lock()
 	readBeyond := c.requestEnd != unknownEnd && c.received > c.requestEnd
 	c.mu.Unlock()
-	return readBeyond || !c.HasNoUnread()
+	return readBeyond || !c.KnownOpenAndEmpty()
 }
 
 // hasAmbiguousLength reports whether a head that may be that of the chunked request has a Content-Length too, or no such head is
--- a/internal/http/httpfront/recordingconn_test.go
+++ b/internal/http/httpfront/recordingconn_test.go
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	sent = make(chan struct{})
-	front := &Front{tracker: conntrack.New(10)}
+	front := &Front{conns: conntrack.New(10)}
 	contextOf := func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, clientConnKey{}, &clientConn{recorder: c.(*recordingConn)})
 	}
@@ -66,7 +66,7 @@
 		<-sent
 		check(rec)
 	})}
-	go server.Serve(recordingListener{front.tracker.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler)).ReaderCloses(), headTimeout})
+	go server.Serve(recordingListener{front.conns.Listen(l.(*net.TCPListener), slog.New(slog.DiscardHandler)).ReaderCloses(), headTimeout})
 	t.Cleanup(func() { server.Close() })
 	client, err = net.Dial("tcp", l.Addr().String())
 	if err != nil {
--- a/internal/http/httpfront/requestbody.go
+++ b/internal/http/httpfront/requestbody.go
@@ -62,7 +62,7 @@
 	return n, err
 }
 
-// halt ends a pending Read and makes later ones fail.
+// halt ends a pending Read, by a read deadline that has passed, and makes later ones fail.
 func (p *pacedBody) halt() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,7 @@
 	case in.ContentLength > httpmsg.MaxStreamedBody:
 		return nil, &http.MaxBytesError{Limit: httpmsg.MaxStreamedBody}
 	case in.ContentLength < 0 && !long:
-		return nil, errFraming
+		return nil, errUnsupportedFraming
 	case in.ContentLength == 0:
 		return nil, nil
 	}
