--- a/internal/host/pool/pool.go
+++ b/internal/host/pool/pool.go
@@ -134,7 +134,7 @@
 // usable reports whether an idle connection may carry a request: its server has not closed it and is not about to, and has sent no
 // unsolicited data, which would be taken for the next answer.
 func (p *Pool) usable(c *Conn) bool {
-	return time.Since(c.idleSince) < p.set.IdleTimeout && peek.HasNoUnread(c.Conn)
+	return time.Since(c.idleSince) < p.set.IdleTimeout && peek.KnownOpenAndEmpty(c.Conn)
 }
 
 // StillUsable reports whether a request may still be written to an acquired connection. It is called right before the first byte is
@@ -349,7 +349,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, lc := range p.state.Idle() {
-		if c := lc.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleTimeout || !peek.HasNoUnread(c.Conn) {
+		if c := lc.Host.(*Conn); time.Since(c.idleSince) >= p.set.IdleTimeout || !peek.KnownOpenAndEmpty(c.Conn) {
 			c.Close()
 			next, err := p.state.CloseIdle(lc)
 			p.reportIllegal(err)
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -378,7 +378,7 @@
 	}
 	first := dialed
 	io.WriteString(<-conns, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
-	testkit.Eventually(t, "the bytes have arrived", func() bool { return !peek.HasNoUnread(first) })
+	testkit.Eventually(t, "the bytes have arrived", func() bool { return !peek.KnownOpenAndEmpty(first) })
 	if got := exchangeOnce(t, u, b, "second"); got.Result != choice.OK || len(replyBody(got)) != 0 {
 		t.Errorf("result %d, %q", got.Result, replyBody(got))
 	}
--- a/internal/http/httpfront/front_test.go
+++ b/internal/http/httpfront/front_test.go
@@ -224,7 +224,7 @@
 					at := <-r.servers.started
 					go io.WriteString(c, more) // it may not all be accepted
 					served := <-r.acceptedConns
-					testkit.Eventually(t, "data is received behind the request", func() bool { return !peek.HasNoUnread(served) || served.ReceivedBytes() > len(request("a")) })
+					testkit.Eventually(t, "data is received behind the request", func() bool { return !peek.KnownOpenAndEmpty(served) || served.ReceivedBytes() > len(request("a")) })
 					disconnect(c, reset)
 					testkit.Eventually(t, "the disconnect is noticed", at.Call.Finished)
 					select {
@@ -607,7 +607,7 @@
 			sendBoth(t, c, func() { <-r.servers.started })
 			conn := <-r.acceptedConns
 			testkit.Eventually(t, "the next request is read ahead", func() bool {
-				return conn.ReceivedBytes() == 2*len(requestsByKind["safe"]("a")) && peek.HasNoUnread(conn)
+				return conn.ReceivedBytes() == 2*len(requestsByKind["safe"]("a")) && peek.KnownOpenAndEmpty(conn)
 			})
 			in := bufio.NewReader(c)
 			c.SetReadDeadline(time.Now().Add(testkit.WaitTimeout))
--- a/internal/sysio/peek/peek.go
+++ b/internal/sysio/peek/peek.go
@@ -46,9 +46,9 @@
 	return UnreadEnd
 }
 
-// HasNoUnread reports whether it is certain that a connection has neither unread data nor an unread end. It reads nothing. No other goroutine
+// KnownOpenAndEmpty reports whether it is certain that a connection has neither unread data nor an unread end. It reads nothing. No other goroutine
 // may be reading from the connection.
-func HasNoUnread(c net.Conn) bool { return UnreadOf(c) == UnreadNothing }
+func KnownOpenAndEmpty(c net.Conn) bool { return UnreadOf(c) == UnreadNothing }
 
 // HasData reports whether it is certain that a connection has unread data.
 func HasData(c net.Conn) bool { return UnreadOf(c) == UnreadData }
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -424,7 +424,7 @@
 		if stopping != c.front.stopping.Load() {
 			continue // otherwise the deadline set above would cancel the effect of wake
 		}
-		if stopping && idle && !fresh && peek.HasNoUnread(c.conn) {
+		if stopping && idle && !fresh && peek.KnownOpenAndEmpty(c.conn) {
 			return errStopping
 		}
 		switch err := c.readChunk(); {
