--- a/choice/api.go
+++ b/choice/api.go
@@ -1,6 +1,6 @@
 // Package choice makes the decisions of a client-side load balancer: which server gets a request, when an
 // attempt is retried, hedged or canceled, and which requests are shed. Every client process, called an agent
-// elsewhere in this module, has its own Balancer; balancers share no state. A Balancer does no I/O and reads
+// in other packages, has its own Balancer; balancers share no state. A Balancer does no I/O and reads
 // no clock: the host passes it events with their time and carries out the actions that it returns.
 package choice
 
@@ -14,7 +14,8 @@
 // Effect says whether a request of a class may run more than once.
 type Effect int
 
-// The effects of running a request again.
+// The effects of running a request again, in the order of the harm that a repeat may do: New takes the
+// minimum to find the least harmful effect.
 const (
 	Safe   Effect = iota // may be repeated any number of times
 	Keyed                // has an idempotency key: servers drop repeats within a scope, for a limited time
@@ -42,7 +43,8 @@
 	Value       float64       // relative value of an answer: requests of low value are shed first
 }
 
-// Settings configure a Balancer. They are fixed for its lifetime.
+// Settings configure a Balancer. They are fixed for its lifetime. Tick is a property of the clock and has
+// nothing to do with the tick method, which does the periodic work.
 type Settings struct {
 	Balancers         int           // number of balancers that use the same servers
 	Tick              time.Duration // minimum time between two events, and the precision of timers
@@ -60,7 +62,7 @@
 	MaxRetryAfter     time.Duration // maximum retry-after time that clients honor; 0 if none is sent
 	SlowStartMinShare float64       // minimum share of its capacity that a server has right after its start
 	SlowStartWindow   time.Duration // time after its start at which it has all of it at the latest
-	MaxSendDelay      time.Duration // how long a send may be delayed beyond its SendWithin
+	MaxSendDelay      time.Duration // how late a write may be if the host stalls after its check of SendWithin
 }
 
 // check returns an error for the first invalid setting.
@@ -91,7 +93,9 @@
 	return nil
 }
 
-// Protocols is a set of protocols, one bit each. The host assigns the bits.
+// Protocols is a set of bits, which the host assigns. A bit stands for a protocol, or for another capability
+// that a request may require of a server, such as a shape of messages in package routes. Where a single
+// protocol is meant, one bit is set.
 type Protocols uint64
 
 // State is the state of a server in the list.
@@ -112,7 +116,7 @@
 	Cell       int           // small group of servers that drop each other's repeats
 	Weight     float64       // relative size according to the list
 	Started    time.Duration // time of its latest start, on the clock of the events; 0 if long ago
-	Protocols  Protocols     // protocols that the server speaks
+	Protocols  Protocols     // protocols that the server speaks, and its other capabilities
 	SubsetRank float64       // rank of this balancer among all at the server, in [0, 1); see package subset
 }
 
@@ -163,7 +167,7 @@
 		Key               string        // what the request is about, for key affinity; may be empty
 		Deadline          time.Duration // when the client gives up this try, on the clock of the events
 		ClientRetry       bool          // the client marked this try as its own retry
-		RequiredProtocols Protocols     // a server must speak all of these to get the request; 0 if any will do
+		RequiredProtocols Protocols     // a server must have all of these to get the request; 0 if any will do
 		BodyPending       bool          // the end of the body is not yet received; BodyReceived follows
 	}
 	// BodyReceived reports that a request with BodyPending is received to its last byte. The latencies of its
@@ -172,7 +176,8 @@
 		Request  string
 		Deadline time.Duration // replaces that of the Request
 	}
-	// Outcome ends one attempt. Every Send gets one. The first OK is the final answer by itself.
+	// Outcome ends one attempt. Every Send gets one. The host sets Closed with the first OK, which then is the
+	// final answer. If Closed is not set, the request may be tried again, even after an OK.
 	Outcome struct {
 		Request string
 		Attempt int // index in the order of the sends, from 0
@@ -183,7 +188,8 @@
 		Report  Report
 	}
 	// StreamStarted reports that a streamed answer has begun to be passed to the client: the request needs no
-	// other attempt and no other final answer.
+	// other attempt and no other final answer. Hosts that report the Outcome, with Closed, when the answer
+	// begins, as package calltrack does, don't send it.
 	StreamStarted struct {
 		Request string
 		Attempt int
@@ -234,7 +240,7 @@
 	Server     string
 	Attempt    int
 	After      time.Duration
-	SendWithin time.Duration // the time in which a Send must be written whole, or not at all; 0 for no limit
+	SendWithin time.Duration // a Send is to be written whole in this time, see MaxSendDelay; 0 for no limit
 	Token      uint64
 	Reason     Reason // why, for logs and metrics
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -8,25 +8,27 @@
 	"time"
 )
 
-// Tuning constants. All are shares, counts or multiples; durations come from Settings. A horizon is the
-// longest target latency of any class. Hedging sends a second attempt while the first is still in flight.
+// Tuning constants. All are shares, counts or multiples; durations come from Settings. Hedging sends a second
+// attempt while the first is still in flight.
+//
+// A horizon is the longest target latency of any class. It is the time base of the averages over time.
 const (
 	drawCount             = 16   // servers drawn for a request: d in the paper that pickServer cites
 	maxProbedServers      = 4    // servers drawn for a request if they are probed first
 	maxProbeCost          = 0.02 // maximum cost of the probes for one request, as a share of the request
 	probeMinUtil          = 0.4  // utilization from which servers are probed, or a quarter of it in congestion
-	minKnownServers       = 0.25 // sum of the servers' confidence up to which the utilization is unknown
+	minTotalConfidence    = 0.25 // sum of the servers' confidence up to which the utilization is unknown
 	probeTimeoutDivisor   = 8    // servers have this part of the target latency to answer a probe: an eighth
 	localZoneSubsetFactor = 3    // a server in the own zone is this many times as likely to be in the subset
 	loadTolerance         = 0.01 // loads that differ by no more than this share count as equal
-	localZoneBonus        = 60   // times CrossZoneCost: relative weight gain of an idle server in the own zone
+	localZoneBonus        = 60   // times CrossZoneCost: weight gain of an idle server, see updateWeights
 	affinityFactor        = 2    // factor on the weight of the server to which a request's key hashes
 	coldSendFactor        = 1.25 // share of sends to a cold server, as a multiple of its share of the weight
 	minUtil               = 0.05 // lower utilization gives no estimate, and lower free capacity counts as this
 	ewmaWeight            = 0.05 // weight of a new sample in the averages over samples
-	maxMissedAnswers      = 16   // answers that a server may miss, in mean latencies, before it is ejected
-	maxMissedInTrial      = 4    // the same for a server on trial; one that was silent has missed more before
-	maxReadmitFactor      = 8    // maximum multiple of its share for a server that others have yet to readmit
+	maxMissedAnswers      = 16   // missedAnswers above which a server is ejected
+	maxMissedInTrial      = 4    // the same for a server on trial
+	maxReadmitFactor      = 8    // maximum of readmitFactor
 	failureWeight         = 0.3  // weight of a new sample in a server's failure rate
 	ejectThreshold        = 0.6  // failure rate above which a server is ejected: three failures in a row, from 0
 	hedgeLossThreshold    = 0.03 // loss rate at servers that answer others, from which late attempts are hedged
@@ -49,7 +51,8 @@
 	subsetHorizons        = 2    // horizons in which a balancer's traffic should reach all servers of its subset
 )
 
-// tick does the periodic work: it ages the averages, checks the health of servers and updates the subset.
+// tick does the periodic work, ticksPerHorizon times per horizon: it ages the averages, checks the health of
+// servers and updates the subset. Settings.Tick is something else, the resolution of the clock.
 func (b *Balancer) tick() {
 	b.startTick()
 	b.answerRate *= math.Exp(-1.0 / ticksPerHorizon / rateHorizons)
@@ -135,28 +138,29 @@
 	s.reportedUtil = decay*s.reportedUtil + (1-decay)*r.Util
 	if s.reportedUtil > minUtil {
 		b.checkImported(s, s.reportedRate/s.reportedUtil)
-		s.rate, s.confidence = s.reportedRate/s.reportedUtil, 1
+		s.capacityEstimate, s.confidence = s.reportedRate/s.reportedUtil, 1
 	}
 }
 
 // updateWeights sets the weight of every server: its current capacity. The older a server's last report,
 // the more the mean of the others counts: otherwise a server that once looked slow would get no requests to
-// prove the opposite.
+// prove the opposite. In the own zone, the weight of a server that is not cold is multiplied by 1 +
+// localZoneBonus * CrossZoneCost if it is idle, and by less the busier it is.
 func (b *Balancer) updateWeights() {
-	rate, size, util, mean := 0.0, 0.0, 0.0, 1.0
-	b.knownServers = 0
+	estimates, size, util, mean := 0.0, 0.0, 0.0, 1.0
+	b.totalConfidence = 0
 	for _, s := range b.servers {
-		rate, size = rate+s.rate*s.confidence, size+s.Weight*s.confidence
-		util, b.knownServers = util+s.reportedUtil*s.confidence, b.knownServers+s.confidence
+		estimates, size = estimates+s.capacityEstimate*s.confidence, size+s.Weight*s.confidence
+		util, b.totalConfidence = util+s.reportedUtil*s.confidence, b.totalConfidence+s.confidence
 	}
 	if size > 0 {
-		mean, b.meanUtil = rate/size, util/b.knownServers
+		mean, b.meanUtil = estimates/size, util/b.totalConfidence
 	}
 	b.totalCapacity, b.healthyCapacity, b.subsetCapacity = 0, 0, 0
 	for _, s := range b.servers {
 		expected, warmup := mean*s.Weight, s.warmupShare(b)
-		s.capacity = expected + (s.rate-expected)*s.confidence
-		s.drawWeight = s.capacity * warmup * (1 - s.failureRate) * s.readmitFactor(b)
+		s.blendedCapacity = expected + (s.capacityEstimate-expected)*s.confidence
+		s.drawWeight = s.blendedCapacity * warmup * (1 - s.failureRate) * s.readmitFactor(b)
 		if s.State != Ready {
 			continue
 		}
@@ -263,7 +267,7 @@
 // close to 0, and the load reported to it is outdated.
 func (b *Balancer) probeDrawn(r *request) bool {
 	r.probedSince, r.pendingProbes = b.now-b.settings.Tick, 0
-	idle := b.knownServers > minKnownServers && b.meanUtil < probeMinUtil &&
+	idle := b.totalConfidence > minTotalConfidence && b.meanUtil < probeMinUtil &&
 		b.congestion < probeMinUtil/4 // then probes are not worth their cost
 	for i, s := range r.drawn {
 		if !b.probesFirst() || idle || r.hasFreshProbe(s) || slices.Contains(r.drawn[:i], s) {
@@ -350,13 +354,14 @@
 // recordOutcome updates the health of a server by the outcome of an attempt. A server that fails fast looks
 // idle, so failures lower its weight.
 func (b *Balancer) recordOutcome(a *attempt, o Outcome) {
-	s, c, failure, patience := a.srv, a.req.Class, 1.0, 1.0
+	s, c, failure, allowedWait := a.srv, a.req.Class, 1.0, 1.0
 	if o.Result == TimedOut {
-		patience = a.relativePatience(b)
+		allowedWait = a.relativeAllowedWait(b)
 	}
-	late := o.Result == Rejected || o.Result == TimedOut && patience == 1 && !b.overtaken(a)
+	// By itself a sign of congestion: a rejection, or a missing answer that nothing else explains.
+	congested := o.Result == Rejected || o.Result == TimedOut && allowedWait == 1 && !b.laterSendAnswered(a)
 	switch {
-	case o.Result == Canceled && s.trialActive: // the balancer has used up its turn, see eject
+	case o.Result == Canceled && s.trialActive: // this balancer's turn is over, see eject
 		b.eject(s)
 		return
 	case o.Result == NotSent,
@@ -371,19 +376,19 @@
 		b.answerRate += 1 / (rateHorizons * b.horizon.Seconds())
 	case o.Result == TimedOut && s.lastHeard > a.sent && s.ejectedUntil == 0:
 		failure = 0 // it answers others: the request is expensive, or was lost
-		if patience == 1 {
+		if allowedWait == 1 {
 			b.lossRate += ewmaWeight
 		}
 	}
 	b.lossRate -= ewmaWeight * b.lossRate
-	// Dead or lossy servers, impatient clients and slowly received bodies are not congestion.
-	if (late && !b.isEjected(s) || o.Result == OK) && !a.req.BodyPending {
-		used := b.slackUsed(a, late)
+	// Dead or lossy servers, clients that allow little time and slowly received bodies are not congestion.
+	if (congested && !b.isEjected(s) || o.Result == OK) && !a.req.BodyPending {
+		used := b.slackUsed(a, congested)
 		if b.congestion += b.congestionWeight * (used - b.congestion); used < shedThreshold {
 			b.lastPromptSend = max(b.lastPromptSend, a.sent)
 		}
 	}
-	weight := failureWeight * patience
+	weight := failureWeight * allowedWait
 	if o.Result == TimedOut && failure > 0 || o.Result == Canceled { // a longer wait counts more
 		weight = min(1, max(weight, a.relativeWait(b)/maxMissedAnswers))
 	}
@@ -405,11 +410,13 @@
 }
 
 // eject excludes a server from the draws until it is this balancer's turn to try it with one request (see
-// dueForTrial). In each round every balancer that draws from the server has one turn, a horizon after the
-// previous balancer's: in the first round by their ranks, then one round later each time.
+// dueForTrial). The balancers that draw from the server take turns, in the order of their ranks and about a
+// horizon apart. A round is the time in which each of them has one turn. A balancer's first turn comes
+// SubsetRank * Balancers horizons after the ejection, each later one a round after the failed trial, and none
+// earlier than after one horizon.
 func (b *Balancer) eject(s *server) {
 	turn := s.SubsetRank
-	if s.ejectedUntil > 0 {
+	if s.ejectedUntil > 0 { // one round later: a round lasts horizon * subsetShare * Balancers
 		turn = s.subsetShare
 	}
 	s.ejectedUntil = b.now + time.Duration(float64(b.horizon)*max(1, turn*float64(b.settings.Balancers)))
@@ -436,10 +443,10 @@
 // earlier and for any server.
 func (b *Balancer) hedgeLate(s *server) {
 	for _, a := range slices.Clone(s.inFlight) {
-		late := b.lossRate > hedgeLossThreshold ||
-			a.relativeWait(b) > silentHedgeDelay && s.lastHeard <= a.sent && b.overtaken(a)
-		late = late && a.relativeWait(b) > hedgeDelay && !a.req.BodyPending && a.req.inFlight == 1
-		if late && b.congestion < shedThreshold && b.canMove(a) {
+		hedge := b.lossRate > hedgeLossThreshold ||
+			a.relativeWait(b) > silentHedgeDelay && s.lastHeard <= a.sent && b.laterSendAnswered(a)
+		hedge = hedge && a.relativeWait(b) > hedgeDelay && !a.req.BodyPending && a.req.inFlight == 1
+		if hedge && b.congestion < shedThreshold && b.canMove(a) {
 			b.retryBudget--
 			b.startAttempt(a.req)
 		}
@@ -453,8 +460,8 @@
 }
 
 // missedAnswers returns how many answers the server would have given, at the mean latency, since its last
-// one, summed over all attempts in flight. One late answer means an expensive request, many mean a silent
-// server.
+// one: the sum of the waits of all attempts in flight, each in mean latencies. One late answer means an
+// expensive request, many mean a silent server.
 func (b *Balancer) missedAnswers(s *server) (n float64) {
 	for _, a := range s.inFlight {
 		if !a.req.BodyPending { // an incomplete request cannot be answered yet
@@ -465,7 +472,8 @@
 }
 
 // checkHealth ejects servers that have received requests and answered none for longer than usual, and
-// hedges late attempts.
+// hedges late attempts. The limit is lower in a trial: a server that was ejected for its silence had exceeded
+// the higher one.
 func (b *Balancer) checkHealth() {
 	for _, s := range b.servers {
 		switch n := b.missedAnswers(s); {
@@ -537,7 +545,7 @@
 }
 
 // windowMargin returns how long before the end of its deduplication window a keyed request is last sent
-// again: the possible difference between clocks, and the possible delay of a send.
+// again: the possible difference between clocks (Tick), and the possible delay of a send (MaxSendDelay).
 func (b *Balancer) windowMargin() time.Duration { return b.settings.Tick + b.settings.MaxSendDelay }
 
 // mayRefuse reports whether the client may be told that a retry does no harm.
@@ -659,13 +667,13 @@
 // slackUsed returns the latency of an attempt beyond the minimum latency as a share of the slack, which is
 // the difference between target latency and minimum latency. The class with the least slack counts, as
 // congestion is the same for all classes; its slack is at least half of its target latency. One slow server
-// is not congestion: the share is at most 1.
-func (b *Balancer) slackUsed(a *attempt, late bool) float64 {
+// is not congestion: the share is at most 1. It is 1 if congested is set.
+func (b *Balancer) slackUsed(a *attempt, congested bool) float64 {
 	slack := float64(b.horizon)
 	for i, c := range b.settings.Classes {
 		slack = min(slack, max(float64(c.Aim)-b.minLatency[i], float64(c.Aim)/2))
 	}
-	if used := (float64(b.runningSince(a.sent)) - b.minLatency[a.req.Class]) / slack; used < 1 && !late {
+	if used := (float64(b.runningSince(a.sent)) - b.minLatency[a.req.Class]) / slack; used < 1 && !congested {
 		return max(0, used)
 	}
 	return 1
@@ -677,7 +685,7 @@
 	congestion := b.congestion
 	for _, s := range b.servers {
 		for _, a := range s.inFlight {
-			if !b.isEjected(s) && !b.overtaken(a) && !a.req.BodyPending {
+			if !b.isEjected(s) && !b.laterSendAnswered(a) && !a.req.BodyPending {
 				congestion += b.congestionWeight * max(0, b.slackUsed(a, false)-congestion)
 			}
 		}
@@ -692,10 +700,10 @@
 	switch fresh := r.hasFreshProbe(s); {
 	case b.probesFirst() && !fresh && r.probeTimer > 0:
 		return 1
-	case !fresh || !b.settings.ReportsInFlight || s.rate == 0 || s.lastReport == 0:
+	case !fresh || !b.settings.ReportsInFlight || s.capacityEstimate == 0 || s.lastReport == 0:
 		return 0
 	}
-	capacity := s.capacity * s.warmupShare(b) * b.freeShare(r, s)
+	capacity := s.blendedCapacity * s.warmupShare(b) * b.freeShare(r, s)
 	return float64(len(s.inFlight)+1) / capacity / b.shortestAim.Seconds()
 }
 
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -335,7 +335,7 @@
 	s.failureRate = 0.9
 	h.eject(s)
 	h.Handle(h.at, ServerList{Servers: []Server{{ID: "s0", Started: h.at}}})
-	if s.rate != 0 || s.failureRate != 0 || s.ejectedUntil != 0 {
+	if s.capacityEstimate != 0 || s.failureRate != 0 || s.ejectedUntil != 0 {
 		t.Errorf("after a restart: %+v", s)
 	}
 }
@@ -513,8 +513,8 @@
 		h.endAttempt(id, to, 0, OK, r)
 	}
 	slow := h.byID["s0"]
-	if h.updateWeights(); slow.capacity > 10 {
-		t.Fatalf("after reports of at most 2 requests per second the capacity is %v", slow.capacity)
+	if h.updateWeights(); slow.blendedCapacity > 10 {
+		t.Fatalf("after reports of at most 2 requests per second the capacity is %v", slow.blendedCapacity)
 	}
 	late := h.at + 3*reportHorizons*h.horizon
 	for h.at < late { // the others continue to report
@@ -523,8 +523,8 @@
 		}
 		h.advance(h.horizon)
 	}
-	if h.updateWeights(); slow.capacity < 80 {
-		t.Errorf("long after its last report its capacity counts as %v, want about 100 as for the others", slow.capacity)
+	if h.updateWeights(); slow.blendedCapacity < 80 {
+		t.Errorf("long after its last report its capacity counts as %v, want about 100 as for the others", slow.blendedCapacity)
 	}
 }
 
--- a/choice/explore.go
+++ b/choice/explore.go
@@ -48,15 +48,16 @@
 	text := func(s string) { dst = append(append(dst, s...), 0) }
 	num(b.meanLatency...)
 	num(b.minLatency...)
-	num(b.retryBudget, b.congestion, b.meanUtil, b.knownServers, b.congestionWeight, b.totalCapacity,
+	num(b.retryBudget, b.congestion, b.meanUtil, b.totalConfidence, b.congestionWeight, b.totalCapacity,
 		b.healthyCapacity, b.lossRate, b.answerRate, b.meanValue, b.coldFailureRate, b.coldSamples,
 		float64(min(b.lastOutcome, 1)), float64(b.importChecks), float64(b.importErrors),
 		float64(b.nextTick), float64(b.stallEnd), float64(b.stallLength))
 	server := func(s *server) {
 		text(s.ID)
-		num(float64(s.State), float64(s.Started), s.rate, s.confidence, s.capacity, s.reportedRate,
-			s.reportedUtil, s.lastUtil, float64(s.lastReport), s.probedInFlight, float64(s.lastProbeAnswer),
-			float64(s.lastProbe), s.SubsetRank, float64(s.lastHeard), float64(s.lastAnsweredSend), s.failureRate,
+		num(float64(s.State), float64(s.Started), s.capacityEstimate, s.confidence, s.blendedCapacity,
+			s.reportedRate, s.reportedUtil, s.lastUtil, float64(s.lastReport), s.probedInFlight,
+			float64(s.lastProbeAnswer), float64(s.lastProbe), s.SubsetRank, float64(s.lastHeard),
+			float64(s.lastAnsweredSend), s.failureRate,
 			float64(s.ejectedUntil), float64(s.readmittedAt), s.othersShare, s.coldAllowance, s.drawWeight,
 			float64(len(s.inFlight)), float64(min(s.lastOutcome, 1)))
 		flags(s.outsideSubset, s.trialActive, s.imported)
--- a/choice/memory.go
+++ b/choice/memory.go
@@ -33,7 +33,7 @@
 // ClassMemory is what a Balancer has learned about a class.
 type ClassMemory struct {
 	Name         string
-	Usual, Least time.Duration // mean and least usual time to an answer
+	Usual, Least time.Duration // mean latency, and estimate of the least
 	Trust        float64       // confidence in both: 1 when exported; aging lowers it
 }
 
@@ -41,7 +41,7 @@
 type ServerMemory struct {
 	ID       string
 	Started  time.Duration // start of the server to which the data applies, on the clock of the events
-	Rate     float64       // capacity in requests per second; 0 if unknown
+	Rate     float64       // estimated capacity in requests per second; 0 if unknown
 	Use      float64       // utilization
 	Trust    float64       // confidence in both: 1 when reported; aging lowers it
 	Reported time.Duration // age of the latest report
@@ -59,13 +59,13 @@
 			Least: time.Duration(b.minLatency[i]), Trust: 1})
 	}
 	for _, s := range b.servers {
-		if s.rate == 0 && s.failureRate < minExportedFailureRate && s.ejectedUntil == 0 {
+		if s.capacityEstimate == 0 && s.failureRate < minExportedFailureRate && s.ejectedUntil == 0 {
 			continue
 		}
 		e := ServerMemory{ID: s.ID, Started: s.Started, Failing: s.failureRate, Ejected: s.ejectedUntil > 0,
 			Trial: max(0, s.ejectedUntil-now), Judged: max(0, now-s.lastOutcome)}
-		if s.lastReport > 0 && s.rate > 0 {
-			e.Rate, e.Use, e.Trust, e.Reported = s.rate, s.reportedUtil, 1, max(0, now-s.lastReport)
+		if s.lastReport > 0 && s.capacityEstimate > 0 {
+			e.Rate, e.Use, e.Trust, e.Reported = s.capacityEstimate, s.reportedUtil, 1, max(0, now-s.lastReport)
 		}
 		servers = append(servers, e)
 	}
@@ -81,9 +81,9 @@
 	return min(x, high)
 }
 
-// Recall is the counterpart of Export: it initializes the Balancer with what an earlier one has learned; any
-// values are safe. It applies to classes without samples, and to servers in the list that have not reported,
-// been sent to or been ejected yet and whose start is that of the data. All other data is ignored.
+// Recall imports what an earlier Balancer has exported; any values are safe. It applies to classes without
+// samples, and to servers in the list that have not reported, been sent to or been ejected yet and whose
+// start is that of the data. All other data is ignored.
 func (b *Balancer) Recall(now time.Duration, m Memory) {
 	b.now = now
 	for _, e := range m.Classes {
@@ -114,8 +114,9 @@
 			len(s.inFlight) > 0 {
 			continue
 		}
-		if rate := clamp(e.Rate, 0, math.MaxFloat32); rate > 0 {
-			s.rate, s.confidence, s.reportedUtil = rate, clamp(e.Trust, 0, maxImportedTrust), clamp(e.Use, 0, 1)
+		if capacity := clamp(e.Rate, 0, math.MaxFloat32); capacity > 0 {
+			s.capacityEstimate, s.confidence, s.reportedUtil =
+				capacity, clamp(e.Trust, 0, maxImportedTrust), clamp(e.Use, 0, 1)
 			s.imported = true
 		}
 		s.failureRate = clamp(e.Failing, 0, maxImportedFailureRate)
@@ -129,13 +130,13 @@
 
 // checkImported compares the imported capacity of a server with its first report. If most imported
 // capacities are wrong, the remaining ones are discarded.
-func (b *Balancer) checkImported(s *server, rate float64) {
+func (b *Balancer) checkImported(s *server, capacity float64) {
 	if !s.imported {
 		return
 	}
 	s.imported = false
 	b.importChecks++
-	if rate > s.rate*importErrorFactor || rate < s.rate/importErrorFactor {
+	if capacity > s.capacityEstimate*importErrorFactor || capacity < s.capacityEstimate/importErrorFactor {
 		b.importErrors++
 	}
 	if b.importErrors < minImportErrors || 2*b.importErrors <= b.importChecks {
@@ -143,7 +144,7 @@
 	}
 	for _, o := range b.servers {
 		if o.imported {
-			o.rate, o.confidence, o.reportedUtil, o.imported = 0, 0, 0, false
+			o.capacityEstimate, o.confidence, o.reportedUtil, o.imported = 0, 0, 0, false
 		}
 	}
 }
--- a/choice/memory_test.go
+++ b/choice/memory_test.go
@@ -36,7 +36,7 @@
 	h := newHarness(t, testSettings(), 1, 1, 1, 1)
 	h.Recall(h.at, m)
 	h.updateWeights()
-	if got := h.byID["s2"].capacity / h.byID["s0"].capacity; got < 0.2 || got > 0.5 {
+	if got := h.byID["s2"].blendedCapacity / h.byID["s0"].blendedCapacity; got < 0.2 || got > 0.5 {
 		t.Errorf("the slow server counts as %v of a fast one", got)
 	}
 	if !h.isEjected(h.byID["s3"]) {
@@ -46,8 +46,8 @@
 		t.Errorf("the silent server got %d requests before its trial was due", n)
 	}
 	h.Balancer.recordReport(h.byID["s2"], utilReport(0.5, 50)) // the slow one has become fast, and reports it
-	if s := h.byID["s2"]; s.rate != 100 || s.confidence != 1 {
-		t.Errorf("after a report of the server: capacity %v, confidence %v", s.rate, s.confidence)
+	if s := h.byID["s2"]; s.capacityEstimate != 100 || s.confidence != 1 {
+		t.Errorf("after a report of the server: capacity %v, confidence %v", s.capacityEstimate, s.confidence)
 	}
 	h.advance(time.Minute)
 	if h.updateWeights(); h.byID["s0"].confidence > 0.01 {
@@ -106,8 +106,8 @@
 			e := e
 			c.edit(&e)
 			h.Recall(h.at, Memory{Servers: []ServerMemory{e}})
-			if s := h.byID["s0"]; (s.rate == 5 && s.failureRate == 0.4) != c.applied {
-				t.Errorf("capacity %v, failure rate %v", s.rate, s.failureRate)
+			if s := h.byID["s0"]; (s.capacityEstimate == 5 && s.failureRate == 0.4) != c.applied {
+				t.Errorf("capacity %v, failure rate %v", s.capacityEstimate, s.failureRate)
 			}
 		})
 	}
--- a/choice/shutdown.go
+++ b/choice/shutdown.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// handleShutdown moves the deadline of every open request to the given time, if it is later. Requests that
-// arrive after it already have such a deadline.
+// handleShutdown brings forward the deadlines of open requests that are later than the given time. The host
+// itself limits the deadlines of requests that arrive after this event.
 func (b *Balancer) handleShutdown(by time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) { // in a deterministic order
 		r := b.requests[id]
--- a/choice/state.go
+++ b/choice/state.go
@@ -19,15 +19,15 @@
 	requests         map[string]*request // open, or with attempts in flight
 	timers           map[uint64]*request // by token
 	lastToken        uint64              // of the timers set so far
-	horizon          time.Duration       // longest target latency: the time base of the averages over time
+	horizon          time.Duration       // A horizon is the longest target latency, the time base of averages.
 	meanLatency      []float64           // mean time to an answer in ns, by class
-	minLatency       []float64           // least usual time to an answer in ns, by class
+	minLatency       []float64           // estimate of the least latency in ns, by class; see recordOutcome
 	retryBudget      float64             // further attempts that may be made
 	trialEffect      Effect              // the least harmful effect among the classes
 	shortestAim      time.Duration       // shortest target latency
 	congestion       float64             // average share of the slack used; see slackUsed
 	meanUtil         float64             // mean utilization by recent reports
-	knownServers     float64             // sum of the confidence in the servers' estimates
+	totalConfidence  float64             // sum of the confidence in the servers' estimates
 	congestionWeight float64             // weight of a new sample in the congestion
 	totalCapacity    float64             // current capacity of all ready servers
 	subsetCapacity   float64             // current capacity of the ready servers in the subset
@@ -41,7 +41,7 @@
 	nextTick         time.Duration       // when the next tick is due
 	stallEnd         time.Duration       // when the latest stall of this process was found to be over
 	stallLength      time.Duration       // minimum length of the stall that ended at stallEnd
-	lastPromptSend   time.Duration       // latest send time of the attempts that were answered in time
+	lastPromptSend   time.Duration       // latest send time of the attempts with slackUsed below shedThreshold
 	revision         uint64              // number of reports, outcomes and ejections so far
 	importChecks     int                 // imported capacities that were compared with a report
 	importErrors     int                 // imported capacities that were off by more than importErrorFactor
@@ -51,9 +51,9 @@
 type server struct {
 	Server
 	inFlight         []*attempt    // of this balancer, oldest first
-	rate             float64       // estimated capacity in requests per second; 0 if unknown
+	capacityEstimate float64       // in requests per second; 0 if unknown
 	confidence       float64       // in the estimate: 1 after a report, lower with time
-	capacity         float64       // the estimate, or the mean of the others where that is old
+	blendedCapacity  float64       // the estimate, or nearer to the mean of the others if that is old
 	reportedRate     float64       // reported requests per second, smoothed
 	reportedUtil     float64       // reported utilization, smoothed
 	lastUtil         float64       // latest reported utilization
@@ -113,10 +113,10 @@
 // load returns the load of the server relative to its weight, with one more request.
 func (s *server) load() float64 { return float64(len(s.inFlight)+1) / s.drawWeight }
 
-// readmitFactor returns by what factor the share of a readmitted server is raised, until the balancers
-// whose turn comes later have readmitted it too. Then it is 1. readmitted estimates the share of the
-// balancers that have readmitted the server: by the load from others at the readmission, and by the part of
-// a round of turns that has passed since.
+// readmitFactor returns by what factor the share of a readmitted server is raised. Balancers readmit a
+// server in turns (see eject). As long as only some have readmitted it, these send it more than its share.
+// Then the factor is 1. readmitted estimates the share of the balancers that have readmitted the server: it
+// is the load from others at the readmission, plus the part of a round that has passed since.
 func (s *server) readmitFactor(b *Balancer) float64 {
 	round := float64(b.horizon) * float64(b.settings.Balancers) * s.subsetShare
 	if readmitted := s.othersShare + float64(b.now-s.readmittedAt)/round; s.readmittedAt > 0 && readmitted < 1 {
@@ -142,8 +142,8 @@
 	}
 }
 
-// warmupShare returns the minimum share of its capacity that a server has, by the time since its start
-// (slow start).
+// warmupShare returns the minimum share of its capacity that a server has, by the time since its start. A
+// server is cold, or in slow start, while this share is below 1.
 func (s *server) warmupShare(b *Balancer) float64 {
 	age := b.now - s.Started
 	if s.Started == 0 || age >= b.settings.SlowStartWindow {
@@ -153,10 +153,11 @@
 		(1-b.settings.SlowStartMinShare)*max(0, float64(age)/float64(b.settings.SlowStartWindow))
 }
 
-// overtaken reports whether the server of a has answered an attempt that was sent later than a by more than
-// the mean latency, or any server has answered such an attempt in time: then there is no congestion, and this
-// attempt is lost or expensive, or its server unhealthy.
-func (b *Balancer) overtaken(a *attempt) bool {
+// laterSendAnswered compares a with the attempts that were sent later than a by more than the mean latency.
+// It returns true if the server of a has answered one of them. It also returns true if any server has
+// answered one of them with slackUsed below shedThreshold. In both cases there is no congestion: a is lost
+// or expensive, or its server is unhealthy.
+func (b *Balancer) laterSendAnswered(a *attempt) bool {
 	return float64(max(a.srv.lastAnsweredSend, b.lastPromptSend)-a.sent) > b.meanLatency[a.req.Class]
 }
 
@@ -181,9 +182,9 @@
 	return float64(b.runningSince(a.sent)) / b.meanLatency[a.req.Class]
 }
 
-// relativePatience returns the time that the client allowed, as a share of the time after which an answer
-// is late, at most 1. The shorter it is, the less a missing answer says about the server.
-func (a *attempt) relativePatience(b *Balancer) float64 {
-	late := min(hedgeDelay*b.meanLatency[a.req.Class], float64(a.req.class.Aim))
-	return min(1, float64(a.req.Deadline-a.req.attempts[0].sent)/late)
+// relativeAllowedWait returns the time that the client allowed, divided by the time from which an answer
+// counts as late, at most 1. The shorter it is, the less a missing answer says about the server.
+func (a *attempt) relativeAllowedWait(b *Balancer) float64 {
+	lateAfter := min(hedgeDelay*b.meanLatency[a.req.Class], float64(a.req.class.Aim))
+	return min(1, float64(a.req.Deadline-a.req.attempts[0].sent)/lateAfter)
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -287,7 +287,7 @@
 	if a.stateStore != nil {
 		go a.stateStore.Run(a.core)
 		if restored := a.stateStore.Restored(); restored != nil {
-			a.core.RestoreLearned(restored, a.stateStore.Clock)
+			a.core.LoadStored(restored, a.stateStore.Clock)
 		}
 	}
 	go a.core.Run(work)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -141,7 +141,7 @@
 // heldAndOpen returns how many requests the core holds, and how many of them are not answered yet.
 func (r *runningAgent) heldAndOpen() (held, open int) {
 	s := r.core.Snapshot()
-	return s.Held, s.Open
+	return s.Tracked, s.Unanswered
 }
 
 // serverConns returns the number of open connections to servers.
--- a/internal/agent/sources_test.go
+++ b/internal/agent/sources_test.go
@@ -389,7 +389,7 @@
 				if got := client.Do(a); got.Kind != standin.Failed {
 					t.Errorf("%v, %v", got.Kind, got.Err)
 				}
-				testkit.Eventually(t, "the agent is idle", func() bool { return r.Snapshot().Held == 0 })
+				testkit.Eventually(t, "the agent is idle", func() bool { return r.Snapshot().Tracked == 0 })
 				if n := server.Accepted(); n != 0 {
 					t.Errorf("the second address got %d connections", n)
 				}
--- a/internal/decide/calltrack/copy.go
+++ b/internal/decide/calltrack/copy.go
@@ -23,7 +23,7 @@
 	}
 	copies.Calls.Fill = func(c, dst *Call) {
 		dst.Request, dst.Payload, dst.Shape, dst.Answer, dst.inFlight = c.Request, c.Payload, c.Shape, c.Answer, c.inFlight
-		dst.finished.Store(c.finished.Load())
+		dst.closed.Store(c.closed.Load())
 		dst.disconnected.Store(c.disconnected.Load())
 		for _, at := range c.attempts {
 			dst.attempts = append(dst.attempts, copies.Attempts.Of(at))
@@ -33,7 +33,7 @@
 	return copies
 }
 
-// Copy returns an equal Tracker that uses balancer, a copy of the module. It must not be called while an event is handled.
+// Copy returns an equal Tracker that uses balancer, a copy of the decision module. It must not be called while an event is handled.
 func (t *Tracker) Copy(set Settings, balancer Module, copies *Copies) *Tracker {
 	dst := New(set, balancer)
 	dst.now, dst.unanswered, dst.relaying, dst.stats = t.now, t.unanswered, t.relaying, t.Stats()
--- a/internal/decide/calltrack/disconnect_test.go
+++ b/internal/decide/calltrack/disconnect_test.go
@@ -34,8 +34,8 @@
 					t.Errorf("command of kind %d for a disconnected client", o.Kind)
 				}
 			}
-			if open, held := tracker.Count(); open != 0 || held != 0 || tracker.Stats().Disconnected != 1 {
-				t.Errorf("%d unanswered, %d held, %d disconnected", open, held, tracker.Stats().Disconnected)
+			if unanswered, tracked := tracker.Count(); unanswered != 0 || tracked != 0 || tracker.Stats().Disconnected != 1 {
+				t.Errorf("%d unanswered, %d held, %d disconnected", unanswered, tracked, tracker.Stats().Disconnected)
 			}
 		})
 	}
--- a/internal/decide/calltrack/learned.go
+++ b/internal/decide/calltrack/learned.go
@@ -10,9 +10,9 @@
 	"ternbeam/internal/decide/lifecycle"
 )
 
-// Learned holds what the module has learned, with the identity of each server. Export reuses its slices.
+// Learned holds what the decision module has learned, with the identity of each server. Export reuses its slices.
 type Learned struct {
-	Memory  choice.Memory    // the module's own export
+	Memory  choice.Memory    // the decision module's own export
 	Servers []learned.Server // the servers in Memory that calls can be sent to
 	Fleet   []uint64         // identities of all servers that calls can be sent to
 }
@@ -55,11 +55,11 @@
 	}
 }
 
-// Revision returns a count that grows whenever the module learns something.
+// Revision returns a count that grows whenever the decision module learns something.
 func (t *Tracker) Revision() uint64 { return t.balancer.Revision() }
 
-// LoadRestored takes the facts that an earlier process had learned. Recall gives them to the module.
-func (t *Tracker) LoadRestored(past *aging.Restored) {
+// LoadStored takes the facts that an earlier process had learned and stored. ImportNewlyListed gives them to the decision module.
+func (t *Tracker) LoadStored(past *aging.Restored) {
 	t.past, t.newlyListed = past, nil
 	for _, s := range t.servers {
 		t.newlyListed = append(t.newlyListed, listedServer(s))
@@ -70,10 +70,10 @@
 	return aging.ListedServer{ID: s.ID, Started: time.Duration(s.Started) * time.Millisecond, Identity: s.Identity}
 }
 
-// Recall gives the module the facts that are still valid about the servers that were listed since the last call. It returns
-// the number of servers with such facts, and the addresses that connected last for servers with several. Facts about servers
-// that are never listed are dropped with DropRestored.
-func (t *Tracker) Recall(now time.Duration, clock learned.Clock) (servers int, connected []string) {
+// ImportNewlyListed gives the decision module the facts of LoadStored that are still valid about the servers that were listed
+// since the last call. It returns the number of servers with such facts, and the addresses that connected last for servers with
+// several. Facts about servers that are never listed are dropped with DropStored.
+func (t *Tracker) ImportNewlyListed(now time.Duration, clock learned.Clock) (servers int, connected []string) {
 	if t.past == nil || len(t.newlyListed) == 0 {
 		return 0, nil
 	}
@@ -89,5 +89,5 @@
 	return len(m.Servers), connected
 }
 
-// DropRestored drops the facts of the earlier process that were not recalled yet.
-func (t *Tracker) DropRestored() { t.past, t.newlyListed = nil, nil }
+// DropStored drops the facts of the earlier process that were not imported yet.
+func (t *Tracker) DropStored() { t.past, t.newlyListed = nil, nil }
--- a/internal/decide/calltrack/overrides.go
+++ b/internal/decide/calltrack/overrides.go
@@ -53,9 +53,9 @@
 	return t.commands
 }
 
-// RestoreLearned gives the module what the process that this one replaces has learned. Unlike the facts of
-// LoadRestored, these are not aged.
-func (t *Tracker) RestoreLearned(now time.Duration, m choice.Memory) { t.balancer.Recall(now, m) }
+// ImportInherited gives the decision module what the process that this one replaces has learned. Unlike the facts of
+// LoadStored, these are not aged.
+func (t *Tracker) ImportInherited(now time.Duration, m choice.Memory) { t.balancer.Recall(now, m) }
 
 // ListedServer returns the entry of a server in the server list, before the operators' overrides.
 func (t *Tracker) ListedServer(id string) (s choice.Server, listed bool) {
@@ -64,7 +64,7 @@
 }
 
 // FleetCounts returns the number of listed servers and the number of avoided ones: taken offline by operators, or ejected by
-// the module.
+// the decision module.
 func (t *Tracker) FleetCounts() (listed, avoided int) {
 	avoided = t.balancer.Ejected()
 	for id := range t.listed {
--- a/internal/decide/calltrack/record.go
+++ b/internal/decide/calltrack/record.go
@@ -21,7 +21,7 @@
 
 // Connection describes the client's connection on which a request came.
 type Connection struct {
-	Opened   time.Duration // when the connection was accepted, on the module's clock; 0 if unknown
+	Opened   time.Duration // when the connection was accepted, on the clock of the events; 0 if unknown
 	Requests int           // requests on the connection so far, including this one
 }
 
@@ -39,7 +39,7 @@
 type Record struct {
 	ID         string
 	Class      int
-	Received   time.Duration // when the request was received, on the module's clock
+	Received   time.Duration // when the request was received, on the clock of the events
 	Took       time.Duration // from then until its end
 	Remaining  time.Duration // time that remained until its deadline; negative if that has passed
 	Kind       AnswerKind    // of its final answer; not meaningful if Reason is ReasonDisconnected
@@ -62,7 +62,7 @@
 		Ended: t.now - call.receivedAt, Result: e.Result, Cause: e.Cause})
 }
 
-// recordUnsent keeps an attempt that the module ordered and that was not started.
+// recordUnsent keeps an attempt that the decision module ordered and that was not started.
 func (t *Tracker) recordUnsent(call *Call, act choice.Action, result choice.Result) {
 	if t.settings.Observe == nil {
 		return
--- a/internal/decide/calltrack/record_test.go
+++ b/internal/decide/calltrack/record_test.go
@@ -16,7 +16,8 @@
 	return tracker, &records
 }
 
-// scripted is a module that returns the actions listed for an event: "request", or for outcomes "first ended" and "second ended".
+// scripted is a decision module that returns the actions listed for an event: "request", or for outcomes "first ended" and "second
+// ended".
 type scripted map[string][]choice.Action
 
 func (scripted) Start(time.Duration) []choice.Action  { return nil }
@@ -89,9 +90,9 @@
 		"request":     {{Kind: choice.Send, Request: "4f", Server: "s-1", Reason: choice.FirstAttempt}},
 		"first ended": {{Kind: choice.Refuse, Request: "4f", Reason: choice.AttemptNotSent}},
 	})
-	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, Disconnected: func() bool { return true }}
+	call := &Call{Request: choice.Request{ID: "4f", Deadline: 3 * time.Second}, PollDisconnected: func() bool { return true }}
 	commands := tracker.CallArrived(0, call)
-	if !call.Abandoned() {
+	if !call.PollFinished() {
 		t.Fatal("the disconnect was not detected")
 	}
 	for _, o := range tracker.AttemptEnded(time.Second, commands[0].Attempt, ResultOnly(choice.NotSent)) {
--- a/internal/decide/calltrack/routed.go
+++ b/internal/decide/calltrack/routed.go
@@ -8,8 +8,8 @@
 	"ternbeam/internal/decide/routes"
 )
 
-// routesToken identifies the timer at which rejections of shapes expire in the Router. It cannot collide with the module's tokens, which
-// count up from 0.
+// routesToken identifies the timer at which rejections of shapes expire in the Router. It cannot collide with the decision
+// module's tokens, which count up from 0.
 const routesToken = math.MaxUint64
 
 // setRequiredProtocols sets the protocols and shape capabilities that a server needs to receive a call with a shape. Package
@@ -20,7 +20,7 @@
 	}
 }
 
-// moduleEntry returns an entry of the server list in the form for the module, with the capabilities by shape.
+// moduleEntry returns an entry of the server list in the form for the decision module, with the capabilities by shape.
 func (t *Tracker) moduleEntry(e Entry) choice.Server {
 	if t.settings.Routes == nil {
 		return e.Server
@@ -35,7 +35,8 @@
 		return routes.Route{Protocol: call.RequiredProtocols}, true
 	}
 	route, ok := t.settings.Routes.Route(call.Shape, server)
-	// An untranslatable call can only be sent unchanged. The server accepted that when the module was asked, but no longer does.
+	// An untranslatable call can only be sent unchanged. The server accepted that when the decision module was asked, but no longer
+	// does.
 	return route, ok && (route.Plan == nil || call.untranslatable == nil)
 }
 
@@ -59,7 +60,7 @@
 	}
 }
 
-// updateModule gives the module the changed servers, and sets the timer at which the next rejection of a shape expires.
+// updateModule gives the decision module the changed servers, and sets the timer at which the next rejection of a shape expires.
 func (t *Tracker) updateModule(changed []choice.Server) {
 	if len(changed) > 0 {
 		t.handle(choice.ServerList{Servers: changed})
@@ -70,8 +71,9 @@
 	}
 }
 
-// restartUntranslated asks the module for a server that accepts a call in its own shape, after the call could not be
-// translated. To the module this is a new call, so it is done only if nothing was sent for it yet. It reports whether it did so.
+// restartUntranslated asks the decision module for a server that accepts a call in its own shape, after the call could not be
+// translated. To the decision module this is a new call, so it is done only if nothing was sent for it yet. It reports whether it
+// did so.
 func (t *Tracker) restartUntranslated(at *Attempt, why error) bool {
 	call := at.Call
 	if call.untranslatable == nil {
--- a/internal/decide/calltrack/routed_test.go
+++ b/internal/decide/calltrack/routed_test.go
@@ -8,7 +8,7 @@
 	"ternbeam/internal/decide/routes"
 )
 
-// sender is a module that sends every call to the server that its key names.
+// sender is a decision module that sends every call to the server that its key names.
 type sender struct{ Module }
 
 func (sender) Handle(_ time.Duration, ev choice.Event) []choice.Action {
--- a/internal/decide/calltrack/tracker.go
+++ b/internal/decide/calltrack/tracker.go
@@ -1,6 +1,7 @@
 // Package calltrack tracks calls from acceptance to the final answer. It owns the decision module, holds the state of calls,
-// attempts and servers, and returns the commands that its host is to carry out. It does no I/O and reads no clock. It has
-// two hosts: internal/host/core in production, and the state explorer in internal/lab/explore.
+// attempts and servers, and returns the commands that its host is to carry out. It does no I/O and reads no clock: times are on
+// the clock of the events, which the host reads and passes with each event. It has two hosts: internal/host/core in production,
+// and the state explorer in internal/lab/explore.
 package calltrack
 
 import (
@@ -27,32 +28,33 @@
 
 	Connection Connection // the client connection that the call was received on, for its Record
 
-	// Disconnected asks the operating system whether the client has closed its connection. Transports call it right before
+	// PollDisconnected asks the operating system whether the client has closed its connection. Transports call it right before
 	// an attempt is written, from any goroutine; it must not block. It is nil if that cannot be determined.
-	Disconnected func() bool
+	PollDisconnected func() bool
 
-	finished       atomic.Bool // the final answer has been given, or the client has disconnected
-	disconnected   atomic.Bool // the client has disconnected; the Tracker may not have been notified yet
+	closed         atomic.Bool // set by the Tracker: it has given the final answer, or handled the client's disconnect
+	disconnected   atomic.Bool // set by any goroutine: the client has disconnected; the Tracker may not know it yet
 	attempts       []*Attempt  // by attempt number; nil once an attempt has ended
 	inFlight       int         // number of attempts in flight
 	untranslatable error       // why the call can't be translated into another shape
 	relaying       *Attempt    // the attempt whose answer is being relayed to the client; nil before and after
 
-	receivedAt time.Duration   // when the Tracker received the call, on the module's clock
+	receivedAt time.Duration   // when the Tracker received the call, on the clock of the events
 	history    []AttemptRecord // ended attempts, for the Record
 }
 
-// Finished reports whether the call has its final answer or its client has disconnected. Nothing may be sent for it any more.
-func (c *Call) Finished() bool { return c.finished.Load() || c.disconnected.Load() }
+// Finished reports whether the call has its final answer or its client has disconnected, even if the Tracker does not know of the
+// disconnect yet. Nothing may be sent for the call any more.
+func (c *Call) Finished() bool { return c.closed.Load() || c.disconnected.Load() }
 
 // MarkDisconnected records that the client has disconnected. It takes effect at once, from any goroutine: nothing more is
 // sent for the call, even if Tracker.ClientDisconnected is called only later.
 func (c *Call) MarkDisconnected() { c.disconnected.Store(true) }
 
-// Abandoned reports whether nothing may be sent for the call any more. Unlike Finished it also polls the client's connection,
-// so a disconnect is detected before the Tracker is notified of it.
-func (c *Call) Abandoned() bool {
-	if !c.Finished() && c.Disconnected != nil && c.Disconnected() {
+// PollFinished is like Finished, but first polls the client's connection, and marks the call if the client has disconnected. So a
+// disconnect is detected before the Tracker is notified of it.
+func (c *Call) PollFinished() bool {
+	if !c.Finished() && c.PollDisconnected != nil && c.PollDisconnected() {
 		c.MarkDisconnected()
 	}
 	return c.Finished()
@@ -62,7 +64,7 @@
 func (c *Call) ClientDisconnected() bool { return c.disconnected.Load() }
 
 // Abort marks the call as finished without a Tracker. Only tests of transports use it.
-func (c *Call) Abort() { c.finished.Store(true) }
+func (c *Call) Abort() { c.closed.Store(true) }
 
 // AnswerKind is the kind of a final answer.
 type AnswerKind int
@@ -90,9 +92,9 @@
 	Number   int
 	Reason   choice.Reason // why the attempt is made
 	Server   *lifecycle.Server
-	Sent     time.Duration     // when the attempt was started, or when the request body was complete; on the module's clock
-	Deadline time.Duration     // when the attempt times out, on the module's clock
-	SendBy   time.Duration     // the last byte must be written before this time on the module's clock; 0 for no limit
+	Sent     time.Duration     // when the attempt was started, or when the request body was complete; on the clock of the events
+	Deadline time.Duration     // when the attempt times out, on the clock of the events
+	SendBy   time.Duration     // the last byte must be written before this time on the clock of the events; 0 for no limit
 	State    lifecycle.Attempt // the state machine, driven by the transport
 
 	Route   routes.Route     // the shape in which the call is sent, if it has one
@@ -170,7 +172,7 @@
 	Answer  Answer
 	Reply   any
 	Token   uint64
-	At      time.Duration // on the module's clock
+	At      time.Duration // on the clock of the events
 	Server  *lifecycle.Server
 }
 
@@ -178,7 +180,7 @@
 type Stats struct {
 	Requests, Disconnected int                     // calls received; calls whose client disconnected before the final answer
 	ClassStats                                     // sum over all classes
-	Attempts, Reports      int                     // attempts that the module ordered; load reports received
+	Attempts, Reports      int                     // attempts that the decision module ordered; load reports received
 	Results                [choice.NotSent + 1]int // attempts by their choice.Result
 	// Translated attempts, untranslatable calls, attempts of a shape unknown to the server, and untranslatable replies.
 	Translated, UntranslatableCalls, UnknownShapes, UntranslatableReplies int
@@ -206,8 +208,8 @@
 	Handle(now time.Duration, ev choice.Event) []choice.Action
 	Export(now time.Duration, into *choice.Memory)
 	Recall(now time.Duration, m choice.Memory)
-	Revision() uint64 // a count that grows whenever the module learns something
-	Ejected() int     // the number of servers that the module has ejected
+	Revision() uint64 // a count that grows whenever the decision module learns something
+	Ejected() int     // the number of servers that the decision module has ejected
 }
 
 // Settings configure a Tracker.
@@ -227,7 +229,7 @@
 	settings     Settings
 	balancer     Module
 	now          time.Duration
-	pending      []choice.Event // events that the module has not handled yet; actions on one event may add further ones
+	pending      []choice.Event // events that the decision module has not handled yet; actions on one event may add further ones
 	handling     bool
 	commands     []Command
 	calls        map[string]*Call // by id: calls that are unanswered or have attempts in flight
@@ -238,7 +240,7 @@
 	relaying     int // number of calls whose answer is being relayed
 	stats        Stats
 	past         *aging.Restored      // facts learned by an earlier process; nil if there are none
-	newlyListed  []aging.ListedServer // listed servers that Recall has not looked up in past yet
+	newlyListed  []aging.ListedServer // listed servers that ImportNewlyListed has not looked up in past yet
 	routesTimer  time.Duration        // the time for which the timer of routesToken is set; 0 if it is not set
 	shutdownBy   time.Duration        // the time by which all calls must be answered, as the process shuts down; 0 before that
 	reasonCounts map[Reason]int       // number of ended requests by reason, if Settings.Observe is set
@@ -284,12 +286,12 @@
 	call.receivedAt, call.Deadline = now, t.clampDeadline(call.Deadline)
 	switch {
 	case call.ClientDisconnected(): // ClientDisconnected may already have been called and would not be called again to end the call
-		call.finished.Store(true)
+		call.closed.Store(true)
 		t.stats.Disconnected++
 		t.observe(call, Failed, ReasonDisconnected)
 	case t.calls[call.ID] != nil: // ids must be unique
 		t.reply(call, Answer{Kind: Duplicate}, ReasonDuplicateID)
-	case t.settings.MaxUnanswered > 0 && t.unanswered >= t.settings.MaxUnanswered: // refused without the module
+	case t.settings.MaxUnanswered > 0 && t.unanswered >= t.settings.MaxUnanswered: // refused without the decision module
 		t.reply(call, Answer{Kind: Refused}, ReasonRequestLimit)
 	default:
 		t.calls[call.ID] = call
@@ -303,17 +305,17 @@
 // ClientDisconnected ends a call whose client has disconnected.
 func (t *Tracker) ClientDisconnected(now time.Duration, call *Call) []Command {
 	t.startStep(now)
-	if t.calls[call.ID] == call && !call.finished.Load() {
+	if t.calls[call.ID] == call && !call.closed.Load() {
 		t.endDisconnected(call)
 		t.dropIfDone(call)
 	}
 	return t.commands
 }
 
-// endDisconnected ends an unfinished call whose client has disconnected.
+// endDisconnected closes a call whose client has disconnected.
 func (t *Tracker) endDisconnected(call *Call) {
 	t.stats.Disconnected++
-	t.markFinished(call)
+	t.markClosed(call)
 	t.observe(call, Failed, ReasonDisconnected)
 	t.handle(choice.ClientDisconnected{Request: call.ID})
 }
@@ -326,10 +328,10 @@
 	call.inFlight--
 	t.recordAttempt(at, e)
 	t.stats.Results[e.Result]++
-	if call.ClientDisconnected() && !call.finished.Load() { // the transport noticed the disconnect before the protocol server reported it
+	if call.ClientDisconnected() && !call.closed.Load() { // the transport noticed the disconnect before the protocol server reported it
 		t.endDisconnected(call)
 	}
-	if call.relaying == at { // RelayStarted has already given the module the outcome and the client the start of its answer
+	if call.relaying == at { // RelayStarted has already given the decision module the outcome and the client the start of its answer
 		t.relayEnded(call, e.Result == choice.OK)
 		t.dropIfDone(call)
 		return t.commands
@@ -346,12 +348,12 @@
 		return t.commands
 	}
 	t.handle(choice.Outcome{Request: call.ID, Attempt: at.Number, Server: at.Server.ID, Result: e.Result,
-		Took: now - at.Sent, Closed: call.finished.Load(), Report: e.Report})
+		Took: now - at.Sent, Closed: call.closed.Load(), Report: e.Report})
 	t.dropIfDone(call)
 	return t.commands
 }
 
-// UpdateServers applies the server list (full) or changes to it, in the Tracker and in the module.
+// UpdateServers applies the server list (full) or changes to it, in the Tracker and in the decision module.
 func (t *Tracker) UpdateServers(now time.Duration, full bool, entries []Entry) []Command {
 	t.startStep(now)
 	named := make(map[string]bool, len(entries))
@@ -440,8 +442,8 @@
 	delete(t.servers, id)
 }
 
-// handle gives the module an event and performs the actions that it returns. Events caused by these actions are queued until
-// all of them are performed, as they are valid only until the module's next call.
+// handle gives the decision module an event and performs the actions that it returns. Events caused by these actions are queued
+// until all of them are performed, as they are valid only until the decision module's next call.
 func (t *Tracker) handle(ev choice.Event) {
 	t.pending = append(t.pending, ev)
 	if t.handling {
@@ -455,7 +457,7 @@
 	t.pending, t.handling = t.pending[:0], false
 }
 
-// perform carries out the module's actions. It has no case for probes, which the configuration rules out.
+// perform carries out the decision module's actions. It has no case for probes, which the configuration rules out.
 func (t *Tracker) perform(actions []choice.Action) {
 	for _, act := range actions {
 		switch act.Kind {
@@ -482,8 +484,8 @@
 	}
 }
 
-// send starts an attempt, or at once gives the module its outcome if it is not made. Attempts are numbered in the order in which the
-// module orders them, including those that are not sent.
+// send starts an attempt, or at once gives the decision module its outcome if it is not made. Attempts are numbered in the order
+// in which the module orders them, including those that are not sent.
 func (t *Tracker) send(call *Call, act choice.Action) {
 	n := len(call.attempts)
 	call.attempts = append(call.attempts, nil)
@@ -519,13 +521,13 @@
 	t.handle(failed)
 }
 
-// finish gives a call its final answer. It returns false if the call is unknown or already finished.
+// finish gives a call its final answer. It returns false if the call is unknown or already closed.
 func (t *Tracker) finish(id string, ans Answer, why Reason) bool {
 	call := t.calls[id]
-	if call == nil || call.finished.Load() {
+	if call == nil || call.closed.Load() {
 		return false
 	}
-	t.markFinished(call)
+	t.markClosed(call)
 	t.reply(call, ans, why)
 	t.dropIfDone(call)
 	return true
@@ -548,14 +550,14 @@
 	}
 }
 
-func (t *Tracker) markFinished(call *Call) {
-	call.finished.Store(true)
+func (t *Tracker) markClosed(call *Call) {
+	call.closed.Store(true)
 	t.unanswered--
 }
 
-// dropIfDone drops a call that is finished and has no attempt in flight.
+// dropIfDone drops a call that is closed and has no attempt in flight.
 func (t *Tracker) dropIfDone(call *Call) {
-	if call.finished.Load() && call.inFlight == 0 && t.calls[call.ID] == call {
+	if call.closed.Load() && call.inFlight == 0 && t.calls[call.ID] == call {
 		delete(t.calls, call.ID)
 	}
 }
--- a/internal/decide/lifecycle/attempt.go
+++ b/internal/decide/lifecycle/attempt.go
@@ -2,8 +2,8 @@
 // I/O and read no clock: the caller reports events and asks for the resulting state. All transports use them, and so does the
 // state explorer, so that it explores the code that runs in production.
 //
-// A slot is a connection's share of the connection pool's limit (see PoolState); AwaitingSlot and NoSlot are about it. A PendingCall
-// is something else: it holds one attempt on a MultiplexedConn, which several attempts share.
+// A slot is a connection's share of the connection pool's limit (see PoolState). The stage AwaitingSlot and the cause NoSlot refer
+// to such slots. A PendingCall is something else: it holds one attempt on a MultiplexedConn, which several attempts share.
 package lifecycle
 
 import (
--- a/internal/decide/lifecycle/conn.go
+++ b/internal/decide/lifecycle/conn.go
@@ -12,11 +12,11 @@
 type Server struct {
 	ID          string
 	Addr        string
-	Addrs       []string // all addresses, if there are several
-	Started     int64    // start time in Unix milliseconds, from the server list
-	Speaks      choice.Protocols
-	Multiplexed bool   // accepts several concurrent calls on a connection
-	Identity    uint64 // set by the tracker: identifies this process of the server
+	Addrs       []string         // all addresses, if there are several
+	Started     int64            // start time in Unix milliseconds, from the server list
+	Speaks      choice.Protocols // all protocols that it speaks
+	Multiplexed bool             // accepts several concurrent calls on a connection
+	Identity    uint64           // set by the tracker: identifies this process of the server
 
 	retired atomic.Bool
 }
@@ -33,7 +33,7 @@
 // The states of a connection.
 const (
 	Queued   ConnState = iota // waits for a slot
-	Dialed                    // has a slot and is being dialed
+	Dialed                    // has a slot and is being dialed; Dialing is the name of a Stage
 	InUse                     // carries one or several attempts
 	Idle                      // available for the next attempt
 	Spoilt                    // in use, but must not be reused, as unexpected data may be pending on it
--- a/internal/host/core/core.go
+++ b/internal/host/core/core.go
@@ -1,5 +1,5 @@
 // Package core runs the decision module for all protocols. It accepts calls from the fronts, executes the attempts that
-// the module requests through the transports, and returns the final answers. It makes no decisions itself and is
+// the decision module requests through the transports, and returns the final answers. It makes no decisions itself and is
 // independent of how calls and answers are encoded.
 package core
 
@@ -26,7 +26,7 @@
 	"ternbeam/internal/host/pool"
 )
 
-// ErrCanceled is the cancellation cause of an attempt's context when the module cancels the attempt.
+// ErrCanceled is the cancellation cause of an attempt's context when the decision module cancels the attempt.
 var ErrCanceled = errors.New("canceled by the decision module")
 
 // Types of package calltrack that fronts and transports use.
@@ -76,7 +76,7 @@
 	Inherited     *InheritedState        // state of the process that this one replaces; nil if there is none
 }
 
-// Core is one client-side balancer, which hosts a calltrack.Tracker. One goroutine, the event loop, owns the Tracker and the timers;
+// Core runs the event loop around a calltrack.Tracker. One goroutine, the event loop, owns the Tracker and the timers;
 // everything else posts events to it.
 type Core struct {
 	set          Settings
@@ -107,7 +107,7 @@
 	subscribers  map[*Subscriber]bool // other processes of this agent, which are sent this one's updates
 }
 
-// New returns a Core; Run starts it. An error means that the module rejects its settings.
+// New returns a Core; Run starts it. An error means that the decision module rejects its settings.
 func New(set Settings) (*Core, error) {
 	balancer, err := choice.New(set.Module, set.Seed)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return c, nil
 }
 
-// Now returns the time of the module's clock: monotonic, as the time since the Unix epoch.
+// Now returns the time of the clock of the events: monotonic, as the time since the Unix epoch.
 func (c *Core) Now() time.Duration { return clock.Now() }
 
 // ReplaceRoutes replaces the table of shapes and returns once the new one is in use.
@@ -190,8 +190,8 @@
 
 const (
 	// firstListTimeout is how long the agent waits for the first list before it reports itself ready. emptyListTimeout applies
-	// instead if the agent shares its list service with others and knows no server, so that it would refuse all calls: a service
-	// that is busy with a whole fleet may need that long to answer, unless it is too slow.
+	// instead if the agent knows no server and would refuse all calls, and shares its list service with other agents: a service
+	// that is busy with a whole fleet may need that long to answer.
 	firstListTimeout = 200 * time.Millisecond
 	emptyListTimeout = 5 * time.Second
 	sweepInterval    = time.Second     // between closing server connections that were idle for too long or closed by the server
@@ -272,19 +272,19 @@
 
 // Snapshot holds the counts and the servers of a Core at one moment.
 type Snapshot struct {
-	Stats      Stats
-	Malformed  int64
-	Open, Held int // calls not answered yet; these plus answered calls with attempts in flight
-	Timers     int
-	Servers    []string // ids of the servers that calls can be sent to
+	Stats               Stats
+	Malformed           int64
+	Unanswered, Tracked int // calls not answered yet; these, and answered calls with attempts in flight
+	Timers              int
+	Servers             []string // ids of the servers that calls can be sent to
 }
 
 // Snapshot returns the state of the event loop, which must be running.
 func (c *Core) Snapshot() Snapshot {
 	taken := make(chan Snapshot, 1)
 	c.post(func() {
-		open, held := c.tracker.Count()
-		s := Snapshot{Stats: c.tracker.Stats(), Malformed: c.malformed.Load(), Open: open, Held: held, Timers: len(c.timers),
+		unanswered, tracked := c.tracker.Count()
+		s := Snapshot{Stats: c.tracker.Stats(), Malformed: c.malformed.Load(), Unanswered: unanswered, Tracked: tracked, Timers: len(c.timers),
 			Servers: c.tracker.Servers()}
 		taken <- s
 	})
@@ -303,7 +303,7 @@
 		c.log.Warn("the wall clock was stepped", "by", step)
 	}
 	s := c.tracker.Stats()
-	open, held := c.tracker.Count()
+	unanswered, tracked := c.tracker.Count()
 	connections, _, waiting := c.set.Pool.Count()
 	if c.set.Routes != nil {
 		c.log.Info("shapes", "translated", s.Translated, "unfit", s.UntranslatableCalls, "unknown", s.UnknownShapes, "untold", s.UntranslatableReplies)
@@ -315,7 +315,7 @@
 	}
 	c.log.Info("counts", "requests", s.Requests, "served", s.Served, "refused", s.Refused, "failed", s.Failed,
 		"gone", s.Disconnected, "abandoned", c.unsubmitted.Load(), "malformed", c.malformed.Load(), "undelivered", c.undelivered.count.Load(), "attempts", s.Attempts, "reports", s.Reports,
-		"results", resultsText(s.Results[:]), "reasons", reasonsText(c.tracker.ReasonCounts()), "open", open, "held", held, "timers", len(c.timers),
+		"results", resultsText(s.Results[:]), "reasons", reasonsText(c.tracker.ReasonCounts()), "open", unanswered, "held", tracked, "timers", len(c.timers),
 		"backends", c.tracker.ServerCount(), "connections", connections, "waiting", waiting)
 }
 
@@ -361,7 +361,7 @@
 	})
 }
 
-// timer is a timer that the module has set.
+// timer is a timer that the decision module has set.
 type timer struct {
 	at    time.Duration
 	token uint64
--- a/internal/host/core/figures.go
+++ b/internal/host/core/figures.go
@@ -14,9 +14,9 @@
 // Figures are metrics for operators, all taken at one moment. They are immutable.
 type Figures struct {
 	Classes     []calltrack.ClassStats // by class, since the process started
-	Outstanding int                    // calls accepted and not finished
+	Outstanding int                    // unanswered calls, and those whose answer is being relayed
 	Discovered  int                    // servers in the list
-	Ejected     int                    // those of them that are avoided
+	Avoided     int                    // those of them that are ejected as unhealthy, or taken offline by operators
 }
 
 // Figures returns the latest published figures, and how many attempts were written completely so far. It does not block.
@@ -24,9 +24,9 @@
 
 // publish publishes the current figures.
 func (c *Core) publish() {
-	open, _ := c.tracker.Count()
-	f := &Figures{Classes: c.tracker.Stats().Classes, Outstanding: open + c.tracker.RelayingCount()}
-	f.Discovered, f.Ejected = c.tracker.FleetCounts()
+	unanswered, _ := c.tracker.Count()
+	f := &Figures{Classes: c.tracker.Stats().Classes, Outstanding: unanswered + c.tracker.RelayingCount()}
+	f.Discovered, f.Avoided = c.tracker.FleetCounts()
 	c.publishedAt = c.Now()
 	c.figures.Store(f)
 }
--- a/internal/host/core/handover.go
+++ b/internal/host/core/handover.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if c.set.Inherited.Learned != nil {
-		c.tracker.RestoreLearned(c.Now(), *c.set.Inherited.Learned)
+		c.tracker.ImportInherited(c.Now(), *c.set.Inherited.Learned)
 	}
 	c.set.Inherited = nil
 	c.markReady()
@@ -90,16 +90,16 @@
 			commands, _ := c.tracker.Online(c.Now(), u.Online)
 			c.execute(commands)
 		}
-		var ended []discovery.Entry
+		var drainedOrRemoved []discovery.Entry
 		for _, e := range reported {
 			known, listed := c.tracker.ListedServer(e.ID)
 			s, err := e.Server(c.set.Zones)
 			if listed && err == nil && handover.Applies(known, s) {
-				ended = append(ended, e)
+				drainedOrRemoved = append(drainedOrRemoved, e)
 			}
 		}
-		if len(ended) > 0 {
-			c.applyEntries(discovery.List{Version: c.list.Version, Servers: ended})
+		if len(drainedOrRemoved) > 0 {
+			c.applyEntries(discovery.List{Version: c.list.Version, Servers: drainedOrRemoved})
 		}
 		return true
 	})
@@ -119,7 +119,7 @@
 	if !c.set.OpsEnabled { // without an operations address there is never another process
 		return
 	}
-	var ended []discovery.Entry
+	var drainedOrRemoved []discovery.Entry
 	indexes := make(map[string]int, len(c.list.Servers))
 	for i, e := range c.list.Servers {
 		indexes[e.ID] = i
@@ -132,7 +132,7 @@
 		for _, e := range c.list.Servers {
 			if !present[e.ID] {
 				e.State = "terminated"
-				ended = append(ended, e)
+				drainedOrRemoved = append(drainedOrRemoved, e)
 			}
 		}
 		c.list.Servers, indexes = nil, map[string]int{}
@@ -146,13 +146,13 @@
 		}
 		c.list.Servers[i] = e
 		if e.State != "in_service" {
-			ended = append(ended, e)
+			drainedOrRemoved = append(drainedOrRemoved, e)
 		}
 	}
 	c.list.Servers = slices.DeleteFunc(c.list.Servers, func(e discovery.Entry) bool { return e.State == "terminated" })
 	c.list.Version, c.list.Full = l.Version, true
-	if len(ended) > 0 && len(c.subscribers) > 0 {
-		if text, err := json.Marshal(ended); err == nil {
+	if len(drainedOrRemoved) > 0 && len(c.subscribers) > 0 {
+		if text, err := json.Marshal(drainedOrRemoved); err == nil {
 			c.notifySubscribers(handover.Update{Ended: text}, nil)
 		}
 	}
--- a/internal/host/core/learned.go
+++ b/internal/host/core/learned.go
@@ -10,39 +10,39 @@
 	"ternbeam/internal/decide/writepolicy"
 )
 
-// recallPeriod is how long after the start servers that enter the list are looked up in the restored state.
-const recallPeriod = 10 * time.Minute
+// importPeriod is how long after the start servers that enter the list are looked up in the stored state.
+const importPeriod = 10 * time.Minute
 
-// RestoreLearned hands the event loop what an earlier process had learned. It is called before clients connect.
-func (c *Core) RestoreLearned(past *aging.Restored, clock func() learned.Clock) {
+// LoadStored hands the event loop what an earlier process had learned and stored. It is called before clients connect.
+func (c *Core) LoadStored(past *aging.Restored, clock func() learned.Clock) {
 	c.post(func() {
-		c.tracker.LoadRestored(past)
+		c.tracker.LoadStored(past)
 		c.learnedClock = clock
-		c.recall()
-		time.AfterFunc(recallPeriod, func() { c.post(c.tracker.DropRestored) })
+		c.importNewlyListed()
+		time.AfterFunc(importPeriod, func() { c.post(c.tracker.DropStored) })
 	})
 }
 
-// recall gives the module what was learned earlier about servers that have just entered the list, and the pool the addresses of these
-// servers that connected.
-func (c *Core) recall() {
+// importNewlyListed gives the decision module what was learned earlier about servers that have just entered the list, and the pool
+// the addresses of these servers that connected.
+func (c *Core) importNewlyListed() {
 	if c.learnedClock == nil {
 		return
 	}
-	n, addrs := c.tracker.Recall(c.Now(), c.learnedClock())
+	n, addrs := c.tracker.ImportNewlyListed(c.Now(), c.learnedClock())
 	c.set.Pool.RestoreConnected(addrs)
 	if n+len(addrs) > 0 {
 		c.log.Info("learned: recalled", "servers", n, "addresses", len(addrs), "of", c.tracker.ServerCount())
 	}
 }
 
-// View returns the module's count of what it has learned, the number of servers, and the load.
+// View returns the decision module's count of what it has learned, the number of servers, and the load.
 func (c *Core) View(ctx context.Context) (writepolicy.AgentState, error) {
 	return query(ctx, c, func() writepolicy.AgentState {
-		open, _ := c.tracker.Count()
+		unanswered, _ := c.tracker.Count()
 		load := 0.0
 		if limit := c.set.MaxUnanswered; limit > 0 {
-			load = float64(open) / float64(limit)
+			load = float64(unanswered) / float64(limit)
 		}
 		return writepolicy.AgentState{Updates: c.tracker.Revision(), Servers: c.tracker.ServerCount(), Load: load}
 	})
--- a/internal/host/core/list.go
+++ b/internal/host/core/list.go
@@ -21,7 +21,7 @@
 	go c.set.Feed(ctx, func(changes []calltrack.Entry) {
 		c.postUrgent(ctx, func() {
 			c.execute(c.tracker.UpdateServers(c.Now(), false, changes))
-			c.recall()
+			c.importNewlyListed()
 			c.markReady()
 			c.log.Info("list", "changes", len(changes), "backends", c.tracker.ServerCount())
 		})
@@ -87,7 +87,7 @@
 		}
 	}
 	c.execute(c.tracker.UpdateServers(c.Now(), l.Full, entries))
-	c.recall()
+	c.importNewlyListed()
 	c.log.Info("list", "version", l.Version, "full", l.Full, "entries", len(l.Servers), "backends", c.tracker.ServerCount(),
 		"draining", len(draining), "draining_ids", strings.Join(draining[:min(len(draining), maxLoggedServers)], " "))
 }
--- a/internal/host/core/requestlog.go
+++ b/internal/host/core/requestlog.go
@@ -35,7 +35,7 @@
 	normalLimiter   *rate.Limiter
 	shutdownLimiter *rate.Limiter
 	suppressed      int
-	shutdownAt      time.Duration // when the process was asked to terminate, on the module's clock; 0 before
+	shutdownAt      time.Duration // when the process was asked to terminate, on the clock of the events; 0 before
 }
 
 func newRequestLog(log *slog.Logger, classes []choice.Class) *requestLog {
--- a/internal/host/core/undelivered.go
+++ b/internal/host/core/undelivered.go
@@ -28,5 +28,5 @@
 		return
 	}
 	c.log.Warn("answer not delivered", "id", call.ID, "class", c.requests.class(call.Class), "outcome", kindNames[kind], "stage", stage, "error", cause,
-		"disconnected", call.Disconnected != nil && call.Disconnected(), "conn_requests", call.Connection.Requests)
+		"disconnected", call.PollDisconnected != nil && call.PollDisconnected(), "conn_requests", call.Connection.Requests)
 }
--- a/internal/host/core/workers.go
+++ b/internal/host/core/workers.go
@@ -3,7 +3,7 @@
 import "sync/atomic"
 
 // workers run attempts on goroutines that are reused: the stack of a used one has grown already, and growing a new one for
-// each attempt costs more than the module's decision.
+// each attempt costs more than the decision module's decision.
 type workers struct {
 	jobs chan func()
 	idle *atomic.Int32
--- a/internal/http/httpback/httpback_test.go
+++ b/internal/http/httpback/httpback_test.go
@@ -64,7 +64,7 @@
 		"answered":           {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.Abort() }, choice.NotSent},
 		"client disconnects": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { a.Call.MarkDisconnected() }, choice.NotSent},
 		"client disconnects, not reported": {func(_ *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) {
-			a.Call.Disconnected = func() bool { return true }
+			a.Call.PollDisconnected = func() bool { return true }
 		}, choice.NotSent},
 		"drains":              {func(u *exchange.Transport, a *core.Attempt, _ context.CancelCauseFunc) { u.Pool.Retire(a.Server) }, choice.ConnectFailed},
 		"withdrawn":           {func(_ *exchange.Transport, _ *core.Attempt, cancel context.CancelCauseFunc) { cancel(core.ErrCanceled) }, choice.Canceled},
--- a/internal/http/httpfront/front.go
+++ b/internal/http/httpfront/front.go
@@ -252,7 +252,7 @@
 	defer slot.discard()
 	call.Answer = slot.deliver
 	client.requests++
-	call.Disconnected = client.conn.Disconnected
+	call.PollDisconnected = client.conn.Disconnected
 	call.Connection = calltrack.Connection{Opened: client.opened, Requests: client.requests}
 	f.core.Submit(call)
 	// Some clients send one request and keep their connection forever. Near the connection limit, the connection closes after the
--- a/internal/http/httpfront/front_test.go
+++ b/internal/http/httpfront/front_test.go
@@ -234,7 +234,7 @@
 					testkit.Eventually(t, "the connection is released", func() bool { return r.tracker.Count() == 0 })
 					testkit.Eventually(t, "the call is released", func() bool {
 						s := r.core.Snapshot()
-						return s.Open == 0 && s.Held == 0 && s.Stats.Disconnected == 1
+						return s.Unanswered == 0 && s.Tracked == 0 && s.Stats.Disconnected == 1
 					})
 					if a, b := r.servers.attempts("a"), r.servers.attempts("b"); a != 1 || b != 0 {
 						t.Errorf("%d attempts for the first request, %d for the one behind it", a, b)
@@ -257,8 +257,8 @@
 				r.serve()
 				<-r.conns
 				testkit.Eventually(t, "the connection is released", func() bool { return r.tracker.Count() == 0 })
-				if n, s := r.servers.attempts("a"), r.core.Snapshot(); n != 0 || s.Open != 0 || s.Stats.Requests != 0 {
-					t.Errorf("%d attempts; %d open of %d", n, s.Open, s.Stats.Requests)
+				if n, s := r.servers.attempts("a"), r.core.Snapshot(); n != 0 || s.Unanswered != 0 || s.Stats.Requests != 0 {
+					t.Errorf("%d attempts; %d open of %d", n, s.Unanswered, s.Stats.Requests)
 				}
 			})
 		}
@@ -383,8 +383,8 @@
 			if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("the client gets %v", err)
 			}
-			if n, s := r.servers.attempts("a"), r.core.Snapshot(); n != 0 || s.Open != 0 {
-				t.Errorf("%d attempts, %d open", n, s.Open)
+			if n, s := r.servers.attempts("a"), r.core.Snapshot(); n != 0 || s.Unanswered != 0 {
+				t.Errorf("%d attempts, %d open", n, s.Unanswered)
 			}
 		})
 	}
@@ -551,7 +551,7 @@
 			s := r.core.Snapshot()
 			// Requests of clients that disconnected before they were read are not counted.
 			ended := s.Stats.Disconnected + s.Stats.Served + s.Stats.Refused + s.Stats.Failed
-			return s.Open == 0 && s.Held == 0 && ended == s.Stats.Requests && r.tracker.Count() == 0
+			return s.Unanswered == 0 && s.Tracked == 0 && ended == s.Stats.Requests && r.tracker.Count() == 0
 		})
 	}
 	t.Logf("%d disconnects, the longest noticed after %v", r.core.Snapshot().Stats.Disconnected, longest)
@@ -670,11 +670,11 @@
 					conn := <-r.conns
 					testkit.Eventually(t, "the connection is no longer being read", func() bool { return !conn.BeingRead() })
 				}
-				if at.Call.Abandoned() {
+				if at.Call.PollFinished() {
 					t.Fatal("the client is still connected")
 				}
 				disconnect(c, reset)
-				testkit.Eventually(t, "the disconnect is detected", at.Call.Abandoned)
+				testkit.Eventually(t, "the disconnect is detected", at.Call.PollFinished)
 			})
 		}
 	}
--- a/internal/http/httpops/httpops.go
+++ b/internal/http/httpops/httpops.go
@@ -109,7 +109,7 @@
 		fmt.Fprintf(&b, "svc_aborted{service=\"%s\"} %d\n", name, c.Failed)
 	}
 	fmt.Fprintf(&b, "svc_forwards %d\nsvc_outstanding %d\nsvc_discovered %d\nsvc_ejected %d\n", forwards, f.Outstanding,
-		f.Discovered, f.Ejected)
+		f.Discovered, f.Avoided)
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	w.Write(b.Bytes()) // a failed write means that the client has disconnected
 }
--- a/internal/http/httpops/httpops_test.go
+++ b/internal/http/httpops/httpops_test.go
@@ -47,7 +47,7 @@
 
 func newFakeAgent() *fakeAgent {
 	return &fakeAgent{ready: make(chan struct{}), known: map[string]bool{"s-1": true, "a/b c": true},
-		figures: core.Figures{Classes: []calltrack.ClassStats{{Served: 3, Refused: 2, Failed: 1}, {}}, Outstanding: 4, Discovered: 6, Ejected: 5}}
+		figures: core.Figures{Classes: []calltrack.ClassStats{{Served: 3, Refused: 2, Failed: 1}, {}}, Outstanding: 4, Discovered: 6, Avoided: 5}}
 }
 
 // call sends one request on a connection of its own.
--- a/internal/lab/drive/drive.go
+++ b/internal/lab/drive/drive.go
@@ -368,7 +368,7 @@
 			return ctx.Err()
 		}
 	}
-	if err := s.waitUntil(ctx, "the agent is idle", func() (bool, error) { return s.agent.Snapshot().Held == 0, nil }); err != nil {
+	if err := s.waitUntil(ctx, "the agent is idle", func() (bool, error) { return s.agent.Snapshot().Tracked == 0, nil }); err != nil {
 		return err
 	}
 	wanted := make([]int, len(outcomes))
--- a/internal/lab/explore/planted_test.go
+++ b/internal/lab/explore/planted_test.go
@@ -13,7 +13,7 @@
 var planted = []struct{ name, file, old, new, world string }{
 	{"told as never run after the last byte", "internal/decide/lifecycle/attempt.go", "case !a.MayHaveRun():", "case true:", "unsafe"},
 	{"refused after a reset", "choice/choice.go", "} else if r.mayRefuse() {", "} else if true {", "unsafe"},
-	{"answered twice as the reply meets the deadline", "internal/decide/calltrack/tracker.go", "if call == nil || call.finished.Load() {", "if call == nil {", "unsafe"},
+	{"answered twice as the reply meets the deadline", "internal/decide/calltrack/tracker.go", "if call == nil || call.closed.Load() {", "if call == nil {", "unsafe"},
 	{"connection used again with bytes behind the answer", "internal/lab/explore/host.go", "if !c.Host.(*connData).strayBytes {", "if true {", "one-place"},
 	{"connection kept whose server sent a second answer", "internal/decide/lifecycle/conn.go", "if c.State() == InUse && len(p.queue) == 0 && p.taken <= p.limit {", "if c.State() != Closed && len(p.queue) == 0 {", "one-place"},
 	{"sent to a server after its drain", "internal/decide/lifecycle/attempt.go", "case now.Retired:", "case now.Retired && now.TimedOut:", "unsafe"},
@@ -22,7 +22,7 @@
 	{"group of a keyed call not looked at", "choice/choice.go", "return s.Cell == first.srv.Cell", "return true", "keyed"},
 	{"unsafe call sent again", "choice/choice.go", "case first == nil || c.Effect == Safe:", "case first == nil || c.Effect != Keyed:", "unsafe"},
 	{"place leaked where a dial is given up", "internal/decide/lifecycle/conn.go", "\t\treturn nil, nil\n\t}\n\treturn p.releaseSlot(), nil", "\t}\n\treturn nil, nil", "withdrawn"},
-	{"withdrawn copy's reply wins", "internal/decide/calltrack/tracker.go", "if call == nil || call.finished.Load() {", "if call == nil || call.Finished() && call.inFlight == 0 {", "copies"},
+	{"withdrawn copy's reply wins", "internal/decide/calltrack/tracker.go", "if call == nil || call.closed.Load() {", "if call == nil || call.Finished() && call.inFlight == 0 {", "copies"},
 	{"sent after it was withdrawn", "internal/decide/lifecycle/attempt.go", "case now.Canceled:", "case now.Canceled && now.TimedOut:", "withdrawn"},
 	{"withdrawn and told as never run", "internal/decide/lifecycle/attempt.go", "case c == Canceled:\n\t\ta.end(choice.Canceled)", "case c == Canceled:\n\t\ta.end(choice.ConnectFailed)", "withdrawn"},
 	{"sequence id used again while its reply may come", "internal/decide/lifecycle/multiplexed.go", "if m.seq++; m.pendingCalls[m.seq] == nil {", "if m.seq = 1; true {", "line"},
@@ -47,7 +47,7 @@
 	{"list's word undoes the operators'", "internal/decide/calltrack/tracker.go", "\t\te.Server = t.overrides.Apply(e.Server)\n", "\t\tif len(entries) == 0 || !t.overrides.IsOffline(e.ID) || full || e.Started != 0 {\n\t\t\te.Server = t.overrides.Apply(e.Server)\n\t\t}\n", "by-hand"},
 	{"answer that has begun comes after another", "internal/decide/calltrack/streamed.go", "\tif call.Finished() {", "\tif false {", "passing"},
 	{"answer that has begun is not counted to its end", "internal/decide/calltrack/streamed.go", "\tt.relaying--\n", "", "passing"},
-	{"answered after its client left", "internal/decide/calltrack/tracker.go", "\tt.stats.Disconnected++\n\tt.markFinished(call)\n", "\tt.stats.Disconnected++\n", "unsafe"},
+	{"answered after its client left", "internal/decide/calltrack/tracker.go", "\tt.stats.Disconnected++\n\tt.markClosed(call)\n", "\tt.stats.Disconnected++\n", "unsafe"},
 }
 
 // The explorer finds each planted bug. The program is built from the sources with an overlay that has only that change.
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -248,10 +248,10 @@
 		entries = append(entries, calltrack.Entry{Server: choice.Server{ID: s.ID, Weight: 1}, Addr: s.ID})
 	}
 	if past != nil {
-		a.tracker.LoadRestored(past)
+		a.tracker.LoadStored(past)
 	}
 	w.execute(a, a.tracker.UpdateServers(w.now, true, entries))
-	a.tracker.Recall(w.now, w.Clock())
+	a.tracker.ImportNewlyListed(w.now, w.Clock())
 	return nil
 }
 
--- a/internal/thrift/thriftfront/client.go
+++ b/internal/thrift/thriftfront/client.go
@@ -201,7 +201,7 @@
 		return nil
 	}
 	if !oneway { // the client of a oneway may disconnect
-		call.Disconnected = c.conn.Disconnected
+		call.PollDisconnected = c.conn.Disconnected
 	}
 	call.Answer = func(ans core.Answer) {
 		if oneway {
